--- a/tests/golden/message_samples.py
+++ b/tests/golden/message_samples.py
@@ -43,8 +43,8 @@
             return self._items(arguments[0])
         if origin is tuple:
             return tuple(self._items(arguments[0]))
-        if origin is frozenset:
-            return frozenset(self._items(arguments[0]))
+        if origin in (set, frozenset):
+            return origin(self._items(arguments[0]))
         if origin in (dict, collections.abc.Mapping):
             return self._map(arguments[1])
         if origin in (types.UnionType, typing.Union):
--- /dev/null
+++ b/tests/golden/test_report_bytes.py
@@ -0,0 +1,126 @@
+"""Traces, schedules and reports: texts and JSON that take words from names in the code."""
+
+from __future__ import annotations
+
+import tempfile
+import typing
+from pathlib import Path
+from typing import Any
+
+import attrs
+import orjson
+import testtools
+from testtools.matchers import Equals
+
+from tests.golden.golden_file import golden
+from tests.golden.message_samples import SampleBuilder
+from zincvale.dataplane.events import ClaimDecided
+from zincvale.dataplane.interfaces import ClaimDecision
+from zincvale.dataplane.request_record import RequestRecord
+from zincvale.fleet.figures import Figures
+from zincvale.fleet.invariants.findings import CheckResult
+from zincvale.fleet.processes import UnexpectedEnd
+from zincvale.simulator.run import Outcome
+from zincvale.simulator.schedule import Schedule
+from zincvale.simulator.schedule_files import write_schedule
+from zincvale.tracing.chunks import TraceChunk, decode_chunks, encode_chunks
+from zincvale.tracing.explain import explain
+from zincvale.tracing.kept_trace import KeptTrace
+from zincvale.tracing.spans import Span
+
+CLAIMS = "claim_words.json"
+REPORTS = "report_bytes.json"
+
+
+class RootSpan:
+    """Takes the events of a request's root span."""
+
+    def __init__(self) -> None:
+        self.events: list[tuple[str, dict[str, Any]]] = []
+
+    def event(self, name: str, **attributes: Any) -> None:
+        """Keep an event."""
+        self.events.append((name, attributes))
+
+
+def full(kind: Any) -> Any:
+    """Return a sample of a type with every field filled."""
+    return SampleBuilder(True).build(kind)
+
+
+def recorded_claims() -> list[tuple[str, dict[str, Any]]]:
+    """Return the events that the decisions on a claim leave in a trace, in declared order."""
+    root = RootSpan()
+    record = RequestRecord(typing.cast(Any, None), typing.cast(Any, root))
+    for kind in typing.get_args(ClaimDecision):
+        record.input(ClaimDecided(full(kind)))
+    return root.events
+
+
+def told(events: list[Any]) -> str:
+    """Return what `trace why` tells of a root span with these events."""
+    span = attrs.evolve(full(Span), parent_id="", name="request", failure="", attributes={})
+    plain = span.to_json()
+    plain["events"] = [
+        {"name": name, "offset_s": float(index), "attributes": attributes}
+        for index, (name, attributes) in enumerate(events)
+    ]
+    trace = KeptTrace(**{**_kept_fields(), "request_id": "r"}).summary()
+    return explain({"state": "kept", **trace, "spans": [plain]})
+
+
+def _kept_fields() -> dict[str, Any]:
+    sample = SampleBuilder(False).build(KeptTrace)
+    fields = [each for each in attrs.fields(KeptTrace) if each.init]
+    return {each.alias: getattr(sample, each.name) for each in fields}
+
+
+def schedule_text(schedule: Schedule) -> str:
+    """Return the file of a schedule."""
+    with tempfile.TemporaryDirectory() as holder:
+        path = Path(holder) / "schedule.json"
+        write_schedule(schedule, path)
+        return path.read_text(encoding="utf-8")
+
+
+def reports() -> dict[str, Any]:
+    """Return each body under what it is called outside."""
+    evidence, bodies = encode_chunks([full(TraceChunk), full(TraceChunk)])
+    return {
+        "trace chunks": [evidence.decode(), bodies.hex()],
+        "trace summary": orjson.dumps(SampleBuilder(False).build(KeptTrace).summary()).decode(),
+        "schedule": schedule_text(full(Schedule)),
+        "explored": orjson.dumps(attrs.asdict(full(Outcome))).decode(),
+        "report figures": orjson.dumps(attrs.asdict(full(Figures))).decode(),
+        "report invariant": orjson.dumps(full(CheckResult).to_json()).decode(),
+        "report ends": orjson.dumps(attrs.asdict(full(UnexpectedEnd))).decode(),
+    }
+
+
+class ReportBytesTest(testtools.TestCase):
+    def test_bodies_have_the_golden_bytes(self) -> None:
+        current = reports()
+        expected = golden(REPORTS, current)
+        self.assertThat(sorted(current), Equals(sorted(expected)))
+        for name, content in expected.items():
+            self.assertThat(current[name], Equals(content), name)
+
+    def test_golden_chunks_decode_and_encode_to_the_same_bytes(self) -> None:
+        evidence, bodies = golden(REPORTS)["trace chunks"]
+        again = encode_chunks(decode_chunks(evidence.encode(), bytes.fromhex(bodies)))
+        self.assertThat([again[0].decode(), again[1].hex()], Equals([evidence, bodies]))
+
+
+class ClaimWordsTest(testtools.TestCase):
+    """A trace names a decision by its class: these words are stored, sent and shown."""
+
+    def test_decisions_leave_the_golden_words(self) -> None:
+        words = [[name, sorted(attributes.items())] for name, attributes in recorded_claims()]
+        current = {"events": words, "told": told(recorded_claims())}
+        expected = golden(CLAIMS, current)
+        self.assertThat(orjson.loads(orjson.dumps(current)), Equals(expected))
+
+    def test_golden_events_are_told_as_before(self) -> None:
+        expected = golden(CLAIMS)
+        events = [(name, dict(attributes)) for name, attributes in expected["events"]]
+        self.assertThat(told(events), Equals(expected["told"]))
