--- /dev/null
+++ b/tests/golden/decisions_of_cluster.py
@@ -0,0 +1,92 @@
+"""Digests of the cluster simulator, of the claims over it, and of the explored registers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+from typing import Any
+from unittest import mock
+
+from tests.golden.decision_log import DecisionLog, watched
+from zincvale.dataplane.claims_node import ClaimsNode
+from zincvale.simulator.claims_run import ClaimsRun
+from zincvale.simulator.drawing import draw_schedule
+from zincvale.simulator.register_exploration import Explorer
+from zincvale.simulator.run import Run
+from zincvale.simulator.world import World
+
+CLUSTER_SEEDS = range(1, 101)
+CLAIMS_SEEDS = range(1, 21)
+EXPLORED_STATES = 3_000
+WALKS = 60
+WALK_SEEDS = (1, 2, 3)
+
+
+def _watched_world(log: DecisionLog) -> Any:
+    """Note every effect of every process: who, when by the true and by its own clock, what."""
+
+    def carried_out(world: World, process: Any, effect: Any, source: Any, inputs: Any) -> None:
+        came_through = source.member if source is not None else ""
+        now = world.now
+        log.effect(effect, process.member, process.run, now, process.local(now), came_through)
+
+    return watched(World, World._carry_out, carried_out)
+
+
+def cluster_digest(seed: int) -> str:
+    log = DecisionLog()
+    schedule = draw_schedule(seed)
+    log.add("schedule", schedule)
+    with _watched_world(log):
+        run = Run(schedule)
+        log.add("outcome", run.execute())
+    log.add("attempts", run.operators.attempts)
+    return log.digest()
+
+
+def claims_digest(seed: int) -> str:
+    log = DecisionLog()
+    handle = ClaimsNode.handle
+
+    def watched_handle(node: ClaimsNode, event: Any, now: float) -> Any:
+        effects = handle(node, event, now)
+        for effect in effects:
+            log.effect(effect, now)
+        return effects
+
+    with _watched_world(log):
+        run = ClaimsRun(seed)
+        with mock.patch.object(ClaimsNode, handle.__name__, watched_handle):
+            log.add("outcome", run.execute())
+    log.add("runs", dict(run.callers.runs))
+    return log.digest()
+
+
+def _explorer_digest(explore: Callable[[Explorer], Any]) -> str:
+    """Digest what was visited, and every message and flight in the order of its discovery."""
+    log = DecisionLog()
+    explorer = Explorer()
+    log.add("found", explore(explorer))
+    for message in explorer._messages:
+        log.add("message", message)
+    for flight in explorer._flights:
+        log.add("flight", flight)
+    for chosen in explorer._chosen:
+        log.add("chosen", chosen)
+    return log.digest()
+
+
+def exploration_digest() -> str:
+    return _explorer_digest(lambda explorer: explorer.explore((1, 1), EXPLORED_STATES))
+
+
+def walks_digest(seed: int) -> str:
+    return _explorer_digest(lambda explorer: explorer.walk((2, 2), WALKS, seed))
+
+
+CLUSTER_RUNS = {str(seed): partial(cluster_digest, seed) for seed in CLUSTER_SEEDS}
+CLAIMS_RUNS = {str(seed): partial(claims_digest, seed) for seed in CLAIMS_SEEDS}
+REGISTER_RUNS = {
+    "explored": exploration_digest,
+    **{f"walks {seed}": partial(walks_digest, seed) for seed in WALK_SEEDS},
+}
--- /dev/null
+++ b/tests/golden/decisions_of_forwarding.py
@@ -0,0 +1,55 @@
+"""Digests of the forwarding model: what nodes send to servers and answer to callers, and when."""
+
+from __future__ import annotations
+
+import contextlib
+from functools import partial
+from typing import Any
+
+from tests.golden.decision_log import DecisionLog, watched
+from zincvale.simulator.forwarding_model import _Model, _Sink
+from zincvale.simulator.forwarding_servers import ModelClient, ModelExchange
+
+FORWARDING_SEEDS = range(1, 201)
+
+
+@contextlib.contextmanager
+def _watched_edges(log: DecisionLog) -> Any:
+    def started(client: Any, address: Any, incarnation: Any, request: Any, listener: Any) -> None:
+        content = (request.method, request.target, request.headers, request.body)
+        log.add("sent", client.node, address, incarnation, content, request.may_repeat)
+
+    def cancelled(exchange: ModelExchange) -> None:
+        log.add("cancelled", exchange.is_cancelled)
+
+    def opened(sink: Any, status: int, reason: str, headers: Any) -> None:
+        log.add("head", sink._record.request_id, sink._loop.time(), status, reason, headers)
+
+    def wrote(sink: Any, data: bytes) -> None:
+        log.add("body", sink._record.request_id, sink._loop.time(), data)
+
+    def closed(sink: Any, ending: Any) -> None:
+        log.add("closed", sink._record.request_id, sink._loop.time(), ending)
+
+    with (
+        watched(ModelClient, ModelClient.start, started),
+        watched(ModelExchange, ModelExchange.cancel, cancelled),
+        watched(_Sink, _Sink.open, opened),
+        watched(_Sink, _Sink.write, wrote),
+        watched(_Sink, _Sink._close, closed),
+    ):
+        yield
+
+
+def forwarding_digest(seed: int) -> str:
+    log = DecisionLog()
+    with _watched_edges(log):
+        model = _Model(seed)
+        model.play()
+    log.add("callers", model.journal.callers)
+    log.add("arrivals", model.journal.arrivals)
+    log.add("runs", model.journal.runs)
+    return log.digest()
+
+
+FORWARDING_RUNS = {str(seed): partial(forwarding_digest, seed) for seed in FORWARDING_SEEDS}
