--- a/examples/embedded_register.py
+++ b/examples/embedded_register.py
@@ -10,9 +10,9 @@
 
 from zincvale.coordination.changes import RowChange
 from zincvale.coordination.config import CoreConfig, InitialCore
-from zincvale.coordination.core_machine import CoreMachine
-from zincvale.coordination.change_messages import ProposeChange
-from zincvale.coordination.recovered import RecoveredState
+from zincvale.coordination.core.machine import CoreMachine
+from zincvale.coordination.registers.change_messages import ProposeChange
+from zincvale.coordination.registers.recovered_state import RecoveredState
 from zincvale.model import machine as m
 
 NAMES = ("core-1", "core-2", "core-3")
--- a/src/zincvale/bench/hollow_process.py
+++ b/src/zincvale/bench/hollow_process.py
@@ -20,7 +20,7 @@
 
 from zincvale.controlplane.intent_rows import IntentDecoder
 from zincvale.coordination.config import NodeConfig
-from zincvale.coordination.node_machine import NodeMachine
+from zincvale.coordination.node.machine import NodeMachine
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.model.machine import Tick
 from zincvale.runtime.clock import suspend_aware_now
--- a/src/zincvale/controlplane/api.py
+++ b/src/zincvale/controlplane/api.py
@@ -36,7 +36,11 @@
 from zincvale.controlplane.intent_rows import KIND_BY_TABLE
 from zincvale.controlplane.observed_world import ObservedWorld, lagging_nodes, observe
 from zincvale.controlplane.replica_changes import read_replacement
-from zincvale.coordination.change_messages import ChangeResult, ProposeChange, ReplaceReplica
+from zincvale.coordination.registers.change_messages import (
+    ChangeResult,
+    ProposeChange,
+    ReplaceReplica,
+)
 from zincvale.model.errors import InvalidInput, NotFound, Unavailable, ZincvaleError
 
 MAX_PENDING_CHANGES = 1_000
--- a/src/zincvale/controlplane/directory_events.py
+++ b/src/zincvale/controlplane/directory_events.py
@@ -6,7 +6,7 @@
 
 from zincvale.controlplane.backend_status import PlatformServer, ServerStatus
 from zincvale.coordination.changes import TopicView
-from zincvale.coordination.delivery_messages import PublishTopic
+from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.model.identifiers import Address, MemberId, ServerId
 from zincvale.model.machine import ClockJumped, Log, Tick
 from zincvale.model.view import Intent, ServerRow
--- a/src/zincvale/controlplane/directory_rows.py
+++ b/src/zincvale/controlplane/directory_rows.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from zincvale.coordination.topics import LEADERLESS_PREFIX
+from zincvale.coordination.delivery.ephemeral_topics import LEADERLESS_PREFIX
 from zincvale.model.errors import InvalidInput
 from zincvale.model.identifiers import AdapterName, Address, ModelName, PoolName, ServerId, ZoneName
 from zincvale.model.resources import PoolKind
--- a/src/zincvale/controlplane/document_api.py
+++ b/src/zincvale/controlplane/document_api.py
@@ -20,9 +20,9 @@
     encode_change,
 )
 from zincvale.controlplane.document_rows import SourceDocument, source_document
-from zincvale.coordination.change_messages import CONFLICT, ChangeResult, ProposeChange
 from zincvale.coordination.changes import KeyView
-from zincvale.coordination.replica_sets import INTENT_KEY
+from zincvale.coordination.registers.change_messages import CONFLICT, ChangeResult, ProposeChange
+from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.model.errors import Unavailable, ZincvaleError
 
 CALL_LIMIT_S = 4.5
--- a/src/zincvale/controlplane/intent_changes.py
+++ b/src/zincvale/controlplane/intent_changes.py
@@ -18,14 +18,14 @@
     json_response,
 )
 from zincvale.controlplane.change_body import MAX_CHANGE_BYTES, parse_json
-from zincvale.coordination.change_messages import (
+from zincvale.coordination.registers.change_messages import (
     CONFLICT,
     IN_FORCE,
     INVALID,
     ChangeResult,
     ProposeChange,
 )
-from zincvale.coordination.replica_sets import INTENT_KEY
+from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.model.errors import (
     BodyTooLarge,
     InvalidInput,
--- a/src/zincvale/controlplane/listed_servers.py
+++ b/src/zincvale/controlplane/listed_servers.py
@@ -23,7 +23,7 @@
     encode_server_row,
 )
 from zincvale.coordination.changes import TopicView
-from zincvale.coordination.delivery_messages import PublishTopic
+from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.model.errors import InvalidInput
 from zincvale.model.forwarding import ForwardingDocument
 from zincvale.model.identifiers import (
--- a/src/zincvale/coordination/core_parts.py
+++ b/src/zincvale/coordination/core/components.py
@@ -13,32 +13,32 @@
 
 from __future__ import annotations
 
-from zincvale.coordination.catching_up import CatchingUp
-from zincvale.coordination.change_messages import ChangeResult
 from zincvale.coordination.changes import Reducer
-from zincvale.coordination.chosen_values import ChosenValues
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_leases import CoreLeases
-from zincvale.coordination.core_roles import CoreRoles
-from zincvale.coordination.core_statuses import CoreStatuses
-from zincvale.coordination.core_topics import CoreTopics
-from zincvale.coordination.creation import ClusterCreation
-from zincvale.coordination.delivery import DeliveryHost
-from zincvale.coordination.home_renewals import HomeRenewals
-from zincvale.coordination.ownership import Ownership
-from zincvale.coordination.proposals import Proposals
-from zincvale.coordination.register_owner import RegisterOwner
-from zincvale.coordination.registry import reduce_registry
-from zincvale.coordination.repair import Repair
-from zincvale.coordination.replica_manager import ReplicaManager
-from zincvale.coordination.replica_set_changes import reduce_replica_sets
-from zincvale.coordination.replica_sets import (
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.delivery.core_topics import CoreTopics
+from zincvale.coordination.delivery.long_poll_server import DeliveryHost
+from zincvale.coordination.election.leader_election import CoreRoles
+from zincvale.coordination.election.leader_lease import reduce_role
+from zincvale.coordination.leases.catch_up import CatchingUp
+from zincvale.coordination.leases.core_leases import CoreLeases
+from zincvale.coordination.leases.renewal_batcher import HomeRenewals
+from zincvale.coordination.membership.heartbeats import CoreStatuses
+from zincvale.coordination.membership.registry import reduce_registry
+from zincvale.coordination.registers.change_messages import ChangeResult
+from zincvale.coordination.registers.chosen_values import ChosenValues
+from zincvale.coordination.registers.cluster_creation import ClusterCreation
+from zincvale.coordination.registers.owner import RegisterOwner
+from zincvale.coordination.registers.ownership import Ownership
+from zincvale.coordination.registers.proposals import Proposals
+from zincvale.coordination.registers.repair import Repair
+from zincvale.coordination.replication.replica_manager import ReplicaManager
+from zincvale.coordination.replication.replica_set_changes import reduce_replica_sets
+from zincvale.coordination.replication.replica_sets import (
     DELIVERED_KEYS,
     REGISTRY_KEY,
     REPLICA_SETS_KEY,
     ROLE_KEY_PREFIX,
 )
-from zincvale.coordination.role_lease import reduce_role
 from zincvale.model.machine import Effect
 
 ROLE_PROPOSAL_PREFIX = "role:"
--- a/src/zincvale/coordination/core_context.py
+++ b/src/zincvale/coordination/core/context.py
@@ -8,19 +8,19 @@
 
 from zincvale.coordination.changes import ChangeNotes, Rows
 from zincvale.coordination.config import CoreConfig
-from zincvale.coordination.core_table import CoreTable
-from zincvale.coordination.epochs import epoch_owner
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.register_replica import RegisterReplica
-from zincvale.coordination.replica_config import replica_id
-from zincvale.coordination.replica_sets import (
+from zincvale.coordination.delivery.ephemeral_topics import TopicTables
+from zincvale.coordination.delivery.versioned_table import VersionedTable
+from zincvale.coordination.membership.messages import MemberInfo
+from zincvale.coordination.membership.peer_table import CoreTable
+from zincvale.coordination.registers.epochs import epoch_owner
+from zincvale.coordination.registers.replica import RegisterReplica
+from zincvale.coordination.replication.replica_config import replica_id
+from zincvale.coordination.replication.replica_sets import (
     DELIVERED_KEYS,
     ROLE_KEY_PREFIX,
     ReplicaSets,
     decode_replica_sets,
 )
-from zincvale.coordination.tables import VersionedTable
-from zincvale.coordination.topics import TopicTables
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Send
 from zincvale.model.view import Role
--- a/src/zincvale/coordination/core_inputs.py
+++ b/src/zincvale/coordination/core/dispatch.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from zincvale.coordination.change_messages import ForwardChange, ProposeChange, ReplaceReplica
-from zincvale.coordination.core_messages import (
+from zincvale.coordination.core.components import CoreParts
+from zincvale.coordination.core.messages import (
     AskCores,
     AskStatus,
     CoreStatus,
@@ -13,9 +13,9 @@
     HeldReport,
     UnchangedStatus,
 )
-from zincvale.coordination.core_parts import CoreParts
-from zincvale.coordination.delivery_messages import FetchTopic, Poll, PublishTopic, TopicUpdate
-from zincvale.coordination.lease_messages import (
+from zincvale.coordination.delivery.messages import FetchTopic, Poll, PublishTopic, TopicUpdate
+from zincvale.coordination.election.messages import AskRole, RoleGranted, RoleRefused, RoleReleased
+from zincvale.coordination.leases.messages import (
     LeaseGranted,
     LeaseRedirect,
     NodeGrant,
@@ -25,7 +25,12 @@
     RelayedRenewals,
     RenewLease,
 )
-from zincvale.coordination.register_messages import (
+from zincvale.coordination.registers.change_messages import (
+    ForwardChange,
+    ProposeChange,
+    ReplaceReplica,
+)
+from zincvale.coordination.registers.messages import (
     Accept,
     Accepted,
     BaseMissing,
@@ -38,8 +43,7 @@
     Promise,
     Refused,
 )
-from zincvale.coordination.replica_sets import REPLICA_SETS_KEY
-from zincvale.coordination.role_messages import AskRole, RoleGranted, RoleRefused, RoleReleased
+from zincvale.coordination.replication.replica_sets import REPLICA_SETS_KEY
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Reply, Send
 
--- a/src/zincvale/coordination/core_machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -14,18 +14,18 @@
 from zincvale.coordination import log_events
 from zincvale.coordination.changes import ChangeNotes, KeyView, Reducer, RoleState, TopicView
 from zincvale.coordination.config import CoreConfig
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_inputs import handle_call, handle_message
-from zincvale.coordination.core_parts import CoreParts
-from zincvale.coordination.core_queries import core_state, key_states, replica_states
-from zincvale.coordination.core_state import CoreState, ReplicaState
-from zincvale.coordination.core_systems import run_systems, settle
-from zincvale.coordination.core_table import CoreTable
-from zincvale.coordination.member_rows import MembersDecoder
-from zincvale.coordination.proposals import FORWARD_PREFIX
-from zincvale.coordination.recovered import RecoveredState
-from zincvale.coordination.register_replica import RegisterReplica
-from zincvale.coordination.replica_sets import ReplicaSets
+from zincvale.coordination.core.components import CoreParts
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.core.dispatch import handle_call, handle_message
+from zincvale.coordination.core.queries import core_state, key_states, replica_states
+from zincvale.coordination.core.status import CoreState, ReplicaState
+from zincvale.coordination.core.tick import run_systems, settle
+from zincvale.coordination.membership.member_codec import MembersDecoder
+from zincvale.coordination.membership.peer_table import CoreTable
+from zincvale.coordination.registers.proposals import FORWARD_PREFIX
+from zincvale.coordination.registers.recovered_state import RecoveredState
+from zincvale.coordination.registers.replica import RegisterReplica
+from zincvale.coordination.replication.replica_sets import ReplicaSets
 from zincvale.model.identifiers import Address, MemberId
 from zincvale.model.machine import (
     CallAbandoned,
--- a/src/zincvale/coordination/core_messages.py
+++ b/src/zincvale/coordination/core/messages.py
@@ -4,10 +4,10 @@
 
 import attrs
 
-from zincvale.coordination.epochs import Epoch, Position
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.register_messages import RecordUpdate
-from zincvale.coordination.replica_config import ReplicaConfig
+from zincvale.coordination.membership.messages import MemberInfo
+from zincvale.coordination.registers.epochs import Epoch, Position
+from zincvale.coordination.registers.messages import RecordUpdate
+from zincvale.coordination.replication.replica_config import ReplicaConfig
 from zincvale.model.messages import peer_message
 
 
--- a/src/zincvale/coordination/core_queries.py
+++ b/src/zincvale/coordination/core/queries.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Iterable
 
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_messages import CoreStatus
-from zincvale.coordination.core_state import CoreState, KeyState, ReplicaState
-from zincvale.coordination.in_force import InForceTracker
-from zincvale.coordination.ownership import Ownership
-from zincvale.coordination.replica_sets import INTENT_KEY
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.core.messages import CoreStatus
+from zincvale.coordination.core.status import CoreState, KeyState, ReplicaState
+from zincvale.coordination.delivery.rollout import InForceTracker
+from zincvale.coordination.registers.ownership import Ownership
+from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 
 
--- a/src/zincvale/coordination/standby_machine.py
+++ b/src/zincvale/coordination/core/standby_machine.py
@@ -12,9 +12,9 @@
 import attrs
 
 from zincvale.coordination import log_events
-from zincvale.coordination.core_messages import AskCores, CoreStatus, UnchangedStatus
-from zincvale.coordination.lease_messages import LeaseRedirect, RenewLease
-from zincvale.coordination.member_messages import MemberInfo
+from zincvale.coordination.core.messages import AskCores, CoreStatus, UnchangedStatus
+from zincvale.coordination.leases.messages import LeaseRedirect, RenewLease
+from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.model.machine import Effect, Input, Log, MessageReceived, Send, Tick
 
--- a/src/zincvale/coordination/core_systems.py
+++ b/src/zincvale/coordination/core/tick.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Callable
 
-from zincvale.coordination.change_messages import IN_FORCE, ChangeResult
-from zincvale.coordination.core_parts import ROLE_PROPOSAL_PREFIX, CoreParts
-from zincvale.coordination.in_force import Waiter
-from zincvale.coordination.ownership_proof import Evaluated
-from zincvale.coordination.register_messages import Chosen
-from zincvale.coordination.register_owner import ChosenNow, Phase, RegisterOwner
-from zincvale.coordination.replica_sets import (
+from zincvale.coordination.core.components import ROLE_PROPOSAL_PREFIX, CoreParts
+from zincvale.coordination.delivery.rollout import Waiter
+from zincvale.coordination.registers.change_messages import IN_FORCE, ChangeResult
+from zincvale.coordination.registers.messages import Chosen
+from zincvale.coordination.registers.owner import ChosenNow, Phase, RegisterOwner
+from zincvale.coordination.registers.ownership_proof import Evaluated
+from zincvale.coordination.replication.replica_sets import (
     DELIVERED_KEYS,
     REGISTRY_KEY,
     REPLICA_SETS_KEY,
--- a/src/zincvale/coordination/held_reports.py
+++ b/src/zincvale/coordination/delivery/applied_versions.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from zincvale.coordination import registry
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_messages import HeldReport
-from zincvale.coordination.in_force import CountingRules, InForceTracker, Waiter
-from zincvale.coordination.lease_grantor import LeaseGrantor
-from zincvale.coordination.replica_sets import DELIVERED_KEYS, REGISTRY_KEY
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.core.messages import HeldReport
+from zincvale.coordination.delivery.rollout import CountingRules, InForceTracker, Waiter
+from zincvale.coordination.leases.lease_grantor import LeaseGrantor
+from zincvale.coordination.membership import registry
+from zincvale.coordination.replication.replica_sets import DELIVERED_KEYS, REGISTRY_KEY
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect
 
--- a/src/zincvale/coordination/core_topics.py
+++ b/src/zincvale/coordination/delivery/core_topics.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_messages import CoreStatus
-from zincvale.coordination.delivery import DeliveryHost
-from zincvale.coordination.delivery_messages import (
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.core.messages import CoreStatus
+from zincvale.coordination.delivery.long_poll_server import DeliveryHost
+from zincvale.coordination.delivery.messages import (
     FetchTopic,
     PublishTopic,
     TopicPublished,
--- a/src/zincvale/coordination/topics.py
+++ b/src/zincvale/coordination/delivery/ephemeral_topics.py
@@ -6,8 +6,8 @@
 from __future__ import annotations
 
 from zincvale.coordination.changes import TopicView
-from zincvale.coordination.delivery_messages import PublishTopic, TopicDelta
-from zincvale.coordination.tables import Difference, VersionedTable
+from zincvale.coordination.delivery.messages import PublishTopic, TopicDelta
+from zincvale.coordination.delivery.versioned_table import Difference, VersionedTable
 
 LEADERLESS_PREFIX = "listed-"
 """Topics of this prefix are published without a role: their epochs fence nothing."""
--- a/src/zincvale/coordination/node_poller.py
+++ b/src/zincvale/coordination/delivery/long_poll_client.py
@@ -9,12 +9,12 @@
 
 from zincvale.coordination.changes import ChangeNotes
 from zincvale.coordination.config import NodeConfig
-from zincvale.coordination.core_messages import TopicPosition
-from zincvale.coordination.delivery import difference_of
-from zincvale.coordination.delivery_messages import Poll, PollAnswer
-from zincvale.coordination.register_messages import TableDelta
-from zincvale.coordination.tables import VersionedTable
-from zincvale.coordination.topics import TopicTables
+from zincvale.coordination.core.messages import TopicPosition
+from zincvale.coordination.delivery.ephemeral_topics import TopicTables
+from zincvale.coordination.delivery.long_poll_server import difference_of
+from zincvale.coordination.delivery.messages import Poll, PollAnswer
+from zincvale.coordination.delivery.versioned_table import VersionedTable
+from zincvale.coordination.registers.messages import TableDelta
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Call
 
--- a/src/zincvale/coordination/delivery.py
+++ b/src/zincvale/coordination/delivery/long_poll_server.py
@@ -7,10 +7,10 @@
 import attrs
 
 from zincvale.coordination.config import Timings
-from zincvale.coordination.delivery_messages import Poll, PollAnswer, TopicDelta
-from zincvale.coordination.register_messages import TableDelta
-from zincvale.coordination.tables import Difference, VersionedTable
-from zincvale.coordination.topics import TopicTables
+from zincvale.coordination.delivery.ephemeral_topics import TopicTables
+from zincvale.coordination.delivery.messages import Poll, PollAnswer, TopicDelta
+from zincvale.coordination.delivery.versioned_table import Difference, VersionedTable
+from zincvale.coordination.registers.messages import TableDelta
 from zincvale.model.machine import Effect, Reply
 
 _Position = tuple[Hashable, ...]
--- a/src/zincvale/coordination/delivery_messages.py
+++ b/src/zincvale/coordination/delivery/messages.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from zincvale.coordination.core_messages import TopicPosition
-from zincvale.coordination.register_messages import TableDelta
+from zincvale.coordination.core.messages import TopicPosition
+from zincvale.coordination.registers.messages import TableDelta
 from zincvale.model.messages import peer_message
 
 
--- a/src/zincvale/coordination/in_force.py
+++ b/src/zincvale/coordination/delivery/rollout.py
@@ -9,8 +9,8 @@
 
 import attrs
 
-from zincvale.coordination.core_messages import HeldReport
-from zincvale.coordination.replica_config import ReplicaConfig, has_majority
+from zincvale.coordination.core.messages import HeldReport
+from zincvale.coordination.replication.replica_config import ReplicaConfig, has_majority
 from zincvale.model.identifiers import MemberId
 
 
--- a/src/zincvale/coordination/core_roles.py
+++ b/src/zincvale/coordination/election/leader_election.py
@@ -7,13 +7,13 @@
 import attrs
 
 from zincvale.coordination import log_events
-from zincvale.coordination.change_messages import IN_FORCE, ChangeResult
 from zincvale.coordination.changes import RoleState
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_table import rendezvous_order
-from zincvale.coordination.replica_sets import ROLE_KEY_PREFIX
-from zincvale.coordination.role_lease import HolderPhase, RoleGrantor, RoleHolder
-from zincvale.coordination.role_messages import AskRole, RoleGranted, RoleRefused, RoleReleased
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.election.leader_lease import HolderPhase, RoleGrantor, RoleHolder
+from zincvale.coordination.election.messages import AskRole, RoleGranted, RoleRefused, RoleReleased
+from zincvale.coordination.membership.peer_table import rendezvous_order
+from zincvale.coordination.registers.change_messages import IN_FORCE, ChangeResult
+from zincvale.coordination.replication.replica_sets import ROLE_KEY_PREFIX
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Log, Send
 
--- a/src/zincvale/coordination/role_lease.py
+++ b/src/zincvale/coordination/election/leader_lease.py
@@ -14,9 +14,9 @@
 
 from zincvale.coordination.changes import ChangeRefused, RoleState, RowChange, Rows
 from zincvale.coordination.config import Timings
-from zincvale.coordination.lease_grantor import CLOCK_RATE_ALLOWANCE
-from zincvale.coordination.replica_config import ReplicaConfig
-from zincvale.coordination.role_messages import AskRole, RoleGranted, RoleRefused
+from zincvale.coordination.election.messages import AskRole, RoleGranted, RoleRefused
+from zincvale.coordination.leases.lease_grantor import CLOCK_RATE_ALLOWANCE
+from zincvale.coordination.replication.replica_config import ReplicaConfig
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Send
 
--- a/src/zincvale/coordination/catching_up.py
+++ b/src/zincvale/coordination/leases/catch_up.py
@@ -7,12 +7,12 @@
 
 from __future__ import annotations
 
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_messages import KeyStatus
-from zincvale.coordination.epochs import Epoch
-from zincvale.coordination.register_owner import RegisterOwner
-from zincvale.coordination.replica_config import ReplicaConfig, replica_id
-from zincvale.coordination.replica_sets import DELIVERED_KEYS
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.core.messages import KeyStatus
+from zincvale.coordination.registers.epochs import Epoch
+from zincvale.coordination.registers.owner import RegisterOwner
+from zincvale.coordination.replication.replica_config import ReplicaConfig, replica_id
+from zincvale.coordination.replication.replica_sets import DELIVERED_KEYS
 
 
 class CatchingUp:
--- a/src/zincvale/coordination/core_leases.py
+++ b/src/zincvale/coordination/leases/core_leases.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.held_reports import HeldReports
-from zincvale.coordination.lease_grantor import CLOCK_RATE_ALLOWANCE, LeaseGrantor
-from zincvale.coordination.lease_messages import LeaseGranted, LeaseRedirect, RenewLease
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.member_table import MemberTable
-from zincvale.coordination.registry_keeper import RegistryKeeper
-from zincvale.coordination.replica_config import ReplicaConfig
-from zincvale.coordination.replica_sets import REGISTRY_KEY
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.delivery.applied_versions import HeldReports
+from zincvale.coordination.leases.lease_grantor import CLOCK_RATE_ALLOWANCE, LeaseGrantor
+from zincvale.coordination.leases.messages import LeaseGranted, LeaseRedirect, RenewLease
+from zincvale.coordination.membership.member_table import MemberTable
+from zincvale.coordination.membership.messages import MemberInfo
+from zincvale.coordination.membership.registry_reconciler import RegistryKeeper
+from zincvale.coordination.replication.replica_config import ReplicaConfig
+from zincvale.coordination.replication.replica_sets import REGISTRY_KEY
 from zincvale.model.machine import Effect
 
 
--- a/src/zincvale/coordination/lease_grantor.py
+++ b/src/zincvale/coordination/leases/lease_grantor.py
@@ -10,8 +10,8 @@
 import attrs
 
 from zincvale.coordination.config import Timings
-from zincvale.coordination.lease_messages import RenewLease
-from zincvale.coordination.member_messages import MemberInfo
+from zincvale.coordination.leases.messages import RenewLease
+from zincvale.coordination.membership.messages import MemberInfo
 
 CLOCK_RATE_ALLOWANCE = 1.02
 """A grantor waits this much longer than the holder, whose clock may run slower."""
--- a/src/zincvale/coordination/node_lease.py
+++ b/src/zincvale/coordination/leases/member_lease.py
@@ -9,9 +9,9 @@
 import attrs
 
 from zincvale.coordination.config import NodeConfig
-from zincvale.coordination.lease_messages import LeaseGranted, RenewLease
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.replica_config import ReplicaConfig, majority, member_of
+from zincvale.coordination.leases.messages import LeaseGranted, RenewLease
+from zincvale.coordination.membership.messages import MemberInfo
+from zincvale.coordination.replication.replica_config import ReplicaConfig, majority, member_of
 from zincvale.model.identifiers import Address, MemberId
 from zincvale.model.view import Role
 
--- a/src/zincvale/coordination/lease_messages.py
+++ b/src/zincvale/coordination/leases/messages.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.replica_config import ReplicaConfig
+from zincvale.coordination.membership.messages import MemberInfo
+from zincvale.coordination.replication.replica_config import ReplicaConfig
 from zincvale.model.messages import peer_message
 
 
--- a/src/zincvale/coordination/home_renewals.py
+++ b/src/zincvale/coordination/leases/renewal_batcher.py
@@ -9,8 +9,8 @@
 
 import attrs
 
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.lease_messages import (
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.leases.messages import (
     CoreGrant,
     LeaseGranted,
     LeaseGrants,
--- a/src/zincvale/coordination/node_home.py
+++ b/src/zincvale/coordination/leases/renewal_coordinator.py
@@ -5,7 +5,7 @@
 import random
 
 from zincvale.coordination.config import NodeConfig
-from zincvale.coordination.lease_messages import RenewLease
+from zincvale.coordination.leases.messages import RenewLease
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Call
 
--- a/src/zincvale/coordination/core_statuses.py
+++ b/src/zincvale/coordination/membership/heartbeats.py
@@ -11,10 +11,10 @@
 
 import attrs
 
-from zincvale.coordination.catching_up import own_key_status
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_messages import CoreStatus, TopicPosition, UnchangedStatus
-from zincvale.coordination.register_owner import RegisterOwner
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.core.messages import CoreStatus, TopicPosition, UnchangedStatus
+from zincvale.coordination.leases.catch_up import own_key_status
+from zincvale.coordination.registers.owner import RegisterOwner
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Send
 
--- a/src/zincvale/coordination/member_rows.py
+++ b/src/zincvale/coordination/membership/member_codec.py
@@ -5,7 +5,7 @@
 import orjson
 
 from zincvale.coordination.changes import Rows
-from zincvale.coordination.member_messages import MemberInfo
+from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.model.view import MemberRow, Members, Role
 
--- a/src/zincvale/coordination/member_table.py
+++ b/src/zincvale/coordination/membership/member_table.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.lease_grantor import LeaseGrantor
-from zincvale.coordination.member_rows import encode_member
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.leases.lease_grantor import LeaseGrantor
+from zincvale.coordination.membership.member_codec import encode_member
 
 SMALL_TABLE_ROWS = 50
 """Up to so many nodes every change is taken at once."""
--- a/src/zincvale/coordination/core_table.py
+++ b/src/zincvale/coordination/membership/peer_table.py
@@ -6,8 +6,8 @@
 import xxhash
 
 from zincvale.coordination.config import CoreConfig
-from zincvale.coordination.core_messages import CoreStatus
-from zincvale.coordination.member_messages import MemberInfo
+from zincvale.coordination.core.messages import CoreStatus
+from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.model.identifiers import Address, MemberId
 
 
--- a/src/zincvale/coordination/registry.py
+++ b/src/zincvale/coordination/membership/registry.py
@@ -12,7 +12,7 @@
 from returns.result import Failure, Result, Success
 
 from zincvale.coordination.changes import ChangeRefused, RowChange, Rows
-from zincvale.coordination.member_messages import MemberInfo
+from zincvale.coordination.membership.messages import MemberInfo
 
 JOINING = "joining"
 MEMBER = "member"
--- a/src/zincvale/coordination/registry_keeper.py
+++ b/src/zincvale/coordination/membership/registry_reconciler.py
@@ -5,13 +5,13 @@
 
 from __future__ import annotations
 
-from zincvale.coordination import registry
 from zincvale.coordination.changes import Rows
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.lease_grantor import LeaseGrantor
-from zincvale.coordination.lease_messages import LeaseRedirect
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.replica_sets import REGISTRY_KEY
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.leases.lease_grantor import LeaseGrantor
+from zincvale.coordination.leases.messages import LeaseRedirect
+from zincvale.coordination.membership import registry
+from zincvale.coordination.membership.messages import MemberInfo
+from zincvale.coordination.replication.replica_sets import REGISTRY_KEY
 from zincvale.model.identifiers import Address, MemberId
 from zincvale.model.machine import Effect, Send
 
--- a/src/zincvale/coordination/node_machine.py
+++ b/src/zincvale/coordination/node/machine.py
@@ -7,10 +7,13 @@
 from zincvale.coordination import log_events
 from zincvale.coordination.changes import ChangeNotes, KeyView, TopicView
 from zincvale.coordination.config import NodeConfig
-from zincvale.coordination.core_messages import AskCores, CoreStatus
-from zincvale.coordination.delivery import DeliveryHost, table_delta
-from zincvale.coordination.delivery_messages import Poll, PollAnswer
-from zincvale.coordination.lease_messages import (
+from zincvale.coordination.core.messages import AskCores, CoreStatus
+from zincvale.coordination.delivery.long_poll_client import POLL_PREFIX, NodePoller
+from zincvale.coordination.delivery.long_poll_server import DeliveryHost, table_delta
+from zincvale.coordination.delivery.messages import Poll, PollAnswer
+from zincvale.coordination.delivery.versioned_table import Difference
+from zincvale.coordination.leases.member_lease import NodeLease
+from zincvale.coordination.leases.messages import (
     IslandEvidence,
     IslandProbe,
     LeaseGranted,
@@ -21,15 +24,12 @@
     RelayRenewal,
     RenewLease,
 )
-from zincvale.coordination.member_rows import MembersDecoder, decode_member
-from zincvale.coordination.node_home import HOME_PREFIX, NodeHome
-from zincvale.coordination.node_island import NodeIsland
-from zincvale.coordination.node_lease import NodeLease
-from zincvale.coordination.node_poller import POLL_PREFIX, NodePoller
-from zincvale.coordination.register_messages import ChosenValue, FetchValue
-from zincvale.coordination.registry import decode_row
-from zincvale.coordination.replica_sets import DELIVERED_KEYS, INTENT_KEY, REGISTRY_KEY
-from zincvale.coordination.tables import Difference
+from zincvale.coordination.leases.renewal_coordinator import HOME_PREFIX, NodeHome
+from zincvale.coordination.membership.member_codec import MembersDecoder, decode_member
+from zincvale.coordination.membership.registry import decode_row
+from zincvale.coordination.node.partition_guard import NodeIsland
+from zincvale.coordination.registers.messages import ChosenValue, FetchValue
+from zincvale.coordination.replication.replica_sets import DELIVERED_KEYS, INTENT_KEY, REGISTRY_KEY
 from zincvale.model.identifiers import Address, MemberId
 from zincvale.model.machine import (
     CallAbandoned,
--- a/src/zincvale/coordination/node_island.py
+++ b/src/zincvale/coordination/node/partition_guard.py
@@ -16,13 +16,13 @@
 
 import random
 
-from zincvale.coordination import registry
 from zincvale.coordination.changes import Rows
 from zincvale.coordination.config import NodeConfig
-from zincvale.coordination.lease_grantor import CLOCK_RATE_ALLOWANCE
-from zincvale.coordination.lease_messages import IslandEvidence, IslandProbe
-from zincvale.coordination.replica_config import majority
-from zincvale.coordination.replica_sets import REGISTRY_KEY
+from zincvale.coordination.leases.lease_grantor import CLOCK_RATE_ALLOWANCE
+from zincvale.coordination.leases.messages import IslandEvidence, IslandProbe
+from zincvale.coordination.membership import registry
+from zincvale.coordination.replication.replica_config import majority
+from zincvale.coordination.replication.replica_sets import REGISTRY_KEY
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Send
 
--- a/src/zincvale/coordination/protocol.py
+++ b/src/zincvale/coordination/protocol.py
@@ -2,15 +2,13 @@
 
 from __future__ import annotations
 
-from zincvale.coordination import (
-    change_messages,
-    core_messages,
-    delivery_messages,
-    lease_messages,
-    member_messages,
-    register_messages,
-    role_messages,
-)
+from zincvale.coordination.core import messages as core_messages
+from zincvale.coordination.delivery import messages as delivery_messages
+from zincvale.coordination.election import messages as role_messages
+from zincvale.coordination.leases import messages as lease_messages
+from zincvale.coordination.membership import messages as member_messages
+from zincvale.coordination.registers import change_messages
+from zincvale.coordination.registers import messages as register_messages
 
 MESSAGE_MODULES = (
     change_messages,
--- a/src/zincvale/coordination/change_batch.py
+++ b/src/zincvale/coordination/registers/change_batch.py
@@ -8,11 +8,16 @@
 import xxhash
 from returns.result import Failure
 
-from zincvale.coordination.change_messages import CONFLICT, INVALID, ChangeResult, ProposeChange
 from zincvale.coordination.changes import Reducer, RowChange, Rows, apply_changes
-from zincvale.coordination.epochs import Epoch, Position
-from zincvale.coordination.records import Record, apply_update
-from zincvale.coordination.register_messages import OrderEntry, RecordUpdate
+from zincvale.coordination.registers.change_messages import (
+    CONFLICT,
+    INVALID,
+    ChangeResult,
+    ProposeChange,
+)
+from zincvale.coordination.registers.epochs import Epoch, Position
+from zincvale.coordination.registers.messages import OrderEntry, RecordUpdate
+from zincvale.coordination.registers.records import Record, apply_update
 
 
 @attrs.frozen
--- a/src/zincvale/coordination/chosen_values.py
+++ b/src/zincvale/coordination/registers/chosen_values.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 
 from zincvale.coordination.changes import Rows
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_messages import CoreStatus
-from zincvale.coordination.delivery import difference_of, table_delta
-from zincvale.coordination.register_messages import Accept, Chosen, ChosenValue, FetchValue
-from zincvale.coordination.replica_sets import REPLICA_SETS_KEY
-from zincvale.coordination.tables import VersionedTable
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.core.messages import CoreStatus
+from zincvale.coordination.delivery.long_poll_server import difference_of, table_delta
+from zincvale.coordination.delivery.versioned_table import VersionedTable
+from zincvale.coordination.registers.messages import Accept, Chosen, ChosenValue, FetchValue
+from zincvale.coordination.replication.replica_sets import REPLICA_SETS_KEY
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Send
 
--- a/src/zincvale/coordination/creation.py
+++ b/src/zincvale/coordination/registers/cluster_creation.py
@@ -8,13 +8,13 @@
 from __future__ import annotations
 
 from zincvale.coordination import log_events
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_messages import CoreStatus, CreateCluster
-from zincvale.coordination.epochs import Epoch, Position
-from zincvale.coordination.record_files import ReplicaState
-from zincvale.coordination.records import Record
-from zincvale.coordination.replica_config import ReplicaConfig
-from zincvale.coordination.replica_sets import (
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.core.messages import CoreStatus, CreateCluster
+from zincvale.coordination.registers.epochs import Epoch, Position
+from zincvale.coordination.registers.record_codec import ReplicaState
+from zincvale.coordination.registers.records import Record
+from zincvale.coordination.replication.replica_config import ReplicaConfig
+from zincvale.coordination.replication.replica_sets import (
     CLUSTER_ROW,
     REPLICA_SETS_KEY,
     CoreRow,
--- a/src/zincvale/coordination/register_messages.py
+++ b/src/zincvale/coordination/registers/messages.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from zincvale.coordination.epochs import Epoch, Position
-from zincvale.coordination.replica_config import ReplicaConfig
+from zincvale.coordination.registers.epochs import Epoch, Position
+from zincvale.coordination.replication.replica_config import ReplicaConfig
 from zincvale.model.messages import peer_message
 
 
--- a/src/zincvale/coordination/register_owner.py
+++ b/src/zincvale/coordination/registers/owner.py
@@ -18,14 +18,12 @@
 import attrs
 
 from zincvale.coordination import log_events
-from zincvale.coordination.change_batch import AcceptedOrder, ChangeBatch
-from zincvale.coordination.change_messages import ProposeChange
 from zincvale.coordination.changes import Reducer, Rows
 from zincvale.coordination.config import Timings
-from zincvale.coordination.epochs import Epoch, Position
-from zincvale.coordination.ownership_proof import Evaluated, OwnershipProof
-from zincvale.coordination.records import Record, apply_update
-from zincvale.coordination.register_messages import (
+from zincvale.coordination.registers.change_batch import AcceptedOrder, ChangeBatch
+from zincvale.coordination.registers.change_messages import ProposeChange
+from zincvale.coordination.registers.epochs import Epoch, Position
+from zincvale.coordination.registers.messages import (
     Accept,
     Accepted,
     BaseMissing,
@@ -35,7 +33,9 @@
     RecordUpdate,
     Refused,
 )
-from zincvale.coordination.replica_config import ReplicaConfig, member_of, replica_id
+from zincvale.coordination.registers.ownership_proof import Evaluated, OwnershipProof
+from zincvale.coordination.registers.records import Record, apply_update
+from zincvale.coordination.replication.replica_config import ReplicaConfig, member_of, replica_id
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Log, Send
 
--- a/src/zincvale/coordination/ownership.py
+++ b/src/zincvale/coordination/registers/ownership.py
@@ -6,12 +6,12 @@
 
 from __future__ import annotations
 
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_messages import CoreStatus, KeyStatus
-from zincvale.coordination.core_table import rendezvous_order
-from zincvale.coordination.epochs import Epoch
-from zincvale.coordination.register_owner import Phase, RegisterOwner
-from zincvale.coordination.replica_sets import DELIVERED_KEYS, REPLICA_SETS_KEY
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.core.messages import CoreStatus, KeyStatus
+from zincvale.coordination.membership.peer_table import rendezvous_order
+from zincvale.coordination.registers.epochs import Epoch
+from zincvale.coordination.registers.owner import Phase, RegisterOwner
+from zincvale.coordination.replication.replica_sets import DELIVERED_KEYS, REPLICA_SETS_KEY
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect
 
--- a/src/zincvale/coordination/ownership_proof.py
+++ b/src/zincvale/coordination/registers/ownership_proof.py
@@ -11,10 +11,10 @@
 
 import attrs
 
-from zincvale.coordination.change_messages import ChangeResult
-from zincvale.coordination.epochs import Epoch
-from zincvale.coordination.register_messages import ConfirmEpoch, EpochConfirmed
-from zincvale.coordination.replica_config import ReplicaConfig, replica_id
+from zincvale.coordination.registers.change_messages import ChangeResult
+from zincvale.coordination.registers.epochs import Epoch
+from zincvale.coordination.registers.messages import ConfirmEpoch, EpochConfirmed
+from zincvale.coordination.replication.replica_config import ReplicaConfig, replica_id
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Send
 
--- a/src/zincvale/coordination/proposals.py
+++ b/src/zincvale/coordination/registers/proposals.py
@@ -10,16 +10,16 @@
 
 import attrs
 
-from zincvale.coordination.change_messages import (
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.registers.change_messages import (
     NOT_CONFIRMED,
     NOT_OWNER,
     ChangeResult,
     ForwardChange,
     ProposeChange,
 )
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.ownership import Ownership
-from zincvale.coordination.register_owner import RegisterOwner
+from zincvale.coordination.registers.owner import RegisterOwner
+from zincvale.coordination.registers.ownership import Ownership
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Call, Effect, Reply
 
--- a/src/zincvale/coordination/record_files.py
+++ b/src/zincvale/coordination/registers/record_codec.py
@@ -12,10 +12,10 @@
 import attrs
 import fastavro
 
-from zincvale.coordination.epochs import Epoch, Position
-from zincvale.coordination.records import Record, apply_update
-from zincvale.coordination.register_messages import OrderEntry, RecordUpdate
-from zincvale.coordination.replica_config import ReplicaConfig
+from zincvale.coordination.registers.epochs import Epoch, Position
+from zincvale.coordination.registers.messages import OrderEntry, RecordUpdate
+from zincvale.coordination.registers.records import Record, apply_update
+from zincvale.coordination.replication.replica_config import ReplicaConfig
 
 SNAPSHOT_MARK = b"S"
 DELTA_MARK = b"D"
--- a/src/zincvale/coordination/records.py
+++ b/src/zincvale/coordination/registers/records.py
@@ -5,9 +5,9 @@
 import attrs
 
 from zincvale.coordination.changes import Rows
-from zincvale.coordination.epochs import Epoch, Position
-from zincvale.coordination.register_messages import OrderEntry, RecordUpdate
-from zincvale.coordination.replica_config import ReplicaConfig
+from zincvale.coordination.registers.epochs import Epoch, Position
+from zincvale.coordination.registers.messages import OrderEntry, RecordUpdate
+from zincvale.coordination.replication.replica_config import ReplicaConfig
 
 ORDER_HISTORY_LIMIT = 4096
 """How many accepted orders a record remembers."""
--- a/src/zincvale/coordination/repair.py
+++ b/src/zincvale/coordination/registers/repair.py
@@ -12,12 +12,16 @@
 
 import attrs
 
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.lease_messages import RenewLease
-from zincvale.coordination.register_messages import FetchValue
-from zincvale.coordination.register_owner import RegisterOwner
-from zincvale.coordination.registry import counting_sets
-from zincvale.coordination.replica_sets import DELIVERED_KEYS, REGISTRY_KEY, ROLE_KEY_PREFIX
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.leases.messages import RenewLease
+from zincvale.coordination.membership.registry import counting_sets
+from zincvale.coordination.registers.messages import FetchValue
+from zincvale.coordination.registers.owner import RegisterOwner
+from zincvale.coordination.replication.replica_sets import (
+    DELIVERED_KEYS,
+    REGISTRY_KEY,
+    ROLE_KEY_PREFIX,
+)
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Send
 
--- a/src/zincvale/coordination/register_replica.py
+++ b/src/zincvale/coordination/registers/replica.py
@@ -12,17 +12,9 @@
 
 from zincvale.coordination import log_events
 from zincvale.coordination.config import Timings
-from zincvale.coordination.core_messages import CreateCluster
-from zincvale.coordination.epochs import Epoch, Position
-from zincvale.coordination.record_files import (
-    ReplicaState,
-    decode_chain,
-    encode_delta,
-    encode_snapshot,
-)
-from zincvale.coordination.records import apply_update
-from zincvale.coordination.recovered import RecoveredState
-from zincvale.coordination.register_messages import (
+from zincvale.coordination.core.messages import CreateCluster
+from zincvale.coordination.registers.epochs import Epoch, Position
+from zincvale.coordination.registers.messages import (
     Accept,
     Accepted,
     BaseMissing,
@@ -33,6 +25,14 @@
     RecordUpdate,
     Refused,
 )
+from zincvale.coordination.registers.record_codec import (
+    ReplicaState,
+    decode_chain,
+    encode_delta,
+    encode_snapshot,
+)
+from zincvale.coordination.registers.records import apply_update
+from zincvale.coordination.registers.recovered_state import RecoveredState
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Log, Send, Write
 
--- a/src/zincvale/coordination/replica_manager.py
+++ b/src/zincvale/coordination/replication/replica_manager.py
@@ -8,18 +8,18 @@
 
 from __future__ import annotations
 
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_messages import CoreStatus
-from zincvale.coordination.register_owner import RegisterOwner
-from zincvale.coordination.replica_config import ReplicaConfig, member_of, replica_id
-from zincvale.coordination.replica_set_changes import (
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.core.messages import CoreStatus
+from zincvale.coordination.registers.owner import RegisterOwner
+from zincvale.coordination.replication.replica_config import ReplicaConfig, member_of, replica_id
+from zincvale.coordination.replication.replica_set_changes import (
     close_change,
     join_change,
     keys_change,
     leave_change,
     replace_change,
 )
-from zincvale.coordination.replica_sets import DELIVERED_KEYS, REPLICA_SETS_KEY
+from zincvale.coordination.replication.replica_sets import DELIVERED_KEYS, REPLICA_SETS_KEY
 from zincvale.model.identifiers import MemberId
 
 CHECK_INTERVAL_S = 0.25
--- a/src/zincvale/coordination/replica_set_changes.py
+++ b/src/zincvale/coordination/replication/replica_set_changes.py
@@ -11,9 +11,9 @@
 from returns.result import Failure, Result, Success
 
 from zincvale.coordination.changes import ChangeRefused, RowChange, Rows
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.replica_config import ReplicaConfig
-from zincvale.coordination.replica_sets import (
+from zincvale.coordination.membership.messages import MemberInfo
+from zincvale.coordination.replication.replica_config import ReplicaConfig
+from zincvale.coordination.replication.replica_sets import (
     CORE_PREFIX,
     DEFAULT_GROUP,
     GROUP_PREFIX,
--- a/src/zincvale/coordination/replica_sets.py
+++ b/src/zincvale/coordination/replication/replica_sets.py
@@ -12,8 +12,8 @@
 import orjson
 
 from zincvale.coordination.changes import Rows
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.replica_config import ReplicaConfig, ReplicaId, replica_id
+from zincvale.coordination.membership.messages import MemberInfo
+from zincvale.coordination.replication.replica_config import ReplicaConfig, ReplicaId, replica_id
 from zincvale.model.identifiers import MemberId
 
 REPLICA_SETS_KEY = "replica-sets"
--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -29,8 +29,8 @@
 from zincvale.controlplane.placement.events import IntentChanged as PlacementIntentChanged
 from zincvale.controlplane.reducer import IntentReducer
 from zincvale.coordination.changes import ChangeNotes
-from zincvale.coordination.core_machine import CoreMachine
-from zincvale.coordination.replica_sets import INTENT_KEY
+from zincvale.coordination.core.machine import CoreMachine
+from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.daemons.api_http import ControlApiServer
 from zincvale.daemons.core_assembly import core_config, core_tracing, open_files
 from zincvale.daemons.core_view import LocalCoreView
--- a/src/zincvale/daemons/core_view.py
+++ b/src/zincvale/daemons/core_view.py
@@ -9,8 +9,8 @@
 from zincvale.controlplane.intent_rows import IntentDecoder
 from zincvale.controlplane.placement.closing_rows import MOVES_TOPIC
 from zincvale.coordination.changes import KeyView
-from zincvale.coordination.core_machine import CoreMachine
-from zincvale.coordination.replica_sets import INTENT_KEY
+from zincvale.coordination.core.machine import CoreMachine
+from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.model.view import Directory, Intent, Members
 
--- a/src/zincvale/daemons/forwarding_node.py
+++ b/src/zincvale/daemons/forwarding_node.py
@@ -12,8 +12,8 @@
 from zincvale.controlplane.directory_rows import LISTED_TOPIC, DirectoryDecoder
 from zincvale.controlplane.document_rows import DocumentDecoder
 from zincvale.coordination.config import Timings
-from zincvale.coordination.node_machine import NodeMachine
-from zincvale.coordination.replica_sets import INTENT_KEY
+from zincvale.coordination.node.machine import NodeMachine
+from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.daemons.node_assembly import node_config
 from zincvale.daemons.process import Drain, build_process
 from zincvale.daemons.residency_rows import RESIDENCY_TOPIC, ResidencyDecoder
--- a/src/zincvale/daemons/list_runner.py
+++ b/src/zincvale/daemons/list_runner.py
@@ -17,7 +17,7 @@
     ServersSeen,
 )
 from zincvale.coordination.changes import TopicView
-from zincvale.coordination.delivery_messages import TopicPublished
+from zincvale.coordination.delivery.messages import TopicPublished
 from zincvale.daemons.forwarding_seams import ServerListDialect
 from zincvale.daemons.http_fetch import HttpFetcher
 from zincvale.model.errors import MalformedBody
--- a/src/zincvale/daemons/node_daemon.py
+++ b/src/zincvale/daemons/node_daemon.py
@@ -11,8 +11,8 @@
 from zincvale.controlplane.directory_rows import DIRECTORY_TOPIC, DirectoryDecoder
 from zincvale.controlplane.intent_rows import IntentDecoder
 from zincvale.controlplane.placement.closing_rows import MOVES_TOPIC, ClosingDecoder
-from zincvale.coordination.node_machine import NodeMachine
-from zincvale.coordination.replica_sets import INTENT_KEY, REGISTRY_KEY
+from zincvale.coordination.node.machine import NodeMachine
+from zincvale.coordination.replication.replica_sets import INTENT_KEY, REGISTRY_KEY
 from zincvale.daemons.closing import with_closing
 from zincvale.daemons.node_assembly import node_config
 from zincvale.daemons.process import Drain, build_process
--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -31,7 +31,7 @@
 )
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.controlplane.placement.move_rows import topic_rows
-from zincvale.coordination.delivery_messages import PublishTopic
+from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.daemons.http_fetch import FetchResult, HttpFetcher
 from zincvale.daemons.order_spans import OrderSpans
 from zincvale.daemons.order_times import OrderTimes
--- a/src/zincvale/daemons/registry_rows.py
+++ b/src/zincvale/daemons/registry_rows.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from zincvale.coordination.changes import Rows
-from zincvale.coordination.registry import LEAVING, decode_row
+from zincvale.coordination.membership.registry import LEAVING, decode_row
 from zincvale.model.identifiers import MemberId, ZoneName
 
 
--- a/src/zincvale/daemons/residency_publication.py
+++ b/src/zincvale/daemons/residency_publication.py
@@ -8,7 +8,7 @@
 
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.controlplane.placement.servers import HoldingState, ServerState
-from zincvale.coordination.delivery_messages import PublishTopic
+from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.daemons.residency_rows import RESIDENCY_TOPIC
 from zincvale.model.identifiers import ServerId
 
--- a/src/zincvale/daemons/role_guard.py
+++ b/src/zincvale/daemons/role_guard.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from zincvale.coordination.core_machine import CoreMachine
+from zincvale.coordination.core.machine import CoreMachine
 
 
 @attrs.frozen
--- a/src/zincvale/daemons/standby_daemon.py
+++ b/src/zincvale/daemons/standby_daemon.py
@@ -7,7 +7,7 @@
 
 from tornado.web import Application, RequestHandler
 
-from zincvale.coordination.standby_machine import StandbyConfig, StandbyMachine
+from zincvale.coordination.core.standby_machine import StandbyConfig, StandbyMachine
 from zincvale.daemons.process import NO_DRAIN, build_process
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.runtime.clock import suspend_aware_now
--- a/src/zincvale/platform/operators.py
+++ b/src/zincvale/platform/operators.py
@@ -16,7 +16,12 @@
     EvacuationChange,
 )
 from zincvale.controlplane.document_rows import SourceDocument
-from zincvale.coordination.change_messages import CONFLICT, IN_FORCE, INVALID, ChangeResult
+from zincvale.coordination.registers.change_messages import (
+    CONFLICT,
+    IN_FORCE,
+    INVALID,
+    ChangeResult,
+)
 from zincvale.model.errors import InvalidInput, MalformedBody, NotFound, ZincvaleError
 from zincvale.model.forwarding import (
     CallerLimits,
--- a/src/zincvale/simulator/checks.py
+++ b/src/zincvale/simulator/checks.py
@@ -4,10 +4,10 @@
 
 import attrs
 
-from zincvale.coordination.change_messages import IN_FORCE, ChangeResult
-from zincvale.coordination.core_machine import CoreMachine
-from zincvale.coordination.node_machine import NodeMachine
-from zincvale.coordination.replica_sets import INTENT_KEY, REGISTRY_KEY
+from zincvale.coordination.core.machine import CoreMachine
+from zincvale.coordination.node.machine import NodeMachine
+from zincvale.coordination.registers.change_messages import IN_FORCE, ChangeResult
+from zincvale.coordination.replication.replica_sets import INTENT_KEY, REGISTRY_KEY
 from zincvale.model.machine import Log
 from zincvale.simulator.intent_log import orders_in
 from zincvale.simulator.process import Process
--- a/src/zincvale/simulator/claims_machine.py
+++ b/src/zincvale/simulator/claims_machine.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from zincvale.coordination.config import NodeConfig
-from zincvale.coordination.node_machine import NodeMachine
-from zincvale.coordination.replica_sets import REGISTRY_KEY
+from zincvale.coordination.node.machine import NodeMachine
+from zincvale.coordination.replication.replica_sets import REGISTRY_KEY
 from zincvale.daemons.registry_rows import registered_zones
 from zincvale.dataplane.claim_events import (
     ClaimWanted,
--- a/src/zincvale/simulator/cluster.py
+++ b/src/zincvale/simulator/cluster.py
@@ -9,11 +9,11 @@
 import attrs
 
 from zincvale.coordination.config import CoreConfig, InitialCore, NodeConfig
-from zincvale.coordination.core_machine import CoreMachine
-from zincvale.coordination.node_machine import NodeMachine
-from zincvale.coordination.recovered import RecoveredState
-from zincvale.coordination.replica_config import has_majority, replica_id
-from zincvale.coordination.replica_sets import INTENT_KEY
+from zincvale.coordination.core.machine import CoreMachine
+from zincvale.coordination.node.machine import NodeMachine
+from zincvale.coordination.registers.recovered_state import RecoveredState
+from zincvale.coordination.replication.replica_config import has_majority, replica_id
+from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.model.errors import StorageFailed
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.simulator.intent_log import reduce_intent_log
--- a/src/zincvale/simulator/history.py
+++ b/src/zincvale/simulator/history.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from zincvale.coordination.change_messages import CONFLICT, IN_FORCE, INVALID
+from zincvale.coordination.registers.change_messages import CONFLICT, IN_FORCE, INVALID
 
 NEVER = float("inf")
 
--- a/src/zincvale/simulator/mutations_of_leases.py
+++ b/src/zincvale/simulator/mutations_of_leases.py
@@ -7,18 +7,16 @@
 from typing import Any
 from unittest import mock
 
-from zincvale.coordination import (
-    catching_up,
-    in_force,
-    lease_grantor,
-    node_island,
-    role_lease,
-)
-from zincvale.coordination.core_leases import CoreLeases
-from zincvale.coordination.in_force import InForceTracker
-from zincvale.coordination.lease_grantor import LeaseGrantor
-from zincvale.coordination.node_lease import NodeLease
-from zincvale.coordination.role_lease import RoleGrantor, RoleHolder
+from zincvale.coordination.delivery import rollout as in_force
+from zincvale.coordination.delivery.rollout import InForceTracker
+from zincvale.coordination.election import leader_lease as role_lease
+from zincvale.coordination.election.leader_lease import RoleGrantor, RoleHolder
+from zincvale.coordination.leases import catch_up as catching_up
+from zincvale.coordination.leases import lease_grantor
+from zincvale.coordination.leases.core_leases import CoreLeases
+from zincvale.coordination.leases.lease_grantor import LeaseGrantor
+from zincvale.coordination.leases.member_lease import NodeLease
+from zincvale.coordination.node import partition_guard as node_island
 from zincvale.model.machine import Send
 from zincvale.simulator.mutation_registry import mutation
 
--- a/src/zincvale/simulator/mutations_of_registers.py
+++ b/src/zincvale/simulator/mutations_of_registers.py
@@ -9,13 +9,15 @@
 
 import attrs
 
-from zincvale.coordination import change_batch, node_lease, replica_config
-from zincvale.coordination.chosen_values import ChosenValues
-from zincvale.coordination.epochs import Epoch
-from zincvale.coordination.records import apply_update
-from zincvale.coordination.register_messages import Promise
-from zincvale.coordination.register_owner import RegisterOwner
-from zincvale.coordination.register_replica import RegisterReplica
+from zincvale.coordination.leases import member_lease as node_lease
+from zincvale.coordination.registers import change_batch
+from zincvale.coordination.registers.chosen_values import ChosenValues
+from zincvale.coordination.registers.epochs import Epoch
+from zincvale.coordination.registers.messages import Promise
+from zincvale.coordination.registers.owner import RegisterOwner
+from zincvale.coordination.registers.records import apply_update
+from zincvale.coordination.registers.replica import RegisterReplica
+from zincvale.coordination.replication import replica_config
 from zincvale.model.machine import Send, Write
 from zincvale.simulator.mutation_registry import mutation
 from zincvale.storage.version_files import VersionFiles
@@ -113,12 +115,12 @@
 
     with contextlib.ExitStack() as patches:
         for name in (
-            "zincvale.coordination.replica_config.replica_id",
-            "zincvale.coordination.catching_up.replica_id",
-            "zincvale.coordination.core_context.replica_id",
-            "zincvale.coordination.register_owner.replica_id",
-            "zincvale.coordination.replica_manager.replica_id",
-            "zincvale.coordination.replica_sets.replica_id",
+            "zincvale.coordination.replication.replica_config.replica_id",
+            "zincvale.coordination.leases.catch_up.replica_id",
+            "zincvale.coordination.core.context.replica_id",
+            "zincvale.coordination.registers.owner.replica_id",
+            "zincvale.coordination.replication.replica_manager.replica_id",
+            "zincvale.coordination.replication.replica_sets.replica_id",
         ):
             with contextlib.suppress(AttributeError):
                 patches.enter_context(mock.patch(name, any_disk))
--- a/src/zincvale/simulator/operators.py
+++ b/src/zincvale/simulator/operators.py
@@ -7,14 +7,14 @@
 
 import attrs
 
-from zincvale.coordination.change_messages import (
+from zincvale.coordination.registers.change_messages import (
     CONFLICT,
     IN_FORCE,
     INVALID,
     ChangeResult,
     ProposeChange,
 )
-from zincvale.coordination.replica_sets import INTENT_KEY
+from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.simulator.checks import Checks
 from zincvale.simulator.cluster import Cluster
 from zincvale.simulator.history import Attempt
--- a/src/zincvale/simulator/register_exploration.py
+++ b/src/zincvale/simulator/register_exploration.py
@@ -19,16 +19,16 @@
 import attrs
 from returns.result import Result, Success
 
-from zincvale.coordination.change_messages import ProposeChange
 from zincvale.coordination.changes import ChangeRefused, RowChange, Rows
 from zincvale.coordination.config import Timings
-from zincvale.coordination.epochs import Position
-from zincvale.coordination.record_files import ReplicaState, decode_chain
-from zincvale.coordination.recovered import RecoveredKey, RecoveredState
-from zincvale.coordination.register_messages import Accepted, BaseMissing, Promise
-from zincvale.coordination.register_owner import ChosenNow, Phase, RegisterOwner
-from zincvale.coordination.register_replica import RegisterReplica
-from zincvale.coordination.replica_config import ReplicaConfig, replica_id
+from zincvale.coordination.registers.change_messages import ProposeChange
+from zincvale.coordination.registers.epochs import Position
+from zincvale.coordination.registers.messages import Accepted, BaseMissing, Promise
+from zincvale.coordination.registers.owner import ChosenNow, Phase, RegisterOwner
+from zincvale.coordination.registers.record_codec import ReplicaState, decode_chain
+from zincvale.coordination.registers.recovered_state import RecoveredKey, RecoveredState
+from zincvale.coordination.registers.replica import RegisterReplica
+from zincvale.coordination.replication.replica_config import ReplicaConfig, replica_id
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Send, Write
 
--- a/src/zincvale/simulator/role_publisher.py
+++ b/src/zincvale/simulator/role_publisher.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from zincvale.coordination.delivery_messages import PublishTopic
+from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.simulator.cluster import Cluster
 from zincvale.simulator.process import Process
 
--- a/src/zincvale/simulator/run.py
+++ b/src/zincvale/simulator/run.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-from zincvale.coordination.change_messages import IN_FORCE
-from zincvale.coordination.replica_sets import INTENT_KEY
+from zincvale.coordination.registers.change_messages import IN_FORCE
+from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.simulator.checks import Checks, InvariantBroken
 from zincvale.simulator.cluster import Cluster
 from zincvale.simulator.faults import FAULTS
--- a/src/zincvale/simulator/what_if_control.py
+++ b/src/zincvale/simulator/what_if_control.py
@@ -51,7 +51,7 @@
 from zincvale.controlplane.placement.moves import Move, MoveKind
 from zincvale.controlplane.server_entries import observed_row
 from zincvale.coordination.changes import TopicView
-from zincvale.coordination.delivery_messages import PublishTopic
+from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.daemons.closing import with_closing
 from zincvale.daemons.demand_intake import demand_reported
 from zincvale.dataplane.messages import DemandReport
--- a/src/zincvale/storage/version_files.py
+++ b/src/zincvale/storage/version_files.py
@@ -21,8 +21,8 @@
 import orjson
 import xxhash
 
-from zincvale.coordination.record_files import SNAPSHOT_MARK
-from zincvale.coordination.recovered import RecoveredKey, RecoveredState
+from zincvale.coordination.registers.record_codec import SNAPSHOT_MARK
+from zincvale.coordination.registers.recovered_state import RecoveredKey, RecoveredState
 from zincvale.model.errors import StorageFailed, WrongCluster
 from zincvale.storage import log_events
 from zincvale.storage.disk import DiskInterface
--- a/tests/controlplane/fake_cores.py
+++ b/tests/controlplane/fake_cores.py
@@ -18,8 +18,8 @@
 from zincvale.controlplane.api import ControlApi
 from zincvale.controlplane.api_messages import ApiEffect, ApiRequest, ApiResponse, CallCore
 from zincvale.controlplane.reducer import IntentReducer
-from zincvale.coordination.change_messages import ChangeResult, ProposeChange
 from zincvale.coordination.changes import KeyView, apply_changes
+from zincvale.coordination.registers.change_messages import ChangeResult, ProposeChange
 
 ANSWER = "answer"
 NOT_REACHED = "not-reached"
--- a/tests/controlplane/test_api_transcripts.py
+++ b/tests/controlplane/test_api_transcripts.py
@@ -12,8 +12,8 @@
 from zincvale.controlplane import change_body
 from zincvale.controlplane.api import MAX_PENDING_CHANGES
 from zincvale.controlplane.held_polls import MAX_HELD_POLLS
-from zincvale.coordination.change_messages import ChangeResult
 from zincvale.coordination.changes import KeyView
+from zincvale.coordination.registers.change_messages import ChangeResult
 from zincvale.model.identifiers import MemberId
 from zincvale.model.view import ServerHealth
 
--- a/tests/controlplane/test_documents.py
+++ b/tests/controlplane/test_documents.py
@@ -24,8 +24,8 @@
 from zincvale.controlplane.document_intent import REQUESTS_PER_COPY, DocumentIntent, StoreTerms
 from zincvale.controlplane.document_reducer import DocumentReducer
 from zincvale.controlplane.document_rows import DocumentDecoder, source_document
-from zincvale.coordination.change_messages import CONFLICT, IN_FORCE, ChangeResult
 from zincvale.coordination.changes import KeyView
+from zincvale.coordination.registers.change_messages import CONFLICT, IN_FORCE, ChangeResult
 from zincvale.model.errors import NotFound
 from zincvale.model.forwarding import (
     Engine,
--- a/tests/controlplane/test_listed_servers.py
+++ b/tests/controlplane/test_listed_servers.py
@@ -19,7 +19,7 @@
     reader_rank,
 )
 from zincvale.coordination.changes import TopicView
-from zincvale.coordination.topics import TopicTables
+from zincvale.coordination.delivery.ephemeral_topics import TopicTables
 
 LAG_S = 0.8
 DAY_S = 1_000_000.0
--- a/tests/coordination/exploration.py
+++ b/tests/coordination/exploration.py
@@ -15,14 +15,14 @@
 import attrs
 from returns.result import Result, Success
 
-from zincvale.coordination.change_messages import ProposeChange
 from zincvale.coordination.changes import ChangeRefused, RowChange, Rows
 from zincvale.coordination.config import Timings
-from zincvale.coordination.recovered import RecoveredState
-from zincvale.coordination.register_messages import Accept, Prepare
-from zincvale.coordination.register_owner import ChosenNow, RegisterOwner
-from zincvale.coordination.register_replica import RegisterReplica
-from zincvale.coordination.replica_config import ReplicaConfig, replica_id
+from zincvale.coordination.registers.change_messages import ProposeChange
+from zincvale.coordination.registers.messages import Accept, Prepare
+from zincvale.coordination.registers.owner import ChosenNow, RegisterOwner
+from zincvale.coordination.registers.recovered_state import RecoveredState
+from zincvale.coordination.registers.replica import RegisterReplica
+from zincvale.coordination.replication.replica_config import ReplicaConfig, replica_id
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Send, Write
 
--- a/tests/coordination/pump.py
+++ b/tests/coordination/pump.py
@@ -11,13 +11,13 @@
 import orjson
 from returns.result import Failure, Result, Success
 
-from zincvale.coordination.change_messages import ChangeResult, ProposeChange
 from zincvale.coordination.changes import ChangeRefused, RowChange
 from zincvale.coordination.config import CoreConfig, InitialCore, NodeConfig, Timings
-from zincvale.coordination.core_machine import CoreMachine
-from zincvale.coordination.node_machine import NodeMachine
-from zincvale.coordination.recovered import RecoveredKey, RecoveredState
-from zincvale.coordination.standby_machine import StandbyConfig, StandbyMachine
+from zincvale.coordination.core.machine import CoreMachine
+from zincvale.coordination.core.standby_machine import StandbyConfig, StandbyMachine
+from zincvale.coordination.node.machine import NodeMachine
+from zincvale.coordination.registers.change_messages import ChangeResult, ProposeChange
+from zincvale.coordination.registers.recovered_state import RecoveredKey, RecoveredState
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.model.machine import (
     Call,
--- a/tests/coordination/test_creation.py
+++ b/tests/coordination/test_creation.py
@@ -7,17 +7,17 @@
 import testtools
 
 from zincvale.coordination.config import CoreConfig, Timings
-from zincvale.coordination.core_context import CoreContext
-from zincvale.coordination.core_table import CoreTable
-from zincvale.coordination.creation import ClusterCreation
-from zincvale.coordination.epochs import Epoch, Position
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.recovered import RecoveredState
-from zincvale.coordination.register_messages import Accept, RecordUpdate
-from zincvale.coordination.register_replica import RegisterReplica
-from zincvale.coordination.replica_config import ReplicaConfig
-from zincvale.coordination.replica_sets import REPLICA_SETS_KEY, CoreRow, first_rows
-from zincvale.coordination.tables import VersionedTable
+from zincvale.coordination.core.context import CoreContext
+from zincvale.coordination.delivery.versioned_table import VersionedTable
+from zincvale.coordination.membership.messages import MemberInfo
+from zincvale.coordination.membership.peer_table import CoreTable
+from zincvale.coordination.registers.cluster_creation import ClusterCreation
+from zincvale.coordination.registers.epochs import Epoch, Position
+from zincvale.coordination.registers.messages import Accept, RecordUpdate
+from zincvale.coordination.registers.recovered_state import RecoveredState
+from zincvale.coordination.registers.replica import RegisterReplica
+from zincvale.coordination.replication.replica_config import ReplicaConfig
+from zincvale.coordination.replication.replica_sets import REPLICA_SETS_KEY, CoreRow, first_rows
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.model.machine import Write
 
--- a/tests/coordination/test_delivery.py
+++ b/tests/coordination/test_delivery.py
@@ -3,11 +3,11 @@
 from testtools import TestCase
 
 from zincvale.coordination.config import Timings
-from zincvale.coordination.core_messages import TopicPosition
-from zincvale.coordination.delivery import DeliveryHost
-from zincvale.coordination.delivery_messages import Poll, PublishTopic
-from zincvale.coordination.tables import Difference, VersionedTable
-from zincvale.coordination.topics import TopicTables
+from zincvale.coordination.core.messages import TopicPosition
+from zincvale.coordination.delivery.ephemeral_topics import TopicTables
+from zincvale.coordination.delivery.long_poll_server import DeliveryHost
+from zincvale.coordination.delivery.messages import Poll, PublishTopic
+from zincvale.coordination.delivery.versioned_table import Difference, VersionedTable
 from zincvale.model.machine import Reply
 
 TIMINGS = Timings(delta_batch_s=0.02, poll_answers_per_s=50.0)
--- a/tests/coordination/test_member_rows.py
+++ b/tests/coordination/test_member_rows.py
@@ -6,9 +6,9 @@
 
 import testtools
 
-from zincvale.coordination import member_rows
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.member_rows import MembersDecoder, encode_member
+from zincvale.coordination.membership import member_codec as member_rows
+from zincvale.coordination.membership.member_codec import MembersDecoder, encode_member
+from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.model.view import Role
 
 
--- a/tests/coordination/test_node_poller.py
+++ b/tests/coordination/test_node_poller.py
@@ -5,9 +5,9 @@
 from testtools import TestCase
 
 from zincvale.coordination.config import NodeConfig
-from zincvale.coordination.delivery_messages import PollAnswer
-from zincvale.coordination.node_poller import LONGEST_BEHIND_S, NodePoller
-from zincvale.coordination.register_messages import TableDelta
+from zincvale.coordination.delivery.long_poll_client import LONGEST_BEHIND_S, NodePoller
+from zincvale.coordination.delivery.messages import PollAnswer
+from zincvale.coordination.registers.messages import TableDelta
 
 HOSTS = ["core-1", "core-2"]
 STEP_S = 0.05
--- a/tests/coordination/test_ordinary_path.py
+++ b/tests/coordination/test_ordinary_path.py
@@ -5,7 +5,7 @@
 import testtools
 
 from tests.coordination.pump import CORES, Cluster
-from zincvale.coordination.delivery_messages import PublishTopic
+from zincvale.coordination.delivery.messages import PublishTopic
 
 
 class OrdinaryPathTest(testtools.TestCase):
--- a/tests/coordination/test_register.py
+++ b/tests/coordination/test_register.py
@@ -9,14 +9,14 @@
 import testtools
 
 from tests.coordination.exploration import CONFIG, KEY, Explorer
-from zincvale.coordination import replica_config
 from zincvale.coordination.config import Timings
-from zincvale.coordination.epochs import Epoch
-from zincvale.coordination.record_files import ReplicaState
-from zincvale.coordination.records import Record
-from zincvale.coordination.recovered import RecoveredState
-from zincvale.coordination.register_messages import Accept, Prepare, Promise, Refused
-from zincvale.coordination.register_replica import RegisterReplica
+from zincvale.coordination.registers.epochs import Epoch
+from zincvale.coordination.registers.messages import Accept, Prepare, Promise, Refused
+from zincvale.coordination.registers.record_codec import ReplicaState
+from zincvale.coordination.registers.records import Record
+from zincvale.coordination.registers.recovered_state import RecoveredState
+from zincvale.coordination.registers.replica import RegisterReplica
+from zincvale.coordination.replication import replica_config
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Send, Write
 
--- a/tests/coordination/test_standby.py
+++ b/tests/coordination/test_standby.py
@@ -8,10 +8,8 @@
 
 from tests.coordination.pump import CORES, Cluster
 from zincvale.coordination import log_events
-from zincvale.coordination.core_messages import AskCores
-from zincvale.coordination.lease_messages import LeaseRedirect
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.standby_machine import (
+from zincvale.coordination.core.messages import AskCores
+from zincvale.coordination.core.standby_machine import (
     ANSWERS_WITHIN_S,
     ASK_AGAIN_S,
     ASK_INTERVAL_S,
@@ -19,6 +17,8 @@
     StandbyConfig,
     StandbyMachine,
 )
+from zincvale.coordination.leases.messages import LeaseRedirect
+from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.model.machine import Effect, Log, MessageReceived, Send, Tick
 
--- a/tests/coordination/test_statuses.py
+++ b/tests/coordination/test_statuses.py
@@ -8,7 +8,7 @@
 import testtools
 
 from tests.coordination.pump import CORES, TICK_S, Cluster
-from zincvale.coordination.core_messages import (
+from zincvale.coordination.core.messages import (
     AskStatus,
     CoreStatus,
     TopicPosition,
--- a/tests/daemons/test_list_runner.py
+++ b/tests/daemons/test_list_runner.py
@@ -8,7 +8,7 @@
 
 from zincvale.controlplane.directory_messages import ListRead
 from zincvale.controlplane.listed_servers import ListedServer, ListedServers
-from zincvale.coordination.delivery_messages import PublishTopic, TopicPublished
+from zincvale.coordination.delivery.messages import PublishTopic, TopicPublished
 from zincvale.daemons.forwarding_seams import ListPage
 from zincvale.daemons.http_fetch import FetchResult
 from zincvale.daemons.list_runner import MAX_PAGES, ListRunner
--- a/tests/daemons/test_residency_publication.py
+++ b/tests/daemons/test_residency_publication.py
@@ -7,7 +7,7 @@
 from tests.controlplane.placement.bench_world import make_row
 from zincvale.controlplane.placement.items import model_key
 from zincvale.controlplane.placement.servers import Holding, HoldingState, ServerState
-from zincvale.coordination.delivery_messages import PublishTopic
+from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.daemons.forwarding_node import TOPICS
 from zincvale.daemons.residency_publication import ResidencyPublication
 from zincvale.daemons.residency_rows import RESIDENCY_TOPIC, ResidencyDecoder
--- a/tests/daemons/test_standby_daemon.py
+++ b/tests/daemons/test_standby_daemon.py
@@ -7,9 +7,9 @@
 from tornado.testing import AsyncHTTPTestCase
 from tornado.web import Application
 
-from zincvale.coordination.lease_messages import LeaseRedirect
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.standby_machine import StandbyConfig, StandbyMachine
+from zincvale.coordination.core.standby_machine import StandbyConfig, StandbyMachine
+from zincvale.coordination.leases.messages import LeaseRedirect
+from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.daemons.standby_daemon import operator_application
 from zincvale.model.identifiers import MemberId, ZoneName
 from zincvale.model.machine import MessageReceived
--- a/tests/golden/decision_log.py
+++ b/tests/golden/decision_log.py
@@ -21,7 +21,7 @@
 import numpy
 import orjson
 
-from zincvale.coordination.delivery_messages import PollAnswer
+from zincvale.coordination.delivery.messages import PollAnswer
 from zincvale.model.machine import Call, Log, Reply, Send, Write
 from zincvale.transport.codec import encode_message
 
--- a/tests/golden/one_core.py
+++ b/tests/golden/one_core.py
@@ -9,11 +9,11 @@
 
 from zincvale.controlplane.document_reducer import DocumentReducer
 from zincvale.controlplane.reducer import IntentReducer
-from zincvale.coordination.change_messages import ProposeChange
 from zincvale.coordination.config import CoreConfig, InitialCore
-from zincvale.coordination.core_machine import CoreMachine
-from zincvale.coordination.recovered import RecoveredState
-from zincvale.coordination.replica_sets import INTENT_KEY
+from zincvale.coordination.core.machine import CoreMachine
+from zincvale.coordination.registers.change_messages import ProposeChange
+from zincvale.coordination.registers.recovered_state import RecoveredState
+from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.model.machine import (
     Call,
--- a/tests/golden/test_row_bytes.py
+++ b/tests/golden/test_row_bytes.py
@@ -25,20 +25,24 @@
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.controlplane.placement.move_rows import decode_move, encode_move
 from zincvale.controlplane.placement.moves import Move
-from zincvale.coordination import registry
-from zincvale.coordination.epochs import Epoch
-from zincvale.coordination.member_messages import MemberInfo
-from zincvale.coordination.member_rows import decode_member, encode_member
-from zincvale.coordination.record_files import (
+from zincvale.coordination.membership import registry
+from zincvale.coordination.membership.member_codec import decode_member, encode_member
+from zincvale.coordination.membership.messages import MemberInfo
+from zincvale.coordination.registers.epochs import Epoch
+from zincvale.coordination.registers.messages import RecordUpdate
+from zincvale.coordination.registers.record_codec import (
     ReplicaState,
     decode_chain,
     encode_delta,
     encode_snapshot,
 )
-from zincvale.coordination.register_messages import RecordUpdate
-from zincvale.coordination.replica_config import ReplicaConfig
-from zincvale.coordination.replica_set_changes import join_change, keys_change, replace_change
-from zincvale.coordination.replica_sets import (
+from zincvale.coordination.replication.replica_config import ReplicaConfig
+from zincvale.coordination.replication.replica_set_changes import (
+    join_change,
+    keys_change,
+    replace_change,
+)
+from zincvale.coordination.replication.replica_sets import (
     CoreRow,
     KeyRow,
     decode_replica_sets,
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -11,7 +11,7 @@
 from zincvale.controlplane.document_rows import SourceDocument
 from zincvale.controlplane.placement.events import Order, OrderAction, OrderRefusal
 from zincvale.controlplane.placement.items import ItemKind
-from zincvale.coordination.change_messages import ChangeResult
+from zincvale.coordination.registers.change_messages import ChangeResult
 from zincvale.daemons.http_fetch import FetchResult
 from zincvale.daemons.server_orders import OrderReply
 from zincvale.dataplane.forwarding.dialect import SendFacts
--- a/tests/simulator/test_parts.py
+++ b/tests/simulator/test_parts.py
@@ -9,7 +9,7 @@
 
 import testtools
 
-from zincvale.coordination.change_messages import CONFLICT, IN_FORCE
+from zincvale.coordination.registers.change_messages import CONFLICT, IN_FORCE
 from zincvale.model.errors import InvalidInput
 from zincvale.simulator.drawing import draw_schedule
 from zincvale.simulator.exploring import parse_seeds
--- a/tests/transport/test_peer_client.py
+++ b/tests/transport/test_peer_client.py
@@ -5,7 +5,7 @@
 
 from testtools import TestCase
 
-from zincvale.coordination.lease_messages import LeaseRedirect
+from zincvale.coordination.leases.messages import LeaseRedirect
 from zincvale.transport.codec import Batch, decode_batch, encode_batch
 from zincvale.transport.peer import PeerCallFailed, PeerNotReached
 from zincvale.transport.peer_client import PeerClient, PeerIdentity
--- a/tests/transport/test_peer_server.py
+++ b/tests/transport/test_peer_server.py
@@ -9,7 +9,7 @@
 from tornado.ioloop import IOLoop
 from tornado.iostream import StreamClosedError
 
-from zincvale.coordination.lease_messages import LeaseRedirect
+from zincvale.coordination.leases.messages import LeaseRedirect
 from zincvale.transport.codec import Batch, decode_batch, encode_batch
 from zincvale.transport.peer_client import PeerIdentity
 from zincvale.transport.peer_server import PeerServer
