--- a/src/zincvale/bench/hollow_process.py
+++ b/src/zincvale/bench/hollow_process.py
@@ -18,7 +18,7 @@
 
 from tornado.ioloop import IOLoop, PeriodicCallback
 
-from zincvale.controlplane.intent_rows import IntentDecoder
+from zincvale.controlplane.intent.row_codec import IntentDecoder
 from zincvale.coordination.config import NodeConfig
 from zincvale.coordination.node.machine import NodeMachine
 from zincvale.model.identifiers import Address, MemberId, ZoneName
--- a/src/zincvale/bench/state_slopes.py
+++ b/src/zincvale/bench/state_slopes.py
@@ -11,9 +11,9 @@
 import attrs
 import numpy
 
-from zincvale.controlplane.directory_rows import encode_server_row
-from zincvale.controlplane.intent_rows import IntentDecoder, encode_spec
-from zincvale.controlplane.reducer import IntentReducer
+from zincvale.controlplane.directory.row_codec import encode_server_row
+from zincvale.controlplane.intent.reducer import IntentReducer
+from zincvale.controlplane.intent.row_codec import IntentDecoder, encode_spec
 from zincvale.model.identifiers import AdapterName, Address, ModelName, PoolName, ServerId, ZoneName
 from zincvale.model.resources import PoolKind
 from zincvale.model.view import ServerRow
--- a/src/zincvale/cli/operator_kinds.py
+++ b/src/zincvale/cli/operator_kinds.py
@@ -5,7 +5,7 @@
 import difflib
 
 from zincvale.cli.operator_errors import UsageProblem
-from zincvale.controlplane.intent_rows import KIND_BY_TABLE
+from zincvale.controlplane.intent.row_codec import KIND_BY_TABLE
 
 OBSERVED_TABLES = ("members", "moves", "roles", "replicas")
 """Tables without a declared side; the API's body holds their rows under this name."""
--- a/src/zincvale/controlplane/api.py
+++ b/src/zincvale/controlplane/api/dispatch.py
@@ -13,8 +13,16 @@
 
 import attrs
 
-from zincvale.controlplane import api_reads
-from zincvale.controlplane.api_messages import (
+from zincvale.controlplane.api import reads as api_reads
+from zincvale.controlplane.api.core_view import CoreView
+from zincvale.controlplane.api.intent_changes import (
+    CHANGE_TIMEOUT_S,
+    PendingChange,
+    answer_change,
+    not_confirmed,
+    read_proposal,
+)
+from zincvale.controlplane.api.messages import (
     ApiEffect,
     ApiRequest,
     ApiResponse,
@@ -23,19 +31,11 @@
     error_response,
     json_response,
 )
-from zincvale.controlplane.core_view import CoreView
-from zincvale.controlplane.drain_watch import DrainWatch
-from zincvale.controlplane.held_polls import HeldPolls, read_watch
-from zincvale.controlplane.intent_changes import (
-    CHANGE_TIMEOUT_S,
-    PendingChange,
-    answer_change,
-    not_confirmed,
-    read_proposal,
-)
-from zincvale.controlplane.intent_rows import KIND_BY_TABLE
-from zincvale.controlplane.observed_world import ObservedWorld, lagging_nodes, observe
-from zincvale.controlplane.replica_changes import read_replacement
+from zincvale.controlplane.api.pending_watches import HeldPolls, read_watch
+from zincvale.controlplane.api.replica_changes import read_replacement
+from zincvale.controlplane.intent.row_codec import KIND_BY_TABLE
+from zincvale.controlplane.status.cluster_snapshot import ObservedWorld, lagging_nodes, observe
+from zincvale.controlplane.status.drain_progress import DrainWatch
 from zincvale.coordination.registers.change_messages import (
     ChangeResult,
     ProposeChange,
--- a/src/zincvale/controlplane/intent_changes.py
+++ b/src/zincvale/controlplane/api/intent_changes.py
@@ -10,14 +10,14 @@
 import attrs
 import orjson
 
-from zincvale.controlplane.api_messages import (
+from zincvale.controlplane.api.messages import (
     IDEMPOTENCY_KEY_HEADER,
     ApiRequest,
     ApiResponse,
     error_response,
     json_response,
 )
-from zincvale.controlplane.change_body import MAX_CHANGE_BYTES, parse_json
+from zincvale.controlplane.intent.change_body import MAX_CHANGE_BYTES, parse_json
 from zincvale.coordination.registers.change_messages import (
     CONFLICT,
     IN_FORCE,
--- a/src/zincvale/controlplane/held_polls.py
+++ b/src/zincvale/controlplane/api/pending_watches.py
@@ -10,8 +10,8 @@
 
 import attrs
 
-from zincvale.controlplane.api_messages import ApiResponse, json_response
-from zincvale.controlplane.api_reads import IntentBody
+from zincvale.controlplane.api.messages import ApiResponse, json_response
+from zincvale.controlplane.api.reads import IntentBody
 from zincvale.coordination.changes import KeyView
 from zincvale.model.errors import InvalidInput, Unavailable
 
--- a/src/zincvale/controlplane/api_reads.py
+++ b/src/zincvale/controlplane/api/reads.py
@@ -8,15 +8,15 @@
 
 import orjson
 
-from zincvale.controlplane.core_view import CoreView
-from zincvale.controlplane.intent_rows import KIND_BY_TABLE, row_id
-from zincvale.controlplane.observed_world import ObservedWorld
+from zincvale.controlplane.api.core_view import CoreView
+from zincvale.controlplane.intent.row_codec import KIND_BY_TABLE, row_id
 from zincvale.controlplane.placement.move_rows import (
     decode_move,
     move_to_json,
     moves_to_json,
 )
-from zincvale.controlplane.resource_status import conditions_of
+from zincvale.controlplane.status.cluster_snapshot import ObservedWorld
+from zincvale.controlplane.status.resource_status import conditions_of
 from zincvale.coordination.changes import KeyView
 from zincvale.model.errors import InvalidInput, NotFound
 from zincvale.model.identifiers import MemberId, ServerId
--- a/src/zincvale/controlplane/replica_changes.py
+++ b/src/zincvale/controlplane/api/replica_changes.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from zincvale.controlplane.api_messages import ApiRequest
-from zincvale.controlplane.change_body import parse_json
+from zincvale.controlplane.api.messages import ApiRequest
+from zincvale.controlplane.intent.change_body import parse_json
 from zincvale.coordination.registers.change_messages import ReplaceReplica
 from zincvale.model.checked import Checked, read_checked
 from zincvale.model.errors import BodyTooLarge, InvalidInput
--- a/src/zincvale/controlplane/directory_events.py
+++ b/src/zincvale/controlplane/directory/events.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from zincvale.controlplane.backend_status import PlatformServer, ServerStatus
+from zincvale.controlplane.directory.backend_status import PlatformServer, ServerStatus
 from zincvale.coordination.changes import TopicView
 from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.model.identifiers import Address, MemberId, ServerId
--- a/src/zincvale/controlplane/directory.py
+++ b/src/zincvale/controlplane/directory/machine.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 
 from zincvale.controlplane import log_events
-from zincvale.controlplane.directory_events import (
+from zincvale.controlplane.directory.events import (
     ClosingMarked,
     DirectoryEffect,
     DirectoryInput,
@@ -31,9 +31,9 @@
     StatusFailed,
     StatusObserved,
 )
-from zincvale.controlplane.directory_publication import DirectoryPublication
-from zincvale.controlplane.directory_rows import decode_server_row
-from zincvale.controlplane.server_table import ServerTable, TableChange
+from zincvale.controlplane.directory.publication import DirectoryPublication
+from zincvale.controlplane.directory.row_codec import decode_server_row
+from zincvale.controlplane.directory.server_table import ServerTable, TableChange
 from zincvale.coordination.changes import TopicView
 from zincvale.model.errors import InvalidInput
 from zincvale.model.identifiers import MemberId, ServerId
--- a/src/zincvale/controlplane/directory_publication.py
+++ b/src/zincvale/controlplane/directory/publication.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from zincvale.controlplane.directory_rows import DIRECTORY_TOPIC, encode_server_row
+from zincvale.controlplane.directory.row_codec import DIRECTORY_TOPIC, encode_server_row
 from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.model.identifiers import ServerId
 from zincvale.model.view import ServerRow
--- a/src/zincvale/controlplane/listed_servers.py
+++ b/src/zincvale/controlplane/directory/server_discovery.py
@@ -16,8 +16,8 @@
 import xxhash
 
 from zincvale.controlplane import log_events
-from zincvale.controlplane.directory_messages import ListRead
-from zincvale.controlplane.directory_rows import (
+from zincvale.controlplane.directory.messages import ListRead
+from zincvale.controlplane.directory.row_codec import (
     LISTED_TOPIC,
     decode_server_row,
     encode_server_row,
--- a/src/zincvale/controlplane/server_entries.py
+++ b/src/zincvale/controlplane/directory/server_entries.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from zincvale.controlplane.backend_status import PlatformServer, ServerStatus
+from zincvale.controlplane.directory.backend_status import PlatformServer, ServerStatus
 from zincvale.model.view import ServerHealth, ServerRow
 
 FAILURES_UNTIL_DOWN = 2
--- a/src/zincvale/controlplane/server_prober.py
+++ b/src/zincvale/controlplane/directory/server_prober.py
@@ -11,10 +11,10 @@
 
 import attrs
 
-from zincvale.controlplane.directory_events import ProbersChanged, ProbeServer
-from zincvale.controlplane.directory_messages import ServerObservation, ServerObservations
-from zincvale.controlplane.probe_schedule import PROBE_TIMEOUT_S, ProbeSchedule
-from zincvale.controlplane.prober_assignment import assigned_to
+from zincvale.controlplane.directory.events import ProbersChanged, ProbeServer
+from zincvale.controlplane.directory.messages import ServerObservation, ServerObservations
+from zincvale.controlplane.directory.probe_schedule import PROBE_TIMEOUT_S, ProbeSchedule
+from zincvale.controlplane.directory.prober_assignment import assigned_to
 from zincvale.model.identifiers import Address, MemberId, ServerId
 from zincvale.model.machine import ClockJumped, Tick
 from zincvale.model.view import Directory
--- a/src/zincvale/controlplane/server_table.py
+++ b/src/zincvale/controlplane/directory/server_table.py
@@ -12,8 +12,8 @@
 import attrs
 
 from zincvale.controlplane import log_events
-from zincvale.controlplane.backend_status import PlatformServer
-from zincvale.controlplane.directory_events import (
+from zincvale.controlplane.directory.backend_status import PlatformServer
+from zincvale.controlplane.directory.events import (
     ClosingMarked,
     DirectoryEffect,
     ProbeServer,
@@ -22,10 +22,10 @@
     StatusFailed,
     StatusObserved,
 )
-from zincvale.controlplane.directory_publication import differs_in_load_alone
-from zincvale.controlplane.probe_schedule import PROBE_TIMEOUT_S, ProbeSchedule
-from zincvale.controlplane.prober_assignment import assigned_to
-from zincvale.controlplane.server_entries import (
+from zincvale.controlplane.directory.probe_schedule import PROBE_TIMEOUT_S, ProbeSchedule
+from zincvale.controlplane.directory.prober_assignment import assigned_to
+from zincvale.controlplane.directory.publication import differs_in_load_alone
+from zincvale.controlplane.directory.server_entries import (
     ServerEntry,
     entry_of,
     is_overdue,
--- a/src/zincvale/controlplane/document_api.py
+++ b/src/zincvale/controlplane/documents/api.py
@@ -12,14 +12,14 @@
 
 import attrs
 
-from zincvale.controlplane.api_messages import ApiEffect, ApiRequest, ApiResponse, CallCore
-from zincvale.controlplane.document_changes import (
+from zincvale.controlplane.api.messages import ApiEffect, ApiRequest, ApiResponse, CallCore
+from zincvale.controlplane.documents.changes import (
     DocumentChange,
     EvacuationChange,
     change_identity,
     encode_change,
 )
-from zincvale.controlplane.document_rows import SourceDocument, source_document
+from zincvale.controlplane.documents.rows import SourceDocument, source_document
 from zincvale.coordination.changes import KeyView
 from zincvale.coordination.registers.change_messages import CONFLICT, ChangeResult, ProposeChange
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
--- a/src/zincvale/controlplane/document_reducer.py
+++ b/src/zincvale/controlplane/documents/reducer.py
@@ -13,13 +13,13 @@
 import orjson
 from returns.result import Failure, Result, Success
 
-from zincvale.controlplane.document_changes import (
+from zincvale.controlplane.documents.changes import (
     EVACUATE,
     REPLACE,
     change_identity,
     decode_change,
 )
-from zincvale.controlplane.document_rows import (
+from zincvale.controlplane.documents.rows import (
     EVACUATED,
     EVACUATED_PREFIX,
     LAST_CHANGE_ROW,
--- a/src/zincvale/controlplane/change_body.py
+++ b/src/zincvale/controlplane/intent/change_body.py
@@ -11,7 +11,7 @@
 import attrs
 import orjson
 
-from zincvale.controlplane.intent_rows import row_id
+from zincvale.controlplane.intent.row_codec import row_id
 from zincvale.model.checked import read_checked
 from zincvale.model.errors import InvalidInput, MalformedBody
 from zincvale.model.resources import SPEC_BY_KIND, Document
--- a/src/zincvale/controlplane/proposed_rows.py
+++ b/src/zincvale/controlplane/intent/proposed_rows.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from zincvale.controlplane.intent_rows import decode_fields
+from zincvale.controlplane.intent.row_codec import decode_fields
 
 
 @attrs.frozen
--- a/src/zincvale/controlplane/reducer.py
+++ b/src/zincvale/controlplane/intent/reducer.py
@@ -11,7 +11,7 @@
 import attrs
 from returns.result import Failure, Result, Success
 
-from zincvale.controlplane.change_body import (
+from zincvale.controlplane.intent.change_body import (
     MAX_CHANGE_BYTES,
     ChangeBody,
     ChangeMode,
@@ -19,11 +19,11 @@
     parse_json,
     read_change_body,
 )
-from zincvale.controlplane.field_rules import check_fields
-from zincvale.controlplane.intent_rows import decode_fields, encode_spec, split_row_id
-from zincvale.controlplane.merge_patch import apply_merge_patch
-from zincvale.controlplane.proposed_rows import ChangedRow, ProposedRows
-from zincvale.controlplane.resource_rules import (
+from zincvale.controlplane.intent.merge_patch import apply_merge_patch
+from zincvale.controlplane.intent.proposed_rows import ChangedRow, ProposedRows
+from zincvale.controlplane.intent.row_codec import decode_fields, encode_spec, split_row_id
+from zincvale.controlplane.intent.validation.fields import check_fields
+from zincvale.controlplane.intent.validation.resources import (
     check_referrers,
     check_resource,
     check_unique_fields,
--- a/src/zincvale/controlplane/field_rules.py
+++ b/src/zincvale/controlplane/intent/validation/fields.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from zincvale.controlplane.addresses import is_address
-from zincvale.controlplane.change_body import read_name
+from zincvale.controlplane.intent.change_body import read_name
 from zincvale.model.checked import Checked, read_checked
 from zincvale.model.errors import InvalidInput
 from zincvale.model.resources import (
--- a/src/zincvale/controlplane/references.py
+++ b/src/zincvale/controlplane/intent/validation/references.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from zincvale.controlplane.intent_rows import row_id
-from zincvale.controlplane.proposed_rows import ProposedRows
+from zincvale.controlplane.intent.proposed_rows import ProposedRows
+from zincvale.controlplane.intent.row_codec import row_id
 from zincvale.model.errors import InvalidInput
 
 TARGET_KIND_BY_FIELD: dict[str, dict[str, str]] = {
--- a/src/zincvale/controlplane/resource_rules.py
+++ b/src/zincvale/controlplane/intent/validation/resources.py
@@ -5,9 +5,13 @@
 from collections.abc import Callable, Collection, Mapping
 from typing import Any
 
-from zincvale.controlplane.intent_rows import decode_fields, row_id
-from zincvale.controlplane.proposed_rows import ChangedRow, ProposedRows
-from zincvale.controlplane.references import REFERRING_KINDS, check_references, references_of
+from zincvale.controlplane.intent.proposed_rows import ChangedRow, ProposedRows
+from zincvale.controlplane.intent.row_codec import decode_fields, row_id
+from zincvale.controlplane.intent.validation.references import (
+    REFERRING_KINDS,
+    check_references,
+    references_of,
+)
 from zincvale.model.errors import InvalidInput
 from zincvale.model.resources import PoolKind
 
--- a/src/zincvale/controlplane/observed_world.py
+++ b/src/zincvale/controlplane/status/cluster_snapshot.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from zincvale.controlplane.core_view import CoreView
-from zincvale.controlplane.drain_watch import DrainWatch
+from zincvale.controlplane.api.core_view import CoreView
+from zincvale.controlplane.status.drain_progress import DrainWatch
 from zincvale.model.identifiers import MemberId, PoolName, ServerId
 from zincvale.model.resources import ServerSpec, ZoneSpec
 from zincvale.model.view import Directory, Intent, ServerHealth, ServerRow
--- a/src/zincvale/controlplane/resource_status.py
+++ b/src/zincvale/controlplane/status/resource_status.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable, Iterable
 
-from zincvale.controlplane import conditions
-from zincvale.controlplane.conditions import Condition, holds, unknown
-from zincvale.controlplane.observed_world import ObservedWorld
-from zincvale.controlplane.server_status import server_conditions, zone_conditions
+from zincvale.controlplane.status import conditions
+from zincvale.controlplane.status.cluster_snapshot import ObservedWorld
+from zincvale.controlplane.status.conditions import Condition, holds, unknown
+from zincvale.controlplane.status.server_status import server_conditions, zone_conditions
 from zincvale.model.identifiers import AdapterName, ModelName, PoolName, RouteName
 from zincvale.model.view import ServerRow
 
--- a/src/zincvale/controlplane/server_status.py
+++ b/src/zincvale/controlplane/status/server_status.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from zincvale.controlplane import conditions
-from zincvale.controlplane.conditions import Condition, holds, unknown
-from zincvale.controlplane.drain_watch import runs_requests
-from zincvale.controlplane.observed_world import ObservedWorld
+from zincvale.controlplane.status import conditions
+from zincvale.controlplane.status.cluster_snapshot import ObservedWorld
+from zincvale.controlplane.status.conditions import Condition, holds, unknown
+from zincvale.controlplane.status.drain_progress import runs_requests
 from zincvale.model.identifiers import ServerId, ZoneName
 from zincvale.model.view import ServerHealth, ServerRow
 
--- a/src/zincvale/daemons/api_http.py
+++ b/src/zincvale/daemons/api_http.py
@@ -10,7 +10,7 @@
 from tornado.ioloop import IOLoop
 from tornado.web import RequestHandler
 
-from zincvale.controlplane.api_messages import ApiEffect, ApiRequest, ApiResponse, CallCore
+from zincvale.controlplane.api.messages import ApiEffect, ApiRequest, ApiResponse, CallCore
 from zincvale.runtime.driver import MachineDriver
 
 
--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -8,16 +8,17 @@
 from tornado.ioloop import PeriodicCallback
 from tornado.web import Application
 
-from zincvale.controlplane.api import ControlApi
-from zincvale.controlplane.directory import DirectoryMachine
-from zincvale.controlplane.directory_events import (
+from zincvale.controlplane.api.dispatch import ControlApi
+from zincvale.controlplane.directory.events import (
     DirectoryRoleLost,
     DirectoryRoleTaken,
     ServerForgotten,
     ServerReported,
 )
-from zincvale.controlplane.directory_events import IntentChanged as DirectoryIntentChanged
-from zincvale.controlplane.directory_rows import DIRECTORY_TOPIC
+from zincvale.controlplane.directory.events import IntentChanged as DirectoryIntentChanged
+from zincvale.controlplane.directory.machine import DirectoryMachine
+from zincvale.controlplane.directory.row_codec import DIRECTORY_TOPIC
+from zincvale.controlplane.intent.reducer import IntentReducer
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.controller import PlacementController
 from zincvale.controlplane.placement.events import (
@@ -27,7 +28,6 @@
     StatusReport,
 )
 from zincvale.controlplane.placement.events import IntentChanged as PlacementIntentChanged
-from zincvale.controlplane.reducer import IntentReducer
 from zincvale.coordination.changes import ChangeNotes
 from zincvale.coordination.core.machine import CoreMachine
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
--- a/src/zincvale/daemons/core_view.py
+++ b/src/zincvale/daemons/core_view.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
-from zincvale.controlplane.core_view import ReplicaRow, RoleRow
-from zincvale.controlplane.directory_rows import DIRECTORY_TOPIC, DirectoryDecoder
-from zincvale.controlplane.intent_rows import IntentDecoder
+from zincvale.controlplane.api.core_view import ReplicaRow, RoleRow
+from zincvale.controlplane.directory.row_codec import DIRECTORY_TOPIC, DirectoryDecoder
+from zincvale.controlplane.intent.row_codec import IntentDecoder
 from zincvale.controlplane.placement.closing_rows import MOVES_TOPIC
 from zincvale.coordination.changes import KeyView
 from zincvale.coordination.core.machine import CoreMachine
--- a/src/zincvale/daemons/directory_runner.py
+++ b/src/zincvale/daemons/directory_runner.py
@@ -7,14 +7,13 @@
 
 from tornado.ioloop import IOLoop
 
-from zincvale.controlplane.backend_status import (
+from zincvale.controlplane.directory.backend_status import (
     PLATFORM_LIST_PATH,
     STATUS_PATH,
     read_platform_list,
     read_server_status,
 )
-from zincvale.controlplane.directory import DirectoryMachine
-from zincvale.controlplane.directory_events import (
+from zincvale.controlplane.directory.events import (
     DirectoryInput,
     FetchPlatformList,
     PlatformListed,
@@ -28,6 +27,7 @@
     StatusFailed,
     StatusObserved,
 )
+from zincvale.controlplane.directory.machine import DirectoryMachine
 from zincvale.daemons.http_fetch import HttpFetcher
 from zincvale.daemons.topic_publisher import TopicPublisher
 from zincvale.model.errors import MalformedBody
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -9,12 +9,12 @@
 from tornado.ioloop import PeriodicCallback
 from tornado.web import Application
 
-from zincvale.controlplane.directory_rows import LISTED_TOPIC
-from zincvale.controlplane.document_api import DocumentApi
-from zincvale.controlplane.document_intent import DocumentIntent, StoreTerms
-from zincvale.controlplane.document_reducer import DocumentReducer
-from zincvale.controlplane.document_rows import DocumentDecoder
-from zincvale.controlplane.listed_servers import ListedServers, ServersSeen, reader_rank
+from zincvale.controlplane.directory.row_codec import LISTED_TOPIC
+from zincvale.controlplane.directory.server_discovery import ListedServers, ServersSeen, reader_rank
+from zincvale.controlplane.documents.api import DocumentApi
+from zincvale.controlplane.documents.derived_intent import DocumentIntent, StoreTerms
+from zincvale.controlplane.documents.reducer import DocumentReducer
+from zincvale.controlplane.documents.rows import DocumentDecoder
 from zincvale.controlplane.placement.controller import PlacementController
 from zincvale.controlplane.placement.events import (
     DirectoryChanged,
--- a/src/zincvale/daemons/forwarding_node.py
+++ b/src/zincvale/daemons/forwarding_node.py
@@ -9,8 +9,8 @@
 from tornado.ioloop import IOLoop, PeriodicCallback
 from tornado.web import Application, RequestHandler
 
-from zincvale.controlplane.directory_rows import LISTED_TOPIC, DirectoryDecoder
-from zincvale.controlplane.document_rows import DocumentDecoder
+from zincvale.controlplane.directory.row_codec import LISTED_TOPIC, DirectoryDecoder
+from zincvale.controlplane.documents.rows import DocumentDecoder
 from zincvale.coordination.config import Timings
 from zincvale.coordination.node.machine import NodeMachine
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
--- a/src/zincvale/daemons/forwarding_seams.py
+++ b/src/zincvale/daemons/forwarding_seams.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from zincvale.controlplane.document_api import OperatorDialect
-from zincvale.controlplane.listed_servers import ListedServer
+from zincvale.controlplane.directory.server_discovery import ListedServer
+from zincvale.controlplane.documents.api import OperatorDialect
 from zincvale.daemons.http_fetch import FetchResult
 from zincvale.daemons.server_orders import ServerOrders
 
--- a/src/zincvale/daemons/list_runner.py
+++ b/src/zincvale/daemons/list_runner.py
@@ -7,8 +7,8 @@
 
 from tornado.ioloop import IOLoop
 
-from zincvale.controlplane.directory_messages import ListRead
-from zincvale.controlplane.listed_servers import (
+from zincvale.controlplane.directory.messages import ListRead
+from zincvale.controlplane.directory.server_discovery import (
     AnnounceRead,
     FetchList,
     ListedServer,
--- a/src/zincvale/daemons/node_daemon.py
+++ b/src/zincvale/daemons/node_daemon.py
@@ -8,8 +8,8 @@
 from tornado.ioloop import PeriodicCallback
 from tornado.web import Application
 
-from zincvale.controlplane.directory_rows import DIRECTORY_TOPIC, DirectoryDecoder
-from zincvale.controlplane.intent_rows import IntentDecoder
+from zincvale.controlplane.directory.row_codec import DIRECTORY_TOPIC, DirectoryDecoder
+from zincvale.controlplane.intent.row_codec import IntentDecoder
 from zincvale.controlplane.placement.closing_rows import MOVES_TOPIC, ClosingDecoder
 from zincvale.coordination.node.machine import NodeMachine
 from zincvale.coordination.replication.replica_sets import INTENT_KEY, REGISTRY_KEY
--- a/src/zincvale/daemons/server_orders.py
+++ b/src/zincvale/daemons/server_orders.py
@@ -11,10 +11,10 @@
 import attrs
 import orjson
 
-from zincvale.controlplane.backend_status import STATUS_PATH, read_server_status
+from zincvale.controlplane.directory.backend_status import STATUS_PATH, read_server_status
+from zincvale.controlplane.directory.server_entries import observed_row
 from zincvale.controlplane.placement.events import Order, OrderAction, OrderRefusal
 from zincvale.controlplane.placement.items import ItemKind
-from zincvale.controlplane.server_entries import observed_row
 from zincvale.daemons.http_fetch import FetchResult
 from zincvale.model.view import ServerRow
 
--- a/src/zincvale/platform/operators.py
+++ b/src/zincvale/platform/operators.py
@@ -7,15 +7,15 @@
 
 import orjson
 
-from zincvale.controlplane.api_messages import ApiRequest, ApiResponse, json_response
-from zincvale.controlplane.document_api import ChangeDocument, Command, ReadDocument
-from zincvale.controlplane.document_changes import (
+from zincvale.controlplane.api.messages import ApiRequest, ApiResponse, json_response
+from zincvale.controlplane.documents.api import ChangeDocument, Command, ReadDocument
+from zincvale.controlplane.documents.changes import (
     DeclaredPool,
     DeclaredRoute,
     DocumentChange,
     EvacuationChange,
 )
-from zincvale.controlplane.document_rows import SourceDocument
+from zincvale.controlplane.documents.rows import SourceDocument
 from zincvale.coordination.registers.change_messages import (
     CONFLICT,
     IN_FORCE,
--- a/src/zincvale/platform/servers.py
+++ b/src/zincvale/platform/servers.py
@@ -8,7 +8,7 @@
 import attrs
 import orjson
 
-from zincvale.controlplane.listed_servers import ListedServer
+from zincvale.controlplane.directory.server_discovery import ListedServer
 from zincvale.controlplane.placement.events import Order, OrderRefusal
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.daemons.forwarding_seams import ListPage
--- a/src/zincvale/simulator/what_if_control.py
+++ b/src/zincvale/simulator/what_if_control.py
@@ -13,8 +13,7 @@
 from random import Random
 from typing import Any
 
-from zincvale.controlplane.directory import DirectoryMachine
-from zincvale.controlplane.directory_events import (
+from zincvale.controlplane.directory.events import (
     DirectoryInput,
     DirectoryRoleTaken,
     FetchPlatformList,
@@ -27,8 +26,10 @@
     StatusFailed,
     StatusObserved,
 )
-from zincvale.controlplane.directory_events import IntentChanged as DirectoryIntentChanged
-from zincvale.controlplane.directory_rows import DirectoryDecoder
+from zincvale.controlplane.directory.events import IntentChanged as DirectoryIntentChanged
+from zincvale.controlplane.directory.machine import DirectoryMachine
+from zincvale.controlplane.directory.row_codec import DirectoryDecoder
+from zincvale.controlplane.directory.server_entries import observed_row
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.controller import PlacementController
 from zincvale.controlplane.placement.events import (
@@ -49,7 +50,6 @@
 )
 from zincvale.controlplane.placement.move_rows import closing_by_server
 from zincvale.controlplane.placement.moves import Move, MoveKind
-from zincvale.controlplane.server_entries import observed_row
 from zincvale.coordination.changes import TopicView
 from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.daemons.closing import with_closing
--- a/src/zincvale/simulator/what_if_intent.py
+++ b/src/zincvale/simulator/what_if_intent.py
@@ -7,8 +7,8 @@
 
 import orjson
 
-from zincvale.controlplane.intent_rows import IntentDecoder
-from zincvale.controlplane.reducer import IntentReducer
+from zincvale.controlplane.intent.reducer import IntentReducer
+from zincvale.controlplane.intent.row_codec import IntentDecoder
 from zincvale.dataplane.policies.registry import policy_names
 from zincvale.model.resources import Document
 from zincvale.model.view import Intent
--- a/src/zincvale/simulator/what_if_lookup.py
+++ b/src/zincvale/simulator/what_if_lookup.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from zincvale.controlplane.backend_status import ServerStatus
+from zincvale.controlplane.directory.backend_status import ServerStatus
 from zincvale.dataplane.evidence import ExchangeEnd
 from zincvale.model.view import ServerHealth
 from zincvale.simulator.what_if_clock import Timer
--- a/src/zincvale/simulator/what_if_machines.py
+++ b/src/zincvale/simulator/what_if_machines.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from zincvale.controlplane.backend_status import PlatformServer
+from zincvale.controlplane.directory.backend_status import PlatformServer
 from zincvale.model.identifiers import (
     Address,
     MemberId,
--- a/src/zincvale/simulator/what_if_servers.py
+++ b/src/zincvale/simulator/what_if_servers.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from zincvale.controlplane.backend_status import PlatformServer, ServerStatus
+from zincvale.controlplane.directory.backend_status import PlatformServer, ServerStatus
 from zincvale.controlplane.placement.events import Order, OrderAction, OrderRefusal
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.dataplane.evidence import ExchangeEnd
--- a/tests/controlplane/api_driver.py
+++ b/tests/controlplane/api_driver.py
@@ -7,8 +7,8 @@
 import orjson
 
 from tests.controlplane.fake_view import FakeView
-from zincvale.controlplane.api import ControlApi
-from zincvale.controlplane.api_messages import ApiEffect, ApiRequest, ApiResponse, CallCore
+from zincvale.controlplane.api.dispatch import ControlApi
+from zincvale.controlplane.api.messages import ApiEffect, ApiRequest, ApiResponse, CallCore
 
 
 class ApiDriver:
--- a/tests/controlplane/directory_driver.py
+++ b/tests/controlplane/directory_driver.py
@@ -7,9 +7,8 @@
 
 import orjson
 
-from zincvale.controlplane.backend_status import PlatformServer, ServerStatus
-from zincvale.controlplane.directory import DirectoryMachine
-from zincvale.controlplane.directory_events import (
+from zincvale.controlplane.directory.backend_status import PlatformServer, ServerStatus
+from zincvale.controlplane.directory.events import (
     DirectoryEffect,
     DirectoryInput,
     DirectoryRoleTaken,
@@ -22,6 +21,7 @@
     StatusFailed,
     StatusObserved,
 )
+from zincvale.controlplane.directory.machine import DirectoryMachine
 from zincvale.coordination.changes import TopicView
 from zincvale.model.identifiers import (
     Address,
--- a/tests/controlplane/fake_cores.py
+++ b/tests/controlplane/fake_cores.py
@@ -15,9 +15,9 @@
 
 from tests.controlplane.fake_view import FakeView
 from zincvale.cli.operator_session import CoreAnswer, CoreNotReached
-from zincvale.controlplane.api import ControlApi
-from zincvale.controlplane.api_messages import ApiEffect, ApiRequest, ApiResponse, CallCore
-from zincvale.controlplane.reducer import IntentReducer
+from zincvale.controlplane.api.dispatch import ControlApi
+from zincvale.controlplane.api.messages import ApiEffect, ApiRequest, ApiResponse, CallCore
+from zincvale.controlplane.intent.reducer import IntentReducer
 from zincvale.coordination.changes import KeyView, apply_changes
 from zincvale.coordination.registers.change_messages import ChangeResult, ProposeChange
 
--- a/tests/controlplane/fake_view.py
+++ b/tests/controlplane/fake_view.py
@@ -7,8 +7,8 @@
 import attrs
 
 from tests.controlplane.samples import small_rows
-from zincvale.controlplane.core_view import ReplicaRow, RoleRow
-from zincvale.controlplane.intent_rows import IntentDecoder
+from zincvale.controlplane.api.core_view import ReplicaRow, RoleRow
+from zincvale.controlplane.intent.row_codec import IntentDecoder
 from zincvale.controlplane.placement.move_rows import encode_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveReason, MoveState
 from zincvale.coordination.changes import KeyView
--- a/tests/controlplane/samples.py
+++ b/tests/controlplane/samples.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from zincvale.controlplane.reducer import IntentReducer
+from zincvale.controlplane.intent.reducer import IntentReducer
 
 SMALL_INTENT: list[dict[str, Any]] = [
     {"kind": "Zone", "name": "zone-a", "spec": {}},
--- a/tests/controlplane/test_api_transcripts.py
+++ b/tests/controlplane/test_api_transcripts.py
@@ -9,9 +9,9 @@
 from tests.controlplane.approval import verify
 from tests.controlplane.fake_view import FakeView, directory, move_row, server
 from tests.controlplane.samples import apply_change, change, resource
-from zincvale.controlplane import change_body
-from zincvale.controlplane.api import MAX_PENDING_CHANGES
-from zincvale.controlplane.held_polls import MAX_HELD_POLLS
+from zincvale.controlplane.api.dispatch import MAX_PENDING_CHANGES
+from zincvale.controlplane.api.pending_watches import MAX_HELD_POLLS
+from zincvale.controlplane.intent import change_body
 from zincvale.coordination.changes import KeyView
 from zincvale.coordination.registers.change_messages import ChangeResult
 from zincvale.model.identifiers import MemberId
--- a/tests/controlplane/test_backend_status.py
+++ b/tests/controlplane/test_backend_status.py
@@ -8,7 +8,7 @@
 import testtools
 
 from tests.controlplane.test_server_prober import status_body
-from zincvale.controlplane.backend_status import (
+from zincvale.controlplane.directory.backend_status import (
     MAX_STATUS_BYTES,
     read_platform_list,
     read_server_status,
--- a/tests/controlplane/test_bad_bytes.py
+++ b/tests/controlplane/test_bad_bytes.py
@@ -12,10 +12,10 @@
 
 from tests.controlplane.fake_view import FakeView
 from tests.controlplane.samples import small_rows
-from zincvale.controlplane.api import ControlApi
-from zincvale.controlplane.api_messages import ApiRequest, ApiResponse, CallCore
-from zincvale.controlplane.backend_status import read_platform_list, read_server_status
-from zincvale.controlplane.reducer import IntentReducer
+from zincvale.controlplane.api.dispatch import ControlApi
+from zincvale.controlplane.api.messages import ApiRequest, ApiResponse, CallCore
+from zincvale.controlplane.directory.backend_status import read_platform_list, read_server_status
+from zincvale.controlplane.intent.reducer import IntentReducer
 from zincvale.model.errors import MalformedBody
 
 FIXED = settings(derandomize=True, max_examples=150, deadline=None, database=None)
--- a/tests/controlplane/test_directory.py
+++ b/tests/controlplane/test_directory.py
@@ -7,7 +7,7 @@
 
 from tests.controlplane.approval import verify
 from tests.controlplane.directory_driver import DirectoryDriver, listed, status
-from zincvale.controlplane.directory_events import (
+from zincvale.controlplane.directory.events import (
     ClosingMarked,
     DirectoryRoleLost,
     IntentChanged,
@@ -21,13 +21,13 @@
     ServerReported,
     StatusObserved,
 )
-from zincvale.controlplane.directory_rows import (
+from zincvale.controlplane.directory.prober_assignment import assigned_to
+from zincvale.controlplane.directory.row_codec import (
     DirectoryDecoder,
     decode_server_row,
     encode_server_row,
 )
-from zincvale.controlplane.prober_assignment import assigned_to
-from zincvale.controlplane.server_entries import ANSWERING_KEPT_S
+from zincvale.controlplane.directory.server_entries import ANSWERING_KEPT_S
 from zincvale.model.errors import InvalidInput
 from zincvale.model.identifiers import MemberId, ServerId
 from zincvale.model.machine import ClockJumped
--- a/tests/controlplane/test_documents.py
+++ b/tests/controlplane/test_documents.py
@@ -6,24 +6,28 @@
 import testtools
 from returns.result import Failure, Success
 
-from zincvale.controlplane.api_messages import ApiRequest, ApiResponse, CallCore, json_response
-from zincvale.controlplane.document_api import (
+from zincvale.controlplane.api.messages import ApiRequest, ApiResponse, CallCore, json_response
+from zincvale.controlplane.documents.api import (
     CALL_LIMIT_S,
     NO_VERSION,
     ChangeDocument,
     DocumentApi,
     ReadDocument,
 )
-from zincvale.controlplane.document_changes import (
+from zincvale.controlplane.documents.changes import (
     DeclaredPool,
     DeclaredRoute,
     DocumentChange,
     EvacuationChange,
     encode_change,
 )
-from zincvale.controlplane.document_intent import REQUESTS_PER_COPY, DocumentIntent, StoreTerms
-from zincvale.controlplane.document_reducer import DocumentReducer
-from zincvale.controlplane.document_rows import DocumentDecoder, source_document
+from zincvale.controlplane.documents.derived_intent import (
+    REQUESTS_PER_COPY,
+    DocumentIntent,
+    StoreTerms,
+)
+from zincvale.controlplane.documents.reducer import DocumentReducer
+from zincvale.controlplane.documents.rows import DocumentDecoder, source_document
 from zincvale.coordination.changes import KeyView
 from zincvale.coordination.registers.change_messages import CONFLICT, IN_FORCE, ChangeResult
 from zincvale.model.errors import NotFound
--- a/tests/controlplane/test_listed_servers.py
+++ b/tests/controlplane/test_listed_servers.py
@@ -5,8 +5,8 @@
 import attrs
 import testtools
 
-from zincvale.controlplane.directory_messages import ListRead
-from zincvale.controlplane.listed_servers import (
+from zincvale.controlplane.directory.messages import ListRead
+from zincvale.controlplane.directory.server_discovery import (
     EMPTY_READINGS_BELIEVED,
     READ_INTERVAL_S,
     SILENCE_S,
--- a/tests/controlplane/test_reducer.py
+++ b/tests/controlplane/test_reducer.py
@@ -5,7 +5,7 @@
 import testtools
 
 from tests.controlplane.samples import SMALL_INTENT, apply_change, change, resource, small_rows
-from zincvale.controlplane.reducer import IntentReducer
+from zincvale.controlplane.intent.reducer import IntentReducer
 from zincvale.model.errors import InvalidInput
 
 
--- a/tests/controlplane/test_reducer_properties.py
+++ b/tests/controlplane/test_reducer_properties.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from tests.controlplane.samples import change, resource
-from zincvale.controlplane.intent_rows import IntentDecoder, decode_intent, encode_intent
-from zincvale.controlplane.merge_patch import apply_merge_patch
-from zincvale.controlplane.reducer import IntentReducer
+from zincvale.controlplane.intent.merge_patch import apply_merge_patch
+from zincvale.controlplane.intent.reducer import IntentReducer
+from zincvale.controlplane.intent.row_codec import IntentDecoder, decode_intent, encode_intent
 from zincvale.model.errors import ZincvaleError
 
 Rows = dict[str, bytes]
--- a/tests/controlplane/test_reducer_refusals.py
+++ b/tests/controlplane/test_reducer_refusals.py
@@ -8,8 +8,8 @@
 
 from tests.controlplane.approval import verify
 from tests.controlplane.samples import change, resource, small_rows
-from zincvale.controlplane import change_body
-from zincvale.controlplane.reducer import IntentReducer
+from zincvale.controlplane.intent import change_body
+from zincvale.controlplane.intent.reducer import IntentReducer
 from zincvale.model.errors import BodyTooLarge, ZincvaleError
 
 ROUTE = {"path": "/v1/new", "pool": "chat"}
--- a/tests/controlplane/test_server_prober.py
+++ b/tests/controlplane/test_server_prober.py
@@ -9,15 +9,15 @@
 
 from tests.controlplane.directory_driver import TICK_S, DirectoryDriver, listed
 from tests.controlplane.fake_view import directory, server
-from zincvale.controlplane.backend_status import read_server_status
-from zincvale.controlplane.directory_events import (
+from zincvale.controlplane.directory.backend_status import read_server_status
+from zincvale.controlplane.directory.events import (
     ProbersChanged,
     ProbeServer,
     StatusFailed,
     StatusObserved,
 )
-from zincvale.controlplane.prober_assignment import probers_of
-from zincvale.controlplane.server_prober import (
+from zincvale.controlplane.directory.prober_assignment import probers_of
+from zincvale.controlplane.directory.server_prober import (
     DirectoryPublished,
     ProbeAnswered,
     ProbeFailed,
--- a/tests/daemons/test_list_runner.py
+++ b/tests/daemons/test_list_runner.py
@@ -6,8 +6,8 @@
 
 import testtools
 
-from zincvale.controlplane.directory_messages import ListRead
-from zincvale.controlplane.listed_servers import ListedServer, ListedServers
+from zincvale.controlplane.directory.messages import ListRead
+from zincvale.controlplane.directory.server_discovery import ListedServer, ListedServers
 from zincvale.coordination.delivery.messages import PublishTopic, TopicPublished
 from zincvale.daemons.forwarding_seams import ListPage
 from zincvale.daemons.http_fetch import FetchResult
--- a/tests/golden/decisions_of_placement.py
+++ b/tests/golden/decisions_of_placement.py
@@ -10,7 +10,7 @@
 import attrs
 
 from tests.golden.decision_log import DecisionLog, watched
-from zincvale.controlplane.directory import DirectoryMachine
+from zincvale.controlplane.directory.machine import DirectoryMachine
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.controller import PlacementController
 from zincvale.fleet.fault_file import schedule_of
--- a/tests/golden/one_core.py
+++ b/tests/golden/one_core.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from zincvale.controlplane.document_reducer import DocumentReducer
-from zincvale.controlplane.reducer import IntentReducer
+from zincvale.controlplane.documents.reducer import DocumentReducer
+from zincvale.controlplane.intent.reducer import IntentReducer
 from zincvale.coordination.config import CoreConfig, InitialCore
 from zincvale.coordination.core.machine import CoreMachine
 from zincvale.coordination.registers.change_messages import ProposeChange
--- a/tests/golden/test_row_bytes.py
+++ b/tests/golden/test_row_bytes.py
@@ -17,14 +17,14 @@
 from tests.golden.every_module import import_every_module, is_own
 from tests.golden.golden_file import golden
 from tests.golden.message_samples import SampleBuilder
-from zincvale.controlplane.conditions import Condition
-from zincvale.controlplane.directory_rows import decode_server_row, encode_server_row
-from zincvale.controlplane.document_changes import DocumentChange, encode_change
-from zincvale.controlplane.document_rows import DocumentDecoder, encode_item
-from zincvale.controlplane.intent_rows import decode_spec, encode_intent, encode_spec
+from zincvale.controlplane.directory.row_codec import decode_server_row, encode_server_row
+from zincvale.controlplane.documents.changes import DocumentChange, encode_change
+from zincvale.controlplane.documents.rows import DocumentDecoder, encode_item
+from zincvale.controlplane.intent.row_codec import decode_spec, encode_intent, encode_spec
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.controlplane.placement.move_rows import decode_move, encode_move
 from zincvale.controlplane.placement.moves import Move
+from zincvale.controlplane.status.conditions import Condition
 from zincvale.coordination.membership import registry
 from zincvale.coordination.membership.member_codec import decode_member, encode_member
 from zincvale.coordination.membership.messages import MemberInfo
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -5,10 +5,10 @@
 import orjson
 import testtools
 
-from zincvale.controlplane.api_messages import ApiRequest
-from zincvale.controlplane.document_api import ReadDocument
-from zincvale.controlplane.document_changes import DocumentChange, EvacuationChange
-from zincvale.controlplane.document_rows import SourceDocument
+from zincvale.controlplane.api.messages import ApiRequest
+from zincvale.controlplane.documents.api import ReadDocument
+from zincvale.controlplane.documents.changes import DocumentChange, EvacuationChange
+from zincvale.controlplane.documents.rows import SourceDocument
 from zincvale.controlplane.placement.events import Order, OrderAction, OrderRefusal
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.coordination.registers.change_messages import ChangeResult
