--- a/src/zincvale/controlplane/api/reads.py
+++ b/src/zincvale/controlplane/api/reads.py
@@ -10,7 +10,7 @@
 
 from zincvale.controlplane.api.core_view import CoreView
 from zincvale.controlplane.intent.row_codec import KIND_BY_TABLE, row_id
-from zincvale.controlplane.placement.move_rows import (
+from zincvale.controlplane.placement.move_row_codec import (
     decode_move,
     move_to_json,
     moves_to_json,
--- a/src/zincvale/controlplane/placement/demand_intake.py
+++ b/src/zincvale/controlplane/placement/apply_demand.py
@@ -5,7 +5,7 @@
 from zincvale.controlplane.placement.events import DemandReported, DemandRow, UseRow
 from zincvale.controlplane.placement.items import ItemKey, adapter_key, model_key
 from zincvale.controlplane.placement.prefetch import note_asked
-from zincvale.controlplane.placement.world import NodeDemand, World
+from zincvale.controlplane.placement.state import NodeDemand, World
 from zincvale.model.identifiers import MemberId, ServerId
 
 NODES_CHECK_INTERVAL_S = 1.0
--- a/src/zincvale/controlplane/placement/intent_intake.py
+++ b/src/zincvale/controlplane/placement/apply_intent.py
@@ -6,8 +6,8 @@
 from collections.abc import Mapping
 from typing import Any
 
+from zincvale.controlplane.placement.apply_demand import forget_item_demand
 from zincvale.controlplane.placement.demand import Demand
-from zincvale.controlplane.placement.demand_intake import forget_item_demand
 from zincvale.controlplane.placement.items import (
     ItemKey,
     ItemKind,
@@ -16,8 +16,8 @@
     model_key,
 )
 from zincvale.controlplane.placement.servers import CountedAs, ServerState
+from zincvale.controlplane.placement.state import World
 from zincvale.controlplane.placement.stores import StoreState
-from zincvale.controlplane.placement.world import World
 from zincvale.model.identifiers import (
     Address,
     PoolName,
--- a/src/zincvale/controlplane/placement/report_intake.py
+++ b/src/zincvale/controlplane/placement/apply_status.py
@@ -7,24 +7,24 @@
 from __future__ import annotations
 
 from zincvale.controlplane.placement import log_events
+from zincvale.controlplane.placement.apply_intent import refresh_service, set_adapter_slots
 from zincvale.controlplane.placement.events import DirectoryChanged, StatusReport
-from zincvale.controlplane.placement.intent_intake import refresh_service, set_adapter_slots
 from zincvale.controlplane.placement.items import ItemKey, adapter_key, model_key
-from zincvale.controlplane.placement.move_ends import (
+from zincvale.controlplane.placement.move_completion import (
     adopt_load,
     end_move,
     fail_moves_of,
     linger_loads_of,
 )
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveState
-from zincvale.controlplane.placement.servers import NEVER, Holding, HoldingState, ServerState
-from zincvale.controlplane.placement.settle import (
+from zincvale.controlplane.placement.order_confirmation import (
     confirm_load,
     contradict,
     mark_running,
     note_answer,
 )
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.servers import NEVER, Holding, HoldingState, ServerState
+from zincvale.controlplane.placement.state import World
 from zincvale.model.identifiers import ServerId
 from zincvale.model.resources import PoolKind
 from zincvale.model.view import ServerHealth, ServerRow
--- a/src/zincvale/controlplane/placement/choose_server.py
+++ b/src/zincvale/controlplane/placement/choose_server.py
@@ -8,9 +8,9 @@
 
 from zincvale.controlplane.placement.eviction import NO_EVICTION, Eviction, Space, find_eviction
 from zincvale.controlplane.placement.items import ItemKind, ItemRow
+from zincvale.controlplane.placement.replica_value import expected_rate
 from zincvale.controlplane.placement.servers import HoldingState, ServerState
-from zincvale.controlplane.placement.value import expected_rate
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 from zincvale.model.identifiers import ServerId, ZoneName
 
 SOONER_PART = 0.7
--- a/src/zincvale/controlplane/placement/controller.py
+++ b/src/zincvale/controlplane/placement/controller.py
@@ -9,8 +9,11 @@
 import random
 from collections.abc import Callable
 
+from zincvale.controlplane.placement.apply_demand import expire_nodes, take_demand
+from zincvale.controlplane.placement.apply_intent import take_declarations, take_intent
+from zincvale.controlplane.placement.apply_status import take_directory
 from zincvale.controlplane.placement.config import PlacementConfig
-from zincvale.controlplane.placement.demand_intake import expire_nodes, take_demand
+from zincvale.controlplane.placement.desired_replicas import review_items
 from zincvale.controlplane.placement.dispatch import order_loads, order_unloads
 from zincvale.controlplane.placement.drains import track_drains
 from zincvale.controlplane.placement.events import (
@@ -25,7 +28,6 @@
     OrderRefused,
     OrderUnknown,
 )
-from zincvale.controlplane.placement.intent_intake import take_declarations, take_intent
 from zincvale.controlplane.placement.leadership import (
     ask_statuses,
     expire_leadership,
@@ -33,7 +35,8 @@
     open_stores,
     take_leadership,
 )
-from zincvale.controlplane.placement.order_answers import (
+from zincvale.controlplane.placement.order_confirmation import expire_unanswered
+from zincvale.controlplane.placement.order_responses import (
     take_accepted,
     take_refused,
     take_unknown,
@@ -41,11 +44,8 @@
 from zincvale.controlplane.placement.plan_loads import plan_loads
 from zincvale.controlplane.placement.plan_unloads import unload_undeclared
 from zincvale.controlplane.placement.prefetch import prefetch
-from zincvale.controlplane.placement.publish import publish_changes, trim_history
-from zincvale.controlplane.placement.report_intake import take_directory
-from zincvale.controlplane.placement.settle import expire_unanswered
-from zincvale.controlplane.placement.wanted import review_items
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.publication import publish_changes, trim_history
+from zincvale.controlplane.placement.state import World
 from zincvale.model.machine import ClockJumped, Tick
 
 System = Callable[[World, float], None]
--- a/src/zincvale/controlplane/placement/wanted.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -7,8 +7,8 @@
 
 from zincvale.controlplane.placement.items import ItemKind, ItemRow
 from zincvale.controlplane.placement.moves import URGENCY_BY_REASON, MoveReason
-from zincvale.controlplane.placement.value import is_missed, item_value, need
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.replica_value import is_missed, item_value, need
+from zincvale.controlplane.placement.state import World
 
 PRESSURE_PATIENCE_S = 1.0
 URGENT_REVIEW_S = 1.0
--- a/src/zincvale/controlplane/placement/dispatch.py
+++ b/src/zincvale/controlplane/placement/dispatch.py
@@ -11,11 +11,11 @@
 from zincvale.controlplane.placement import log_events
 from zincvale.controlplane.placement.events import Order, OrderAction, OrderRecorded, SendOrder
 from zincvale.controlplane.placement.items import ItemKind, ItemRow
-from zincvale.controlplane.placement.move_ends import end_move, move_item_key
+from zincvale.controlplane.placement.move_completion import end_move, move_item_key
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveReason, MoveState
+from zincvale.controlplane.placement.replica_value import is_missed, need
 from zincvale.controlplane.placement.servers import Holding, HoldingState, ServerState
-from zincvale.controlplane.placement.value import is_missed, need
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 from zincvale.model.identifiers import Address, MoveId, StoreName
 
 NO_ADDRESS = Address("")
--- a/src/zincvale/controlplane/placement/drains.py
+++ b/src/zincvale/controlplane/placement/drains.py
@@ -4,10 +4,10 @@
 
 from zincvale.controlplane.placement import log_events
 from zincvale.controlplane.placement.items import ItemKind, ItemRow
-from zincvale.controlplane.placement.move_ends import end_move
+from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveReason, MoveState
 from zincvale.controlplane.placement.servers import ServerState
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 
 CHECK_INTERVAL_S = 1.0
 
--- a/src/zincvale/controlplane/placement/eviction.py
+++ b/src/zincvale/controlplane/placement/eviction.py
@@ -9,9 +9,9 @@
 import attrs
 
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow, is_adapter_key
+from zincvale.controlplane.placement.replica_value import copy_value
 from zincvale.controlplane.placement.servers import Holding, HoldingState, ServerState
-from zincvale.controlplane.placement.value import copy_value
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 
 
 @attrs.frozen
--- a/src/zincvale/controlplane/placement/leadership.py
+++ b/src/zincvale/controlplane/placement/leadership.py
@@ -8,12 +8,12 @@
 
 from zincvale.controlplane.placement import log_events
 from zincvale.controlplane.placement.events import AskStatus, LeaderGained
-from zincvale.controlplane.placement.move_ends import end_move
+from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveReason, MoveState
+from zincvale.controlplane.placement.order_confirmation import mark_unknown
 from zincvale.controlplane.placement.plan_loads import cancel_planned
 from zincvale.controlplane.placement.servers import ServerState
-from zincvale.controlplane.placement.settle import mark_unknown
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 from zincvale.model.identifiers import Address, ServerId, ZoneName
 
 NO_SERVER = ServerId("")
--- a/src/zincvale/controlplane/placement/load_worth.py
+++ b/src/zincvale/controlplane/placement/load_candidates.py
@@ -6,14 +6,14 @@
 from zincvale.controlplane.placement.eviction import Space
 from zincvale.controlplane.placement.items import ItemKind, ItemRow
 from zincvale.controlplane.placement.moves import MoveReason
-from zincvale.controlplane.placement.value import (
+from zincvale.controlplane.placement.replica_value import (
     eviction_cost,
     expected_rate,
     foreseen_value,
     item_value,
     need,
 )
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 
 DRAIN_PATIENCE_S = 2.0
 """Requests that waited this long may close a copy on which others still run."""
--- a/src/zincvale/controlplane/placement/move_ends.py
+++ b/src/zincvale/controlplane/placement/move_completion.py
@@ -15,7 +15,7 @@
     Reservation,
 )
 from zincvale.controlplane.placement.servers import Holding, HoldingState, ServerState
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 
 LOG_BY_STATE = {
     MoveState.DONE: log_events.MOVE_DONE,
--- a/src/zincvale/controlplane/placement/move_rows.py
+++ b/src/zincvale/controlplane/placement/move_row_codec.py
@@ -12,7 +12,7 @@
 import attrs
 import orjson
 
-from zincvale.controlplane.placement.closing_rows import CLOSING_STATE_NAMES
+from zincvale.controlplane.placement.draining_row_codec import CLOSING_STATE_NAMES
 from zincvale.controlplane.placement.events import PublishMoves
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.controlplane.placement.moves import (
--- a/src/zincvale/controlplane/placement/settle.py
+++ b/src/zincvale/controlplane/placement/order_confirmation.py
@@ -13,10 +13,10 @@
 import attrs
 
 from zincvale.controlplane.placement import log_events
-from zincvale.controlplane.placement.move_ends import end_move
+from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveState
 from zincvale.controlplane.placement.servers import Holding, HoldingState, ServerState
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 
 
 def note_answer(world: World, server: ServerState, asked_at: float, now: float) -> None:
--- a/src/zincvale/controlplane/placement/order_answers.py
+++ b/src/zincvale/controlplane/placement/order_responses.py
@@ -6,10 +6,10 @@
 
 from zincvale.controlplane.placement import log_events
 from zincvale.controlplane.placement.events import OrderRefusal
-from zincvale.controlplane.placement.move_ends import end_move
+from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveState
-from zincvale.controlplane.placement.settle import mark_unknown
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.order_confirmation import mark_unknown
+from zincvale.controlplane.placement.state import World
 
 BUSY_PAUSE_S = 0.5
 
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -9,8 +9,8 @@
 from zincvale.controlplane.placement.choose_server import AllServersBusy, Choice
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow
-from zincvale.controlplane.placement.load_worth import find_place, is_worth
-from zincvale.controlplane.placement.move_ends import base_name, end_move
+from zincvale.controlplane.placement.load_candidates import find_place, is_worth
+from zincvale.controlplane.placement.move_completion import base_name, end_move
 from zincvale.controlplane.placement.moves import (
     Move,
     MoveKind,
@@ -19,13 +19,13 @@
     Reservation,
 )
 from zincvale.controlplane.placement.plan_unloads import plan_unload
-from zincvale.controlplane.placement.servers import HoldingState, ServerState
-from zincvale.controlplane.placement.stores import PlannedPulls, StoreState
-from zincvale.controlplane.placement.value import (
+from zincvale.controlplane.placement.replica_value import (
     LEAST_NEED,
     expected_rate,
 )
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.servers import HoldingState, ServerState
+from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.stores import PlannedPulls, StoreState
 from zincvale.model.identifiers import MoveId, StoreName
 
 REASONS = tuple(MoveReason)
--- a/src/zincvale/controlplane/placement/plan_unloads.py
+++ b/src/zincvale/controlplane/placement/plan_unloads.py
@@ -12,7 +12,7 @@
     Reservation,
 )
 from zincvale.controlplane.placement.servers import HoldingState, ServerState
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 from zincvale.model.identifiers import MoveId
 
 EXPECTED_UNLOAD_S = 0.2
--- a/src/zincvale/controlplane/placement/prefetch.py
+++ b/src/zincvale/controlplane/placement/prefetch.py
@@ -21,7 +21,7 @@
 from zincvale.controlplane.placement.plan_unloads import plan_unload
 from zincvale.controlplane.placement.prefetch_state import PrefetchState
 from zincvale.controlplane.placement.servers import Holding, HoldingState, ServerState
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 from zincvale.model.identifiers import PoolName, ServerId
 
 SHORT_LOAD_S = 1.5
--- a/src/zincvale/controlplane/placement/publish.py
+++ b/src/zincvale/controlplane/placement/publication.py
@@ -4,7 +4,7 @@
 
 from zincvale.controlplane.placement.events import MarkClosing, PublishMoves
 from zincvale.controlplane.placement.moves import Move
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 from zincvale.model.identifiers import ServerId
 
 
--- a/src/zincvale/controlplane/placement/value.py
+++ b/src/zincvale/controlplane/placement/replica_value.py
@@ -5,7 +5,7 @@
 import math
 
 from zincvale.controlplane.placement.items import ItemRow
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 from zincvale.model.resources import Stake
 
 FAST_RATE_WEIGHT = 0.25
--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -31,16 +31,16 @@
 from zincvale.coordination.changes import ChangeNotes
 from zincvale.coordination.core.machine import CoreMachine
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
-from zincvale.daemons.api_http import ControlApiServer
+from zincvale.daemons.control_api_handler import ControlApiServer
 from zincvale.daemons.core_assembly import core_config, core_tracing, open_files
 from zincvale.daemons.core_view import LocalCoreView
-from zincvale.daemons.demand_intake import demand_reported
+from zincvale.daemons.demand_translation import demand_reported
 from zincvale.daemons.directory_runner import DirectoryRunner
 from zincvale.daemons.http_fetch import HttpFetcher
+from zincvale.daemons.leadership_guard import RoleGuard
 from zincvale.daemons.order_spans import OrderSpans
 from zincvale.daemons.placement_runner import PlacementRunner
 from zincvale.daemons.process import NO_DRAIN, build_process
-from zincvale.daemons.role_guard import RoleGuard
 from zincvale.daemons.roles import PLACEMENT_ROLE
 from zincvale.daemons.topic_publisher import TopicPublisher
 from zincvale.dataplane.policies.registry import policy_names
--- a/src/zincvale/daemons/core_view.py
+++ b/src/zincvale/daemons/core_view.py
@@ -7,7 +7,7 @@
 from zincvale.controlplane.api.core_view import ReplicaRow, RoleRow
 from zincvale.controlplane.directory.row_codec import DIRECTORY_TOPIC, DirectoryDecoder
 from zincvale.controlplane.intent.row_codec import IntentDecoder
-from zincvale.controlplane.placement.closing_rows import MOVES_TOPIC
+from zincvale.controlplane.placement.draining_row_codec import MOVES_TOPIC
 from zincvale.coordination.changes import KeyView
 from zincvale.coordination.core.machine import CoreMachine
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
--- a/src/zincvale/daemons/list_runner.py
+++ b/src/zincvale/daemons/discovery_runner.py
@@ -18,7 +18,7 @@
 )
 from zincvale.coordination.changes import TopicView
 from zincvale.coordination.delivery.messages import TopicPublished
-from zincvale.daemons.forwarding_seams import ServerListDialect
+from zincvale.daemons.forwarding_dialects import ServerListDialect
 from zincvale.daemons.http_fetch import HttpFetcher
 from zincvale.model.errors import MalformedBody
 from zincvale.model.forwarding import ForwardingDocument
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -27,19 +27,19 @@
 from zincvale.coordination.config import Timings
 from zincvale.coordination.core.machine import CoreMachine
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
-from zincvale.daemons.api_http import ControlApiServer
+from zincvale.daemons.control_api_handler import ControlApiServer
 from zincvale.daemons.core_assembly import core_config, core_tracing, open_files
 from zincvale.daemons.core_view import LocalCoreView
-from zincvale.daemons.demand_intake import demand_reported
+from zincvale.daemons.demand_translation import demand_reported
+from zincvale.daemons.discovery_runner import ListRunner
+from zincvale.daemons.forwarding_dialects import ForwardingDialects
 from zincvale.daemons.forwarding_placement import placement_config
-from zincvale.daemons.forwarding_seams import ForwardingDialects
 from zincvale.daemons.http_fetch import HttpFetcher
-from zincvale.daemons.list_runner import ListRunner
+from zincvale.daemons.leadership_guard import RoleGuard
 from zincvale.daemons.order_spans import OrderSpans
 from zincvale.daemons.placement_runner import PlacementRunner
 from zincvale.daemons.process import Drain, build_process
 from zincvale.daemons.residency_publication import ResidencyPublication
-from zincvale.daemons.role_guard import RoleGuard
 from zincvale.daemons.roles import PLACEMENT_ROLE
 from zincvale.daemons.topic_publisher import TopicPublisher
 from zincvale.model.errors import ZincvaleError
--- a/src/zincvale/daemons/http_fetch.py
+++ b/src/zincvale/daemons/http_fetch.py
@@ -16,9 +16,9 @@
 import orjson
 
 from zincvale.model.addresses import split_address
+from zincvale.transport.complete_exchange import NoAnswer, fetch_whole
 from zincvale.transport.server_client import ServerClient
 from zincvale.transport.server_exchange import OutgoingRequest
-from zincvale.transport.whole_exchange import NoAnswer, fetch_whole
 
 MEMBER_HEADER = "X-Zincvale-Member"
 """Names the daemon behind an order or probe."""
--- a/src/zincvale/daemons/node_daemon.py
+++ b/src/zincvale/daemons/node_daemon.py
@@ -10,10 +10,10 @@
 
 from zincvale.controlplane.directory.row_codec import DIRECTORY_TOPIC, DirectoryDecoder
 from zincvale.controlplane.intent.row_codec import IntentDecoder
-from zincvale.controlplane.placement.closing_rows import MOVES_TOPIC, ClosingDecoder
+from zincvale.controlplane.placement.draining_row_codec import MOVES_TOPIC, ClosingDecoder
 from zincvale.coordination.node.machine import NodeMachine
 from zincvale.coordination.replication.replica_sets import INTENT_KEY, REGISTRY_KEY
-from zincvale.daemons.closing import with_closing
+from zincvale.daemons.draining_replicas import with_closing
 from zincvale.daemons.node_assembly import node_config
 from zincvale.daemons.process import Drain, build_process
 from zincvale.daemons.registry_rows import registered_zones
--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -10,8 +10,8 @@
 from tornado.ioloop import IOLoop
 from tornado.queues import Queue
 
-from zincvale.controlplane.placement.closing_rows import MOVES_TOPIC
 from zincvale.controlplane.placement.controller import PlacementController
+from zincvale.controlplane.placement.draining_row_codec import MOVES_TOPIC
 from zincvale.controlplane.placement.events import (
     AskStatus,
     CompletionRecorded,
@@ -30,7 +30,7 @@
     StatusReport,
 )
 from zincvale.controlplane.placement.items import ItemKind
-from zincvale.controlplane.placement.move_rows import topic_rows
+from zincvale.controlplane.placement.move_row_codec import topic_rows
 from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.daemons.http_fetch import FetchResult, HttpFetcher
 from zincvale.daemons.order_spans import OrderSpans
--- a/src/zincvale/daemons/topic_publisher.py
+++ b/src/zincvale/daemons/topic_publisher.py
@@ -5,7 +5,7 @@
 import attrs
 
 from zincvale.coordination.delivery.messages import PublishTopic, TopicPublished
-from zincvale.daemons.role_guard import RoleGuard
+from zincvale.daemons.leadership_guard import RoleGuard
 from zincvale.runtime.driver import MachineDriver
 
 
--- a/src/zincvale/platform/main.py
+++ b/src/zincvale/platform/main.py
@@ -50,7 +50,7 @@
 def _run_core(settings: ProcessSettings) -> None:
     # Imported here and below: each role needs only its own half.
     from zincvale.daemons.forwarding_core import ForwardingCore
-    from zincvale.daemons.forwarding_seams import ForwardingDialects
+    from zincvale.daemons.forwarding_dialects import ForwardingDialects
     from zincvale.platform.operators import PlatformOperators
     from zincvale.platform.servers import PlatformOrders, PlatformServerList
 
--- a/src/zincvale/platform/servers.py
+++ b/src/zincvale/platform/servers.py
@@ -11,7 +11,7 @@
 from zincvale.controlplane.directory.server_discovery import ListedServer
 from zincvale.controlplane.placement.events import Order, OrderRefusal
 from zincvale.controlplane.placement.items import ItemKind
-from zincvale.daemons.forwarding_seams import ListPage
+from zincvale.daemons.forwarding_dialects import ListPage
 from zincvale.daemons.http_fetch import FetchResult
 from zincvale.daemons.server_orders import HttpCall, OrderReply, StatusReading
 from zincvale.model.errors import MalformedBody
--- a/src/zincvale/simulator/what_if_control.py
+++ b/src/zincvale/simulator/what_if_control.py
@@ -48,12 +48,12 @@
     SendOrder,
     StatusReport,
 )
-from zincvale.controlplane.placement.move_rows import closing_by_server
+from zincvale.controlplane.placement.move_row_codec import closing_by_server
 from zincvale.controlplane.placement.moves import Move, MoveKind
 from zincvale.coordination.changes import TopicView
 from zincvale.coordination.delivery.messages import PublishTopic
-from zincvale.daemons.closing import with_closing
-from zincvale.daemons.demand_intake import demand_reported
+from zincvale.daemons.demand_translation import demand_reported
+from zincvale.daemons.draining_replicas import with_closing
 from zincvale.dataplane.messages import DemandReport
 from zincvale.model.identifiers import MemberId, MoveId, ServerId, StoreName
 from zincvale.model.machine import Tick
--- a/src/zincvale/transport/peer_client.py
+++ b/src/zincvale/transport/peer_client.py
@@ -14,6 +14,7 @@
 from zincvale.model.errors import MalformedBody
 from zincvale.model.identifiers import MemberId
 from zincvale.transport.codec import Batch, decode_batch, encode_batch
+from zincvale.transport.complete_exchange import NoAnswer, WholeAnswer, fetch_whole
 from zincvale.transport.compression import (
     GZIP,
     LEAST_COMPRESSED_BYTES,
@@ -24,7 +25,6 @@
 from zincvale.transport.peer import PeerCallFailed, PeerNotReached
 from zincvale.transport.server_client import ServerClient
 from zincvale.transport.server_exchange import HeaderList, OutgoingRequest
-from zincvale.transport.whole_exchange import NoAnswer, WholeAnswer, fetch_whole
 
 LEAST_FAILURE_STATUS = 300
 SEND_TIMEOUT_S = 0.8
--- a/src/zincvale/transport/server_connection.py
+++ b/src/zincvale/transport/server_connection.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from zincvale.transport.answer_reader import AnswerEnd, AnswerReader, Unreadable
+from zincvale.transport.response_reader import AnswerEnd, AnswerReader, Unreadable
 from zincvale.transport.server_exchange import AnswerHead, AnswerListener, OutgoingRequest
 
 READ_BYTES = 65_536
--- a/tests/controlplane/fake_view.py
+++ b/tests/controlplane/fake_view.py
@@ -9,7 +9,7 @@
 from tests.controlplane.samples import small_rows
 from zincvale.controlplane.api.core_view import ReplicaRow, RoleRow
 from zincvale.controlplane.intent.row_codec import IntentDecoder
-from zincvale.controlplane.placement.move_rows import encode_move
+from zincvale.controlplane.placement.move_row_codec import encode_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveReason, MoveState
 from zincvale.coordination.changes import KeyView
 from zincvale.model.identifiers import (
--- a/tests/controlplane/placement/test_closing_rows.py
+++ b/tests/controlplane/placement/test_closing_rows.py
@@ -4,8 +4,8 @@
 from testtools import TestCase
 
 from tests.controlplane.placement.test_move_rows import MOVE
-from zincvale.controlplane.placement.closing_rows import ClosingDecoder
-from zincvale.controlplane.placement.move_rows import closing_by_server, encode_move
+from zincvale.controlplane.placement.draining_row_codec import ClosingDecoder
+from zincvale.controlplane.placement.move_row_codec import closing_by_server, encode_move
 from zincvale.controlplane.placement.moves import MoveKind, MoveState
 from zincvale.model.errors import MalformedBody
 
--- a/tests/controlplane/placement/test_move_rows.py
+++ b/tests/controlplane/placement/test_move_rows.py
@@ -7,7 +7,7 @@
 
 from zincvale.controlplane.placement.events import PublishMoves
 from zincvale.controlplane.placement.items import ItemKind
-from zincvale.controlplane.placement.move_rows import (
+from zincvale.controlplane.placement.move_row_codec import (
     closing_by_server,
     decode_move,
     encode_move,
--- a/tests/controlplane/placement/test_mutations.py
+++ b/tests/controlplane/placement/test_mutations.py
@@ -9,7 +9,7 @@
 
 from tests.controlplane.placement.chaos import Chaos
 from tests.controlplane.placement.test_properties import sums_off
-from zincvale.controlplane.placement import settle
+from zincvale.controlplane.placement import order_confirmation as settle
 from zincvale.controlplane.placement.controller import SYSTEMS
 from zincvale.controlplane.placement.leadership import expire_leadership, open_stores
 from zincvale.controlplane.placement.moves import MoveState
--- a/tests/controlplane/placement/test_properties.py
+++ b/tests/controlplane/placement/test_properties.py
@@ -6,7 +6,7 @@
 
 from tests.controlplane.placement.chaos import Chaos
 from zincvale.controlplane.placement.servers import HoldingState
-from zincvale.controlplane.placement.world import World
+from zincvale.controlplane.placement.state import World
 
 SEEDS = range(1, 13)
 RUN_S = 120.0
--- a/tests/daemons/test_list_runner.py
+++ b/tests/daemons/test_list_runner.py
@@ -9,9 +9,9 @@
 from zincvale.controlplane.directory.messages import ListRead
 from zincvale.controlplane.directory.server_discovery import ListedServer, ListedServers
 from zincvale.coordination.delivery.messages import PublishTopic, TopicPublished
-from zincvale.daemons.forwarding_seams import ListPage
+from zincvale.daemons.discovery_runner import MAX_PAGES, ListRunner
+from zincvale.daemons.forwarding_dialects import ListPage
 from zincvale.daemons.http_fetch import FetchResult
-from zincvale.daemons.list_runner import MAX_PAGES, ListRunner
 from zincvale.model.errors import MalformedBody
 
 ADDRESS = "10.0.9.9:80"
--- a/tests/golden/test_row_bytes.py
+++ b/tests/golden/test_row_bytes.py
@@ -22,7 +22,7 @@
 from zincvale.controlplane.documents.rows import DocumentDecoder, encode_item
 from zincvale.controlplane.intent.row_codec import decode_spec, encode_intent, encode_spec
 from zincvale.controlplane.placement.items import ItemKind
-from zincvale.controlplane.placement.move_rows import decode_move, encode_move
+from zincvale.controlplane.placement.move_row_codec import decode_move, encode_move
 from zincvale.controlplane.placement.moves import Move
 from zincvale.controlplane.status.conditions import Condition
 from zincvale.coordination.membership import registry
