--- a/src/zincvale/bench/relay_process.py
+++ b/src/zincvale/bench/relay_process.py
@@ -18,9 +18,9 @@
 from tornado.ioloop import IOLoop, PeriodicCallback
 from tornado.web import Application, RequestHandler
 
-from zincvale.dataplane.claims import ClaimService
+from zincvale.dataplane.claims.service import ClaimService
 from zincvale.dataplane.node_service import NodeService
-from zincvale.dataplane.stream_journal import StreamJournalService
+from zincvale.dataplane.stream_journal.service import StreamJournalService
 from zincvale.model.identifiers import (
     Address,
     MemberId,
--- a/src/zincvale/dataplane/claim_claimant.py
+++ b/src/zincvale/dataplane/claims/claimant.py
@@ -21,7 +21,8 @@
 
 import attrs
 
-from zincvale.dataplane.claim_effects import (
+from zincvale.dataplane.claims.competing_attempts import Bars, RivalOwners
+from zincvale.dataplane.claims.effects import (
     Ask,
     ClaimantEffect,
     FetchViews,
@@ -29,7 +30,7 @@
     Grant,
     Tell,
 )
-from zincvale.dataplane.claim_messages import (
+from zincvale.dataplane.claims.messages import (
     BarCall,
     ClaimCall,
     ClaimReply,
@@ -37,11 +38,10 @@
     CloseCall,
     LookCall,
 )
-from zincvale.dataplane.claim_records import Attempt, ClaimRow, RecordedClaim
-from zincvale.dataplane.claim_rivals import Bars, RivalOwners
-from zincvale.dataplane.claim_timings import ClaimTimings
-from zincvale.dataplane.claim_view import ClaimView
-from zincvale.dataplane.claim_votes import Votes
+from zincvale.dataplane.claims.records import Attempt, ClaimRow, RecordedClaim
+from zincvale.dataplane.claims.timings import ClaimTimings
+from zincvale.dataplane.claims.view import ClaimView
+from zincvale.dataplane.claims.votes import Votes
 from zincvale.dataplane.interfaces import (
     ClaimDecision,
     ClaimGranted,
--- a/src/zincvale/dataplane/claim_rivals.py
+++ b/src/zincvale/dataplane/claims/competing_attempts.py
@@ -4,9 +4,9 @@
 
 import attrs
 
-from zincvale.dataplane.claim_messages import ClaimReply, ClaimStatus
-from zincvale.dataplane.claim_records import Attempt
-from zincvale.dataplane.claim_view import ClaimView
+from zincvale.dataplane.claims.messages import ClaimReply, ClaimStatus
+from zincvale.dataplane.claims.records import Attempt
+from zincvale.dataplane.claims.view import ClaimView
 from zincvale.model.identifiers import MemberId
 
 
--- a/src/zincvale/dataplane/claim_delivery.py
+++ b/src/zincvale/dataplane/claims/delivery.py
@@ -4,9 +4,9 @@
 
 import attrs
 
-from zincvale.dataplane.claim_events import Confirmed
-from zincvale.dataplane.claim_messages import CloseCall, RecordCall
-from zincvale.dataplane.claim_outbox import ClaimOutbox, PendingDelivery
+from zincvale.dataplane.claims.events import Confirmed
+from zincvale.dataplane.claims.messages import CloseCall, RecordCall
+from zincvale.dataplane.claims.outbox import ClaimOutbox, PendingDelivery
 from zincvale.model.identifiers import MemberId
 
 RESEND_S = 0.1
--- a/src/zincvale/dataplane/claim_effects.py
+++ b/src/zincvale/dataplane/claims/effects.py
@@ -4,14 +4,14 @@
 
 import attrs
 
-from zincvale.dataplane.claim_messages import (
+from zincvale.dataplane.claims.messages import (
     BarCall,
     ClaimCall,
     CloseCall,
     LookCall,
     RecordCall,
 )
-from zincvale.dataplane.claim_records import Attempt
+from zincvale.dataplane.claims.records import Attempt
 from zincvale.dataplane.interfaces import ClaimDecision
 from zincvale.model.identifiers import MemberId
 
--- a/src/zincvale/dataplane/claim_messages.py
+++ b/src/zincvale/dataplane/claims/messages.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from zincvale.dataplane.claim_records import Attempt, ClaimState, RecordedClaim
+from zincvale.dataplane.claims.records import Attempt, ClaimState, RecordedClaim
 from zincvale.model.messages import peer_message
 
 
--- a/src/zincvale/dataplane/claims_node.py
+++ b/src/zincvale/dataplane/claims/node_machine.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from zincvale.dataplane.claim_events import (
+from zincvale.dataplane.claims.events import (
     ClaimAbandoned,
     ClaimWanted,
     LiveMembersChanged,
@@ -13,8 +13,7 @@
     RenewalWanted,
     ViewsLearnt,
 )
-from zincvale.dataplane.claim_holder import ClaimHolder
-from zincvale.dataplane.claim_messages import (
+from zincvale.dataplane.claims.messages import (
     AnnounceCall,
     BarCall,
     ClaimCall,
@@ -28,7 +27,7 @@
     ViewsCall,
     ViewsReply,
 )
-from zincvale.dataplane.claim_outbox import (
+from zincvale.dataplane.claims.outbox import (
     ClaimOutbox,
     ClaimsEffect,
     Pending,
@@ -38,11 +37,12 @@
     PendingPull,
     PendingViews,
 )
-from zincvale.dataplane.claim_readiness import HolderReadiness
-from zincvale.dataplane.claim_repair import ClaimRepair
-from zincvale.dataplane.claim_requests import ClaimRequests
-from zincvale.dataplane.claim_table import ClaimTable, TableLimits
-from zincvale.dataplane.claim_timings import ClaimTimings
+from zincvale.dataplane.claims.readiness import HolderReadiness
+from zincvale.dataplane.claims.repair import ClaimRepair
+from zincvale.dataplane.claims.requests import ClaimRequests
+from zincvale.dataplane.claims.table import ClaimTable, TableLimits
+from zincvale.dataplane.claims.timings import ClaimTimings
+from zincvale.dataplane.claims.voter import ClaimHolder
 from zincvale.model.identifiers import MemberId, RequestId
 from zincvale.model.machine import (
     CallFailed,
--- a/src/zincvale/dataplane/claim_outbox.py
+++ b/src/zincvale/dataplane/claims/outbox.py
@@ -6,9 +6,9 @@
 
 import attrs
 
-from zincvale.dataplane.claim_effects import Ask
-from zincvale.dataplane.claim_events import Confirmed, Decided, WakeAt
-from zincvale.dataplane.claim_messages import PullCall
+from zincvale.dataplane.claims.effects import Ask
+from zincvale.dataplane.claims.events import Confirmed, Decided, WakeAt
+from zincvale.dataplane.claims.messages import PullCall
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Call, Effect
 
--- a/src/zincvale/dataplane/claim_lanes.py
+++ b/src/zincvale/dataplane/claims/peer_call_queues.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from zincvale.dataplane.claim_messages import BatchCall, BatchReply, NamedMessage
+from zincvale.dataplane.claims.messages import BatchCall, BatchReply, NamedMessage
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Call
 from zincvale.transport.codec import decode_message, encode_message
--- a/src/zincvale/dataplane/claim_readiness.py
+++ b/src/zincvale/dataplane/claims/readiness.py
@@ -18,9 +18,9 @@
 
 import attrs
 
-from zincvale.dataplane.claim_messages import PullReply, ViewList
-from zincvale.dataplane.claim_timings import ClaimTimings
-from zincvale.dataplane.claim_view import ClaimView
+from zincvale.dataplane.claims.messages import PullReply, ViewList
+from zincvale.dataplane.claims.timings import ClaimTimings
+from zincvale.dataplane.claims.view import ClaimView
 from zincvale.model.identifiers import MemberId, ZoneName
 
 MAX_VIEWS_KEPT = 16
--- a/src/zincvale/dataplane/claim_repair.py
+++ b/src/zincvale/dataplane/claims/repair.py
@@ -5,8 +5,7 @@
 from collections.abc import Collection, Iterable
 
 from zincvale.dataplane import claims_log_events as log_events
-from zincvale.dataplane.claim_holder import PAGE_ROWS, ClaimHolder
-from zincvale.dataplane.claim_messages import (
+from zincvale.dataplane.claims.messages import (
     AnnounceCall,
     CopiedClaim,
     PullCall,
@@ -15,15 +14,16 @@
     ViewsCall,
     ViewsReply,
 )
-from zincvale.dataplane.claim_outbox import (
+from zincvale.dataplane.claims.outbox import (
     ClaimOutbox,
     PendingAnnounce,
     PendingPull,
     PendingViews,
 )
-from zincvale.dataplane.claim_table import copy_of
-from zincvale.dataplane.claim_timings import ClaimTimings
-from zincvale.dataplane.claim_view import ClaimView
+from zincvale.dataplane.claims.table import copy_of
+from zincvale.dataplane.claims.timings import ClaimTimings
+from zincvale.dataplane.claims.view import ClaimView
+from zincvale.dataplane.claims.voter import PAGE_ROWS, ClaimHolder
 from zincvale.model.identifiers import MemberId, RequestId
 from zincvale.model.machine import Log
 
--- a/src/zincvale/dataplane/claim_requests.py
+++ b/src/zincvale/dataplane/claims/requests.py
@@ -7,9 +7,9 @@
 
 import attrs
 
-from zincvale.dataplane.claim_claimant import Claimant
-from zincvale.dataplane.claim_delivery import Deliveries, Delivery
-from zincvale.dataplane.claim_effects import (
+from zincvale.dataplane.claims.claimant import Claimant
+from zincvale.dataplane.claims.delivery import Deliveries, Delivery
+from zincvale.dataplane.claims.effects import (
     Ask,
     ClaimantEffect,
     FetchViews,
@@ -17,7 +17,7 @@
     Grant,
     Tell,
 )
-from zincvale.dataplane.claim_events import (
+from zincvale.dataplane.claims.events import (
     ClaimWanted,
     Confirmed,
     Decided,
@@ -25,13 +25,13 @@
     RenewalWanted,
     WakeAt,
 )
-from zincvale.dataplane.claim_messages import ClaimCall, ClaimReply, CloseCall, RecordCall
-from zincvale.dataplane.claim_outbox import ClaimOutbox, PendingAsk
-from zincvale.dataplane.claim_records import Attempt, ClaimState, OpenClaim, RecordedClaim
-from zincvale.dataplane.claim_repair import ClaimRepair
-from zincvale.dataplane.claim_table import ClaimTable
-from zincvale.dataplane.claim_timings import ClaimTimings
-from zincvale.dataplane.claim_view import ClaimView
+from zincvale.dataplane.claims.messages import ClaimCall, ClaimReply, CloseCall, RecordCall
+from zincvale.dataplane.claims.outbox import ClaimOutbox, PendingAsk
+from zincvale.dataplane.claims.records import Attempt, ClaimState, OpenClaim, RecordedClaim
+from zincvale.dataplane.claims.repair import ClaimRepair
+from zincvale.dataplane.claims.table import ClaimTable
+from zincvale.dataplane.claims.timings import ClaimTimings
+from zincvale.dataplane.claims.view import ClaimView
 from zincvale.dataplane.interfaces import ClaimGranted, ClaimRefusal, ClaimRefused
 from zincvale.model.identifiers import MemberId, RequestId
 from zincvale.model.outcomes import Outcome
--- a/src/zincvale/dataplane/claims.py
+++ b/src/zincvale/dataplane/claims/service.py
@@ -11,7 +11,7 @@
 from tornado.concurrent import Future
 from tornado.ioloop import IOLoop
 
-from zincvale.dataplane.claim_events import (
+from zincvale.dataplane.claims.events import (
     ClaimAbandoned,
     ClaimWanted,
     Confirmed,
@@ -23,10 +23,10 @@
     ViewsLearnt,
     WakeAt,
 )
-from zincvale.dataplane.claim_lanes import PeerLanes, pack_message, unpack_message
-from zincvale.dataplane.claim_messages import BatchCall, BatchReply, ViewList
-from zincvale.dataplane.claim_timings import ClaimTimings
-from zincvale.dataplane.claims_node import ClaimsInput, ClaimsNode
+from zincvale.dataplane.claims.messages import BatchCall, BatchReply, ViewList
+from zincvale.dataplane.claims.node_machine import ClaimsInput, ClaimsNode
+from zincvale.dataplane.claims.peer_call_queues import PeerLanes, pack_message, unpack_message
+from zincvale.dataplane.claims.timings import ClaimTimings
 from zincvale.dataplane.interfaces import ClaimDecision, ClaimGranted
 from zincvale.model.identifiers import MemberId, RequestId, RouteName, ZoneName
 from zincvale.model.machine import Call, CallFailed, CallReceived, CallReplied, Log, Reply, Tick
--- a/src/zincvale/dataplane/claim_table.py
+++ b/src/zincvale/dataplane/claims/table.py
@@ -7,8 +7,8 @@
 import attrs
 from sortedcontainers import SortedDict
 
-from zincvale.dataplane.claim_messages import CopiedClaim
-from zincvale.dataplane.claim_records import (
+from zincvale.dataplane.claims.messages import CopiedClaim
+from zincvale.dataplane.claims.records import (
     MAX_ENDED_ATTEMPTS,
     ClaimRow,
     ClaimState,
--- a/src/zincvale/dataplane/claim_holder.py
+++ b/src/zincvale/dataplane/claims/voter.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from zincvale.dataplane.claim_messages import (
+from zincvale.dataplane.claims.messages import (
     BarCall,
     ClaimCall,
     ClaimReply,
@@ -16,9 +16,9 @@
     PullReply,
     RecordCall,
 )
-from zincvale.dataplane.claim_readiness import HolderReadiness
-from zincvale.dataplane.claim_records import ClaimRow, ClaimState
-from zincvale.dataplane.claim_table import ClaimTable, copy_of
+from zincvale.dataplane.claims.readiness import HolderReadiness
+from zincvale.dataplane.claims.records import ClaimRow, ClaimState
+from zincvale.dataplane.claims.table import ClaimTable, copy_of
 from zincvale.model.identifiers import MemberId, RequestId
 
 PAGE_ROWS = 100
--- a/src/zincvale/dataplane/stream_journal_takeover.py
+++ b/src/zincvale/dataplane/stream_journal/failover.py
@@ -13,7 +13,7 @@
 import attrs
 
 from zincvale.dataplane.interfaces import FIRST_STREAM_EPOCH
-from zincvale.dataplane.stream_journal_messages import (
+from zincvale.dataplane.stream_journal.messages import (
     FenceCall,
     FenceReply,
     ReadCall,
@@ -21,7 +21,7 @@
     StreamContent,
     StreamFence,
 )
-from zincvale.dataplane.stream_journal_timings import JournalTimings
+from zincvale.dataplane.stream_journal.timings import JournalTimings
 from zincvale.model.identifiers import MemberId
 
 MAX_FENCE_ROUNDS = 4
--- a/src/zincvale/dataplane/stream_journal_node.py
+++ b/src/zincvale/dataplane/stream_journal/node_machine.py
@@ -14,7 +14,7 @@
     JournalAppend,
     JournalState,
 )
-from zincvale.dataplane.stream_journal_events import (
+from zincvale.dataplane.stream_journal.events import (
     AppendSettled,
     AppendWanted,
     BatchDue,
@@ -25,7 +25,13 @@
     ResumeWanted,
     StreamForgotten,
 )
-from zincvale.dataplane.stream_journal_messages import (
+from zincvale.dataplane.stream_journal.failover import (
+    AskJournal,
+    StreamTakeOver,
+    TakenOver,
+    TakeOverEffect,
+)
+from zincvale.dataplane.stream_journal.messages import (
     AppendCall,
     AppendReply,
     FenceCall,
@@ -34,21 +40,15 @@
     ReadReply,
     StreamFence,
 )
-from zincvale.dataplane.stream_journal_placement import (
+from zincvale.dataplane.stream_journal.peer_choice import (
     journal_peers,
     owner_name,
     rendezvous_order,
     take_over_candidates,
 )
-from zincvale.dataplane.stream_journal_store import JournalStore
-from zincvale.dataplane.stream_journal_takeover import (
-    AskJournal,
-    StreamTakeOver,
-    TakenOver,
-    TakeOverEffect,
-)
-from zincvale.dataplane.stream_journal_timings import JournalTimings
-from zincvale.dataplane.stream_journal_writer import (
+from zincvale.dataplane.stream_journal.replica_store import JournalStore
+from zincvale.dataplane.stream_journal.timings import JournalTimings
+from zincvale.dataplane.stream_journal.writer import (
     JournalWriters,
     PeerReplaced,
     SendBatch,
--- a/src/zincvale/dataplane/stream_journal_store.py
+++ b/src/zincvale/dataplane/stream_journal/replica_store.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from zincvale.dataplane.stream_journal_messages import (
+from zincvale.dataplane.stream_journal.messages import (
     FenceCall,
     FenceReply,
     ReadReply,
@@ -16,7 +16,7 @@
     WriteResult,
     WriteStatus,
 )
-from zincvale.dataplane.stream_journal_timings import JournalTimings
+from zincvale.dataplane.stream_journal.timings import JournalTimings
 
 PIECE_OVERHEAD_BYTES = 64
 ENTRY_OVERHEAD_BYTES = 512
--- a/src/zincvale/dataplane/stream_journal.py
+++ b/src/zincvale/dataplane/stream_journal/service.py
@@ -15,7 +15,7 @@
     JournalAppend,
     JournalState,
 )
-from zincvale.dataplane.stream_journal_events import (
+from zincvale.dataplane.stream_journal.events import (
     AppendSettled,
     AppendWanted,
     BatchDue,
@@ -26,8 +26,8 @@
     ResumeWanted,
     StreamForgotten,
 )
-from zincvale.dataplane.stream_journal_node import JournalInput, StreamJournalNode
-from zincvale.dataplane.stream_journal_timings import JournalTimings
+from zincvale.dataplane.stream_journal.node_machine import JournalInput, StreamJournalNode
+from zincvale.dataplane.stream_journal.timings import JournalTimings
 from zincvale.model.identifiers import MemberId, RequestId, ZoneName
 from zincvale.model.machine import Call, CallFailed, CallReceived, CallReplied, Log, Reply, Tick
 from zincvale.model.view import Members, Role
--- a/src/zincvale/dataplane/stream_journal_writer.py
+++ b/src/zincvale/dataplane/stream_journal/writer.py
@@ -12,7 +12,7 @@
 import attrs
 
 from zincvale.dataplane.interfaces import JournalAppend
-from zincvale.dataplane.stream_journal_messages import (
+from zincvale.dataplane.stream_journal.messages import (
     AppendCall,
     AppendReply,
     FenceCall,
@@ -24,8 +24,8 @@
     WriteResult,
     WriteStatus,
 )
-from zincvale.dataplane.stream_journal_store import size_of
-from zincvale.dataplane.stream_journal_timings import JournalTimings
+from zincvale.dataplane.stream_journal.replica_store import size_of
+from zincvale.dataplane.stream_journal.timings import JournalTimings
 from zincvale.model.identifiers import MemberId
 
 FREEZE_S = 0.4
--- a/src/zincvale/simulator/claims_callers.py
+++ b/src/zincvale/simulator/claims_callers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from zincvale.dataplane.claim_events import (
+from zincvale.dataplane.claims.events import (
     ClaimWanted,
     Confirmed,
     Decided,
--- a/src/zincvale/simulator/claims_machine.py
+++ b/src/zincvale/simulator/claims_machine.py
@@ -9,7 +9,7 @@
 from zincvale.coordination.node.machine import NodeMachine
 from zincvale.coordination.replication.replica_sets import REGISTRY_KEY
 from zincvale.daemons.registry_rows import registered_zones
-from zincvale.dataplane.claim_events import (
+from zincvale.dataplane.claims.events import (
     ClaimWanted,
     Confirmed,
     Decided,
@@ -20,9 +20,9 @@
     ViewsLearnt,
     WakeAt,
 )
-from zincvale.dataplane.claim_messages import ViewList
-from zincvale.dataplane.claim_timings import ClaimTimings
-from zincvale.dataplane.claims_node import ClaimsNode
+from zincvale.dataplane.claims.messages import ViewList
+from zincvale.dataplane.claims.node_machine import ClaimsNode
+from zincvale.dataplane.claims.timings import ClaimTimings
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import (
     Call,
--- a/tests/dataplane/test_claims_mutations.py
+++ b/tests/dataplane/test_claims_mutations.py
@@ -8,13 +8,13 @@
 import testtools
 
 from tests.dataplane.test_claims_world import PROFILES, World
-from zincvale.dataplane.claim_holder import ClaimHolder
-from zincvale.dataplane.claim_messages import ClaimCall, ClaimReply, ClaimStatus
-from zincvale.dataplane.claim_readiness import HolderReadiness
-from zincvale.dataplane.claim_records import ClaimRow
-from zincvale.dataplane.claim_rivals import Bars
-from zincvale.dataplane.claim_view import ClaimView
-from zincvale.dataplane.claims_node import ClaimsNode
+from zincvale.dataplane.claims.competing_attempts import Bars
+from zincvale.dataplane.claims.messages import ClaimCall, ClaimReply, ClaimStatus
+from zincvale.dataplane.claims.node_machine import ClaimsNode
+from zincvale.dataplane.claims.readiness import HolderReadiness
+from zincvale.dataplane.claims.records import ClaimRow
+from zincvale.dataplane.claims.view import ClaimView
+from zincvale.dataplane.claims.voter import ClaimHolder
 from zincvale.model.identifiers import RequestId
 
 Patch = Callable[[object, str, object], None]
--- a/tests/dataplane/test_claims_scenarios.py
+++ b/tests/dataplane/test_claims_scenarios.py
@@ -18,8 +18,8 @@
     view_is_ignored,
 )
 from tests.dataplane.test_claims_world import PROFILES, World
-from zincvale.dataplane.claim_messages import ViewList
-from zincvale.dataplane.claim_view import ClaimView
+from zincvale.dataplane.claims.messages import ViewList
+from zincvale.dataplane.claims.view import ClaimView
 from zincvale.model.identifiers import MemberId
 
 REQUEST = "request-x"
--- a/tests/dataplane/test_claims_service.py
+++ b/tests/dataplane/test_claims_service.py
@@ -9,10 +9,10 @@
 
 import testtools
 
-from zincvale.dataplane.claim_lanes import MAX_CALLS_UNDER_WAY, PeerLanes
-from zincvale.dataplane.claim_messages import BatchCall, BatchReply, LookCall, ViewsCall
-from zincvale.dataplane.claim_timings import ClaimTimings
-from zincvale.dataplane.claims import ClaimService
+from zincvale.dataplane.claims.messages import BatchCall, BatchReply, LookCall, ViewsCall
+from zincvale.dataplane.claims.peer_call_queues import MAX_CALLS_UNDER_WAY, PeerLanes
+from zincvale.dataplane.claims.service import ClaimService
+from zincvale.dataplane.claims.timings import ClaimTimings
 from zincvale.dataplane.interfaces import (
     ClaimGranted,
     ClaimRefusal,
--- a/tests/dataplane/test_claims_table.py
+++ b/tests/dataplane/test_claims_table.py
@@ -7,15 +7,15 @@
 
 import testtools
 
-from zincvale.dataplane.claim_records import (
+from zincvale.dataplane.claims.records import (
     Attempt,
     ClaimRow,
     ClaimState,
     OpenClaim,
     RecordedClaim,
 )
-from zincvale.dataplane.claim_table import ClaimTable, TableLimits
-from zincvale.dataplane.claim_view import ClaimView
+from zincvale.dataplane.claims.table import ClaimTable, TableLimits
+from zincvale.dataplane.claims.view import ClaimView
 from zincvale.model.identifiers import MemberId, RequestId, ZoneName
 
 FIRST = Attempt(MemberId("node-1"), "a", 1)
--- a/tests/dataplane/test_claims_transcript.py
+++ b/tests/dataplane/test_claims_transcript.py
@@ -7,7 +7,7 @@
 import testtools
 
 from tests.dataplane.test_claims_scenarios import REQUEST, Cast, settled
-from zincvale.dataplane.claim_messages import ClaimReply
+from zincvale.dataplane.claims.messages import ClaimReply
 from zincvale.model.identifiers import MemberId
 
 APPROVED = """\
--- a/tests/dataplane/test_claims_world.py
+++ b/tests/dataplane/test_claims_world.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from zincvale.dataplane.claim_events import (
+from zincvale.dataplane.claims.events import (
     ClaimWanted,
     Confirmed,
     Decided,
@@ -24,9 +24,9 @@
     ViewsLearnt,
     WakeAt,
 )
-from zincvale.dataplane.claim_messages import ViewList
-from zincvale.dataplane.claim_timings import ClaimTimings
-from zincvale.dataplane.claims_node import ClaimsNode
+from zincvale.dataplane.claims.messages import ViewList
+from zincvale.dataplane.claims.node_machine import ClaimsNode
+from zincvale.dataplane.claims.timings import ClaimTimings
 from zincvale.dataplane.interfaces import ClaimGranted, RecordedOutcome
 from zincvale.model.identifiers import MemberId, RequestId
 from zincvale.model.machine import Call, CallFailed, CallReceived, CallReplied, Reply, Tick
--- a/tests/dataplane/test_stream_journal_mutations.py
+++ b/tests/dataplane/test_stream_journal_mutations.py
@@ -9,10 +9,10 @@
 
 from tests.dataplane.test_claims_mutations import Patch, mutated
 from tests.dataplane.test_stream_journal_world import StreamWorld
-from zincvale.dataplane.stream_journal_messages import FenceCall, StreamFence
-from zincvale.dataplane.stream_journal_store import JournalStore
-from zincvale.dataplane.stream_journal_takeover import StreamTakeOver
-from zincvale.dataplane.stream_journal_writer import StreamWriter
+from zincvale.dataplane.stream_journal.failover import StreamTakeOver
+from zincvale.dataplane.stream_journal.messages import FenceCall, StreamFence
+from zincvale.dataplane.stream_journal.replica_store import JournalStore
+from zincvale.dataplane.stream_journal.writer import StreamWriter
 
 SEEDS = (1, 5, 13)
 
--- a/tests/dataplane/test_stream_journal_store.py
+++ b/tests/dataplane/test_stream_journal_store.py
@@ -5,18 +5,18 @@
 import attrs
 import testtools
 
-from zincvale.dataplane.stream_journal_messages import (
+from zincvale.dataplane.stream_journal.messages import (
     FenceCall,
     StreamFence,
     StreamWrite,
     WriteStatus,
 )
-from zincvale.dataplane.stream_journal_store import (
+from zincvale.dataplane.stream_journal.replica_store import (
     ENTRY_OVERHEAD_BYTES,
     PIECE_OVERHEAD_BYTES,
     JournalStore,
 )
-from zincvale.dataplane.stream_journal_timings import JournalTimings
+from zincvale.dataplane.stream_journal.timings import JournalTimings
 
 FIRST = StreamFence(1, "node-1/a")
 SECOND = StreamFence(2, "node-2/b")
--- a/tests/dataplane/test_stream_journal_world.py
+++ b/tests/dataplane/test_stream_journal_world.py
@@ -15,7 +15,7 @@
 import attrs
 
 from zincvale.dataplane.interfaces import JournalAppend, JournalState
-from zincvale.dataplane.stream_journal_events import (
+from zincvale.dataplane.stream_journal.events import (
     AppendSettled,
     AppendWanted,
     BatchDue,
@@ -25,8 +25,8 @@
     Resumed,
     ResumeWanted,
 )
-from zincvale.dataplane.stream_journal_node import StreamJournalNode
-from zincvale.dataplane.stream_journal_timings import JournalTimings
+from zincvale.dataplane.stream_journal.node_machine import StreamJournalNode
+from zincvale.dataplane.stream_journal.timings import JournalTimings
 from zincvale.model.identifiers import MemberId, ZoneName
 from zincvale.model.machine import Call, CallFailed, CallReceived, CallReplied, Reply, Tick
 
--- a/tests/dataplane/test_stream_journal_writer.py
+++ b/tests/dataplane/test_stream_journal_writer.py
@@ -5,7 +5,8 @@
 import testtools
 
 from zincvale.dataplane.interfaces import JournalAppend
-from zincvale.dataplane.stream_journal_messages import (
+from zincvale.dataplane.stream_journal.failover import AskJournal, StreamTakeOver, TakenOver
+from zincvale.dataplane.stream_journal.messages import (
     AppendReply,
     FenceCall,
     FenceReply,
@@ -15,10 +16,9 @@
     WriteResult,
     WriteStatus,
 )
-from zincvale.dataplane.stream_journal_placement import journal_peers
-from zincvale.dataplane.stream_journal_takeover import AskJournal, StreamTakeOver, TakenOver
-from zincvale.dataplane.stream_journal_timings import JournalTimings
-from zincvale.dataplane.stream_journal_writer import (
+from zincvale.dataplane.stream_journal.peer_choice import journal_peers
+from zincvale.dataplane.stream_journal.timings import JournalTimings
+from zincvale.dataplane.stream_journal.writer import (
     JournalWriters,
     PeerReplaced,
     SendBatch,
--- a/tests/golden/decisions_of_cluster.py
+++ b/tests/golden/decisions_of_cluster.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from tests.golden.decision_log import DecisionLog, watched
-from zincvale.dataplane.claims_node import ClaimsNode
+from zincvale.dataplane.claims.node_machine import ClaimsNode
 from zincvale.simulator.claims_run import ClaimsRun
 from zincvale.simulator.drawing import draw_schedule
 from zincvale.simulator.register_exploration import Explorer
--- a/tests/simulator/test_simulated_claims.py
+++ b/tests/simulator/test_simulated_claims.py
@@ -6,8 +6,8 @@
 
 import testtools
 
-from zincvale.dataplane.claim_readiness import HolderReadiness
-from zincvale.dataplane.claim_view import ClaimView
+from zincvale.dataplane.claims.readiness import HolderReadiness
+from zincvale.dataplane.claims.view import ClaimView
 from zincvale.simulator.claims_run import run_claims
 
 SEEDS = (1, 2)
