--- a/src/zincvale/bench/relay_process.py
+++ b/src/zincvale/bench/relay_process.py
@@ -19,7 +19,7 @@
 from tornado.web import Application, RequestHandler
 
 from zincvale.dataplane.claims.service import ClaimService
-from zincvale.dataplane.node_service import NodeService
+from zincvale.dataplane.inference.node_service import NodeService
 from zincvale.dataplane.stream_journal.service import StreamJournalService
 from zincvale.model.identifiers import (
     Address,
--- a/src/zincvale/daemons/forwarding_node.py
+++ b/src/zincvale/daemons/forwarding_node.py
@@ -17,10 +17,10 @@
 from zincvale.daemons.node_assembly import node_config
 from zincvale.daemons.process import Drain, build_process
 from zincvale.daemons.residency_rows import RESIDENCY_TOPIC, ResidencyDecoder
-from zincvale.dataplane.forwarding.budgets import ColdTerms, RetryTerms
 from zincvale.dataplane.forwarding.dialect import ForwardingDialect
+from zincvale.dataplane.forwarding.fleet_budgets import ColdTerms, RetryTerms
+from zincvale.dataplane.forwarding.routing_state import ForwardingTerms
 from zincvale.dataplane.forwarding.service import ForwardingService
-from zincvale.dataplane.forwarding.world import ForwardingTerms
 from zincvale.model.errors import ZincvaleError
 from zincvale.model.identifiers import MemberId, ZoneName
 from zincvale.model.view import Role
--- a/src/zincvale/daemons/node_daemon.py
+++ b/src/zincvale/daemons/node_daemon.py
@@ -18,7 +18,7 @@
 from zincvale.daemons.process import Drain, build_process
 from zincvale.daemons.registry_rows import registered_zones
 from zincvale.dataplane.claims.service import ClaimService
-from zincvale.dataplane.node_service import NodeService
+from zincvale.dataplane.inference.node_service import NodeService
 from zincvale.dataplane.stream_journal.service import StreamJournalService
 from zincvale.model.errors import ZincvaleError
 from zincvale.model.identifiers import MemberId, ZoneName
--- a/src/zincvale/dataplane/claims/claimant.py
+++ b/src/zincvale/dataplane/claims/claimant.py
@@ -42,7 +42,7 @@
 from zincvale.dataplane.claims.timings import ClaimTimings
 from zincvale.dataplane.claims.view import ClaimView
 from zincvale.dataplane.claims.votes import Votes
-from zincvale.dataplane.interfaces import (
+from zincvale.dataplane.inference.dependencies import (
     ClaimDecision,
     ClaimGranted,
     ClaimRefusal,
--- a/src/zincvale/dataplane/claims/effects.py
+++ b/src/zincvale/dataplane/claims/effects.py
@@ -12,7 +12,7 @@
     RecordCall,
 )
 from zincvale.dataplane.claims.records import Attempt
-from zincvale.dataplane.interfaces import ClaimDecision
+from zincvale.dataplane.inference.dependencies import ClaimDecision
 from zincvale.model.identifiers import MemberId
 
 
--- a/src/zincvale/dataplane/claims/events.py
+++ b/src/zincvale/dataplane/claims/events.py
@@ -5,7 +5,7 @@
 import attrs
 
 from zincvale.dataplane.claims.messages import ViewList
-from zincvale.dataplane.interfaces import ClaimDecision
+from zincvale.dataplane.inference.dependencies import ClaimDecision
 from zincvale.model.identifiers import MemberId, RequestId
 from zincvale.model.outcomes import Outcome
 
--- a/src/zincvale/dataplane/claims/requests.py
+++ b/src/zincvale/dataplane/claims/requests.py
@@ -32,7 +32,7 @@
 from zincvale.dataplane.claims.table import ClaimTable
 from zincvale.dataplane.claims.timings import ClaimTimings
 from zincvale.dataplane.claims.view import ClaimView
-from zincvale.dataplane.interfaces import ClaimGranted, ClaimRefusal, ClaimRefused
+from zincvale.dataplane.inference.dependencies import ClaimGranted, ClaimRefusal, ClaimRefused
 from zincvale.model.identifiers import MemberId, RequestId
 from zincvale.model.outcomes import Outcome
 
--- a/src/zincvale/dataplane/claims/service.py
+++ b/src/zincvale/dataplane/claims/service.py
@@ -27,7 +27,7 @@
 from zincvale.dataplane.claims.node_machine import ClaimsInput, ClaimsNode
 from zincvale.dataplane.claims.peer_call_queues import PeerLanes, pack_message, unpack_message
 from zincvale.dataplane.claims.timings import ClaimTimings
-from zincvale.dataplane.interfaces import ClaimDecision, ClaimGranted
+from zincvale.dataplane.inference.dependencies import ClaimDecision, ClaimGranted
 from zincvale.model.identifiers import MemberId, RequestId, RouteName, ZoneName
 from zincvale.model.machine import Call, CallFailed, CallReceived, CallReplied, Log, Reply, Tick
 from zincvale.model.outcomes import Outcome
--- a/src/zincvale/dataplane/forwarding/forwarded_request.py
+++ b/src/zincvale/dataplane/forwarding/forwarded_request.py
@@ -11,9 +11,10 @@
 
 from zincvale.dataplane.forwarding.caller_sink import CallerSink, IncomingRequest
 from zincvale.dataplane.forwarding.dialect import CallerFacts, SendFacts
-from zincvale.dataplane.forwarding.event_stream import EventSplitter
-from zincvale.dataplane.forwarding.heads import to_caller, to_server
+from zincvale.dataplane.forwarding.event_splitter import EventSplitter
+from zincvale.dataplane.forwarding.header_rewrite import to_caller, to_server
 from zincvale.dataplane.forwarding.node_context import ForwardingContext
+from zincvale.dataplane.forwarding.pending_requests import Waiting, Wanted
 from zincvale.dataplane.forwarding.policies import Blocked, Chosen
 from zincvale.dataplane.forwarding.request_events import (
     AnswerBroken,
@@ -41,7 +42,6 @@
 )
 from zincvale.dataplane.forwarding.request_machine import RequestMachine
 from zincvale.dataplane.forwarding.servers import ServerState
-from zincvale.dataplane.forwarding.waiting_room import Waiting, Wanted
 from zincvale.model.forwarding import ForwardRoute
 from zincvale.transport.server_client import Exchange
 from zincvale.transport.server_exchange import AnswerHead, OutgoingRequest
--- a/src/zincvale/dataplane/forwarding/node_context.py
+++ b/src/zincvale/dataplane/forwarding/node_context.py
@@ -10,12 +10,12 @@
 
 from zincvale.dataplane.demand import DemandKey, DemandTable
 from zincvale.dataplane.forwarding.dialect import ForwardingDialect, Prompt
+from zincvale.dataplane.forwarding.pending_requests import WAITS_FOR_LOAD, WaitingRoom, Wanted
 from zincvale.dataplane.forwarding.policies import Blocked, Chosen, PolicyChain, Query
 from zincvale.dataplane.forwarding.request_events import FinalKind
+from zincvale.dataplane.forwarding.routing_state import ForwardingWorld
 from zincvale.dataplane.forwarding.servers import adapter_name
-from zincvale.dataplane.forwarding.waiting_room import WAITS_FOR_LOAD, WaitingRoom, Wanted
-from zincvale.dataplane.forwarding.world import ForwardingWorld
-from zincvale.dataplane.interfaces import Spans
+from zincvale.dataplane.inference.dependencies import Spans
 from zincvale.model.forwarding import ForwardRoute
 from zincvale.model.identifiers import AdapterName, ModelName, PoolName, ServerId
 from zincvale.transport.server_client import ServerClient
--- a/src/zincvale/dataplane/forwarding/policies.py
+++ b/src/zincvale/dataplane/forwarding/policies.py
@@ -12,10 +12,10 @@
 
 import attrs
 
-from zincvale.dataplane.forwarding.budgets import rendezvous_weight
 from zincvale.dataplane.forwarding.dialect import Prompt
+from zincvale.dataplane.forwarding.fleet_budgets import rendezvous_weight
+from zincvale.dataplane.forwarding.routing_state import ForwardingWorld
 from zincvale.dataplane.forwarding.servers import ServerState, wanted_names
-from zincvale.dataplane.forwarding.world import ForwardingWorld
 from zincvale.model.forwarding import ForwardRoute
 
 TOKENS_PER_S = 19_000.0
--- a/src/zincvale/dataplane/forwarding/world.py
+++ b/src/zincvale/dataplane/forwarding/routing_state.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from zincvale.dataplane.forwarding.budgets import (
+from zincvale.dataplane.forwarding.fleet_budgets import (
     ColdTerms,
     RetryBudget,
     RetryTerms,
--- a/src/zincvale/dataplane/forwarding/servers.py
+++ b/src/zincvale/dataplane/forwarding/servers.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-from zincvale.dataplane.forwarding.budgets import ColdAllowance
 from zincvale.dataplane.forwarding.dialect import Prompt
+from zincvale.dataplane.forwarding.fleet_budgets import ColdAllowance
 from zincvale.model.identifiers import ServerId
 from zincvale.model.view import ServerRow
 
--- a/src/zincvale/dataplane/forwarding/service.py
+++ b/src/zincvale/dataplane/forwarding/service.py
@@ -9,15 +9,15 @@
 import attrs
 import orjson
 
-from zincvale.dataplane.forwarding.caller_http import CallerHandle, CallerServer
+from zincvale.dataplane.forwarding.caller_server import CallerHandle, CallerServer
 from zincvale.dataplane.forwarding.caller_sink import CallerSink, IncomingRequest
 from zincvale.dataplane.forwarding.dialect import ForwardingDialect
 from zincvale.dataplane.forwarding.forwarded_request import ForwardedRequest
 from zincvale.dataplane.forwarding.node_context import ForwardingContext
 from zincvale.dataplane.forwarding.policies import PolicyChain, Scorer, scorers_named
+from zincvale.dataplane.forwarding.routing_state import ForwardingTerms, ForwardingWorld
 from zincvale.dataplane.forwarding.servers import Residency
-from zincvale.dataplane.forwarding.world import ForwardingTerms, ForwardingWorld
-from zincvale.dataplane.interfaces import Spans
+from zincvale.dataplane.inference.dependencies import Spans
 from zincvale.dataplane.messages import DemandReport
 from zincvale.model.forwarding import ForwardingDocument, ForwardRoute
 from zincvale.model.identifiers import MemberId, ServerId, ZoneName
--- a/src/zincvale/dataplane/http_handler.py
+++ b/src/zincvale/dataplane/http/handlers.py
@@ -4,7 +4,7 @@
 
 import tornado.web
 
-from zincvale.dataplane.entry import RequestEntry
+from zincvale.dataplane.inference.ingress import RequestEntry
 
 SERVICE_UNAVAILABLE = 503
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
--- a/src/zincvale/dataplane/backend_adapter.py
+++ b/src/zincvale/dataplane/inference/backend_adapter.py
@@ -13,16 +13,16 @@
 import attrs
 import orjson
 
-from zincvale.dataplane.events import (
+from zincvale.dataplane.http.event_reader import EventReader, EventTooLarge, ServerSentEvent
+from zincvale.dataplane.inference.events import (
     Answered,
     PiecesReceived,
     ServerFailed,
     ServerRefused,
     StreamEnded,
 )
-from zincvale.dataplane.evidence import ExchangeEnd
-from zincvale.dataplane.requests import CallerRequest
-from zincvale.dataplane.sse import EventReader, EventTooLarge, ServerSentEvent
+from zincvale.dataplane.inference.requests import CallerRequest
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.identifiers import Address
 from zincvale.model.resources import PoolKind
 from zincvale.transport.curl_exchange import ClientRequest
--- a/src/zincvale/dataplane/caller_connection.py
+++ b/src/zincvale/dataplane/inference/caller_connection.py
@@ -21,10 +21,11 @@
 )
 from tornado.iostream import StreamClosedError
 
-from zincvale.dataplane import answers, log_events
-from zincvale.dataplane.entry import RequestEntry
-from zincvale.dataplane.runner import RequestRunner
-from zincvale.dataplane.stream_relay import CallerLost
+from zincvale.dataplane import log_events
+from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference.ingress import RequestEntry
+from zincvale.dataplane.inference.runner import RequestRunner
+from zincvale.dataplane.inference.stream_relay import CallerLost
 from zincvale.model.errors import MalformedBody
 from zincvale.model.identifiers import RequestId
 from zincvale.model.outcomes import REQUEST_ID_HEADER
--- a/src/zincvale/dataplane/caller_side.py
+++ b/src/zincvale/dataplane/inference/caller_side.py
@@ -7,12 +7,13 @@
 
 import attrs
 
-from zincvale.dataplane import answers, log_events
-from zincvale.dataplane.context import NodeContext
-from zincvale.dataplane.events import RelayPieces, SendAnswer
-from zincvale.dataplane.request_machine import RequestMachine
-from zincvale.dataplane.request_record import RequestRecord
-from zincvale.dataplane.stream_relay import CallerSink, StreamRelay
+from zincvale.dataplane import log_events
+from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference.context import NodeContext
+from zincvale.dataplane.inference.events import RelayPieces, SendAnswer
+from zincvale.dataplane.inference.request_machine import RequestMachine
+from zincvale.dataplane.inference.request_record import RequestRecord
+from zincvale.dataplane.inference.stream_relay import CallerSink, StreamRelay
 
 
 @attrs.define(eq=False)
--- a/src/zincvale/dataplane/capacity.py
+++ b/src/zincvale/dataplane/inference/capacity.py
@@ -4,8 +4,8 @@
 
 import math
 
-from zincvale.dataplane.requests import Question
-from zincvale.dataplane.world import PoolState, ServerState, World
+from zincvale.dataplane.inference.requests import Question
+from zincvale.dataplane.inference.routing_state import PoolState, ServerState, World
 from zincvale.model.identifiers import StoreName
 
 LOAD_OVERHEAD_FACTOR = 1.5
--- a/src/zincvale/dataplane/context.py
+++ b/src/zincvale/dataplane/inference/context.py
@@ -9,15 +9,15 @@
 import attrs
 
 from zincvale.dataplane import log_events
-from zincvale.dataplane.events import Input, NoServer, Refusal, ServerChosen
-from zincvale.dataplane.evidence import ExchangeReport, HealthChange
-from zincvale.dataplane.interfaces import Claims, Spans, StreamJournal
+from zincvale.dataplane.inference.dependencies import Claims, Spans, StreamJournal
+from zincvale.dataplane.inference.events import Input, NoServer, Refusal, ServerChosen
+from zincvale.dataplane.inference.requests import CallerRequest
+from zincvale.dataplane.inference.routing import PolicyNote
+from zincvale.dataplane.inference.routing_state import ServerState, World
+from zincvale.dataplane.inference.scheduler import Scheduler
+from zincvale.dataplane.inference.verdicts import Placed, Queued, Refused, Verdict
 from zincvale.dataplane.metrics import Metrics
-from zincvale.dataplane.requests import CallerRequest
-from zincvale.dataplane.routing import PolicyNote
-from zincvale.dataplane.scheduler import Scheduler
-from zincvale.dataplane.verdicts import Placed, Queued, Refused, Verdict
-from zincvale.dataplane.world import ServerState, World
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport, HealthChange
 from zincvale.model.resources import RouteSpec
 from zincvale.transport.curl_client import CurlClient
 
--- a/src/zincvale/dataplane/neighbour_calls.py
+++ b/src/zincvale/dataplane/inference/dependency_calls.py
@@ -6,17 +6,24 @@
 
 import attrs
 
-from zincvale.dataplane import answers, log_events
-from zincvale.dataplane.context import NodeContext
-from zincvale.dataplane.events import ClaimDecided, ClaimRenewed, Input, RecordOutcome, StreamFound
-from zincvale.dataplane.interfaces import (
+from zincvale.dataplane import log_events
+from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference.context import NodeContext
+from zincvale.dataplane.inference.dependencies import (
     ClaimDecision,
     ClaimGranted,
     ClaimRefusal,
     ClaimRefused,
     JournalState,
 )
-from zincvale.dataplane.request_machine import RequestMachine
+from zincvale.dataplane.inference.events import (
+    ClaimDecided,
+    ClaimRenewed,
+    Input,
+    RecordOutcome,
+    StreamFound,
+)
+from zincvale.dataplane.inference.request_machine import RequestMachine
 from zincvale.model.outcomes import Outcome
 
 NOTE_WITHIN_S = 1.0
--- a/src/zincvale/dataplane/events.py
+++ b/src/zincvale/dataplane/inference/events.py
@@ -11,8 +11,8 @@
 
 import attrs
 
-from zincvale.dataplane.evidence import ExchangeEnd
-from zincvale.dataplane.interfaces import ClaimDecision, JournalState
+from zincvale.dataplane.inference.dependencies import ClaimDecision, JournalState
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.identifiers import ServerId
 from zincvale.model.outcomes import Outcome, RefusalReason
 
--- a/src/zincvale/dataplane/exchange_reader.py
+++ b/src/zincvale/dataplane/inference/exchange_reader.py
@@ -7,14 +7,14 @@
 
 import attrs
 
-from zincvale.dataplane.backend_adapter import (
+from zincvale.dataplane.inference.backend_adapter import (
     MISMATCHED_ANSWER,
     STATUS_OK,
     BackendAdapter,
     StreamReader,
 )
-from zincvale.dataplane.events import Input, ServerFailed
-from zincvale.dataplane.requests import CallerRequest
+from zincvale.dataplane.inference.events import Input, ServerFailed
+from zincvale.dataplane.inference.requests import CallerRequest
 from zincvale.transport.curl_exchange import ExchangeFailure
 from zincvale.transport.curl_handle import MAX_BODY_BYTES
 
--- a/src/zincvale/dataplane/entry.py
+++ b/src/zincvale/dataplane/inference/ingress.py
@@ -7,12 +7,12 @@
 
 import attrs
 
-from zincvale.dataplane import answers
-from zincvale.dataplane.context import NodeContext
-from zincvale.dataplane.events import Refusal, SendAnswer, Started
-from zincvale.dataplane.request_machine import RequestMachine
-from zincvale.dataplane.request_record import RequestRecord
-from zincvale.dataplane.requests import (
+from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference.context import NodeContext
+from zincvale.dataplane.inference.events import Refusal, SendAnswer, Started
+from zincvale.dataplane.inference.request_machine import RequestMachine
+from zincvale.dataplane.inference.request_record import RequestRecord
+from zincvale.dataplane.inference.requests import (
     CallerRequest,
     mint_request_id,
     read_deadline_s,
@@ -21,9 +21,9 @@
     read_resume_after,
     request_digest,
 )
-from zincvale.dataplane.runner import RequestRunner
-from zincvale.dataplane.stream_relay import CallerSink
-from zincvale.dataplane.verdicts import Refused
+from zincvale.dataplane.inference.runner import RequestRunner
+from zincvale.dataplane.inference.stream_relay import CallerSink
+from zincvale.dataplane.inference.verdicts import Refused
 from zincvale.model.errors import InvalidInput, MalformedBody
 from zincvale.model.identifiers import RequestId, RouteName
 from zincvale.model.outcomes import Outcome, RefusalReason
--- a/src/zincvale/dataplane/refusing.py
+++ b/src/zincvale/dataplane/inference/load_shedding.py
@@ -6,12 +6,16 @@
 
 import attrs
 
-from zincvale.dataplane.capacity import estimated_load_s, estimated_wait_s, pool_rate_per_s
 from zincvale.dataplane.demand import DemandKey, DemandTable
+from zincvale.dataplane.inference.capacity import (
+    estimated_load_s,
+    estimated_wait_s,
+    pool_rate_per_s,
+)
+from zincvale.dataplane.inference.routing_state import PoolState, World
+from zincvale.dataplane.inference.verdicts import Refused, refused
+from zincvale.dataplane.inference.wait_queue import WaitingRequest, WaitQueue
 from zincvale.dataplane.policies.base import Blocked
-from zincvale.dataplane.verdicts import Refused, refused
-from zincvale.dataplane.waiting import WaitingRequest, WaitQueue
-from zincvale.dataplane.world import PoolState, World
 from zincvale.model.identifiers import RouteName
 from zincvale.model.outcomes import RefusalReason
 
--- a/src/zincvale/dataplane/node_service.py
+++ b/src/zincvale/dataplane/inference/node_service.py
@@ -7,20 +7,20 @@
 from typing import Any, Protocol
 
 from zincvale.dataplane import log_events
-from zincvale.dataplane.caller_connection import CallerConnections
-from zincvale.dataplane.context import LogFunction, NodeContext
-from zincvale.dataplane.entry import RequestEntry
-from zincvale.dataplane.http_handler import (
+from zincvale.dataplane.http.handlers import (
     HealthHandler,
     MetricsHandler,
     ReadyHandler,
 )
-from zincvale.dataplane.interfaces import Claims, Spans, StreamJournal
+from zincvale.dataplane.inference.caller_connection import CallerConnections
+from zincvale.dataplane.inference.context import LogFunction, NodeContext
+from zincvale.dataplane.inference.dependencies import Claims, Spans, StreamJournal
+from zincvale.dataplane.inference.ingress import RequestEntry
+from zincvale.dataplane.inference.routing_state import World
+from zincvale.dataplane.inference.runner import RequestRunner
+from zincvale.dataplane.inference.scheduler import Scheduler
 from zincvale.dataplane.messages import DemandReport
 from zincvale.dataplane.metrics import Metrics
-from zincvale.dataplane.runner import RequestRunner
-from zincvale.dataplane.scheduler import Scheduler
-from zincvale.dataplane.world import World
 from zincvale.model.identifiers import MemberId, ZoneName
 from zincvale.model.view import Directory, Intent, Members, ServerHealth
 from zincvale.transport.curl_client import CurlClient
--- a/src/zincvale/dataplane/request_machine.py
+++ b/src/zincvale/dataplane/inference/request_machine.py
@@ -9,8 +9,17 @@
 
 import attrs
 
-from zincvale.dataplane import answers
-from zincvale.dataplane.events import (
+from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference.dependencies import (
+    NEWEST_STREAM_EPOCH,
+    ClaimGranted,
+    ClaimRefusal,
+    ClaimRefused,
+    JournalState,
+    OutcomePending,
+    RecordedOutcome,
+)
+from zincvale.dataplane.inference.events import (
     Answered,
     CallerGone,
     CancelChoice,
@@ -45,17 +54,8 @@
     StreamFound,
     StreamTakenOver,
 )
-from zincvale.dataplane.evidence import ExchangeEnd
-from zincvale.dataplane.interfaces import (
-    NEWEST_STREAM_EPOCH,
-    ClaimGranted,
-    ClaimRefusal,
-    ClaimRefused,
-    JournalState,
-    OutcomePending,
-    RecordedOutcome,
-)
-from zincvale.dataplane.request_state import Phase, RequestState
+from zincvale.dataplane.inference.request_state import Phase, RequestState
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.identifiers import ServerId
 from zincvale.model.outcomes import Outcome, RefusalReason
 
--- a/src/zincvale/dataplane/request_record.py
+++ b/src/zincvale/dataplane/inference/request_record.py
@@ -4,7 +4,8 @@
 
 import attrs
 
-from zincvale.dataplane.events import (
+from zincvale.dataplane.inference.dependencies import Span, Spans
+from zincvale.dataplane.inference.events import (
     ClaimDecided,
     Input,
     ServerFailed,
@@ -12,9 +13,8 @@
     StreamEnded,
     StreamFound,
 )
-from zincvale.dataplane.evidence import ExchangeEnd
-from zincvale.dataplane.interfaces import Span, Spans
-from zincvale.dataplane.routing import PolicyNote
+from zincvale.dataplane.inference.routing import PolicyNote
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.outcomes import TRACE_ID_HEADER, Outcome, RefusalReason
 from zincvale.model.view import ServerRow
 
--- a/src/zincvale/dataplane/request_state.py
+++ b/src/zincvale/dataplane/inference/request_state.py
@@ -6,8 +6,9 @@
 
 import attrs
 
-from zincvale.dataplane import answers
-from zincvale.dataplane.events import (
+from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference.dependencies import FIRST_STREAM_EPOCH
+from zincvale.dataplane.inference.events import (
     BreakStream,
     Claim,
     Effect,
@@ -19,9 +20,8 @@
     Refusal,
     ReleaseClaim,
 )
-from zincvale.dataplane.evidence import ExchangeEnd
-from zincvale.dataplane.interfaces import FIRST_STREAM_EPOCH
-from zincvale.dataplane.requests import CallerRequest
+from zincvale.dataplane.inference.requests import CallerRequest
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.identifiers import ServerId
 from zincvale.model.outcomes import Outcome, RefusalReason
 from zincvale.model.resources import RouteSpec, Stake
--- a/src/zincvale/dataplane/answers.py
+++ b/src/zincvale/dataplane/inference/responses.py
@@ -6,8 +6,8 @@
 
 import orjson
 
-from zincvale.dataplane.events import Refusal, SendAnswer
-from zincvale.dataplane.sse import EventReader
+from zincvale.dataplane.http.event_reader import EventReader
+from zincvale.dataplane.inference.events import Refusal, SendAnswer
 from zincvale.model.errors import ZincvaleError
 from zincvale.model.identifiers import RequestId
 from zincvale.model.outcomes import (
--- a/src/zincvale/dataplane/routing.py
+++ b/src/zincvale/dataplane/inference/routing.py
@@ -6,9 +6,9 @@
 
 import attrs
 
+from zincvale.dataplane.inference.routing_state import ServerState
 from zincvale.dataplane.policies.base import Blocked, Filter, Query, Scorer
 from zincvale.dataplane.policies.registry import make_policy, policy_names_of
-from zincvale.dataplane.world import ServerState
 from zincvale.model.errors import InvalidInput
 from zincvale.model.resources import PoolSpec
 
--- a/src/zincvale/dataplane/world.py
+++ b/src/zincvale/dataplane/inference/routing_state.py
@@ -9,9 +9,9 @@
 import attrs
 import xxhash
 
-from zincvale.dataplane.failure_detection import FailureDetector, slow_start_part
-from zincvale.dataplane.limits import AdaptiveConcurrency, AdaptiveRate, RetryBudget
-from zincvale.dataplane.throughput import ThroughputMeter
+from zincvale.dataplane.resilience.limits import AdaptiveConcurrency, AdaptiveRate, RetryBudget
+from zincvale.dataplane.resilience.outlier_detection import FailureDetector, slow_start_part
+from zincvale.dataplane.resilience.throughput import ThroughputMeter
 from zincvale.model.identifiers import MemberId, PoolName, RouteName, ServerId, ZoneName
 from zincvale.model.resources import PoolSpec, RouteSpec
 from zincvale.model.view import Directory, Intent, MemberRow, Members, Role, ServerHealth, ServerRow
--- a/src/zincvale/dataplane/runner.py
+++ b/src/zincvale/dataplane/inference/runner.py
@@ -10,10 +10,12 @@
 
 import attrs
 
-from zincvale.dataplane import answers, log_events
-from zincvale.dataplane.caller_side import CallerSide
-from zincvale.dataplane.context import NodeContext, VerdictTaker
-from zincvale.dataplane.events import (
+from zincvale.dataplane import log_events
+from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference.caller_side import CallerSide
+from zincvale.dataplane.inference.context import NodeContext, VerdictTaker
+from zincvale.dataplane.inference.dependency_calls import NeighbourCalls
+from zincvale.dataplane.inference.events import (
     BreakStream,
     CallerGone,
     CancelChoice,
@@ -41,16 +43,15 @@
     SendAnswer,
     StreamTakenOver,
 )
-from zincvale.dataplane.evidence import ExchangeEnd
-from zincvale.dataplane.neighbour_calls import NeighbourCalls
-from zincvale.dataplane.request_machine import RequestMachine
-from zincvale.dataplane.request_record import RequestRecord
-from zincvale.dataplane.request_state import Phase
-from zincvale.dataplane.routing import PolicyNote
-from zincvale.dataplane.server_side import ServerSide
-from zincvale.dataplane.stream_relay import CallerSink
-from zincvale.dataplane.verdicts import Queued
-from zincvale.dataplane.world import PoolState, ServerState
+from zincvale.dataplane.inference.request_machine import RequestMachine
+from zincvale.dataplane.inference.request_record import RequestRecord
+from zincvale.dataplane.inference.request_state import Phase
+from zincvale.dataplane.inference.routing import PolicyNote
+from zincvale.dataplane.inference.routing_state import PoolState, ServerState
+from zincvale.dataplane.inference.server_side import ServerSide
+from zincvale.dataplane.inference.stream_relay import CallerSink
+from zincvale.dataplane.inference.verdicts import Queued
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.outcomes import Outcome, RefusalReason
 from zincvale.model.resources import Stake
 
--- a/src/zincvale/dataplane/scheduler.py
+++ b/src/zincvale/dataplane/inference/scheduler.py
@@ -11,20 +11,20 @@
 import attrs
 
 from zincvale.dataplane.demand import DemandKey, DemandTable
-from zincvale.dataplane.evidence import (
+from zincvale.dataplane.inference.load_shedding import RefusalRules
+from zincvale.dataplane.inference.requests import CallerRequest
+from zincvale.dataplane.inference.routing import Choice, NoChoice, PolicyChain, build_chain
+from zincvale.dataplane.inference.routing_state import PoolState, ServerState, World
+from zincvale.dataplane.inference.verdicts import Placed, Queued, Refused, Verdict, refused
+from zincvale.dataplane.inference.wait_queue import WaitingRequest, WaitQueue
+from zincvale.dataplane.policies.base import Blocked, Query
+from zincvale.dataplane.resilience.exchange_evidence import (
     ExchangeEnd,
     ExchangeReport,
     HealthChange,
     note_dispatch,
     note_end,
 )
-from zincvale.dataplane.policies.base import Blocked, Query
-from zincvale.dataplane.refusing import RefusalRules
-from zincvale.dataplane.requests import CallerRequest
-from zincvale.dataplane.routing import Choice, NoChoice, PolicyChain, build_chain
-from zincvale.dataplane.verdicts import Placed, Queued, Refused, Verdict, refused
-from zincvale.dataplane.waiting import WaitingRequest, WaitQueue
-from zincvale.dataplane.world import PoolState, ServerState, World
 from zincvale.model.errors import InvalidInput
 from zincvale.model.identifiers import PoolName, RouteName
 from zincvale.model.outcomes import RefusalReason
--- a/src/zincvale/dataplane/server_side.py
+++ b/src/zincvale/dataplane/inference/server_side.py
@@ -9,15 +9,21 @@
 import attrs
 
 from zincvale.dataplane import log_events
-from zincvale.dataplane.backend_adapter import ADAPTER_BY_KIND
-from zincvale.dataplane.context import NodeContext
-from zincvale.dataplane.events import Dispatch, FreeServer, Input, PiecesReceived, ServerFailed
-from zincvale.dataplane.evidence import ExchangeReport
-from zincvale.dataplane.exchange_reader import ExchangeReader, is_mismatch
-from zincvale.dataplane.request_machine import RequestMachine
-from zincvale.dataplane.request_record import RequestRecord
-from zincvale.dataplane.scheduler import work_tokens
-from zincvale.dataplane.world import PoolState, ServerState
+from zincvale.dataplane.inference.backend_adapter import ADAPTER_BY_KIND
+from zincvale.dataplane.inference.context import NodeContext
+from zincvale.dataplane.inference.events import (
+    Dispatch,
+    FreeServer,
+    Input,
+    PiecesReceived,
+    ServerFailed,
+)
+from zincvale.dataplane.inference.exchange_reader import ExchangeReader, is_mismatch
+from zincvale.dataplane.inference.request_machine import RequestMachine
+from zincvale.dataplane.inference.request_record import RequestRecord
+from zincvale.dataplane.inference.routing_state import PoolState, ServerState
+from zincvale.dataplane.inference.scheduler import work_tokens
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
 
 FIRST_PIECE_SILENCE_S = 10.0
 NEXT_PIECE_SILENCE_S = 3.0
--- a/src/zincvale/dataplane/stream_relay.py
+++ b/src/zincvale/dataplane/inference/stream_relay.py
@@ -8,8 +8,8 @@
 
 import attrs
 
-from zincvale.dataplane import answers
-from zincvale.dataplane.interfaces import JournalAppend, StreamJournal
+from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference.dependencies import JournalAppend, StreamJournal
 from zincvale.model.identifiers import RequestId
 
 HIGH_WATER_PIECES = 64
--- a/src/zincvale/dataplane/verdicts.py
+++ b/src/zincvale/dataplane/inference/verdicts.py
@@ -4,9 +4,9 @@
 
 import attrs
 
+from zincvale.dataplane.inference.routing import PolicyNote
+from zincvale.dataplane.inference.routing_state import ServerState
 from zincvale.dataplane.policies.base import Blocked
-from zincvale.dataplane.routing import PolicyNote
-from zincvale.dataplane.world import ServerState
 from zincvale.model.outcomes import RefusalReason
 
 LEAST_RETRY_AFTER_S = 1.0
--- a/src/zincvale/dataplane/waiting.py
+++ b/src/zincvale/dataplane/inference/wait_queue.py
@@ -6,8 +6,8 @@
 
 import attrs
 
+from zincvale.dataplane.inference.requests import CallerRequest
 from zincvale.dataplane.policies.base import Blocked
-from zincvale.dataplane.requests import CallerRequest
 from zincvale.model.resources import RouteSpec, Stake
 
 STAKES_HIGHEST_FIRST = (Stake.HIGH, Stake.NORMAL, Stake.LOW)
--- a/src/zincvale/dataplane/policies/base.py
+++ b/src/zincvale/dataplane/policies/base.py
@@ -13,8 +13,8 @@
 
 import attrs
 
-from zincvale.dataplane.requests import CallerRequest, Question
-from zincvale.dataplane.world import PoolState, ServerState, World
+from zincvale.dataplane.inference.requests import CallerRequest, Question
+from zincvale.dataplane.inference.routing_state import PoolState, ServerState, World
 from zincvale.model.resources import RouteSpec, Stake
 
 
--- a/src/zincvale/dataplane/policies/baselines.py
+++ b/src/zincvale/dataplane/policies/baselines.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
+from zincvale.dataplane.inference.routing_state import ServerState
 from zincvale.dataplane.policies.base import Query, Scorer
-from zincvale.dataplane.world import ServerState
 
 NOT_NOMINATED_COST_TOKENS = 1e9
 
--- a/src/zincvale/dataplane/policies/filters.py
+++ b/src/zincvale/dataplane/policies/filters.py
@@ -4,8 +4,8 @@
 
 import math
 
+from zincvale.dataplane.inference.routing_state import ServerState
 from zincvale.dataplane.policies.base import Blocked, Filter, Query
-from zincvale.dataplane.world import ServerState
 from zincvale.model.resources import Stake
 from zincvale.model.view import ServerHealth
 
--- a/src/zincvale/dataplane/policies/prefix_affinity.py
+++ b/src/zincvale/dataplane/policies/prefix_affinity.py
@@ -12,9 +12,9 @@
 
 import xxhash
 
+from zincvale.dataplane.inference.requests import CHARACTERS_PER_TOKEN, Question
+from zincvale.dataplane.inference.routing_state import ServerState
 from zincvale.dataplane.policies.base import Query, Scorer
-from zincvale.dataplane.requests import CHARACTERS_PER_TOKEN, Question
-from zincvale.dataplane.world import ServerState
 from zincvale.model.identifiers import ServerId
 
 BLOCK_CHARACTERS = 256
--- a/src/zincvale/dataplane/policies/scorers.py
+++ b/src/zincvale/dataplane/policies/scorers.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from zincvale.dataplane.failure_detection import slow_start_part
+from zincvale.dataplane.inference.routing_state import UNKNOWN_READY_SINCE, ServerState
 from zincvale.dataplane.policies.base import Query, Scorer
-from zincvale.dataplane.world import UNKNOWN_READY_SINCE, ServerState
+from zincvale.dataplane.resilience.outlier_detection import slow_start_part
 
 OTHER_ZONE_COST_TOKENS = 32.0
 """Going to another zone is worth this much waiting work."""
--- a/src/zincvale/dataplane/evidence.py
+++ b/src/zincvale/dataplane/resilience/exchange_evidence.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from zincvale.dataplane.world import ServerState
+from zincvale.dataplane.inference.routing_state import ServerState
 
 AMPLE_TIME_FACTOR = 3.0
 LEAST_AMPLE_S = 0.5
--- a/src/zincvale/dataplane/stream_journal/events.py
+++ b/src/zincvale/dataplane/stream_journal/events.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from zincvale.dataplane.interfaces import JournalAppend, JournalState
+from zincvale.dataplane.inference.dependencies import JournalAppend, JournalState
 from zincvale.model.identifiers import MemberId, ZoneName
 
 
--- a/src/zincvale/dataplane/stream_journal/failover.py
+++ b/src/zincvale/dataplane/stream_journal/failover.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from zincvale.dataplane.interfaces import FIRST_STREAM_EPOCH
+from zincvale.dataplane.inference.dependencies import FIRST_STREAM_EPOCH
 from zincvale.dataplane.stream_journal.messages import (
     FenceCall,
     FenceReply,
--- a/src/zincvale/dataplane/stream_journal/node_machine.py
+++ b/src/zincvale/dataplane/stream_journal/node_machine.py
@@ -8,7 +8,7 @@
 import attrs
 
 from zincvale.dataplane import claims_log_events as log_events
-from zincvale.dataplane.interfaces import (
+from zincvale.dataplane.inference.dependencies import (
     FIRST_STREAM_EPOCH,
     NEWEST_STREAM_EPOCH,
     JournalAppend,
--- a/src/zincvale/dataplane/stream_journal/service.py
+++ b/src/zincvale/dataplane/stream_journal/service.py
@@ -10,7 +10,7 @@
 from tornado.concurrent import Future
 from tornado.ioloop import IOLoop
 
-from zincvale.dataplane.interfaces import (
+from zincvale.dataplane.inference.dependencies import (
     FIRST_STREAM_EPOCH,
     JournalAppend,
     JournalState,
--- a/src/zincvale/dataplane/stream_journal/writer.py
+++ b/src/zincvale/dataplane/stream_journal/writer.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from zincvale.dataplane.interfaces import JournalAppend
+from zincvale.dataplane.inference.dependencies import JournalAppend
 from zincvale.dataplane.stream_journal.messages import (
     AppendCall,
     AppendReply,
--- a/src/zincvale/simulator/claims_callers.py
+++ b/src/zincvale/simulator/claims_callers.py
@@ -16,7 +16,7 @@
     ReleaseWanted,
     RenewalWanted,
 )
-from zincvale.dataplane.interfaces import ClaimGranted, RecordedOutcome
+from zincvale.dataplane.inference.dependencies import ClaimGranted, RecordedOutcome
 from zincvale.model.identifiers import RequestId
 from zincvale.model.machine import Log, Tick
 from zincvale.model.outcomes import Outcome
--- a/src/zincvale/simulator/forwarding_checks.py
+++ b/src/zincvale/simulator/forwarding_checks.py
@@ -5,7 +5,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterable, Iterator
 
-from zincvale.dataplane.forwarding.budgets import ColdTerms, RetryTerms
+from zincvale.dataplane.forwarding.fleet_budgets import ColdTerms, RetryTerms
 from zincvale.simulator.forwarding_journal import CallerRecord, Ending, ForwardingJournal, Run
 from zincvale.simulator.forwarding_servers import STREAM_EVENTS
 
--- a/src/zincvale/simulator/forwarding_model.py
+++ b/src/zincvale/simulator/forwarding_model.py
@@ -13,11 +13,11 @@
 
 import attrs
 
-from zincvale.dataplane.forwarding.budgets import ColdTerms, RetryTerms
 from zincvale.dataplane.forwarding.caller_sink import IncomingRequest
+from zincvale.dataplane.forwarding.fleet_budgets import ColdTerms, RetryTerms
 from zincvale.dataplane.forwarding.native_dialect import NativeDialect
+from zincvale.dataplane.forwarding.routing_state import ForwardingTerms
 from zincvale.dataplane.forwarding.service import ForwardingService
-from zincvale.dataplane.forwarding.world import ForwardingTerms
 from zincvale.model.forwarding import (
     ForwardingDocument,
     ForwardPool,
--- a/src/zincvale/simulator/what_if_attempt.py
+++ b/src/zincvale/simulator/what_if_attempt.py
@@ -8,8 +8,8 @@
 import attrs
 import orjson
 
-from zincvale.dataplane.events import SendAnswer
-from zincvale.dataplane.requests import CallerRequest, Question
+from zincvale.dataplane.inference.events import SendAnswer
+from zincvale.dataplane.inference.requests import CallerRequest, Question
 from zincvale.model.identifiers import AdapterName, ModelName, RequestId
 from zincvale.model.outcomes import OUTCOME_HEADER, RETRY_AFTER_HEADER, Outcome
 from zincvale.model.resources import PoolKind
--- a/src/zincvale/simulator/what_if_claims.py
+++ b/src/zincvale/simulator/what_if_claims.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from zincvale.dataplane.interfaces import (
+from zincvale.dataplane.inference.dependencies import (
     ClaimDecision,
     ClaimGranted,
     ClaimRefusal,
--- a/src/zincvale/simulator/what_if_exchange.py
+++ b/src/zincvale/simulator/what_if_exchange.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from zincvale.dataplane.events import (
+from zincvale.dataplane.inference.events import (
     Answered,
     Input,
     PiecesReceived,
@@ -13,8 +13,8 @@
     ServerRefused,
     StreamEnded,
 )
-from zincvale.dataplane.evidence import ExchangeEnd
-from zincvale.dataplane.world import ServerState
+from zincvale.dataplane.inference.routing_state import ServerState
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.simulator.what_if_servers import VirtualServer
 from zincvale.standins.generation import GenerationKey
 
--- a/src/zincvale/simulator/what_if_lookup.py
+++ b/src/zincvale/simulator/what_if_lookup.py
@@ -7,7 +7,7 @@
 import attrs
 
 from zincvale.controlplane.directory.backend_status import ServerStatus
-from zincvale.dataplane.evidence import ExchangeEnd
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.view import ServerHealth
 from zincvale.simulator.what_if_clock import Timer
 from zincvale.simulator.what_if_servers import Asker, VirtualServer, do_nothing
--- a/src/zincvale/simulator/what_if_node.py
+++ b/src/zincvale/simulator/what_if_node.py
@@ -7,16 +7,16 @@
 
 import attrs
 
-from zincvale.dataplane.context import PUMP_INTERVAL_S
-from zincvale.dataplane.events import NoServer, Refusal, ServerChosen, Started
-from zincvale.dataplane.evidence import ExchangeReport
+from zincvale.dataplane.inference.context import PUMP_INTERVAL_S
+from zincvale.dataplane.inference.events import NoServer, Refusal, ServerChosen, Started
+from zincvale.dataplane.inference.request_machine import RequestMachine
+from zincvale.dataplane.inference.requests import CallerRequest
+from zincvale.dataplane.inference.routing_state import NodeShare, ServerState, World
+from zincvale.dataplane.inference.scheduler import Scheduler
+from zincvale.dataplane.inference.verdicts import Placed, Queued, Refused, Verdict
 from zincvale.dataplane.messages import DemandReport
 from zincvale.dataplane.policies.base import Blocked
-from zincvale.dataplane.request_machine import RequestMachine
-from zincvale.dataplane.requests import CallerRequest
-from zincvale.dataplane.scheduler import Scheduler
-from zincvale.dataplane.verdicts import Placed, Queued, Refused, Verdict
-from zincvale.dataplane.world import NodeShare, ServerState, World
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
 from zincvale.model.identifiers import MemberId, RouteName, ServerId, ZoneName
 from zincvale.model.outcomes import Outcome
 from zincvale.model.resources import RouteSpec
--- a/src/zincvale/simulator/what_if_request.py
+++ b/src/zincvale/simulator/what_if_request.py
@@ -8,8 +8,9 @@
 
 import attrs
 
-from zincvale.dataplane import answers
-from zincvale.dataplane.events import (
+from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference.dependencies import ClaimDecision, RecordedOutcome
+from zincvale.dataplane.inference.events import (
     BreakStream,
     CallerGone,
     CancelChoice,
@@ -38,13 +39,12 @@
     ServerFailed,
     StreamFound,
 )
-from zincvale.dataplane.evidence import ExchangeReport
-from zincvale.dataplane.interfaces import ClaimDecision, RecordedOutcome
-from zincvale.dataplane.request_machine import RequestMachine
-from zincvale.dataplane.request_state import Phase
-from zincvale.dataplane.runner import CONTINUATION_WAIT_S, LATE_ANSWER_S
-from zincvale.dataplane.scheduler import work_tokens
-from zincvale.dataplane.world import PoolState, ServerState
+from zincvale.dataplane.inference.request_machine import RequestMachine
+from zincvale.dataplane.inference.request_state import Phase
+from zincvale.dataplane.inference.routing_state import PoolState, ServerState
+from zincvale.dataplane.inference.runner import CONTINUATION_WAIT_S, LATE_ANSWER_S
+from zincvale.dataplane.inference.scheduler import work_tokens
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
 from zincvale.model.outcomes import Outcome, RefusalReason
 from zincvale.simulator.what_if_clock import Timer
 from zincvale.simulator.what_if_exchange import VirtualExchange
--- a/src/zincvale/simulator/what_if_servers.py
+++ b/src/zincvale/simulator/what_if_servers.py
@@ -11,7 +11,7 @@
 from zincvale.controlplane.directory.backend_status import PlatformServer, ServerStatus
 from zincvale.controlplane.placement.events import Order, OrderAction, OrderRefusal
 from zincvale.controlplane.placement.items import ItemKind
-from zincvale.dataplane.evidence import ExchangeEnd
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.identifiers import AdapterName, ModelName, ServerId
 from zincvale.model.view import ServerHealth
 from zincvale.simulator.what_if_clock import Timer, VirtualClock
--- a/tests/dataplane/builders.py
+++ b/tests/dataplane/builders.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from zincvale.dataplane.requests import CallerRequest, Question
-from zincvale.dataplane.world import World
+from zincvale.dataplane.inference.requests import CallerRequest, Question
+from zincvale.dataplane.inference.routing_state import World
 from zincvale.model.identifiers import (
     AdapterName,
     Address,
--- a/tests/dataplane/forwarding/builders.py
+++ b/tests/dataplane/forwarding/builders.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from zincvale.dataplane.forwarding.dialect import Prompt, PromptPart
-from zincvale.dataplane.forwarding.world import ForwardingTerms, ForwardingWorld
+from zincvale.dataplane.forwarding.routing_state import ForwardingTerms, ForwardingWorld
 from zincvale.model.forwarding import (
     Engine,
     EngineModel,
--- a/tests/dataplane/forwarding/test_choice.py
+++ b/tests/dataplane/forwarding/test_choice.py
@@ -14,7 +14,7 @@
     make_row,
     make_world,
 )
-from zincvale.dataplane.forwarding.budgets import ColdTerms
+from zincvale.dataplane.forwarding.fleet_budgets import ColdTerms
 from zincvale.dataplane.forwarding.policies import (
     Blocked,
     Chosen,
@@ -22,8 +22,8 @@
     Query,
     scorers_named,
 )
+from zincvale.dataplane.forwarding.routing_state import ForwardingTerms
 from zincvale.dataplane.forwarding.servers import Residency
-from zincvale.dataplane.forwarding.world import ForwardingTerms
 from zincvale.model.identifiers import ServerId
 
 
--- a/tests/dataplane/forwarding/test_parts.py
+++ b/tests/dataplane/forwarding/test_parts.py
@@ -7,19 +7,19 @@
 import testtools
 
 from tests.dataplane.forwarding.builders import make_pool, make_prompt, make_route
-from zincvale.dataplane.forwarding.budgets import (
+from zincvale.dataplane.forwarding.dialect import SendFacts
+from zincvale.dataplane.forwarding.event_splitter import EventSplitter, WholeEvents
+from zincvale.dataplane.forwarding.fleet_budgets import (
     ColdAllowance,
     RetryBudget,
     RetryTerms,
     rendezvous_rank,
 )
-from zincvale.dataplane.forwarding.dialect import SendFacts
-from zincvale.dataplane.forwarding.event_stream import EventSplitter, WholeEvents
-from zincvale.dataplane.forwarding.heads import to_caller, to_server
+from zincvale.dataplane.forwarding.header_rewrite import to_caller, to_server
 from zincvale.dataplane.forwarding.native_dialect import NativeDialect
+from zincvale.dataplane.forwarding.pending_requests import LoadWaits, WaitingRoom, Wanted
 from zincvale.dataplane.forwarding.policies import Blocked, Chosen
 from zincvale.dataplane.forwarding.route_table import RouteTable
-from zincvale.dataplane.forwarding.waiting_room import LoadWaits, WaitingRoom, Wanted
 
 
 class RouteTableTest(testtools.TestCase):
--- a/tests/dataplane/forwarding/test_service.py
+++ b/tests/dataplane/forwarding/test_service.py
@@ -18,8 +18,8 @@
 from zincvale.dataplane.forwarding.caller_sink import IncomingRequest
 from zincvale.dataplane.forwarding.native_dialect import NativeDialect
 from zincvale.dataplane.forwarding.request_events import FinalKind
+from zincvale.dataplane.forwarding.routing_state import ForwardingTerms
 from zincvale.dataplane.forwarding.service import LATE_REQUESTS_S, LATE_STREAMS_S, ForwardingService
-from zincvale.dataplane.forwarding.world import ForwardingTerms
 from zincvale.model.forwarding import CallerLimits
 from zincvale.model.identifiers import MemberId, ZoneName
 from zincvale.transport.server_exchange import AnswerHead
--- a/tests/dataplane/machine_world.py
+++ b/tests/dataplane/machine_world.py
@@ -11,8 +11,16 @@
 
 import attrs
 
-from zincvale.dataplane import answers
-from zincvale.dataplane.events import (
+from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference.dependencies import (
+    ClaimGranted,
+    ClaimRefusal,
+    ClaimRefused,
+    JournalState,
+    OutcomePending,
+    RecordedOutcome,
+)
+from zincvale.dataplane.inference.events import (
     Answered,
     BreakStream,
     CallerGone,
@@ -47,17 +55,9 @@
     StreamFound,
     StreamTakenOver,
 )
-from zincvale.dataplane.evidence import ExchangeEnd
-from zincvale.dataplane.interfaces import (
-    ClaimGranted,
-    ClaimRefusal,
-    ClaimRefused,
-    JournalState,
-    OutcomePending,
-    RecordedOutcome,
-)
-from zincvale.dataplane.request_machine import RequestMachine
-from zincvale.dataplane.request_state import Phase
+from zincvale.dataplane.inference.request_machine import RequestMachine
+from zincvale.dataplane.inference.request_state import Phase
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.outcomes import HTTP_STATUS_BY_REASON, OUTCOME_HEADER, Outcome, RefusalReason
 
 CLAIM_ANSWERS = (
--- a/tests/dataplane/node_harness.py
+++ b/tests/dataplane/node_harness.py
@@ -8,9 +8,9 @@
 import attrs
 
 from tests.dataplane.builders import intent
-from zincvale.dataplane.interfaces import ClaimGranted, JournalAppend
-from zincvale.dataplane.node_service import NodeService
-from zincvale.dataplane.stream_relay import CallerLost
+from zincvale.dataplane.inference.dependencies import ClaimGranted, JournalAppend
+from zincvale.dataplane.inference.node_service import NodeService
+from zincvale.dataplane.inference.stream_relay import CallerLost
 from zincvale.model.identifiers import PoolName, RouteName
 from zincvale.model.resources import PoolKind, PoolSpec, RouteSpec
 from zincvale.model.view import Directory
--- a/tests/dataplane/test_backend_adapter.py
+++ b/tests/dataplane/test_backend_adapter.py
@@ -6,23 +6,27 @@
 import testtools
 
 from tests.dataplane.builders import question, request, route
-from zincvale.dataplane import answers
-from zincvale.dataplane.backend_adapter import LanguageModelAdapter, LookupAdapter, StreamReader
-from zincvale.dataplane.events import (
+from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference.backend_adapter import (
+    LanguageModelAdapter,
+    LookupAdapter,
+    StreamReader,
+)
+from zincvale.dataplane.inference.events import (
     Answered,
     PiecesReceived,
     Refusal,
     ServerFailed,
     StreamEnded,
 )
-from zincvale.dataplane.evidence import ExchangeEnd
-from zincvale.dataplane.requests import (
+from zincvale.dataplane.inference.requests import (
     Question,
     read_deadline_s,
     read_question,
     read_request_id,
     read_resume_after,
 )
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.errors import InvalidInput, MalformedBody
 from zincvale.model.outcomes import RefusalReason
 from zincvale.model.resources import PoolKind
--- a/tests/dataplane/test_caller_connection.py
+++ b/tests/dataplane/test_caller_connection.py
@@ -10,7 +10,7 @@
 
 from tests.dataplane.builders import server_row
 from tests.dataplane.node_harness import GENERATE, Harness
-from zincvale.dataplane.caller_connection import CallerConnections
+from zincvale.dataplane.inference.caller_connection import CallerConnections
 
 ONE = b'{"request_id":"q1","text":"x","tokens":3}'
 CHAT = GENERATE
--- a/tests/dataplane/test_claims_network.py
+++ b/tests/dataplane/test_claims_network.py
@@ -5,7 +5,7 @@
 import testtools
 
 from tests.dataplane.test_claims_world import PROFILES, World
-from zincvale.dataplane.interfaces import ClaimGranted
+from zincvale.dataplane.inference.dependencies import ClaimGranted
 
 SEED = 1
 PLAYED = ("mixed", "lossy-restarts", "lossy-views", "cuts")
--- a/tests/dataplane/test_claims_service.py
+++ b/tests/dataplane/test_claims_service.py
@@ -13,7 +13,7 @@
 from zincvale.dataplane.claims.peer_call_queues import MAX_CALLS_UNDER_WAY, PeerLanes
 from zincvale.dataplane.claims.service import ClaimService
 from zincvale.dataplane.claims.timings import ClaimTimings
-from zincvale.dataplane.interfaces import (
+from zincvale.dataplane.inference.dependencies import (
     ClaimGranted,
     ClaimRefusal,
     ClaimRefused,
--- a/tests/dataplane/test_claims_world.py
+++ b/tests/dataplane/test_claims_world.py
@@ -27,7 +27,7 @@
 from zincvale.dataplane.claims.messages import ViewList
 from zincvale.dataplane.claims.node_machine import ClaimsNode
 from zincvale.dataplane.claims.timings import ClaimTimings
-from zincvale.dataplane.interfaces import ClaimGranted, RecordedOutcome
+from zincvale.dataplane.inference.dependencies import ClaimGranted, RecordedOutcome
 from zincvale.model.identifiers import MemberId, RequestId
 from zincvale.model.machine import Call, CallFailed, CallReceived, CallReplied, Reply, Tick
 from zincvale.model.outcomes import Outcome
--- a/tests/dataplane/test_limits.py
+++ b/tests/dataplane/test_limits.py
@@ -7,11 +7,16 @@
 import testtools
 
 from tests.dataplane.builders import COLD, DOWN, directory, intent, server_row, world
-from zincvale.dataplane.evidence import ExchangeEnd, ExchangeReport, HealthChange, note_end
-from zincvale.dataplane.failure_detection import FailureDetector
-from zincvale.dataplane.limits import AdaptiveConcurrency, AdaptiveRate, RetryBudget
-from zincvale.dataplane.throughput import ThroughputMeter
-from zincvale.dataplane.world import World
+from zincvale.dataplane.inference.routing_state import World
+from zincvale.dataplane.resilience.exchange_evidence import (
+    ExchangeEnd,
+    ExchangeReport,
+    HealthChange,
+    note_end,
+)
+from zincvale.dataplane.resilience.limits import AdaptiveConcurrency, AdaptiveRate, RetryBudget
+from zincvale.dataplane.resilience.outlier_detection import FailureDetector
+from zincvale.dataplane.resilience.throughput import ThroughputMeter
 from zincvale.model.identifiers import MemberId, ZoneName
 from zincvale.model.view import MemberRow, Members, Role
 
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -11,14 +11,14 @@
 
 from tests.dataplane.builders import DOWN, server_row
 from tests.dataplane.node_harness import Harness
-from zincvale.dataplane.interfaces import (
+from zincvale.dataplane.inference.dependencies import (
     ClaimRefusal,
     ClaimRefused,
     JournalAppend,
     JournalState,
     RecordedOutcome,
 )
-from zincvale.dataplane.requests import request_digest
+from zincvale.dataplane.inference.requests import request_digest
 from zincvale.model.outcomes import Outcome
 from zincvale.model.resources import PoolKind
 
--- a/tests/dataplane/test_request_machine.py
+++ b/tests/dataplane/test_request_machine.py
@@ -6,7 +6,8 @@
 
 from tests.dataplane.builders import question, request, route
 from tests.dataplane.machine_world import BUSY, explore
-from zincvale.dataplane.events import (
+from zincvale.dataplane.inference.dependencies import ClaimGranted
+from zincvale.dataplane.inference.events import (
     Answered,
     ClaimDecided,
     DeadlinePassed,
@@ -21,10 +22,9 @@
     ServerFailed,
     Started,
 )
-from zincvale.dataplane.evidence import ExchangeEnd
-from zincvale.dataplane.interfaces import ClaimGranted
-from zincvale.dataplane.request_machine import RequestMachine
-from zincvale.dataplane.request_state import Phase
+from zincvale.dataplane.inference.request_machine import RequestMachine
+from zincvale.dataplane.inference.request_state import Phase
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.outcomes import Outcome
 
 DEPTH = 14
--- a/tests/dataplane/test_routing.py
+++ b/tests/dataplane/test_routing.py
@@ -8,10 +8,10 @@
 import testtools
 
 from tests.dataplane.builders import DOWN, question, request, route, server_row, world
+from zincvale.dataplane.inference.routing import Choice, NoChoice, build_chain
 from zincvale.dataplane.policies.base import Blocked, Filter, Query, Scorer
 from zincvale.dataplane.policies.prefix_affinity import prefix_keys
 from zincvale.dataplane.policies.registry import make_policy
-from zincvale.dataplane.routing import Choice, NoChoice, build_chain
 from zincvale.model.errors import InvalidInput
 from zincvale.model.identifiers import PoolName
 from zincvale.model.resources import PoolKind, PoolSpec
--- a/tests/dataplane/test_scheduler.py
+++ b/tests/dataplane/test_scheduler.py
@@ -7,10 +7,10 @@
 import testtools
 
 from tests.dataplane.builders import directory, intent, question, request, route, server_row, world
-from zincvale.dataplane.evidence import ExchangeEnd, ExchangeReport
+from zincvale.dataplane.inference.scheduler import Scheduler
+from zincvale.dataplane.inference.verdicts import Placed, Queued, Refused
 from zincvale.dataplane.policies.base import Blocked
-from zincvale.dataplane.scheduler import Scheduler
-from zincvale.dataplane.verdicts import Placed, Queued, Refused
+from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd, ExchangeReport
 from zincvale.model.identifiers import ModelName, PoolName
 from zincvale.model.outcomes import RefusalReason
 from zincvale.model.resources import Stake
--- a/tests/dataplane/test_stream_journal_network.py
+++ b/tests/dataplane/test_stream_journal_network.py
@@ -5,7 +5,7 @@
 import testtools
 
 from tests.dataplane.test_stream_journal_world import Caller, StreamProfile, StreamWorld
-from zincvale.dataplane.interfaces import JournalAppend
+from zincvale.dataplane.inference.dependencies import JournalAppend
 
 SEEDS = range(1, 6)
 
--- a/tests/dataplane/test_stream_journal_world.py
+++ b/tests/dataplane/test_stream_journal_world.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from zincvale.dataplane.interfaces import JournalAppend, JournalState
+from zincvale.dataplane.inference.dependencies import JournalAppend, JournalState
 from zincvale.dataplane.stream_journal.events import (
     AppendSettled,
     AppendWanted,
--- a/tests/dataplane/test_stream_journal_writer.py
+++ b/tests/dataplane/test_stream_journal_writer.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from zincvale.dataplane.interfaces import JournalAppend
+from zincvale.dataplane.inference.dependencies import JournalAppend
 from zincvale.dataplane.stream_journal.failover import AskJournal, StreamTakeOver, TakenOver
 from zincvale.dataplane.stream_journal.messages import (
     AppendReply,
--- a/tests/golden/test_report_bytes.py
+++ b/tests/golden/test_report_bytes.py
@@ -14,9 +14,9 @@
 
 from tests.golden.golden_file import golden
 from tests.golden.message_samples import SampleBuilder
-from zincvale.dataplane.events import ClaimDecided
-from zincvale.dataplane.interfaces import ClaimDecision
-from zincvale.dataplane.request_record import RequestRecord
+from zincvale.dataplane.inference.dependencies import ClaimDecision
+from zincvale.dataplane.inference.events import ClaimDecided
+from zincvale.dataplane.inference.request_record import RequestRecord
 from zincvale.fleet.figures import Figures
 from zincvale.fleet.invariants.findings import CheckResult
 from zincvale.fleet.processes import UnexpectedEnd
--- a/tests/simulator/test_forwarding_model.py
+++ b/tests/simulator/test_forwarding_model.py
@@ -8,11 +8,11 @@
 
 import testtools
 
-from zincvale.dataplane.forwarding.budgets import ColdAllowance, RetryBudget
+from zincvale.dataplane.forwarding.fleet_budgets import ColdAllowance, RetryBudget
 from zincvale.dataplane.forwarding.forwarded_request import ForwardedRequest
 from zincvale.dataplane.forwarding.request_events import ContentReceived, Finish, Release
 from zincvale.dataplane.forwarding.request_machine import Phase, RequestMachine
-from zincvale.dataplane.forwarding.world import ForwardingWorld
+from zincvale.dataplane.forwarding.routing_state import ForwardingWorld
 from zincvale.simulator.forwarding_model import run_forwarding
 
 SEEDS = range(1, 201)
--- a/tests/simulator/test_what_if_engine.py
+++ b/tests/simulator/test_what_if_engine.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from zincvale.dataplane.world import World
+from zincvale.dataplane.inference.routing_state import World
 from zincvale.model.identifiers import (
     Address,
     MemberId,
--- a/tests/tracing/test_recorder.py
+++ b/tests/tracing/test_recorder.py
@@ -4,7 +4,7 @@
 from testtools.matchers import Equals, HasLength, LessThan
 
 from tests.tracing.builders import HERE, OTHER, Recording
-from zincvale.dataplane.interfaces import Spans
+from zincvale.dataplane.inference.dependencies import Spans
 from zincvale.tracing.context import TraceContext, low_bits, parse_context
 from zincvale.tracing.messages import PromoteTraces
 from zincvale.tracing.open_trace import MAX_ENDED_SPANS, MAX_EVENTS_PER_SPAN
