--- a/src/zincvale/bench/tracing_bench.py
+++ b/src/zincvale/bench/tracing_bench.py
@@ -26,7 +26,7 @@
 from zincvale.model.view import MemberRow, Members, Role
 from zincvale.tracing.chunks import ROW_OVERHEAD_BYTES
 from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.recorder import SpanRecorder
+from zincvale.tracing.recorder.recorder import SpanRecorder
 from zincvale.tracing.service import TracingService
 from zincvale.transport.codec import decode_message, encode_message
 
--- a/src/zincvale/bench/tracing_node.py
+++ b/src/zincvale/bench/tracing_node.py
@@ -21,7 +21,7 @@
 import attrs
 
 from zincvale.bench import relay_process
-from zincvale.tracing.no_spans import NoSpans
+from zincvale.tracing.recorder.no_spans import NoSpans
 from zincvale.tracing.service import TracingService
 
 UNTRACED = "untraced"
--- a/src/zincvale/cli/trace_commands.py
+++ b/src/zincvale/cli/trace_commands.py
@@ -13,8 +13,8 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPError
 
 from zincvale.model.errors import InvalidInput, NotFound, Unavailable, ZincvaleError
-from zincvale.tracing.explain import explain
-from zincvale.tracing.render import render_table, render_tree
+from zincvale.tracing.api.explain import explain
+from zincvale.tracing.api.render import render_table, render_tree
 
 REQUEST_TIMEOUT_S = 5.0
 DEFAULT_SINCE = "15m"
--- a/src/zincvale/daemons/order_spans.py
+++ b/src/zincvale/daemons/order_spans.py
@@ -7,7 +7,7 @@
 import attrs
 
 from zincvale.controlplane.placement.events import CompletionRecorded, OrderRecorded
-from zincvale.tracing.recorder import SpanRecorder
+from zincvale.tracing.recorder.recorder import SpanRecorder
 
 MAX_OPEN_SPANS = 10_000
 DONE = "done"
--- a/src/zincvale/simulator/forwarding_model.py
+++ b/src/zincvale/simulator/forwarding_model.py
@@ -37,7 +37,7 @@
 from zincvale.simulator.forwarding_journal import CallerRecord, Ending, ForwardingJournal
 from zincvale.simulator.forwarding_servers import Conduct, ModelClient, ModelServer
 from zincvale.simulator.virtual_loop import VirtualLoop
-from zincvale.tracing.no_spans import NoSpans
+from zincvale.tracing.recorder.no_spans import NoSpans
 from zincvale.transport.server_exchange import HeaderList
 
 HOST = "model.example"
--- a/src/zincvale/tracing/explain.py
+++ b/src/zincvale/tracing/api/explain.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from zincvale.tracing.render import milliseconds, printable, wall_time
+from zincvale.tracing.api.render import milliseconds, printable, wall_time
 
 MS_PER_S = 1000.0
 DISPATCH_SPAN = "dispatch"
--- a/src/zincvale/tracing/http.py
+++ b/src/zincvale/tracing/api/http.py
@@ -10,7 +10,7 @@
 
 from zincvale.model.errors import ZincvaleError
 from zincvale.model.identifiers import TraceId
-from zincvale.tracing.query import find_traces, get_trace, read_query, traces_of_request
+from zincvale.tracing.api.query import find_traces, get_trace, read_query, traces_of_request
 from zincvale.tracing.service import TracingService
 
 Route = tuple[str, type[RequestHandler], dict[str, Any]]
--- a/src/zincvale/tracing/query.py
+++ b/src/zincvale/tracing/api/query.py
@@ -7,12 +7,12 @@
 
 from zincvale.model.errors import InvalidInput, NotFound
 from zincvale.model.identifiers import TraceId
-from zincvale.tracing.collected_trace import CollectedTrace
-from zincvale.tracing.estimates import estimate
-from zincvale.tracing.kept_store import TraceQuery
+from zincvale.tracing.api.estimates import estimate
+from zincvale.tracing.collector.collected_trace import CollectedTrace
+from zincvale.tracing.collector.verdict_cache import DROPPED
+from zincvale.tracing.recorder.spans import decode_spans, subject_of
+from zincvale.tracing.retention.retained_store import TraceQuery
 from zincvale.tracing.service import TracingService
-from zincvale.tracing.spans import decode_spans, subject_of
-from zincvale.tracing.verdict_cache import DROPPED
 
 MAX_LIMIT = 1000
 TEXT_ARGUMENTS = 5
--- a/src/zincvale/tracing/collector.py
+++ b/src/zincvale/tracing/collector/collector.py
@@ -16,22 +16,18 @@
 
 from zincvale.model.identifiers import MemberId, TraceId
 from zincvale.model.machine import Log, Send
-from zincvale.tracing.backups import BackupTable
 from zincvale.tracing.chunks import TraceChunk, encode_chunks
-from zincvale.tracing.collected_trace import CollectedTrace, CollectorCounts
-from zincvale.tracing.collector_inputs import (
+from zincvale.tracing.collector.backups import BackupTable
+from zincvale.tracing.collector.collected_trace import CollectedTrace, CollectorCounts
+from zincvale.tracing.collector.effects import CollectorEffect, Keep, PassOn, Settle
+from zincvale.tracing.collector.inputs import (
     BatchReceived,
     DecisionDue,
     Input,
     MembersChanged,
     VerdictsReceived,
 )
-from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.effects import CollectorEffect, Keep, PassOn, Settle
-from zincvale.tracing.log_events import COLLECTOR_FULL, TRACES_HANDED_OVER
-from zincvale.tracing.messages import SpanBatch, VerdictsMoved
-from zincvale.tracing.ownership import CollectorTable
-from zincvale.tracing.policies import (
+from zincvale.tracing.collector.policies import (
     NO_POLICY,
     Evidence,
     KeepPolicy,
@@ -39,8 +35,12 @@
     default_chain,
     judge,
 )
-from zincvale.tracing.spans import MS_PER_S
-from zincvale.tracing.verdict_cache import DROPPED, VerdictCache
+from zincvale.tracing.collector.verdict_cache import DROPPED, VerdictCache
+from zincvale.tracing.config import TracingConfig
+from zincvale.tracing.log_events import COLLECTOR_FULL, TRACES_HANDED_OVER
+from zincvale.tracing.messages import SpanBatch, VerdictsMoved
+from zincvale.tracing.ownership import CollectorTable
+from zincvale.tracing.recorder.spans import MS_PER_S
 
 OPEN_ROOT_TIMEOUT_S = 16.0
 """Three open-root markers may be lost before the root counts as gone."""
--- a/src/zincvale/tracing/effects.py
+++ b/src/zincvale/tracing/collector/effects.py
@@ -7,7 +7,7 @@
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Log, Send
 from zincvale.tracing.chunks import TraceChunk
-from zincvale.tracing.policies import Verdict
+from zincvale.tracing.collector.policies import Verdict
 
 
 @attrs.frozen
--- a/src/zincvale/tracing/policies.py
+++ b/src/zincvale/tracing/collector/policies.py
@@ -15,7 +15,7 @@
 
 from zincvale.model.identifiers import TraceId
 from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.limiter import MAX_RATE, AdaptiveLimiter
+from zincvale.tracing.recorder.limiter import MAX_RATE, AdaptiveLimiter
 
 ERROR_POLICY = "errors-always"
 ENTRY_LOST_POLICY = "entry-lost"
--- a/src/zincvale/tracing/limiter.py
+++ b/src/zincvale/tracing/recorder/limiter.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from zincvale.tracing.context import LOW_BITS_RANGE
+from zincvale.tracing.recorder.context import LOW_BITS_RANGE
 
 WINDOW_S = 10.0
 BUCKET_S = 0.25
--- a/src/zincvale/tracing/no_spans.py
+++ b/src/zincvale/tracing/recorder/no_spans.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from zincvale.tracing.context import TraceContext
-from zincvale.tracing.spans import AttributeValue
+from zincvale.tracing.recorder.context import TraceContext
+from zincvale.tracing.recorder.spans import AttributeValue
 
 NO_CONTEXT = TraceContext("0" * 32, "0" * 16, False)  # type: ignore[arg-type]
 
--- a/src/zincvale/tracing/open_trace.py
+++ b/src/zincvale/tracing/recorder/open_trace.py
@@ -12,8 +12,14 @@
 import attrs
 
 from zincvale.model.identifiers import MemberId, TraceId
-from zincvale.tracing.context import TraceContext, span_id_text
-from zincvale.tracing.spans import MAX_TEXT_CHARACTERS, Attributes, AttributeValue, SpanRow, bounded
+from zincvale.tracing.recorder.context import TraceContext, span_id_text
+from zincvale.tracing.recorder.spans import (
+    MAX_TEXT_CHARACTERS,
+    Attributes,
+    AttributeValue,
+    SpanRow,
+    bounded,
+)
 
 MAX_EVENTS_PER_SPAN = 512
 MAX_ENDED_SPANS = 64
--- a/src/zincvale/tracing/recorder.py
+++ b/src/zincvale/tracing/recorder/recorder.py
@@ -18,11 +18,11 @@
 from zincvale.model.identifiers import MemberId, TraceId
 from zincvale.tracing.chunks import LONG_ROOT_MS, NO_ROOT_MS, TraceChunk
 from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.context import TraceContext, parse_context
-from zincvale.tracing.limiter import MAX_RATE, AdaptiveLimiter
 from zincvale.tracing.messages import PromoteTraces
-from zincvale.tracing.open_trace import OpenSpan, OpenTrace
-from zincvale.tracing.spans import MS_PER_S, AttributeValue, encode_rows, subject_of
+from zincvale.tracing.recorder.context import TraceContext, parse_context
+from zincvale.tracing.recorder.limiter import MAX_RATE, AdaptiveLimiter
+from zincvale.tracing.recorder.open_trace import OpenSpan, OpenTrace
+from zincvale.tracing.recorder.spans import MS_PER_S, AttributeValue, encode_rows, subject_of
 
 OPEN_MARKER_INTERVAL_S = LONG_ROOT_MS / MS_PER_S
 """A trace open for this long sends its ended spans and a marker; well under `decision_wait_s`."""
--- a/src/zincvale/tracing/kept_store.py
+++ b/src/zincvale/tracing/retention/retained_store.py
@@ -13,8 +13,8 @@
 import attrs
 
 from zincvale.model.identifiers import TraceId
-from zincvale.tracing.kept_trace import KeptTrace
-from zincvale.tracing.policies import ERROR_POLICY, SLOW_POLICY
+from zincvale.tracing.collector.policies import ERROR_POLICY, SLOW_POLICY
+from zincvale.tracing.retention.retained_trace import KeptTrace
 
 OTHER_CLASS = "other"
 EVICTION_ORDER = (OTHER_CLASS, SLOW_POLICY, ERROR_POLICY)
--- a/src/zincvale/tracing/kept_trace.py
+++ b/src/zincvale/tracing/retention/retained_trace.py
@@ -9,8 +9,8 @@
 from zincvale.model.identifiers import MemberId, TraceId
 from zincvale.tracing.chunks import ROW_OVERHEAD_BYTES as CHUNK_OVERHEAD_BYTES
 from zincvale.tracing.chunks import TraceChunk
-from zincvale.tracing.policies import ERROR_POLICY, Verdict, weight
-from zincvale.tracing.spans import Span, decode_spans, subject_of
+from zincvale.tracing.collector.policies import ERROR_POLICY, Verdict, weight
+from zincvale.tracing.recorder.spans import Span, decode_spans, subject_of
 
 ROW_OVERHEAD_BYTES = 1000
 """Memory of a kept row and its index entries beyond its bodies (bench/tracing_bench.py)."""
--- a/src/zincvale/tracing/keeper.py
+++ b/src/zincvale/tracing/retention/trace_replicator.py
@@ -13,14 +13,14 @@
 from zincvale.model.identifiers import MemberId, TraceId
 from zincvale.model.machine import Log, Send
 from zincvale.tracing.chunks import TraceChunk, decode_chunks, encode_chunks
+from zincvale.tracing.collector.effects import Keep, Settle
+from zincvale.tracing.collector.policies import NO_POLICY, Verdict
 from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.effects import Keep, Settle
-from zincvale.tracing.kept_store import KeptTraceStore
-from zincvale.tracing.kept_trace import KeptTrace
 from zincvale.tracing.log_events import KEPT_EVICTED
 from zincvale.tracing.messages import KeptCopy
 from zincvale.tracing.ownership import CollectorTable
-from zincvale.tracing.policies import NO_POLICY, Verdict
+from zincvale.tracing.retention.retained_store import KeptTraceStore
+from zincvale.tracing.retention.retained_trace import KeptTrace
 
 COPY_TIMEOUT_S = 2.0
 COPY_BYTES_PER_TICK = 512 * 1024
--- a/src/zincvale/tracing/sender.py
+++ b/src/zincvale/tracing/sender/sender.py
@@ -17,11 +17,11 @@
 from zincvale.model.machine import Effect, Log, Send
 from zincvale.tracing.chunks import LONG_ROOT_MS, TraceChunk, encode_chunks
 from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.links import NO_BATCH, Link
 from zincvale.tracing.log_events import COLLECTOR_LOST, SPANS_DROPPED
 from zincvale.tracing.messages import SpanBatch
 from zincvale.tracing.ownership import CollectorTable
-from zincvale.tracing.retention import RetainedChunks
+from zincvale.tracing.sender.links import NO_BATCH, Link
+from zincvale.tracing.sender.retained_batches import RetainedChunks
 
 ACK_TIMEOUT_S = 1.5
 NOBODY = MemberId("")
--- a/src/zincvale/tracing/service.py
+++ b/src/zincvale/tracing/service.py
@@ -17,24 +17,15 @@
 from zincvale.model.machine import Log, Send
 from zincvale.model.view import Members, Role
 from zincvale.tracing.chunks import TraceChunk, decode_chunks
-from zincvale.tracing.collector import Collector
-from zincvale.tracing.collector_inputs import (
+from zincvale.tracing.collector.collector import Collector
+from zincvale.tracing.collector.effects import Keep, PassOn, Settle
+from zincvale.tracing.collector.inputs import (
     BatchReceived,
     DecisionDue,
     MembersChanged,
     VerdictsReceived,
 )
 from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.effects import Keep, PassOn, Settle
-from zincvale.tracing.keeper import (
-    CopyAcked,
-    CopyReceived,
-    HoldersChanged,
-    KeeperLeaves,
-    RetentionDue,
-    TraceKeeper,
-)
-from zincvale.tracing.kept_store import KeptTraceStore
 from zincvale.tracing.messages import (
     BatchAck,
     ChunksSettled,
@@ -45,8 +36,17 @@
     VerdictsMoved,
 )
 from zincvale.tracing.ownership import CollectorTable
-from zincvale.tracing.recorder import SpanRecorder
-from zincvale.tracing.sender import (
+from zincvale.tracing.recorder.recorder import SpanRecorder
+from zincvale.tracing.retention.retained_store import KeptTraceStore
+from zincvale.tracing.retention.trace_replicator import (
+    CopyAcked,
+    CopyReceived,
+    HoldersChanged,
+    KeeperLeaves,
+    RetentionDue,
+    TraceKeeper,
+)
+from zincvale.tracing.sender.sender import (
     NO_BATCH,
     BatchAcked,
     ChunksDecided,
@@ -201,7 +201,7 @@
     def http_routes(self) -> list[Any]:
         """Return the tornado routes of the trace API, for the node's api address."""
         # Imported late: only a daemon that serves HTTP needs tornado.
-        from zincvale.tracing.http import http_routes
+        from zincvale.tracing.api.http import http_routes
 
         return list(http_routes(self))
 
--- a/tests/golden/test_report_bytes.py
+++ b/tests/golden/test_report_bytes.py
@@ -23,10 +23,10 @@
 from zincvale.simulator.run import Outcome
 from zincvale.simulator.schedule import Schedule
 from zincvale.simulator.schedule_files import write_schedule
+from zincvale.tracing.api.explain import explain
 from zincvale.tracing.chunks import TraceChunk, decode_chunks, encode_chunks
-from zincvale.tracing.explain import explain
-from zincvale.tracing.kept_trace import KeptTrace
-from zincvale.tracing.spans import Span
+from zincvale.tracing.recorder.spans import Span
+from zincvale.tracing.retention.retained_trace import KeptTrace
 
 CLAIMS = "claim_words.json"
 REPORTS = "report_bytes.json"
--- a/tests/golden/test_row_bytes.py
+++ b/tests/golden/test_row_bytes.py
@@ -55,8 +55,8 @@
 from zincvale.model.forwarding import CallerLimits, ForwardPool, ForwardRoute
 from zincvale.model.resources import SPEC_BY_KIND
 from zincvale.model.view import Intent, Role, ServerRow
-from zincvale.tracing.estimates import Estimate
-from zincvale.tracing.spans import Span, decode_spans, encode_rows
+from zincvale.tracing.api.estimates import Estimate
+from zincvale.tracing.recorder.spans import Span, decode_spans, encode_rows
 
 ROWS = "row_bytes.json"
 DECLARED = "declared_types.json"
--- a/tests/tracing/builders.py
+++ b/tests/tracing/builders.py
@@ -10,8 +10,8 @@
 from zincvale.tracing.config import TracingConfig
 from zincvale.tracing.messages import SpanBatch
 from zincvale.tracing.ownership import CollectorTable
-from zincvale.tracing.recorder import SpanRecorder
-from zincvale.tracing.spans import Span, encode_rows
+from zincvale.tracing.recorder.recorder import SpanRecorder
+from zincvale.tracing.recorder.spans import Span, encode_rows
 
 HERE = MemberId("node-1")
 OTHER = MemberId("node-2")
--- a/tests/tracing/test_collector.py
+++ b/tests/tracing/test_collector.py
@@ -7,17 +7,22 @@
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Log, Send
 from zincvale.tracing import log_events
-from zincvale.tracing.collector import LATE_WAIT_S, OPEN_ROOT_TIMEOUT_S, RECHECK_S, Collector
-from zincvale.tracing.collector_inputs import (
+from zincvale.tracing.collector.collector import (
+    LATE_WAIT_S,
+    OPEN_ROOT_TIMEOUT_S,
+    RECHECK_S,
+    Collector,
+)
+from zincvale.tracing.collector.effects import Keep, PassOn, Settle
+from zincvale.tracing.collector.inputs import (
     BatchReceived,
     DecisionDue,
     MembersChanged,
     VerdictsReceived,
 )
+from zincvale.tracing.collector.policies import BASELINE_POLICY, ERROR_POLICY, SLOW_POLICY, Evidence
 from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.effects import Keep, PassOn, Settle
 from zincvale.tracing.messages import VerdictsMoved
-from zincvale.tracing.policies import BASELINE_POLICY, ERROR_POLICY, SLOW_POLICY, Evidence
 
 WAIT_S = TracingConfig().decision_wait_s
 
--- a/tests/tracing/test_kept.py
+++ b/tests/tracing/test_kept.py
@@ -6,9 +6,17 @@
 from tests.tracing.builders import HERE, OTHER, WALL_S, make_chunk, owned_by, table, trace_id
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Log, Send
+from zincvale.tracing.collector.effects import Keep, Settle
+from zincvale.tracing.collector.policies import (
+    BASELINE_POLICY,
+    ERROR_POLICY,
+    NO_POLICY,
+    SLOW_POLICY,
+    Verdict,
+)
 from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.effects import Keep, Settle
-from zincvale.tracing.keeper import (
+from zincvale.tracing.retention.retained_store import KeptTraceStore, TraceQuery
+from zincvale.tracing.retention.trace_replicator import (
     COPY_TIMEOUT_S,
     CopyAcked,
     CopyReceived,
@@ -17,14 +25,6 @@
     RetentionDue,
     TraceKeeper,
 )
-from zincvale.tracing.kept_store import KeptTraceStore, TraceQuery
-from zincvale.tracing.policies import (
-    BASELINE_POLICY,
-    ERROR_POLICY,
-    NO_POLICY,
-    SLOW_POLICY,
-    Verdict,
-)
 
 THIRD = MemberId("node-3")
 ERROR = Verdict(ERROR_POLICY, 1.0)
--- a/tests/tracing/test_limiter.py
+++ b/tests/tracing/test_limiter.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 from testtools.matchers import Equals, GreaterThan, LessThan, MatchesAll
 
-from zincvale.tracing.limiter import BUCKET_COUNT, MAX_RATE, MIN_RATE, AdaptiveLimiter
+from zincvale.tracing.recorder.limiter import BUCKET_COUNT, MAX_RATE, MIN_RATE, AdaptiveLimiter
 
 START_S = 100.0
 STEADY_SECONDS = (30, 59, 90, 119)
--- a/tests/tracing/test_policies.py
+++ b/tests/tracing/test_policies.py
@@ -7,9 +7,8 @@
 from testtools.matchers import Equals, GreaterThan, HasLength, LessThan, MatchesAll
 
 from zincvale.model.identifiers import TraceId
-from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.estimates import estimate
-from zincvale.tracing.policies import (
+from zincvale.tracing.api.estimates import estimate
+from zincvale.tracing.collector.policies import (
     BASELINE_POLICY,
     ENTRY_LOST_POLICY,
     ERROR_POLICY,
@@ -20,6 +19,7 @@
     judge,
     weight,
 )
+from zincvale.tracing.config import TracingConfig
 
 CHAIN = default_chain(TracingConfig(baseline_traces_per_s=0.0))
 TRACES = 100_000
--- a/tests/tracing/test_recorder.py
+++ b/tests/tracing/test_recorder.py
@@ -5,11 +5,11 @@
 
 from tests.tracing.builders import HERE, OTHER, Recording
 from zincvale.dataplane.inference.dependencies import Spans
-from zincvale.tracing.context import TraceContext, low_bits, parse_context
 from zincvale.tracing.messages import PromoteTraces
-from zincvale.tracing.open_trace import MAX_ENDED_SPANS, MAX_EVENTS_PER_SPAN
-from zincvale.tracing.recorder import OPEN_MARKER_INTERVAL_S, SpanRecorder
-from zincvale.tracing.spans import MAX_BODY_BYTES, decode_spans
+from zincvale.tracing.recorder.context import TraceContext, low_bits, parse_context
+from zincvale.tracing.recorder.open_trace import MAX_ENDED_SPANS, MAX_EVENTS_PER_SPAN
+from zincvale.tracing.recorder.recorder import OPEN_MARKER_INTERVAL_S, SpanRecorder
+from zincvale.tracing.recorder.spans import MAX_BODY_BYTES, decode_spans
 
 NEVER = 0.0
 
--- a/tests/tracing/test_sender.py
+++ b/tests/tracing/test_sender.py
@@ -8,8 +8,8 @@
 from zincvale.model.machine import Log, Send
 from zincvale.tracing import log_events
 from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.links import MAX_BATCH_CHUNKS
-from zincvale.tracing.sender import (
+from zincvale.tracing.sender.links import MAX_BATCH_CHUNKS
+from zincvale.tracing.sender.sender import (
     ACK_TIMEOUT_S,
     MIN_FLUSH_INTERVAL_S,
     PROBE_INTERVAL_S,
--- a/tests/tracing/test_trace_api.py
+++ b/tests/tracing/test_trace_api.py
@@ -13,12 +13,12 @@
 from zincvale.bench.tracing_fleet import RequestMix, TracingFleet, trace_request
 from zincvale.cli.trace_commands import age_s, best_trace, merge_attempts, merge_found
 from zincvale.model.errors import InvalidInput, NotFound
-from zincvale.tracing.collector_inputs import BatchReceived
-from zincvale.tracing.effects import Keep
-from zincvale.tracing.kept_store import TraceQuery
+from zincvale.tracing.api.query import find_traces, get_trace, read_query, traces_of_request
+from zincvale.tracing.collector.effects import Keep
+from zincvale.tracing.collector.inputs import BatchReceived
+from zincvale.tracing.collector.policies import ERROR_POLICY, SLOW_POLICY, Verdict
 from zincvale.tracing.metrics import register_metrics
-from zincvale.tracing.policies import ERROR_POLICY, SLOW_POLICY, Verdict
-from zincvale.tracing.query import find_traces, get_trace, read_query, traces_of_request
+from zincvale.tracing.retention.retained_store import TraceQuery
 
 NODES = 3
 
--- a/tests/tracing/test_transcripts.py
+++ b/tests/tracing/test_transcripts.py
@@ -6,13 +6,13 @@
 from testtools.matchers import Equals
 
 from tests.tracing.builders import HERE, Recording, table
+from zincvale.tracing.api.explain import explain
+from zincvale.tracing.api.render import render_table, render_tree
+from zincvale.tracing.collector.effects import Keep
+from zincvale.tracing.collector.policies import ERROR_POLICY, SLOW_POLICY, Verdict
 from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.effects import Keep
-from zincvale.tracing.explain import explain
-from zincvale.tracing.keeper import TraceKeeper
-from zincvale.tracing.kept_store import KeptTraceStore
-from zincvale.tracing.policies import ERROR_POLICY, SLOW_POLICY, Verdict
-from zincvale.tracing.render import render_table, render_tree
+from zincvale.tracing.retention.retained_store import KeptTraceStore
+from zincvale.tracing.retention.trace_replicator import TraceKeeper
 
 APPROVED = Path(__file__).parent / "approved"
 
