--- a/src/zincvale/simulator/claims_callers.py
+++ b/src/zincvale/simulator/claims/callers.py
@@ -20,9 +20,9 @@
 from zincvale.model.identifiers import RequestId
 from zincvale.model.machine import Log, Tick
 from zincvale.model.outcomes import Outcome
-from zincvale.simulator.checks import Checks, InvariantBroken
-from zincvale.simulator.cluster import Cluster
-from zincvale.simulator.process import Process
+from zincvale.simulator.cluster.checks import Checks, InvariantBroken
+from zincvale.simulator.cluster.cluster import Cluster
+from zincvale.simulator.cluster.process import Process
 
 DEADLINE_S = 6.0
 SOON_S = 0.005
--- a/src/zincvale/simulator/claims_run.py
+++ b/src/zincvale/simulator/claims/run.py
@@ -12,17 +12,17 @@
 
 import attrs
 
-from zincvale.simulator.checks import Checks, InvariantBroken
-from zincvale.simulator.claims_callers import ClaimCallers
-from zincvale.simulator.claims_machine import NodeWithClaims
-from zincvale.simulator.cluster import Cluster
-from zincvale.simulator.drawing import CORES
-from zincvale.simulator.faults import FAULTS
-from zincvale.simulator.network import Network
-from zincvale.simulator.operators import Operators
-from zincvale.simulator.run import ROLES
-from zincvale.simulator.schedule import Step
-from zincvale.simulator.world import World
+from zincvale.simulator.claims.callers import ClaimCallers
+from zincvale.simulator.claims.machine import NodeWithClaims
+from zincvale.simulator.cluster.checks import Checks, InvariantBroken
+from zincvale.simulator.cluster.cluster import Cluster
+from zincvale.simulator.cluster.event_loop import World
+from zincvale.simulator.cluster.faults import FAULTS
+from zincvale.simulator.cluster.network import Network
+from zincvale.simulator.cluster.operators import Operators
+from zincvale.simulator.schedules.drawing import CORES
+from zincvale.simulator.schedules.run import ROLES
+from zincvale.simulator.schedules.schedule import Step
 
 NODES = 5
 START_LIMIT_S = 40.0
--- a/src/zincvale/simulator/checks.py
+++ b/src/zincvale/simulator/cluster/checks.py
@@ -9,10 +9,10 @@
 from zincvale.coordination.registers.change_messages import IN_FORCE, ChangeResult
 from zincvale.coordination.replication.replica_sets import INTENT_KEY, REGISTRY_KEY
 from zincvale.model.machine import Log
-from zincvale.simulator.intent_log import orders_in
-from zincvale.simulator.process import Process
-from zincvale.simulator.role_publisher import TOPIC
-from zincvale.simulator.world import World
+from zincvale.simulator.cluster.event_loop import World
+from zincvale.simulator.cluster.intent_log import orders_in
+from zincvale.simulator.cluster.process import Process
+from zincvale.simulator.cluster.role_publisher import TOPIC
 
 DELIVERED = (INTENT_KEY, REGISTRY_KEY)
 
--- a/src/zincvale/simulator/cluster.py
+++ b/src/zincvale/simulator/cluster/cluster.py
@@ -16,10 +16,10 @@
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.model.errors import StorageFailed
 from zincvale.model.identifiers import Address, MemberId, ZoneName
-from zincvale.simulator.intent_log import reduce_intent_log
-from zincvale.simulator.process import MachineClock, Process
-from zincvale.simulator.virtual_disk import PowerLost, VirtualDisk
-from zincvale.simulator.world import World
+from zincvale.simulator.cluster.event_loop import World
+from zincvale.simulator.cluster.intent_log import reduce_intent_log
+from zincvale.simulator.cluster.process import MachineClock, Process
+from zincvale.simulator.cluster.virtual_disk import PowerLost, VirtualDisk
 from zincvale.storage.version_files import VersionFiles
 
 CLUSTER_ID = "simulated"
--- a/src/zincvale/simulator/world.py
+++ b/src/zincvale/simulator/cluster/event_loop.py
@@ -33,8 +33,8 @@
     WriteCompleted,
 )
 from zincvale.runtime.driver import LOCAL_TOKEN_PREFIX, TICK_INTERVAL_MS
-from zincvale.simulator.network import Network
-from zincvale.simulator.process import Process
+from zincvale.simulator.cluster.network import Network
+from zincvale.simulator.cluster.process import Process
 from zincvale.transport.codec import decode_message, encode_message
 
 TICK_S = TICK_INTERVAL_MS / 1000
--- a/src/zincvale/simulator/faults.py
+++ b/src/zincvale/simulator/cluster/faults.py
@@ -5,11 +5,11 @@
 import errno
 from collections.abc import Callable
 
-from zincvale.simulator.cluster import Cluster
-from zincvale.simulator.network import Link, Weather, both_ways, one_way
-from zincvale.simulator.operations import members_of
-from zincvale.simulator.operators import Operators
-from zincvale.simulator.schedule import Step
+from zincvale.simulator.cluster.cluster import Cluster
+from zincvale.simulator.cluster.network import Link, Weather, both_ways, one_way
+from zincvale.simulator.cluster.operations import members_of
+from zincvale.simulator.cluster.operators import Operators
+from zincvale.simulator.schedules.schedule import Step
 
 Fault = Callable[[Operators, Cluster, Step], None]
 
--- a/src/zincvale/simulator/operations.py
+++ b/src/zincvale/simulator/cluster/operations.py
@@ -5,9 +5,9 @@
 import random
 from collections.abc import Callable
 
-from zincvale.simulator.cluster import Cluster
-from zincvale.simulator.operators import Operators
-from zincvale.simulator.schedule import Step
+from zincvale.simulator.cluster.cluster import Cluster
+from zincvale.simulator.cluster.operators import Operators
+from zincvale.simulator.schedules.schedule import Step
 
 CORE_PLACE = "core:"
 RACERS = 3
--- a/src/zincvale/simulator/operators.py
+++ b/src/zincvale/simulator/cluster/operators.py
@@ -15,11 +15,11 @@
     ProposeChange,
 )
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
-from zincvale.simulator.checks import Checks
-from zincvale.simulator.cluster import Cluster
-from zincvale.simulator.history import Attempt
-from zincvale.simulator.intent_log import change_body
-from zincvale.simulator.process import Process
+from zincvale.simulator.cluster.checks import Checks
+from zincvale.simulator.cluster.cluster import Cluster
+from zincvale.simulator.cluster.history import Attempt
+from zincvale.simulator.cluster.intent_log import change_body
+from zincvale.simulator.cluster.process import Process
 
 ANSWER_LIMIT_S = 6.0
 """After this an operator takes the answer for lost."""
--- a/src/zincvale/simulator/role_publisher.py
+++ b/src/zincvale/simulator/cluster/role_publisher.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from zincvale.coordination.delivery.messages import PublishTopic
-from zincvale.simulator.cluster import Cluster
-from zincvale.simulator.process import Process
+from zincvale.simulator.cluster.cluster import Cluster
+from zincvale.simulator.cluster.process import Process
 
 TOPIC = "directory"
 PUBLISH_INTERVAL_S = 0.5
--- a/src/zincvale/simulator/commands.py
+++ b/src/zincvale/simulator/commands.py
@@ -9,21 +9,26 @@
 from typing import Any
 
 from zincvale.model.errors import InvalidInput
-from zincvale.simulator.claims_run import run_claims
-from zincvale.simulator.drawing import draw_schedule
-from zincvale.simulator.exploring import (
+from zincvale.simulator.claims.run import run_claims
+from zincvale.simulator.forwarding.model import run_forwarding
+from zincvale.simulator.mutations.mutations import (
+    MUTATIONS,
+    Mutation,
+    first_catch,
+    schedules_to_try,
+)
+from zincvale.simulator.register_exploration import explore_register, walk_register
+from zincvale.simulator.schedules.drawing import draw_schedule
+from zincvale.simulator.schedules.exploring import (
     JOBS_LIMIT,
     explore_here,
     explore_with_jobs,
     parse_seeds,
     shrink_failure,
 )
-from zincvale.simulator.forwarding_model import run_forwarding
-from zincvale.simulator.mutations import MUTATIONS, Mutation, first_catch, schedules_to_try
-from zincvale.simulator.register_exploration import explore_register, walk_register
-from zincvale.simulator.run import Outcome, run_schedule
-from zincvale.simulator.schedule import Schedule, describe
-from zincvale.simulator.schedule_files import read_schedule, write_schedule
+from zincvale.simulator.schedules.run import Outcome, run_schedule
+from zincvale.simulator.schedules.schedule import Schedule, describe
+from zincvale.simulator.schedules.schedule_files import read_schedule, write_schedule
 
 EXIT_BROKEN = 1
 WALKS = 600
@@ -143,7 +148,7 @@
     @property
     def what_if(self) -> Any:
         """Compare a deployment's intent with and without a change, in virtual time."""
-        from zincvale.simulator.what_if_commands import what_if
+        from zincvale.simulator.what_if.commands import what_if
 
         return what_if
 
--- a/src/zincvale/simulator/forwarding_checks.py
+++ b/src/zincvale/simulator/forwarding/checks.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterable, Iterator
 
 from zincvale.dataplane.forwarding.fleet_budgets import ColdTerms, RetryTerms
-from zincvale.simulator.forwarding_journal import CallerRecord, Ending, ForwardingJournal, Run
-from zincvale.simulator.forwarding_servers import STREAM_EVENTS
+from zincvale.simulator.forwarding.journal import CallerRecord, Ending, ForwardingJournal, Run
+from zincvale.simulator.forwarding.servers import STREAM_EVENTS
 
 PROMISES = frozenset({408, 421, 429, 503})
 LATE_S = 0.05
--- a/src/zincvale/simulator/forwarding_model.py
+++ b/src/zincvale/simulator/forwarding/model.py
@@ -27,15 +27,15 @@
 from zincvale.model.identifiers import Address, MemberId, PoolName, ServerId, ZoneName
 from zincvale.model.resources import PoolKind
 from zincvale.model.view import Directory, MemberRow, Members, Role, ServerHealth, ServerRow
-from zincvale.simulator.forwarding_checks import (
+from zincvale.simulator.forwarding.checks import (
     ORDINARY_CHECKS,
     cold_within,
     count_endings,
     first_problems,
     retries_within,
 )
-from zincvale.simulator.forwarding_journal import CallerRecord, Ending, ForwardingJournal
-from zincvale.simulator.forwarding_servers import Conduct, ModelClient, ModelServer
+from zincvale.simulator.forwarding.journal import CallerRecord, Ending, ForwardingJournal
+from zincvale.simulator.forwarding.servers import Conduct, ModelClient, ModelServer
 from zincvale.simulator.virtual_loop import VirtualLoop
 from zincvale.tracing.recorder.no_spans import NoSpans
 from zincvale.transport.server_exchange import HeaderList
--- a/src/zincvale/simulator/forwarding_servers.py
+++ b/src/zincvale/simulator/forwarding/servers.py
@@ -10,7 +10,7 @@
 import attrs
 
 from zincvale.dataplane.forwarding.native_dialect import INCARNATION, LAST_EVENT_ID, NEVER_RAN
-from zincvale.simulator.forwarding_journal import Arrival, ForwardingJournal, Run
+from zincvale.simulator.forwarding.journal import Arrival, ForwardingJournal, Run
 from zincvale.transport.server_exchange import AnswerHead, AnswerListener, OutgoingRequest
 
 REQUEST_ID = "x-request-id"
--- a/src/zincvale/simulator/mutations_of_leases.py
+++ b/src/zincvale/simulator/mutations/leases.py
@@ -18,7 +18,7 @@
 from zincvale.coordination.leases.member_lease import NodeLease
 from zincvale.coordination.node import partition_guard as node_island
 from zincvale.model.machine import Send
-from zincvale.simulator.mutation_registry import mutation
+from zincvale.simulator.mutations.registry import mutation
 
 
 @mutation("no-wait-for-leases", "a change is acknowledged as soon as it is chosen")
--- a/src/zincvale/simulator/mutations.py
+++ b/src/zincvale/simulator/mutations/mutations.py
@@ -9,12 +9,13 @@
 
 from collections.abc import Iterable, Iterator
 
-from zincvale.simulator import mutations_of_leases, mutations_of_registers
-from zincvale.simulator.directed import SCENARIOS, directed_schedules
-from zincvale.simulator.drawing import draw_schedule
-from zincvale.simulator.mutation_registry import MUTATIONS, Mutation
-from zincvale.simulator.run import Outcome, run_schedule
-from zincvale.simulator.schedule import Schedule
+from zincvale.simulator.mutations import leases as mutations_of_leases
+from zincvale.simulator.mutations import registers as mutations_of_registers
+from zincvale.simulator.mutations.registry import MUTATIONS, Mutation
+from zincvale.simulator.schedules.directed import SCENARIOS, directed_schedules
+from zincvale.simulator.schedules.drawing import draw_schedule
+from zincvale.simulator.schedules.run import Outcome, run_schedule
+from zincvale.simulator.schedules.schedule import Schedule
 
 
 def first_catch(mutation: Mutation, schedules: Iterable[Schedule]) -> Outcome | None:
--- a/src/zincvale/simulator/mutations_of_registers.py
+++ b/src/zincvale/simulator/mutations/registers.py
@@ -19,7 +19,7 @@
 from zincvale.coordination.registers.replica import RegisterReplica
 from zincvale.coordination.replication import replica_config
 from zincvale.model.machine import Send, Write
-from zincvale.simulator.mutation_registry import mutation
+from zincvale.simulator.mutations.registry import mutation
 from zincvale.storage.version_files import VersionFiles
 
 
--- a/src/zincvale/simulator/placement_baselines.py
+++ b/src/zincvale/simulator/placement/baselines.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from zincvale.simulator.placement_fleet import EmulatedServer, Fleet, ItemSpec, OrderResult
+from zincvale.simulator.placement.fleet import EmulatedServer, Fleet, ItemSpec, OrderResult
 
 GREEDY_INTERVAL_S = 60.0
 GREEDY_HALF_LIFE_S = 1800.0
--- a/src/zincvale/simulator/placement_policy.py
+++ b/src/zincvale/simulator/placement/controller_policy.py
@@ -47,7 +47,7 @@
     StoreSpec,
 )
 from zincvale.model.view import Intent, ServerHealth, ServerRow
-from zincvale.simulator.placement_fleet import EmulatedServer, Fleet, ItemSpec, OrderResult
+from zincvale.simulator.placement.fleet import EmulatedServer, Fleet, ItemSpec, OrderResult
 
 STATUS_INTERVAL_S = 0.5
 DEMAND_INTERVAL_S = 0.5
--- a/src/zincvale/simulator/placement_emulator.py
+++ b/src/zincvale/simulator/placement/emulator.py
@@ -16,7 +16,7 @@
 import attrs
 import numpy
 
-from zincvale.simulator.placement_fleet import (
+from zincvale.simulator.placement.fleet import (
     Arrival,
     Copy,
     EmulatedServer,
--- a/src/zincvale/simulator/placement_check.py
+++ b/src/zincvale/simulator/placement/journal_checks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from zincvale.simulator.placement_fleet import Fleet, JournalRow
+from zincvale.simulator.placement.fleet import Fleet, JournalRow
 
 RESTARTS = frozenset({"crash"})
 
--- a/src/zincvale/simulator/placement_scenarios.py
+++ b/src/zincvale/simulator/placement/scenarios.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from zincvale.simulator.placement_fleet import (
+from zincvale.simulator.placement.fleet import (
     Arrival,
     EmulatedServer,
     Fleet,
--- a/src/zincvale/simulator/placement_quality.py
+++ b/src/zincvale/simulator/placement_quality.py
@@ -14,12 +14,12 @@
 import orjson
 
 from zincvale.controlplane.placement.config import PlacementConfig
-from zincvale.simulator.placement_baselines import Greedy, LeastRecentlyUsed, Static
-from zincvale.simulator.placement_check import check_asked_rate, check_journal
-from zincvale.simulator.placement_emulator import Emulator, Outcome, Policy
-from zincvale.simulator.placement_fleet import Fleet
-from zincvale.simulator.placement_policy import ControllerPolicy
-from zincvale.simulator.placement_scenarios import (
+from zincvale.simulator.placement.baselines import Greedy, LeastRecentlyUsed, Static
+from zincvale.simulator.placement.controller_policy import ControllerPolicy
+from zincvale.simulator.placement.emulator import Emulator, Outcome, Policy
+from zincvale.simulator.placement.fleet import Fleet
+from zincvale.simulator.placement.journal_checks import check_asked_rate, check_journal
+from zincvale.simulator.placement.scenarios import (
     LOADS,
     NILEBRIDGE,
     TZINTZUNTZAN,
--- a/src/zincvale/simulator/directed.py
+++ b/src/zincvale/simulator/schedules/directed.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Callable
 
-from zincvale.simulator.drawing import CORES
-from zincvale.simulator.schedule import Schedule, Step
+from zincvale.simulator.schedules.drawing import CORES
+from zincvale.simulator.schedules.schedule import Schedule, Step
 
 NODES = 3
 FIRST_SEED = 9001
--- a/src/zincvale/simulator/drawing.py
+++ b/src/zincvale/simulator/schedules/drawing.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-from zincvale.simulator.operations import CORE_PLACE, draw_operation
-from zincvale.simulator.schedule import Schedule, Step
+from zincvale.simulator.cluster.operations import CORE_PLACE, draw_operation
+from zincvale.simulator.schedules.schedule import Schedule, Step
 
 CORES = tuple(f"{CORE_PLACE}{place}" for place in range(3))
 NODE_COUNTS = (2, 3, 4, 5, 5)
--- a/src/zincvale/simulator/exploring.py
+++ b/src/zincvale/simulator/schedules/exploring.py
@@ -11,10 +11,10 @@
 import orjson
 
 from zincvale.model.errors import InvalidInput
-from zincvale.simulator.drawing import draw_schedule
-from zincvale.simulator.run import Outcome, run_schedule
-from zincvale.simulator.schedule import Schedule
-from zincvale.simulator.shrink import Shrinker
+from zincvale.simulator.schedules.drawing import draw_schedule
+from zincvale.simulator.schedules.run import Outcome, run_schedule
+from zincvale.simulator.schedules.schedule import Schedule
+from zincvale.simulator.schedules.shrink import Shrinker
 
 SEED_RANGE_SIGN = ".."
 JOBS_LIMIT = 4
@@ -61,7 +61,7 @@
     command = [
         sys.executable,
         "-m",
-        "zincvale.simulator.exploring",
+        "zincvale.simulator.schedules.exploring",
         str(seeds.start),
         str(seeds.stop),
         str(seeds.step),
--- a/src/zincvale/simulator/run.py
+++ b/src/zincvale/simulator/schedules/run.py
@@ -9,16 +9,16 @@
 
 from zincvale.coordination.registers.change_messages import IN_FORCE
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
-from zincvale.simulator.checks import Checks, InvariantBroken
-from zincvale.simulator.cluster import Cluster
-from zincvale.simulator.faults import FAULTS
-from zincvale.simulator.history import check_history
-from zincvale.simulator.network import Network
-from zincvale.simulator.operations import OPERATIONS
-from zincvale.simulator.operators import Operators
-from zincvale.simulator.role_publisher import RolePublisher
-from zincvale.simulator.schedule import Schedule, Step
-from zincvale.simulator.world import World
+from zincvale.simulator.cluster.checks import Checks, InvariantBroken
+from zincvale.simulator.cluster.cluster import Cluster
+from zincvale.simulator.cluster.event_loop import World
+from zincvale.simulator.cluster.faults import FAULTS
+from zincvale.simulator.cluster.history import check_history
+from zincvale.simulator.cluster.network import Network
+from zincvale.simulator.cluster.operations import OPERATIONS
+from zincvale.simulator.cluster.operators import Operators
+from zincvale.simulator.cluster.role_publisher import RolePublisher
+from zincvale.simulator.schedules.schedule import Schedule, Step
 
 ROLES = ("placer",)
 START_LIMIT_S = 12.0
--- a/src/zincvale/simulator/schedule_files.py
+++ b/src/zincvale/simulator/schedules/schedule_files.py
@@ -10,9 +10,9 @@
 
 from zincvale.model.checked import Checked, read_checked
 from zincvale.model.errors import InvalidInput
-from zincvale.simulator.faults import FAULTS
-from zincvale.simulator.operations import OPERATIONS
-from zincvale.simulator.schedule import Schedule, Step
+from zincvale.simulator.cluster.faults import FAULTS
+from zincvale.simulator.cluster.operations import OPERATIONS
+from zincvale.simulator.schedules.schedule import Schedule, Step
 
 
 @dataclass
--- a/src/zincvale/simulator/shrink.py
+++ b/src/zincvale/simulator/schedules/shrink.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from zincvale.simulator.schedule import Schedule, Step
+from zincvale.simulator.schedules.schedule import Schedule, Step
 
 Fails = Callable[[Schedule], bool]
 RUNS_LIMIT = 400
--- a/src/zincvale/simulator/what_if_attempt.py
+++ b/src/zincvale/simulator/what_if/attempt.py
@@ -13,11 +13,11 @@
 from zincvale.model.identifiers import AdapterName, ModelName, RequestId
 from zincvale.model.outcomes import OUTCOME_HEADER, RETRY_AFTER_HEADER, Outcome
 from zincvale.model.resources import PoolKind
-from zincvale.simulator.what_if_clock import Timer, VirtualClock
-from zincvale.simulator.what_if_figures import FigureTable, RequestRow
-from zincvale.simulator.what_if_node import VirtualNode
-from zincvale.simulator.what_if_request import VirtualRequest
-from zincvale.simulator.what_if_timings import Timings
+from zincvale.simulator.what_if.clock import Timer, VirtualClock
+from zincvale.simulator.what_if.figures import FigureTable, RequestRow
+from zincvale.simulator.what_if.node import VirtualNode
+from zincvale.simulator.what_if.request import VirtualRequest
+from zincvale.simulator.what_if.timings import Timings
 from zincvale.standins.caller_progress import NodeChoice
 from zincvale.standins.caller_retry import AttemptOutcome, AttemptResult
 from zincvale.standins.request_plan import Plan, Planner
--- a/src/zincvale/simulator/what_if_callers.py
+++ b/src/zincvale/simulator/what_if/callers.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-from zincvale.simulator.what_if_attempt import CallerAttempt, CallersContext
-from zincvale.simulator.what_if_figures import RequestRow
+from zincvale.simulator.what_if.attempt import CallerAttempt, CallersContext
+from zincvale.simulator.what_if.figures import RequestRow
 from zincvale.standins.arrivals import Arrival, arrivals
 from zincvale.standins.caller_progress import NodeChoice
 from zincvale.standins.caller_retry import (
--- a/src/zincvale/simulator/what_if_claims.py
+++ b/src/zincvale/simulator/what_if/claims.py
@@ -20,7 +20,7 @@
     RecordedOutcome,
 )
 from zincvale.model.identifiers import RequestId
-from zincvale.simulator.what_if_clock import VirtualClock
+from zincvale.simulator.what_if.clock import VirtualClock
 
 KEPT_S = 120.0
 """Claims and streams are forgotten this long after they began."""
--- a/src/zincvale/simulator/what_if_commands.py
+++ b/src/zincvale/simulator/what_if/commands.py
@@ -9,9 +9,9 @@
 
 from zincvale.fleet.run_options import RunOptions
 from zincvale.model.errors import InvalidInput, ZincvaleError
-from zincvale.simulator.what_if_inputs import read_what_if
-from zincvale.simulator.what_if_report import comparison_lines
-from zincvale.simulator.what_if_worlds import compare
+from zincvale.simulator.what_if.comparison import compare
+from zincvale.simulator.what_if.inputs import read_what_if
+from zincvale.simulator.what_if.report import comparison_lines
 
 EXIT_REFUSED = 2
 OUTPUTS = ("text", "json")
@@ -73,7 +73,7 @@
         sys.exit(EXIT_REFUSED)
     comparison = compare(inputs, int(jobs))
     if plot:
-        from zincvale.simulator.what_if_plot import write_plot
+        from zincvale.simulator.what_if.plot import write_plot
 
         write_plot(comparison, Path(str(plot)))
     if output == "json":
--- a/src/zincvale/simulator/what_if_worlds.py
+++ b/src/zincvale/simulator/what_if/comparison.py
@@ -9,11 +9,11 @@
 
 import attrs
 
-from zincvale.simulator.what_if_figures import WorldFigures
-from zincvale.simulator.what_if_inputs import WhatIfInputs
-from zincvale.simulator.what_if_machines import Question
-from zincvale.simulator.what_if_report import Comparison
-from zincvale.simulator.what_if_run import VirtualFleet
+from zincvale.simulator.what_if.figures import WorldFigures
+from zincvale.simulator.what_if.inputs import WhatIfInputs
+from zincvale.simulator.what_if.machines import Question
+from zincvale.simulator.what_if.report import Comparison
+from zincvale.simulator.what_if.run import VirtualFleet
 
 LONG_RUN_S = 600.0
 """From this length of load on, a second process is worth its start."""
--- a/src/zincvale/simulator/what_if_control.py
+++ b/src/zincvale/simulator/what_if/control_machine.py
@@ -58,10 +58,10 @@
 from zincvale.model.identifiers import MemberId, MoveId, ServerId, StoreName
 from zincvale.model.machine import Tick
 from zincvale.model.view import Directory, Intent
-from zincvale.simulator.what_if_clock import VirtualClock
-from zincvale.simulator.what_if_servers import VirtualServer
-from zincvale.simulator.what_if_stores import VirtualStore
-from zincvale.simulator.what_if_timings import Timings
+from zincvale.simulator.what_if.clock import VirtualClock
+from zincvale.simulator.what_if.servers import VirtualServer
+from zincvale.simulator.what_if.stores import VirtualStore
+from zincvale.simulator.what_if.timings import Timings
 
 EPOCH = 1
 LEASE_S = 10.0
--- a/src/zincvale/simulator/what_if_exchange.py
+++ b/src/zincvale/simulator/what_if/exchange.py
@@ -15,11 +15,11 @@
 )
 from zincvale.dataplane.inference.routing_state import ServerState
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
-from zincvale.simulator.what_if_servers import VirtualServer
+from zincvale.simulator.what_if.servers import VirtualServer
 from zincvale.standins.generation import GenerationKey
 
 if TYPE_CHECKING:
-    from zincvale.simulator.what_if_request import VirtualRequest as ExchangeOwner
+    from zincvale.simulator.what_if.request import VirtualRequest as ExchangeOwner
 
 
 class VirtualExchange:
--- a/src/zincvale/simulator/what_if_faults.py
+++ b/src/zincvale/simulator/what_if/faults.py
@@ -16,10 +16,10 @@
 )
 from zincvale.fleet.fault_plan import Phase, Step
 from zincvale.model.errors import ZincvaleError
-from zincvale.simulator.what_if_fault_plan import FaultPlan
+from zincvale.simulator.what_if.fault_plan import FaultPlan
 
 if TYPE_CHECKING:
-    from zincvale.simulator.what_if_run import VirtualFleet
+    from zincvale.simulator.what_if.run import VirtualFleet
 
 
 def schedule_faults(fleet: VirtualFleet, plan: FaultPlan, load_started_at: float) -> None:
--- a/src/zincvale/simulator/what_if_figures.py
+++ b/src/zincvale/simulator/what_if/figures.py
@@ -13,7 +13,7 @@
 from zincvale.standins.caller_retry import AttemptOutcome, AttemptResult
 
 if TYPE_CHECKING:
-    from zincvale.simulator.what_if_request import VirtualRequest
+    from zincvale.simulator.what_if.request import VirtualRequest
 
 PERCENTILES = (50, 95, 99)
 ANSWERED = AttemptOutcome.ANSWERED.value
--- a/src/zincvale/simulator/what_if_inputs.py
+++ b/src/zincvale/simulator/what_if/inputs.py
@@ -10,9 +10,9 @@
 from zincvale.fleet.run_inputs import RunInputs, read_inputs
 from zincvale.fleet.run_options import RunOptions
 from zincvale.model.errors import InvalidInput
-from zincvale.simulator.what_if_fault_plan import plan_faults
-from zincvale.simulator.what_if_intent import IntentStore, resources_of
-from zincvale.simulator.what_if_machines import Question
+from zincvale.simulator.what_if.fault_plan import plan_faults
+from zincvale.simulator.what_if.intent import IntentStore, resources_of
+from zincvale.simulator.what_if.machines import Question
 from zincvale.standins.deployment import read_documents
 
 ALWAYS_LEFT_OUT = (
--- a/src/zincvale/simulator/what_if_lookup.py
+++ b/src/zincvale/simulator/what_if/lookup.py
@@ -9,8 +9,8 @@
 from zincvale.controlplane.directory.backend_status import ServerStatus
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.view import ServerHealth
-from zincvale.simulator.what_if_clock import Timer
-from zincvale.simulator.what_if_servers import Asker, VirtualServer, do_nothing
+from zincvale.simulator.what_if.clock import Timer
+from zincvale.simulator.what_if.servers import Asker, VirtualServer, do_nothing
 from zincvale.standins.deployment import LookupProfile
 from zincvale.standins.generation import GenerationKey
 from zincvale.standins.lookup import LookupLimiter
--- a/src/zincvale/simulator/what_if_machines.py
+++ b/src/zincvale/simulator/what_if/machines.py
@@ -18,15 +18,15 @@
 )
 from zincvale.model.outcomes import Outcome
 from zincvale.model.resources import Document, PoolKind
-from zincvale.simulator.what_if_claims import ClaimTable
-from zincvale.simulator.what_if_clock import VirtualClock
-from zincvale.simulator.what_if_fault_plan import FaultPlan
-from zincvale.simulator.what_if_lookup import VirtualLookup
-from zincvale.simulator.what_if_node import VirtualNode
-from zincvale.simulator.what_if_request import VirtualRequest
-from zincvale.simulator.what_if_servers import VirtualLanguageModel, VirtualServer
-from zincvale.simulator.what_if_stores import VirtualStore
-from zincvale.simulator.what_if_timings import Timings
+from zincvale.simulator.what_if.claims import ClaimTable
+from zincvale.simulator.what_if.clock import VirtualClock
+from zincvale.simulator.what_if.fault_plan import FaultPlan
+from zincvale.simulator.what_if.lookup import VirtualLookup
+from zincvale.simulator.what_if.node import VirtualNode
+from zincvale.simulator.what_if.request import VirtualRequest
+from zincvale.simulator.what_if.servers import VirtualLanguageModel, VirtualServer
+from zincvale.simulator.what_if.stores import VirtualStore
+from zincvale.simulator.what_if.timings import Timings
 from zincvale.standins.assemble import DEFAULT_MAX_CONCURRENT_LOADS
 from zincvale.standins.deployment import BackEndServer, Deployment
 from zincvale.standins.load_spec import LoadSpec
--- a/src/zincvale/simulator/what_if_node.py
+++ b/src/zincvale/simulator/what_if/node.py
@@ -21,11 +21,11 @@
 from zincvale.model.outcomes import Outcome
 from zincvale.model.resources import RouteSpec
 from zincvale.model.view import Directory, Intent, Members, ServerHealth
-from zincvale.simulator.what_if_claims import ClaimTable
-from zincvale.simulator.what_if_clock import VirtualClock
-from zincvale.simulator.what_if_request import CallerSide, VirtualRequest
-from zincvale.simulator.what_if_servers import VirtualServer
-from zincvale.simulator.what_if_timings import Timings
+from zincvale.simulator.what_if.claims import ClaimTable
+from zincvale.simulator.what_if.clock import VirtualClock
+from zincvale.simulator.what_if.request import CallerSide, VirtualRequest
+from zincvale.simulator.what_if.servers import VirtualServer
+from zincvale.simulator.what_if.timings import Timings
 
 IDLE_PUMP_INTERVAL_S = 0.2
 """How often queues are looked at in which everybody waits for news."""
--- a/src/zincvale/simulator/what_if_plot.py
+++ b/src/zincvale/simulator/what_if/plot.py
@@ -11,8 +11,8 @@
 from matplotlib.backends.backend_agg import FigureCanvasAgg
 from matplotlib.figure import Figure
 
-from zincvale.simulator.what_if_figures import WorldFigures
-from zincvale.simulator.what_if_report import Comparison
+from zincvale.simulator.what_if.figures import WorldFigures
+from zincvale.simulator.what_if.report import Comparison
 
 SIZE_INCHES = (11.0, 11.0)
 DOTS_PER_INCH = 90
--- a/src/zincvale/simulator/what_if_report.py
+++ b/src/zincvale/simulator/what_if/report.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-from zincvale.simulator.what_if_figures import RouteFigures, WorldFigures
-from zincvale.simulator.what_if_inputs import WhatIfInputs
+from zincvale.simulator.what_if.figures import RouteFigures, WorldFigures
+from zincvale.simulator.what_if.inputs import WhatIfInputs
 
 FORMAT = "zincvale-what-if-1"
 LABEL_WIDTH = 34
--- a/src/zincvale/simulator/what_if_request.py
+++ b/src/zincvale/simulator/what_if/request.py
@@ -46,11 +46,11 @@
 from zincvale.dataplane.inference.scheduler import work_tokens
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
 from zincvale.model.outcomes import Outcome, RefusalReason
-from zincvale.simulator.what_if_clock import Timer
-from zincvale.simulator.what_if_exchange import VirtualExchange
+from zincvale.simulator.what_if.clock import Timer
+from zincvale.simulator.what_if.exchange import VirtualExchange
 
 if TYPE_CHECKING:
-    from zincvale.simulator.what_if_node import VirtualNode
+    from zincvale.simulator.what_if.node import VirtualNode
 
 
 OK_STATUS = 200
--- a/src/zincvale/simulator/what_if_run.py
+++ b/src/zincvale/simulator/what_if/run.py
@@ -14,21 +14,21 @@
     ServerId,
 )
 from zincvale.model.view import Directory, Intent, MemberRow, Members, Role
-from zincvale.simulator.what_if_attempt import CallersContext
-from zincvale.simulator.what_if_callers import VirtualCallers, make_choice
-from zincvale.simulator.what_if_claims import ClaimTable
-from zincvale.simulator.what_if_clock import VirtualClock
-from zincvale.simulator.what_if_control import ControlMachine
-from zincvale.simulator.what_if_faults import schedule_faults
-from zincvale.simulator.what_if_figures import (
+from zincvale.simulator.what_if.attempt import CallersContext
+from zincvale.simulator.what_if.callers import VirtualCallers, make_choice
+from zincvale.simulator.what_if.claims import ClaimTable
+from zincvale.simulator.what_if.clock import VirtualClock
+from zincvale.simulator.what_if.control_machine import ControlMachine
+from zincvale.simulator.what_if.faults import schedule_faults
+from zincvale.simulator.what_if.figures import (
     FigureTable,
     MoveFigures,
     WorldFigures,
 )
-from zincvale.simulator.what_if_intent import IntentStore, resources_of
-from zincvale.simulator.what_if_machines import Question, make_nodes, make_servers, make_stores
-from zincvale.simulator.what_if_node import VirtualNode
-from zincvale.simulator.what_if_servers import VirtualLanguageModel
+from zincvale.simulator.what_if.intent import IntentStore, resources_of
+from zincvale.simulator.what_if.machines import Question, make_nodes, make_servers, make_stores
+from zincvale.simulator.what_if.node import VirtualNode
+from zincvale.simulator.what_if.servers import VirtualLanguageModel
 from zincvale.standins.platform_state import NodeReadiness
 from zincvale.standins.request_plan import Planner
 from zincvale.standins.settings import PolledNode
--- a/src/zincvale/simulator/what_if_servers.py
+++ b/src/zincvale/simulator/what_if/servers.py
@@ -14,9 +14,9 @@
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.identifiers import AdapterName, ModelName, ServerId
 from zincvale.model.view import ServerHealth
-from zincvale.simulator.what_if_clock import Timer, VirtualClock
-from zincvale.simulator.what_if_engine import LeapingEngine
-from zincvale.simulator.what_if_stores import VirtualStore
+from zincvale.simulator.what_if.clock import Timer, VirtualClock
+from zincvale.simulator.what_if.engine import LeapingEngine
+from zincvale.simulator.what_if.stores import VirtualStore
 from zincvale.standins.deployment import LanguageModelProfile
 from zincvale.standins.engine import Finished, Refusal
 from zincvale.standins.generation import GenerationKey
--- a/tests/controlplane/placement/test_quality.py
+++ b/tests/controlplane/placement/test_quality.py
@@ -5,9 +5,8 @@
 import attrs
 import testtools
 
-from zincvale.simulator.placement_check import check_journal
-from zincvale.simulator.placement_emulator import Emulator
-from zincvale.simulator.placement_fleet import (
+from zincvale.simulator.placement.emulator import Emulator
+from zincvale.simulator.placement.fleet import (
     Arrival,
     EmulatedServer,
     Fleet,
@@ -17,6 +16,7 @@
     ServerSpecification,
     StoreSpecification,
 )
+from zincvale.simulator.placement.journal_checks import check_journal
 from zincvale.simulator.placement_quality import FLEETS, LOADS, compare
 
 GB = 1_000_000_000
--- a/tests/golden/decisions_of_cluster.py
+++ b/tests/golden/decisions_of_cluster.py
@@ -9,11 +9,11 @@
 
 from tests.golden.decision_log import DecisionLog, watched
 from zincvale.dataplane.claims.node_machine import ClaimsNode
-from zincvale.simulator.claims_run import ClaimsRun
-from zincvale.simulator.drawing import draw_schedule
+from zincvale.simulator.claims.run import ClaimsRun
+from zincvale.simulator.cluster.event_loop import World
 from zincvale.simulator.register_exploration import Explorer
-from zincvale.simulator.run import Run
-from zincvale.simulator.world import World
+from zincvale.simulator.schedules.drawing import draw_schedule
+from zincvale.simulator.schedules.run import Run
 
 CLUSTER_SEEDS = range(1, 101)
 CLAIMS_SEEDS = range(1, 21)
--- a/tests/golden/decisions_of_forwarding.py
+++ b/tests/golden/decisions_of_forwarding.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from tests.golden.decision_log import DecisionLog, watched
-from zincvale.simulator.forwarding_model import _Model, _Sink
-from zincvale.simulator.forwarding_servers import ModelClient, ModelExchange
+from zincvale.simulator.forwarding.model import _Model, _Sink
+from zincvale.simulator.forwarding.servers import ModelClient, ModelExchange
 
 FORWARDING_SEEDS = range(1, 201)
 
--- a/tests/golden/decisions_of_placement.py
+++ b/tests/golden/decisions_of_placement.py
@@ -17,20 +17,20 @@
 from zincvale.fleet.fault_plan import plan_steps
 from zincvale.fleet.fault_targets import inventory_of
 from zincvale.fleet.run_options import RunOptions
-from zincvale.simulator.placement_emulator import Emulator
-from zincvale.simulator.placement_quality import FLEETS, make_policies
-from zincvale.simulator.placement_scale import HollowFleet
-from zincvale.simulator.placement_scenarios import (
+from zincvale.simulator.placement.emulator import Emulator
+from zincvale.simulator.placement.scenarios import (
     LOADS,
     build_arrivals,
     build_events,
     build_fleet,
 )
-from zincvale.simulator.what_if_fault_plan import plan_faults
-from zincvale.simulator.what_if_figures import FigureTable
-from zincvale.simulator.what_if_inputs import read_what_if
-from zincvale.simulator.what_if_machines import Question
-from zincvale.simulator.what_if_run import VirtualFleet
+from zincvale.simulator.placement_quality import FLEETS, make_policies
+from zincvale.simulator.placement_scale import HollowFleet
+from zincvale.simulator.what_if.fault_plan import plan_faults
+from zincvale.simulator.what_if.figures import FigureTable
+from zincvale.simulator.what_if.inputs import read_what_if
+from zincvale.simulator.what_if.machines import Question
+from zincvale.simulator.what_if.run import VirtualFleet
 
 EMULATED_S = 300.0
 EMULATED_SEED = 5
--- a/tests/golden/test_report_bytes.py
+++ b/tests/golden/test_report_bytes.py
@@ -20,9 +20,9 @@
 from zincvale.fleet.figures import Figures
 from zincvale.fleet.invariants.findings import CheckResult
 from zincvale.fleet.processes import UnexpectedEnd
-from zincvale.simulator.run import Outcome
-from zincvale.simulator.schedule import Schedule
-from zincvale.simulator.schedule_files import write_schedule
+from zincvale.simulator.schedules.run import Outcome
+from zincvale.simulator.schedules.schedule import Schedule
+from zincvale.simulator.schedules.schedule_files import write_schedule
 from zincvale.tracing.api.explain import explain
 from zincvale.tracing.chunks import TraceChunk, decode_chunks, encode_chunks
 from zincvale.tracing.recorder.spans import Span
--- a/tests/simulator/test_directed.py
+++ b/tests/simulator/test_directed.py
@@ -4,8 +4,8 @@
 
 import testtools
 
-from zincvale.simulator.directed import SCENARIOS, directed_schedules
-from zincvale.simulator.run import run_schedule
+from zincvale.simulator.schedules.directed import SCENARIOS, directed_schedules
+from zincvale.simulator.schedules.run import run_schedule
 
 EVERY_DISK_LOST = "every-disk-lost"
 
--- a/tests/simulator/test_forwarding_model.py
+++ b/tests/simulator/test_forwarding_model.py
@@ -13,7 +13,7 @@
 from zincvale.dataplane.forwarding.request_events import ContentReceived, Finish, Release
 from zincvale.dataplane.forwarding.request_machine import Phase, RequestMachine
 from zincvale.dataplane.forwarding.routing_state import ForwardingWorld
-from zincvale.simulator.forwarding_model import run_forwarding
+from zincvale.simulator.forwarding.model import run_forwarding
 
 SEEDS = range(1, 201)
 MUTATION_SEEDS = range(1, 101)
--- a/tests/simulator/test_mutations.py
+++ b/tests/simulator/test_mutations.py
@@ -4,9 +4,9 @@
 
 import testtools
 
-from zincvale.simulator.directed import SEEDS_PER_CORE, directed_schedules
-from zincvale.simulator.mutations import MUTATIONS, first_catch
+from zincvale.simulator.mutations.mutations import MUTATIONS, first_catch
 from zincvale.simulator.register_exploration import explore_register, walk_register
+from zincvale.simulator.schedules.directed import SEEDS_PER_CORE, directed_schedules
 
 STATES = 20_000
 WALKS = 400
--- a/tests/simulator/test_parts.py
+++ b/tests/simulator/test_parts.py
@@ -11,14 +11,14 @@
 
 from zincvale.coordination.registers.change_messages import CONFLICT, IN_FORCE
 from zincvale.model.errors import InvalidInput
-from zincvale.simulator.drawing import draw_schedule
-from zincvale.simulator.exploring import parse_seeds
-from zincvale.simulator.history import Attempt, check_history
-from zincvale.simulator.network import Network, Weather, both_ways, one_way
-from zincvale.simulator.schedule import Schedule
-from zincvale.simulator.schedule_files import read_schedule, write_schedule
-from zincvale.simulator.shrink import Shrinker
-from zincvale.simulator.virtual_disk import PowerLost, VirtualDisk
+from zincvale.simulator.cluster.history import Attempt, check_history
+from zincvale.simulator.cluster.network import Network, Weather, both_ways, one_way
+from zincvale.simulator.cluster.virtual_disk import PowerLost, VirtualDisk
+from zincvale.simulator.schedules.drawing import draw_schedule
+from zincvale.simulator.schedules.exploring import parse_seeds
+from zincvale.simulator.schedules.schedule import Schedule
+from zincvale.simulator.schedules.schedule_files import read_schedule, write_schedule
+from zincvale.simulator.schedules.shrink import Shrinker
 from zincvale.storage.version_files import VersionFiles
 
 FOLDER = Path("/data")
--- a/tests/simulator/test_seeds.py
+++ b/tests/simulator/test_seeds.py
@@ -4,8 +4,8 @@
 
 import testtools
 
-from zincvale.simulator.drawing import draw_schedule
-from zincvale.simulator.run import run_schedule
+from zincvale.simulator.schedules.drawing import draw_schedule
+from zincvale.simulator.schedules.run import run_schedule
 
 SEEDS = range(1, 101)
 REPLAYED = (3, 25)
--- a/tests/simulator/test_simulated_claims.py
+++ b/tests/simulator/test_simulated_claims.py
@@ -8,7 +8,7 @@
 
 from zincvale.dataplane.claims.readiness import HolderReadiness
 from zincvale.dataplane.claims.view import ClaimView
-from zincvale.simulator.claims_run import run_claims
+from zincvale.simulator.claims.run import run_claims
 
 SEEDS = (1, 2)
 MUTATED_SEEDS = range(1, 6)
--- a/tests/simulator/test_what_if.py
+++ b/tests/simulator/test_what_if.py
@@ -21,14 +21,14 @@
 from zincvale.model.errors import InvalidInput
 from zincvale.model.identifiers import ServerId
 from zincvale.model.resources import Document
-from zincvale.simulator.what_if_commands import what_if
-from zincvale.simulator.what_if_fault_plan import plan_faults
-from zincvale.simulator.what_if_figures import WorldFigures
-from zincvale.simulator.what_if_inputs import WhatIfInputs, read_what_if
-from zincvale.simulator.what_if_machines import Question
-from zincvale.simulator.what_if_report import comparison_lines
-from zincvale.simulator.what_if_run import VirtualFleet
-from zincvale.simulator.what_if_worlds import compare
+from zincvale.simulator.what_if.commands import what_if
+from zincvale.simulator.what_if.comparison import compare
+from zincvale.simulator.what_if.fault_plan import plan_faults
+from zincvale.simulator.what_if.figures import WorldFigures
+from zincvale.simulator.what_if.inputs import WhatIfInputs, read_what_if
+from zincvale.simulator.what_if.machines import Question
+from zincvale.simulator.what_if.report import comparison_lines
+from zincvale.simulator.what_if.run import VirtualFleet
 
 SECONDS = 9.0
 MEASURED = ("wall_s", "processor_s", "speed_up")
--- a/tests/simulator/test_what_if_engine.py
+++ b/tests/simulator/test_what_if_engine.py
@@ -25,10 +25,10 @@
     ServerHealth,
     ServerRow,
 )
-from zincvale.simulator.what_if_clock import VirtualClock
-from zincvale.simulator.what_if_engine import LeapingEngine
-from zincvale.simulator.what_if_node import RememberingWorld
-from zincvale.simulator.what_if_stores import VirtualStore
+from zincvale.simulator.what_if.clock import VirtualClock
+from zincvale.simulator.what_if.engine import LeapingEngine
+from zincvale.simulator.what_if.node import RememberingWorld
+from zincvale.simulator.what_if.stores import VirtualStore
 from zincvale.standins.deployment import LanguageModelProfile
 from zincvale.standins.engine import Engine, Finished, Refusal
 from zincvale.standins.generation import GenerationKey
