--- a/src/zincvale/cli/main.py
+++ b/src/zincvale/cli/main.py
@@ -85,7 +85,7 @@
         print(USAGE)
         return
     if arguments[0] in OPERATOR_COMMANDS:
-        from zincvale.cli.operator_main import run_operator_command
+        from zincvale.cli.operator.runner import run_operator_command
 
         sys.exit(run_operator_command(arguments))
     try:
--- a/src/zincvale/cli/operator_arguments.py
+++ b/src/zincvale/cli/operator/arguments.py
@@ -10,7 +10,7 @@
 import re
 from collections.abc import Mapping
 
-from zincvale.cli.operator_errors import UsageProblem
+from zincvale.cli.operator.errors import UsageProblem
 
 CORES_VARIABLE = "ZINCVALE_CORES"
 STANDARD_INPUT = "/dev/stdin"
--- a/src/zincvale/cli/operator_changes.py
+++ b/src/zincvale/cli/operator/changes.py
@@ -9,12 +9,12 @@
 
 import attrs
 
-from zincvale.cli.operator_files import FileResource
-from zincvale.cli.operator_kinds import table_of
-from zincvale.cli.operator_output import json_text
-from zincvale.cli.operator_reads import resource_target
-from zincvale.cli.operator_session import Confirmation, CoreTransport, OperatorSession
-from zincvale.cli.operator_watch import watch_status
+from zincvale.cli.operator.files import FileResource
+from zincvale.cli.operator.kinds import table_of
+from zincvale.cli.operator.output import json_text
+from zincvale.cli.operator.reads import resource_target
+from zincvale.cli.operator.session import Confirmation, CoreTransport, OperatorSession
+from zincvale.cli.operator.watch import watch_status
 from zincvale.model.errors import InvalidInput, NotFound, Unavailable
 
 _RESOURCE_POSITION = re.compile(r"resources\[(\d+)\]")
--- a/src/zincvale/cli/operator.py
+++ b/src/zincvale/cli/operator/commands.py
@@ -12,7 +12,7 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any, TypeVar
 
-from zincvale.cli.operator_arguments import (
+from zincvale.cli.operator.arguments import (
     read_cores,
     read_count,
     read_flag,
@@ -22,21 +22,21 @@
     read_seconds,
     read_text,
 )
-from zincvale.cli.operator_changes import (
+from zincvale.cli.operator.changes import (
     DeclaredState,
     apply_change,
     confirmation_text,
     declare_state,
     with_place,
 )
-from zincvale.cli.operator_errors import UsageProblem
-from zincvale.cli.operator_files import read_resources
-from zincvale.cli.operator_http import CurlTransport
-from zincvale.cli.operator_kinds import OBSERVED_TABLES, declared_table_of, table_of
-from zincvale.cli.operator_output import describe_text, json_text
-from zincvale.cli.operator_reads import get_intent, get_observed, get_resources, resource_target
-from zincvale.cli.operator_session import Confirmation, CoreTransport, OperatorSession
-from zincvale.cli.operator_watch import watch_intent, watch_status
+from zincvale.cli.operator.errors import UsageProblem
+from zincvale.cli.operator.files import read_resources
+from zincvale.cli.operator.http import CurlTransport
+from zincvale.cli.operator.kinds import OBSERVED_TABLES, declared_table_of, table_of
+from zincvale.cli.operator.output import describe_text, json_text
+from zincvale.cli.operator.reads import get_intent, get_observed, get_resources, resource_target
+from zincvale.cli.operator.session import Confirmation, CoreTransport, OperatorSession
+from zincvale.cli.operator.watch import watch_intent, watch_status
 from zincvale.model.errors import InvalidInput
 
 DEFAULT_LIMIT_S = "30"
--- a/src/zincvale/cli/operator_http.py
+++ b/src/zincvale/cli/operator/http.py
@@ -10,7 +10,7 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient, CurlError
 from tornado.httpclient import HTTPRequest
 
-from zincvale.cli.operator_session import CoreAnswer, CoreNotReached
+from zincvale.cli.operator.session import CoreAnswer, CoreNotReached
 
 CONNECT_TIMEOUT_S = 1.0
 MAX_ANSWER_BYTES = 256 * 1024 * 1024
--- a/src/zincvale/cli/operator_kinds.py
+++ b/src/zincvale/cli/operator/kinds.py
@@ -4,7 +4,7 @@
 
 import difflib
 
-from zincvale.cli.operator_errors import UsageProblem
+from zincvale.cli.operator.errors import UsageProblem
 from zincvale.controlplane.intent.row_codec import KIND_BY_TABLE
 
 OBSERVED_TABLES = ("members", "moves", "roles", "replicas")
--- a/src/zincvale/cli/operator_reads.py
+++ b/src/zincvale/cli/operator/reads.py
@@ -5,14 +5,14 @@
 import urllib.parse
 from typing import Any
 
-from zincvale.cli.operator_output import (
+from zincvale.cli.operator.output import (
     json_text,
     observed_columns,
     resource_columns,
     table_text,
     yaml_text,
 )
-from zincvale.cli.operator_session import OperatorSession
+from zincvale.cli.operator.session import OperatorSession
 from zincvale.model.errors import NotFound
 
 PAGE_ROWS = 1_000
--- a/src/zincvale/cli/operator_main.py
+++ b/src/zincvale/cli/operator/runner.py
@@ -15,9 +15,9 @@
 import fire
 import orjson
 
-from zincvale.cli.operator import operator_commands
-from zincvale.cli.operator_arguments import normalize_arguments
-from zincvale.cli.operator_errors import EXIT_OK, UsageProblem, exit_code_of
+from zincvale.cli.operator.arguments import normalize_arguments
+from zincvale.cli.operator.commands import operator_commands
+from zincvale.cli.operator.errors import EXIT_OK, UsageProblem, exit_code_of
 from zincvale.model.errors import ZincvaleError
 
 EXIT_INTERRUPTED = 130
--- a/src/zincvale/cli/operator_watch.py
+++ b/src/zincvale/cli/operator/watch.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from zincvale.cli.operator_errors import ConditionNotReached
-from zincvale.cli.operator_output import condition_line, json_text, shown_value
-from zincvale.cli.operator_session import CoreTransport, OperatorSession
+from zincvale.cli.operator.errors import ConditionNotReached
+from zincvale.cli.operator.output import condition_line, json_text, shown_value
+from zincvale.cli.operator.session import CoreTransport, OperatorSession
 from zincvale.model.errors import Unavailable
 
 POLL_S = 30.0
--- a/tests/controlplane/fake_cores.py
+++ b/tests/controlplane/fake_cores.py
@@ -14,7 +14,7 @@
 from returns.result import Failure
 
 from tests.controlplane.fake_view import FakeView
-from zincvale.cli.operator_session import CoreAnswer, CoreNotReached
+from zincvale.cli.operator.session import CoreAnswer, CoreNotReached
 from zincvale.controlplane.api.dispatch import ControlApi
 from zincvale.controlplane.api.messages import ApiEffect, ApiRequest, ApiResponse, CallCore
 from zincvale.controlplane.intent.reducer import IntentReducer
--- a/tests/controlplane/test_operator_commands.py
+++ b/tests/controlplane/test_operator_commands.py
@@ -22,10 +22,10 @@
 from tests.controlplane.fake_cores import FakeCores
 from tests.controlplane.fake_view import FakeView, directory, server
 from tests.controlplane.samples import resource
-from zincvale.cli.operator import OperatorCommands, operator_commands
-from zincvale.cli.operator_http import CurlTransport
-from zincvale.cli.operator_main import run_operator_command
-from zincvale.cli.operator_session import CoreAnswer, CoreNotReached
+from zincvale.cli.operator.commands import OperatorCommands, operator_commands
+from zincvale.cli.operator.http import CurlTransport
+from zincvale.cli.operator.runner import run_operator_command
+from zincvale.cli.operator.session import CoreAnswer, CoreNotReached
 from zincvale.model.errors import VersionConflict
 from zincvale.model.identifiers import MemberId
 
--- a/tests/docs/test_commands.py
+++ b/tests/docs/test_commands.py
@@ -10,9 +10,9 @@
 import testtools
 
 from zincvale.cli.main import OPERATOR_COMMANDS, Zincvale
-from zincvale.cli.operator import operator_commands
-from zincvale.cli.operator_arguments import normalize_arguments
-from zincvale.cli.operator_main import check_arguments
+from zincvale.cli.operator.arguments import normalize_arguments
+from zincvale.cli.operator.commands import operator_commands
+from zincvale.cli.operator.runner import check_arguments
 
 ROOT = Path(__file__).resolve().parents[2]
 COMMAND = re.compile(r"^ {4,}(?:\.venv/bin/)?zincvale (.+)$", re.MULTILINE)
--- a/tests/golden/test_surfaces.py
+++ b/tests/golden/test_surfaces.py
@@ -23,7 +23,7 @@
 from tests.golden.every_module import import_every_module, is_own
 from tests.golden.golden_file import FOLDER, golden
 from zincvale.cli import main as cli_main
-from zincvale.cli.operator_errors import exit_code_of
+from zincvale.cli.operator.errors import exit_code_of
 from zincvale.dataplane.metrics import Metrics
 from zincvale.dataplane.policies.registry import DEFAULT_SCORERS, policy_names
 from zincvale.model.errors import InvalidInput, ZincvaleError
