--- a/src/zincvale/bench/relay_process.py
+++ b/src/zincvale/bench/relay_process.py
@@ -43,7 +43,7 @@
 from zincvale.runtime.listening import listen
 from zincvale.runtime.settings import DaemonSettings
 from zincvale.tracing.service import TracingService
-from zincvale.transport.peer import PeerNotReached
+from zincvale.transport.peer import PeerUnreachableError
 
 MAX_SECONDS = 300.0
 MAX_BODY_BYTES = 1024 * 1024
@@ -110,7 +110,7 @@
 
     async def call(self, member: MemberId, message: Any, timeout_s: float) -> Any:
         """Fail at once."""
-        raise PeerNotReached(str(member))
+        raise PeerUnreachableError(str(member))
 
     def send(self, member: MemberId, message: Any) -> None:
         """Drop the message."""
--- a/src/zincvale/cli/operator/arguments.py
+++ b/src/zincvale/cli/operator/arguments.py
@@ -10,7 +10,7 @@
 import re
 from collections.abc import Mapping
 
-from zincvale.cli.operator.errors import UsageProblem
+from zincvale.cli.operator.errors import UsageError
 
 CORES_VARIABLE = "ZINCVALE_CORES"
 STANDARD_INPUT = "/dev/stdin"
@@ -39,7 +39,7 @@
     listed = text or environment.get(CORES_VARIABLE, "")
     cores = [part.strip() for part in listed.split(",") if part.strip()]
     if not cores:
-        raise UsageProblem(
+        raise UsageError(
             "no core is named", f"pass --core ip:port[,ip:port], or set {CORES_VARIABLE}"
         )
     for core in cores:
@@ -55,7 +55,7 @@
         return True
     if lowered in ("false", "no", "0", ""):
         return False
-    raise UsageProblem(f"--{name} is {text!r}", f"write --{name} without a value")
+    raise UsageError(f"--{name} is {text!r}", f"write --{name} without a value")
 
 
 def read_count(text: str, name: str) -> int | None:
@@ -64,7 +64,7 @@
     if not text:
         return None
     if not text.isascii() or not text.isdigit() or len(text) > 18:
-        raise UsageProblem(f"--{name} is {text!r}", "write a whole number")
+        raise UsageError(f"--{name} is {text!r}", "write a whole number")
     return int(text)
 
 
@@ -76,7 +76,7 @@
     except ValueError:
         seconds = float("nan")
     if not 0 < seconds <= 86_400:
-        raise UsageProblem(f"--{name} is {text!r}", "write seconds, more than 0, at most a day")
+        raise UsageError(f"--{name} is {text!r}", "write seconds, more than 0, at most a day")
     return seconds
 
 
@@ -84,7 +84,7 @@
     """Return how results are shown."""
     text = read_text(text)
     if text not in _OUTPUTS:
-        raise UsageProblem(f"--output is {text!r}", f"write one of {', '.join(_OUTPUTS)}")
+        raise UsageError(f"--output is {text!r}", f"write one of {', '.join(_OUTPUTS)}")
     return text
 
 
@@ -92,7 +92,7 @@
     """Return the mode of a change."""
     text = read_text(text)
     if text not in ("merge", "replace"):
-        raise UsageProblem(f"--mode is {text!r}", "write merge or replace")
+        raise UsageError(f"--mode is {text!r}", "write merge or replace")
     return text
 
 
@@ -100,7 +100,7 @@
     """Return a checked order id, empty when none was given."""
     text = read_text(text)
     if text and not _ORDER_ID.fullmatch(text):
-        raise UsageProblem(
+        raise UsageError(
             f"--order-id is {text[:128]!r}", "use 1 to 128 letters, digits and any of . _ : -"
         )
     return text
@@ -114,6 +114,4 @@
     except ValueError:
         valid = False
     if not valid:
-        raise UsageProblem(
-            f"{source}: {address!r} is not `ip:port`", "write an IP number and a port"
-        )
+        raise UsageError(f"{source}: {address!r} is not `ip:port`", "write an IP number and a port")
--- a/src/zincvale/cli/operator/changes.py
+++ b/src/zincvale/cli/operator/changes.py
@@ -15,7 +15,7 @@
 from zincvale.cli.operator.reads import resource_target
 from zincvale.cli.operator.session import Confirmation, CoreTransport, OperatorSession
 from zincvale.cli.operator.watch import watch_status
-from zincvale.model.errors import InvalidInput, NotFound, Unavailable
+from zincvale.model.errors import InvalidInputError, NotFoundError, UnavailableError
 
 _RESOURCE_POSITION = re.compile(r"resources\[(\d+)\]")
 
@@ -72,11 +72,11 @@
 async def _require_known(session: OperatorSession, target: str) -> None:
     try:
         await session.read(target)
-    except NotFound as error:
-        raise NotFound(
+    except NotFoundError as error:
+        raise NotFoundError(
             error.problem, f"{error.remedy} or declare it nonetheless with --force"
         ) from error
-    except Unavailable:
+    except UnavailableError:
         # The change itself tries longer; a name that cannot be checked is not refused.
         return
 
@@ -95,10 +95,10 @@
     return f"in force: version {confirmation.version} (order {confirmation.order_id})"
 
 
-def with_place(error: InvalidInput, resources: list[FileResource]) -> InvalidInput:
+def with_place(error: InvalidInputError, resources: list[FileResource]) -> InvalidInputError:
     """Return the error with the file and document that `resources[N]` in it stands for."""
     match = _RESOURCE_POSITION.search(error.problem)
     if match is None or int(match.group(1)) >= len(resources):
         return error
     place = resources[int(match.group(1))].where
-    return InvalidInput(f"{place}: {error.problem}", error.remedy)
+    return InvalidInputError(f"{place}: {error.problem}", error.remedy)
--- a/src/zincvale/cli/operator/commands.py
+++ b/src/zincvale/cli/operator/commands.py
@@ -29,7 +29,7 @@
     declare_state,
     with_place,
 )
-from zincvale.cli.operator.errors import UsageProblem
+from zincvale.cli.operator.errors import UsageError
 from zincvale.cli.operator.files import read_resources
 from zincvale.cli.operator.http import CurlTransport
 from zincvale.cli.operator.kinds import OBSERVED_TABLES, declared_table_of, table_of
@@ -37,7 +37,7 @@
 from zincvale.cli.operator.reads import get_intent, get_observed, get_resources, resource_target
 from zincvale.cli.operator.session import Confirmation, CoreTransport, OperatorSession
 from zincvale.cli.operator.watch import watch_intent, watch_status
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 
 DEFAULT_LIMIT_S = "30"
 
@@ -91,7 +91,7 @@
         limit = read_seconds(limit_s, "limit-s")
         shown = read_output(output)
         if read_mode(mode) == "replace" and version is None:
-            raise UsageProblem(
+            raise UsageError(
                 "replace without --base-version would undo changes that you have not seen",
                 "pass the version of `zincvale get intent`, 0 for an empty cluster",
             )
@@ -107,7 +107,7 @@
                 lambda session, _: apply_change(session, body, order, limit),
                 lambda confirmation: confirmation_text(confirmation, shown),
             )
-        except InvalidInput as error:
+        except InvalidInputError as error:
             raise with_place(error, resources) from error
 
     def get(self, kind: str, name: str = "", core: str = "", output: str = "table") -> str:
@@ -179,7 +179,7 @@
             )
             return
         if not name:
-            raise UsageProblem(f"watch {kind} names no resource", "add its name")
+            raise UsageError(f"watch {kind} names no resource", "add its name")
         target = resource_target(declared_table_of(kind), read_text(name))
         self._run(
             core,
--- a/src/zincvale/cli/operator/errors.py
+++ b/src/zincvale/cli/operator/errors.py
@@ -5,10 +5,10 @@
 import attrs
 
 from zincvale.model.errors import (
-    NotConfirmed,
-    StartFailed,
-    Unavailable,
-    VersionConflict,
+    NotConfirmedError,
+    StartupError,
+    UnavailableError,
+    VersionConflictError,
     ZincvaleError,
 )
 
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen
-class UsageProblem(ZincvaleError):
+class UsageError(ZincvaleError):
     """The command line cannot be understood."""
 
     kind = "usage"
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class ConditionNotReached(ZincvaleError):
+class ConditionNotReachedError(ZincvaleError):
     """A watched condition did not come to hold in time."""
 
     kind = "not-reached"
@@ -44,14 +44,14 @@
 
 def exit_code_of(error: ZincvaleError) -> int:
     """Return the exit code that tells a script what became of its command."""
-    if isinstance(error, UsageProblem):
+    if isinstance(error, UsageError):
         return EXIT_USAGE
-    if isinstance(error, VersionConflict):
+    if isinstance(error, VersionConflictError):
         return EXIT_CONFLICT
-    if isinstance(error, ConditionNotReached):
+    if isinstance(error, ConditionNotReachedError):
         return EXIT_NOT_REACHED
-    if isinstance(error, NotConfirmed | Unavailable):
+    if isinstance(error, NotConfirmedError | UnavailableError):
         return EXIT_NOT_CONFIRMED
-    if isinstance(error, StartFailed):
+    if isinstance(error, StartupError):
         return EXIT_USAGE
     return EXIT_REFUSED
--- a/src/zincvale/cli/operator/files.py
+++ b/src/zincvale/cli/operator/files.py
@@ -15,7 +15,7 @@
 import orjson
 import yaml
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 
 MAX_FILE_BYTES = 64 * 1024 * 1024
 MAX_DEPTH = 32
@@ -32,13 +32,13 @@
 
 
 def read_resources(paths: Iterable[str]) -> list[FileResource]:
-    """Return the resources of files and folders, in order; raises `InvalidInput`."""
+    """Return the resources of files and folders, in order; raises `InvalidInputError`."""
     resources: list[FileResource] = []
     for path in paths:
         for file in _files_of(path):
             resources += _read_file(file)
     if not resources:
-        raise InvalidInput("there is no resource in the files", "write kind, name and spec")
+        raise InvalidInputError("there is no resource in the files", "write kind, name and spec")
     return resources
 
 
@@ -48,7 +48,7 @@
         return [folder]
     files = sorted(file for file in folder.iterdir() if file.suffix in RESOURCE_FILE_SUFFIXES)
     if not files:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"folder {path} holds no resource file",
             f"name files that end in {', '.join(RESOURCE_FILE_SUFFIXES)}",
         )
@@ -59,11 +59,11 @@
     try:
         content = file.read_bytes()
     except OSError as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"file {file} cannot be read: {error.strerror}", "name a readable file"
         ) from error
     if len(content) > MAX_FILE_BYTES:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"file {file} has {len(content)} bytes, more than {MAX_FILE_BYTES}", "split it"
         )
     documents = _read_json(file, content) if file.suffix == ".json" else _read_yaml(file, content)
@@ -77,7 +77,7 @@
     try:
         return [orjson.loads(content)]
     except orjson.JSONDecodeError as error:
-        raise InvalidInput(f"file {file} is not JSON: {error}", "correct it") from error
+        raise InvalidInputError(f"file {file} is not JSON: {error}", "correct it") from error
 
 
 def _read_yaml(file: Path, content: bytes) -> list[Any]:
@@ -85,9 +85,9 @@
         documents = list(yaml.load_all(content, Loader=_ResourceLoader))
     except (yaml.YAMLError, UnicodeDecodeError) as error:
         shown = " ".join(str(error).split())
-        raise InvalidInput(f"file {file} is not YAML: {shown}", "correct it") from error
+        raise InvalidInputError(f"file {file} is not YAML: {shown}", "correct it") from error
     except (RecursionError, ValueError) as error:
-        raise InvalidInput(f"file {file} cannot be read: {error}", "correct it") from error
+        raise InvalidInputError(f"file {file} cannot be read: {error}", "correct it") from error
     return [document for document in documents if document is not None]
 
 
@@ -99,7 +99,7 @@
     for position, item in enumerate(items, start=1):
         place = where if len(items) == 1 else f"{where}, resource {position}"
         if not isinstance(item, dict):
-            raise InvalidInput(f"{place} is not a resource", "write kind, name and spec")
+            raise InvalidInputError(f"{place} is not a resource", "write kind, name and spec")
         _PlainCheck(place).check(item)
         resources.append(FileResource(item, place))
     return resources
@@ -113,10 +113,10 @@
     values_left: int = MAX_VALUES_PER_RESOURCE
 
     def check(self, value: Any, depth: int = 0) -> None:
-        """Raise `InvalidInput` for the first value that cannot be sent."""
+        """Raise `InvalidInputError` for the first value that cannot be sent."""
         self.values_left -= 1
         if depth > MAX_DEPTH or self.values_left < 0:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"{self.where} is deeper than {MAX_DEPTH} or larger than "
                 f"{MAX_VALUES_PER_RESOURCE} values",
                 "remove aliases that contain themselves or each other",
@@ -133,13 +133,17 @@
 
     def _check_name(self, name: object) -> None:
         if not isinstance(name, str):
-            raise InvalidInput(f"{self.where}: field name {name!r} is not text", "put it in quotes")
+            raise InvalidInputError(
+                f"{self.where}: field name {name!r} is not text", "put it in quotes"
+            )
 
     def _check_scalar(self, value: object) -> None:
         if isinstance(value, float) and not math.isfinite(value):
-            raise InvalidInput(f"{self.where}: {value} is not a finite number", "write a number")
+            raise InvalidInputError(
+                f"{self.where}: {value} is not a finite number", "write a number"
+            )
         if not isinstance(value, str | int | float | None):
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"{self.where}: {value!r} has no JSON form", "write it as text, in quotes"
             )
 
--- a/src/zincvale/cli/operator/http.py
+++ b/src/zincvale/cli/operator/http.py
@@ -10,7 +10,7 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient, CurlError
 from tornado.httpclient import HTTPRequest
 
-from zincvale.cli.operator.session import CoreAnswer, CoreNotReached
+from zincvale.cli.operator.session import CoreAnswer, CoreUnreachableError
 
 CONNECT_TIMEOUT_S = 1.0
 MAX_ANSWER_BYTES = 256 * 1024 * 1024
@@ -33,7 +33,7 @@
         body: bytes,
         timeout_s: float,
     ) -> CoreAnswer:
-        """Return the answer; raises `CoreNotReached`."""
+        """Return the answer; raises `CoreUnreachableError`."""
         request = HTTPRequest(
             f"http://{address}{target}",
             method=method,
@@ -46,9 +46,11 @@
         try:
             response = await self._client.fetch(request, raise_error=False)
         except CurlError as error:
-            raise CoreNotReached(str(error.message), error.errno not in _NEVER_LEFT) from error
+            raise CoreUnreachableError(
+                str(error.message), error.errno not in _NEVER_LEFT
+            ) from error
         except OSError as error:
-            raise CoreNotReached(str(error), sent=True) from error
+            raise CoreUnreachableError(str(error), sent=True) from error
         return CoreAnswer(response.code, bytes(response.body or b""))
 
     async def pause(self, seconds: float) -> None:
--- a/src/zincvale/cli/operator/kinds.py
+++ b/src/zincvale/cli/operator/kinds.py
@@ -4,7 +4,7 @@
 
 import difflib
 
-from zincvale.cli.operator.errors import UsageProblem
+from zincvale.cli.operator.errors import UsageError
 from zincvale.controlplane.intent.row_codec import KIND_BY_TABLE
 
 OBSERVED_TABLES = ("members", "moves", "roles", "replicas")
@@ -12,7 +12,7 @@
 
 
 def table_of(kind: str) -> str:
-    """Return the API's path segment for `zone`, `zones` or `Zone`; raises `UsageProblem`."""
+    """Return the API's path segment for `zone`, `zones` or `Zone`; raises `UsageError`."""
     lowered = kind.lower()
     known = [*KIND_BY_TABLE, *OBSERVED_TABLES]
     for candidate in (lowered, f"{lowered}s"):
@@ -20,14 +20,14 @@
             return candidate
     nearest = difflib.get_close_matches(lowered, known, n=1)
     remedy = f"did you mean {nearest[0]!r}?" if nearest else f"use one of {', '.join(known)}"
-    raise UsageProblem(f"unknown kind {kind!r}", remedy)
+    raise UsageError(f"unknown kind {kind!r}", remedy)
 
 
 def declared_table_of(kind: str) -> str:
-    """Return `table_of` for a kind that is declared; raises `UsageProblem` for the others."""
+    """Return `table_of` for a kind that is declared; raises `UsageError` for the others."""
     table = table_of(kind)
     if table in OBSERVED_TABLES:
-        raise UsageProblem(
+        raise UsageError(
             f"{table} are observed, never declared", f"use one of {', '.join(KIND_BY_TABLE)}"
         )
     return table
--- a/src/zincvale/cli/operator/reads.py
+++ b/src/zincvale/cli/operator/reads.py
@@ -13,7 +13,7 @@
     yaml_text,
 )
 from zincvale.cli.operator.session import OperatorSession
-from zincvale.model.errors import NotFound
+from zincvale.model.errors import NotFoundError
 
 PAGE_ROWS = 1_000
 
@@ -61,7 +61,7 @@
     if name:
         rows = [row for row in rows if row.get(_KEY_BY_TABLE[table]) == name]
         if not rows:
-            raise NotFound(f"no {name!r} among {table}", f"see zincvale get {table}")
+            raise NotFoundError(f"no {name!r} among {table}", f"see zincvale get {table}")
     if output != "table":
         return json_text({**body, table: rows})
     return table_text(rows, observed_columns(table))
--- a/src/zincvale/cli/operator/runner.py
+++ b/src/zincvale/cli/operator/runner.py
@@ -17,7 +17,7 @@
 
 from zincvale.cli.operator.arguments import normalize_arguments
 from zincvale.cli.operator.commands import operator_commands
-from zincvale.cli.operator.errors import EXIT_OK, UsageProblem, exit_code_of
+from zincvale.cli.operator.errors import EXIT_OK, UsageError, exit_code_of
 from zincvale.model.errors import ZincvaleError
 
 EXIT_INTERRUPTED = 130
@@ -55,7 +55,7 @@
 
 
 def check_arguments(arguments: list[str], commands: Commands) -> list[str]:
-    """Return the arguments as `fire` takes them without doubt; raises `UsageProblem`.
+    """Return the arguments as `fire` takes them without doubt; raises `UsageError`.
 
     Flags come out as `--name=value`, so that a switch never swallows the argument behind it, and
     values as quoted text: `fire` would read a name such as `1.10` as a number.
@@ -64,7 +64,7 @@
         return arguments
     command = arguments[0]
     if command not in commands:
-        raise UsageProblem(f"unknown command {command!r}", _nearest(command, list(commands)))
+        raise UsageError(f"unknown command {command!r}", _nearest(command, list(commands)))
     if "--" in arguments or any(argument in _HELP for argument in arguments):
         return [command, "--help"]
     parameters = inspect.signature(commands[command]).parameters
@@ -82,14 +82,14 @@
     """Give the positional arguments to the parameters that no flag names, in order."""
     free = [name for name in parameters if name not in flags]
     if len(positional) > len(free):
-        raise UsageProblem(
+        raise UsageError(
             f"{command}: too many arguments: {' '.join(positional)}",
             f"see zincvale {command} --help",
         )
     flags.update(zip(free, positional, strict=False))
     for name, parameter in parameters.items():
         if parameter.default is inspect.Parameter.empty and name not in flags:
-            raise UsageProblem(
+            raise UsageError(
                 f"{command}: {name.upper()} is missing", f"see zincvale {command} --help"
             )
 
@@ -120,7 +120,7 @@
     if known in names:
         return known
     shown = [f"--{candidate.replace('_', '-')}" for candidate in names]
-    raise UsageProblem(f"{command}: unknown flag {argument!r}", _nearest(argument, shown))
+    raise UsageError(f"{command}: unknown flag {argument!r}", _nearest(argument, shown))
 
 
 def _long_name(letter: str, names: list[str]) -> str:
@@ -135,7 +135,7 @@
         is_value = bool(waiting) and waiting[0].lower() in _SWITCH_VALUES
         return waiting.pop(0) if is_value else "True"
     if not waiting or waiting[0].startswith("--"):
-        raise UsageProblem(f"{argument} has no value", f"write {argument} VALUE")
+        raise UsageError(f"{argument} has no value", f"write {argument} VALUE")
     return waiting.pop(0)
 
 
--- a/src/zincvale/cli/operator/session.py
+++ b/src/zincvale/cli/operator/session.py
@@ -13,14 +13,14 @@
 import orjson
 
 from zincvale.model.errors import (
-    BodyTooLarge,
-    InvalidInput,
-    MalformedBody,
-    NotConfirmed,
-    NotFound,
-    Unavailable,
-    VersionConflict,
-    WrongCluster,
+    BodyTooLargeError,
+    InvalidInputError,
+    MalformedBodyError,
+    NotConfirmedError,
+    NotFoundError,
+    UnavailableError,
+    VersionConflictError,
+    WrongClusterError,
     ZincvaleError,
 )
 
@@ -34,11 +34,11 @@
 _FOREIGN_REMEDY = "check that --core names a zincvale core"
 
 _ERROR_BY_STATUS: dict[int, type[ZincvaleError]] = {
-    400: MalformedBody,
-    404: NotFound,
-    413: BodyTooLarge,
-    421: WrongCluster,
-    422: InvalidInput,
+    400: MalformedBodyError,
+    404: NotFoundError,
+    413: BodyTooLargeError,
+    421: WrongClusterError,
+    422: InvalidInputError,
 }
 
 
@@ -50,17 +50,17 @@
     body: bytes
 
     def json(self) -> dict[str, Any]:
-        """Return the decoded body; raises `MalformedBody` unless it is an object."""
+        """Return the decoded body; raises `MalformedBodyError` unless it is an object."""
         try:
             value = orjson.loads(self.body)
         except orjson.JSONDecodeError as error:
-            raise MalformedBody(f"the answer is not JSON: {error}", _FOREIGN_REMEDY) from error
+            raise MalformedBodyError(f"the answer is not JSON: {error}", _FOREIGN_REMEDY) from error
         if not isinstance(value, dict):
-            raise MalformedBody("the answer is no object", _FOREIGN_REMEDY)
+            raise MalformedBodyError("the answer is no object", _FOREIGN_REMEDY)
         return value
 
 
-class CoreNotReached(Exception):
+class CoreUnreachableError(Exception):
     """No answer came; `sent` is False only when no byte of the request can have left."""
 
     def __init__(self, reason: str, sent: bool) -> None:
@@ -80,7 +80,7 @@
         body: bytes,
         timeout_s: float,
     ) -> CoreAnswer:
-        """Return the answer; raises `CoreNotReached`."""
+        """Return the answer; raises `CoreUnreachableError`."""
         ...
 
     async def pause(self, seconds: float) -> None:
@@ -122,14 +122,14 @@
             core = self._core()
             try:
                 answer = await self._transport.fetch(core, "GET", target, {}, b"", timeout_s)
-            except CoreNotReached as error:
+            except CoreUnreachableError as error:
                 failures[core] = str(error)
             else:
                 if answer.status < 500:
                     return _checked(answer)
                 failures[core] = _problem(answer)
             self._rotate()
-        raise Unavailable(
+        raise UnavailableError(
             f"no core answered ({_listed(failures)})", "name other cores with --core, or try again"
         )
 
@@ -142,11 +142,11 @@
 
         Raises
         ------
-        VersionConflict, InvalidInput, ...
+        VersionConflictError, InvalidInputError, ...
             When the change was refused.
-        NotConfirmed
+        NotConfirmedError
             When the limit is over; the change may or may not be in force.
-        Unavailable
+        UnavailableError
             When no attempt left this machine: nothing was changed.
         """
         attempts = _Attempts(order_id)
@@ -178,7 +178,7 @@
             answer = await self._transport.fetch(
                 core, "POST", "/v1/intent", headers, content, timeout_s
             )
-        except CoreNotReached as error:
+        except CoreUnreachableError as error:
             attempts.note(core, str(error), sent=error.sent)
             return None
         if answer.status >= 500:
@@ -227,11 +227,11 @@
     def given_up(self, limit_s: float) -> ZincvaleError:
         told = _listed(self.failures) or "no attempt was made"
         if not self.sent:
-            return Unavailable(
+            return UnavailableError(
                 f"no core was reached in {limit_s:g} s, nothing was changed ({told})",
                 "name other cores with --core, or try again",
             )
-        return NotConfirmed(
+        return NotConfirmedError(
             f"no core confirmed the change in {limit_s:g} s; "
             f"it may or may not be in force ({told})",
             f"send the same order again: --order-id {self.order_id}",
@@ -245,7 +245,7 @@
     problem = str(body.get("problem", f"HTTP status {answer.status}"))
     remedy = str(body.get("remedy", "see the core's log"))
     if answer.status == 409:
-        raise VersionConflict(problem, remedy, int(body.get("current_version", 0)))
+        raise VersionConflictError(problem, remedy, int(body.get("current_version", 0)))
     raise _ERROR_BY_STATUS.get(answer.status, ZincvaleError)(problem, remedy)
 
 
--- a/src/zincvale/cli/operator/watch.py
+++ b/src/zincvale/cli/operator/watch.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from zincvale.cli.operator.errors import ConditionNotReached
+from zincvale.cli.operator.errors import ConditionNotReachedError
 from zincvale.cli.operator.output import condition_line, json_text, shown_value
 from zincvale.cli.operator.session import CoreTransport, OperatorSession
-from zincvale.model.errors import Unavailable
+from zincvale.model.errors import UnavailableError
 
 POLL_S = 30.0
 """How long a core holds one poll."""
@@ -40,7 +40,7 @@
         query = urllib.parse.urlencode({"after": after, "timeout_s": f"{poll_s:.3f}"})
         try:
             answer = await session.read(f"/v1/watch?{query}", poll_s + RETRY_S)
-        except Unavailable as error:
+        except UnavailableError as error:
             if left_s is not None and left_s <= RETRY_S:
                 raise
             write(f"# {error}")
@@ -68,7 +68,7 @@
 
     Raises
     ------
-    ConditionNotReached
+    ConditionNotReachedError
         When `limit_s` is over first; without `until` the end of the time is no error.
     """
     started_at = transport.now()
@@ -106,9 +106,9 @@
     )
 
 
-def _not_reached(resource: Mapping[str, Any], until: str) -> ConditionNotReached:
+def _not_reached(resource: Mapping[str, Any], until: str) -> ConditionNotReachedError:
     what = f"{resource['kind']} {resource['name']}"
-    return ConditionNotReached(
+    return ConditionNotReachedError(
         f"{what}: {until} did not come to hold in time",
         f"see zincvale describe {resource['kind'].lower()} {resource['name']}, or wait longer",
     )
--- a/src/zincvale/cli/trace_commands.py
+++ b/src/zincvale/cli/trace_commands.py
@@ -12,7 +12,7 @@
 from fire.decorators import SetParseFn
 from tornado.httpclient import AsyncHTTPClient, HTTPError
 
-from zincvale.model.errors import InvalidInput, NotFound, Unavailable, ZincvaleError
+from zincvale.model.errors import InvalidInputError, NotFoundError, UnavailableError, ZincvaleError
 from zincvale.tracing.api.explain import explain
 from zincvale.tracing.api.render import render_table, render_tree
 
@@ -41,10 +41,10 @@
     silent: dict[str, str] = attrs.field(factory=dict)
 
     def require_some(self) -> None:
-        """Raise `Unavailable` when no node answered at all."""
+        """Raise `UnavailableError` when no node answered at all."""
         if not self.bodies and not self.missing:
             told = "; ".join(f"{node}: {reason}" for node, reason in self.silent.items())
-            raise Unavailable(f"no node answered ({told})", "check --nodes or --core")
+            raise UnavailableError(f"no node answered ({told})", "check --nodes or --core")
 
     def note(self) -> str:
         """Return a line that names the silent nodes, or an empty string."""
@@ -143,14 +143,16 @@
 
 
 def age_s(text: str) -> float:
-    """Return the seconds in an age such as `90s`, `15m`, `2h` or `1d`; raises `InvalidInput`."""
+    """Return the seconds of an age: `90s`, `15m`, `2h` or `1d`. Raises `InvalidInputError`."""
     text = str(text)
     factor = SECONDS_BY_UNIT.get(text[-1:], 0)
     number = text[:-1] if factor else text
     try:
         return float(number) * (factor or 1)
     except ValueError as error:
-        raise InvalidInput(f"age {text!r} is not a duration", "write 90s, 15m, 2h or 1d") from error
+        raise InvalidInputError(
+            f"age {text!r} is not a duration", "write 90s, 15m, 2h or 1d"
+        ) from error
 
 
 def merge_found(bodies: list[dict[str, Any]], limit: int) -> dict[str, Any]:
@@ -219,9 +221,9 @@
     answers.require_some()
     kept = next((text for text in answers.missing.values() if "not kept" in text), "")
     if kept:
-        return NotFound(kept, "only errors, slow requests and a share of the others are kept")
+        return NotFoundError(kept, "only errors, slow requests and a share of the others are kept")
     remedy = answers.note() or "it was not sampled, not kept, or its retention is over"
-    return NotFound(f"no node keeps a {what}", remedy)
+    return NotFoundError(f"no node keeps a {what}", remedy)
 
 
 def _ask(nodes: str, core: str, target: str) -> Answers:
@@ -241,11 +243,13 @@
 
 async def _discover(core: str) -> list[str]:
     if not core:
-        raise InvalidInput("no node to ask", "name --nodes ip:port,... or --core ip:port")
+        raise InvalidInputError("no node to ask", "name --nodes ip:port,... or --core ip:port")
     try:
         response = await _fetch(core, "/v1/members")
     except (OSError, HTTPError) as error:
-        raise Unavailable(f"core {core} does not answer: {error}", "name another core") from error
+        raise UnavailableError(
+            f"core {core} does not answer: {error}", "name another core"
+        ) from error
     members = orjson.loads(response)["members"]
     return [member["api_address"] for member in members if member["role"] == "node"]
 
@@ -256,7 +260,7 @@
     except HTTPError as error:
         problem = _problem_of(error)
         if error.code == INVALID_STATUS:
-            raise InvalidInput(problem, "correct the argument") from error
+            raise InvalidInputError(problem, "correct the argument") from error
         (answers.missing if error.code == NOT_FOUND_STATUS else answers.silent)[address] = problem
     except OSError as error:
         answers.silent[address] = str(error)
--- a/src/zincvale/controlplane/api/dispatch.py
+++ b/src/zincvale/controlplane/api/dispatch.py
@@ -27,7 +27,7 @@
     ApiRequest,
     ApiResponse,
     CallCore,
-    MethodNotAllowed,
+    MethodNotAllowedError,
     error_response,
     json_response,
 )
@@ -41,7 +41,7 @@
     ProposeChange,
     ReplaceReplica,
 )
-from zincvale.model.errors import InvalidInput, NotFound, Unavailable, ZincvaleError
+from zincvale.model.errors import InvalidInputError, NotFoundError, UnavailableError, ZincvaleError
 
 MAX_PENDING_CHANGES = 1_000
 """Changes that wait for the core's answer; a burst beyond it is refused at once."""
@@ -119,17 +119,19 @@
         self._watch_drains(now)
         try:
             return observe(self._view, self._drains, now)
-        except InvalidInput as error:
-            raise Unavailable(error.problem, error.remedy) from error
+        except InvalidInputError as error:
+            raise UnavailableError(error.problem, error.remedy) from error
 
     def _dispatch(self, request: ApiRequest, now: float) -> list[ApiEffect]:
         segments = _segments(request.path)
         handlers = self._handlers(segments)
         if not handlers:
-            raise NotFound(f"no path {request.path[:200]!r}", "see docs/PROTOCOLS.md for the paths")
+            raise NotFoundError(
+                f"no path {request.path[:200]!r}", "see docs/PROTOCOLS.md for the paths"
+            )
         handler = handlers.get(request.method)
         if handler is None:
-            raise MethodNotAllowed(
+            raise MethodNotAllowedError(
                 f"{request.method} is not taken at {request.path}",
                 f"use {', '.join(sorted(handlers))}",
                 allowed=tuple(sorted(handlers)),
@@ -172,7 +174,7 @@
     def _check_current(self) -> None:
         """Refuse to show control state that may be older than what was acknowledged."""
         if not self._view.may_show_state():
-            raise Unavailable(
+            raise UnavailableError(
                 "this core cannot tell whether its state is the newest",
                 "ask another core, or again once this one hears a majority of the cores",
             )
@@ -219,7 +221,7 @@
         self, token: str, message: ProposeChange | ReplaceReplica, order_id: str, now: float
     ) -> list[ApiEffect]:
         if len(self._pending) >= MAX_PENDING_CHANGES:
-            raise Unavailable(
+            raise UnavailableError(
                 f"this core carries {MAX_PENDING_CHANGES} changes already",
                 "send the change to another core, or again in a second",
             )
@@ -238,11 +240,11 @@
     for name in query:
         if name not in known:
             remedy = f"known parameters are {', '.join(known)}" if known else "remove it"
-            raise InvalidInput(f"unknown query parameter {name[:80]!r}", remedy)
+            raise InvalidInputError(f"unknown query parameter {name[:80]!r}", remedy)
 
 
 def _with_allow(response: ApiResponse, error: ZincvaleError) -> ApiResponse:
-    if not isinstance(error, MethodNotAllowed):
+    if not isinstance(error, MethodNotAllowedError):
         return response
     headers = {**response.headers, "Allow": ", ".join(error.allowed)}
     return attrs.evolve(response, headers=headers)
--- a/src/zincvale/controlplane/api/intent_changes.py
+++ b/src/zincvale/controlplane/api/intent_changes.py
@@ -27,11 +27,11 @@
 )
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.model.errors import (
-    BodyTooLarge,
-    InvalidInput,
-    MalformedBody,
-    NotConfirmed,
-    VersionConflict,
+    BodyTooLargeError,
+    InvalidInputError,
+    MalformedBodyError,
+    NotConfirmedError,
+    VersionConflictError,
 )
 
 CHANGE_TIMEOUT_S = 10.0
@@ -59,13 +59,15 @@
     a key: the same body sent again after other changes is a new order, never the old one's answer.
     """
     if len(request.body) > MAX_CHANGE_BYTES:
-        raise BodyTooLarge(
+        raise BodyTooLargeError(
             f"the body has {len(request.body)} bytes, more than {MAX_CHANGE_BYTES}",
             "apply the resources in several changes",
         )
     data = parse_json(request.body, "the body")
     if not isinstance(data, dict):
-        raise InvalidInput("the body is not an object", 'send {"baseVersion", "mode", "resources"}')
+        raise InvalidInputError(
+            "the body is not an object", 'send {"baseVersion", "mode", "resources"}'
+        )
     _refuse_unknown_fields(data)
     base_version = _read_base_version(data.get("baseVersion"), request.header("If-Match"))
     change = _canonical_change(data)
@@ -74,7 +76,7 @@
         base_for_digest = current_version if base_version is None else base_version
         order_id = _digest(base_for_digest, change)
     elif not _ORDER_ID.fullmatch(order_id):
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{IDEMPOTENCY_KEY_HEADER} {order_id[:128]!r} is not usable",
             "use 1 to 128 letters, digits and any of . _ : -",
         )
@@ -87,10 +89,10 @@
         body = {"version": result.version, **_order(pending), "state": IN_FORCE}
         return json_response(pending.token, 200, body)
     if result.status == CONFLICT:
-        conflict = VersionConflict(result.problem, result.remedy, result.current_version)
+        conflict = VersionConflictError(result.problem, result.remedy, result.current_version)
         return error_response(pending.token, conflict, **_order(pending))
     if result.status == INVALID:
-        invalid = InvalidInput(result.problem, result.remedy)
+        invalid = InvalidInputError(result.problem, result.remedy)
         return error_response(
             pending.token,
             invalid,
@@ -102,7 +104,7 @@
 
 def not_confirmed(pending: PendingChange, problem: str) -> ApiResponse:
     """Return the answer that promises nothing about the change."""
-    error = NotConfirmed(problem, _SEND_AGAIN)
+    error = NotConfirmedError(problem, _SEND_AGAIN)
     return error_response(pending.token, error, **_order(pending))
 
 
@@ -113,7 +115,7 @@
 def _refuse_unknown_fields(data: Mapping[str, Any]) -> None:
     for name in data:
         if name not in _BODY_FIELDS:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"the body has the unknown field {name!r}",
                 f"known fields are {', '.join(_BODY_FIELDS)}",
             )
@@ -124,12 +126,12 @@
     if declared is None:
         return from_header
     if not isinstance(declared, int) or isinstance(declared, bool) or declared < 0:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"baseVersion is {declared!r}, not a version",
             "write the version that the change was built on, or null",
         )
     if from_header is not None and from_header != declared:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"baseVersion is {declared}, If-Match is {from_header}", "send one of the two"
         )
     return declared
@@ -140,7 +142,7 @@
         return None
     match = _IF_MATCH.fullmatch(text)
     if match is None:
-        raise InvalidInput(f"If-Match {text[:40]!r} is not a version", 'write If-Match: "12"')
+        raise InvalidInputError(f"If-Match {text[:40]!r} is not a version", 'write If-Match: "12"')
     return int(match.group(1))
 
 
@@ -150,7 +152,9 @@
     try:
         return orjson.dumps(change, option=orjson.OPT_SORT_KEYS)
     except TypeError as error:
-        raise MalformedBody(f"the body cannot be read: {error}", "write plain fields") from error
+        raise MalformedBodyError(
+            f"the body cannot be read: {error}", "write plain fields"
+        ) from error
 
 
 def _digest(base_version: int, change: bytes) -> str:
--- a/src/zincvale/controlplane/api/messages.py
+++ b/src/zincvale/controlplane/api/messages.py
@@ -8,7 +8,7 @@
 import attrs
 import orjson
 
-from zincvale.model.errors import VersionConflict, ZincvaleError
+from zincvale.model.errors import VersionConflictError, ZincvaleError
 
 JSON_HEADERS = {"Content-Type": "application/json"}
 IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class MethodNotAllowed(ZincvaleError):
+class MethodNotAllowedError(ZincvaleError):
     """The path is known and does not take this method."""
 
     allowed: tuple[str, ...] = ()
@@ -83,7 +83,7 @@
 def error_response(token: str, error: ZincvaleError, **extra: Any) -> ApiResponse:
     """Return the answer that shows a typed error; `extra` fields go into its body."""
     body: dict[str, Any] = {**error.to_json(), **extra}
-    if isinstance(error, VersionConflict):
+    if isinstance(error, VersionConflictError):
         body["current_version"] = error.current_version
     headers = dict(JSON_HEADERS)
     if error.http_status == 503:
--- a/src/zincvale/controlplane/api/pending_watches.py
+++ b/src/zincvale/controlplane/api/pending_watches.py
@@ -13,7 +13,7 @@
 from zincvale.controlplane.api.messages import ApiResponse, json_response
 from zincvale.controlplane.api.reads import IntentBody
 from zincvale.coordination.changes import KeyView
-from zincvale.model.errors import InvalidInput, Unavailable
+from zincvale.model.errors import InvalidInputError, UnavailableError
 
 DEFAULT_WATCH_S = 30.0
 MAX_WATCH_S = 300.0
@@ -30,10 +30,12 @@
 
 
 def read_watch(token: str, query: Mapping[str, str], now: float) -> WatchRequest:
-    """Return the checked parameters of a poll; raises `InvalidInput`."""
+    """Return the checked parameters of a poll; raises `InvalidInputError`."""
     after = query.get("after", "0")
     if not after.isascii() or not after.isdigit() or len(after) > 18:
-        raise InvalidInput(f"after is {after[:40]!r}, not a version", "write the version you hold")
+        raise InvalidInputError(
+            f"after is {after[:40]!r}, not a version", "write the version you hold"
+        )
     timeout_s = _read_timeout(query.get("timeout_s", str(DEFAULT_WATCH_S)))
     return WatchRequest(token, int(after), now + timeout_s)
 
@@ -44,7 +46,9 @@
     except ValueError:
         timeout_s = float("nan")
     if not 0 <= timeout_s <= MAX_WATCH_S:
-        raise InvalidInput(f"timeout_s is {text[:40]!r}", f"write 0 to {MAX_WATCH_S:g} seconds")
+        raise InvalidInputError(
+            f"timeout_s is {text[:40]!r}", f"write 0 to {MAX_WATCH_S:g} seconds"
+        )
     return timeout_s
 
 
@@ -60,7 +64,7 @@
         if rows.version > poll.after:
             return [self._news(poll, rows)]
         if len(self._polls) >= MAX_HELD_POLLS:
-            raise Unavailable(
+            raise UnavailableError(
                 f"this core holds {MAX_HELD_POLLS} watches already", "watch at another core"
             )
         self._polls[poll.token] = poll
--- a/src/zincvale/controlplane/api/reads.py
+++ b/src/zincvale/controlplane/api/reads.py
@@ -18,7 +18,7 @@
 from zincvale.controlplane.status.cluster_snapshot import ObservedWorld
 from zincvale.controlplane.status.resource_status import conditions_of
 from zincvale.coordination.changes import KeyView
-from zincvale.model.errors import InvalidInput, NotFound
+from zincvale.model.errors import InvalidInputError, NotFoundError
 from zincvale.model.identifiers import MemberId, ServerId
 from zincvale.model.view import MemberRow, ServerRow
 
@@ -71,7 +71,7 @@
 
 
 def resource_body(view: CoreView, world: ObservedWorld, table: str, name: str) -> bytes:
-    """Return one resource with spec, effective spec and status; raises `NotFound`."""
+    """Return one resource with spec, effective spec and status; raises `NotFoundError`."""
     kind = KIND_BY_TABLE[table]
     names = _names(world, table)
     if name not in names:
@@ -98,10 +98,10 @@
 
 
 def move_body(view: CoreView, name: str) -> bytes:
-    """Return one move; raises `NotFound`."""
+    """Return one move; raises `NotFoundError`."""
     content = view.moves().get(name)
     if content is None:
-        raise NotFound(f"no move {name!r}", "see GET /v1/moves; finished moves are forgotten")
+        raise NotFoundError(f"no move {name!r}", "see GET /v1/moves; finished moves are forgotten")
     return orjson.dumps(move_to_json(decode_move(content)))
 
 
@@ -129,11 +129,11 @@
 
 
 def read_page(after: str, limit: str) -> tuple[str, int]:
-    """Return the checked query parameters of a list; raises `InvalidInput`."""
+    """Return the checked query parameters of a list; raises `InvalidInputError`."""
     if not limit:
         return after, DEFAULT_PAGE_ROWS
     if not limit.isascii() or not limit.isdigit() or not 0 < int(limit) <= MAX_PAGE_ROWS:
-        raise InvalidInput(f"limit is {limit[:40]!r}", f"write 1 to {MAX_PAGE_ROWS}")
+        raise InvalidInputError(f"limit is {limit[:40]!r}", f"write 1 to {MAX_PAGE_ROWS}")
     return after, int(limit)
 
 
@@ -195,9 +195,9 @@
     }
 
 
-def _no_resource(kind: str, name: str, names: Collection[str], table: str) -> NotFound:
+def _no_resource(kind: str, name: str, names: Collection[str], table: str) -> NotFoundError:
     problem = f"no {kind} {name!r}"
     nearest = difflib.get_close_matches(name, names, n=1)
     if nearest:
-        return NotFound(problem, f"did you mean {nearest[0]!r}?")
-    return NotFound(problem, f"see GET /v1/{table}")
+        return NotFoundError(problem, f"did you mean {nearest[0]!r}?")
+    return NotFoundError(problem, f"see GET /v1/{table}")
--- a/src/zincvale/controlplane/api/replica_changes.py
+++ b/src/zincvale/controlplane/api/replica_changes.py
@@ -8,7 +8,7 @@
 from zincvale.controlplane.intent.change_body import parse_json
 from zincvale.coordination.registers.change_messages import ReplaceReplica
 from zincvale.model.checked import Checked, read_checked
-from zincvale.model.errors import BodyTooLarge, InvalidInput
+from zincvale.model.errors import BodyTooLargeError, InvalidInputError
 
 MAX_REPLACEMENT_BYTES = 4_096
 
@@ -27,11 +27,11 @@
 def read_replacement(request: ApiRequest) -> ReplaceReplica:
     """Return the message that asks the core for the replacement; raises a `ZincvaleError`."""
     if len(request.body) > MAX_REPLACEMENT_BYTES:
-        raise BodyTooLarge(
+        raise BodyTooLargeError(
             f"the body has {len(request.body)} bytes, more than {MAX_REPLACEMENT_BYTES}",
             'send {"remove", "add"}',
         )
     replacement = read_checked(Replacement, parse_json(request.body, "the body"), "the body")
     if not replacement.remove and not replacement.add:
-        raise InvalidInput("the body names no core", "name a core's member id")
+        raise InvalidInputError("the body names no core", "name a core's member id")
     return ReplaceReplica(replacement.remove, replacement.add)
--- a/src/zincvale/controlplane/directory/backend_status.py
+++ b/src/zincvale/controlplane/directory/backend_status.py
@@ -13,7 +13,7 @@
 import orjson
 
 from zincvale.controlplane.addresses import is_address
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import AdapterName, Address, ModelName, PoolName, ServerId, ZoneName
 from zincvale.model.resources import PoolKind
 from zincvale.model.view import ServerHealth
@@ -61,12 +61,12 @@
 
 
 def read_server_status(body: bytes) -> ServerStatus:
-    """Return the status in the body of `GET /status`; raises `MalformedBody`."""
+    """Return the status in the body of `GET /status`; raises `MalformedBodyError`."""
     return _read(body, MAX_STATUS_BYTES, "a server's status", _STATUS_REMEDY, _server_status)
 
 
 def read_platform_list(body: bytes) -> list[PlatformServer]:
-    """Return the rows in the body of `GET /v1/servers`; raises `MalformedBody`."""
+    """Return the rows in the body of `GET /v1/servers`; raises `MalformedBodyError`."""
     return _read(
         body, MAX_PLATFORM_LIST_BYTES, "the platform's list", _LIST_REMEDY, _platform_servers
     )
@@ -74,11 +74,11 @@
 
 def _read(body: bytes, limit_bytes: int, what: str, remedy: str, read: Callable[[Any], Any]) -> Any:
     if len(body) > limit_bytes:
-        raise MalformedBody(f"{what} has {len(body)} bytes, more than {limit_bytes}", remedy)
+        raise MalformedBodyError(f"{what} has {len(body)} bytes, more than {limit_bytes}", remedy)
     try:
         return read(orjson.loads(body))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise MalformedBody(f"{what} cannot be read: {error!r}", remedy) from error
+        raise MalformedBodyError(f"{what} cannot be read: {error!r}", remedy) from error
 
 
 def _server_status(data: Mapping[str, Any]) -> ServerStatus:
--- a/src/zincvale/controlplane/directory/machine.py
+++ b/src/zincvale/controlplane/directory/machine.py
@@ -35,7 +35,7 @@
 from zincvale.controlplane.directory.row_codec import decode_server_row
 from zincvale.controlplane.directory.server_table import ServerTable, TableChange
 from zincvale.coordination.changes import TopicView
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import MemberId, ServerId
 from zincvale.model.machine import ClockJumped, Log, Tick
 from zincvale.model.resources import ServerSpec, ZoneSpec
@@ -209,6 +209,6 @@
     for server, content in published.rows.items():
         try:
             yield decode_server_row(server, content)
-        except InvalidInput:
+        except InvalidInputError:
             # A row of another release: the platform's list and a probe bring it back.
             continue
--- a/src/zincvale/controlplane/directory/row_codec.py
+++ b/src/zincvale/controlplane/directory/row_codec.py
@@ -8,7 +8,7 @@
 import orjson
 
 from zincvale.coordination.delivery.ephemeral_topics import LEADERLESS_PREFIX
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import AdapterName, Address, ModelName, PoolName, ServerId, ZoneName
 from zincvale.model.resources import PoolKind
 from zincvale.model.view import Directory, ServerHealth, ServerRow
@@ -45,11 +45,11 @@
 
 
 def decode_server_row(server: str, content: bytes) -> ServerRow:
-    """Return the row of `server`; raises `InvalidInput`."""
+    """Return the row of `server`; raises `InvalidInputError`."""
     try:
         return _server_row(ServerId(server), orjson.loads(content))
     except (KeyError, TypeError, ValueError) as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"directory row of server {server} cannot be read: {error}",
             "run the same release on every machine",
         ) from error
--- a/src/zincvale/controlplane/directory/server_discovery.py
+++ b/src/zincvale/controlplane/directory/server_discovery.py
@@ -24,7 +24,7 @@
 )
 from zincvale.coordination.changes import TopicView
 from zincvale.coordination.delivery.messages import PublishTopic
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.forwarding import ForwardingDocument
 from zincvale.model.identifiers import (
     AdapterName,
@@ -155,7 +155,7 @@
         for server, content in view.rows.items():
             try:
                 rows[ServerId(server)] = decode_server_row(server, content)
-            except InvalidInput:
+            except InvalidInputError:
                 continue
         gone = tuple(server for server in self._rows if server not in rows)
         self._rows = rows
--- a/src/zincvale/controlplane/documents/api.py
+++ b/src/zincvale/controlplane/documents/api.py
@@ -23,7 +23,7 @@
 from zincvale.coordination.changes import KeyView
 from zincvale.coordination.registers.change_messages import CONFLICT, ChangeResult, ProposeChange
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
-from zincvale.model.errors import Unavailable, ZincvaleError
+from zincvale.model.errors import UnavailableError, ZincvaleError
 
 CALL_LIMIT_S = 4.5
 MAX_PENDING_CALLS = 1_000
@@ -103,7 +103,7 @@
         try:
             command = self._dialect.read(request)
             if len(self._pending) >= MAX_PENDING_CALLS:
-                raise Unavailable("this core carries too many calls", "ask another core")
+                raise UnavailableError("this core carries too many calls", "ask another core")
         except ZincvaleError as error:
             return [self._dialect.error_answer(request.token, error)]
         self._pending[request.token] = _Pending(command, now + CALL_LIMIT_S)
@@ -170,5 +170,5 @@
 
     def _give_up(self, token: str, reason: str) -> list[ApiEffect]:
         self._pending.pop(token, None)
-        error = Unavailable(reason, "send the same call again, to any core")
+        error = UnavailableError(reason, "send the same call again, to any core")
         return [self._dialect.error_answer(token, error)]
--- a/src/zincvale/controlplane/documents/changes.py
+++ b/src/zincvale/controlplane/documents/changes.py
@@ -12,7 +12,7 @@
 import orjson
 import xxhash
 
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.forwarding import CallerLimits, ForwardPool, ForwardRoute
 
 REPLACE = "replace"
@@ -94,13 +94,15 @@
 
 
 def decode_change(content: bytes) -> dict[str, Any]:
-    """Return the fields of an encoded change; raises `MalformedBody`."""
+    """Return the fields of an encoded change; raises `MalformedBodyError`."""
     try:
         plain = orjson.loads(content)
     except orjson.JSONDecodeError as error:
-        raise MalformedBody(f"the change is not JSON: {error}", "send it again whole") from error
+        raise MalformedBodyError(
+            f"the change is not JSON: {error}", "send it again whole"
+        ) from error
     if not isinstance(plain, dict):
-        raise MalformedBody("the change is not a JSON object", "send it again whole")
+        raise MalformedBodyError("the change is not a JSON object", "send it again whole")
     return plain
 
 
--- a/src/zincvale/controlplane/documents/reducer.py
+++ b/src/zincvale/controlplane/documents/reducer.py
@@ -33,7 +33,7 @@
     place_of,
 )
 from zincvale.coordination.changes import ChangeRefused, RowChange, Rows
-from zincvale.model.errors import InvalidInput, VersionConflict, ZincvaleError
+from zincvale.model.errors import InvalidInputError, VersionConflictError, ZincvaleError
 
 NO_PLACE = 0
 
@@ -46,7 +46,7 @@
         """Return the row changes of a change, or why it is refused."""
         try:
             changed = changed_rows(rows, change)
-        except VersionConflict as error:
+        except VersionConflictError as error:
             return Failure(ChangeRefused(error.problem, error.remedy, is_conflict=True))
         except ZincvaleError as error:
             return Failure(ChangeRefused(error.problem, error.remedy))
@@ -74,13 +74,13 @@
 def _check_numbers(rows: Mapping[str, bytes], plain: Mapping[str, Any]) -> None:
     current = number_of(rows)
     if plain["base"] != current:
-        raise VersionConflict(
+        raise VersionConflictError(
             f"built on document {plain['base']}, now {current}",
             "read the current document and build the change on it",
             current,
         )
     if plain["number"] <= current:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"number {plain['number']} is not above {current}", "give the document a higher number"
         )
 
@@ -121,7 +121,7 @@
     for item in items:
         row = f"{prefix}{item['spec']['name']}"
         if row in named:
-            raise InvalidInput(f"{row} is declared twice", "declare each name once")
+            raise InvalidInputError(f"{row} is declared twice", "declare each name once")
         named.add(row)
         if is_whole or row not in kept:
             place, next_place = next_place, next_place + 1
@@ -145,7 +145,7 @@
         place = (spec["host"], spec["path_prefix"])
         other = places.setdefault(place, row)
         if other != row:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"{other} and {row} have the same host and path prefix", "change one of them"
             )
 
@@ -153,15 +153,15 @@
 def _check_route(row: str, spec: Mapping[str, Any], after: Mapping[str, bytes | None]) -> None:
     for share in spec["split"]:
         if after.get(f"{POOL_PREFIX}{share['pool']}") is None:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"{row} names pool {share['pool']!r}, which is not declared",
                 "declare the pool or correct the name",
             )
         if share["weight"] < 0:
-            raise InvalidInput(f"{row}: a weight is below 0", "use weights of 0 and more")
+            raise InvalidInputError(f"{row}: a weight is below 0", "use weights of 0 and more")
     if sum(share["weight"] for share in spec["split"]) <= 0:
-        raise InvalidInput(f"{row}: its weights add up to 0", "give one pool a weight above 0")
+        raise InvalidInputError(f"{row}: its weights add up to 0", "give one pool a weight above 0")
     if spec["timeout_s"] <= 0:
-        raise InvalidInput(f"{row}: its time-out is 0", "give it a time-out above 0")
+        raise InvalidInputError(f"{row}: its time-out is 0", "give it a time-out above 0")
     if spec["attempts"] < 1:
-        raise InvalidInput(f"{row}: attempts is below 1", "allow at least one attempt")
+        raise InvalidInputError(f"{row}: attempts is below 1", "allow at least one attempt")
--- a/src/zincvale/controlplane/documents/rows.py
+++ b/src/zincvale/controlplane/documents/rows.py
@@ -12,7 +12,7 @@
 import attrs
 import orjson
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.forwarding import (
     CallerLimits,
     ForwardingDocument,
@@ -89,7 +89,7 @@
         return self._document
 
     def update(self, version: int, rows: Mapping[str, bytes]) -> ForwardingDocument:
-        """Return the document of `rows`; raises `InvalidInput` and keeps the last one."""
+        """Return the document of `rows`; raises `InvalidInputError` and keeps the last one."""
         routes = self._decode_items(rows, ROUTE_PREFIX, self._routes, ForwardRoute)
         pools = self._decode_items(rows, POOL_PREFIX, self._pools, ForwardPool)
         limits = self._document.limits
@@ -130,6 +130,6 @@
     try:
         return kind.from_dict(orjson.loads(content)["spec"])
     except Exception as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"document row {row} cannot be read: {error}", "run the same release on every machine"
         ) from error
--- a/src/zincvale/controlplane/intent/change_body.py
+++ b/src/zincvale/controlplane/intent/change_body.py
@@ -13,7 +13,7 @@
 
 from zincvale.controlplane.intent.row_codec import row_id
 from zincvale.model.checked import read_checked
-from zincvale.model.errors import InvalidInput, MalformedBody
+from zincvale.model.errors import InvalidInputError, MalformedBodyError
 from zincvale.model.resources import SPEC_BY_KIND, Document
 
 MAX_CHANGE_BYTES = 2 * 1024 * 1024
@@ -66,17 +66,17 @@
 
 
 def parse_json(body: bytes, what: str) -> Any:
-    """Return the decoded JSON of `body`; raises `MalformedBody`."""
+    """Return the decoded JSON of `body`; raises `MalformedBodyError`."""
     try:
         return orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise MalformedBody(f"{what} is not JSON: {error}", "send a JSON object") from error
+        raise MalformedBodyError(f"{what} is not JSON: {error}", "send a JSON object") from error
 
 
 def read_change_body(data: object) -> ChangeBody:
-    """Return the change in a decoded JSON value; raises `InvalidInput`."""
+    """Return the change in a decoded JSON value; raises `InvalidInputError`."""
     if not isinstance(data, Mapping):
-        raise InvalidInput(
+        raise InvalidInputError(
             f"the change is {type(data).__name__}, not an object",
             'send {"mode": "merge", "resources": [...]}',
         )
@@ -84,7 +84,7 @@
     mode = _read_mode(data.get("mode", ChangeMode.MERGE.value))
     resources = data.get("resources")
     if not isinstance(resources, list):
-        raise InvalidInput(
+        raise InvalidInputError(
             "the change has no list `resources`", 'add "resources": [{"kind", "name", "spec"}]'
         )
     edits = [_read_edit(item, position, mode) for position, item in enumerate(resources)]
@@ -95,7 +95,7 @@
 def _refuse_unknown_fields(data: Mapping[str, Any]) -> None:
     for name in data:
         if name not in _CHANGE_FIELDS:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"the change has the unknown field {name!r}",
                 f"known fields are baseVersion, {', '.join(_CHANGE_FIELDS)}",
             )
@@ -105,7 +105,7 @@
     for mode in ChangeMode:
         if mode.value == value:
             return mode
-    raise InvalidInput(f"mode is {value!r}", "write `merge` or `replace`")
+    raise InvalidInputError(f"mode is {value!r}", "write `merge` or `replace`")
 
 
 def _read_edit(item: object, position: int, mode: ChangeMode) -> ResourceEdit:
@@ -113,21 +113,21 @@
     if not isinstance(item, dict) or not item.keys() <= _DOCUMENT_FIELDS:
         _refuse_status(item, where)
         read_checked(Document, item, where)
-        raise InvalidInput(f"{where} is not a resource", "write kind, name and spec")
+        raise InvalidInputError(f"{where} is not a resource", "write kind, name and spec")
     kind = _read_kind(item.get("kind"), where)
     name = read_name(item.get("name"), where, kind)
     spec = item.get("spec")
     if spec is None and mode is ChangeMode.REPLACE:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{kind} {name}: spec is missing",
             "write `spec: {}` for the defaults; in replace mode leave a resource out to delete it",
         )
     if spec is not None and not isinstance(spec, dict):
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{kind} {name}: spec is {type(spec).__name__}, not an object", "write it as fields"
         )
     if spec is not None and _is_deeper(spec, MAX_SPEC_DEPTH):
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{kind} {name}: spec is nested deeper than {MAX_SPEC_DEPTH}", "write plain fields"
         )
     return ResourceEdit(kind, name, row_id(kind, name), spec)
@@ -142,7 +142,7 @@
 
 def _refuse_status(item: object, where: str) -> None:
     if isinstance(item, dict) and "status" in item:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{where}: `status` is observed, never declared", "remove `status` from the resource"
         )
 
@@ -151,23 +151,27 @@
     if isinstance(value, str) and value in SPEC_BY_KIND:
         return value
     if value is None:
-        raise InvalidInput(f"{where}: kind is missing", f"add one of {', '.join(SPEC_BY_KIND)}")
+        raise InvalidInputError(
+            f"{where}: kind is missing", f"add one of {', '.join(SPEC_BY_KIND)}"
+        )
     nearest = difflib.get_close_matches(str(value).capitalize(), SPEC_BY_KIND, n=1)
     if nearest:
-        raise InvalidInput(f"{where}: unknown kind {value!r}", f"did you mean {nearest[0]!r}?")
-    raise InvalidInput(f"{where}: unknown kind {value!r}", f"use one of {', '.join(SPEC_BY_KIND)}")
+        raise InvalidInputError(f"{where}: unknown kind {value!r}", f"did you mean {nearest[0]!r}?")
+    raise InvalidInputError(
+        f"{where}: unknown kind {value!r}", f"use one of {', '.join(SPEC_BY_KIND)}"
+    )
 
 
 def read_name(value: object, where: str, what: str) -> str:
-    """Return a checked name of a `what`; raises `InvalidInput`."""
+    """Return a checked name of a `what`; raises `InvalidInputError`."""
     if value is None:
-        raise InvalidInput(f"{where}: {what}: name is missing", "add a name")
+        raise InvalidInputError(f"{where}: {what}: name is missing", "add a name")
     if not isinstance(value, str):
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{where}: {what}: name is {value!r}, not text", "write the name in quotes"
         )
     if len(value) > MAX_NAME_CHARACTERS or not _NAME.fullmatch(value):
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{where}: {what}: name {value[:MAX_NAME_CHARACTERS]!r} is not usable",
             f"use at most {MAX_NAME_CHARACTERS} letters, digits and any of . _ : -, "
             "beginning with a letter or digit",
@@ -179,7 +183,7 @@
     seen: set[str] = set()
     for edit in edits:
         if edit.row in seen:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"{edit.kind} {edit.name} stands twice in the change", "keep one of the two"
             )
         seen.add(edit.row)
--- a/src/zincvale/controlplane/intent/reducer.py
+++ b/src/zincvale/controlplane/intent/reducer.py
@@ -29,7 +29,7 @@
     check_unique_fields,
 )
 from zincvale.coordination.changes import ChangeRefused, RowChange, Rows
-from zincvale.model.errors import BodyTooLarge, ZincvaleError
+from zincvale.model.errors import BodyTooLargeError, ZincvaleError
 
 
 @attrs.frozen
@@ -60,7 +60,7 @@
         change : JSON of `{mode, resources}`.
         """
         if len(change) > MAX_CHANGE_BYTES:
-            raise BodyTooLarge(
+            raise BodyTooLargeError(
                 f"the change has {len(change)} bytes, more than {MAX_CHANGE_BYTES}",
                 "apply the resources in several changes",
             )
--- a/src/zincvale/controlplane/intent/row_codec.py
+++ b/src/zincvale/controlplane/intent/row_codec.py
@@ -14,7 +14,7 @@
 import orjson
 
 from zincvale.model.checked import Checked
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import SPEC_BY_KIND
 from zincvale.model.view import Intent
 
@@ -38,10 +38,10 @@
 
 
 def split_row_id(row: str) -> tuple[str, str]:
-    """Return kind and name of a row id; raises `InvalidInput` for an unknown kind."""
+    """Return kind and name of a row id; raises `InvalidInputError` for an unknown kind."""
     kind, separator, name = row.partition("/")
     if not separator or not name or kind not in SPEC_BY_KIND:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"intent row {row!r} is of no known kind", "run the same release on every machine"
         )
     return kind, name
@@ -57,22 +57,22 @@
 
 
 def decode_fields(row: str, content: bytes) -> dict[str, Any]:
-    """Return the declared fields of a row; raises `InvalidInput` when it is not a JSON object."""
+    """Return the declared fields of a row; raises `InvalidInputError` if it is no JSON object."""
     try:
         fields = orjson.loads(content)
     except orjson.JSONDecodeError as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"intent row {row} is not JSON: {error}", "restore the row by applying the resource"
         ) from error
     if not isinstance(fields, dict):
-        raise InvalidInput(
+        raise InvalidInputError(
             f"intent row {row} is not a JSON object", "restore the row by applying the resource"
         )
     return fields
 
 
 def decode_spec(kind: str, name: str, content: bytes) -> Checked:
-    """Return the typed spec of a row; raises `InvalidInput`.
+    """Return the typed spec of a row; raises `InvalidInputError`.
 
     Only rows that a reducer accepted are decoded here, so the fast path skips the checks that
     produce readable messages.
@@ -82,13 +82,13 @@
     try:
         return SPEC_BY_KIND[kind].from_dict(fields)
     except Exception as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"intent row {row} cannot be read: {error}", "run the same release on every machine"
         ) from error
 
 
 def decode_intent(version: int, rows: Mapping[str, bytes]) -> Intent:
-    """Return the whole intent; raises `InvalidInput` for the first unreadable row."""
+    """Return the whole intent; raises `InvalidInputError` for the first unreadable row."""
     return IntentDecoder().update(version, rows)
 
 
--- a/src/zincvale/controlplane/intent/validation/fields.py
+++ b/src/zincvale/controlplane/intent/validation/fields.py
@@ -9,7 +9,7 @@
 from zincvale.controlplane.addresses import is_address
 from zincvale.controlplane.intent.change_body import read_name
 from zincvale.model.checked import Checked, read_checked
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import (
     SPEC_BY_KIND,
     AdapterSpec,
@@ -35,7 +35,7 @@
 def check_fields(
     kind: str, name: str, fields: Mapping[str, Any], known_policies: frozenset[str] | None
 ) -> Checked:
-    """Return the typed spec of declared `fields`; raises `InvalidInput` for the first bad one.
+    """Return the typed spec of declared `fields`; raises `InvalidInputError` for the first bad one.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
         return
     for policy in spec.policies:
         if policy not in known_policies:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"{where}: policies names {policy!r}, which is no policy",
                 f"use any of {', '.join(sorted(known_policies))}",
             )
@@ -77,12 +77,12 @@
 
 def _check_route(spec: RouteSpec, where: str) -> None:
     if len(spec.path) > MAX_PATH_CHARACTERS or not _PATH.fullmatch(spec.path):
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{where}: path {spec.path[:MAX_PATH_CHARACTERS]!r} is not a plain HTTP path",
             "write a path as in /v1/quotes, without query, spaces or a slash at the end",
         )
     if spec.path in RESERVED_PATHS or spec.path.startswith(RESERVED_PATH_PREFIXES):
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{where}: path {spec.path!r} is served by the node itself", "choose another path"
         )
     _at_least(spec.deadline_ms, 1, where, "deadline_ms")
@@ -93,7 +93,7 @@
 
 def _check_store(spec: StoreSpec, where: str) -> None:
     if not is_address(spec.address):
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{where}: address {spec.address!r} is not `ip:port`",
             "write an IP number and a port, not a host name",
         )
@@ -118,19 +118,21 @@
 
 def _at_least(value: float, lowest: float, where: str, field: str) -> None:
     if not value >= lowest:
-        raise InvalidInput(f"{where}: {field} is {value}", f"write {lowest} or more")
+        raise InvalidInputError(f"{where}: {field} is {value}", f"write {lowest} or more")
 
 
 def _at_most(value: float, highest: float, where: str, field: str) -> None:
     if not value <= highest:
-        raise InvalidInput(f"{where}: {field} is {value}", f"write {highest} or less")
+        raise InvalidInputError(f"{where}: {field} is {value}", f"write {highest} or less")
 
 
 def _refuse_repeats(values: list[str], where: str, field: str) -> None:
     seen: set[str] = set()
     for value in values:
         if value in seen:
-            raise InvalidInput(f"{where}: {field} names {value!r} twice", "keep one of the two")
+            raise InvalidInputError(
+                f"{where}: {field} names {value!r} twice", "keep one of the two"
+            )
         seen.add(value)
 
 
--- a/src/zincvale/controlplane/intent/validation/references.py
+++ b/src/zincvale/controlplane/intent/validation/references.py
@@ -8,7 +8,7 @@
 
 from zincvale.controlplane.intent.proposed_rows import ProposedRows
 from zincvale.controlplane.intent.row_codec import row_id
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 
 TARGET_KIND_BY_FIELD: dict[str, dict[str, str]] = {
     "Route": {"pool": "Pool", "models": "Model"},
@@ -43,30 +43,32 @@
 def check_references(
     kind: str, name: str, fields: Mapping[str, Any], proposed: ProposedRows
 ) -> None:
-    """Raise `InvalidInput` for the first reference that names nothing."""
+    """Raise `InvalidInputError` for the first reference that names nothing."""
     for field, row in references_of(kind, fields):
         if row not in proposed:
             raise _dangling(kind, name, field, row, proposed)
 
 
-def _dangling(kind: str, name: str, field: str, row: str, proposed: ProposedRows) -> InvalidInput:
+def _dangling(
+    kind: str, name: str, field: str, row: str, proposed: ProposedRows
+) -> InvalidInputError:
     target_kind, _, target_name = row.partition("/")
     target = f"{target_kind} {target_name}"
     if kind == "Adapter" and target_kind == "Model" and row_id("Adapter", target_name) in proposed:
         return _stacked_adapter(name, target_name, proposed)
     if proposed.deletes(row):
-        return InvalidInput(
+        return InvalidInputError(
             f"{target} cannot be deleted: {kind} {name} names it in spec.{field}",
             f"delete or change {kind} {name} in the same change",
         )
     problem = f"{kind} {name}: spec.{field} names {target}, which does not exist"
     nearest = difflib.get_close_matches(target_name, proposed.names(target_kind), n=1)
     if nearest:
-        return InvalidInput(problem, f"did you mean {nearest[0]!r}?")
-    return InvalidInput(problem, f"declare {target} in the same change, or name another")
+        return InvalidInputError(problem, f"did you mean {nearest[0]!r}?")
+    return InvalidInputError(problem, f"declare {target} in the same change, or name another")
 
 
-def _stacked_adapter(name: str, base: str, proposed: ProposedRows) -> InvalidInput:
+def _stacked_adapter(name: str, base: str, proposed: ProposedRows) -> InvalidInputError:
     chain = [name]
     following: str | None = base
     while following is not None and following not in chain:
@@ -77,7 +79,7 @@
         problem = f"Adapter {name}: spec.base_model runs in a cycle: {path}"
     else:
         problem = f"Adapter {name}: spec.base_model names an adapter: {path}"
-    return InvalidInput(problem, "name a Model; an adapter goes on a base model only")
+    return InvalidInputError(problem, "name a Model; an adapter goes on a base model only")
 
 
 def _base_adapter(name: str, proposed: ProposedRows) -> str | None:
--- a/src/zincvale/controlplane/intent/validation/resources.py
+++ b/src/zincvale/controlplane/intent/validation/resources.py
@@ -12,7 +12,7 @@
     check_references,
     references_of,
 )
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import PoolKind
 
 _UNIQUE_FIELD_BY_KIND = {"Route": "path", "Store": "address"}
@@ -25,7 +25,7 @@
 
 
 def check_resource(kind: str, name: str, fields: Mapping[str, Any], proposed: ProposedRows) -> None:
-    """Raise `InvalidInput` when a resource does not fit the resources that it names."""
+    """Raise `InvalidInputError` when a resource does not fit the resources that it names."""
     check_references(kind, name, fields, proposed)
     if kind == "Route":
         _check_route(name, fields, proposed)
@@ -36,7 +36,7 @@
 
 
 def check_unique_fields(proposed: ProposedRows) -> None:
-    """Raise `InvalidInput` when two resources claim one path or store address."""
+    """Raise `InvalidInputError` when two resources claim one path or store address."""
     for kind, field in _UNIQUE_FIELD_BY_KIND.items():
         written = [row for row in proposed.written() if row.kind == kind]
         if written:
@@ -44,7 +44,7 @@
 
 
 def check_referrers(proposed: ProposedRows) -> None:
-    """Raise `InvalidInput` when an unchanged resource no longer fits what it names.
+    """Raise `InvalidInputError` when an unchanged resource no longer fits what it names.
 
     Costs a pass over the referring kinds, made only when a change deletes a resource or moves one
     to another pool or pool kind.
@@ -106,7 +106,7 @@
     for model in models:
         model_pool = proposed.fields(row_id("Model", model)).get("pool")
         if model_pool != pool:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"Route {name}: spec.models names Model {model}, which is in Pool {model_pool}, "
                 f"while spec.pool is {pool}",
                 f"leave {model} out, or move the route or the model to one pool",
@@ -116,7 +116,7 @@
 def _check_lookup_route(name: str, fields: Mapping[str, Any]) -> None:
     for field in ("stream", "models"):
         if fields.get(field):
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"Route {name}: spec.{field} is set, but Pool {fields['pool']} serves lookups",
                 f"remove {field}, or name a pool of kind language-model",
             )
@@ -126,14 +126,14 @@
     if row_id("Adapter", name) in proposed:
         raise _shared_name(name)
     if _pool_kind(proposed.fields(row_id("Pool", fields["pool"]))) == PoolKind.LOOKUP.value:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"Model {name}: spec.pool names Pool {fields['pool']}, which serves lookups",
             "name a pool of kind language-model",
         )
 
 
-def _shared_name(name: str) -> InvalidInput:
-    return InvalidInput(
+def _shared_name(name: str) -> InvalidInputError:
+    return InvalidInputError(
         f"Model {name} and Adapter {name} share a name", "servers tell them apart by name: rename"
     )
 
@@ -151,7 +151,7 @@
         value = fields.get(field, "")
         other = claimed.setdefault(value, name)
         if other != name:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"{kind} {other}: spec.{field} {value!r} is that of {kind} {name} as well",
                 f"no two resources of kind {kind} may have the same {field}",
             )
--- a/src/zincvale/controlplane/placement/choose_server.py
+++ b/src/zincvale/controlplane/placement/choose_server.py
@@ -21,7 +21,7 @@
 LARGEST_FREE_SAMPLE = 16
 
 
-class AllServersBusy(Exception):
+class AllServersBusyError(Exception):
     """Every server that may take the load has as many planned or running as it can start soon."""
 
 
@@ -38,7 +38,7 @@
 
     Servers with room come first, and among them other zones than those of present copies, servers
     that are not loading, and those whose models are asked for least. With `spread_first` another
-    zone comes before room. Raises `AllServersBusy` when servers could take it, but not soon.
+    zone comes before room. Raises `AllServersBusyError` when servers could take it, but not soon.
     """
     return _best(world, space, _free_to_load(world, space.item, now), spread_first, now)
 
@@ -47,7 +47,7 @@
     """Return the best of the servers that hold the item's weights on their own disk, if any can.
 
     None when a load from there is not clearly sooner than one from the store. Raises
-    `AllServersBusy` when such a server is loading, and waiting for its end is still sooner.
+    `AllServersBusyError` when such a server is loading, and waiting for its end is still sooner.
     """
     item = space.item
     known = _on_disk(world, item, now)
@@ -61,7 +61,7 @@
         for server in known
         if server not in free
     ):
-        raise AllServersBusy
+        raise AllServersBusyError
     return choice
 
 
@@ -115,7 +115,7 @@
         return able
     free = [server for server in able if _pending(server) < server.load_slots(world.config, now)]
     if able and not free:
-        raise AllServersBusy
+        raise AllServersBusyError
     return free
 
 
--- a/src/zincvale/controlplane/placement/draining_row_codec.py
+++ b/src/zincvale/controlplane/placement/draining_row_codec.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import ServerId
 
 MOVES_TOPIC = "moves"
@@ -23,7 +23,7 @@
         self._closing: dict[str, tuple[ServerId, str] | None] = {}
 
     def update(self, rows: Mapping[str, bytes]) -> dict[ServerId, frozenset[str]]:
-        """Return the names that nodes must send nothing new for; raises `MalformedBody`."""
+        """Return the names that nodes must send nothing new for; raises `MalformedBodyError`."""
         self._closing = {
             move: self._closing[move] if self._rows.get(move) == content else _read(content)
             for move, content in rows.items()
@@ -42,7 +42,7 @@
         is_closing = row["kind"] == UNLOAD and row["state"] in CLOSING_STATE_NAMES
         return (ServerId(row["server"]), row["name"]) if is_closing else None
     except (ValueError, KeyError, TypeError) as error:
-        raise MalformedBody(
+        raise MalformedBodyError(
             f"a row of the topic moves cannot be read: {error}",
             "run the same release on every machine",
         ) from error
--- a/src/zincvale/controlplane/placement/load_candidates.py
+++ b/src/zincvale/controlplane/placement/load_candidates.py
@@ -25,7 +25,7 @@
 
     A server that has the weights on its own disk comes first, where that is sooner.
 
-    Raises `AllServersBusy` when servers could take it, but not soon.
+    Raises `AllServersBusyError` when servers could take it, but not soon.
     """
     may_drain = item.waiting > 0 and now - item.waiting_since > DRAIN_PATIENCE_S
     if world.config.servers_keep_weights and item.kind is ItemKind.MODEL:
--- a/src/zincvale/controlplane/placement/move_row_codec.py
+++ b/src/zincvale/controlplane/placement/move_row_codec.py
@@ -22,7 +22,7 @@
     MoveState,
     Reservation,
 )
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import Address, MoveId, ServerId, StoreName, ZoneName
 
 TIME_FIELDS = ("created_at", "start_at", "expected_end", "answered_at", "finished_at")
@@ -35,11 +35,11 @@
 
 
 def decode_move(content: bytes) -> Move:
-    """Return the move in a row; raises `MalformedBody`."""
+    """Return the move in a row; raises `MalformedBodyError`."""
     try:
         return _from_json(orjson.loads(content))
     except (ValueError, KeyError, TypeError) as error:
-        raise MalformedBody(
+        raise MalformedBodyError(
             f"a row of the topic moves cannot be read: {error}",
             "run the same release on every machine",
         ) from error
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -6,7 +6,7 @@
 import heapq
 
 from zincvale.controlplane.placement import log_events
-from zincvale.controlplane.placement.choose_server import AllServersBusy, Choice
+from zincvale.controlplane.placement.choose_server import AllServersBusyError, Choice
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow
 from zincvale.controlplane.placement.load_candidates import find_place, is_worth
@@ -152,7 +152,7 @@
 def _plan(world: World, item: ItemRow, reason: MoveReason, now: float) -> Planning:
     try:
         choice = find_place(world, item, reason, now)
-    except AllServersBusy:
+    except AllServersBusyError:
         return Planning.BUSY
     if choice is None or not is_worth(world, item, reason, choice, now):
         world.unplaced[item.key] = None
--- a/src/zincvale/daemons/directory_runner.py
+++ b/src/zincvale/daemons/directory_runner.py
@@ -30,7 +30,7 @@
 from zincvale.controlplane.directory.machine import DirectoryMachine
 from zincvale.daemons.http_fetch import HttpFetcher
 from zincvale.daemons.topic_publisher import TopicPublisher
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.machine import Log
 from zincvale.runtime.logs import log
 
@@ -92,7 +92,7 @@
             return
         try:
             rows = read_platform_list(result.body)
-        except MalformedBody as error:
+        except MalformedBodyError as error:
             self.feed(PlatformListFailed(str(error)))
             return
         self.feed(PlatformListed(rows))
@@ -106,7 +106,7 @@
             return
         try:
             status = read_server_status(result.body)
-        except MalformedBody as error:
+        except MalformedBodyError as error:
             self.feed(StatusFailed(effect.server, str(error), False, asked_at))
             return
         self.feed(StatusObserved(effect.server, status, asked_at))
--- a/src/zincvale/daemons/discovery_runner.py
+++ b/src/zincvale/daemons/discovery_runner.py
@@ -20,7 +20,7 @@
 from zincvale.coordination.delivery.messages import TopicPublished
 from zincvale.daemons.forwarding_dialects import ServerListDialect
 from zincvale.daemons.http_fetch import HttpFetcher
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.forwarding import ForwardingDocument
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Log
@@ -110,7 +110,7 @@
                 return
             try:
                 read = self._dialect.read_page(result.body)
-            except MalformedBody as error:
+            except MalformedBodyError as error:
                 self._failed(str(error), False)
                 return
             servers.extend(read.servers)
--- a/src/zincvale/daemons/forwarding_dialects.py
+++ b/src/zincvale/daemons/forwarding_dialects.py
@@ -28,7 +28,7 @@
         ...
 
     def read_page(self, body: bytes) -> ListPage:
-        """Return a page; raises `MalformedBody`."""
+        """Return a page; raises `MalformedBodyError`."""
         ...
 
     def is_throttled(self, result: FetchResult) -> bool:
--- a/src/zincvale/daemons/http_fetch.py
+++ b/src/zincvale/daemons/http_fetch.py
@@ -16,7 +16,7 @@
 import orjson
 
 from zincvale.model.addresses import split_address
-from zincvale.transport.complete_exchange import NoAnswer, fetch_whole
+from zincvale.transport.complete_exchange import NoResponseError, fetch_whole
 from zincvale.transport.server_client import ServerClient
 from zincvale.transport.server_exchange import OutgoingRequest
 
@@ -78,7 +78,7 @@
         )
         try:
             answer = await fetch_whole(self._client, address, request, timeout_s)
-        except NoAnswer as error:
+        except NoResponseError as error:
             return FetchResult(NO_ANSWER_STATUS, error=str(error), connected=error.connected)
         return FetchResult(answer.status, answer.body)
 
--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -42,7 +42,7 @@
     StatusReading,
 )
 from zincvale.daemons.topic_publisher import TopicPublisher
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import ServerId
 from zincvale.model.machine import Log
 from zincvale.model.view import ServerRow
@@ -273,7 +273,7 @@
     def _read(self, row: ServerRow, result: FetchResult) -> StatusReading | None:
         try:
             return self._orders.read_status(row, result)
-        except MalformedBody:
+        except MalformedBodyError:
             return None
 
 
--- a/src/zincvale/daemons/process.py
+++ b/src/zincvale/daemons/process.py
@@ -62,7 +62,7 @@
     _http_servers: list[HTTPServer] = attrs.field(factory=list)
 
     def listen(self, api: Application) -> None:
-        """Bind both addresses; raises `StartFailed`."""
+        """Bind both addresses; raises `StartupError`."""
         settings = self.settings
         self._http_servers.append(
             listen(api, settings.api_address, "api_address", MAX_API_BODY_BYTES)
@@ -70,7 +70,7 @@
         self.listen_peers()
 
     def listen_peers(self) -> None:
-        """Bind the peer address alone; raises `StartFailed`."""
+        """Bind the peer address alone; raises `StartupError`."""
         self._http_servers.append(
             listen(
                 self.server,
--- a/src/zincvale/daemons/server_orders.py
+++ b/src/zincvale/daemons/server_orders.py
@@ -90,7 +90,7 @@
 
     def read_status(self, row: ServerRow, result: FetchResult) -> StatusReading | None:
         """Return the status in an answer, None when it is not this server's; may raise
-        `MalformedBody`."""
+        `MalformedBodyError`."""
         ...
 
 
@@ -128,7 +128,7 @@
         return HttpCall(STATUS_PATH, b"")
 
     def read_status(self, row: ServerRow, result: FetchResult) -> StatusReading | None:
-        """Return the status in an answer; raises `MalformedBody`."""
+        """Return the status in an answer; raises `MalformedBodyError`."""
         if result.status != HTTP_OK:
             return None
         status = read_server_status(result.body)
--- a/src/zincvale/dataplane/claims/peer_call_queues.py
+++ b/src/zincvale/dataplane/claims/peer_call_queues.py
@@ -105,10 +105,10 @@
 
 
 def unpack_message(named: NamedMessage) -> Any:
-    """Return the message; raises `MalformedBody`."""
+    """Return the message; raises `MalformedBodyError`."""
     return decode_message(named.name, named.body)
 
 
 def unpack_replies(reply: BatchReply) -> list[Any]:
-    """Return the replies in a batch's reply; raises `MalformedBody`."""
+    """Return the replies in a batch's reply; raises `MalformedBodyError`."""
     return [unpack_message(named) for named in reply.replies]
--- a/src/zincvale/dataplane/http/event_reader.py
+++ b/src/zincvale/dataplane/http/event_reader.py
@@ -7,7 +7,7 @@
 MAX_EVENT_BYTES = 1024 * 1024
 
 
-class EventTooLarge(Exception):
+class EventTooLargeError(Exception):
     """An event does not end within `MAX_EVENT_BYTES`."""
 
 
@@ -33,7 +33,7 @@
             text = text.replace(b"\r\n", b"\n")
         *blocks, self._rest = text.split(b"\n\n")
         if len(self._rest) > MAX_EVENT_BYTES:
-            raise EventTooLarge
+            raise EventTooLargeError
         return [_read_block(block) for block in blocks if block]
 
 
--- a/src/zincvale/dataplane/inference/backend_adapter.py
+++ b/src/zincvale/dataplane/inference/backend_adapter.py
@@ -13,7 +13,7 @@
 import attrs
 import orjson
 
-from zincvale.dataplane.http.event_reader import EventReader, EventTooLarge, ServerSentEvent
+from zincvale.dataplane.http.event_reader import EventReader, EventTooLargeError, ServerSentEvent
 from zincvale.dataplane.inference.events import (
     Answered,
     PiecesReceived,
@@ -119,7 +119,7 @@
         """Return what `data` completes; consecutive pieces come as one input."""
         try:
             events = self._events.feed(data)
-        except EventTooLarge:
+        except EventTooLargeError:
             return [ServerFailed("an event of the stream is too large", sent=True)]
         inputs: list[StreamInput] = []
         for event in events:
--- a/src/zincvale/dataplane/inference/caller_connection.py
+++ b/src/zincvale/dataplane/inference/caller_connection.py
@@ -25,8 +25,8 @@
 from zincvale.dataplane.inference import responses as answers
 from zincvale.dataplane.inference.ingress import RequestEntry
 from zincvale.dataplane.inference.runner import RequestRunner
-from zincvale.dataplane.inference.stream_relay import CallerLost
-from zincvale.model.errors import MalformedBody
+from zincvale.dataplane.inference.stream_relay import CallerLostError
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import RequestId
 from zincvale.model.outcomes import REQUEST_ID_HEADER
 
@@ -86,7 +86,7 @@
             self._runner.on_caller_lost()
 
     def _refuse_method(self, sink: ConnectionSink) -> None:
-        error = MalformedBody(f"{self._method} is not taken here", "send a POST")
+        error = MalformedBodyError(f"{self._method} is not taken here", "send a POST")
         answer = answers.malformed(self._request_id(), error)
         sink.send_answer(answer.status, dict(answer.headers), answer.body)
 
@@ -132,14 +132,14 @@
             else:
                 await self.connection.write_headers(_start_line(http.client.OK), head, data)
         except StreamClosedError:
-            raise CallerLost from None
+            raise CallerLostError from None
 
     async def end(self) -> None:
         """Close the response whole."""
         try:
             self.connection.finish()
         except StreamClosedError:
-            raise CallerLost from None
+            raise CallerLostError from None
 
     def cut(self) -> None:
         """Cut the connection without the closing chunk."""
--- a/src/zincvale/dataplane/inference/ingress.py
+++ b/src/zincvale/dataplane/inference/ingress.py
@@ -24,7 +24,7 @@
 from zincvale.dataplane.inference.runner import RequestRunner
 from zincvale.dataplane.inference.stream_relay import CallerSink
 from zincvale.dataplane.inference.verdicts import Refused
-from zincvale.model.errors import InvalidInput, MalformedBody
+from zincvale.model.errors import InvalidInputError, MalformedBodyError
 from zincvale.model.identifiers import RequestId, RouteName
 from zincvale.model.outcomes import Outcome, RefusalReason
 from zincvale.model.resources import PoolKind, RouteSpec
@@ -54,7 +54,7 @@
             return None
         try:
             request = self._read(named[0], named[1], headers, body)
-        except (InvalidInput, MalformedBody) as error:
+        except (InvalidInputError, MalformedBodyError) as error:
             self._reject(headers, error, named[0], sink)
             return None
         return self._run(request, named[1], sink)
@@ -149,7 +149,7 @@
     def _reject(
         self,
         headers: Mapping[str, str],
-        error: InvalidInput | MalformedBody,
+        error: InvalidInputError | MalformedBodyError,
         route: RouteName,
         sink: CallerSink,
     ) -> None:
@@ -165,7 +165,7 @@
 def _id_or_mint(headers: Mapping[str, str], random: Random) -> RequestId:
     try:
         return read_request_id(headers) or mint_request_id(random)
-    except InvalidInput:
+    except InvalidInputError:
         return mint_request_id(random)
 
 
--- a/src/zincvale/dataplane/inference/requests.py
+++ b/src/zincvale/dataplane/inference/requests.py
@@ -10,7 +10,7 @@
 import orjson
 import xxhash
 
-from zincvale.model.errors import InvalidInput, MalformedBody
+from zincvale.model.errors import InvalidInputError, MalformedBodyError
 from zincvale.model.identifiers import AdapterName, ModelName, RequestId, RouteName
 from zincvale.model.outcomes import DEADLINE_HEADER, LAST_EVENT_ID_HEADER, REQUEST_ID_HEADER
 from zincvale.model.resources import PoolKind, RouteSpec
@@ -64,12 +64,12 @@
 
 
 def read_request_id(headers: Mapping[str, str]) -> RequestId | None:
-    """Return the caller's request identifier, None when absent; raises `InvalidInput`."""
+    """Return the caller's request identifier, None when absent; raises `InvalidInputError`."""
     text = headers.get(REQUEST_ID_HEADER)
     if not text:
         return None
     if len(text) > MAX_REQUEST_ID_LENGTH or not text.isascii() or not text.isprintable():
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{REQUEST_ID_HEADER} is not up to {MAX_REQUEST_ID_LENGTH} printable ASCII characters",
             "send a short identifier such as a UUID",
         )
@@ -77,24 +77,24 @@
 
 
 def read_deadline_s(headers: Mapping[str, str], route: RouteSpec) -> float:
-    """Return the seconds left, the caller's own or the route's; raises `InvalidInput`."""
+    """Return the seconds left, the caller's own or the route's; raises `InvalidInputError`."""
     text = headers.get(DEADLINE_HEADER)
     if not text:
         return route.deadline_ms / 1000
     if not text.isascii() or not text.isdigit():
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{DEADLINE_HEADER} is {text!r}, not milliseconds", "send a whole number such as 2500"
         )
     return min(int(text), route.deadline_ms) / 1000
 
 
 def read_resume_after(headers: Mapping[str, str]) -> int | None:
-    """Return the event number to resume after, None when absent; raises `InvalidInput`."""
+    """Return the event number to resume after, None when absent; raises `InvalidInputError`."""
     text = headers.get(LAST_EVENT_ID_HEADER)
     if not text:
         return None
     if not text.isascii() or not text.isdigit():
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{LAST_EVENT_ID_HEADER} is {text!r}, not an event number",
             "send the id of the last event you got",
         )
@@ -102,13 +102,13 @@
 
 
 def read_question(body: bytes, route: RouteSpec, kind: PoolKind) -> Question:
-    """Return what the body asks; raises `MalformedBody` or `InvalidInput`."""
+    """Return what the body asks; raises `MalformedBodyError` or `InvalidInputError`."""
     try:
         data = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise MalformedBody(f"the body is not JSON: {error}", "send a JSON object") from error
+        raise MalformedBodyError(f"the body is not JSON: {error}", "send a JSON object") from error
     if not isinstance(data, dict):
-        raise MalformedBody("the body is not a JSON object", "send a JSON object")
+        raise MalformedBodyError("the body is not a JSON object", "send a JSON object")
     if kind is PoolKind.LOOKUP:
         return Question(key=_text(data, "key"))
     return _read_generation(data, route)
@@ -123,10 +123,12 @@
     model = _model(data, route)
     adapter = data.get("adapter")
     if adapter is not None and not isinstance(adapter, str):
-        raise InvalidInput("field 'adapter' is not a string", "name an adapter or leave it out")
+        raise InvalidInputError(
+            "field 'adapter' is not a string", "name an adapter or leave it out"
+        )
     stream = data.get("stream", route.stream)
     if not isinstance(stream, bool):
-        raise InvalidInput("field 'stream' is not true or false", "correct the value")
+        raise InvalidInputError("field 'stream' is not true or false", "correct the value")
     return Question(
         model=ModelName(model),
         adapter=AdapterName(adapter) if adapter else None,
@@ -141,7 +143,7 @@
         return route.models[0]
     model = _text(data, "model")
     if route.models and model not in route.models:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"model {model!r} is not served on {route.path}",
             f"ask for one of {', '.join(route.models)}",
         )
@@ -151,9 +153,9 @@
 def _max_tokens(data: dict[str, Any]) -> int:
     value = data.get("max_tokens", DEFAULT_MAX_TOKENS)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise InvalidInput("field 'max_tokens' is not a whole number", "correct the value")
+        raise InvalidInputError("field 'max_tokens' is not a whole number", "correct the value")
     if not 0 < value <= MAX_TOKENS_LIMIT:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"field 'max_tokens' is {value}", f"send a number from 1 to {MAX_TOKENS_LIMIT}"
         )
     return value
@@ -162,7 +164,7 @@
 def _text(data: dict[str, Any], name: str) -> str:
     value = data.get(name)
     if value is None:
-        raise InvalidInput(f"field {name!r} is missing", "add the field")
+        raise InvalidInputError(f"field {name!r} is missing", "add the field")
     if not isinstance(value, str):
-        raise InvalidInput(f"field {name!r} is not a string", "correct the value")
+        raise InvalidInputError(f"field {name!r} is not a string", "correct the value")
     return value
--- a/src/zincvale/dataplane/inference/routing.py
+++ b/src/zincvale/dataplane/inference/routing.py
@@ -9,7 +9,7 @@
 from zincvale.dataplane.inference.routing_state import ServerState
 from zincvale.dataplane.policies.base import Blocked, Filter, Query, Scorer
 from zincvale.dataplane.policies.registry import make_policy, policy_names_of
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import PoolSpec
 
 COMPARED_SERVERS = 2
@@ -48,7 +48,7 @@
 
     filters: list[Filter]
     scorers: list[Scorer]
-    problems: list[InvalidInput] = attrs.field(factory=list)
+    problems: list[InvalidInputError] = attrs.field(factory=list)
 
     def choose(self, query: Query, random: Random, explain: bool = True) -> Choice | NoChoice:
         """Return the server for a request; `explain` collects each policy's reason."""
@@ -122,7 +122,7 @@
     for name in policy_names_of(spec.kind, spec.policies):
         try:
             policy = make_policy(name)
-        except InvalidInput as problem:
+        except InvalidInputError as problem:
             chain.problems.append(problem)
             continue
         if isinstance(policy, Filter):
--- a/src/zincvale/dataplane/inference/scheduler.py
+++ b/src/zincvale/dataplane/inference/scheduler.py
@@ -25,7 +25,7 @@
     note_dispatch,
     note_end,
 )
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import PoolName, RouteName
 from zincvale.model.outcomes import RefusalReason
 from zincvale.model.resources import PoolKind, PoolSpec, RouteSpec, Stake
@@ -163,9 +163,9 @@
             pool.throughput.on_backlog(queue.busy_count(), now)
         return verdicts
 
-    def chain_problems(self) -> list[InvalidInput]:
+    def chain_problems(self) -> list[InvalidInputError]:
         """Return the problems of the policies that pools name; builds the chains."""
-        problems: list[InvalidInput] = []
+        problems: list[InvalidInputError] = []
         for pool in self.world.pools.values():
             problems += self._chain(pool).problems
         return problems
--- a/src/zincvale/dataplane/inference/stream_relay.py
+++ b/src/zincvale/dataplane/inference/stream_relay.py
@@ -17,7 +17,7 @@
 LOW_WATER_PIECES = 16
 
 
-class CallerLost(Exception):
+class CallerLostError(Exception):
     """The caller's connection is closed."""
 
 
@@ -33,11 +33,11 @@
         ...
 
     async def write(self, data: bytes) -> None:
-        """Write and wait until the caller's connection takes more; raises `CallerLost`."""
+        """Write and wait until the caller's connection takes more; raises `CallerLostError`."""
         ...
 
     async def end(self) -> None:
-        """Close the response whole; raises `CallerLost`."""
+        """Close the response whole; raises `CallerLostError`."""
         ...
 
     def cut(self) -> None:
@@ -114,7 +114,7 @@
         """Relay until the stream ended, broke, or the caller is gone."""
         try:
             await self._relay()
-        except CallerLost:
+        except CallerLostError:
             self._stopped = True
             self.journal.forget(self.request_id)
             self.on_caller_lost()
--- a/src/zincvale/dataplane/policies/registry.py
+++ b/src/zincvale/dataplane/policies/registry.py
@@ -25,7 +25,7 @@
     SlowStartScorer,
     ZonePreferenceScorer,
 )
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import PoolKind
 
 _BUILT_IN: dict[str, type[Policy]] = {
@@ -68,7 +68,7 @@
 
 
 def make_policy(name: str) -> Policy:
-    """Return a new policy; raises `InvalidInput` when there is none of this name."""
+    """Return a new policy; raises `InvalidInputError` when there is none of this name."""
     policy_class = _BUILT_IN.get(name) or _load(name)
     return policy_class()
 
@@ -88,18 +88,18 @@
 def _load(name: str) -> type[Policy]:
     module_name, separator, class_name = name.partition(":")
     if not separator:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"policy {name!r} is not known",
             f"use one of {', '.join(policy_names())}, or module:Class",
         )
     try:
         found = getattr(importlib.import_module(module_name), class_name)
     except (ImportError, AttributeError) as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"policy {name!r} cannot be loaded: {error}", "install its module on every node"
         ) from error
     if not isinstance(found, type) or not issubclass(found, (Filter, Scorer)):
-        raise InvalidInput(
+        raise InvalidInputError(
             f"policy {name!r} is not a Filter or Scorer", "derive it from policies.base"
         )
     return found
--- a/src/zincvale/fleet/demand.py
+++ b/src/zincvale/fleet/demand.py
@@ -7,7 +7,7 @@
 
 from zincvale.fleet.fault_file import FaultSchedule
 from zincvale.fleet.fault_kinds import CrowdComes, PopularityShifts, RareModelsWanted
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.standins.deployment import LOADS_FOLDER
 from zincvale.standins.load_spec import Crowd, LoadSpec, RareModels, load_load_spec
 
@@ -19,7 +19,7 @@
 
     Raises
     ------
-    InvalidInput
+    InvalidInputError
         There is none; the remedy lists the deployment's.
     """
     path = Path(reference)
@@ -30,7 +30,7 @@
     if named.is_file():
         return named
     known = sorted(item.stem for item in folder.glob(f"*{LOAD_SUFFIX}"))
-    raise InvalidInput(f"no load {reference!r}", f"name a file, or one of: {', '.join(known)}")
+    raise InvalidInputError(f"no load {reference!r}", f"name a file, or one of: {', '.join(known)}")
 
 
 def load_with_faults(path: Path, schedule: FaultSchedule, seconds: float) -> LoadSpec:
--- a/src/zincvale/fleet/fault_file.py
+++ b/src/zincvale/fleet/fault_file.py
@@ -17,7 +17,7 @@
 
 from zincvale.fleet.fault_kinds import FAULT_BY_KIND, Fault
 from zincvale.model.checked import Checked, read_checked
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 
 LIBRARY = "faults"
 FILE_SUFFIX = ".yaml"
@@ -51,7 +51,7 @@
 
     Raises
     ------
-    InvalidInput
+    InvalidInputError
         Naming the file, the fault and the remedy.
     """
     if not reference:
@@ -60,7 +60,9 @@
     try:
         data = yaml.safe_load(text) or {}
     except yaml.YAMLError as error:
-        raise InvalidInput(f"fault file {reference} is not YAML: {error}", "correct it") from error
+        raise InvalidInputError(
+            f"fault file {reference} is not YAML: {error}", "correct it"
+        ) from error
     return schedule_of(data, reference)
 
 
@@ -85,10 +87,12 @@
     if fault_class is None:
         nearest = difflib.get_close_matches(kind, FAULT_BY_KIND, n=1)
         remedy = f"did you mean {nearest[0]!r}?" if nearest else f"use {', '.join(FAULT_BY_KIND)}"
-        raise InvalidInput(f"{where}: unknown kind {kind!r}", remedy)
+        raise InvalidInputError(f"{where}: unknown kind {kind!r}", remedy)
     fault = read_checked(fault_class, item, f"{where} ({kind})")
     if fault.at_s < 0 or fault.for_s < 0:
-        raise InvalidInput(f"{where} ({kind}): a time is negative", "count from the load's start")
+        raise InvalidInputError(
+            f"{where} ({kind}): a time is negative", "count from the load's start"
+        )
     return fault
 
 
@@ -100,6 +104,6 @@
     if reference in ready:
         library = resources.files("zincvale.fleet") / LIBRARY
         return (library / f"{reference}{FILE_SUFFIX}").read_text(encoding="utf-8")
-    raise InvalidInput(
+    raise InvalidInputError(
         f"no fault file {reference!r}", f"name a file, or one of: {', '.join(ready)}"
     )
--- a/src/zincvale/fleet/fault_plan.py
+++ b/src/zincvale/fleet/fault_plan.py
@@ -20,7 +20,7 @@
     TargetedFault,
 )
 from zincvale.fleet.fault_targets import Inventory, Selection
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 
 
 class Phase(enum.Enum):
@@ -51,7 +51,7 @@
 
     Raises
     ------
-    InvalidInput
+    InvalidInputError
         A selector matches nothing, or a target is of the wrong sort.
     """
     selection = Selection(inventory, random.Random(seed))
@@ -95,7 +95,9 @@
     ]
     members = [name for group in groups for name in group]
     if len(set(members)) < len(members):
-        raise InvalidInput(f"{fault.kind} at {fault.at_s} s: groups overlap", "name each side once")
+        raise InvalidInputError(
+            f"{fault.kind} at {fault.at_s} s: groups overlap", "name each side once"
+        )
     if len(groups) == 1:
         groups.append(tuple(name for name in selection.inventory.items if name not in members))
     return tuple(groups)
@@ -107,7 +109,7 @@
     else:
         wrong = [target for target in targets if target not in inventory.items]
     if wrong:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{fault.kind} at {fault.at_s} s cannot have target {wrong[0]!r}",
             "a zone's name goes with evacuate only; elsewhere write zone=NAME",
         )
--- a/src/zincvale/fleet/fault_targets.py
+++ b/src/zincvale/fleet/fault_targets.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.standins.deployment import Deployment
 
 PLATFORM = "platform"
@@ -73,7 +73,7 @@
 
         Raises
         ------
-        InvalidInput
+        InvalidInputError
             Nothing matches the selector.
         """
         names = self.select(selector)
@@ -95,7 +95,7 @@
             else:
                 chosen.update(dict.fromkeys(self._term(term)))
         if not chosen:
-            raise InvalidInput(f"selector {selector!r} matches nothing", self._remedy())
+            raise InvalidInputError(f"selector {selector!r} matches nothing", self._remedy())
         return list(chosen)
 
     def _term(self, term: str) -> list[str]:
@@ -103,7 +103,7 @@
             return list(self.inventory.items)
         if term.startswith("@"):
             if term[1:] not in self._named:
-                raise InvalidInput(
+                raise InvalidInputError(
                     f"{term!r} was not chosen before", "give an earlier fault `named: ...`"
                 )
             return self._named[term[1:]]
@@ -112,7 +112,7 @@
         attribute, separator, value = term.partition("=")
         found = self.inventory.names(attribute, value) if separator else []
         if not found:
-            raise InvalidInput(f"selector {term!r} matches nothing", self._remedy())
+            raise InvalidInputError(f"selector {term!r} matches nothing", self._remedy())
         return found
 
     def _remedy(self) -> str:
--- a/src/zincvale/fleet/judge.py
+++ b/src/zincvale/fleet/judge.py
@@ -10,7 +10,7 @@
 from zincvale.fleet.invariants import CheckResult, Evidence, check_all, read_journals
 from zincvale.fleet.invariants.rows import LoadStarted, MachineAdded
 from zincvale.fleet.rig_journal import RIG_JOURNAL
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import Document
 from zincvale.standins.deployment import Deployment
 
@@ -34,11 +34,11 @@
 
     Raises
     ------
-    InvalidInput
+    InvalidInputError
         The folder holds no journal of a rig.
     """
     if not (journals / RIG_JOURNAL).is_file():
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{journals} has no {RIG_JOURNAL}",
             "name the journals folder of a run that was kept with --keep-folder",
         )
--- a/src/zincvale/fleet/relay_control.py
+++ b/src/zincvale/fleet/relay_control.py
@@ -9,7 +9,7 @@
 from zincvale.fleet.clients import RigClient
 from zincvale.fleet.link_plan import LINKS_PER_PROCESS, PlannedLink
 from zincvale.fleet.relay_links import LinkState
-from zincvale.model.errors import Unavailable
+from zincvale.model.errors import UnavailableError
 
 RELAY_TIMEOUT_S = 5.0
 
@@ -23,7 +23,7 @@
     links: list[PlannedLink]
 
     async def tell(self, changes: Mapping[str, LinkState]) -> None:
-        """Give links their states; raises `Unavailable` when a relay does not take them."""
+        """Give links their states; raises `UnavailableError` when a relay does not take them."""
         for index, address in enumerate(self.addresses):
             start = index * LINKS_PER_PROCESS
             own = {item.link.name for item in self.links[start : start + LINKS_PER_PROCESS]}
@@ -31,7 +31,7 @@
                 body = {"links": names, "state": state.to_dict()}
                 answer = await self.client.post(address, "/links", body, RELAY_TIMEOUT_S)
                 if not answer.ok:
-                    raise Unavailable(
+                    raise UnavailableError(
                         f"relay {address} did not take a change: {answer.body or answer.problem}",
                         "see the relay's log in the run folder",
                     )
--- a/src/zincvale/fleet/relay_main.py
+++ b/src/zincvale/fleet/relay_main.py
@@ -20,7 +20,7 @@
 from zincvale.fleet.relay import RelayedLink, split_address
 from zincvale.fleet.relay_links import LinkChange, RelaySettings
 from zincvale.model.checked import read_checked
-from zincvale.model.errors import InvalidInput, StartFailed, ZincvaleError
+from zincvale.model.errors import InvalidInputError, StartupError, ZincvaleError
 
 EXIT_FAILED = 1
 
@@ -46,7 +46,9 @@
             change = read_checked(LinkChange, orjson.loads(self.request.body), "link change")
             unknown = [name for name in change.links if name not in self.links]
             if unknown:
-                raise InvalidInput(f"no link {unknown[0]!r}", "name a link of the settings file")
+                raise InvalidInputError(
+                    f"no link {unknown[0]!r}", "name a link of the settings file"
+                )
         except (ZincvaleError, ValueError) as error:
             self.set_status(422)
             self.finish({"problem": str(error)})
@@ -81,7 +83,7 @@
     try:
         link.open()
     except OSError as error:
-        raise StartFailed(
+        raise StartupError(
             f"relay {link.link.name} cannot listen on {link.link.listen}: {error.strerror}",
             "end the other fleet run, or pass another --network",
         ) from error
--- a/src/zincvale/fleet/run_folder.py
+++ b/src/zincvale/fleet/run_folder.py
@@ -9,7 +9,7 @@
 import attrs
 
 from zincvale.fleet.run_options import RunOptions
-from zincvale.model.errors import StartFailed
+from zincvale.model.errors import StartupError
 
 
 @attrs.frozen
@@ -52,12 +52,12 @@
 
 
 def make_run_folder(options: RunOptions) -> Path:
-    """Return the folder of a run; raises `StartFailed` when the wanted one is in use."""
+    """Return the folder of a run; raises `StartupError` when the wanted one is in use."""
     if not options.keep_folder:
         return Path(tempfile.mkdtemp(prefix="zincvale-fleet-"))
     root = Path(options.keep_folder).absolute()
     if root.exists() and any(root.iterdir()):
-        raise StartFailed(f"folder {root} is not empty", "name a new or empty folder")
+        raise StartupError(f"folder {root} is not empty", "name a new or empty folder")
     root.mkdir(parents=True, exist_ok=True)
     return root
 
--- a/src/zincvale/fleet/run_inputs.py
+++ b/src/zincvale/fleet/run_inputs.py
@@ -30,7 +30,7 @@
 
 
 def read_inputs(options: RunOptions) -> RunInputs:
-    """Return the checked inputs of a run; raises `InvalidInput`."""
+    """Return the checked inputs of a run; raises `InvalidInputError`."""
     options.check()
     folder = find_deployment(options.deployment)
     deployment = load_deployment(folder)
--- a/src/zincvale/fleet/run_options.py
+++ b/src/zincvale/fleet/run_options.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 
 DEPLOYMENTS = "deployments"
 
@@ -41,13 +41,15 @@
     quiet: bool = False
 
     def check(self) -> None:
-        """Raise `InvalidInput` for an option out of range."""
+        """Raise `InvalidInputError` for an option out of range."""
         if self.seconds < 0:
-            raise InvalidInput(f"seconds is {self.seconds}", "give 0 or a positive number")
+            raise InvalidInputError(f"seconds is {self.seconds}", "give 0 or a positive number")
         if self.rate_factor <= 0:
-            raise InvalidInput(f"rate-factor is {self.rate_factor}", "give a positive number")
+            raise InvalidInputError(f"rate-factor is {self.rate_factor}", "give a positive number")
         if self.caller_processes < 1:
-            raise InvalidInput(f"caller-processes is {self.caller_processes}", "give at least 1")
+            raise InvalidInputError(
+                f"caller-processes is {self.caller_processes}", "give at least 1"
+            )
 
 
 def find_deployment(reference: str) -> Path:
@@ -62,7 +64,7 @@
         if (candidate / "deployment.yaml").is_file():
             return candidate
     known = sorted(path.parent.name for path in Path(DEPLOYMENTS).glob("*/deployment.yaml"))
-    raise InvalidInput(
+    raise InvalidInputError(
         f"no deployment {reference!r}",
         f"name a folder with a deployment.yaml, or one of: {', '.join(known) or 'none here'}",
     )
--- a/src/zincvale/fleet/startup.py
+++ b/src/zincvale/fleet/startup.py
@@ -12,7 +12,7 @@
 from zincvale.fleet.operators import Operators
 from zincvale.fleet.processes import UnexpectedEnd
 from zincvale.fleet.rig_journal import boot_time_s
-from zincvale.model.errors import StartFailed
+from zincvale.model.errors import StartupError
 from zincvale.model.resources import Document
 
 START_WITHIN_S = 40.0
@@ -51,7 +51,7 @@
             await self._wait(node.name, self.fleet.deployment.api_address(node), "/ready")
 
     async def apply_first_intent(self, operators: Operators, documents: list[Document]) -> None:
-        """Declare the deployment's resources; raises `StartFailed` when refused."""
+        """Declare the deployment's resources; raises `StartupError` when refused."""
         resources = [document.to_dict() for document in documents]
         change = operators.new_change(resources)
         deadline = boot_time_s() + FIRST_INTENT_WITHIN_S
@@ -62,7 +62,7 @@
             if answer.status in (400, 409, 413, 422):
                 break
             await gen.sleep(POLL_INTERVAL_S)
-        raise StartFailed(
+        raise StartupError(
             f"the first intent was not accepted: {answer.status} {answer.body or answer.problem}",
             "see the cores' logs in the run folder (--keep-folder)",
         )
@@ -83,19 +83,19 @@
 
     Raises
     ------
-    StartFailed
+    StartupError
         Too late, or a process ended; the message holds the end of its output.
     """
     deadline = boot_time_s() + START_WITHIN_S
     while not await condition():
         ended = unexpected_ends()
         if ended:
-            raise StartFailed(
+            raise StartupError(
                 f"{ended[0].name} ended with code {ended[0].exit_code}: {ended[0].log_tail}",
                 "correct what its output names, or pass another --network",
             )
         if boot_time_s() > deadline:
-            raise StartFailed(
+            raise StartupError(
                 f"{name} did not serve within {START_WITHIN_S:.0f} s",
                 "see its log in the run folder (--keep-folder)",
             )
--- a/src/zincvale/fleet/suite.py
+++ b/src/zincvale/fleet/suite.py
@@ -9,7 +9,7 @@
 
 from zincvale.fleet.fault_file import ready_files
 from zincvale.fleet.run_options import RunOptions, find_deployment
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 
 ALL = "all"
 
@@ -39,21 +39,21 @@
 
 
 def suite_files(names: str) -> list[str]:
-    """Return the ready files that a comma-separated list names; raises `InvalidInput`."""
+    """Return the ready files that a comma-separated list names; raises `InvalidInputError`."""
     ready = ready_files()
     if names == ALL:
         return ready
     chosen = [name.strip() for name in names.split(",") if name.strip()]
     for name in chosen:
         if name not in ready and not Path(name).is_file():
-            raise InvalidInput(f"no fault file {name!r}", f"use {ALL}, or: {', '.join(ready)}")
+            raise InvalidInputError(f"no fault file {name!r}", f"use {ALL}, or: {', '.join(ready)}")
     return chosen
 
 
 def suite_runs(
     deployments: str, faults: str, seeds: str, load: str, folder: Path, keep_failed: bool
 ) -> list[RunOptions]:
-    """Return the options of every run of a suite; raises `InvalidInput` before any starts."""
+    """Return the options of every run of a suite; raises `InvalidInputError` before any starts."""
     runs = []
     for name in suite_files(faults):
         for deployment in deployments.split(","):
@@ -77,7 +77,7 @@
     try:
         return int(text)
     except ValueError as error:
-        raise InvalidInput(f"seed {text!r} is not a whole number", "write 1,2,3") from error
+        raise InvalidInputError(f"seed {text!r} is not a whole number", "write 1,2,3") from error
 
 
 def row_of(report: dict[str, Any]) -> SuiteRow:
--- a/src/zincvale/model/checked.py
+++ b/src/zincvale/model/checked.py
@@ -16,7 +16,7 @@
 )
 from mashumaro.mixins.dict import DataClassDictMixin
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.field_types import check_field_types
 
 
@@ -46,26 +46,28 @@
 
     Raises
     ------
-    InvalidInput
+    InvalidInputError
         Naming the field and the remedy.
     """
     if not isinstance(data, Mapping):
-        raise InvalidInput(f"{where} is {type(data).__name__}, not a mapping", "write it as fields")
+        raise InvalidInputError(
+            f"{where} is {type(data).__name__}, not a mapping", "write it as fields"
+        )
     known = [field.name for field in dataclasses.fields(kind)]
     _refuse_unknown(known, data, where)
     check_field_types(kind, data, where)
     try:
         return kind.from_dict(dict(data))
     except MissingField as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{where}: field {error.field_name!r} is missing", "add the field"
         ) from error
     except (InvalidFieldValue, SuitableVariantNotFoundError) as error:
-        raise InvalidInput(_describe_bad_value(error, where), "correct the value") from error
+        raise InvalidInputError(_describe_bad_value(error, where), "correct the value") from error
     except ExtraKeysError as error:
-        raise InvalidInput(f"{where}: {error}", "remove the unknown fields") from error
+        raise InvalidInputError(f"{where}: {error}", "remove the unknown fields") from error
     except (TypeError, ValueError, KeyError) as error:
-        raise InvalidInput(f"{where}: {error}", "correct the value") from error
+        raise InvalidInputError(f"{where}: {error}", "correct the value") from error
 
 
 def _refuse_unknown(known: list[str], data: Mapping[str, Any], where: str) -> None:
@@ -77,7 +79,7 @@
             remedy = f"did you mean {nearest[0]!r}?"
         else:
             remedy = f"known fields are {', '.join(known)}"
-        raise InvalidInput(f"{where}: unknown field {name!r}", remedy)
+        raise InvalidInputError(f"{where}: unknown field {name!r}", remedy)
 
 
 def _describe_bad_value(error: Exception, where: str) -> str:
--- a/src/zincvale/model/errors.py
+++ b/src/zincvale/model/errors.py
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class InvalidInput(ZincvaleError):
+class InvalidInputError(ZincvaleError):
     """A settings file, resource or request body fails a check; nothing was changed."""
 
     kind = "invalid"
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class MalformedBody(ZincvaleError):
+class MalformedBodyError(ZincvaleError):
     """A body is not what its content type says."""
 
     kind = "malformed"
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class BodyTooLarge(ZincvaleError):
+class BodyTooLargeError(ZincvaleError):
     """A body is larger than its documented limit."""
 
     kind = "too-large"
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen
-class NotFound(ZincvaleError):
+class NotFoundError(ZincvaleError):
     """No such resource or path."""
 
     kind = "not-found"
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class VersionConflict(ZincvaleError):
+class VersionConflictError(ZincvaleError):
     """Another change won on the version this one was built on."""
 
     current_version: int = 0
@@ -73,7 +73,7 @@
 
 
 @attrs.frozen
-class NotConfirmed(ZincvaleError):
+class NotConfirmedError(ZincvaleError):
     """The change may or may not be in force; the same order can be sent again safely."""
 
     kind = "not-confirmed"
@@ -81,7 +81,7 @@
 
 
 @attrs.frozen
-class Unavailable(ZincvaleError):
+class UnavailableError(ZincvaleError):
     """The daemon cannot serve this now; nothing was changed."""
 
     kind = "unavailable"
@@ -89,7 +89,7 @@
 
 
 @attrs.frozen
-class WrongCluster(ZincvaleError):
+class WrongClusterError(ZincvaleError):
     """A message or data folder belongs to another cluster."""
 
     kind = "wrong-cluster"
@@ -97,7 +97,7 @@
 
 
 @attrs.frozen
-class StorageFailed(ZincvaleError):
+class StorageError(ZincvaleError):
     """A data folder cannot be read or written."""
 
     kind = "storage"
@@ -105,7 +105,7 @@
 
 
 @attrs.frozen
-class StartFailed(ZincvaleError):
+class StartupError(ZincvaleError):
     """A daemon cannot start: an address is in use or a folder is not writable."""
 
     kind = "start"
--- a/src/zincvale/model/field_types.py
+++ b/src/zincvale/model/field_types.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 
 LARGEST_INTEGER = 2**63 - 1
 MAX_QUOTED_CHARACTERS = 80
@@ -31,12 +31,12 @@
 
 
 def check_field_types(kind: type, fields: Mapping[str, Any], where: str) -> None:
-    """Raise `InvalidInput` for the first declared field of `fields` with another type."""
+    """Raise `InvalidInputError` for the first declared field of `fields` with another type."""
     field_types = _field_types(kind)
     for name, value in fields.items():
         field_type = field_types.get(name)
         if field_type is not None and not field_type.accepts(value):
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"{where}: field {name!r} has value {_shortened(value)}, not {field_type.expected}",
                 field_type.remedy,
             )
--- a/src/zincvale/platform/operators.py
+++ b/src/zincvale/platform/operators.py
@@ -22,7 +22,12 @@
     INVALID,
     ChangeResult,
 )
-from zincvale.model.errors import InvalidInput, MalformedBody, NotFound, ZincvaleError
+from zincvale.model.errors import (
+    InvalidInputError,
+    MalformedBodyError,
+    NotFoundError,
+    ZincvaleError,
+)
 from zincvale.model.forwarding import (
     CallerLimits,
     Engine,
@@ -53,12 +58,12 @@
             try:
                 return ChangeDocument(_change(request))
             except (KeyError, TypeError, ValueError, AttributeError) as error:
-                raise InvalidInput(
+                raise InvalidInputError(
                     f"the configuration cannot be read: {error!r}", "correct it"
                 ) from error
         if segments[:2] == EVACUATE and len(segments) == 3 and request.method in ("POST", "DELETE"):
             return ChangeDocument(EvacuationChange(segments[2], request.method == "POST"))
-        raise NotFound(f"no call {request.method} {request.path[:200]!r}", "see the pages")
+        raise NotFoundError(f"no call {request.method} {request.path[:200]!r}", "see the pages")
 
     def document_answer(self, token: str, document: SourceDocument) -> ApiResponse:
         """Return the configuration as it was written."""
@@ -81,7 +86,9 @@
     def error_answer(self, token: str, error: ZincvaleError) -> ApiResponse:
         """Return the answer that shows an error."""
         status = (
-            BAD_REQUEST if isinstance(error, InvalidInput | MalformedBody) else error.http_status
+            BAD_REQUEST
+            if isinstance(error, InvalidInputError | MalformedBodyError)
+            else error.http_status
         )
         return json_response(token, status, error.to_json())
 
@@ -90,7 +97,7 @@
     try:
         plain = orjson.loads(request.body)
     except orjson.JSONDecodeError as error:
-        raise MalformedBody(f"the body is not JSON: {error}", "send it whole") from error
+        raise MalformedBodyError(f"the body is not JSON: {error}", "send it whole") from error
     whole = request.method == "PUT"
     items = plain if whole else plain.get("set") or {}
     removed = {} if whole else plain.get("remove") or {}
--- a/src/zincvale/platform/servers.py
+++ b/src/zincvale/platform/servers.py
@@ -14,7 +14,7 @@
 from zincvale.daemons.forwarding_dialects import ListPage
 from zincvale.daemons.http_fetch import FetchResult
 from zincvale.daemons.server_orders import HttpCall, OrderReply, StatusReading
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import (
     AdapterName,
     Address,
@@ -46,13 +46,13 @@
         return "/instances" if not page else f"/instances?pageToken={quote(page, safe='')}"
 
     def read_page(self, body: bytes) -> ListPage:
-        """Return a page; raises `MalformedBody`."""
+        """Return a page; raises `MalformedBodyError`."""
         try:
             plain = orjson.loads(body)
             servers = [_listed(each) for each in plain["instances"]]
             return ListPage(servers, plain.get("nextPageToken") or "")
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise MalformedBody(f"the list cannot be read: {error!r}", "ask again") from error
+            raise MalformedBodyError(f"the list cannot be read: {error!r}", "ask again") from error
 
     def is_throttled(self, result: FetchResult) -> bool:
         """Whether the list was asked too often."""
@@ -92,7 +92,7 @@
         return HttpCall("/v1/report", b"", {"Expect-Instance": row.incarnation})
 
     def read_status(self, row: ServerRow, result: FetchResult) -> StatusReading | None:
-        """Return the report in an answer; raises `MalformedBody`."""
+        """Return the report in an answer; raises `MalformedBodyError`."""
         if result.status != 200:
             return None
         try:
@@ -105,7 +105,9 @@
                 sequence=int(plain["sequence"]),
             )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise MalformedBody(f"the report cannot be read: {error!r}", "ask again") from error
+            raise MalformedBodyError(
+                f"the report cannot be read: {error!r}", "ask again"
+            ) from error
 
 
 def _listed(plain: dict[str, Any]) -> ListedServer:
--- a/src/zincvale/platform/settings.py
+++ b/src/zincvale/platform/settings.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.runtime.forwarding_settings import ForwardingSettings
 from zincvale.runtime.settings import DaemonSettings, InitialCore
 
@@ -35,22 +35,22 @@
 
 
 def load(role: str) -> ProcessSettings:
-    """Return the settings of this process; raises `InvalidInput`."""
+    """Return the settings of this process; raises `InvalidInputError`."""
     path = settings_path()
     try:
         plain = tomllib.loads(Path(path).read_text(encoding="utf-8"))
         return read(plain, role)
     except OSError as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"settings file {path!r} cannot be read: {error.strerror}",
             f"name a readable file in {SETTINGS_VARIABLE}",
         ) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"settings file {path!r} is not TOML: {error}", "write it whole"
         ) from error
     except (KeyError, TypeError, ValueError, IndexError) as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"settings file {path!r}: {error!r} is missing or of another type", "add the field"
         ) from error
 
--- a/src/zincvale/runtime/driver.py
+++ b/src/zincvale/runtime/driver.py
@@ -30,7 +30,7 @@
 )
 from zincvale.runtime import log_events
 from zincvale.runtime.logs import log
-from zincvale.transport.peer import PeerCaller, PeerCallFailed
+from zincvale.transport.peer import PeerCaller, PeerCallError
 
 TICK_INTERVAL_MS = 50
 CLOCK_JUMP_GAP_S = 0.9
@@ -204,7 +204,7 @@
             return
         try:
             reply = await self.peers.call(effect.to, effect.message, effect.timeout_s)
-        except PeerCallFailed as error:
+        except PeerCallError as error:
             self.submit(CallFailed(effect.token, str(error)))
             return
         self.submit(CallReplied(effect.token, reply))
--- a/src/zincvale/runtime/listening.py
+++ b/src/zincvale/runtime/listening.py
@@ -11,7 +11,7 @@
 from tornado.web import Application
 
 from zincvale.model.addresses import split_address
-from zincvale.model.errors import StartFailed
+from zincvale.model.errors import StartupError
 
 IDLE_CONNECTION_TIMEOUT_S = 75.0
 BODY_TIMEOUT_S = 10.0
@@ -26,7 +26,7 @@
     max_body_bytes: int,
     expands_bodies: bool = False,
 ) -> HTTPServer:
-    """Serve `application` at `address`; raises `StartFailed`.
+    """Serve `application` at `address`; raises `StartupError`.
 
     Headers that trickle in are cut off after `IDLE_CONNECTION_TIMEOUT_S`, bodies after
     `BODY_TIMEOUT_S`. With `expands_bodies` requests may come compressed by gzip: for peers only,
@@ -50,7 +50,7 @@
     try:
         return bind_sockets(port, host, backlog=LISTEN_BACKLOG)
     except OSError as error:
-        raise StartFailed(
+        raise StartupError(
             f"{field_name} {address} cannot be listened on: {error.strerror}", _remedy(error)
         ) from error
 
--- a/src/zincvale/runtime/settings.py
+++ b/src/zincvale/runtime/settings.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from zincvale.model.checked import Checked, read_checked
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 
 HIGHEST_PORT = 65_535
 
@@ -56,12 +56,14 @@
 
     Raises
     ------
-    InvalidInput
+    InvalidInputError
         Naming the file, the field and the remedy.
     """
     data = _read_yaml(path) if path else {}
     if not isinstance(data, dict):
-        raise InvalidInput(f"settings file {path} is not a mapping", "write `field: value` lines")
+        raise InvalidInputError(
+            f"settings file {path} is not a mapping", "write `field: value` lines"
+        )
     data.update(overrides or {})
     settings = read_checked(DaemonSettings, data, f"settings {path or 'from flags'}")
     _check(settings)
@@ -75,20 +77,22 @@
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"settings file {path} cannot be read: {error.strerror}", "name a readable file"
         ) from error
     try:
         return yaml.safe_load(text) or {}
     except yaml.YAMLError as error:
-        raise InvalidInput(f"settings file {path} is not YAML: {error}", "correct it") from error
+        raise InvalidInputError(
+            f"settings file {path} is not YAML: {error}", "correct it"
+        ) from error
 
 
 def _check(settings: DaemonSettings) -> None:
     if settings.role not in ("core", "node"):
-        raise InvalidInput(f"role is {settings.role!r}", "write `core` or `node`")
+        raise InvalidInputError(f"role is {settings.role!r}", "write `core` or `node`")
     if settings.role == "core" and not settings.data_folder:
-        raise InvalidInput("a core has no data_folder", "name a folder on a disk of its own")
+        raise InvalidInputError("a core has no data_folder", "name a folder on a disk of its own")
     for name in ("api_address", "peer_address"):
         check_address(getattr(settings, name), name)
     for seed in settings.seeds:
@@ -96,14 +100,14 @@
 
 
 def check_address(address: str, field_name: str) -> None:
-    """Raise `InvalidInput` unless `address` is an IP number with a port."""
+    """Raise `InvalidInputError` unless `address` is an IP number with a port."""
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
         number = int(port)
     except ValueError as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{field_name}: {address!r} is not `ip:port`", "write an IP number, not a host name"
         ) from error
     if not 0 < number <= HIGHEST_PORT:
-        raise InvalidInput(f"{field_name}: port {number} is out of range", "use 1 to 65535")
+        raise InvalidInputError(f"{field_name}: port {number} is out of range", "use 1 to 65535")
--- a/src/zincvale/simulator/claims/callers.py
+++ b/src/zincvale/simulator/claims/callers.py
@@ -20,7 +20,7 @@
 from zincvale.model.identifiers import RequestId
 from zincvale.model.machine import Log, Tick
 from zincvale.model.outcomes import Outcome
-from zincvale.simulator.cluster.checks import Checks, InvariantBroken
+from zincvale.simulator.cluster.checks import Checks, InvariantViolationError
 from zincvale.simulator.cluster.cluster import Cluster
 from zincvale.simulator.cluster.process import Process
 
@@ -136,7 +136,7 @@
         self.runs[request] += 1
         if self.runs[request] > 1:
             text = f"{request} ran a second time, dispatched by {process.member}"
-            raise InvariantBroken("ran-twice", text)
+            raise InvariantViolationError("ran-twice", text)
         took_s = self._random.uniform(*RUN_S)
         self._world.schedule(
             self._world.now + took_s, self._on, process, self._ended, process, request
@@ -168,4 +168,4 @@
         self.recorded += 1
         if self._answers.get(request) != body:
             text = f"{request} was answered {body!r}, its run gave {self._answers.get(request)!r}"
-            raise InvariantBroken("other-answer", text)
+            raise InvariantViolationError("other-answer", text)
--- a/src/zincvale/simulator/claims/run.py
+++ b/src/zincvale/simulator/claims/run.py
@@ -14,7 +14,7 @@
 
 from zincvale.simulator.claims.callers import ClaimCallers
 from zincvale.simulator.claims.machine import NodeWithClaims
-from zincvale.simulator.cluster.checks import Checks, InvariantBroken
+from zincvale.simulator.cluster.checks import Checks, InvariantViolationError
 from zincvale.simulator.cluster.cluster import Cluster
 from zincvale.simulator.cluster.event_loop import World
 from zincvale.simulator.cluster.faults import FAULTS
@@ -73,11 +73,11 @@
         """Run everything."""
         try:
             if not self.world.run_until(START_LIMIT_S, self._all_vote):
-                raise InvariantBroken("not-started", f"after {START_LIMIT_S:g} s")
+                raise InvariantViolationError("not-started", f"after {START_LIMIT_S:g} s")
             self._schedule_everything()
             self.world.run_until(self.world.now + LENGTH_S)
             self._heal()
-        except InvariantBroken as broken:
+        except InvariantViolationError as broken:
             return self._outcome(broken.invariant, str(broken))
         except Exception as error:
             return self._outcome("handler-failed", f"{error!r}\n{traceback.format_exc(limit=-4)}")
@@ -188,7 +188,7 @@
             member = self.cluster.nodes[attempt % NODES]
             self.world.schedule(healed_at + attempt, self.callers.send, f"late-{attempt}", member)
         if not self.world.run_until(healed_at + RECOVERY_LIMIT_S, is_whole):
-            raise InvariantBroken(
+            raise InvariantViolationError(
                 "not-recovered", f"no claims {RECOVERY_LIMIT_S:g} s after healing"
             )
         self._recovery_s = round(self.world.now - healed_at, 3)
--- a/src/zincvale/simulator/cluster/checks.py
+++ b/src/zincvale/simulator/cluster/checks.py
@@ -17,7 +17,7 @@
 DELIVERED = (INTENT_KEY, REGISTRY_KEY)
 
 
-class InvariantBroken(Exception):
+class InvariantViolationError(Exception):
     """An invariant does not hold.
 
     Attributes
@@ -40,7 +40,7 @@
 
 
 class Checks:
-    """Watches a world; raises `InvariantBroken`."""
+    """Watches a world; raises `InvariantViolationError`."""
 
     def __init__(self, world: World, roles: tuple[str, ...]) -> None:
         self.acknowledged = 0
@@ -90,7 +90,7 @@
             return
         if view.version < before:
             text = f"{process.member} went from {key} {before} back to {view.version}"
-            raise InvariantBroken("version-backwards", text)
+            raise InvariantViolationError("version-backwards", text)
         seen.versions[key] = view.version
         self._check_same_content(process, key, view.version, view.rows)
 
@@ -101,7 +101,7 @@
         if known is not None:
             if known != rows:
                 text = f"{process.member} has other rows of {key} {version} than seen before"
-                raise InvariantBroken("two-values", text)
+                raise InvariantViolationError("two-values", text)
             return
         self._rows_by_version[(key, version)] = dict(rows)
         if key == INTENT_KEY:
@@ -110,11 +110,11 @@
     def _check_log(self, process: Process, version: int, log: list[int]) -> None:
         if len(log) != version:
             text = f"{process.member} holds version {version} made of {len(log)} orders"
-            raise InvariantBroken("lost-change", text)
+            raise InvariantViolationError("lost-change", text)
         shorter, longer = sorted((log, self.newest_log), key=len)
         if longer[: len(shorter)] != shorter:
             text = f"{process.member} holds {log}, others hold {self.newest_log}"
-            raise InvariantBroken("two-histories", text)
+            raise InvariantViolationError("two-histories", text)
         self.newest_log = longer
 
     def _check_served(self, process: Process) -> None:
@@ -128,7 +128,7 @@
                 f"{process.member} is ready with version {version}, "
                 f"{self.acknowledged} was acknowledged"
             )
-            raise InvariantBroken("not-in-force", text)
+            raise InvariantViolationError("not-in-force", text)
 
     def _check_topic(self, process: Process, seen: _Seen) -> None:
         """A node never goes back to what an earlier holder published."""
@@ -136,7 +136,7 @@
         position = (topic.epoch, topic.version)
         if position < seen.topic:
             text = f"{process.member} went from {seen.topic} back to {position}"
-            raise InvariantBroken("topic-backwards", text)
+            raise InvariantViolationError("topic-backwards", text)
         seen.topic = position
 
     def _check_roles(self, process: Process, seen: _Seen) -> None:
@@ -156,7 +156,7 @@
         highest, holder = self._highest_role_epoch.get(role, (0, 0))
         if epoch < highest or (epoch == highest and holder != process.run):
             text = f"{process.member} took {role} at epoch {epoch}, {highest} was used before"
-            raise InvariantBroken("epoch-not-growing", text)
+            raise InvariantViolationError("epoch-not-growing", text)
         self._highest_role_epoch[role] = (epoch, process.run)
 
     def _check_one_holder(self, role: str) -> None:
@@ -169,4 +169,4 @@
             and process.machine.role(role, process.local(now)).held
         ]
         if len(holders) > 1:
-            raise InvariantBroken("two-holders", f"{holders} may act as {role}")
+            raise InvariantViolationError("two-holders", f"{holders} may act as {role}")
--- a/src/zincvale/simulator/cluster/cluster.py
+++ b/src/zincvale/simulator/cluster/cluster.py
@@ -14,12 +14,12 @@
 from zincvale.coordination.registers.recovered_state import RecoveredState
 from zincvale.coordination.replication.replica_config import has_majority, replica_id
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
-from zincvale.model.errors import StorageFailed
+from zincvale.model.errors import StorageError
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.simulator.cluster.event_loop import World
 from zincvale.simulator.cluster.intent_log import reduce_intent_log
 from zincvale.simulator.cluster.process import MachineClock, Process
-from zincvale.simulator.cluster.virtual_disk import PowerLost, VirtualDisk
+from zincvale.simulator.cluster.virtual_disk import PowerLossError, VirtualDisk
 from zincvale.storage.version_files import VersionFiles
 
 CLUSTER_ID = "simulated"
@@ -162,7 +162,7 @@
         write = process.writes[0]
         assert process.files is not None
         disk.lose_power_within(self._random.randrange(MID_WRITE_OPERATIONS))
-        with contextlib.suppress(PowerLost):
+        with contextlib.suppress(PowerLossError):
             process.files.write(write.key, write.version, write.content)
         disk.lose_power_within(None)
 
@@ -187,7 +187,7 @@
         files = VersionFiles(DATA_FOLDER, machine.disk, CLUSTER_ID, self._random)
         try:
             recovered = files.load()
-        except StorageFailed:
+        except StorageError:
             return None
         now = machine.clock.local(self.world.now)
         config = attrs.evolve(self._core_config(member), recover=recover)
--- a/src/zincvale/simulator/cluster/virtual_disk.py
+++ b/src/zincvale/simulator/cluster/virtual_disk.py
@@ -14,7 +14,7 @@
 import attrs
 
 
-class PowerLost(Exception):
+class PowerLossError(Exception):
     """The machine lost power in the middle of a disk operation."""
 
 
@@ -74,7 +74,7 @@
         """Write a new file and sync its content; its name waits for the folder's sync."""
         try:
             self._operate(path)
-        except PowerLost:
+        except PowerLossError:
             self._put(path, content[: self._random.randrange(len(content) + 1)])
             raise
         self._put(path, content)
@@ -106,7 +106,7 @@
     # --- faults ---------------------------------------------------------------------------
 
     def lose_power_within(self, operations: int | None) -> None:
-        """Raise `PowerLost` in place of the operation after so many more; None: never."""
+        """Raise `PowerLossError` in place of the operation after so many more; None: never."""
         self._operations_left = operations
 
     def lose_power(self) -> None:
@@ -144,7 +144,7 @@
         if self._operations_left is None:
             return
         if self._operations_left == 0:
-            raise PowerLost(str(path))
+            raise PowerLossError(str(path))
         self._operations_left -= 1
 
     def _put(self, path: Path, content: bytes) -> None:
--- a/src/zincvale/simulator/commands.py
+++ b/src/zincvale/simulator/commands.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.simulator.claims.run import run_claims
 from zincvale.simulator.forwarding.model import run_forwarding
 from zincvale.simulator.mutations.mutations import (
@@ -51,7 +51,7 @@
             save: folder for the (shrunk) schedules of failing seeds.
         """
         if not 1 <= jobs <= JOBS_LIMIT:
-            raise InvalidInput(f"jobs is {jobs}", f"choose 1 to {JOBS_LIMIT}")
+            raise InvalidInputError(f"jobs is {jobs}", f"choose 1 to {JOBS_LIMIT}")
         chosen = parse_seeds(seeds)
         began = time.process_time()
         outcomes = explore_here(chosen) if jobs == 1 else explore_with_jobs(chosen, jobs)
@@ -137,7 +137,7 @@
         missed = 0
         for name in names:
             if name not in MUTATIONS:
-                raise InvalidInput(f"no mutation {name!r}", f"one of {', '.join(MUTATIONS)}")
+                raise InvalidInputError(f"no mutation {name!r}", f"one of {', '.join(MUTATIONS)}")
             told = _notice(MUTATIONS[name], chosen)
             missed += not told
             told = told or "NOT NOTICED"
--- a/src/zincvale/simulator/schedules/exploring.py
+++ b/src/zincvale/simulator/schedules/exploring.py
@@ -10,7 +10,7 @@
 import attrs
 import orjson
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.simulator.schedules.drawing import draw_schedule
 from zincvale.simulator.schedules.run import Outcome, run_schedule
 from zincvale.simulator.schedules.schedule import Schedule
@@ -21,10 +21,12 @@
 
 
 def parse_seeds(text: str) -> range:
-    """Return the seeds of `A..B`, both included; raises `InvalidInput`."""
+    """Return the seeds of `A..B`, both included; raises `InvalidInputError`."""
     first, sign, last = str(text).partition(SEED_RANGE_SIGN)
     if not first.isdigit() or (sign and not last.isdigit()):
-        raise InvalidInput(f"{text!r} is no range of seeds", "write it as A..B, for example 1..500")
+        raise InvalidInputError(
+            f"{text!r} is no range of seeds", "write it as A..B, for example 1..500"
+        )
     return range(int(first), int(last or first) + 1)
 
 
--- a/src/zincvale/simulator/schedules/run.py
+++ b/src/zincvale/simulator/schedules/run.py
@@ -9,7 +9,7 @@
 
 from zincvale.coordination.registers.change_messages import IN_FORCE
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
-from zincvale.simulator.cluster.checks import Checks, InvariantBroken
+from zincvale.simulator.cluster.checks import Checks, InvariantViolationError
 from zincvale.simulator.cluster.cluster import Cluster
 from zincvale.simulator.cluster.event_loop import World
 from zincvale.simulator.cluster.faults import FAULTS
@@ -72,7 +72,7 @@
             self._carry_out()
             self._heal()
             self._judge_history()
-        except InvariantBroken as broken:
+        except InvariantViolationError as broken:
             return self._outcome(broken.invariant, str(broken))
         except Exception as error:
             place = traceback.format_exc(limit=-4)
@@ -94,7 +94,7 @@
     def _start(self) -> None:
         self._publisher.start()
         if not self.world.run_until(START_LIMIT_S, self._all_ready):
-            raise InvariantBroken("not-started", f"after {START_LIMIT_S:g} s")
+            raise InvariantViolationError("not-started", f"after {START_LIMIT_S:g} s")
 
     def _carry_out(self) -> None:
         start = self.world.now
@@ -129,12 +129,12 @@
             return self._is_accepted(probe.order) and self._all_ready()
 
         if not self.world.run_until(end, is_whole):
-            raise InvariantBroken("not-recovered", self._what_is_missing(probe.order))
+            raise InvariantViolationError("not-recovered", self._what_is_missing(probe.order))
         self._recovery_s = round(self.world.now - healed_at, 3)
         self.world.run_until(self.world.now + SETTLE_S)
         self._check_everyone_is_current()
         if not self.world.run_until(healed_at + ROLE_LIMIT_S, self._all_roles_held):
-            raise InvariantBroken("no-holder", f"{ROLE_LIMIT_S:g} s after healing")
+            raise InvariantViolationError("no-holder", f"{ROLE_LIMIT_S:g} s after healing")
 
     def _is_accepted(self, order: int) -> bool:
         return any(
@@ -171,12 +171,12 @@
             version = process.machine.value(INTENT_KEY).version
             if version < self.checks.acknowledged:
                 text = f"{member} holds {version}, acknowledged is {self.checks.acknowledged}"
-                raise InvariantBroken("not-current", text)
+                raise InvariantViolationError("not-current", text)
 
     def _judge_history(self) -> None:
         problems = check_history(self.operators.attempts, self.checks.newest_log)
         if problems:
-            raise InvariantBroken("history", "; ".join(problems[:3]))
+            raise InvariantViolationError("history", "; ".join(problems[:3]))
 
 
 def run_schedule(schedule: Schedule) -> Outcome:
--- a/src/zincvale/simulator/schedules/schedule_files.py
+++ b/src/zincvale/simulator/schedules/schedule_files.py
@@ -9,7 +9,7 @@
 import orjson
 
 from zincvale.model.checked import Checked, read_checked
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.simulator.cluster.faults import FAULTS
 from zincvale.simulator.cluster.operations import OPERATIONS
 from zincvale.simulator.schedules.schedule import Schedule, Step
@@ -45,11 +45,11 @@
 
 
 def read_schedule(path: Path) -> Schedule:
-    """Read a saved schedule; raises `InvalidInput`."""
+    """Read a saved schedule; raises `InvalidInputError`."""
     try:
         plain = orjson.loads(path.read_bytes())
     except (OSError, orjson.JSONDecodeError) as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{path}: {error}", "name a file that `simulate explore --save` wrote"
         ) from error
     read = read_checked(ScheduleFile, plain, str(path))
@@ -60,7 +60,7 @@
 def _step(step: StepFile, path: Path) -> Step:
     known = OPERATIONS.keys() | FAULTS.keys()
     if step.action not in known:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{path}: no action {step.action!r}", f"one of {', '.join(sorted(known))}"
         )
     return Step(
--- a/src/zincvale/simulator/what_if/commands.py
+++ b/src/zincvale/simulator/what_if/commands.py
@@ -8,7 +8,7 @@
 import orjson
 
 from zincvale.fleet.run_options import RunOptions
-from zincvale.model.errors import InvalidInput, ZincvaleError
+from zincvale.model.errors import InvalidInputError, ZincvaleError
 from zincvale.simulator.what_if.comparison import compare
 from zincvale.simulator.what_if.inputs import read_what_if
 from zincvale.simulator.what_if.report import comparison_lines
@@ -84,11 +84,11 @@
 
 def _check_outputs(output: str, plot: str) -> None:
     if output not in OUTPUTS:
-        raise InvalidInput(f"output is {output!r}", f"write one of {', '.join(OUTPUTS)}")
+        raise InvalidInputError(f"output is {output!r}", f"write one of {', '.join(OUTPUTS)}")
     if plot and Path(plot).suffix not in PLOT_ENDINGS:
-        raise InvalidInput(f"plot is {plot!r}", f"end it in one of {', '.join(PLOT_ENDINGS)}")
+        raise InvalidInputError(f"plot is {plot!r}", f"end it in one of {', '.join(PLOT_ENDINGS)}")
     if plot and not Path(plot).absolute().parent.is_dir():
-        raise InvalidInput(f"plot is {plot!r}", "name a file in a folder that exists")
+        raise InvalidInputError(f"plot is {plot!r}", "name a file in a folder that exists")
 
 
 if __name__ == "__main__":
--- a/src/zincvale/simulator/what_if/inputs.py
+++ b/src/zincvale/simulator/what_if/inputs.py
@@ -9,7 +9,7 @@
 
 from zincvale.fleet.run_inputs import RunInputs, read_inputs
 from zincvale.fleet.run_options import RunOptions
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.simulator.what_if.fault_plan import plan_faults
 from zincvale.simulator.what_if.intent import IntentStore, resources_of
 from zincvale.simulator.what_if.machines import Question
@@ -50,7 +50,7 @@
     """
     run = read_inputs(options)
     if apply_at_s < 0 or apply_at_s > run.options.seconds:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"apply-at is {apply_at_s} s", f"give 0 to {run.options.seconds:.0f}, the run's length"
         )
     change = _read_change(run, change_file)
@@ -76,10 +76,10 @@
         return ()
     path = Path(change_file)
     if not path.is_file():
-        raise InvalidInput(f"no change file {change_file!r}", "name a file of resources")
+        raise InvalidInputError(f"no change file {change_file!r}", "name a file of resources")
     change = resources_of(read_documents(path))
     if not change:
-        raise InvalidInput(f"{change_file} holds no resource", "write at least one document")
+        raise InvalidInputError(f"{change_file} holds no resource", "write at least one document")
     intent = IntentStore(lambda intent: None)
     intent.apply(resources_of(run.documents))
     intent.check(change)
--- a/src/zincvale/simulator/what_if/run.py
+++ b/src/zincvale/simulator/what_if/run.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from zincvale.daemons.node_daemon import DEMAND_INTERVAL_S
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import (
     Address,
     ServerId,
@@ -131,7 +131,7 @@
     def _apply_change(self, change: list[dict[str, Any]]) -> None:
         try:
             self.intent.apply(change)
-        except InvalidInput as error:
+        except InvalidInputError as error:
             # It was checked before the run, so a fault's change in between is what it clashes with.
             self.refused_changes.append(str(error))
 
--- a/src/zincvale/standins/assemble.py
+++ b/src/zincvale/standins/assemble.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import Document, PoolKind
 from zincvale.standins.deployment import LOADS_FOLDER, BackEndServer, Deployment, StoreMachine
 from zincvale.standins.settings import (
@@ -183,4 +183,4 @@
     for document in documents:
         if document.kind == "Store" and document.name == store and document.spec:
             return int(document.spec.get("max_concurrent_loads", DEFAULT_MAX_CONCURRENT_LOADS))
-    raise InvalidInput(f"store {store} is not in the intent", "declare it in intent.yaml")
+    raise InvalidInputError(f"store {store} is not in the intent", "declare it in intent.yaml")
--- a/src/zincvale/standins/back_end.py
+++ b/src/zincvale/standins/back_end.py
@@ -13,7 +13,7 @@
 from tornado.web import RequestHandler
 
 from zincvale.model.checked import read_checked
-from zincvale.model.errors import InvalidInput, MalformedBody
+from zincvale.model.errors import InvalidInputError, MalformedBodyError
 from zincvale.standins.behaviours import Behaviour, BehaviourKind, BehaviourTable
 from zincvale.standins.journal import JournalWriter
 
@@ -93,13 +93,15 @@
             await asyncio.Event().wait()
 
     def body(self) -> dict[str, Any]:
-        """Return the JSON object of the request; raises `MalformedBody`."""
+        """Return the JSON object of the request; raises `MalformedBodyError`."""
         try:
             data = orjson.loads(self.request.body)
         except orjson.JSONDecodeError as error:
-            raise MalformedBody(f"the body is not JSON: {error}", "send a JSON object") from error
+            raise MalformedBodyError(
+                f"the body is not JSON: {error}", "send a JSON object"
+            ) from error
         if not isinstance(data, dict):
-            raise MalformedBody("the body is not a JSON object", "send a JSON object")
+            raise MalformedBodyError("the body is not a JSON object", "send a JSON object")
         return data
 
     def answer(self, status: int, payload: dict[str, Any]) -> None:
@@ -143,7 +145,7 @@
     def write_error(self, status_code: int, **kwargs: Any) -> None:
         """Answer an error of this stand-in; a request that fails its checks never ran."""
         error = kwargs.get("exc_info", (None, None, None))[1]
-        if isinstance(error, (InvalidInput, MalformedBody)):
+        if isinstance(error, (InvalidInputError, MalformedBodyError)):
             self.set_status(error.http_status)
             self.finish(orjson.dumps({**error.to_json(), "error": error.kind, "ran": False}))
             return
@@ -151,7 +153,7 @@
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
         """Log defects only: a bad request is answered, not logged."""
-        if not isinstance(value, (InvalidInput, MalformedBody)):
+        if not isinstance(value, (InvalidInputError, MalformedBodyError)):
             super().log_exception(typ, value, tb)
 
 
--- a/src/zincvale/standins/deployment.py
+++ b/src/zincvale/standins/deployment.py
@@ -21,7 +21,7 @@
 import yaml
 
 from zincvale.model.checked import Checked, read_checked
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import Document, PoolKind
 
 DEPLOYMENT_FILE = "deployment.yaml"
@@ -188,7 +188,7 @@
 
     Raises
     ------
-    InvalidInput
+    InvalidInputError
         Naming the file, the field and the remedy.
     """
     path = Path(folder) / DEPLOYMENT_FILE
@@ -213,25 +213,25 @@
 
 
 def read_yaml(path: Path) -> Any:
-    """Return the one YAML document of a file; raises `InvalidInput`."""
+    """Return the one YAML document of a file; raises `InvalidInputError`."""
     documents = read_yaml_documents(path)
     if len(documents) != 1:
-        raise InvalidInput(f"{path} holds {len(documents)} documents", "write exactly one")
+        raise InvalidInputError(f"{path} holds {len(documents)} documents", "write exactly one")
     return documents[0]
 
 
 def read_yaml_documents(path: Path) -> list[Any]:
-    """Return every non-empty YAML document of a file; raises `InvalidInput`."""
+    """Return every non-empty YAML document of a file; raises `InvalidInputError`."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{path} cannot be read: {error.strerror}", "name a readable file"
         ) from error
     try:
         return [data for data in yaml.safe_load_all(text) if data is not None]
     except yaml.YAMLError as error:
-        raise InvalidInput(f"{path} is not YAML: {error}", "correct it") from error
+        raise InvalidInputError(f"{path} is not YAML: {error}", "correct it") from error
 
 
 def _flatten(items: Iterable[Any]) -> list[Any]:
@@ -255,7 +255,7 @@
 
 def _check(deployment: Deployment, where: str) -> None:
     if not deployment.network.startswith(LOOPBACK_PREFIX):
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{where}: network {deployment.network!r} is not a loopback network",
             "write two numbers that begin with 127, for example `127.21`",
         )
@@ -272,14 +272,14 @@
     ]
     for item in placed:
         if item.zone not in deployment.zones:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"{where}: {item.name} is in unknown zone {item.zone!r}",
                 f"use one of {', '.join(deployment.zones)}",
             )
     names = [item.name for item in placed]
     for name in names:
         if names.count(name) > 1:
-            raise InvalidInput(f"{where}: {name!r} is used twice", "give each its own name")
+            raise InvalidInputError(f"{where}: {name!r} is used twice", "give each its own name")
 
 
 def _check_unique_endpoints(deployment: Deployment, where: str) -> None:
@@ -292,7 +292,9 @@
     ]
     for endpoint in endpoints:
         if endpoints.count(endpoint) > 1:
-            raise InvalidInput(f"{where}: {endpoint} is used twice", "give each its own address")
+            raise InvalidInputError(
+                f"{where}: {endpoint} is used twice", "give each its own address"
+            )
 
 
 def _check_profiles(deployment: Deployment, where: str) -> None:
@@ -302,7 +304,7 @@
         else:
             known = server.pool in deployment.language_model_profiles
         if not known:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"{where}: pool {server.pool!r} of {server.name} has no profile",
                 "add it under lookup_profiles or language_model_profiles",
             )
--- a/src/zincvale/standins/language_model.py
+++ b/src/zincvale/standins/language_model.py
@@ -16,7 +16,7 @@
 from zincvale.standins.journal import JournalWriter
 from zincvale.standins.residency import OrderAnswer, Residency
 from zincvale.standins.settings import ResidentModel
-from zincvale.standins.weight_puller import PullFailed
+from zincvale.standins.weight_puller import PullError
 
 EngineEvent = TokenEmitted | Finished
 
@@ -27,7 +27,7 @@
     async def pull(
         self, store: str, name: str, size_bytes: int, wanted: Callable[[], bool]
     ) -> None:
-        """Return when the weights are here; raises `PullFailed`."""
+        """Return when the weights are here; raises `PullError`."""
         ...
 
 
@@ -170,7 +170,7 @@
     async def _pull(self, name: str, size_bytes: int, store: str, order_id: str) -> None:
         try:
             await self._puller.pull(store, name, size_bytes, lambda: self._is_loading(name))
-        except PullFailed as error:
+        except PullError as error:
             self.residency.load_failed(name)
             self._memory_changed()
             self.journal.write("load-failed", name=name, order_id=order_id, error=str(error))
--- a/src/zincvale/standins/load_spec.py
+++ b/src/zincvale/standins/load_spec.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from zincvale.model.checked import Checked, read_checked
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.standins.deployment import read_yaml
 
 
@@ -102,16 +102,16 @@
     rare_models: list[RareModels] = field(default_factory=list)
 
     def caller(self, name: str) -> CallerSpec:
-        """Return the caller `name`; raises `InvalidInput`."""
+        """Return the caller `name`; raises `InvalidInputError`."""
         for caller in self.callers:
             if caller.name == name:
                 return caller
         known = ", ".join(caller.name for caller in self.callers)
-        raise InvalidInput(f"load: no caller {name!r}", f"name one of {known}")
+        raise InvalidInputError(f"load: no caller {name!r}", f"name one of {known}")
 
 
 def load_load_spec(path: str | Path) -> LoadSpec:
-    """Return the checked load file at `path`; raises `InvalidInput`."""
+    """Return the checked load file at `path`; raises `InvalidInputError`."""
     spec = read_checked(LoadSpec, read_yaml(Path(path)), str(path))
     for crowd in spec.crowds:
         for name in crowd.callers:
@@ -127,11 +127,11 @@
     for name in ("prompt_words", "max_tokens", "turns"):
         between: Between = getattr(caller, name)
         if not 1 <= between.least <= between.most:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"{where}: caller {caller.name}: {name} is {between.least}..{between.most}",
                 "write 1 <= least <= most",
             )
     if caller.rate_per_second < 0:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"{where}: caller {caller.name}: rate_per_second is negative", "write 0 or more"
         )
--- a/src/zincvale/standins/operator_script.py
+++ b/src/zincvale/standins/operator_script.py
@@ -10,7 +10,7 @@
 import attrs
 
 from zincvale.model.checked import Checked, read_checked
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.standins.deployment import read_yaml
 
 NUMBER_PLACEHOLDER = "$n"
@@ -94,12 +94,12 @@
 
 
 def load_script(path: str | Path) -> OperatorScript:
-    """Return the checked script at `path`; raises `InvalidInput`."""
+    """Return the checked script at `path`; raises `InvalidInputError`."""
     script = read_checked(OperatorScript, read_yaml(Path(path)), str(path))
     timed: list[ScriptedChange | ScriptedRace] = [*script.changes, *script.races]
     for item in timed:
         if item.mode not in ("merge", "replace"):
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"{path}: {item.name}: mode is {item.mode!r}", "write `merge` or `replace`"
             )
     return script
--- a/src/zincvale/standins/process.py
+++ b/src/zincvale/standins/process.py
@@ -12,7 +12,7 @@
 from tornado.netutil import bind_sockets
 from tornado.web import Application
 
-from zincvale.model.errors import InvalidInput, StartFailed
+from zincvale.model.errors import InvalidInputError, StartupError
 from zincvale.standins.settings import loopback_endpoint
 
 PR_SET_PDEATHSIG = 1
@@ -21,12 +21,12 @@
 
 
 def listen(application: Application, address: str) -> HTTPServer:
-    """Serve `application` on a loopback address; raises `StartFailed`."""
+    """Serve `application` on a loopback address; raises `StartupError`."""
     host, port = loopback_endpoint(address)
     try:
         sockets = bind_sockets(port, address=host, backlog=LISTEN_BACKLOG)
     except OSError as error:
-        raise StartFailed(
+        raise StartupError(
             f"cannot listen on {address}: {error.strerror}", "free the address or name another"
         ) from error
     server = HTTPServer(application)
@@ -35,9 +35,9 @@
 
 
 def check_max_seconds(max_seconds: float) -> None:
-    """Raise `InvalidInput` unless the process has an end."""
+    """Raise `InvalidInputError` unless the process has an end."""
     if max_seconds <= 0:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"max-seconds is {max_seconds}", "give the seconds after which the process stops"
         )
 
--- a/src/zincvale/standins/request_plan.py
+++ b/src/zincvale/standins/request_plan.py
@@ -8,7 +8,7 @@
 import attrs
 
 from zincvale.model.checked import read_checked
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import (
     SPEC_BY_KIND,
     AdapterSpec,
@@ -151,7 +151,7 @@
     def _popularity_of(self, caller: CallerSpec) -> ModelPopularity:
         models = caller.models or self._tables.models_of(caller.route)
         if not models:
-            raise InvalidInput(
+            raise InvalidInputError(
                 f"caller {caller.name}: route {caller.route} has no models",
                 "declare models of its pool in intent.yaml",
             )
@@ -183,16 +183,16 @@
             self._add(document)
 
     def route(self, name: str) -> RouteSpec:
-        """Return a route; raises `InvalidInput`."""
+        """Return a route; raises `InvalidInputError`."""
         if name not in self._routes:
             known = ", ".join(sorted(self._routes))
-            raise InvalidInput(f"load: no route {name!r}", f"name one of {known}")
+            raise InvalidInputError(f"load: no route {name!r}", f"name one of {known}")
         return self._routes[name]
 
     def pool(self, name: str) -> PoolSpec:
-        """Return a pool; raises `InvalidInput`."""
+        """Return a pool; raises `InvalidInputError`."""
         if name not in self._pools:
-            raise InvalidInput(f"no pool {name!r}", "declare it in intent.yaml")
+            raise InvalidInputError(f"no pool {name!r}", "declare it in intent.yaml")
         return self._pools[name]
 
     def models_of(self, route_name: str) -> list[str]:
--- a/src/zincvale/standins/settings.py
+++ b/src/zincvale/standins/settings.py
@@ -10,7 +10,7 @@
 import yaml
 
 from zincvale.model.checked import Checked, read_checked
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.standins.behaviours import Behaviour
 from zincvale.standins.deployment import LanguageModelProfile, LookupProfile, read_yaml
 
@@ -142,7 +142,7 @@
 
 
 def load_settings(kind: type[SettingsType], path: str) -> SettingsType:
-    """Return the checked settings in the YAML file `path`; raises `InvalidInput`."""
+    """Return the checked settings in the YAML file `path`; raises `InvalidInputError`."""
     return read_checked(kind, read_yaml(Path(path)), f"settings {path}")
 
 
@@ -152,24 +152,24 @@
 
 
 def loopback_endpoint(address: str) -> tuple[str, int]:
-    """Return host and port of a loopback `ip:port`; raises `InvalidInput` for any other."""
+    """Return host and port of a loopback `ip:port`; raises `InvalidInputError` for any other."""
     host, _, port = address.rpartition(":")
     try:
         is_loopback = ipaddress.ip_address(host).is_loopback
         number = int(port)
     except ValueError as error:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"address {address!r} is not `ip:port`", "write an IP number and a port"
         ) from error
     if not is_loopback:
-        raise InvalidInput(
+        raise InvalidInputError(
             f"address {address!r} is not a loopback address", "use an address in 127.0.0.0/8"
         )
     return host, number
 
 
 def dialled_address(address: str, address_map: dict[str, str]) -> str:
-    """Return where `address` is really dialled; raises `InvalidInput` when not loopback."""
+    """Return where `address` is really dialled; raises `InvalidInputError` when not loopback."""
     target = address_map.get(address, address)
     loopback_endpoint(target)
     return target
--- a/src/zincvale/standins/weight_puller.py
+++ b/src/zincvale/standins/weight_puller.py
@@ -17,7 +17,7 @@
 MAX_CONCURRENT_PULLS = 64
 
 
-class PullFailed(Exception):
+class PullError(Exception):
     """The weights did not arrive whole."""
 
 
@@ -40,7 +40,7 @@
     async def pull(
         self, store: str, name: str, size_bytes: int, wanted: Callable[[], bool]
     ) -> None:
-        """Return when all of `name` has arrived; raises `PullFailed`.
+        """Return when all of `name` has arrived; raises `PullError`.
 
         `wanted` is asked while bytes arrive; the pull breaks off when it says no.
         """
@@ -55,7 +55,7 @@
         try:
             await self._client.fetch(request)
         except (HTTPClientError, OSError) as error:
-            raise PullFailed(str(error)) from error
+            raise PullError(str(error)) from error
 
     def close(self) -> None:
         """Break off every pull."""
--- a/src/zincvale/storage/version_files.py
+++ b/src/zincvale/storage/version_files.py
@@ -23,7 +23,7 @@
 
 from zincvale.coordination.registers.record_codec import SNAPSHOT_MARK
 from zincvale.coordination.registers.recovered_state import RecoveredKey, RecoveredState
-from zincvale.model.errors import StorageFailed, WrongCluster
+from zincvale.model.errors import StorageError, WrongClusterError
 from zincvale.storage import log_events
 from zincvale.storage.disk import DiskInterface
 
@@ -80,9 +80,9 @@
 
         Raises
         ------
-        StorageFailed
+        StorageError
             The folder cannot be read or written.
-        WrongCluster
+        WrongClusterError
             The folder belongs to another cluster.
         """
         try:
@@ -93,7 +93,7 @@
                 self._create_identity()
             return self._load_keys()
         except OSError as error:
-            raise StorageFailed(
+            raise StorageError(
                 f"data folder {self._folder}: {error.strerror or error}",
                 "make it readable and writable, with free space",
             ) from error
@@ -119,12 +119,12 @@
             identity = orjson.loads(content)
             cluster_id, disk_id = identity["cluster_id"], identity["disk"]
         except (orjson.JSONDecodeError, KeyError, TypeError) as error:
-            raise StorageFailed(
+            raise StorageError(
                 f"{self._folder / IDENTITY_FILE} cannot be read",
                 "start this core on an empty folder: it then joins as a new replica",
             ) from error
         if cluster_id != self._cluster_id:
-            raise WrongCluster(
+            raise WrongClusterError(
                 f"data folder {self._folder} belongs to cluster {cluster_id!r}",
                 f"name a folder of cluster {self._cluster_id!r} or an empty one",
             )
@@ -138,7 +138,7 @@
 
     def _refuse_without_identity(self) -> None:
         if self._disk.list_folders(self._folder / KEYS_FOLDER):
-            raise StorageFailed(
+            raise StorageError(
                 f"data folder {self._folder} has records but no identity file",
                 "start this core on an empty folder: it then joins as a new replica",
             )
--- a/src/zincvale/tracing/api/query.py
+++ b/src/zincvale/tracing/api/query.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from zincvale.model.errors import InvalidInput, NotFound
+from zincvale.model.errors import InvalidInputError, NotFoundError
 from zincvale.model.identifiers import TraceId
 from zincvale.tracing.api.estimates import estimate
 from zincvale.tracing.collector.collected_trace import CollectedTrace
@@ -23,15 +23,15 @@
 
 
 def read_query(arguments: Mapping[str, str]) -> TraceQuery:
-    """Return the query in URL arguments; raises `InvalidInput`."""
+    """Return the query in URL arguments; raises `InvalidInputError`."""
     known = ("name", "route", "server", "outcome", "policy", "since", "limit")
     for name in arguments:
         if name not in known:
-            raise InvalidInput(f"unknown argument {name!r}", f"known are {', '.join(known)}")
+            raise InvalidInputError(f"unknown argument {name!r}", f"known are {', '.join(known)}")
     since = _number(arguments, "since", 0.0)
     limit = int(_number(arguments, "limit", TraceQuery().limit))
     if not 0 < limit <= MAX_LIMIT:
-        raise InvalidInput(f"limit is {limit}", f"use 1 to {MAX_LIMIT}")
+        raise InvalidInputError(f"limit is {limit}", f"use 1 to {MAX_LIMIT}")
     texts = {field: arguments.get(field, "") for field in known[:TEXT_ARGUMENTS]}
     return TraceQuery(**texts, since=since, limit=limit)
 
@@ -53,7 +53,7 @@
 
 
 def get_trace(service: TracingService, trace_id: TraceId) -> dict[str, Any]:
-    """Return one whole trace, kept or still undecided; raises `NotFound`."""
+    """Return one whole trace, kept or still undecided; raises `NotFoundError`."""
     kept = service.store.get(trace_id)
     if kept is not None:
         return {"state": KEPT_STATE, **kept.to_json()}
@@ -61,22 +61,22 @@
     if row is not None:
         return _pending_json(trace_id, row)
     if service.collector.verdict_holder(trace_id) == DROPPED:
-        raise NotFound(
+        raise NotFoundError(
             f"trace {trace_id} was not kept: no policy asked for it",
             "only errors, slow requests and a share of the others are kept",
         )
-    raise NotFound(f"no trace {trace_id} on {service.member_id}", "ask the other nodes")
+    raise NotFoundError(f"no trace {trace_id} on {service.member_id}", "ask the other nodes")
 
 
 def traces_of_request(service: TracingService, request_id: str) -> dict[str, Any]:
-    """Return the traces of a request's attempts, newest first; raises `NotFound`."""
+    """Return the traces of a request's attempts, newest first; raises `NotFoundError`."""
     traces = [
         {"state": KEPT_STATE, **trace.to_json()} for trace in service.store.by_request(request_id)
     ]
     pending = service.collector.pending_of_request(request_id)
     traces += [_pending_json(row.trace_id, row) for row in pending]
     if not traces:
-        raise NotFound(
+        raise NotFoundError(
             f"no trace of request {request_id!r} on {service.member_id}", "ask the other nodes"
         )
     return {"member": service.member_id, "traces": traces}
@@ -108,4 +108,4 @@
     try:
         return float(text)
     except ValueError as error:
-        raise InvalidInput(f"{name} is {text!r}", "write a number") from error
+        raise InvalidInputError(f"{name} is {text!r}", "write a number") from error
--- a/src/zincvale/transport/codec.py
+++ b/src/zincvale/transport/codec.py
@@ -15,7 +15,7 @@
 import attrs
 import fastavro
 
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.messages import message_classes
 
 BATCH_SCHEMA = fastavro.parse_schema(
@@ -72,15 +72,17 @@
 
 
 def decode_message(name: str, body: bytes) -> Any:
-    """Return the message `name` read from its Avro body; raises `MalformedBody`."""
+    """Return the message `name` read from its Avro body; raises `MalformedBodyError`."""
     message_class = message_classes().get(name)
     if message_class is None:
-        raise MalformedBody(f"unknown message {name!r}", "run the same release on every machine")
+        raise MalformedBodyError(
+            f"unknown message {name!r}", "run the same release on every machine"
+        )
     schema = _schema_of(message_class)
     try:
         plain = fastavro.schemaless_reader(io.BytesIO(body), schema, None)
     except Exception as error:
-        raise MalformedBody(
+        raise MalformedBodyError(
             f"message {name} cannot be read: {error}", "run the same release on every machine"
         ) from error
     return _from_plain(message_class, plain)
@@ -107,11 +109,11 @@
 
 
 def decode_batch(body: bytes) -> Batch:
-    """Return the batch in `body`; raises `MalformedBody`."""
+    """Return the batch in `body`; raises `MalformedBodyError`."""
     try:
         plain: Any = fastavro.schemaless_reader(io.BytesIO(body), BATCH_SCHEMA, None)
     except Exception as error:
-        raise MalformedBody(
+        raise MalformedBodyError(
             f"batch cannot be read: {error}", "run the same release on every machine"
         ) from error
     messages = [decode_message(item["name"], item["body"]) for item in plain["messages"]]
--- a/src/zincvale/transport/complete_exchange.py
+++ b/src/zincvale/transport/complete_exchange.py
@@ -20,7 +20,7 @@
     body: bytes
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """No whole answer came.
 
     Attributes
@@ -39,7 +39,7 @@
 async def fetch_whole(
     client: ServerClient, address: str, request: OutgoingRequest, timeout_s: float
 ) -> WholeAnswer:
-    """Return the answer to `request`; raises `NoAnswer`. What is given up closes its connection."""
+    """Return the answer to `request`; raises `NoResponseError`, and closes the connection."""
     loop = asyncio.get_running_loop()
     listener = _Collector(loop.create_future())
     exchange = client.start(address, "", request, listener)
@@ -66,7 +66,7 @@
 
     def not_sent(self, reason: str) -> None:
         """No connection came up."""
-        self._fail(NoAnswer(reason, connected=False))
+        self._fail(NoResponseError(reason, connected=False))
 
     def head(self, head: AnswerHead) -> None:
         """Keep the head."""
@@ -88,15 +88,15 @@
         """The exchange broke."""
         is_unanswered = self._head is None
         reused = is_unanswered and self.exchange is not None and self.exchange.reused
-        self._fail(NoAnswer(reason, reused=reused))
+        self._fail(NoResponseError(reason, reused=reused))
 
     def give_up(self, after_s: float) -> None:
         """Nothing came in time."""
         connected = self.exchange is not None and self.exchange.is_attached
         if not self.answer.done():
-            self.answer.set_exception(NoAnswer(f"no answer within {after_s} s", connected))
+            self.answer.set_exception(NoResponseError(f"no answer within {after_s} s", connected))
 
-    def _fail(self, failure: NoAnswer) -> None:
+    def _fail(self, failure: NoResponseError) -> None:
         self.is_over = True
         if not self.answer.done():
             self.answer.set_exception(failure)
--- a/src/zincvale/transport/compression.py
+++ b/src/zincvale/transport/compression.py
@@ -19,19 +19,19 @@
 KEPT_ANSWERS = 3
 
 
-class Unexpandable(Exception):
+class DecompressionError(Exception):
     """A body that is marked as compressed is not, or not whole."""
 
 
 def expanded(body: bytes) -> bytes:
     """Return what was compressed; for peers only, since nothing bounds its size.
 
-    Raises `Unexpandable`.
+    Raises `DecompressionError`.
     """
     try:
         return gzip.decompress(body)
     except (OSError, EOFError, zlib.error) as error:
-        raise Unexpandable(f"body cannot be expanded: {error}") from error
+        raise DecompressionError(f"body cannot be expanded: {error}") from error
 
 
 def compressed(body: bytes) -> bytes:
--- a/src/zincvale/transport/curl_client.py
+++ b/src/zincvale/transport/curl_client.py
@@ -20,7 +20,7 @@
     ClientRequest,
     ClientResponse,
     Exchange,
-    ExchangeFailed,
+    ExchangeError,
     ExchangeFailure,
     ExchangeListener,
 )
@@ -69,13 +69,13 @@
         return exchange
 
     async def fetch(self, request: ClientRequest, timeout_s: float) -> ClientResponse:
-        """Return the whole answer to a non-streaming request; raises `ExchangeFailed`."""
+        """Return the whole answer to a non-streaming request; raises `ExchangeError`."""
         waiter = _Waiter(asyncio.get_running_loop().create_future())
         exchange = self.start(request, waiter)
         try:
             return await asyncio.wait_for(waiter.future, timeout_s)
         except TimeoutError:
-            raise ExchangeFailed(ExchangeFailure("timeout", exchange.sent)) from None
+            raise ExchangeError(ExchangeFailure("timeout", exchange.sent)) from None
         finally:
             exchange.cancel()
 
@@ -323,4 +323,4 @@
     def on_failed(self, failure: ExchangeFailure) -> None:
         """Hand the failure over."""
         if not self.future.done():
-            self.future.set_exception(ExchangeFailed(failure))
+            self.future.set_exception(ExchangeError(failure))
--- a/src/zincvale/transport/curl_exchange.py
+++ b/src/zincvale/transport/curl_exchange.py
@@ -148,7 +148,7 @@
     body: bytes
 
 
-class ExchangeFailed(Exception):
+class ExchangeError(Exception):
     """`fetch` got no whole answer; `failure.sent` tells whether the request may have run."""
 
     def __init__(self, failure: ExchangeFailure) -> None:
--- a/src/zincvale/transport/peer.py
+++ b/src/zincvale/transport/peer.py
@@ -7,11 +7,11 @@
 from zincvale.model.identifiers import MemberId
 
 
-class PeerCallFailed(Exception):
+class PeerCallError(Exception):
     """No answer came back; whether the call was handled is not known."""
 
 
-class PeerNotReached(PeerCallFailed):
+class PeerUnreachableError(PeerCallError):
     """The call certainly was not handled: no connection was made."""
 
 
@@ -19,7 +19,7 @@
     """Calls and one-way messages to members, by id; addresses come from the member table."""
 
     async def call(self, member: MemberId, message: Any, timeout_s: float) -> Any:
-        """Return the member's reply; raises `PeerCallFailed` or `PeerNotReached`."""
+        """Return the member's reply; raises `PeerCallError` or `PeerUnreachableError`."""
         ...
 
     def send(self, member: MemberId, message: Any) -> None:
--- a/src/zincvale/transport/peer_client.py
+++ b/src/zincvale/transport/peer_client.py
@@ -11,18 +11,18 @@
 import attrs
 from tornado.ioloop import IOLoop
 
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import MemberId
 from zincvale.transport.codec import Batch, decode_batch, encode_batch
-from zincvale.transport.complete_exchange import NoAnswer, WholeAnswer, fetch_whole
+from zincvale.transport.complete_exchange import NoResponseError, WholeAnswer, fetch_whole
 from zincvale.transport.compression import (
     GZIP,
     LEAST_COMPRESSED_BYTES,
-    Unexpandable,
+    DecompressionError,
     compressed,
     expanded,
 )
-from zincvale.transport.peer import PeerCallFailed, PeerNotReached
+from zincvale.transport.peer import PeerCallError, PeerUnreachableError
 from zincvale.transport.server_client import ServerClient
 from zincvale.transport.server_exchange import HeaderList, OutgoingRequest
 
@@ -125,10 +125,10 @@
         IOLoop.current().add_callback(self._drain, member, link)
 
     async def call(self, member: MemberId, message: Any, timeout_s: float) -> Any:
-        """Return the member's reply; raises `PeerCallFailed` or `PeerNotReached`."""
+        """Return the member's reply; raises `PeerCallError` or `PeerUnreachableError`."""
         replies = await self._post(member, "/peer/call", [message], timeout_s)
         if not replies:
-            raise PeerCallFailed(f"{member} gave no reply")
+            raise PeerCallError(f"{member} gave no reply")
         return replies[0]
 
     def close(self) -> None:
@@ -147,7 +147,7 @@
     async def _send_batch(self, member: MemberId, link: _Link, messages: list[Any]) -> None:
         try:
             replies = await self._post(member, "/peer/messages", messages, SEND_TIMEOUT_S)
-        except PeerCallFailed as error:
+        except PeerCallError as error:
             if not link.failing:
                 link.failing = True
                 self._on_link_state(member, False, str(error))
@@ -163,7 +163,7 @@
     ) -> list[Any]:
         address = self._address_of(member)
         if address is None:
-            raise PeerNotReached(f"the address of {member} is not known")
+            raise PeerUnreachableError(f"the address of {member} is not known")
         body = encode_batch(
             Batch(
                 self._identity.cluster_id,
@@ -188,8 +188,8 @@
             return []
         try:
             return decode_batch(_expanded_body(answer)).messages
-        except (MalformedBody, Unexpandable) as error:
-            raise PeerCallFailed(f"{member}: {error}") from error
+        except (MalformedBodyError, DecompressionError) as error:
+            raise PeerCallError(f"{member}: {error}") from error
 
     async def _fetch(
         self,
@@ -203,11 +203,11 @@
         request = OutgoingRequest("POST", path, headers, body, _belongs, may_repeat=True)
         try:
             answer = await self._fetch_again_if_stale(address, request, timeout_s)
-        except NoAnswer as error:
-            failure = PeerCallFailed if error.connected else PeerNotReached
+        except NoResponseError as error:
+            failure = PeerCallError if error.connected else PeerUnreachableError
             raise failure(f"{member}: {error}") from error
         if answer.status >= LEAST_FAILURE_STATUS:
-            raise PeerCallFailed(f"{member}: HTTP status {answer.status}")
+            raise PeerCallError(f"{member}: HTTP status {answer.status}")
         return answer
 
     async def _fetch_again_if_stale(
@@ -219,7 +219,7 @@
         """
         try:
             return await fetch_whole(self._connections, address, request, timeout_s)
-        except NoAnswer as error:
+        except NoResponseError as error:
             if not error.reused:
                 raise
         return await fetch_whole(self._connections, address, request, timeout_s)
--- a/src/zincvale/transport/peer_server.py
+++ b/src/zincvale/transport/peer_server.py
@@ -18,7 +18,7 @@
 )
 from tornado.iostream import StreamClosedError
 
-from zincvale.model.errors import MalformedBody, WrongCluster, ZincvaleError
+from zincvale.model.errors import MalformedBodyError, WrongClusterError, ZincvaleError
 from zincvale.model.identifiers import MemberId
 from zincvale.transport.codec import Batch, decode_batch, encode_batch
 from zincvale.transport.compression import GZIP, LEAST_COMPRESSED_BYTES, AnswerCompressor
@@ -93,14 +93,14 @@
             self.endpoint.call_abandoned(token)
 
     def read(self, body: bytes) -> Batch:
-        """Return the batch in `body`; raises `MalformedBody` or `WrongCluster`."""
+        """Return the batch in `body`; raises `MalformedBodyError` or `WrongClusterError`."""
         try:
             batch = decode_batch(body)
-        except MalformedBody as error:
+        except MalformedBodyError as error:
             self._on_refused(str(error))
             raise
         if batch.cluster_id != self.identity.cluster_id:
-            refusal = WrongCluster(
+            refusal = WrongClusterError(
                 f"{batch.sender} is of cluster {batch.cluster_id!r}, this is "
                 f"{self.identity.cluster_id!r}",
                 "correct cluster_id or the seeds in its settings",
--- a/tests/controlplane/fake_cores.py
+++ b/tests/controlplane/fake_cores.py
@@ -14,7 +14,7 @@
 from returns.result import Failure
 
 from tests.controlplane.fake_view import FakeView
-from zincvale.cli.operator.session import CoreAnswer, CoreNotReached
+from zincvale.cli.operator.session import CoreAnswer, CoreUnreachableError
 from zincvale.controlplane.api.dispatch import ControlApi
 from zincvale.controlplane.api.messages import ApiEffect, ApiRequest, ApiResponse, CallCore
 from zincvale.controlplane.intent.reducer import IntentReducer
@@ -58,10 +58,10 @@
             self.attempts.append(f"{address} {headers['Idempotency-Key']} {fate}")
             self.bodies.append(body)
         if address in self.down or fate == NOT_REACHED:
-            raise CoreNotReached("Connection refused", sent=False)
+            raise CoreUnreachableError("Connection refused", sent=False)
         if fate == LOST_REQUEST:
             self.clock += timeout_s
-            raise CoreNotReached("Timeout", sent=True)
+            raise CoreUnreachableError("Timeout", sent=True)
         if fate == NOT_CONFIRMED:
             return CoreAnswer(503, b'{"kind":"not-confirmed","problem":"no majority"}')
         self._count += 1
@@ -71,7 +71,7 @@
         answer = self._handle(address, request, timeout_s)
         if fate == LOST_ANSWER:
             self.clock += timeout_s
-            raise CoreNotReached("Connection reset", sent=True)
+            raise CoreUnreachableError("Connection reset", sent=True)
         return answer
 
     async def pause(self, seconds: float) -> None:
--- a/tests/controlplane/placement/test_closing_rows.py
+++ b/tests/controlplane/placement/test_closing_rows.py
@@ -7,7 +7,7 @@
 from zincvale.controlplane.placement.draining_row_codec import ClosingDecoder
 from zincvale.controlplane.placement.move_row_codec import closing_by_server, encode_move
 from zincvale.controlplane.placement.moves import MoveKind, MoveState
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 
 
 class ClosingDecoderTest(TestCase):
@@ -35,5 +35,5 @@
 
     def test_an_unreadable_row_is_refused_with_a_remedy(self):
         for content in (b"", b"{}", b"[1]"):
-            error = self.assertRaises(MalformedBody, ClosingDecoder().update, {"a": content})
+            error = self.assertRaises(MalformedBodyError, ClosingDecoder().update, {"a": content})
             self.assertEqual("run the same release on every machine", error.remedy)
--- a/tests/controlplane/placement/test_move_rows.py
+++ b/tests/controlplane/placement/test_move_rows.py
@@ -21,7 +21,7 @@
     MoveState,
     Reservation,
 )
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 
 MOVE = Move(
     move_id="m3-17",
@@ -62,7 +62,7 @@
 
     def test_an_unreadable_row_is_refused_with_a_remedy(self):
         for content in (b"", b"{}", b'{"kind": "jump"}', b"[1]"):
-            error = self.assertRaises(MalformedBody, decode_move, content)
+            error = self.assertRaises(MalformedBodyError, decode_move, content)
             self.assertEqual("run the same release on every machine", error.remedy)
 
     def test_copies_close_from_announcement_to_the_end(self):
--- a/tests/controlplane/test_backend_status.py
+++ b/tests/controlplane/test_backend_status.py
@@ -13,7 +13,7 @@
     read_platform_list,
     read_server_status,
 )
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.view import ServerHealth
 
 ROW = {
@@ -67,7 +67,7 @@
             status_with(models=None),
             b" " * (MAX_STATUS_BYTES + 1),
         ):
-            error = self.assertRaises(MalformedBody, read_server_status, body)
+            error = self.assertRaises(MalformedBodyError, read_server_status, body)
             self.assertNotEqual("", error.remedy)
         for body in (
             b"{}",
@@ -77,4 +77,4 @@
             list_with(kind="disk"),
             list_with(zone=""),
         ):
-            self.assertRaises(MalformedBody, read_platform_list, body)
+            self.assertRaises(MalformedBodyError, read_platform_list, body)
--- a/tests/controlplane/test_bad_bytes.py
+++ b/tests/controlplane/test_bad_bytes.py
@@ -16,7 +16,7 @@
 from zincvale.controlplane.api.messages import ApiRequest, ApiResponse, CallCore
 from zincvale.controlplane.directory.backend_status import read_platform_list, read_server_status
 from zincvale.controlplane.intent.reducer import IntentReducer
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 
 FIXED = settings(derandomize=True, max_examples=150, deadline=None, database=None)
 
@@ -128,5 +128,5 @@
         for read in (read_server_status, read_platform_list):
             try:
                 read(body)
-            except MalformedBody as error:
+            except MalformedBodyError as error:
                 self.assertNotEqual("", error.remedy)
--- a/tests/controlplane/test_directory.py
+++ b/tests/controlplane/test_directory.py
@@ -28,7 +28,7 @@
     encode_server_row,
 )
 from zincvale.controlplane.directory.server_entries import ANSWERING_KEPT_S
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import MemberId, ServerId
 from zincvale.model.machine import ClockJumped
 from zincvale.model.resources import ServerSpec
@@ -229,7 +229,7 @@
     def test_an_unreadable_row_leaves_the_last_directory(self) -> None:
         decoder = DirectoryDecoder()
         known = decoder.update(1, 1, settled_driver().published)
-        self.assertRaises(InvalidInput, decoder.update, 1, 2, {"s1": b"{}"})
+        self.assertRaises(InvalidInputError, decoder.update, 1, 2, {"s1": b"{}"})
         self.assertIs(known, decoder.directory)
 
     def test_unchanged_rows_stay_the_same_objects(self) -> None:
--- a/tests/controlplane/test_documents.py
+++ b/tests/controlplane/test_documents.py
@@ -30,7 +30,7 @@
 from zincvale.controlplane.documents.rows import DocumentDecoder, source_document
 from zincvale.coordination.changes import KeyView
 from zincvale.coordination.registers.change_messages import CONFLICT, IN_FORCE, ChangeResult
-from zincvale.model.errors import NotFound
+from zincvale.model.errors import NotFoundError
 from zincvale.model.forwarding import (
     Engine,
     EngineModel,
@@ -215,7 +215,7 @@
             return ChangeDocument(whole(0, 5, route("a")))
         if request.method == "POST":
             return ChangeDocument(EvacuationChange("z1", True))
-        raise NotFound("unknown", "ask for something else")
+        raise NotFoundError("unknown", "ask for something else")
 
     def document_answer(self, token, document):
         return json_response(token, 200, {"number": document.number})
