--- a/tests/controlplane/test_operator_commands.py
+++ b/tests/controlplane/test_operator_commands.py
@@ -25,8 +25,8 @@
 from zincvale.cli.operator.commands import OperatorCommands, operator_commands
 from zincvale.cli.operator.http import CurlTransport
 from zincvale.cli.operator.runner import run_operator_command
-from zincvale.cli.operator.session import CoreAnswer, CoreNotReached
-from zincvale.model.errors import VersionConflict
+from zincvale.cli.operator.session import CoreAnswer, CoreUnreachableError
+from zincvale.model.errors import VersionConflictError
 from zincvale.model.identifiers import MemberId
 
 CORES = "--core=127.0.0.1:7000,127.0.0.2:7000,127.0.0.3:7000"
@@ -185,7 +185,7 @@
             (pycurl.E_RECV_ERROR, True),
             (pycurl.E_GOT_NOTHING, True),
         ):
-            error = self.assertRaises(CoreNotReached, self.fetch, CurlError(number, "why"))
+            error = self.assertRaises(CoreUnreachableError, self.fetch, CurlError(number, "why"))
             self.assertEqual((sent, "why"), (error.sent, str(error)))
 
     def test_error_statuses_are_answers(self) -> None:
@@ -369,7 +369,7 @@
         file = self.file(NEW_ZONE)
         commands = self.commands(self.lines.append)
         arguments = ["apply", "-f", file, "--base-version", "0", "--order-id", "12", CORES]
-        self.assertRaises(VersionConflict, fire.Fire, commands, arguments)
+        self.assertRaises(VersionConflictError, fire.Fire, commands, arguments)
         with contextlib.redirect_stdout(io.StringIO()):
             fire.Fire(commands, ["drain", "7", "--force", "--limit-s", "9", CORES])
         self.assertIn("Server/7", self.cores.view.rows.rows)
--- a/tests/controlplane/test_reducer.py
+++ b/tests/controlplane/test_reducer.py
@@ -6,7 +6,7 @@
 
 from tests.controlplane.samples import SMALL_INTENT, apply_change, change, resource, small_rows
 from zincvale.controlplane.intent.reducer import IntentReducer
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 
 
 class MergeTest(testtools.TestCase):
@@ -80,7 +80,9 @@
 
     def test_replace_refuses_to_strand_what_it_keeps(self) -> None:
         body = change("replace", *[item for item in SMALL_INTENT if item["kind"] != "Store"])
-        error = self.assertRaises(InvalidInput, IntentReducer().changed_rows, small_rows(), body)
+        error = self.assertRaises(
+            InvalidInputError, IntentReducer().changed_rows, small_rows(), body
+        )
         self.assertEqual(
             "Store weights cannot be deleted: Adapter tone-1 names it in spec.store; "
             "delete or change Adapter tone-1 in the same change",
--- a/tests/controlplane/test_reducer_refusals.py
+++ b/tests/controlplane/test_reducer_refusals.py
@@ -10,7 +10,7 @@
 from tests.controlplane.samples import change, resource, small_rows
 from zincvale.controlplane.intent import change_body
 from zincvale.controlplane.intent.reducer import IntentReducer
-from zincvale.model.errors import BodyTooLarge, ZincvaleError
+from zincvale.model.errors import BodyTooLargeError, ZincvaleError
 
 ROUTE = {"path": "/v1/new", "pool": "chat"}
 MODEL = {"weight_bytes": 10, "store": "weights", "pool": "chat"}
@@ -137,4 +137,4 @@
 
     def test_oversize_change(self) -> None:
         error = refusal({}, b" " * (change_body.MAX_CHANGE_BYTES + 1))
-        self.assertIsInstance(error, BodyTooLarge)
+        self.assertIsInstance(error, BodyTooLargeError)
--- a/tests/daemons/test_list_runner.py
+++ b/tests/daemons/test_list_runner.py
@@ -12,7 +12,7 @@
 from zincvale.daemons.discovery_runner import MAX_PAGES, ListRunner
 from zincvale.daemons.forwarding_dialects import ListPage
 from zincvale.daemons.http_fetch import FetchResult
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 
 ADDRESS = "10.0.9.9:80"
 NO_ANSWER = FetchResult(0, b"", "nobody listens", False)
@@ -27,7 +27,7 @@
     def read_page(self, body):
         names, separator, token = body.decode().partition("|")
         if not separator:
-            raise MalformedBody("no separator", "ask again")
+            raise MalformedBodyError("no separator", "ask again")
         servers = [
             ListedServer(name, f"10.0.0.1:{name[1:]}", "p", "z1") for name in names.split(",")
         ]
--- a/tests/dataplane/node_harness.py
+++ b/tests/dataplane/node_harness.py
@@ -10,7 +10,7 @@
 from tests.dataplane.builders import intent
 from zincvale.dataplane.inference.dependencies import ClaimGranted, JournalAppend
 from zincvale.dataplane.inference.node_service import NodeService
-from zincvale.dataplane.inference.stream_relay import CallerLost
+from zincvale.dataplane.inference.stream_relay import CallerLostError
 from zincvale.model.identifiers import PoolName, RouteName
 from zincvale.model.resources import PoolKind, PoolSpec, RouteSpec
 from zincvale.model.view import Directory
@@ -210,7 +210,7 @@
         if self.gate is not None:
             await self.gate
         if self.lost:
-            raise CallerLost
+            raise CallerLostError
         for event in data.decode().strip().split("\n\n"):
             self.note(event.replace("\n", " | "))
 
--- a/tests/dataplane/test_backend_adapter.py
+++ b/tests/dataplane/test_backend_adapter.py
@@ -27,7 +27,7 @@
     read_resume_after,
 )
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
-from zincvale.model.errors import InvalidInput, MalformedBody
+from zincvale.model.errors import InvalidInputError, MalformedBodyError
 from zincvale.model.outcomes import RefusalReason
 from zincvale.model.resources import PoolKind
 
@@ -129,7 +129,7 @@
 
 class CallerRequestTest(testtools.TestCase):
     def invalid(self, *arguments):
-        return self.assertRaises(InvalidInput, *arguments)
+        return self.assertRaises(InvalidInputError, *arguments)
 
     def test_a_generation(self):
         body = orjson.dumps({"model": "m", "prompt": "p", "max_tokens": 3, "stream": True})
@@ -156,7 +156,7 @@
             self.assertIn(words, error.problem)
         self.invalid(read_question, b"{}", route(), PoolKind.LOOKUP)
         for body in (b"", b"[]", b"{"):
-            self.assertRaises(MalformedBody, read_question, body, route(), PoolKind.LOOKUP)
+            self.assertRaises(MalformedBodyError, read_question, body, route(), PoolKind.LOOKUP)
 
     def test_a_model_that_the_route_does_not_serve(self):
         spec = route(models=["a", "b"])
--- a/tests/dataplane/test_claims_service.py
+++ b/tests/dataplane/test_claims_service.py
@@ -23,7 +23,7 @@
 from zincvale.model.machine import Call
 from zincvale.model.outcomes import Outcome
 from zincvale.model.view import MemberRow, Members, Role
-from zincvale.transport.peer import PeerCallFailed, PeerNotReached
+from zincvale.transport.peer import PeerCallError, PeerUnreachableError
 
 REQUEST = RequestId("request-1")
 ROUTE = RouteName("quotes")
@@ -70,7 +70,7 @@
     async def call(self, member: MemberId, message: Any, timeout_s: float) -> Any:
         await asyncio.sleep(0)
         if member in self._cluster.lost:
-            raise PeerNotReached(member)
+            raise PeerUnreachableError(member)
         return self._cluster.services[member].handle_message(self._member, message)
 
     def send(self, member: MemberId, message: Any) -> None:
@@ -197,5 +197,5 @@
         self.messages.append(message)
         reply = await super().call(member, message, timeout_s)
         if isinstance(message, BatchCall) and not isinstance(reply, BatchReply):
-            raise PeerCallFailed("not a batch's reply")
+            raise PeerCallError("not a batch's reply")
         return reply
--- a/tests/dataplane/test_curl_client.py
+++ b/tests/dataplane/test_curl_client.py
@@ -9,7 +9,7 @@
 import testtools
 
 from zincvale.transport.curl_client import CurlClient
-from zincvale.transport.curl_exchange import ClientRequest, ExchangeFailed
+from zincvale.transport.curl_exchange import ClientRequest, ExchangeError
 
 PORT = 9117
 NEVER_S = 1e6
@@ -149,7 +149,7 @@
     async def fetch(self, client, path, body=b"{}"):
         try:
             return await client.fetch(request_to(path, body), NEVER_S)
-        except ExchangeFailed as failed:
+        except ExchangeError as failed:
             return failed.failure
 
     def test_connections_are_reused_through_the_address_map(self):
@@ -207,7 +207,7 @@
             error = None
             try:
                 await client.fetch(request, NEVER_S)
-            except ExchangeFailed as failed:
+            except ExchangeError as failed:
                 error = failed.failure
             self.assertFalse(error.sent)
 
--- a/tests/dataplane/test_routing.py
+++ b/tests/dataplane/test_routing.py
@@ -12,7 +12,7 @@
 from zincvale.dataplane.policies.base import Blocked, Filter, Query, Scorer
 from zincvale.dataplane.policies.prefix_affinity import prefix_keys
 from zincvale.dataplane.policies.registry import make_policy
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import PoolName
 from zincvale.model.resources import PoolKind, PoolSpec
 
@@ -160,7 +160,7 @@
             ["zone", "drain", "health", "residency", "ejection", "excluded", "capacity"], names
         )
         for bad in ("os:path", "no.such.module:X", "random:Random"):
-            self.assertRaises(InvalidInput, make_policy, bad)
+            self.assertRaises(InvalidInputError, make_policy, bad)
 
     def test_lookup_pools_have_no_models(self):
         chain = build_chain(PoolSpec(kind=PoolKind.LOOKUP))
--- a/tests/fleet/test_faults.py
+++ b/tests/fleet/test_faults.py
@@ -17,7 +17,7 @@
 from zincvale.fleet.network_state import NetworkState
 from zincvale.fleet.relay_links import Connecting, LinkState, Passing
 from zincvale.fleet.run_options import find_deployment
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.standins.deployment import load_deployment
 
 
@@ -28,8 +28,8 @@
 
 class FaultFileTest(testtools.TestCase):
     def refused(self, fault: dict[str, Any]) -> str:
-        error = self.assertRaises(InvalidInput, schedule_of, {"faults": [fault]}, "test")
-        assert isinstance(error, InvalidInput)
+        error = self.assertRaises(InvalidInputError, schedule_of, {"faults": [fault]}, "test")
+        assert isinstance(error, InvalidInputError)
         return str(error)
 
     def test_bad_faults_name_the_remedy(self) -> None:
@@ -73,7 +73,7 @@
 
     def test_an_empty_selection_is_refused(self) -> None:
         for selector in ("role=cor", "core-z", "@nobody", "core-a+-core-a"):
-            self.assertRaises(InvalidInput, self.selection.choose, selector)
+            self.assertRaises(InvalidInputError, self.selection.choose, selector)
 
 
 class PlanTest(testtools.TestCase):
@@ -103,11 +103,11 @@
             steps_of({"at_s": 1.0, "kind": "evacuate", "target": "zone-a"})[0].targets,
         )
         kill = {"at_s": 1.0, "kind": "kill", "target": "zone-a"}
-        self.assertRaises(InvalidInput, steps_of, kill)
+        self.assertRaises(InvalidInputError, steps_of, kill)
 
     def test_overlapping_groups_are_refused(self) -> None:
         cut = {"at_s": 1.0, "kind": "cut", "groups": [["core-a"], ["role=core"]]}
-        self.assertRaises(InvalidInput, steps_of, cut)
+        self.assertRaises(InvalidInputError, steps_of, cut)
 
     def test_every_kind_has_a_handler(self) -> None:
         from zincvale.fleet.fault_kinds import FAULT_BY_KIND
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -24,7 +24,7 @@
 from zincvale.fleet.run_inputs import RunInputs
 from zincvale.fleet.run_options import RunOptions
 from zincvale.fleet.timeline import Timeline
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.standins.load_spec import LoadSpec
 
 DEPLOYMENT = sample_deployment()
@@ -127,7 +127,9 @@
 
     def test_a_machine_added_during_the_run_is_known(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            empty = self.assertRaises(InvalidInput, judge_journals, Path(folder), DEPLOYMENT, [])
+            empty = self.assertRaises(
+                InvalidInputError, judge_journals, Path(folder), DEPLOYMENT, []
+            )
             self.assertIn("--keep-folder", str(empty))
             (Path(folder) / "rig.jsonl").write_text(
                 '{"t":5,"event":"load-start"}\n'
--- a/tests/fleet/test_suite.py
+++ b/tests/fleet/test_suite.py
@@ -9,7 +9,7 @@
 from tests.fleet.test_report import outcome
 from zincvale.fleet.report import build_report
 from zincvale.fleet.suite import failed_row, row_of, suite_runs
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 
 
 class SuiteTest(testtools.TestCase):
@@ -25,7 +25,7 @@
 
     def test_a_wrong_name_is_refused_before_anything_starts(self) -> None:
         for wrong in ({"faults": "demos"}, {"seeds": "one"}, {"deployments": "nil"}):
-            self.assertRaises(InvalidInput, self.runs, **wrong)
+            self.assertRaises(InvalidInputError, self.runs, **wrong)
 
     def test_a_row_tells_the_verdict(self) -> None:
         self.assertIn("passed", row_of(build_report(outcome())).line())
--- a/tests/golden/test_surfaces.py
+++ b/tests/golden/test_surfaces.py
@@ -26,7 +26,7 @@
 from zincvale.cli.operator.errors import exit_code_of
 from zincvale.dataplane.metrics import Metrics
 from zincvale.dataplane.policies.registry import DEFAULT_SCORERS, policy_names
-from zincvale.model.errors import InvalidInput, ZincvaleError
+from zincvale.model.errors import InvalidInputError, ZincvaleError
 from zincvale.model.identifiers import MemberId, RouteName
 from zincvale.model.log_events import declared_events
 from zincvale.model.outcomes import Outcome
@@ -187,6 +187,6 @@
         Path(path.name).write_bytes(path.read_bytes())
         try:
             settings = load_settings(path.name).to_dict()
-        except InvalidInput as error:
+        except InvalidInputError as error:
             return f"{path.name}: {error}"
         return f"{path.name}: {orjson.dumps(settings).decode()}"
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -15,7 +15,7 @@
 from zincvale.daemons.http_fetch import FetchResult
 from zincvale.daemons.server_orders import OrderReply
 from zincvale.dataplane.forwarding.dialect import SendFacts
-from zincvale.model.errors import InvalidInput, MalformedBody, NotFound
+from zincvale.model.errors import InvalidInputError, MalformedBodyError, NotFoundError
 from zincvale.model.identifiers import Address, PoolName, ServerId, StoreName, ZoneName
 from zincvale.model.resources import PoolKind
 from zincvale.model.view import ServerRow
@@ -129,14 +129,19 @@
             {"version": True},
         ):
             error = self.assertRaises(
-                (InvalidInput, MalformedBody), read, "PUT", "/v1/configuration", body, If_Match="5"
+                (InvalidInputError, MalformedBodyError),
+                read,
+                "PUT",
+                "/v1/configuration",
+                body,
+                If_Match="5",
             )
             answer = PlatformOperators().error_answer("t1", error)
             self.assertEqual(400, answer.status)
         for broken in ({"name": "r1"}, {**ROUTE, "trafficSplit": [{"service": 3, "weight": 1}]}):
-            self.assertRaises(InvalidInput, self.whole, routes=[broken])
-        self.assertRaises(InvalidInput, read, "PUT", "/v1/configuration", {"version": 7})
-        self.assertRaises(NotFound, read, "POST", "/v1/other")
+            self.assertRaises(InvalidInputError, self.whole, routes=[broken])
+        self.assertRaises(InvalidInputError, read, "PUT", "/v1/configuration", {"version": 7})
+        self.assertRaises(NotFoundError, read, "POST", "/v1/other")
 
     def test_answers(self):
         operators = PlatformOperators()
@@ -238,7 +243,7 @@
 
     def test_bad_pages(self):
         for body in (b"", b"{}", b'{"instances": [{}]}', b'{"instances": 3}', self.page()[:40]):
-            self.assertRaises(MalformedBody, PlatformServerList().read_page, body)
+            self.assertRaises(MalformedBodyError, PlatformServerList().read_page, body)
         self.assertTrue(PlatformServerList().is_throttled(FetchResult(429)))
 
 
@@ -293,5 +298,8 @@
         self.assertEqual({"m1/a3"}, reading.row.adapters)
         self.assertIsNone(PlatformOrders().read_status(ROW, FetchResult(421)))
         self.assertRaises(
-            MalformedBody, PlatformOrders().read_status, ROW, FetchResult(200, b'{"models": []}')
+            MalformedBodyError,
+            PlatformOrders().read_status,
+            ROW,
+            FetchResult(200, b'{"models": []}'),
         )
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -10,7 +10,7 @@
 
 import testtools
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.platform.settings import SETTINGS_VARIABLE, load, read
 
 TEXT = """
@@ -75,10 +75,10 @@
             for content in (TEXT[:60], TEXT.replace('ip = "10.1.0.12"', ""), "ip = 3", "\xff"):
                 path.write_text(content, encoding="latin-1")
                 with mock.patch.dict(os.environ, {SETTINGS_VARIABLE: str(path)}):
-                    error = self.assertRaises(InvalidInput, load, "core")
+                    error = self.assertRaises(InvalidInputError, load, "core")
                 self.assertTrue(error.remedy)
             with mock.patch.dict(os.environ, {SETTINGS_VARIABLE: f"{folder}/none"}):
-                self.assertRaises(InvalidInput, load, "core")
+                self.assertRaises(InvalidInputError, load, "core")
 
 
 def _terms(forwarding):
--- a/tests/platform/test_settings_watch.py
+++ b/tests/platform/test_settings_watch.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.platform.settings_watch import SettingsWatch
 
 
@@ -18,7 +18,7 @@
 
     def load(self) -> tuple[str, ...]:
         if self.seeds is None:
-            raise InvalidInput("half a file", "write it whole")
+            raise InvalidInputError("half a file", "write it whole")
         return self.seeds
 
     def test_nothing_is_read_while_the_file_stays(self) -> None:
--- a/tests/runtime/test_settings.py
+++ b/tests/runtime/test_settings.py
@@ -8,7 +8,7 @@
 import testtools
 from testtools.matchers import Contains, Equals
 
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.runtime.settings import load_settings
 
 GOOD = """
@@ -34,7 +34,7 @@
         return folder.name
 
     def _refusal(self, text: str) -> str:
-        return str(self.assertRaises(InvalidInput, self._load, text))
+        return str(self.assertRaises(InvalidInputError, self._load, text))
 
     def test_good_file(self) -> None:
         self.assertThat(self._load(GOOD).zone, Equals("zone-a"))  # type: ignore[attr-defined]
@@ -68,7 +68,7 @@
         self.assertThat(self._refusal("a: [1"), Contains("not YAML"))
 
     def test_no_file(self) -> None:
-        error = self.assertRaises(InvalidInput, load_settings, "/nonexistent/settings.yaml")
+        error = self.assertRaises(InvalidInputError, load_settings, "/nonexistent/settings.yaml")
         self.assertThat(str(error), Contains("name a readable file"))
 
     def test_text_is_not_taken_for_a_list(self) -> None:
--- a/tests/simulator/test_parts.py
+++ b/tests/simulator/test_parts.py
@@ -10,10 +10,10 @@
 import testtools
 
 from zincvale.coordination.registers.change_messages import CONFLICT, IN_FORCE
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.simulator.cluster.history import Attempt, check_history
 from zincvale.simulator.cluster.network import Network, Weather, both_ways, one_way
-from zincvale.simulator.cluster.virtual_disk import PowerLost, VirtualDisk
+from zincvale.simulator.cluster.virtual_disk import PowerLossError, VirtualDisk
 from zincvale.simulator.schedules.drawing import draw_schedule
 from zincvale.simulator.schedules.exploring import parse_seeds
 from zincvale.simulator.schedules.schedule import Schedule
@@ -102,7 +102,7 @@
             files.load()
             self.assertEqual("", files.write("k", 1, b"Sone"))
             disk.lose_power_within(operations)
-            with contextlib.suppress(PowerLost):
+            with contextlib.suppress(PowerLossError):
                 files.write("k", 2, b"Stwo")
             disk.lose_power()
             recovered = VersionFiles(FOLDER, disk, "c", random.Random(1)).load()
@@ -158,9 +158,9 @@
         write_schedule(schedule, path)
         self.assertEqual(schedule, read_schedule(path))
         path.write_text('{"seed": 1, "nodes": 2, "length_s": 1.0, "stepz": []}')
-        self.assertIn("steps", str(self.assertRaises(InvalidInput, read_schedule, path)))
+        self.assertIn("steps", str(self.assertRaises(InvalidInputError, read_schedule, path)))
 
     def test_seeds_are_a_range(self) -> None:
         self.assertEqual(range(3, 6), parse_seeds("3..5"))
         self.assertEqual(range(3, 4), parse_seeds("3"))
-        self.assertRaises(InvalidInput, parse_seeds, "3..x")
+        self.assertRaises(InvalidInputError, parse_seeds, "3..x")
--- a/tests/simulator/test_what_if.py
+++ b/tests/simulator/test_what_if.py
@@ -18,7 +18,7 @@
 from zincvale.fleet.fault_plan import plan_steps
 from zincvale.fleet.fault_targets import inventory_of
 from zincvale.fleet.run_options import RunOptions
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import ServerId
 from zincvale.model.resources import Document
 from zincvale.simulator.what_if.commands import what_if
@@ -181,13 +181,13 @@
 
     def test_an_invalid_change_is_a_typed_error_that_names_the_remedy(self) -> None:
         dangling = self._file("{kind: Route, name: quotes, spec: {pool: no-such}}")
-        error = self.assertRaises(InvalidInput, _inputs, dangling)
+        error = self.assertRaises(InvalidInputError, _inputs, dangling)
         self.assertThat(str(error), Contains("Route quotes: spec.pool"))
         self.assertThat(error.remedy, Contains("no-such"))
         mistyped = self._file("{kind: Pool, name: overnight, spec: {max_queue: many}}")
-        self.assertRaises(InvalidInput, _inputs, mistyped)
-        self.assertRaises(InvalidInput, _inputs, "no-such-file.yaml")
-        self.assertRaises(InvalidInput, _inputs, self._file(""))
+        self.assertRaises(InvalidInputError, _inputs, mistyped)
+        self.assertRaises(InvalidInputError, _inputs, "no-such-file.yaml")
+        self.assertRaises(InvalidInputError, _inputs, self._file(""))
 
     def test_what_is_not_modelled_is_listed(self) -> None:
         listed = "\n".join(_inputs(faults="everything").not_modelled)
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -6,7 +6,7 @@
 
 from tests.standins.helpers import temporary_folder
 from zincvale.model.checked import read_checked
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import SPEC_BY_KIND, PoolKind
 from zincvale.standins import assemble
 from zincvale.standins.deployment import load_deployment, load_intent
@@ -107,7 +107,7 @@
         change(data)
         folder = temporary_folder(self)
         (folder / "deployment.yaml").write_text(yaml.safe_dump(data), encoding="utf-8")
-        return self.assertRaises(InvalidInput, load_deployment, folder)
+        return self.assertRaises(InvalidInputError, load_deployment, folder)
 
     def test_a_network_that_is_not_loopback(self):
         error = self._load(lambda data: data.update(network="10.1"))
@@ -131,10 +131,10 @@
         self.assertIn("'zones'", error.remedy)
 
     def test_a_missing_file(self):
-        error = self.assertRaises(InvalidInput, load_deployment, temporary_folder(self))
+        error = self.assertRaises(InvalidInputError, load_deployment, temporary_folder(self))
         self.assertIn("cannot be read", error.problem)
 
     def test_an_address_outside_loopback_is_never_dialled(self):
-        self.assertRaises(InvalidInput, dialled_address, "192.168.0.1:80", {})
-        self.assertRaises(InvalidInput, dialled_address, "a:1", {"a:1": "10.0.0.1:1"})
+        self.assertRaises(InvalidInputError, dialled_address, "192.168.0.1:80", {})
+        self.assertRaises(InvalidInputError, dialled_address, "a:1", {"a:1": "10.0.0.1:1"})
         self.assertEqual("127.0.0.2:5", dialled_address("a:1", {"a:1": "127.0.0.2:5"}))
--- a/tests/standins/test_http.py
+++ b/tests/standins/test_http.py
@@ -16,7 +16,7 @@
 from zincvale.standins.generation import GenerationKey, lookup_value, whole_answer
 from zincvale.standins.language_model import LanguageModel
 from zincvale.standins.settings import ResidentModel
-from zincvale.standins.weight_puller import PullFailed
+from zincvale.standins.weight_puller import PullError
 
 PLACE = Place("s1", "pool", "zone-a", "incarnation-1")
 KEY = GenerationKey("m", "", "hello world", 12)
@@ -166,7 +166,7 @@
         async def exchange():
             load = {"order_id": "o1", "epoch": 3, "model": "n", "bytes": 500, "store": "x:1"}
             await self.call("POST", "/v1/models/load", load)
-            self.puller.pulls["n"].set_exception(PullFailed("gone"))
+            self.puller.pulls["n"].set_exception(PullError("gone"))
             await self.call("GET", "/status")
             self.assertEqual(1010, self.model.residency.used_bytes())
             self.assertEqual("load-failed", self.journal.events()[-1])
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -4,7 +4,7 @@
 from testtools import TestCase
 
 from tests.standins.helpers import temporary_folder
-from zincvale.model.errors import InvalidInput
+from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import Document
 from zincvale.standins.arrivals import arrivals
 from zincvale.standins.generation import GenerationKey, whole_answer
@@ -160,7 +160,7 @@
 
     def test_an_unknown_route_is_named(self):
         bad = LoadSpec([CallerSpec("chats", "chat", 1.0)])
-        error = self.assertRaises(InvalidInput, Planner, bad, documents(), 1)
+        error = self.assertRaises(InvalidInputError, Planner, bad, documents(), 1)
         self.assertIn("chats, scans", error.remedy)
 
 
@@ -168,7 +168,7 @@
     def test_a_crowd_of_unknown_callers_is_refused(self):
         path = temporary_folder(self) / "load.yaml"
         save_settings(spec(crowds=[Crowd(1, 1, 2, ["chat"])]), path)
-        error = self.assertRaises(InvalidInput, load_load_spec, path)
+        error = self.assertRaises(InvalidInputError, load_load_spec, path)
         self.assertIn("'chat'", error.problem)
 
     def test_an_empty_range_is_refused(self):
@@ -176,4 +176,4 @@
         load = spec()
         load.callers[0].max_tokens = Between(9, 3)
         save_settings(load, path)
-        self.assertRaises(InvalidInput, load_load_spec, path)
+        self.assertRaises(InvalidInputError, load_load_spec, path)
--- a/tests/storage/test_version_files.py
+++ b/tests/storage/test_version_files.py
@@ -8,7 +8,7 @@
 
 import testtools
 
-from zincvale.model.errors import StorageFailed, WrongCluster
+from zincvale.model.errors import StorageError, WrongClusterError
 from zincvale.storage.disk import RealDisk
 from zincvale.storage.version_files import VersionFiles
 
@@ -107,7 +107,7 @@
 
     def test_a_folder_of_another_cluster_is_refused(self) -> None:
         self.opened().load()
-        error = self.assertRaises(WrongCluster, self.opened("other").load)
+        error = self.assertRaises(WrongClusterError, self.opened("other").load)
         self.assertIn("'other'", error.remedy)
 
     def test_records_without_identity_are_refused(self) -> None:
@@ -115,4 +115,4 @@
         files.load()
         files.write("k", 1, b"Sone")
         (self.folder / "identity").unlink()
-        self.assertRaises(StorageFailed, self.opened().load)
+        self.assertRaises(StorageError, self.opened().load)
--- a/tests/tracing/test_trace_api.py
+++ b/tests/tracing/test_trace_api.py
@@ -12,7 +12,7 @@
 from tests.tracing.builders import HERE, OTHER, make_chunk, trace_id
 from zincvale.bench.tracing_fleet import RequestMix, TracingFleet, trace_request
 from zincvale.cli.trace_commands import age_s, best_trace, merge_attempts, merge_found
-from zincvale.model.errors import InvalidInput, NotFound
+from zincvale.model.errors import InvalidInputError, NotFoundError
 from zincvale.tracing.api.query import find_traces, get_trace, read_query, traces_of_request
 from zincvale.tracing.collector.effects import Keep
 from zincvale.tracing.collector.inputs import BatchReceived
@@ -92,10 +92,10 @@
         self.assertThat(kept["spans"], Equals(pending["spans"]))
 
     def test_errors_say_where_to_look(self):
-        self.assertRaises(NotFound, get_trace, self.owner, trace_id(77))
-        self.assertRaises(NotFound, traces_of_request, self.owner, "no-such")
+        self.assertRaises(NotFoundError, get_trace, self.owner, trace_id(77))
+        self.assertRaises(NotFoundError, traces_of_request, self.owner, "no-such")
         self.owner.collector._verdicts.remember(trace_id(77), "")
-        error = self.assertRaises(NotFound, get_trace, self.owner, trace_id(77))
+        error = self.assertRaises(NotFoundError, get_trace, self.owner, trace_id(77))
         self.assertThat(error.problem, Contains("not kept"))
 
     def test_a_search_lists_copies_but_counts_each_trace_once(self):
@@ -133,12 +133,12 @@
         query = read_query({"route": "quotes", "since": "12.5", "limit": "7"})
         self.assertThat(query, Equals(TraceQuery(route="quotes", since=12.5, limit=7)))
         for arguments in ({"since": "yesterday"}, {"limit": "0"}, {"colour": "red"}):
-            self.assertRaises(InvalidInput, read_query, arguments)
+            self.assertRaises(InvalidInputError, read_query, arguments)
 
     def test_ages(self):
         ages = [age_s(text) for text in ("90s", "15m", "2h", "1d", "30")]
         self.assertThat(ages, Equals([90.0, 900.0, 7200.0, 86_400.0, 30.0]))
-        self.assertRaises(InvalidInput, age_s, "soon")
+        self.assertRaises(InvalidInputError, age_s, "soon")
 
 
 class Merging(TestCase):
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -6,7 +6,7 @@
 import testtools
 from testtools.matchers import Contains, Equals
 
-from zincvale.model.errors import MalformedBody
+from zincvale.model.errors import MalformedBodyError
 from zincvale.model.messages import peer_message
 from zincvale.transport.codec import Batch, decode_batch, decode_message, encode_batch
 
@@ -50,10 +50,10 @@
         self.assertThat(decode_batch(encode_batch(batch)), Equals(batch))
 
     def test_unknown_message_names_the_remedy(self) -> None:
-        error = self.assertRaises(MalformedBody, decode_message, "test.no-such", b"")
+        error = self.assertRaises(MalformedBodyError, decode_message, "test.no-such", b"")
         self.assertThat(str(error), Contains("same release"))
 
     def test_truncated_batch_is_refused(self) -> None:
         body = encode_batch(Batch("cluster", "core-1", "ab", [SAMPLE]))
         for length in range(0, len(body), 7):
-            self.assertRaises(MalformedBody, decode_batch, body[:length])
+            self.assertRaises(MalformedBodyError, decode_batch, body[:length])
--- a/tests/transport/test_peer_client.py
+++ b/tests/transport/test_peer_client.py
@@ -7,7 +7,7 @@
 
 from zincvale.coordination.leases.messages import LeaseRedirect
 from zincvale.transport.codec import Batch, decode_batch, encode_batch
-from zincvale.transport.peer import PeerCallFailed, PeerNotReached
+from zincvale.transport.peer import PeerCallError, PeerUnreachableError
 from zincvale.transport.peer_client import PeerClient, PeerIdentity
 from zincvale.transport.server_client import Exchange
 from zincvale.transport.server_exchange import AnswerHead
@@ -100,29 +100,29 @@
         coding = [("Content-Encoding", "gzip")]
         for answer in (says(b"abc"), says(b"abc", headers=coding), says(b"", status=503)):
             peers = self.peers(answer)
-            self.assertRaises(PeerCallFailed, asyncio.run, peers.call("core-1", ASKED, 1.0))
+            self.assertRaises(PeerCallError, asyncio.run, peers.call("core-1", ASKED, 1.0))
 
     def test_a_call_on_a_connection_that_had_ended_is_sent_once_more(self):
         peers = self.peers(reset(on_reused=True), says(batch_of(REPLY)))
         self.assertEqual(REPLY, asyncio.run(peers.call("core-1", ASKED, 1.0)))
         peers = self.peers(reset(on_reused=True), reset(on_reused=True), says(batch_of(REPLY)))
-        self.assertRaises(PeerCallFailed, asyncio.run, peers.call("core-1", ASKED, 1.0))
+        self.assertRaises(PeerCallError, asyncio.run, peers.call("core-1", ASKED, 1.0))
         self.assertEqual(2, len(self.connections.requests))
 
     def test_a_call_that_broke_off_on_a_new_connection_is_not_sent_again(self):
         peers = self.peers(reset(on_reused=False), says(batch_of(REPLY)))
-        self.assertRaises(PeerCallFailed, asyncio.run, peers.call("core-1", ASKED, 1.0))
+        self.assertRaises(PeerCallError, asyncio.run, peers.call("core-1", ASKED, 1.0))
         self.assertEqual(1, len(self.connections.requests))
 
     def test_a_member_without_a_connection_or_an_address_was_not_reached(self):
         peers = self.peers(lambda exchange, listener: listener.not_sent("refused"))
-        self.assertRaises(PeerNotReached, asyncio.run, peers.call("core-1", ASKED, 1.0))
+        self.assertRaises(PeerUnreachableError, asyncio.run, peers.call("core-1", ASKED, 1.0))
         peers = self.peers(resolve=lambda member: None)
-        self.assertRaises(PeerNotReached, asyncio.run, peers.call("core-1", ASKED, 1.0))
+        self.assertRaises(PeerUnreachableError, asyncio.run, peers.call("core-1", ASKED, 1.0))
 
     def test_a_call_is_given_up_after_its_time(self):
         peers = self.peers(lambda exchange, listener: None)
-        self.assertRaises(PeerCallFailed, asyncio.run, peers.call("core-1", ASKED, 0.0))
+        self.assertRaises(PeerCallError, asyncio.run, peers.call("core-1", ASKED, 0.0))
 
     def test_messages_that_come_back_are_handed_on_and_link_states_told_once(self):
         peers = self.peers(says(batch_of(REPLY)), reset(False), reset(False), nothing)
