--- a/src/zincvale/coordination/changes.py
+++ b/src/zincvale/coordination/changes.py
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen
-class RoleState:
+class LeadershipState:
     """Whether this process holds a role, its fencing epoch and until when it may act."""
 
     held: bool = False
@@ -64,7 +64,7 @@
 
 
 @attrs.define
-class ChangeNotes:
+class ChangeNotifications:
     """What changed since a reader last asked."""
 
     keys: set[str] = attrs.field(factory=set)
@@ -72,9 +72,9 @@
     roles: set[str] = attrs.field(factory=set)
     members: bool = False
 
-    def take(self) -> ChangeNotes:
+    def take(self) -> ChangeNotifications:
         """Return the notes and start new ones."""
-        taken = ChangeNotes(self.keys, self.topics, self.roles, self.members)
+        taken = ChangeNotifications(self.keys, self.topics, self.roles, self.members)
         self.keys, self.topics, self.roles, self.members = set(), set(), set(), False
         return taken
 
--- a/src/zincvale/coordination/core/components.py
+++ b/src/zincvale/coordination/core/components.py
@@ -1,8 +1,8 @@
 """The parts of a core machine, wired together.
 
 - `register_replica`, `register_owner`, `ownership`: the durable registers, one owner per key;
-- `creation`, `catching_up`, `repair`: the first record, what a started core must learn, what nodes
-  give back;
+- `creation`, `catch_up_tracker`, `repair`: the first record, what a started core must learn, what
+  nodes give back;
 - `proposals`: changes on their way to an owner and back;
 - `chosen_values`, `core_topics`, `delivery`: what long polls are answered from;
 - `core_leases`, `home_renewals`: member leases, and what their holders hold;
@@ -16,13 +16,13 @@
 from zincvale.coordination.changes import Reducer
 from zincvale.coordination.core.context import CoreContext
 from zincvale.coordination.delivery.core_topics import CoreTopics
-from zincvale.coordination.delivery.long_poll_server import DeliveryHost
-from zincvale.coordination.election.leader_election import CoreRoles
+from zincvale.coordination.delivery.long_poll_server import LongPollServer
+from zincvale.coordination.election.leader_election import LeaderElection
 from zincvale.coordination.election.leader_lease import reduce_role
-from zincvale.coordination.leases.catch_up import CatchingUp
-from zincvale.coordination.leases.core_leases import CoreLeases
-from zincvale.coordination.leases.renewal_batcher import HomeRenewals
-from zincvale.coordination.membership.heartbeats import CoreStatuses
+from zincvale.coordination.leases.catch_up import CatchUpTracker
+from zincvale.coordination.leases.core_leases import MemberLeases
+from zincvale.coordination.leases.renewal_batcher import LeaseRenewalBatcher
+from zincvale.coordination.membership.heartbeats import HeartbeatExchange
 from zincvale.coordination.membership.registry import reduce_registry
 from zincvale.coordination.registers.change_messages import ChangeResult
 from zincvale.coordination.registers.chosen_values import ChosenValues
@@ -31,7 +31,7 @@
 from zincvale.coordination.registers.ownership import Ownership
 from zincvale.coordination.registers.proposals import Proposals
 from zincvale.coordination.registers.repair import Repair
-from zincvale.coordination.replication.replica_manager import ReplicaManager
+from zincvale.coordination.replication.replica_manager import ReplicaSetReconciler
 from zincvale.coordination.replication.replica_set_changes import reduce_replica_sets
 from zincvale.coordination.replication.replica_sets import (
     DELIVERED_KEYS,
@@ -44,7 +44,7 @@
 ROLE_PROPOSAL_PREFIX = "role:"
 
 
-class CoreParts:
+class CoreComponents:
     """Every part of one core, and the results they hand each other."""
 
     def __init__(self, context: CoreContext, reducers: dict[str, Reducer]) -> None:
@@ -59,17 +59,17 @@
         self.values = ChosenValues(context, self._on_chosen)
         self.creation = ClusterCreation(context, list(self.owners))
         self.creation.note_written()
-        self.leases = CoreLeases(context)
-        self.home = HomeRenewals(context)
-        self.manager = ReplicaManager(context, self.owners)
-        self.catching_up = CatchingUp(context, self.owners)
+        self.leases = MemberLeases(context)
+        self.home = LeaseRenewalBatcher(context)
+        self.manager = ReplicaSetReconciler(context, self.owners)
+        self.catch_up_tracker = CatchUpTracker(context, self.owners)
         self.ownership = Ownership(context, self.owners)
         self.proposals = Proposals(context, self.owners, self.ownership, self._on_internal)
         self.repair = Repair(context, self.owners)
-        self.roles = CoreRoles(context, self.ownership.owner_of, self.repair.may_take_role)
-        self.delivery = DeliveryHost(timings, context.values, context.members, context.topics)
+        self.roles = LeaderElection(context, self.ownership.owner_of, self.repair.may_take_role)
+        self.delivery = LongPollServer(timings, context.values, context.members, context.topics)
         self.topics = CoreTopics(context, self.delivery)
-        self.statuses = CoreStatuses(context, self.owners, self.roles.granted_here)
+        self.statuses = HeartbeatExchange(context, self.owners, self.roles.granted_here)
 
     def is_isolated(self, now: float) -> bool:
         """Whether this core does not hear a majority of the cores, itself included."""
--- a/src/zincvale/coordination/core/context.py
+++ b/src/zincvale/coordination/core/context.py
@@ -6,12 +6,12 @@
 
 import attrs
 
-from zincvale.coordination.changes import ChangeNotes, Rows
+from zincvale.coordination.changes import ChangeNotifications, Rows
 from zincvale.coordination.config import CoreConfig
-from zincvale.coordination.delivery.ephemeral_topics import TopicTables
+from zincvale.coordination.delivery.ephemeral_topics import EphemeralTopics
 from zincvale.coordination.delivery.versioned_table import VersionedTable
 from zincvale.coordination.membership.messages import MemberInfo
-from zincvale.coordination.membership.peer_table import CoreTable
+from zincvale.coordination.membership.peer_table import PeerTable
 from zincvale.coordination.registers.epochs import epoch_owner
 from zincvale.coordination.registers.replica import RegisterReplica
 from zincvale.coordination.replication.replica_config import replica_id
@@ -37,12 +37,12 @@
     quarantined: dict[str, str]
     """Keys whose files were unreadable at the start, and why."""
     replica: RegisterReplica
-    cores: CoreTable
+    cores: PeerTable
     values: dict[str, VersionedTable] = attrs.field(factory=dict)
     sets: ReplicaSets = attrs.field(factory=ReplicaSets)
-    topics: TopicTables = attrs.field(factory=TopicTables)
+    topics: EphemeralTopics = attrs.field(factory=EphemeralTopics)
     members: VersionedTable = attrs.field(factory=VersionedTable)
-    notes: ChangeNotes = attrs.field(factory=ChangeNotes)
+    notes: ChangeNotifications = attrs.field(factory=ChangeNotifications)
 
     leaving: bool = False
     """The process was asked to stop."""
--- a/src/zincvale/coordination/core/dispatch.py
+++ b/src/zincvale/coordination/core/dispatch.py
@@ -4,17 +4,22 @@
 
 import attrs
 
-from zincvale.coordination.core.components import CoreParts
+from zincvale.coordination.core.components import CoreComponents
 from zincvale.coordination.core.messages import (
-    AskCores,
-    AskStatus,
-    CoreStatus,
+    AppliedVersionsReport,
     CreateCluster,
-    HeldReport,
-    UnchangedStatus,
+    Heartbeat,
+    RequestCores,
+    RequestHeartbeat,
+    UnchangedHeartbeat,
 )
 from zincvale.coordination.delivery.messages import FetchTopic, Poll, PublishTopic, TopicUpdate
-from zincvale.coordination.election.messages import AskRole, RoleGranted, RoleRefused, RoleReleased
+from zincvale.coordination.election.messages import (
+    RequestRole,
+    RoleGranted,
+    RoleRefused,
+    RoleReleased,
+)
 from zincvale.coordination.leases.messages import (
     LeaseGranted,
     LeaseRedirect,
@@ -33,7 +38,7 @@
 from zincvale.coordination.registers.messages import (
     Accept,
     Accepted,
-    BaseMissing,
+    BaseVersionMissing,
     Chosen,
     ChosenValue,
     ConfirmEpoch,
@@ -47,10 +52,10 @@
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Reply, Send
 
-ReplicaAnswer = Promise | Accepted | BaseMissing | Refused | EpochConfirmed
+ReplicaAnswer = Promise | Accepted | BaseVersionMissing | Refused | EpochConfirmed
 
 
-def handle_call(parts: CoreParts, token: str, message: object, now: float) -> list[Effect]:
+def handle_call(parts: CoreComponents, token: str, message: object, now: float) -> list[Effect]:
     """Apply a call; its reply follows now or later."""
     match message:
         case ProposeChange():
@@ -68,7 +73,9 @@
     return []
 
 
-def handle_message(parts: CoreParts, sender: MemberId, message: object, now: float) -> list[Effect]:
+def handle_message(
+    parts: CoreComponents, sender: MemberId, message: object, now: float
+) -> list[Effect]:
     """Apply a one-way message."""
     match message:
         case Accept():
@@ -78,7 +85,7 @@
             return parts.context.replica.handle(sender, message, message.key, now)
         case ConfirmEpoch():
             return parts.context.replica.confirm(sender, message)
-        case Promise() | Accepted() | BaseMissing() | Refused() | EpochConfirmed():
+        case Promise() | Accepted() | BaseVersionMissing() | Refused() | EpochConfirmed():
             return _handle_replica_answer(parts, sender, message, now)
         case Chosen():
             return parts.values.handle_chosen(sender, message, now)
@@ -91,23 +98,23 @@
 
 
 def _handle_cluster_message(
-    parts: CoreParts, sender: MemberId, message: object, now: float
+    parts: CoreComponents, sender: MemberId, message: object, now: float
 ) -> list[Effect]:
     match message:
-        case CoreStatus():
+        case Heartbeat():
             return _handle_status(parts, sender, message, now)
-        case UnchangedStatus():
+        case UnchangedHeartbeat():
             return _handle_unchanged(parts, sender, message, now)
-        case AskStatus():
+        case RequestHeartbeat():
             parts.statuses.send_whole_to(sender, now)
         case CreateCluster():
             return parts.creation.handle(sender, message, now)
-        case AskCores():
+        case RequestCores():
             return [Send(sender, LeaseRedirect(parts.leases.core_infos(), "asked"))]
         case LeaseRedirect(cores, _):
             for info in cores:
                 parts.context.cores.note_core(info)
-        case HeldReport():
+        case AppliedVersionsReport():
             parts.leases.reports.handle(sender, message)
         case RenewLease():
             answer = _renew(parts, message, now)
@@ -118,7 +125,7 @@
             return _handle_batch(parts, sender, message, now)
         case RelayedGrants():
             return parts.home.handle_grants(sender, message)
-        case AskRole() | RoleGranted() | RoleRefused() | RoleReleased():
+        case RequestRole() | RoleGranted() | RoleRefused() | RoleReleased():
             return parts.roles.handle(sender, message, now)
         case TopicUpdate():
             return parts.topics.handle_update(sender, message, now)
@@ -128,26 +135,26 @@
 
 
 def _handle_replica_answer(
-    parts: CoreParts, sender: MemberId, message: ReplicaAnswer, now: float
+    parts: CoreComponents, sender: MemberId, message: ReplicaAnswer, now: float
 ) -> list[Effect]:
     owner = parts.owners.get(message.key)
     return owner.handle(sender, message, now) if owner is not None else []
 
 
 def _handle_unchanged(
-    parts: CoreParts, sender: MemberId, message: UnchangedStatus, now: float
+    parts: CoreComponents, sender: MemberId, message: UnchangedHeartbeat, now: float
 ) -> list[Effect]:
     """Take the status that the message stands for; ask for it when it is not known here."""
     last = parts.context.cores.status(sender)
     stands_for = (message.incarnation, message.number)
     if last is None or (last.info.incarnation, last.number) != stands_for:
-        return [Send(sender, AskStatus())]
+        return [Send(sender, RequestHeartbeat())]
     status = attrs.evolve(last, topics=message.topics)
     return _handle_status(parts, sender, status, now)
 
 
 def _handle_status(
-    parts: CoreParts, sender: MemberId, status: CoreStatus, now: float
+    parts: CoreComponents, sender: MemberId, status: Heartbeat, now: float
 ) -> list[Effect]:
     known = parts.context.cores.live(now).get(sender)
     is_new = known is None or known.info.incarnation != status.info.incarnation
@@ -165,13 +172,15 @@
     return effects
 
 
-def _renew(parts: CoreParts, renewal: RenewLease, now: float) -> LeaseGranted | LeaseRedirect:
+def _renew(parts: CoreComponents, renewal: RenewLease, now: float) -> LeaseGranted | LeaseRedirect:
     parts.creation.note_existing(renewal.cluster_incarnation)
     parts.repair.note(MemberId(renewal.info.member), renewal)
     return parts.leases.handle_renew(renewal, parts.repair.required(), now)
 
 
-def _renew_for_home(parts: CoreParts, token: str, renewal: RenewLease, now: float) -> list[Effect]:
+def _renew_for_home(
+    parts: CoreComponents, token: str, renewal: RenewLease, now: float
+) -> list[Effect]:
     answer = _renew(parts, renewal, now)
     if not isinstance(answer, LeaseGranted):
         return [Reply(token, answer)]
@@ -180,7 +189,7 @@
 
 
 def _handle_batch(
-    parts: CoreParts, sender: MemberId, batch: RelayedRenewals, now: float
+    parts: CoreComponents, sender: MemberId, batch: RelayedRenewals, now: float
 ) -> list[Effect]:
     grants = []
     for renewal in batch.renewals:
@@ -191,7 +200,7 @@
 
 
 def _handle_relayed(
-    parts: CoreParts, sender: MemberId, renewal: RenewLease, now: float
+    parts: CoreComponents, sender: MemberId, renewal: RenewLease, now: float
 ) -> list[Effect]:
     answer = _renew(parts, renewal, now)
     if not isinstance(answer, LeaseGranted):
@@ -200,7 +209,9 @@
     return [Send(sender, grant), *parts.leases.report_if_complete(now)]
 
 
-def _replace(parts: CoreParts, token: str, request: ReplaceReplica, now: float) -> list[Effect]:
+def _replace(
+    parts: CoreComponents, token: str, request: ReplaceReplica, now: float
+) -> list[Effect]:
     change = parts.manager.operator_change(request.remove, request.add)
     order_id = f"replace:{request.remove}:{request.add}:{parts.context.sets.version}"
     proposal = ProposeChange(REPLICA_SETS_KEY, order_id, None, change)
--- a/src/zincvale/coordination/core/machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -12,16 +12,22 @@
 import attrs
 
 from zincvale.coordination import log_events
-from zincvale.coordination.changes import ChangeNotes, KeyView, Reducer, RoleState, TopicView
+from zincvale.coordination.changes import (
+    ChangeNotifications,
+    KeyView,
+    LeadershipState,
+    Reducer,
+    TopicView,
+)
 from zincvale.coordination.config import CoreConfig
-from zincvale.coordination.core.components import CoreParts
+from zincvale.coordination.core.components import CoreComponents
 from zincvale.coordination.core.context import CoreContext
 from zincvale.coordination.core.dispatch import handle_call, handle_message
 from zincvale.coordination.core.queries import core_state, key_states, replica_states
 from zincvale.coordination.core.status import CoreState, ReplicaState
-from zincvale.coordination.core.tick import run_systems, settle
-from zincvale.coordination.membership.member_codec import MembersDecoder
-from zincvale.coordination.membership.peer_table import CoreTable
+from zincvale.coordination.core.tick import drain_effects, run_tick
+from zincvale.coordination.membership.member_codec import MemberTableDecoder
+from zincvale.coordination.membership.peer_table import PeerTable
 from zincvale.coordination.registers.proposals import FORWARD_PREFIX
 from zincvale.coordination.registers.recovered_state import RecoveredState
 from zincvale.coordination.registers.replica import RegisterReplica
@@ -35,10 +41,10 @@
     ClockJumped,
     Effect,
     Input,
-    Leaving,
     Log,
     MessageReceived,
     Send,
+    ShutdownRequested,
     Tick,
     WriteCompleted,
 )
@@ -72,10 +78,10 @@
             disk=recovered.disk,
             quarantined=recovered.damaged,
             replica=RegisterReplica(recovered, config.timings),
-            cores=CoreTable(config),
+            cores=PeerTable(config),
         )
-        self._parts = CoreParts(self._context, reducers)
-        self._members = MembersDecoder()
+        self._parts = CoreComponents(self._context, reducers)
+        self._members = MemberTableDecoder()
         if recovered.keys:
             self._context.listens_until = now + config.timings.lease_ttl_s
 
@@ -86,7 +92,7 @@
         effects: list[Effect] = []
         inputs: deque[Input] = deque([event])
         while inputs:
-            for effect in self._handle_one(inputs.popleft(), now) + settle(self._parts, now):
+            for effect in self._handle_one(inputs.popleft(), now) + drain_effects(self._parts, now):
                 if isinstance(effect, Send) and effect.to == self._context.own_id:
                     inputs.append(MessageReceived(effect.to, effect.message))
                 else:
@@ -97,7 +103,7 @@
         parts = self._parts
         match event:
             case Tick():
-                return run_systems(parts, now)
+                return run_tick(parts, now)
             case MessageReceived(sender, message):
                 return handle_message(parts, sender, message, now)
             case CallReceived(_, token, message):
@@ -112,7 +118,7 @@
                 effects = self._context.replica.handle_written(token, error, now)
                 parts.creation.note_written()
                 return effects
-            case Leaving():
+            case ShutdownRequested():
                 return self._leave(now)
             case ClockJumped(gap_s):
                 dropped = Log(log_events.CLOCK_JUMPED, {"gap_s": round(gap_s, 3)})
@@ -153,7 +159,7 @@
         """Return the newest epoch of a soft topic that a node was seen to hold."""
         return self._parts.delivery.topic_epochs_seen.get(name, 0)
 
-    def role(self, role_name: str, now: float) -> RoleState:
+    def role(self, role_name: str, now: float) -> LeadershipState:
         """Return whether this process holds a role now."""
         return self._parts.roles.state(role_name, now)
 
@@ -177,7 +183,7 @@
         addresses = tuple(Address(seed) for seed in seeds)
         self._context.config = attrs.evolve(self._context.config, seeds=addresses)
 
-    def take_changes(self) -> ChangeNotes:
+    def take_changes(self) -> ChangeNotifications:
         """Return what changed since the last call."""
         return self._context.notes.take()
 
--- a/src/zincvale/coordination/core/messages.py
+++ b/src/zincvale/coordination/core/messages.py
@@ -35,7 +35,7 @@
 
 @peer_message("core.status")
 @attrs.frozen
-class CoreStatus:
+class Heartbeat:
     """What a core tells the others several times a second."""
 
     info: MemberInfo
@@ -61,8 +61,8 @@
 
 @peer_message("core.unchanged")
 @attrs.frozen
-class UnchangedStatus:
-    """Stands for the sender's last `CoreStatus`, of which only the topics changed."""
+class UnchangedHeartbeat:
+    """Stands for the sender's last `Heartbeat`, of which only the topics changed."""
 
     incarnation: str
     number: int
@@ -71,13 +71,13 @@
 
 @peer_message("core.ask-status")
 @attrs.frozen
-class AskStatus:
-    """The sender lacks the status for which an `UnchangedStatus` stands: send it whole."""
+class RequestHeartbeat:
+    """The sender lacks the status for which an `UnchangedHeartbeat` stands: send it whole."""
 
 
 @peer_message("core.ask")
 @attrs.frozen
-class AskCores:
+class RequestCores:
     """Ask a process which cores it knows; it answers with `LeaseRedirect`."""
 
 
@@ -92,7 +92,7 @@
 
 @peer_message("held.report")
 @attrs.frozen
-class HeldReport:
+class AppliedVersionsReport:
     """Every node with a live lease at the sender holds `version` of `key`.
 
     `nodes` are those that confirmed and gave no evidence of being cut off lately; `chosen` are the
--- a/src/zincvale/coordination/core/queries.py
+++ b/src/zincvale/coordination/core/queries.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 
 from zincvale.coordination.core.context import CoreContext
-from zincvale.coordination.core.messages import CoreStatus
+from zincvale.coordination.core.messages import Heartbeat
 from zincvale.coordination.core.status import CoreState, KeyState, ReplicaState
-from zincvale.coordination.delivery.rollout import InForceTracker
+from zincvale.coordination.delivery.rollout import RolloutTracker
 from zincvale.coordination.registers.ownership import Ownership
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.model.identifiers import Address, MemberId, ZoneName
@@ -35,7 +35,7 @@
     context: CoreContext,
     keys: Iterable[str],
     ownership: Ownership,
-    trackers: dict[str, InForceTracker],
+    trackers: dict[str, RolloutTracker],
     now: float,
 ) -> list[KeyState]:
     """Return each key as this core sees it."""
@@ -75,6 +75,6 @@
     )
 
 
-def _intent_version(status: CoreStatus | None) -> int:
+def _intent_version(status: Heartbeat | None) -> int:
     keys = status.keys if status is not None else []
     return next((each.chosen_version for each in keys if each.key == INTENT_KEY), 0)
--- a/src/zincvale/coordination/core/standby_machine.py
+++ b/src/zincvale/coordination/core/standby_machine.py
@@ -12,7 +12,7 @@
 import attrs
 
 from zincvale.coordination import log_events
-from zincvale.coordination.core.messages import AskCores, CoreStatus, UnchangedStatus
+from zincvale.coordination.core.messages import Heartbeat, RequestCores, UnchangedHeartbeat
 from zincvale.coordination.leases.messages import LeaseRedirect, RenewLease
 from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.model.identifiers import Address, MemberId, ZoneName
@@ -71,11 +71,11 @@
                 return self._tick(now)
             case MessageReceived(sender, LeaseRedirect(cores)):
                 self._learn(sender, cores, now)
-            case MessageReceived(sender, CoreStatus(info) as status):
+            case MessageReceived(sender, Heartbeat(info) as status):
                 is_of_cluster = bool(status.cluster_incarnation)
                 self._learn(sender, [info] if is_of_cluster or not self._cores else [], now)
                 return self._redirect(sender)
-            case MessageReceived(sender, RenewLease() | AskCores() | UnchangedStatus()):
+            case MessageReceived(sender, RenewLease() | RequestCores() | UnchangedHeartbeat()):
                 return self._redirect(sender)
         return []
 
@@ -94,7 +94,7 @@
         else:
             self._ask_at = now + ASK_AGAIN_S
             targets = [*self._cores, *(MemberId(f"@{seed}") for seed in self._config.seeds)]
-        return [*effects, *(Send(target, AskCores()) for target in targets)]
+        return [*effects, *(Send(target, RequestCores()) for target in targets)]
 
     def _learn(self, sender: MemberId, infos: list[MemberInfo], now: float) -> None:
         """Remember the cores that a process named; a core that answers was heard."""
--- a/src/zincvale/coordination/core/tick.py
+++ b/src/zincvale/coordination/core/tick.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
-from zincvale.coordination.core.components import ROLE_PROPOSAL_PREFIX, CoreParts
+from zincvale.coordination.core.components import ROLE_PROPOSAL_PREFIX, CoreComponents
 from zincvale.coordination.delivery.rollout import Waiter
 from zincvale.coordination.registers.change_messages import IN_FORCE, ChangeResult
 from zincvale.coordination.registers.messages import Chosen
-from zincvale.coordination.registers.owner import ChosenNow, Phase, RegisterOwner
+from zincvale.coordination.registers.owner import NewlyChosen, Phase, RegisterOwner
 from zincvale.coordination.registers.ownership_proof import Evaluated
 from zincvale.coordination.replication.replica_sets import (
     DELIVERED_KEYS,
@@ -18,10 +18,10 @@
 )
 from zincvale.model.machine import Effect
 
-System = Callable[[CoreParts, float], list[Effect]]
+System = Callable[[CoreComponents, float], list[Effect]]
 
 
-def run_systems(parts: CoreParts, now: float) -> list[Effect]:
+def run_tick(parts: CoreComponents, now: float) -> list[Effect]:
     """Run every system once, in order."""
     effects: list[Effect] = []
     for system in SYSTEMS:
@@ -29,7 +29,7 @@
     return effects
 
 
-def settle(parts: CoreParts, now: float) -> list[Effect]:
+def drain_effects(parts: CoreComponents, now: float) -> list[Effect]:
     """Hand on what the last input brought about: chosen records, answers, news."""
     effects: list[Effect] = []
     for key, owner in parts.owners.items():
@@ -49,19 +49,21 @@
     return effects
 
 
-def _carry_outcomes(parts: CoreParts, key: str, owner: RegisterOwner, now: float) -> list[Effect]:
+def _carry_outcomes(
+    parts: CoreComponents, key: str, owner: RegisterOwner, now: float
+) -> list[Effect]:
     effects: list[Effect] = []
     outcomes, owner.outcomes = owner.outcomes, []
     for outcome in outcomes:
         match outcome:
             case Evaluated(token, result):
                 effects.extend(parts.proposals.finish(token, result, now))
-            case ChosenNow():
+            case NewlyChosen():
                 effects.extend(_carry_chosen(parts, key, outcome, now))
     return effects
 
 
-def _carry_chosen(parts: CoreParts, key: str, chosen: ChosenNow, now: float) -> list[Effect]:
+def _carry_chosen(parts: CoreComponents, key: str, chosen: NewlyChosen, now: float) -> list[Effect]:
     position = chosen.record.position
     if not parts.leases.caught_up:
         # The others wait for this core's word that it owns the key before they grant leases.
@@ -77,75 +79,75 @@
     return effects
 
 
-def _retry_disk(parts: CoreParts, now: float) -> list[Effect]:
+def _retry_disk(parts: CoreComponents, now: float) -> list[Effect]:
     return parts.context.replica.tick(now)
 
 
-def _create_cluster(parts: CoreParts, now: float) -> list[Effect]:
+def _create_cluster(parts: CoreComponents, now: float) -> list[Effect]:
     return parts.creation.tick(now)
 
 
-def _take_keys(parts: CoreParts, now: float) -> list[Effect]:
+def _take_keys(parts: CoreComponents, now: float) -> list[Effect]:
     return parts.ownership.tick(now)
 
 
-def _write_registers(parts: CoreParts, now: float) -> list[Effect]:
+def _write_registers(parts: CoreComponents, now: float) -> list[Effect]:
     effects: list[Effect] = []
     for key, owner in parts.owners.items():
         effects.extend(owner.tick(parts.context.sets.group_of(key).replicas, now))
     return effects
 
 
-def _route_proposals(parts: CoreParts, now: float) -> list[Effect]:
+def _route_proposals(parts: CoreComponents, now: float) -> list[Effect]:
     return parts.proposals.tick(now)
 
 
-def _repair(parts: CoreParts, now: float) -> list[Effect]:
+def _repair(parts: CoreComponents, now: float) -> list[Effect]:
     parts.repair.end_listening(now)
     return parts.repair.tick(now)
 
 
-def _catch_up(parts: CoreParts, now: float) -> list[Effect]:
+def _catch_up(parts: CoreComponents, now: float) -> list[Effect]:
     leases, delivery = parts.leases, parts.delivery
     if not leases.caught_up and parts.context.is_voter():
-        leases.caught_up = parts.catching_up.is_caught_up(now)
+        leases.caught_up = parts.catch_up_tracker.is_caught_up(now)
     delivery.isolated = parts.is_isolated(now)
     delivery.members_source = parts.context.owner_name if leases.caught_up else ""
     return []
 
 
-def _keep_leases(parts: CoreParts, now: float) -> list[Effect]:
+def _keep_leases(parts: CoreComponents, now: float) -> list[Effect]:
     effects = parts.leases.tick(now)
     if parts.leases.members.refresh(now):
         parts.delivery.note_soft_news(now)
     return effects
 
 
-def _answer_renewals(parts: CoreParts, now: float) -> list[Effect]:
+def _answer_renewals(parts: CoreComponents, now: float) -> list[Effect]:
     return parts.home.tick(now)
 
 
-def _keep_registry(parts: CoreParts, now: float) -> list[Effect]:
+def _keep_registry(parts: CoreComponents, now: float) -> list[Effect]:
     if not parts.owners[REGISTRY_KEY].serving():
         return []
     change = parts.leases.registry_change(now)
     return _propose_own(parts, REGISTRY_KEY, change, now)
 
 
-def _keep_replicas(parts: CoreParts, now: float) -> list[Effect]:
+def _keep_replicas(parts: CoreComponents, now: float) -> list[Effect]:
     if not parts.owners[REPLICA_SETS_KEY].serving():
         return []
     change = parts.manager.next_change(now)
     return _propose_own(parts, REPLICA_SETS_KEY, change, now)
 
 
-def _propose_own(parts: CoreParts, key: str, change: bytes | None, now: float) -> list[Effect]:
+def _propose_own(parts: CoreComponents, key: str, change: bytes | None, now: float) -> list[Effect]:
     if change is None:
         return []
     return parts.proposals.propose_internal(key, key, change, now)
 
 
-def _keep_roles(parts: CoreParts, now: float) -> list[Effect]:
+def _keep_roles(parts: CoreComponents, now: float) -> list[Effect]:
     effects, wanted = parts.roles.tick(now)
     change = parts.context.owner_name.encode()
     for role in wanted:
@@ -158,11 +160,11 @@
     return effects
 
 
-def _answer_polls(parts: CoreParts, now: float) -> list[Effect]:
+def _answer_polls(parts: CoreComponents, now: float) -> list[Effect]:
     return parts.delivery.tick(now)
 
 
-def _tell_status(parts: CoreParts, now: float) -> list[Effect]:
+def _tell_status(parts: CoreComponents, now: float) -> list[Effect]:
     return parts.statuses.tick(now)
 
 
--- a/src/zincvale/coordination/delivery/applied_versions.py
+++ b/src/zincvale/coordination/delivery/applied_versions.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from zincvale.coordination.core.context import CoreContext
-from zincvale.coordination.core.messages import HeldReport
-from zincvale.coordination.delivery.rollout import CountingRules, InForceTracker, Waiter
+from zincvale.coordination.core.messages import AppliedVersionsReport
+from zincvale.coordination.delivery.rollout import QuorumRules, RolloutTracker, Waiter
 from zincvale.coordination.leases.lease_grantor import LeaseGrantor
 from zincvale.coordination.membership import registry
 from zincvale.coordination.replication.replica_sets import DELIVERED_KEYS, REGISTRY_KEY
@@ -16,20 +16,20 @@
 IDLE_INTERVAL_S = 2.0
 
 
-class HeldReports:
+class AppliedVersions:
     """This core's reports, and the trackers that count everybody's."""
 
     def __init__(self, context: CoreContext, grantor: LeaseGrantor) -> None:
         self._context = context
         self._grantor = grantor
         self.trackers = {
-            key: InForceTracker(REGISTRY_KEY, strict=key == REGISTRY_KEY) for key in DELIVERED_KEYS
+            key: RolloutTracker(REGISTRY_KEY, strict=key == REGISTRY_KEY) for key in DELIVERED_KEYS
         }
-        self._reported: dict[str, HeldReport] = {}
+        self._reported: dict[str, AppliedVersionsReport] = {}
         self._repeat_at = 0.0
         self._counting: tuple[int, list[list[str]]] = (0, [])
 
-    def handle(self, sender: MemberId, report: HeldReport) -> None:
+    def handle(self, sender: MemberId, report: AppliedVersionsReport) -> None:
         """Remember another core's report."""
         tracker = self.trackers.get(report.key)
         if tracker is not None:
@@ -40,7 +40,7 @@
         tracker = self.trackers[key]
         if not tracker.stale:
             return []
-        rules = CountingRules(
+        rules = QuorumRules(
             grantors=self._context.sets.grantors(),
             config_version=self._context.sets.version,
             registry_version=self._context.chosen_version(REGISTRY_KEY),
@@ -80,11 +80,11 @@
             effects.extend(self._context.to_other_cores(report))
         return effects
 
-    def _report(self, key: str, now: float) -> HeldReport:
+    def _report(self, key: str, now: float) -> AppliedVersionsReport:
         chosen = self._context.chosen_versions()
         floor = self._grantor.held_floor(key, chosen[key], now)
         confirmed = chosen if key == REGISTRY_KEY else {key: floor}
-        return HeldReport(
+        return AppliedVersionsReport(
             key=key,
             version=floor,
             nodes=self._grantor.confirming(confirmed, now),
--- a/src/zincvale/coordination/delivery/core_topics.py
+++ b/src/zincvale/coordination/delivery/core_topics.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from zincvale.coordination.core.context import CoreContext
-from zincvale.coordination.core.messages import CoreStatus
-from zincvale.coordination.delivery.long_poll_server import DeliveryHost
+from zincvale.coordination.core.messages import Heartbeat
+from zincvale.coordination.delivery.long_poll_server import LongPollServer
 from zincvale.coordination.delivery.messages import (
     FetchTopic,
     PublishTopic,
@@ -18,7 +18,7 @@
 class CoreTopics:
     """The topics of one core, in step with the other cores."""
 
-    def __init__(self, context: CoreContext, delivery: DeliveryHost) -> None:
+    def __init__(self, context: CoreContext, delivery: LongPollServer) -> None:
         self._context = context
         self._delivery = delivery
 
@@ -48,7 +48,7 @@
         delta = self._context.topics.since(fetch.topic, fetch.epoch, fetch.version)
         return [Send(sender, TopicUpdate(delta))] if delta is not None else []
 
-    def handle_status(self, sender: MemberId, status: CoreStatus) -> list[Effect]:
+    def handle_status(self, sender: MemberId, status: Heartbeat) -> list[Effect]:
         """Fetch topics that another core has newer."""
         effects: list[Effect] = []
         for topic, position in status.topics.items():
--- a/src/zincvale/coordination/delivery/ephemeral_topics.py
+++ b/src/zincvale/coordination/delivery/ephemeral_topics.py
@@ -7,13 +7,13 @@
 
 from zincvale.coordination.changes import TopicView
 from zincvale.coordination.delivery.messages import PublishTopic, TopicDelta
-from zincvale.coordination.delivery.versioned_table import Difference, VersionedTable
+from zincvale.coordination.delivery.versioned_table import Delta, VersionedTable
 
 LEADERLESS_PREFIX = "listed-"
 """Topics of this prefix are published without a role: their epochs fence nothing."""
 
 
-class TopicTables:
+class EphemeralTopics:
     """Every topic this process knows."""
 
     def __init__(self) -> None:
@@ -73,7 +73,7 @@
         if delta.base_version is not None and delta.epoch != epoch:
             return False
         table = self._tables.setdefault(delta.topic, VersionedTable())
-        difference = Difference(delta.base_version, delta.version, delta.puts, delta.deletes)
+        difference = Delta(delta.base_version, delta.version, delta.puts, delta.deletes)
         if not table.apply(difference):
             return False
         self._epochs[delta.topic] = delta.epoch
@@ -90,7 +90,7 @@
         if epoch == own_epoch:
             difference = table.since(version)
         else:
-            difference = Difference(None, table.version, table.rows, [])
+            difference = Delta(None, table.version, table.rows, [])
         return TopicDelta(
             topic,
             own_epoch,
--- a/src/zincvale/coordination/delivery/long_poll_client.py
+++ b/src/zincvale/coordination/delivery/long_poll_client.py
@@ -7,12 +7,12 @@
 
 import random
 
-from zincvale.coordination.changes import ChangeNotes
+from zincvale.coordination.changes import ChangeNotifications
 from zincvale.coordination.config import NodeConfig
 from zincvale.coordination.core.messages import TopicPosition
-from zincvale.coordination.delivery.ephemeral_topics import TopicTables
-from zincvale.coordination.delivery.long_poll_server import difference_of
-from zincvale.coordination.delivery.messages import Poll, PollAnswer
+from zincvale.coordination.delivery.ephemeral_topics import EphemeralTopics
+from zincvale.coordination.delivery.long_poll_server import delta_of
+from zincvale.coordination.delivery.messages import Poll, PollResponse
 from zincvale.coordination.delivery.versioned_table import VersionedTable
 from zincvale.coordination.registers.messages import TableDelta
 from zincvale.model.identifiers import MemberId
@@ -26,7 +26,7 @@
 ISOLATED_RETRY_S = 1.0
 
 
-class NodePoller:
+class LongPollClient:
     """Keeps the node's tables up to date; versions never go backwards."""
 
     def __init__(
@@ -43,8 +43,8 @@
         self.values = {key: VersionedTable() for key in keys}
         self.members = VersionedTable()
         self.members_source = ""
-        self.topics = TopicTables()
-        self.notes = ChangeNotes()
+        self.topics = EphemeralTopics()
+        self.notes = ChangeNotifications()
 
     def held(self) -> dict[str, int]:
         """Return the versions held of the durable keys."""
@@ -68,7 +68,7 @@
         )
         return [Call(self._host, self._token, poll, self._config.timings.poll_timeout_s)]
 
-    def handle_answer(self, token: str, answer: PollAnswer, now: float) -> bool:
+    def handle_answer(self, token: str, answer: PollResponse, now: float) -> bool:
         """Apply an answer; whether a durable key moved forward."""
         if token != self._token:
             return False
@@ -122,11 +122,11 @@
         table = self.values.get(delta.name)
         if table is None or delta.version <= table.version:
             return False
-        return table.apply(difference_of(delta))
+        return table.apply(delta_of(delta))
 
     def _apply_members(self, source: str, delta: TableDelta) -> None:
         if source != self.members_source and delta.base_version is not None:
             return
-        if self.members.apply(difference_of(delta)):
+        if self.members.apply(delta_of(delta)):
             self.members_source = source
             self.notes.members = True
--- a/src/zincvale/coordination/delivery/long_poll_server.py
+++ b/src/zincvale/coordination/delivery/long_poll_server.py
@@ -7,9 +7,9 @@
 import attrs
 
 from zincvale.coordination.config import Timings
-from zincvale.coordination.delivery.ephemeral_topics import TopicTables
-from zincvale.coordination.delivery.messages import Poll, PollAnswer, TopicDelta
-from zincvale.coordination.delivery.versioned_table import Difference, VersionedTable
+from zincvale.coordination.delivery.ephemeral_topics import EphemeralTopics
+from zincvale.coordination.delivery.messages import Poll, PollResponse, TopicDelta
+from zincvale.coordination.delivery.versioned_table import Delta, VersionedTable
 from zincvale.coordination.registers.messages import TableDelta
 from zincvale.model.machine import Effect, Reply
 
@@ -19,12 +19,12 @@
 
 
 @attrs.frozen
-class _HeldPoll:
+class _PendingPoll:
     poll: Poll
     until: float
 
 
-class DeliveryHost:
+class LongPollServer:
     """Holds long polls until there is news, collected for a batching interval.
 
     News of durable keys goes out at once. Soft news (topics and members) comes often, and each
@@ -37,13 +37,13 @@
         timings: Timings,
         values: dict[str, VersionedTable],
         members: VersionedTable,
-        topics: TopicTables,
+        topics: EphemeralTopics,
     ) -> None:
         self._timings = timings
         self._values = values
         self._members = members
         self._topics = topics
-        self._held: dict[str, _HeldPoll] = {}
+        self._held: dict[str, _PendingPoll] = {}
         self._news_since: float | None = None
         self._soft_news_since: float | None = None
         self._soft_rest_until = 0.0
@@ -66,7 +66,7 @@
             answer = self._nothing()
         if answer is not None:
             return [Reply(token, answer)]
-        self._held[token] = _HeldPoll(poll, now + self._timings.poll_hold_s)
+        self._held[token] = _PendingPoll(poll, now + self._timings.poll_hold_s)
         return []
 
     def abandon(self, token: str) -> None:
@@ -91,7 +91,7 @@
         """Answer polls with news once the batching interval is over, and those held long enough."""
         effects: list[Effect] = []
         is_due = self._is_due(now)
-        answers: dict[_Position, PollAnswer | None] = {}
+        answers: dict[_Position, PollResponse | None] = {}
         for token, held in list(self._held.items()):
             answer = self._answer_once(held.poll, answers) if is_due else None
             if answer is None and (now >= held.until or self.isolated):
@@ -117,7 +117,7 @@
         if rate:
             self._soft_rest_until = now + min(answered / rate, LONGEST_SOFT_REST_S)
 
-    def _may_rest(self, poll: Poll, answer: PollAnswer, now: float) -> bool:
+    def _may_rest(self, poll: Poll, answer: PollResponse, now: float) -> bool:
         """Whether this answer can wait for the others; a poller that knows nothing can not."""
         if answer.keys or now >= self._soft_rest_until:
             return False
@@ -125,17 +125,17 @@
         return not is_new
 
     def _answer_once(
-        self, poll: Poll, answers: dict[_Position, PollAnswer | None]
-    ) -> PollAnswer | None:
+        self, poll: Poll, answers: dict[_Position, PollResponse | None]
+    ) -> PollResponse | None:
         """Work out one answer for all pollers that hold the same."""
         position = _position_of(poll)
         if position not in answers:
             answers[position] = self._answer(poll)
         return answers[position]
 
-    def _answer(self, poll: Poll) -> PollAnswer | None:
+    def _answer(self, poll: Poll) -> PollResponse | None:
         keys = [
-            table_delta(key, self._values[key].since(version))
+            delta_message(key, self._values[key].since(version))
             for key, version in poll.keys.items()
             if key in self._values and self._values[key].version > version
         ]
@@ -143,10 +143,10 @@
         members = self._member_news(poll)
         if not keys and not topics and members is None:
             return None
-        return PollAnswer(keys, topics, self.members_source, members, self.isolated)
+        return PollResponse(keys, topics, self.members_source, members, self.isolated)
 
-    def _nothing(self) -> PollAnswer:
-        return PollAnswer([], [], self.members_source, None, self.isolated)
+    def _nothing(self) -> PollResponse:
+        return PollResponse([], [], self.members_source, None, self.isolated)
 
     def _topic_news(self, poll: Poll) -> list[TopicDelta]:
         news = []
@@ -160,11 +160,11 @@
         if not self.members_source:
             return None
         if poll.members_source != self.members_source:
-            whole = Difference(None, self._members.version, self._members.rows, [])
-            return table_delta("members", whole)
+            whole = Delta(None, self._members.version, self._members.rows, [])
+            return delta_message("members", whole)
         if self._members.version <= poll.members_version:
             return None
-        return table_delta("members", self._members.since(poll.members_version))
+        return delta_message("members", self._members.since(poll.members_version))
 
 
 def _position_of(poll: Poll) -> _Position:
@@ -176,13 +176,13 @@
     )
 
 
-def table_delta(name: str, difference: Difference) -> TableDelta:
+def delta_message(name: str, difference: Delta) -> TableDelta:
     """Return a difference as it travels."""
     return TableDelta(
         name, difference.base, difference.version, difference.puts, difference.deletes
     )
 
 
-def difference_of(delta: TableDelta) -> Difference:
+def delta_of(delta: TableDelta) -> Delta:
     """Return a travelled difference."""
-    return Difference(delta.base_version, delta.version, delta.puts, delta.deletes)
+    return Delta(delta.base_version, delta.version, delta.puts, delta.deletes)
--- a/src/zincvale/coordination/delivery/messages.py
+++ b/src/zincvale/coordination/delivery/messages.py
@@ -77,7 +77,7 @@
 
 @peer_message("poll.answer")
 @attrs.frozen
-class PollAnswer:
+class PollResponse:
     """What is newer; `members_source` names whose member table it is."""
 
     keys: list[TableDelta]
--- a/src/zincvale/coordination/delivery/rollout.py
+++ b/src/zincvale/coordination/delivery/rollout.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from zincvale.coordination.core.messages import HeldReport
+from zincvale.coordination.core.messages import AppliedVersionsReport
 from zincvale.coordination.replication.replica_config import ReplicaConfig, has_majority
 from zincvale.model.identifiers import MemberId
 
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class CountingRules:
+class QuorumRules:
     """By what a core counts reports and confirmations.
 
     Attributes
@@ -40,7 +40,7 @@
     registries: list[list[str]]
 
 
-class InForceTracker:
+class RolloutTracker:
     """Collects the cores' reports about one key.
 
     Parameters
@@ -53,13 +53,13 @@
     def __init__(self, registry_key: str, strict: bool) -> None:
         self._registry_key = registry_key
         self._strict = strict
-        self._reports: dict[MemberId, HeldReport] = {}
+        self._reports: dict[MemberId, AppliedVersionsReport] = {}
         self.waiters: list[Waiter] = []
         self.version = 0
         self.stale = False
         """Whether counting anew may tell something new."""
 
-    def note(self, sender: MemberId, report: HeldReport) -> None:
+    def note(self, sender: MemberId, report: AppliedVersionsReport) -> None:
         """Remember the newest report of a core."""
         self._reports[sender] = report
         self.stale = True
@@ -69,7 +69,7 @@
         self.waiters.append(waiter)
         self.stale = True
 
-    def update(self, rules: CountingRules) -> list[Waiter]:
+    def update(self, rules: QuorumRules) -> list[Waiter]:
         """Work out the version in force; return the waiters it satisfies."""
         self.stale = False
         for version in sorted({report.version for report in self._reports.values()}, reverse=True):
@@ -82,7 +82,7 @@
         self.waiters = [waiter for waiter in self.waiters if waiter.version > self.version]
         return done
 
-    def _in_force(self, version: int, rules: CountingRules) -> bool:
+    def _in_force(self, version: int, rules: QuorumRules) -> bool:
         reports = {
             core: report for core, report in self._reports.items() if report.version >= version
         }
@@ -94,14 +94,16 @@
         confirmed = _confirmed(counted, rules.grantors)
         return all(has_majority(registry, confirmed) for registry in rules.registries)
 
-    def _knows_newer_rules(self, report: HeldReport, rules: CountingRules) -> bool:
+    def _knows_newer_rules(self, report: AppliedVersionsReport, rules: QuorumRules) -> bool:
         registry_version = report.chosen.get(self._registry_key, 0)
         return (
             report.config_version > rules.config_version
             or registry_version > rules.registry_version
         )
 
-    def _newest(self, reports: dict[MemberId, HeldReport]) -> dict[MemberId, HeldReport]:
+    def _newest(
+        self, reports: dict[MemberId, AppliedVersionsReport]
+    ) -> dict[MemberId, AppliedVersionsReport]:
         newest: dict[str, int] = {}
         for report in reports.values():
             for key, version in report.chosen.items():
@@ -109,7 +111,7 @@
         return {core: report for core, report in reports.items() if report.chosen == newest}
 
 
-def _confirmed(reports: dict[MemberId, HeldReport], grantors: ReplicaConfig) -> set[str]:
+def _confirmed(reports: dict[MemberId, AppliedVersionsReport], grantors: ReplicaConfig) -> set[str]:
     """Return the nodes that confirmed to a majority of the granting cores.
 
     To one core is not enough: a node that restarts could get a new lease from the others, without
--- a/src/zincvale/coordination/delivery/versioned_table.py
+++ b/src/zincvale/coordination/delivery/versioned_table.py
@@ -8,12 +8,12 @@
 
 from zincvale.coordination.changes import Rows
 
-DIFFERENCES_KEPT = 256
+RETAINED_DELTAS = 256
 """A reader further behind than this gets the whole table."""
 
 
 @attrs.frozen
-class Difference:
+class Delta:
     """What leads from one version of a table to a later one; whole when `base` is None."""
 
     base: int | None
@@ -28,14 +28,14 @@
     def __init__(self, version: int = 0, rows: Rows | None = None) -> None:
         self.version = version
         self.rows: Rows = rows if rows is not None else {}
-        self._differences: deque[Difference] = deque(maxlen=DIFFERENCES_KEPT)
+        self._differences: deque[Delta] = deque(maxlen=RETAINED_DELTAS)
 
     def replace(self, version: int, rows: Rows) -> None:
         """Move to `version` with these rows; the difference is worked out and kept."""
         old = self.rows
         puts = {row: value for row, value in rows.items() if old.get(row) != value}
         deletes = [row for row in old if row not in rows]
-        self._differences.append(Difference(self.version, version, puts, deletes))
+        self._differences.append(Delta(self.version, version, puts, deletes))
         self.version = version
         self.rows = rows
 
@@ -51,11 +51,11 @@
         rows.update(puts)
         for row in deletes:
             rows.pop(row, None)
-        self._differences.append(Difference(self.version, version, puts, deletes))
+        self._differences.append(Delta(self.version, version, puts, deletes))
         self.version = version
         self.rows = rows
 
-    def apply(self, difference: Difference) -> bool:
+    def apply(self, difference: Delta) -> bool:
         """Apply a difference that was sent here; False when its base is not held."""
         if difference.base is None:
             self.reset(difference.version, difference.puts)
@@ -65,23 +65,23 @@
         self.change(difference.version, difference.puts, difference.deletes)
         return True
 
-    def since(self, version: int) -> Difference:
+    def since(self, version: int) -> Delta:
         """Return what leads a holder of `version` to this one."""
-        steps: list[Difference] = []
+        steps: list[Delta] = []
         for difference in reversed(self._differences):
             if difference.version <= version:
                 break
             steps.append(difference)
         if not steps or steps[-1].base != version:
-            return Difference(None, self.version, self.rows, [])
+            return Delta(None, self.version, self.rows, [])
         return _merge(list(reversed(steps)))
 
 
-def _merge(steps: list[Difference]) -> Difference:
+def _merge(steps: list[Delta]) -> Delta:
     merged: dict[str, bytes | None] = {}
     for step in steps:
         merged.update(step.puts)
         merged.update(dict.fromkeys(step.deletes))
     puts = {row: value for row, value in merged.items() if value is not None}
     deletes = [row for row, value in merged.items() if value is None]
-    return Difference(steps[0].base, steps[-1].version, puts, deletes)
+    return Delta(steps[0].base, steps[-1].version, puts, deletes)
--- a/src/zincvale/coordination/election/leader_election.py
+++ b/src/zincvale/coordination/election/leader_election.py
@@ -7,10 +7,19 @@
 import attrs
 
 from zincvale.coordination import log_events
-from zincvale.coordination.changes import RoleState
+from zincvale.coordination.changes import LeadershipState
 from zincvale.coordination.core.context import CoreContext
-from zincvale.coordination.election.leader_lease import HolderPhase, RoleGrantor, RoleHolder
-from zincvale.coordination.election.messages import AskRole, RoleGranted, RoleRefused, RoleReleased
+from zincvale.coordination.election.leader_lease import (
+    LeaderLeaseGrantor,
+    LeaderLeaseHolder,
+    LeasePhase,
+)
+from zincvale.coordination.election.messages import (
+    RequestRole,
+    RoleGranted,
+    RoleRefused,
+    RoleReleased,
+)
 from zincvale.coordination.membership.peer_table import rendezvous_order
 from zincvale.coordination.registers.change_messages import IN_FORCE, ChangeResult
 from zincvale.coordination.replication.replica_sets import ROLE_KEY_PREFIX
@@ -28,7 +37,7 @@
     since: float
 
 
-class CoreRoles:
+class LeaderElection:
     """Every singleton role of the configuration.
 
     Parameters
@@ -50,15 +59,15 @@
         grants_from = context.started_at
         if context.replica.known_keys():
             grants_from += timings.role_lease_s
-        self._grantor = RoleGrantor(timings, grants_from)
-        self._holders = {role: RoleHolder(role, timings) for role in context.config.roles}
+        self._grantor = LeaderLeaseGrantor(timings, grants_from)
+        self._holders = {role: LeaderLeaseHolder(role, timings) for role in context.config.roles}
         self._free_since: dict[str, _FreeSince] = {}
         self._was_held: set[str] = set()
 
-    def state(self, role: str, now: float) -> RoleState:
+    def state(self, role: str, now: float) -> LeadershipState:
         """Return this process's lease of `role`."""
         holder = self._holders.get(role)
-        return holder.state(self._context.sets.grantors(), now) if holder else RoleState()
+        return holder.state(self._context.sets.grantors(), now) if holder else LeadershipState()
 
     def last_granted(self, now: float) -> dict[str, tuple[MemberId | None, int]]:
         """Return the holder and epoch of each role as last granted here."""
@@ -81,7 +90,7 @@
         """Give up every lease and tell the grantors, so that others need not wait for its end."""
         effects: list[Effect] = []
         for role, holder in self._holders.items():
-            if holder.phase is not HolderPhase.IDLE:
+            if holder.phase is not LeasePhase.IDLE:
                 released = RoleReleased(role, holder.epoch)
                 members = self._context.sets.grantors().members()
                 effects.extend(Send(member, released) for member in members)
@@ -91,14 +100,14 @@
     def handle(
         self,
         sender: MemberId,
-        message: AskRole | RoleGranted | RoleRefused | RoleReleased,
+        message: RequestRole | RoleGranted | RoleRefused | RoleReleased,
         now: float,
     ) -> list[Effect]:
         """Apply a message about leader leases."""
         holder = self._holders.get(message.role)
         sets = self._context.sets
         match message:
-            case AskRole():
+            case RequestRole():
                 newest = self._context.chosen_version(f"{ROLE_KEY_PREFIX}{message.role}")
                 config_version = self._context.sets.version
                 return [self._grantor.handle(sender, message, newest, config_version, now)]
@@ -128,7 +137,7 @@
         wanted: list[str] = []
         for role, holder in self._holders.items():
             effects.extend(holder.tick(self._context.sets.grantors(), now))
-            if holder.phase is HolderPhase.IDLE and self._is_our_turn(role, holder, now):
+            if holder.phase is LeasePhase.IDLE and self._is_our_turn(role, holder, now):
                 holder.begin(now)
                 wanted.append(role)
         effects.extend(self._note_changes(now))
@@ -153,7 +162,7 @@
                 return False
         return bool(grantors)
 
-    def _is_our_turn(self, role: str, holder: RoleHolder, now: float) -> bool:
+    def _is_our_turn(self, role: str, holder: LeaderLeaseHolder, now: float) -> bool:
         if not self._context.is_voting() or now < holder.retry_at:
             return False
         if not self._may_take(self._context.chosen_version(f"{ROLE_KEY_PREFIX}{role}"), now):
--- a/src/zincvale/coordination/election/leader_lease.py
+++ b/src/zincvale/coordination/election/leader_lease.py
@@ -12,9 +12,9 @@
 import attrs
 from returns.result import Result, Success
 
-from zincvale.coordination.changes import ChangeRefused, RoleState, RowChange, Rows
+from zincvale.coordination.changes import ChangeRefused, LeadershipState, RowChange, Rows
 from zincvale.coordination.config import Timings
-from zincvale.coordination.election.messages import AskRole, RoleGranted, RoleRefused
+from zincvale.coordination.election.messages import RequestRole, RoleGranted, RoleRefused
 from zincvale.coordination.leases.lease_grantor import CLOCK_RATE_ALLOWANCE
 from zincvale.coordination.replication.replica_config import ReplicaConfig
 from zincvale.model.identifiers import MemberId
@@ -35,7 +35,7 @@
     expires_at: float
 
 
-class RoleGrantor:
+class LeaderLeaseGrantor:
     """Grants leader leases; a restarted grantor grants nothing for one lease duration."""
 
     def __init__(self, timings: Timings, grants_from: float) -> None:
@@ -48,7 +48,7 @@
         self._grants_from = min(self._grants_from, now)
 
     def handle(
-        self, sender: MemberId, ask: AskRole, newest_epoch: int, config_version: int, now: float
+        self, sender: MemberId, ask: RequestRole, newest_epoch: int, config_version: int, now: float
     ) -> Effect:
         """Grant or refuse; `newest_epoch` is the newest chosen epoch of the role known here."""
         grant = self._grants.get(ask.role)
@@ -81,7 +81,7 @@
         }
 
 
-class HolderPhase(enum.Enum):
+class LeasePhase(enum.Enum):
     """How far this process is with a role."""
 
     IDLE = "idle"
@@ -91,12 +91,12 @@
     HELD = "held"
 
 
-class RoleHolder:
+class LeaderLeaseHolder:
     """This process's side of one role."""
 
     def __init__(self, role: str, timings: Timings) -> None:
         self.role = role
-        self.phase = HolderPhase.IDLE
+        self.phase = LeasePhase.IDLE
         self.epoch = 0
         self.retry_at = 0.0
         self._timings = timings
@@ -106,21 +106,21 @@
 
     def begin(self, now: float) -> None:
         """A new epoch was proposed."""
-        self.phase = HolderPhase.TAKING
+        self.phase = LeasePhase.TAKING
         self._started_at = now
 
     def drop(self, retry_at: float) -> None:
         """Hold nothing any more."""
-        self.phase = HolderPhase.IDLE
+        self.phase = LeasePhase.IDLE
         self._asked_at = {}
         self.retry_at = retry_at
 
     def epoch_chosen(self, epoch: int, quorum: ReplicaConfig, now: float) -> list[Effect]:
         """The epoch is durable: ask the grantors."""
-        if self.phase is not HolderPhase.TAKING:
+        if self.phase is not LeasePhase.TAKING:
             return []
         self.epoch = epoch
-        self.phase = HolderPhase.ASKING
+        self.phase = LeasePhase.ASKING
         self._asked_at = {}
         self._started_at = now
         return self._ask(quorum, now)
@@ -129,29 +129,29 @@
         self, sender: MemberId, granted: RoleGranted, quorum: ReplicaConfig, now: float
     ) -> None:
         """Count a grant from when it was asked for."""
-        if granted.epoch != self.epoch or self.phase in (HolderPhase.IDLE, HolderPhase.TAKING):
+        if granted.epoch != self.epoch or self.phase in (LeasePhase.IDLE, LeasePhase.TAKING):
             return
         self._asked_at[sender] = max(self._asked_at.get(sender, 0.0), granted.asked_at)
-        if self.phase is HolderPhase.ASKING and now < self.acts_until(quorum):
-            self.phase = HolderPhase.HELD
+        if self.phase is LeasePhase.ASKING and now < self.acts_until(quorum):
+            self.phase = LeasePhase.HELD
 
     def handle_refused(self, refused: RoleRefused, now: float) -> None:
         """A newer epoch exists: this term is over."""
-        if refused.newest_epoch > self.epoch and self.phase is not HolderPhase.TAKING:
+        if refused.newest_epoch > self.epoch and self.phase is not LeasePhase.TAKING:
             self.drop(now + self._timings.role_renew_s)
 
     def tick(self, quorum: ReplicaConfig, now: float) -> list[Effect]:
         """Renew, or notice that the lease ended."""
-        if self.phase is HolderPhase.IDLE:
+        if self.phase is LeasePhase.IDLE:
             return []
-        if self.phase is HolderPhase.HELD and now >= self.acts_until(quorum):
+        if self.phase is LeasePhase.HELD and now >= self.acts_until(quorum):
             self.drop(now)
             return []
-        waits = self.phase in (HolderPhase.ASKING, HolderPhase.TAKING)
+        waits = self.phase in (LeasePhase.ASKING, LeasePhase.TAKING)
         if waits and now - self._started_at > self._timings.role_lease_s:
             self.drop(now + self._timings.role_renew_s)
             return []
-        if self.phase is HolderPhase.TAKING or now < self._renew_at:
+        if self.phase is LeasePhase.TAKING or now < self._renew_at:
             return []
         return self._ask(quorum, now)
 
@@ -163,14 +163,14 @@
                 return asked_at + self._timings.role_lease_s - self._timings.role_margin_s
         return float("-inf")
 
-    def state(self, quorum: ReplicaConfig, now: float) -> RoleState:
+    def state(self, quorum: ReplicaConfig, now: float) -> LeadershipState:
         """Return whether this process may act now."""
         until = self.acts_until(quorum)
-        held = self.phase is HolderPhase.HELD and now < until
-        return RoleState(held, self.epoch if held else 0, until)
+        held = self.phase is LeasePhase.HELD and now < until
+        return LeadershipState(held, self.epoch if held else 0, until)
 
     def _ask(self, quorum: ReplicaConfig, now: float) -> list[Effect]:
         renew = self._timings.role_renew_s
-        self._renew_at = now + (renew if self.phase is HolderPhase.HELD else renew / 4)
-        ask = AskRole(self.role, self.epoch, now)
+        self._renew_at = now + (renew if self.phase is LeasePhase.HELD else renew / 4)
+        ask = RequestRole(self.role, self.epoch, now)
         return [Send(member, ask) for member in quorum.members()]
--- a/src/zincvale/coordination/election/messages.py
+++ b/src/zincvale/coordination/election/messages.py
@@ -9,7 +9,7 @@
 
 @peer_message("role.ask")
 @attrs.frozen
-class AskRole:
+class RequestRole:
     """Ask a grantor for the lease of `role` at the fencing `epoch`."""
 
     role: str
--- a/src/zincvale/coordination/leases/catch_up.py
+++ b/src/zincvale/coordination/leases/catch_up.py
@@ -15,7 +15,7 @@
 from zincvale.coordination.replication.replica_sets import DELIVERED_KEYS
 
 
-class CatchingUp:
+class CatchUpTracker:
     """Watches the statuses heard since this process started."""
 
     def __init__(self, context: CoreContext, owners: dict[str, RegisterOwner]) -> None:
--- a/src/zincvale/coordination/leases/core_leases.py
+++ b/src/zincvale/coordination/leases/core_leases.py
@@ -3,18 +3,18 @@
 from __future__ import annotations
 
 from zincvale.coordination.core.context import CoreContext
-from zincvale.coordination.delivery.applied_versions import HeldReports
+from zincvale.coordination.delivery.applied_versions import AppliedVersions
 from zincvale.coordination.leases.lease_grantor import CLOCK_RATE_ALLOWANCE, LeaseGrantor
 from zincvale.coordination.leases.messages import LeaseGranted, LeaseRedirect, RenewLease
 from zincvale.coordination.membership.member_table import MemberTable
 from zincvale.coordination.membership.messages import MemberInfo
-from zincvale.coordination.membership.registry_reconciler import RegistryKeeper
+from zincvale.coordination.membership.registry_reconciler import RegistryReconciler
 from zincvale.coordination.replication.replica_config import ReplicaConfig
 from zincvale.coordination.replication.replica_sets import REGISTRY_KEY
 from zincvale.model.machine import Effect
 
 
-class CoreLeases:
+class MemberLeases:
     """Grants leases once this core knows what was acknowledged before it started."""
 
     def __init__(self, context: CoreContext) -> None:
@@ -22,9 +22,9 @@
         earliest = context.started_at + timings.lease_ttl_s * CLOCK_RATE_ALLOWANCE
         self._context = context
         self.grantor = LeaseGrantor(timings, earliest)
-        self.reports = HeldReports(context, self.grantor)
+        self.reports = AppliedVersions(context, self.grantor)
         self.members = MemberTable(context, self.grantor)
-        self._registry = RegistryKeeper(context, self.grantor)
+        self._registry = RegistryReconciler(context, self.grantor)
         self.caught_up = False
 
     def handle_renew(
--- a/src/zincvale/coordination/leases/messages.py
+++ b/src/zincvale/coordination/leases/messages.py
@@ -73,7 +73,7 @@
 
 @peer_message("island.probe")
 @attrs.frozen
-class IslandProbe:
+class PartitionProbe:
     """A node that lost the cores asks a peer whether it lost them as well."""
 
     asked_at: float
@@ -81,7 +81,7 @@
 
 @peer_message("island.evidence")
 @attrs.frozen
-class IslandEvidence:
+class PartitionEvidence:
     """The sender lost the cores too, holds these versions, and confirms nothing for a while."""
 
     asked_at: float
--- a/src/zincvale/coordination/leases/renewal_batcher.py
+++ b/src/zincvale/coordination/leases/renewal_batcher.py
@@ -30,7 +30,7 @@
     grants: dict[MemberId, LeaseGranted]
 
 
-class HomeRenewals:
+class LeaseRenewalBatcher:
     """The renewals that wait for other cores' grants."""
 
     def __init__(self, context: CoreContext) -> None:
--- a/src/zincvale/coordination/leases/renewal_coordinator.py
+++ b/src/zincvale/coordination/leases/renewal_coordinator.py
@@ -16,7 +16,7 @@
 """So many answers without a majority in a row count as a failure."""
 
 
-class NodeHome:
+class RenewalCoordinator:
     """The home core: kept until it fails."""
 
     def __init__(self, config: NodeConfig, random_source: random.Random) -> None:
--- a/src/zincvale/coordination/membership/heartbeats.py
+++ b/src/zincvale/coordination/membership/heartbeats.py
@@ -1,6 +1,6 @@
 """Statuses that the cores tell each other several times a second.
 
-A status that differs from the last one in nothing but the topics is sent as `UnchangedStatus`, a
+A status that differs from the last one in nothing but the topics is sent as `UnchangedHeartbeat`, a
 tenth of its size. Whoever lacks the status that it stands for asks for it; so a lost message or a
 restart costs one exchange, and the receiver always acts on exactly what the sender's status is.
 """
@@ -12,7 +12,7 @@
 import attrs
 
 from zincvale.coordination.core.context import CoreContext
-from zincvale.coordination.core.messages import CoreStatus, TopicPosition, UnchangedStatus
+from zincvale.coordination.core.messages import Heartbeat, TopicPosition, UnchangedHeartbeat
 from zincvale.coordination.leases.catch_up import own_key_status
 from zincvale.coordination.registers.owner import RegisterOwner
 from zincvale.model.identifiers import MemberId
@@ -24,7 +24,7 @@
 """A member id that is an address: for first contact."""
 
 
-class CoreStatuses:
+class HeartbeatExchange:
     """Sends this core's status."""
 
     def __init__(
@@ -38,7 +38,7 @@
         self._held_roles = held_roles
         self._due_at = context.started_at
         self._sent_at = float("-inf")
-        self._last: CoreStatus | None = None
+        self._last: Heartbeat | None = None
         self._told: set[MemberId] = set()
         """The cores that the last whole status was sent to."""
 
@@ -62,7 +62,7 @@
         self._sent_at = now
         self._due_at = now + self._context.config.timings.status_interval_s
         status = self._numbered(self._status(now))
-        unchanged = UnchangedStatus(status.info.incarnation, status.number, status.topics)
+        unchanged = UnchangedHeartbeat(status.info.incarnation, status.number, status.topics)
         effects: list[Effect] = []
         for member in self._targets():
             effects.append(Send(member, unchanged if member in self._told else status))
@@ -70,7 +70,7 @@
                 self._told.add(member)
         return effects
 
-    def _numbered(self, status: CoreStatus) -> CoreStatus:
+    def _numbered(self, status: Heartbeat) -> Heartbeat:
         """Return the status with its number; one that changed is owed whole to every core."""
         last = self._last
         number = last.number if last is not None else 0
@@ -81,10 +81,10 @@
         self._last = numbered
         return numbered
 
-    def _status(self, now: float) -> CoreStatus:
+    def _status(self, now: float) -> Heartbeat:
         context = self._context
         live = context.cores.live(now)
-        return CoreStatus(
+        return Heartbeat(
             info=context.info(),
             disk=context.disk,
             cluster_incarnation=context.sets.cluster_incarnation,
--- a/src/zincvale/coordination/membership/member_codec.py
+++ b/src/zincvale/coordination/membership/member_codec.py
@@ -31,7 +31,7 @@
     )
 
 
-class MembersDecoder:
+class MemberTableDecoder:
     """Keeps the typed table of changing rows; decodes only rows that changed.
 
     It is asked for with each input of a process, and changes when a member comes or goes.
--- a/src/zincvale/coordination/membership/peer_table.py
+++ b/src/zincvale/coordination/membership/peer_table.py
@@ -6,34 +6,34 @@
 import xxhash
 
 from zincvale.coordination.config import CoreConfig
-from zincvale.coordination.core.messages import CoreStatus
+from zincvale.coordination.core.messages import Heartbeat
 from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.model.identifiers import Address, MemberId
 
 
 @attrs.frozen
-class HeardStatus:
+class PeerStatus:
     """A status and when it arrived."""
 
-    status: CoreStatus
+    status: Heartbeat
     heard_at: float
 
 
-class CoreTable:
+class PeerTable:
     """Statuses and addresses of the other cores."""
 
     def __init__(self, config: CoreConfig) -> None:
         self._own = config.member
         self._silence_s = config.timings.core_silence_s
-        self._heard: dict[MemberId, HeardStatus] = {}
+        self._heard: dict[MemberId, PeerStatus] = {}
         self._addresses: dict[MemberId, Address] = {
             core.member: core.peer_address for core in config.initial_cores
         }
         self._cores: set[MemberId] = {core.member for core in config.initial_cores}
 
-    def note(self, sender: MemberId, status: CoreStatus, now: float) -> None:
+    def note(self, sender: MemberId, status: Heartbeat, now: float) -> None:
         """Remember a status."""
-        self._heard[sender] = HeardStatus(status, now)
+        self._heard[sender] = PeerStatus(status, now)
         self.note_core(status.info)
 
     def note_address(self, info: MemberInfo) -> None:
@@ -62,7 +62,7 @@
         self._cores.discard(member)
         self._heard.pop(member, None)
 
-    def status(self, member: MemberId) -> CoreStatus | None:
+    def status(self, member: MemberId) -> Heartbeat | None:
         """Return the last status of `member`."""
         heard = self._heard.get(member)
         return heard.status if heard else None
@@ -74,7 +74,7 @@
         heard = self._heard.get(member)
         return heard is not None and now - heard.heard_at <= self._silence_s
 
-    def live(self, now: float) -> dict[MemberId, CoreStatus]:
+    def live(self, now: float) -> dict[MemberId, Heartbeat]:
         """Return the statuses of the other cores that were heard lately."""
         return {
             member: heard.status
--- a/src/zincvale/coordination/membership/registry_reconciler.py
+++ b/src/zincvale/coordination/membership/registry_reconciler.py
@@ -19,7 +19,7 @@
 CALL_BACK_INTERVAL_S = 3.0
 
 
-class RegistryKeeper:
+class RegistryReconciler:
     """Compares the registry with the live leases."""
 
     def __init__(self, context: CoreContext, grantor: LeaseGrantor) -> None:
--- a/src/zincvale/coordination/node/machine.py
+++ b/src/zincvale/coordination/node/machine.py
@@ -5,29 +5,29 @@
 import random
 
 from zincvale.coordination import log_events
-from zincvale.coordination.changes import ChangeNotes, KeyView, TopicView
+from zincvale.coordination.changes import ChangeNotifications, KeyView, TopicView
 from zincvale.coordination.config import NodeConfig
-from zincvale.coordination.core.messages import AskCores, CoreStatus
-from zincvale.coordination.delivery.long_poll_client import POLL_PREFIX, NodePoller
-from zincvale.coordination.delivery.long_poll_server import DeliveryHost, table_delta
-from zincvale.coordination.delivery.messages import Poll, PollAnswer
-from zincvale.coordination.delivery.versioned_table import Difference
+from zincvale.coordination.core.messages import Heartbeat, RequestCores
+from zincvale.coordination.delivery.long_poll_client import POLL_PREFIX, LongPollClient
+from zincvale.coordination.delivery.long_poll_server import LongPollServer, delta_message
+from zincvale.coordination.delivery.messages import Poll, PollResponse
+from zincvale.coordination.delivery.versioned_table import Delta
 from zincvale.coordination.leases.member_lease import NodeLease
 from zincvale.coordination.leases.messages import (
-    IslandEvidence,
-    IslandProbe,
     LeaseGranted,
     LeaseGrants,
     LeaseRedirect,
+    PartitionEvidence,
+    PartitionProbe,
     RelayedGrant,
     RelayedRenewal,
     RelayRenewal,
     RenewLease,
 )
-from zincvale.coordination.leases.renewal_coordinator import HOME_PREFIX, NodeHome
-from zincvale.coordination.membership.member_codec import MembersDecoder, decode_member
+from zincvale.coordination.leases.renewal_coordinator import HOME_PREFIX, RenewalCoordinator
+from zincvale.coordination.membership.member_codec import MemberTableDecoder, decode_member
 from zincvale.coordination.membership.registry import decode_row
-from zincvale.coordination.node.partition_guard import NodeIsland
+from zincvale.coordination.node.partition_guard import PartitionGuard
 from zincvale.coordination.registers.messages import ChosenValue, FetchValue
 from zincvale.coordination.replication.replica_sets import DELIVERED_KEYS, INTENT_KEY, REGISTRY_KEY
 from zincvale.model.identifiers import Address, MemberId
@@ -73,13 +73,13 @@
         self._config = config
         self._random = random
         self._lease = NodeLease(config)
-        self._poller = NodePoller(config, DELIVERED_KEYS, random)
-        self._island = NodeIsland(config, random, now)
-        self._home = NodeHome(config, random)
-        self._delivery = DeliveryHost(
+        self._poller = LongPollClient(config, DELIVERED_KEYS, random)
+        self._island = PartitionGuard(config, random, now)
+        self._home = RenewalCoordinator(config, random)
+        self._delivery = LongPollServer(
             config.timings, self._poller.values, self._poller.members, self._poller.topics
         )
-        self._members = MembersDecoder()
+        self._members = MemberTableDecoder()
         self._renew_at = now
         self._relay_at = now
         self._seed_at = now + SEED_INTERVAL_S
@@ -108,7 +108,7 @@
                 return self._handle_home_grants(token, grants, now)
             case CallReplied(token, _) | CallFailed(token, _) if token.startswith(HOME_PREFIX):
                 return self._handle_home_failure(token, now)
-            case CallReplied(token, PollAnswer() as answer) if token.startswith(POLL_PREFIX):
+            case CallReplied(token, PollResponse() as answer) if token.startswith(POLL_PREFIX):
                 return self._handle_answer(token, answer, now)
             case CallReplied(token, _) | CallFailed(token, _) if token.startswith(POLL_PREFIX):
                 self._poller.handle_failure(token, now)
@@ -139,13 +139,13 @@
                 self._lease.learn_cores(cores)
                 if can_grant and not self._has_lease(now):
                     return self._renew(now)
-            case RenewLease() | CoreStatus() | AskCores() if self._lease.cores:
+            case RenewLease() | Heartbeat() | RequestCores() if self._lease.cores:
                 return [Send(sender, LeaseRedirect(list(self._lease.cores.values()), "a node"))]
-            case IslandProbe() if self._may_give_evidence(now):
+            case PartitionProbe() if self._may_give_evidence(now):
                 return self._island.answer(
                     sender, message, self._registered(), self._poller.held(), now
                 )
-            case IslandEvidence():
+            case PartitionEvidence():
                 self._island.note(sender, message, self._registered(), self._poller.held())
             case FetchValue():
                 return self._handle_fetch(sender, message)
@@ -172,7 +172,7 @@
             effects.extend(self._ask_peers(now))
         return effects
 
-    def _handle_answer(self, token: str, answer: PollAnswer, now: float) -> list[Effect]:
+    def _handle_answer(self, token: str, answer: PollResponse, now: float) -> list[Effect]:
         moved = self._poller.handle_answer(token, answer, now)
         self._polled = True
         self._delivery.members_source = self._poller.members_source
@@ -187,8 +187,8 @@
         table = self._poller.values.get(fetch.key)
         if table is None or table.version <= fetch.version:
             return []
-        whole = Difference(None, table.version, table.rows, [])
-        return [Send(sender, ChosenValue(table_delta(fetch.key, whole)))]
+        whole = Delta(None, table.version, table.rows, [])
+        return [Send(sender, ChosenValue(delta_message(fetch.key, whole)))]
 
     # --- cores and peers ------------------------------------------------------------------
 
@@ -362,6 +362,6 @@
         """Take other peer addresses for first contact."""
         self._lease.use_seeds(tuple(Address(seed) for seed in seeds))
 
-    def take_changes(self) -> ChangeNotes:
+    def take_changes(self) -> ChangeNotifications:
         """Return what changed since the last call."""
         return self._poller.notes.take()
--- a/src/zincvale/coordination/node/partition_guard.py
+++ b/src/zincvale/coordination/node/partition_guard.py
@@ -19,7 +19,7 @@
 from zincvale.coordination.changes import Rows
 from zincvale.coordination.config import NodeConfig
 from zincvale.coordination.leases.lease_grantor import CLOCK_RATE_ALLOWANCE
-from zincvale.coordination.leases.messages import IslandEvidence, IslandProbe
+from zincvale.coordination.leases.messages import PartitionEvidence, PartitionProbe
 from zincvale.coordination.membership import registry
 from zincvale.coordination.replication.replica_config import majority
 from zincvale.coordination.replication.replica_sets import REGISTRY_KEY
@@ -33,7 +33,7 @@
 NO_EVIDENCE = 255
 
 
-class NodeIsland:
+class PartitionGuard:
     """Evidence asked from and given to peers."""
 
     def __init__(self, config: NodeConfig, random_source: random.Random, now: float) -> None:
@@ -64,12 +64,12 @@
         self._probe_at = now + self._config.timings.peer_probe_s
         peers = [node for node in registered if node != self._config.member]
         asked = self._random.sample(peers, min(PEERS_ASKED, len(peers)))
-        return [Send(MemberId(peer), IslandProbe(now)) for peer in asked]
+        return [Send(MemberId(peer), PartitionProbe(now)) for peer in asked]
 
     def answer(
         self,
         sender: MemberId,
-        probe: IslandProbe,
+        probe: PartitionProbe,
         registered: Rows,
         held: dict[str, int],
         now: float,
@@ -77,10 +77,10 @@
         """Give evidence; from now on this node confirms nothing for a while."""
         self._given_at = now
         ages = bytes(self._age(node, now) for node in sorted(registered))
-        return [Send(sender, IslandEvidence(probe.asked_at, held, ages))]
+        return [Send(sender, PartitionEvidence(probe.asked_at, held, ages))]
 
     def note(
-        self, sender: MemberId, evidence: IslandEvidence, registered: Rows, held: dict[str, int]
+        self, sender: MemberId, evidence: PartitionEvidence, registered: Rows, held: dict[str, int]
     ) -> None:
         """Count a peer's evidence and what it passes on, unless it holds something newer."""
         if not _holds_all(held, evidence.held):
--- a/src/zincvale/coordination/registers/change_batch.py
+++ b/src/zincvale/coordination/registers/change_batch.py
@@ -16,12 +16,12 @@
     ProposeChange,
 )
 from zincvale.coordination.registers.epochs import Epoch, Position
-from zincvale.coordination.registers.messages import OrderEntry, RecordUpdate
+from zincvale.coordination.registers.messages import IdempotencyEntry, RecordUpdate
 from zincvale.coordination.registers.records import Record, apply_update
 
 
 @attrs.frozen
-class AcceptedOrder:
+class AcceptedChange:
     """An order whose change is part of the record at `version`."""
 
     token: str
@@ -32,9 +32,9 @@
     """Changes that go together in one write, each with its own version."""
 
     def __init__(self, record: Record, reducer: Reducer) -> None:
-        self.orders: list[AcceptedOrder] = []
-        self.entries: list[OrderEntry] = []
-        self._entry_by_order: dict[str, OrderEntry] = {}
+        self.orders: list[AcceptedChange] = []
+        self.entries: list[IdempotencyEntry] = []
+        self._entry_by_order: dict[str, IdempotencyEntry] = {}
         self._record = record
         self._reducer = reducer
         self._rows: Rows = record.rows
@@ -82,7 +82,9 @@
         assert record is not None
         return record, update
 
-    def _answer_again(self, token: str, known: OrderEntry, digest: str) -> ChangeResult | None:
+    def _answer_again(
+        self, token: str, known: IdempotencyEntry, digest: str
+    ) -> ChangeResult | None:
         if known.digest != digest:
             return ChangeResult(
                 INVALID,
@@ -90,7 +92,7 @@
                 problem=f"order id {known.order_id!r} was used for another change",
                 remedy="send a new change under a new order id",
             )
-        self.orders.append(AcceptedOrder(token, known.version))
+        self.orders.append(AcceptedChange(token, known.version))
         return None
 
     def _take(
@@ -101,10 +103,10 @@
         for change in changes:
             self._touched[change.row] = change.value
         self._version += 1
-        entry = OrderEntry(order_id, self._version, digest)
+        entry = IdempotencyEntry(order_id, self._version, digest)
         self.entries.append(entry)
         self._entry_by_order[order_id] = entry
-        self.orders.append(AcceptedOrder(token, self._version))
+        self.orders.append(AcceptedChange(token, self._version))
 
 
 def change_digest(proposal: ProposeChange) -> str:
--- a/src/zincvale/coordination/registers/chosen_values.py
+++ b/src/zincvale/coordination/registers/chosen_values.py
@@ -6,8 +6,8 @@
 
 from zincvale.coordination.changes import Rows
 from zincvale.coordination.core.context import CoreContext
-from zincvale.coordination.core.messages import CoreStatus
-from zincvale.coordination.delivery.long_poll_server import difference_of, table_delta
+from zincvale.coordination.core.messages import Heartbeat
+from zincvale.coordination.delivery.long_poll_server import delta_message, delta_of
 from zincvale.coordination.delivery.versioned_table import VersionedTable
 from zincvale.coordination.registers.messages import Accept, Chosen, ChosenValue, FetchValue
 from zincvale.coordination.replication.replica_sets import REPLICA_SETS_KEY
@@ -58,7 +58,7 @@
         table = self._context.values.get(fetch.key)
         if table is None or table.version <= fetch.version:
             return []
-        return [Send(sender, ChosenValue(table_delta(fetch.key, table.since(fetch.version))))]
+        return [Send(sender, ChosenValue(delta_message(fetch.key, table.since(fetch.version))))]
 
     def handle_value(self, value: ChosenValue, now: float) -> None:
         """Take a fetched value."""
@@ -66,10 +66,10 @@
         table = self._context.values.setdefault(delta.name, VersionedTable())
         if delta.version <= table.version:
             return
-        if table.apply(difference_of(delta)):
+        if table.apply(delta_of(delta)):
             self._learned(delta.name, table, now)
 
-    def handle_status(self, sender: MemberId, status: CoreStatus, now: float) -> list[Effect]:
+    def handle_status(self, sender: MemberId, status: Heartbeat, now: float) -> list[Effect]:
         """Fetch what another core knows to be chosen and this one does not."""
         effects: list[Effect] = []
         for key_status in status.keys:
--- a/src/zincvale/coordination/registers/cluster_creation.py
+++ b/src/zincvale/coordination/registers/cluster_creation.py
@@ -9,7 +9,7 @@
 
 from zincvale.coordination import log_events
 from zincvale.coordination.core.context import CoreContext
-from zincvale.coordination.core.messages import CoreStatus, CreateCluster
+from zincvale.coordination.core.messages import CreateCluster, Heartbeat
 from zincvale.coordination.registers.epochs import Epoch, Position
 from zincvale.coordination.registers.record_codec import ReplicaState
 from zincvale.coordination.registers.records import Record
@@ -149,5 +149,5 @@
         return [Log(log_events.CREATION_REFUSED, fields)]
 
 
-def _is_waiting(status: CoreStatus) -> bool:
+def _is_waiting(status: Heartbeat) -> bool:
     return status.bootstrapping and not status.cluster_incarnation
--- a/src/zincvale/coordination/registers/messages.py
+++ b/src/zincvale/coordination/registers/messages.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen
-class OrderEntry:
+class IdempotencyEntry:
     """The remembered answer of one accepted order: the version it made, a digest of its body."""
 
     order_id: str
@@ -27,7 +27,7 @@
     config: ReplicaConfig
     puts: dict[str, bytes]
     deletes: list[str]
-    orders: list[OrderEntry]
+    orders: list[IdempotencyEntry]
 
 
 @peer_message("register.prepare")
@@ -104,7 +104,7 @@
 
 @peer_message("register.base-missing")
 @attrs.frozen
-class BaseMissing:
+class BaseVersionMissing:
     """A replica cannot apply a difference; send the whole record."""
 
     key: str
--- a/src/zincvale/coordination/registers/owner.py
+++ b/src/zincvale/coordination/registers/owner.py
@@ -20,13 +20,13 @@
 from zincvale.coordination import log_events
 from zincvale.coordination.changes import Reducer, Rows
 from zincvale.coordination.config import Timings
-from zincvale.coordination.registers.change_batch import AcceptedOrder, ChangeBatch
+from zincvale.coordination.registers.change_batch import AcceptedChange, ChangeBatch
 from zincvale.coordination.registers.change_messages import ProposeChange
 from zincvale.coordination.registers.epochs import Epoch, Position
 from zincvale.coordination.registers.messages import (
     Accept,
     Accepted,
-    BaseMissing,
+    BaseVersionMissing,
     EpochConfirmed,
     Prepare,
     Promise,
@@ -56,21 +56,21 @@
 
 
 @attrs.frozen
-class ChosenNow:
+class NewlyChosen:
     """The key's record was chosen at `record.position`; the listed orders are in it."""
 
     record: Record
-    orders: list[AcceptedOrder]
+    orders: list[AcceptedChange]
 
 
-Outcome = Evaluated | ChosenNow
+Outcome = Evaluated | NewlyChosen
 
 
 @attrs.define
 class _InFlight:
     record: Record
     update: RecordUpdate
-    orders: list[AcceptedOrder]
+    orders: list[AcceptedChange]
     quorum: ReplicaConfig
     sent_at: float
     acknowledged: set[str] = attrs.field(factory=set)
@@ -189,7 +189,7 @@
                 return self._handle_promise(sender, message, now)
             case Accepted():
                 return self._handle_accepted(sender, message, now)
-            case BaseMissing(_, epoch):
+            case BaseVersionMissing(_, epoch):
                 return self._handle_base_missing(sender, epoch)
             case EpochConfirmed() if self.phase is Phase.SERVING:
                 proven, effects = self._proof.handle(
@@ -283,7 +283,7 @@
         self._record = flight.record
         self._holders = flight.acknowledged
         self._straggler_at = now + STRAGGLER_INTERVAL_S
-        self.outcomes.append(ChosenNow(flight.record, flight.orders))
+        self.outcomes.append(NewlyChosen(flight.record, flight.orders))
         effects: list[Effect] = []
         if self._restoring:
             self._restoring = False
@@ -324,7 +324,7 @@
         effects = self._proof.add(refusals, self.epoch, self._record.config, now)
         if not batch.entries:
             if batch.orders:
-                self.outcomes.append(ChosenNow(self._record, batch.orders))
+                self.outcomes.append(NewlyChosen(self._record, batch.orders))
             return effects
         record, update = batch.finish(self.epoch)
         return effects + self._begin_write(record, update, batch.orders, record.config, now)
@@ -333,7 +333,7 @@
         self,
         record: Record,
         update: RecordUpdate,
-        orders: list[AcceptedOrder],
+        orders: list[AcceptedChange],
         quorum: ReplicaConfig,
         now: float,
     ) -> list[Effect]:
--- a/src/zincvale/coordination/registers/ownership.py
+++ b/src/zincvale/coordination/registers/ownership.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from zincvale.coordination.core.context import CoreContext
-from zincvale.coordination.core.messages import CoreStatus, KeyStatus
+from zincvale.coordination.core.messages import Heartbeat, KeyStatus
 from zincvale.coordination.membership.peer_table import rendezvous_order
 from zincvale.coordination.registers.epochs import Epoch
 from zincvale.coordination.registers.owner import Phase, RegisterOwner
@@ -41,7 +41,7 @@
             return None
         return claim[1] if claim[1] != self._context.own_id else None
 
-    def handle_status(self, sender: MemberId, status: CoreStatus, now: float) -> list[Effect]:
+    def handle_status(self, sender: MemberId, status: Heartbeat, now: float) -> list[Effect]:
         """Learn of promises and claims."""
         effects: list[Effect] = []
         for key_status in status.keys:
--- a/src/zincvale/coordination/registers/record_codec.py
+++ b/src/zincvale/coordination/registers/record_codec.py
@@ -13,7 +13,7 @@
 import fastavro
 
 from zincvale.coordination.registers.epochs import Epoch, Position
-from zincvale.coordination.registers.messages import OrderEntry, RecordUpdate
+from zincvale.coordination.registers.messages import IdempotencyEntry, RecordUpdate
 from zincvale.coordination.registers.records import Record, apply_update
 from zincvale.coordination.replication.replica_config import ReplicaConfig
 
@@ -87,7 +87,7 @@
             config=ReplicaConfig(plain["replicas"], plain["previous"]),
             puts=plain["puts"],
             deletes=plain["deletes"],
-            orders=[OrderEntry(**order) for order in plain["orders"]],
+            orders=[IdempotencyEntry(**order) for order in plain["orders"]],
         )
         record = apply_update(state.record, update)
         if record is None:
--- a/src/zincvale/coordination/registers/records.py
+++ b/src/zincvale/coordination/registers/records.py
@@ -6,7 +6,7 @@
 
 from zincvale.coordination.changes import Rows
 from zincvale.coordination.registers.epochs import Epoch, Position
-from zincvale.coordination.registers.messages import OrderEntry, RecordUpdate
+from zincvale.coordination.registers.messages import IdempotencyEntry, RecordUpdate
 from zincvale.coordination.replication.replica_config import ReplicaConfig
 
 ORDER_HISTORY_LIMIT = 4096
@@ -20,7 +20,7 @@
     position: Position = Position()
     config: ReplicaConfig = ReplicaConfig()
     rows: Rows = attrs.field(factory=dict)
-    orders: dict[str, OrderEntry] = attrs.field(factory=dict)
+    orders: dict[str, IdempotencyEntry] = attrs.field(factory=dict)
 
     def to_update(self) -> RecordUpdate:
         """Return the whole record as an update."""
@@ -54,7 +54,9 @@
     return Record(update.position, update.config, rows, orders)
 
 
-def _extend_orders(orders: dict[str, OrderEntry], added: list[OrderEntry]) -> dict[str, OrderEntry]:
+def _extend_orders(
+    orders: dict[str, IdempotencyEntry], added: list[IdempotencyEntry]
+) -> dict[str, IdempotencyEntry]:
     if not added:
         return orders
     result = dict(orders)
--- a/src/zincvale/coordination/registers/replica.py
+++ b/src/zincvale/coordination/registers/replica.py
@@ -17,7 +17,7 @@
 from zincvale.coordination.registers.messages import (
     Accept,
     Accepted,
-    BaseMissing,
+    BaseVersionMissing,
     ConfirmEpoch,
     EpochConfirmed,
     Prepare,
@@ -192,7 +192,7 @@
             return []
         record = apply_update(slot.state.record, update)
         if record is None:
-            return [Send(sender, BaseMissing(key, epoch))]
+            return [Send(sender, BaseVersionMissing(key, epoch))]
         state = ReplicaState(epoch, record)
         return [self._write(key, slot, state, update, [answer])]
 
--- a/src/zincvale/coordination/replication/replica_manager.py
+++ b/src/zincvale/coordination/replication/replica_manager.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from zincvale.coordination.core.context import CoreContext
-from zincvale.coordination.core.messages import CoreStatus
+from zincvale.coordination.core.messages import Heartbeat
 from zincvale.coordination.registers.owner import RegisterOwner
 from zincvale.coordination.replication.replica_config import ReplicaConfig, member_of, replica_id
 from zincvale.coordination.replication.replica_set_changes import (
@@ -27,7 +27,7 @@
 FORGET_CORE_S = 60.0
 
 
-class ReplicaManager:
+class ReplicaSetReconciler:
     """Proposes changes of `replica-sets`, one at a time."""
 
     def __init__(self, context: CoreContext, owners: dict[str, RegisterOwner]) -> None:
@@ -63,7 +63,7 @@
         row = self._context.sets.cores.get(MemberId(add))
         return replace_change(removed, row.replica() if row is not None else add)
 
-    def _live(self, now: float) -> dict[MemberId, CoreStatus]:
+    def _live(self, now: float) -> dict[MemberId, Heartbeat]:
         """Return the live cores of this cluster, and empty ones that want to join."""
         incarnation = self._context.sets.cluster_incarnation
         return {
@@ -73,7 +73,7 @@
         }
 
     def _note_silence(
-        self, group: ReplicaConfig, live: dict[MemberId, CoreStatus], now: float
+        self, group: ReplicaConfig, live: dict[MemberId, Heartbeat], now: float
     ) -> None:
         alive = {replica_id(member, status.disk) for member, status in live.items()}
         alive.add(self._context.own_replica())
@@ -127,7 +127,7 @@
         return ReplicaConfig(group.replicas).reached_by_members(informed)
 
     def _replace_when_due(
-        self, group: ReplicaConfig, live: dict[MemberId, CoreStatus], now: float
+        self, group: ReplicaConfig, live: dict[MemberId, Heartbeat], now: float
     ) -> bytes | None:
         learners = [
             replica_id(member, status.disk)
@@ -163,7 +163,7 @@
 
         return min(learners, key=preference)
 
-    def _forget_when_due(self, live: dict[MemberId, CoreStatus], now: float) -> bytes | None:
+    def _forget_when_due(self, live: dict[MemberId, Heartbeat], now: float) -> bytes | None:
         members = self._context.sets.grantors().members()
         for member in self._context.sets.cores:
             if member in members or member in live or member == self._context.own_id:
--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -28,7 +28,7 @@
     StatusReport,
 )
 from zincvale.controlplane.placement.events import IntentChanged as PlacementIntentChanged
-from zincvale.coordination.changes import ChangeNotes
+from zincvale.coordination.changes import ChangeNotifications
 from zincvale.coordination.core.machine import CoreMachine
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.daemons.control_api_handler import ControlApiServer
@@ -150,7 +150,7 @@
         self._placement.feed(PlacementIntentChanged(intent))
         self._api.intent_changed()
 
-    def _directory_published(self, changes: ChangeNotes) -> None:
+    def _directory_published(self, changes: ChangeNotifications) -> None:
         """Keep a controller that does not lead informed: its rows carry no observation time."""
         if self._role_epoch:
             return
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -45,7 +45,7 @@
 from zincvale.model.errors import ZincvaleError
 from zincvale.model.forwarding import ForwardingDocument
 from zincvale.model.identifiers import MemberId, ServerId
-from zincvale.model.machine import Leaving, Tick
+from zincvale.model.machine import ShutdownRequested, Tick
 from zincvale.model.view import ServerHealth, ServerRow
 from zincvale.runtime import log_events
 from zincvale.runtime.clock import suspend_aware_now, wall_now
@@ -137,7 +137,7 @@
     def _start_leaving(self) -> None:
         """Hand over ownership and leadership; go once a stand-in has the vote, if there is one."""
         self._leaving_since = self._clock()
-        self.process.driver.submit(Leaving())
+        self.process.driver.submit(ShutdownRequested())
 
     def _may_go(self) -> bool:
         now = self._clock()
--- a/src/zincvale/model/machine.py
+++ b/src/zincvale/model/machine.py
@@ -78,7 +78,7 @@
 
 
 @attrs.frozen
-class Leaving:
+class ShutdownRequested:
     """Input: the process was asked to stop and will; what it holds is handed over."""
 
 
@@ -138,6 +138,6 @@
     | WriteCompleted
     | Tick
     | ClockJumped
-    | Leaving
+    | ShutdownRequested
 )
 Effect = Send | Write | Call | Reply | Log
--- a/src/zincvale/simulator/mutations/leases.py
+++ b/src/zincvale/simulator/mutations/leases.py
@@ -8,12 +8,12 @@
 from unittest import mock
 
 from zincvale.coordination.delivery import rollout as in_force
-from zincvale.coordination.delivery.rollout import InForceTracker
+from zincvale.coordination.delivery.rollout import RolloutTracker
 from zincvale.coordination.election import leader_lease as role_lease
-from zincvale.coordination.election.leader_lease import RoleGrantor, RoleHolder
+from zincvale.coordination.election.leader_lease import LeaderLeaseGrantor, LeaderLeaseHolder
 from zincvale.coordination.leases import catch_up as catching_up
 from zincvale.coordination.leases import lease_grantor
-from zincvale.coordination.leases.core_leases import CoreLeases
+from zincvale.coordination.leases.core_leases import MemberLeases
 from zincvale.coordination.leases.lease_grantor import LeaseGrantor
 from zincvale.coordination.leases.member_lease import NodeLease
 from zincvale.coordination.node import partition_guard as node_island
@@ -35,8 +35,8 @@
         self.stale = True
 
     with (
-        mock.patch.object(InForceTracker, "update", at_once),
-        mock.patch.object(InForceTracker, "wait", always_stale),
+        mock.patch.object(RolloutTracker, "update", at_once),
+        mock.patch.object(RolloutTracker, "wait", always_stale),
     ):
         yield
 
@@ -58,13 +58,13 @@
 @contextlib.contextmanager
 def _no_listening() -> Iterator[None]:
     """A restarted core does not listen to what nodes hold before it grants."""
-    original = CoreLeases.handle_renew
+    original = MemberLeases.handle_renew
 
     def hasty(self: Any, renewal: Any, newest: Any, now: float) -> Any:
         self._context.listens_until = 0.0
         return original(self, renewal, newest, now)
 
-    with mock.patch.object(CoreLeases, "handle_renew", hasty):
+    with mock.patch.object(MemberLeases, "handle_renew", hasty):
         yield
 
 
@@ -73,7 +73,7 @@
 def grant_before_caught_up() -> Iterator[None]:
     """A core that knows nothing yet grants leases that require nothing."""
     with (
-        mock.patch.object(catching_up.CatchingUp, "is_caught_up", lambda self, now: True),
+        mock.patch.object(catching_up.CatchUpTracker, "is_caught_up", lambda self, now: True),
         _no_listening(),
     ):
         yield
@@ -92,7 +92,7 @@
 def island_serves() -> Iterator[None]:
     """A minority island takes its own evidence for a majority's."""
     with mock.patch.object(
-        node_island.NodeIsland, "valid_until", lambda self, registered, now: now + 1.0
+        node_island.PartitionGuard, "valid_until", lambda self, registered, now: now + 1.0
     ):
         yield
 
@@ -109,12 +109,12 @@
 @contextlib.contextmanager
 def role_without_margin() -> Iterator[None]:
     """The holder outlives its grants."""
-    original = RoleHolder.acts_until
+    original = LeaderLeaseHolder.acts_until
 
     def longer(self: Any, quorum: Any) -> float:
         return original(self, quorum) + self._timings.role_lease_s
 
-    with mock.patch.object(RoleHolder, "acts_until", longer):
+    with mock.patch.object(LeaderLeaseHolder, "acts_until", longer):
         yield
 
 
@@ -122,12 +122,12 @@
 @contextlib.contextmanager
 def grantor_forgets_roles() -> Iterator[None]:
     """A role is granted again while its former holder still counts the grant."""
-    original = RoleGrantor.__init__
+    original = LeaderLeaseGrantor.__init__
 
     def hasty(self: Any, timings: Any, grants_from: float) -> None:
         original(self, timings, float("-inf"))
 
-    with mock.patch.object(RoleGrantor, "__init__", hasty):
+    with mock.patch.object(LeaderLeaseGrantor, "__init__", hasty):
         yield
 
 
@@ -143,8 +143,8 @@
         return Send(sender, granted)
 
     with (
-        mock.patch.object(RoleGrantor, "handle", generous),
-        mock.patch.object(RoleGrantor, "held_elsewhere", lambda self, role, own, now: False),
+        mock.patch.object(LeaderLeaseGrantor, "handle", generous),
+        mock.patch.object(LeaderLeaseGrantor, "held_elsewhere", lambda self, role, own, now: False),
     ):
         yield
 
--- a/src/zincvale/simulator/register_exploration.py
+++ b/src/zincvale/simulator/register_exploration.py
@@ -23,8 +23,8 @@
 from zincvale.coordination.config import Timings
 from zincvale.coordination.registers.change_messages import ProposeChange
 from zincvale.coordination.registers.epochs import Position
-from zincvale.coordination.registers.messages import Accepted, BaseMissing, Promise
-from zincvale.coordination.registers.owner import ChosenNow, Phase, RegisterOwner
+from zincvale.coordination.registers.messages import Accepted, BaseVersionMissing, Promise
+from zincvale.coordination.registers.owner import NewlyChosen, Phase, RegisterOwner
 from zincvale.coordination.registers.record_codec import ReplicaState, decode_chain
 from zincvale.coordination.registers.recovered_state import RecoveredKey, RecoveredState
 from zincvale.coordination.registers.replica import RegisterReplica
@@ -245,7 +245,7 @@
         if is_following and not starts[flight.receiver]:
             return True
         match self._messages[flight.message]:
-            case Promise(_, _, answered, _) | BaseMissing(_, answered):
+            case Promise(_, _, answered, _) | BaseVersionMissing(_, answered):
                 return bool(answered < epoch)
             case Accepted(_, _, position):
                 return bool(position.epoch < epoch)
@@ -350,7 +350,7 @@
     return tuple(
         Chosen(outcome.record.position, outcome.record.rows.get("text", b""))
         for outcome in outcomes
-        if isinstance(outcome, ChosenNow)
+        if isinstance(outcome, NewlyChosen)
     )
 
 
--- a/tests/controlplane/test_listed_servers.py
+++ b/tests/controlplane/test_listed_servers.py
@@ -19,7 +19,7 @@
     reader_rank,
 )
 from zincvale.coordination.changes import TopicView
-from zincvale.coordination.delivery.ephemeral_topics import TopicTables
+from zincvale.coordination.delivery.ephemeral_topics import EphemeralTopics
 
 LAG_S = 0.8
 DAY_S = 1_000_000.0
@@ -38,7 +38,7 @@
 
     def __init__(self, name, now=0.0):
         self.machine = ListedServers(name, LAG_S, now)
-        self.topics = TopicTables()
+        self.topics = EphemeralTopics()
 
     def read(self, servers, now, day_s=DAY_S):
         effects = self.machine.list_read(servers, now - 0.01, now, day_s)
@@ -101,7 +101,7 @@
         self.assertFalse(one.machine.is_reader)
 
     def test_after_a_restart_of_all_cores_publications_are_newer_than_what_nodes_hold(self):
-        node = TopicTables()
+        node = EphemeralTopics()
         _, deltas = Core("a").read([listed()], 2.0, DAY_S)
         node.apply(deltas[0])
         _, deltas = Core("a/2").read([listed(), listed("s2")], 2.0, DAY_S + 1.0)
@@ -109,7 +109,7 @@
         self.assertEqual({"s1", "s2"}, set(node.view("listed-servers").rows))
 
     def test_a_clock_that_went_back_is_noticed_by_what_nodes_ask_with(self):
-        node = TopicTables()
+        node = EphemeralTopics()
         _, deltas = Core("a").read([listed()], 2.0, DAY_S)
         node.apply(deltas[0])
         restarted = Core("a/2")
--- a/tests/coordination/exploration.py
+++ b/tests/coordination/exploration.py
@@ -19,7 +19,7 @@
 from zincvale.coordination.config import Timings
 from zincvale.coordination.registers.change_messages import ProposeChange
 from zincvale.coordination.registers.messages import Accept, Prepare
-from zincvale.coordination.registers.owner import ChosenNow, RegisterOwner
+from zincvale.coordination.registers.owner import NewlyChosen, RegisterOwner
 from zincvale.coordination.registers.recovered_state import RecoveredState
 from zincvale.coordination.registers.replica import RegisterReplica
 from zincvale.coordination.replication.replica_config import ReplicaConfig, replica_id
@@ -197,7 +197,7 @@
     return frozenset(
         (outcome.record.position.version, outcome.record.rows.get("text", b""))
         for outcome in outcomes
-        if isinstance(outcome, ChosenNow)
+        if isinstance(outcome, NewlyChosen)
     )
 
 
--- a/tests/coordination/test_creation.py
+++ b/tests/coordination/test_creation.py
@@ -10,7 +10,7 @@
 from zincvale.coordination.core.context import CoreContext
 from zincvale.coordination.delivery.versioned_table import VersionedTable
 from zincvale.coordination.membership.messages import MemberInfo
-from zincvale.coordination.membership.peer_table import CoreTable
+from zincvale.coordination.membership.peer_table import PeerTable
 from zincvale.coordination.registers.cluster_creation import ClusterCreation
 from zincvale.coordination.registers.epochs import Epoch, Position
 from zincvale.coordination.registers.messages import Accept, RecordUpdate
@@ -46,7 +46,7 @@
             peer_address=Address("core-1:2"),
         )
         self.replica = RegisterReplica(RecoveredState(DISK), Timings())
-        cores = CoreTable(config)
+        cores = PeerTable(config)
         self.context = CoreContext(config, random.Random(1), 0.0, DISK, {}, self.replica, cores)
         self.creation = ClusterCreation(self.context, [REPLICA_SETS_KEY])
 
--- a/tests/coordination/test_delivery.py
+++ b/tests/coordination/test_delivery.py
@@ -4,10 +4,10 @@
 
 from zincvale.coordination.config import Timings
 from zincvale.coordination.core.messages import TopicPosition
-from zincvale.coordination.delivery.ephemeral_topics import TopicTables
-from zincvale.coordination.delivery.long_poll_server import DeliveryHost
+from zincvale.coordination.delivery.ephemeral_topics import EphemeralTopics
+from zincvale.coordination.delivery.long_poll_server import LongPollServer
 from zincvale.coordination.delivery.messages import Poll, PublishTopic
-from zincvale.coordination.delivery.versioned_table import Difference, VersionedTable
+from zincvale.coordination.delivery.versioned_table import Delta, VersionedTable
 from zincvale.model.machine import Reply
 
 TIMINGS = Timings(delta_batch_s=0.02, poll_answers_per_s=50.0)
@@ -18,9 +18,9 @@
 
     def setUp(self):
         super().setUp()
-        self.topics = TopicTables()
+        self.topics = EphemeralTopics()
         self.values = {"intent": VersionedTable()}
-        self.host = DeliveryHost(TIMINGS, self.values, VersionedTable(), self.topics)
+        self.host = LongPollServer(TIMINGS, self.values, VersionedTable(), self.topics)
         self.host.members_source = "core-1"
         self.publish()
 
@@ -76,7 +76,7 @@
         self.change_topic(1.0)
         self.host.answer_if_due(1.03)
         self.hold(10, 1.04)
-        self.values["intent"].apply(Difference(None, 1, {"number": b"1"}, []))
+        self.values["intent"].apply(Delta(None, 1, {"number": b"1"}, []))
         self.host.note_news(1.05)
         self.assertEqual(10, len(self.host.answer_if_due(1.08)))
 
@@ -87,7 +87,7 @@
         self.assertEqual(["new"], self.poll("new", 1.04, is_new=True))
 
     def test_without_a_bound_nothing_rests(self):
-        self.host = DeliveryHost(Timings(), self.values, VersionedTable(), self.topics)
+        self.host = LongPollServer(Timings(), self.values, VersionedTable(), self.topics)
         self.host.members_source = "core-1"
         self.hold(10, 1.0)
         self.change_topic(1.0)
--- a/tests/coordination/test_hand_over.py
+++ b/tests/coordination/test_hand_over.py
@@ -9,7 +9,7 @@
 from tests.coordination.pump import CORES, Cluster
 from zincvale.coordination.config import Timings
 from zincvale.daemons.forwarding_timings import forwarding_timings
-from zincvale.model.machine import Leaving
+from zincvale.model.machine import ShutdownRequested
 
 ROLE = "placer"
 
@@ -32,7 +32,7 @@
     def test_a_stopping_leader_is_followed_within_a_second_or_two(self) -> None:
         cluster = led(timings=Timings(candidate_stagger_s=0.3))
         leader = holder_of(cluster)
-        cluster._feed(cluster.processes[leader], Leaving())
+        cluster._feed(cluster.processes[leader], ShutdownRequested())
         self.assertFalse(cluster.core(leader).role(ROLE, cluster.now).held)
         self.assertTrue(cluster.run_until(lambda: holder_of(cluster) not in ("", leader), 2.5))
 
@@ -40,7 +40,7 @@
         cluster = led()
         owner = cluster.owner_of("intent")
         rest = [core for core in CORES if core != owner]
-        cluster._feed(cluster.processes[owner], Leaving())
+        cluster._feed(cluster.processes[owner], ShutdownRequested())
         result = cluster.change(rest[0], "o1", {"a": "1"})
         self.assertEqual("in-force", result.status)
         again = cluster.change(rest[1], "o1", {"a": "1"})
@@ -50,7 +50,7 @@
         cluster = led(timings=Timings(role_lease_s=1.6, role_renew_s=0.4, role_margin_s=0.3))
         cluster.start_core("core-4")
         cluster.run(1.0)
-        cluster._feed(cluster.processes["core-2"], Leaving())
+        cluster._feed(cluster.processes["core-2"], ShutdownRequested())
         self.assertFalse(cluster.core("core-2").may_go(cluster.now))
 
         def moved() -> bool:
--- a/tests/coordination/test_member_rows.py
+++ b/tests/coordination/test_member_rows.py
@@ -7,7 +7,7 @@
 import testtools
 
 from zincvale.coordination.membership import member_codec as member_rows
-from zincvale.coordination.membership.member_codec import MembersDecoder, encode_member
+from zincvale.coordination.membership.member_codec import MemberTableDecoder, encode_member
 from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.model.view import Role
 
@@ -21,7 +21,7 @@
 class MembersDecoderTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.decoder = MembersDecoder()
+        self.decoder = MemberTableDecoder()
         self.decoded: list[str] = []
         decode = member_rows.decode_member
 
--- a/tests/coordination/test_node_poller.py
+++ b/tests/coordination/test_node_poller.py
@@ -5,8 +5,8 @@
 from testtools import TestCase
 
 from zincvale.coordination.config import NodeConfig
-from zincvale.coordination.delivery.long_poll_client import LONGEST_BEHIND_S, NodePoller
-from zincvale.coordination.delivery.messages import PollAnswer
+from zincvale.coordination.delivery.long_poll_client import LONGEST_BEHIND_S, LongPollClient
+from zincvale.coordination.delivery.messages import PollResponse
 from zincvale.coordination.registers.messages import TableDelta
 
 HOSTS = ["core-1", "core-2"]
@@ -19,7 +19,7 @@
     def setUp(self):
         super().setUp()
         config = NodeConfig("c", "n1", "i1", "z1", "r", "10.0.0.1:1", "10.0.0.1:2")
-        self.poller = NodePoller(config, ("intent",), random.Random(1))
+        self.poller = LongPollClient(config, ("intent",), random.Random(1))
         self.now = 0.0
         self.polls = list(self.poller.tick(HOSTS, self.now))
 
@@ -43,7 +43,7 @@
 
     def test_after_it_caught_up_it_is_impatient_again(self):
         self.wait(20.0)
-        whole = PollAnswer([TableDelta("intent", None, 5, {"row": b"x"}, [])], [], "", None)
+        whole = PollResponse([TableDelta("intent", None, 5, {"row": b"x"}, [])], [], "", None)
         self.poller.handle_answer(self.polls[-1].token, whole, self.now)
         self.polls = list(self.poller.tick(HOSTS, self.now))
         self.poller.note_newest(HOSTS[0], {"intent": 5}, self.now)
--- a/tests/coordination/test_standby.py
+++ b/tests/coordination/test_standby.py
@@ -8,7 +8,7 @@
 
 from tests.coordination.pump import CORES, Cluster
 from zincvale.coordination import log_events
-from zincvale.coordination.core.messages import AskCores
+from zincvale.coordination.core.messages import RequestCores
 from zincvale.coordination.core.standby_machine import (
     ANSWERS_WITHIN_S,
     ASK_AGAIN_S,
@@ -63,7 +63,7 @@
         self.assertEqual([], self.asked(ASK_AGAIN_S + ASK_INTERVAL_S / 2))
 
     def test_what_it_was_told_is_all_that_it_tells(self) -> None:
-        ask = MessageReceived(MemberId("node-1"), AskCores())
+        ask = MessageReceived(MemberId("node-1"), RequestCores())
         self.assertEqual([], self.machine.handle(ask, 0.0))
         self.told("a", core("a"), core("b"), now=0.1)
         (answer,) = self.machine.handle(ask, 0.2)
--- a/tests/coordination/test_statuses.py
+++ b/tests/coordination/test_statuses.py
@@ -9,10 +9,10 @@
 
 from tests.coordination.pump import CORES, TICK_S, Cluster
 from zincvale.coordination.core.messages import (
-    AskStatus,
-    CoreStatus,
+    Heartbeat,
+    RequestHeartbeat,
     TopicPosition,
-    UnchangedStatus,
+    UnchangedHeartbeat,
 )
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import MessageReceived, Send
@@ -62,18 +62,18 @@
     def test_while_nothing_changes_only_short_statuses_are_sent(self) -> None:
         cluster = self.settled()
         cluster.run(5.0)
-        self.assertEqual([], cluster.of_kind(CoreStatus))
+        self.assertEqual([], cluster.of_kind(Heartbeat))
         # One on each of six links each interval, which the tick rounds up.
         expected = 6 * 5.0 / (cluster.timings.status_interval_s + 2 * TICK_S)
-        self.assertGreater(len(cluster.of_kind(UnchangedStatus)), expected)
+        self.assertGreater(len(cluster.of_kind(UnchangedHeartbeat)), expected)
         self.assertTrue(cluster.all_hear_each_other())
 
     def test_a_short_status_is_a_small_part_of_a_whole_one(self) -> None:
         cluster = ListeningCluster(nodes=1)
         cluster.started()
         cluster.run(5.0)
-        whole = encode_message(cluster.of_kind(CoreStatus)[-1].message)
-        short = encode_message(cluster.of_kind(UnchangedStatus)[-1].message)
+        whole = encode_message(cluster.of_kind(Heartbeat)[-1].message)
+        short = encode_message(cluster.of_kind(UnchangedHeartbeat)[-1].message)
         self.assertLess(5 * len(short), len(whole))
 
     def test_a_change_is_told_whole_once(self) -> None:
@@ -81,20 +81,20 @@
         cluster.change("core-1", "o1", {"a": "1"})
         cluster.run(2.0)
         for name in CORES:
-            numbers = {each.message.number for each in cluster.of_kind(CoreStatus)}
-            to_one = [each for each in cluster.of_kind(CoreStatus) if each.to == name]
+            numbers = {each.message.number for each in cluster.of_kind(Heartbeat)}
+            to_one = [each for each in cluster.of_kind(Heartbeat) if each.to == name]
             self.assertGreater(len(to_one), 0)
             self.assertLessEqual(len(to_one), 2 * len(numbers))
         cluster.passed.clear()
         cluster.run(2.0)
-        self.assertEqual([], cluster.of_kind(CoreStatus))
+        self.assertEqual([], cluster.of_kind(Heartbeat))
 
     def test_a_lost_status_is_asked_for(self) -> None:
         cluster = self.settled()
         lost: list[Passed] = []
 
         def lose_the_first(each: Passed) -> bool:
-            is_first = isinstance(each.message, CoreStatus) and len(lost) < 6
+            is_first = isinstance(each.message, Heartbeat) and len(lost) < 6
             if is_first:
                 lost.append(each)
             return is_first
@@ -103,11 +103,11 @@
         cluster.change("core-1", "o1", {"a": "1"})
         cluster.run(3.0)
         self.assertEqual(6, len(lost))
-        self.assertGreater(len(cluster.of_kind(AskStatus)), 0)
+        self.assertGreater(len(cluster.of_kind(RequestHeartbeat)), 0)
         self.assertTrue(cluster.all_hear_each_other())
         cluster.passed.clear()
         cluster.run(2.0)
-        self.assertEqual([], cluster.of_kind(AskStatus))
+        self.assertEqual([], cluster.of_kind(RequestHeartbeat))
 
     def test_what_stands_for_an_unknown_status_is_no_sign_of_life(self) -> None:
         cluster = self.settled()
@@ -117,10 +117,10 @@
         cluster.freeze("core-2")
         cluster.run(2.0)
         for incarnation, number in (("later-run", known.number), (known.info.incarnation, 999)):
-            message = UnchangedStatus(incarnation, number, {})
+            message = UnchangedHeartbeat(incarnation, number, {})
             event = MessageReceived(MemberId("core-2"), message)
             effects = machine.handle(event, cluster.now)
-            self.assertIn(Send(MemberId("core-2"), AskStatus()), effects)
+            self.assertIn(Send(MemberId("core-2"), RequestHeartbeat()), effects)
             self.assertNotIn("core-2", machine.live_cores(cluster.now))
 
     def test_a_restarted_core_is_told_everything_at_once(self) -> None:
@@ -136,7 +136,7 @@
         told = core._context.cores.status(MemberId("core-2"))
         assert told is not None
         position = {"moves": TopicPosition(7, 70)}
-        message = UnchangedStatus(told.info.incarnation, told.number, position)
+        message = UnchangedHeartbeat(told.info.incarnation, told.number, position)
         core.handle(MessageReceived(MemberId("core-2"), message), cluster.now)
         known = core._context.cores.status(MemberId("core-2"))
         assert known is not None
--- a/tests/golden/decision_log.py
+++ b/tests/golden/decision_log.py
@@ -21,7 +21,7 @@
 import numpy
 import orjson
 
-from zincvale.coordination.delivery.messages import PollAnswer
+from zincvale.coordination.delivery.messages import PollResponse
 from zincvale.model.machine import Call, Log, Reply, Send, Write
 from zincvale.transport.codec import encode_message
 
@@ -121,7 +121,7 @@
     A core notes its changed members in a set of texts, so that the order of these rows in the table
     and in the message follows the interpreter's hash seed.
     """
-    if not isinstance(message, PollAnswer) or message.members is None:
+    if not isinstance(message, PollResponse) or message.members is None:
         return message
     puts = dict(sorted(message.members.puts.items()))
     deletes = sorted(message.members.deletes)
