--- a/src/zincvale/controlplane/api/dispatch.py
+++ b/src/zincvale/controlplane/api/dispatch.py
@@ -31,11 +31,11 @@
     error_response,
     json_response,
 )
-from zincvale.controlplane.api.pending_watches import HeldPolls, read_watch
+from zincvale.controlplane.api.pending_watches import PendingWatches, read_watch
 from zincvale.controlplane.api.replica_changes import read_replacement
 from zincvale.controlplane.intent.row_codec import KIND_BY_TABLE
-from zincvale.controlplane.status.cluster_snapshot import ObservedWorld, lagging_nodes, observe
-from zincvale.controlplane.status.drain_progress import DrainWatch
+from zincvale.controlplane.status.cluster_snapshot import ClusterSnapshot, lagging_nodes, observe
+from zincvale.controlplane.status.drain_progress import DrainProgress
 from zincvale.coordination.registers.change_messages import (
     ChangeResult,
     ProposeChange,
@@ -60,9 +60,9 @@
     def __init__(self, view: CoreView) -> None:
         self._view = view
         self._pending: dict[str, PendingChange] = {}
-        self._intent_body = api_reads.IntentBody()
-        self._polls = HeldPolls(self._intent_body)
-        self._drains = DrainWatch()
+        self._intent_body = api_reads.IntentResponse()
+        self._polls = PendingWatches(self._intent_body)
+        self._drains = DrainProgress()
 
     def handle(self, request: ApiRequest, now: float) -> list[ApiEffect]:
         """Take one request; the answer is among the effects now or later."""
@@ -115,7 +115,7 @@
             intent, self._view.directory(), lambda: bool(lagging_nodes(self._view, intent)), now
         )
 
-    def _observe(self, now: float) -> ObservedWorld:
+    def _observe(self, now: float) -> ClusterSnapshot:
         self._watch_drains(now)
         try:
             return observe(self._view, self._drains, now)
--- a/src/zincvale/controlplane/api/pending_watches.py
+++ b/src/zincvale/controlplane/api/pending_watches.py
@@ -11,7 +11,7 @@
 import attrs
 
 from zincvale.controlplane.api.messages import ApiResponse, json_response
-from zincvale.controlplane.api.reads import IntentBody
+from zincvale.controlplane.api.reads import IntentResponse
 from zincvale.coordination.changes import KeyView
 from zincvale.model.errors import InvalidInputError, UnavailableError
 
@@ -52,10 +52,10 @@
     return timeout_s
 
 
-class HeldPolls:
+class PendingWatches:
     """Polls in wait; completed by a newer intent or by their deadline."""
 
-    def __init__(self, intent_body: IntentBody) -> None:
+    def __init__(self, intent_body: IntentResponse) -> None:
         self._polls: dict[str, WatchRequest] = {}
         self._intent_body = intent_body
 
--- a/src/zincvale/controlplane/api/reads.py
+++ b/src/zincvale/controlplane/api/reads.py
@@ -15,7 +15,7 @@
     move_to_json,
     moves_to_json,
 )
-from zincvale.controlplane.status.cluster_snapshot import ObservedWorld
+from zincvale.controlplane.status.cluster_snapshot import ClusterSnapshot
 from zincvale.controlplane.status.resource_status import conditions_of
 from zincvale.coordination.changes import KeyView
 from zincvale.model.errors import InvalidInputError, NotFoundError
@@ -26,7 +26,7 @@
 MAX_PAGE_ROWS = 10_000
 
 
-class IntentBody:
+class IntentResponse:
     """Keeps the body of `GET /v1/intent`, which is large, for the newest version."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
 
 
 def resource_list(
-    view: CoreView, world: ObservedWorld, table: str, after: str, limit: int
+    view: CoreView, world: ClusterSnapshot, table: str, after: str, limit: int
 ) -> bytes:
     """Return one page of a kind's resources with spec and status, ordered by name.
 
@@ -70,7 +70,7 @@
     return orjson.dumps(body)
 
 
-def resource_body(view: CoreView, world: ObservedWorld, table: str, name: str) -> bytes:
+def resource_body(view: CoreView, world: ClusterSnapshot, table: str, name: str) -> bytes:
     """Return one resource with spec, effective spec and status; raises `NotFoundError`."""
     kind = KIND_BY_TABLE[table]
     names = _names(world, table)
@@ -137,14 +137,14 @@
     return after, int(limit)
 
 
-def _names(world: ObservedWorld, table: str) -> Collection[str]:
+def _names(world: ClusterSnapshot, table: str) -> Collection[str]:
     declared: Mapping[str, Any] = getattr(world.intent, table)
     if table == "servers":
         return declared.keys() | world.directory.servers.keys()
     return declared.keys()
 
 
-def _resource(kind: str, name: str, rows: KeyView, world: ObservedWorld) -> dict[str, Any]:
+def _resource(kind: str, name: str, rows: KeyView, world: ClusterSnapshot) -> dict[str, Any]:
     content = rows.rows.get(row_id(kind, name))
     status: dict[str, Any] = {
         "conditions": [
--- a/src/zincvale/controlplane/directory/events.py
+++ b/src/zincvale/controlplane/directory/events.py
@@ -71,7 +71,7 @@
 
 
 @attrs.frozen
-class ClosingMarked:
+class DrainingMarked:
     """Input: `ServerRow.closing` of `server` is exactly `names` from now on.
 
     `epoch` is the fencing epoch of the placement role.
@@ -118,7 +118,7 @@
     | StatusObserved
     | StatusFailed
     | PassiveFailureNoted
-    | ClosingMarked
+    | DrainingMarked
     | IntentChanged
     | ProbersChanged
     | Published
--- a/src/zincvale/controlplane/directory/machine.py
+++ b/src/zincvale/controlplane/directory/machine.py
@@ -14,11 +14,11 @@
 
 from zincvale.controlplane import log_events
 from zincvale.controlplane.directory.events import (
-    ClosingMarked,
     DirectoryEffect,
     DirectoryInput,
     DirectoryRoleLost,
     DirectoryRoleTaken,
+    DrainingMarked,
     FetchPlatformList,
     IntentChanged,
     PassiveFailureNoted,
@@ -112,7 +112,7 @@
                 return self._follow(self._table.take_status(event, now), publication, now)
             case StatusFailed():
                 return self._follow(self._table.take_failure(event, now), publication, now)
-            case ClosingMarked():
+            case DrainingMarked():
                 return self._follow(self._table.mark_closing(event), publication, now)
             case PassiveFailureNoted(server):
                 self._table.hasten(server, now)
--- a/src/zincvale/controlplane/directory/messages.py
+++ b/src/zincvale/controlplane/directory/messages.py
@@ -44,7 +44,7 @@
 
 @peer_message("directory.closing")
 @attrs.frozen
-class MarkServerClosing:
+class MarkServerDraining:
     """The placement controller's word that nodes must send nothing new for `names`.
 
     `epoch` is the fencing epoch of the placement role; older ones are ignored.
--- a/src/zincvale/controlplane/directory/server_discovery.py
+++ b/src/zincvale/controlplane/directory/server_discovery.py
@@ -89,7 +89,7 @@
 
 
 @attrs.frozen
-class ServersSeen:
+class ServersObserved:
     """Rows as last seen; `asked_at` is a time before which they were certainly not taken."""
 
     rows: tuple[ServerRow, ...]
@@ -97,10 +97,10 @@
     asked_at: float
 
 
-Effect = FetchList | AnnounceRead | PublishServers | ServersSeen | Log
+Effect = FetchList | AnnounceRead | PublishServers | ServersObserved | Log
 
 
-class ListedServers:
+class ServerDiscovery:
     """The list as one core knows it.
 
     Parameters
@@ -161,7 +161,7 @@
         self._rows = rows
         self._published = dict(view.rows)
         asked_at = now - self._lag_s - READ_INTERVAL_S - SILENCE_S
-        return [ServersSeen(tuple(rows.values()), gone, asked_at)]
+        return [ServersObserved(tuple(rows.values()), gone, asked_at)]
 
     def read_heard(self, message: ListRead, now: float) -> None:
         """Another core read the list."""
@@ -229,7 +229,7 @@
         rows = {server.server: self._row(server) for server in servers}
         gone = tuple(server for server in self._rows if server not in rows)
         self._rows = rows
-        effects: list[Effect] = [ServersSeen(tuple(rows.values()), gone, asked_at)]
+        effects: list[Effect] = [ServersObserved(tuple(rows.values()), gone, asked_at)]
         message = self._publication()
         if message is not None:
             effects.append(PublishServers(message))
--- a/src/zincvale/controlplane/directory/server_table.py
+++ b/src/zincvale/controlplane/directory/server_table.py
@@ -14,8 +14,8 @@
 from zincvale.controlplane import log_events
 from zincvale.controlplane.directory.backend_status import PlatformServer
 from zincvale.controlplane.directory.events import (
-    ClosingMarked,
     DirectoryEffect,
+    DrainingMarked,
     ProbeServer,
     ServerForgotten,
     ServerReported,
@@ -160,7 +160,7 @@
             for server in self._schedule.lost(now)
         ]
 
-    def mark_closing(self, event: ClosingMarked) -> TableChange:
+    def mark_closing(self, event: DrainingMarked) -> TableChange:
         """Apply the placement controller's mark; marks of older epochs are dropped."""
         entry = self._entries.get(event.server)
         if entry is None or event.epoch < self._closing_epoch:
--- a/src/zincvale/controlplane/documents/derived_intent.py
+++ b/src/zincvale/controlplane/documents/derived_intent.py
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class StoreTerms:
+class StoreConfig:
     """What a deployment allows of loads from a store: `over` times its rate in any `window_s`."""
 
     window_s: float = 5.0
@@ -54,7 +54,7 @@
 class DocumentIntent:
     """Keeps the derived intent of a changing document."""
 
-    def __init__(self, terms: StoreTerms) -> None:
+    def __init__(self, terms: StoreConfig) -> None:
         self._terms = terms
         self._known: dict[str, _PoolResources] = {}
 
--- a/src/zincvale/controlplane/documents/reducer.py
+++ b/src/zincvale/controlplane/documents/reducer.py
@@ -29,8 +29,8 @@
     POOL_PREFIX,
     ROUTE_PREFIX,
     encode_item,
+    item_order,
     number_of,
-    place_of,
 )
 from zincvale.coordination.changes import ChangeRefused, RowChange, Rows
 from zincvale.model.errors import InvalidInputError, VersionConflictError, ZincvaleError
@@ -116,7 +116,7 @@
         changed.update(dict.fromkeys(kept))
         next_place = NO_PLACE
     else:
-        next_place = max((place_of(content) + 1 for content in kept.values()), default=NO_PLACE)
+        next_place = max((item_order(content) + 1 for content in kept.values()), default=NO_PLACE)
     named: set[str] = set()
     for item in items:
         row = f"{prefix}{item['spec']['name']}"
@@ -126,7 +126,7 @@
         if is_whole or row not in kept:
             place, next_place = next_place, next_place + 1
         else:
-            place = place_of(kept[row])
+            place = item_order(kept[row])
         changed[row] = encode_item(place, item["spec"], item["source"])
     return changed
 
--- a/src/zincvale/controlplane/documents/rows.py
+++ b/src/zincvale/controlplane/documents/rows.py
@@ -40,7 +40,7 @@
     return bytes(memoryview(orjson.dumps({"place": place, "spec": spec, "source": source})))
 
 
-def place_of(row: bytes) -> int:
+def item_order(row: bytes) -> int:
     """Return the place of an item in its document."""
     return int(orjson.loads(row)["place"])
 
--- a/src/zincvale/controlplane/placement/draining_row_codec.py
+++ b/src/zincvale/controlplane/placement/draining_row_codec.py
@@ -15,7 +15,7 @@
 """A copy is closing from the announcement of its unload until that move is finished."""
 
 
-class ClosingDecoder:
+class DrainingReplicasDecoder:
     """Keeps what is closing at each server; reads only rows that changed."""
 
     def __init__(self) -> None:
--- a/src/zincvale/controlplane/placement/events.py
+++ b/src/zincvale/controlplane/placement/events.py
@@ -231,7 +231,7 @@
 
 
 @attrs.frozen
-class MarkClosing:
+class MarkDraining:
     """Effect: `ServerRow.closing` of `server` is exactly `names` from now on."""
 
     server: ServerId
@@ -265,5 +265,5 @@
 
 
 Effect = (
-    SendOrder | AskStatus | PublishMoves | MarkClosing | OrderRecorded | CompletionRecorded | Log
+    SendOrder | AskStatus | PublishMoves | MarkDraining | OrderRecorded | CompletionRecorded | Log
 )
--- a/src/zincvale/controlplane/placement/publication.py
+++ b/src/zincvale/controlplane/placement/publication.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from zincvale.controlplane.placement.events import MarkClosing, PublishMoves
+from zincvale.controlplane.placement.events import MarkDraining, PublishMoves
 from zincvale.controlplane.placement.moves import Move
 from zincvale.controlplane.placement.state import World
 from zincvale.model.identifiers import ServerId
@@ -45,7 +45,7 @@
 def _publish_closing(world: World) -> None:
     for server_id in world.changed_closing:
         names = _closing_names(world, server_id)
-        world.effects.append(MarkClosing(server_id, names))
+        world.effects.append(MarkDraining(server_id, names))
     world.changed_closing.clear()
 
 
--- a/src/zincvale/controlplane/status/cluster_snapshot.py
+++ b/src/zincvale/controlplane/status/cluster_snapshot.py
@@ -7,7 +7,7 @@
 import attrs
 
 from zincvale.controlplane.api.core_view import CoreView
-from zincvale.controlplane.status.drain_progress import DrainWatch
+from zincvale.controlplane.status.drain_progress import DrainProgress
 from zincvale.model.identifiers import MemberId, PoolName, ServerId
 from zincvale.model.resources import ServerSpec, ZoneSpec
 from zincvale.model.view import Directory, Intent, ServerHealth, ServerRow
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class ObservedWorld:
+class ClusterSnapshot:
     """Intent and observations of one core at one moment.
 
     Attributes
@@ -32,7 +32,7 @@
     lagging: tuple[MemberId, ...]
     node_count: int
     rows_by_pool: dict[PoolName, list[ServerRow]]
-    drains: DrainWatch
+    drains: DrainProgress
     now: float
 
     def drain_done(self, server: ServerId) -> bool:
@@ -70,11 +70,11 @@
     return [member for member, version in held.items() if version < intent.version]
 
 
-def observe(view: CoreView, drains: DrainWatch, now: float) -> ObservedWorld:
+def observe(view: CoreView, drains: DrainProgress, now: float) -> ClusterSnapshot:
     """Return the indexed observations of a core."""
     intent = view.intent()
     directory = view.directory()
-    return ObservedWorld(
+    return ClusterSnapshot(
         intent=intent,
         directory=directory,
         lagging=tuple(sorted(lagging_nodes(view, intent))),
--- a/src/zincvale/controlplane/status/drain_progress.py
+++ b/src/zincvale/controlplane/status/drain_progress.py
@@ -32,7 +32,7 @@
     idle_since: float | None = None
 
 
-class DrainWatch:
+class DrainProgress:
     """Table of the servers that the intent keeps out of service."""
 
     def __init__(self) -> None:
--- a/src/zincvale/controlplane/status/resource_status.py
+++ b/src/zincvale/controlplane/status/resource_status.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 
 from zincvale.controlplane.status import conditions
-from zincvale.controlplane.status.cluster_snapshot import ObservedWorld
+from zincvale.controlplane.status.cluster_snapshot import ClusterSnapshot
 from zincvale.controlplane.status.conditions import Condition, holds, unknown
 from zincvale.controlplane.status.server_status import server_conditions, zone_conditions
 from zincvale.model.identifiers import AdapterName, ModelName, PoolName, RouteName
@@ -15,20 +15,20 @@
 """Longest list of names inside a message."""
 
 
-def conditions_of(kind: str, name: str, declared: bool, world: ObservedWorld) -> list[Condition]:
+def conditions_of(kind: str, name: str, declared: bool, world: ClusterSnapshot) -> list[Condition]:
     """Return the conditions of a resource; `declared` is whether the intent has it."""
     shared = _declaration_conditions(world) if declared else []
     rule = _RULE_BY_KIND.get(kind)
     return shared if rule is None else shared + rule(name, world)
 
 
-def _declaration_conditions(world: ObservedWorld) -> list[Condition]:
+def _declaration_conditions(world: ClusterSnapshot) -> list[Condition]:
     version = world.intent.version
     accepted = holds(conditions.ACCEPTED, True, "Durable", f"part of intent version {version}")
     return [accepted, _in_force(world)]
 
 
-def _in_force(world: ObservedWorld) -> Condition:
+def _in_force(world: ClusterSnapshot) -> Condition:
     version = world.intent.version
     if world.lagging:
         message = f"version {version} is not yet held by {_list(world.lagging)}"
@@ -40,23 +40,23 @@
     return holds(conditions.IN_FORCE, True, "Held", message)
 
 
-def _pool_conditions(name: str, world: ObservedWorld) -> list[Condition]:
+def _pool_conditions(name: str, world: ClusterSnapshot) -> list[Condition]:
     return [_serving(PoolName(name), world)]
 
 
-def _route_conditions(name: str, world: ObservedWorld) -> list[Condition]:
+def _route_conditions(name: str, world: ClusterSnapshot) -> list[Condition]:
     route = world.intent.routes[RouteName(name)]
     return [_serving(PoolName(route.pool), world)]
 
 
-def _serving(pool: PoolName, world: ObservedWorld) -> Condition:
+def _serving(pool: PoolName, world: ClusterSnapshot) -> Condition:
     known = len(world.rows_by_pool.get(pool, []))
     ready = len(world.in_service(pool))
     message = f"{ready} of {known} servers of pool {pool} are ready and in service"
     return holds(conditions.SERVING, ready > 0, "Ready" if ready else "NoServer", message)
 
 
-def _model_conditions(name: str, world: ObservedWorld) -> list[Condition]:
+def _model_conditions(name: str, world: ClusterSnapshot) -> list[Condition]:
     model = world.intent.models[ModelName(name)]
     pool = PoolName(model.pool)
     holders = [row for row in world.in_service(pool) if ModelName(name) in row.models]
@@ -66,7 +66,7 @@
     ]
 
 
-def _adapter_conditions(name: str, world: ObservedWorld) -> list[Condition]:
+def _adapter_conditions(name: str, world: ClusterSnapshot) -> list[Condition]:
     adapter = world.intent.adapters[AdapterName(name)]
     base = world.intent.models[ModelName(adapter.base_model)]
     pool = PoolName(base.pool)
@@ -87,7 +87,7 @@
     return holds(conditions.RESIDENT, False, "NotLoaded", "loaded on no server in service")
 
 
-def _fits(pool: PoolName, needed_bytes: int, world: ObservedWorld) -> Condition:
+def _fits(pool: PoolName, needed_bytes: int, world: ClusterSnapshot) -> Condition:
     largest = world.largest_memory_bytes(pool)
     if largest == 0:
         message = f"no server of pool {pool} was observed"
@@ -105,7 +105,7 @@
     return f"{shown} and {len(ordered) - NAMES_SHOWN} more"
 
 
-_RULE_BY_KIND: dict[str, Callable[[str, ObservedWorld], list[Condition]]] = {
+_RULE_BY_KIND: dict[str, Callable[[str, ClusterSnapshot], list[Condition]]] = {
     "Zone": zone_conditions,
     "Server": server_conditions,
     "Pool": _pool_conditions,
--- a/src/zincvale/controlplane/status/server_status.py
+++ b/src/zincvale/controlplane/status/server_status.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from zincvale.controlplane.status import conditions
-from zincvale.controlplane.status.cluster_snapshot import ObservedWorld
+from zincvale.controlplane.status.cluster_snapshot import ClusterSnapshot
 from zincvale.controlplane.status.conditions import Condition, holds, unknown
 from zincvale.controlplane.status.drain_progress import runs_requests
 from zincvale.model.identifiers import ServerId, ZoneName
@@ -16,7 +16,7 @@
 }
 
 
-def server_conditions(name: str, world: ObservedWorld) -> list[Condition]:
+def server_conditions(name: str, world: ClusterSnapshot) -> list[Condition]:
     """Return readiness and drain of a server."""
     row = world.directory.servers.get(ServerId(name))
     if row is None:
@@ -25,7 +25,7 @@
     return [_ready(row), *_drain_conditions(row, world)]
 
 
-def zone_conditions(name: str, world: ObservedWorld) -> list[Condition]:
+def zone_conditions(name: str, world: ClusterSnapshot) -> list[Condition]:
     """Return the progress of an evacuation; nothing for an open zone."""
     spec = world.intent.zones.get(ZoneName(name))
     if spec is None or not spec.evacuated:
@@ -48,7 +48,7 @@
     return holds(conditions.READY, ready, _REASON_BY_HEALTH[row.health], message)
 
 
-def _drain_conditions(row: ServerRow, world: ObservedWorld) -> list[Condition]:
+def _drain_conditions(row: ServerRow, world: ClusterSnapshot) -> list[Condition]:
     if not world.out_of_service(row):
         return []
     cause = "declared drained" if world.drained(row.server) else f"zone {row.zone} is evacuated"
@@ -61,7 +61,7 @@
     ]
 
 
-def _progress(rows: list[ServerRow], done: bool, world: ObservedWorld) -> str:
+def _progress(rows: list[ServerRow], done: bool, world: ClusterSnapshot) -> str:
     if done:
         return "Idle"
     if any(not world.drains.told(row.server) for row in rows) or not rows:
--- a/src/zincvale/daemons/discovery_runner.py
+++ b/src/zincvale/daemons/discovery_runner.py
@@ -12,9 +12,9 @@
     AnnounceRead,
     FetchList,
     ListedServer,
-    ListedServers,
     PublishServers,
-    ServersSeen,
+    ServerDiscovery,
+    ServersObserved,
 )
 from zincvale.coordination.changes import TopicView
 from zincvale.coordination.delivery.messages import TopicPublished
@@ -32,7 +32,7 @@
 HTTP_OK = 200
 
 
-class ListRunner:
+class DiscoveryRunner:
     """Feeds the machine and carries out its effects.
 
     Parameters
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        machine: ListedServers,
+        machine: ServerDiscovery,
         dialect: ServerListDialect,
         fetcher: HttpFetcher,
         address: str,
@@ -51,7 +51,7 @@
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
         send_to_cores: Callable[[Any], None],
-        on_seen: Callable[[ServersSeen], None],
+        on_seen: Callable[[ServersObserved], None],
     ) -> None:
         self.machine = machine
         self._dialect = dialect
@@ -91,7 +91,7 @@
                     IOLoop.current().add_callback(self._publish, effect)
                 case AnnounceRead(message):
                     self._send_to_cores(message)
-                case ServersSeen():
+                case ServersObserved():
                     self._on_seen(effect)
                 case Log(number, fields):
                     log(number, **fields)
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -10,9 +10,13 @@
 from tornado.web import Application
 
 from zincvale.controlplane.directory.row_codec import LISTED_TOPIC
-from zincvale.controlplane.directory.server_discovery import ListedServers, ServersSeen, reader_rank
+from zincvale.controlplane.directory.server_discovery import (
+    ServerDiscovery,
+    ServersObserved,
+    reader_rank,
+)
 from zincvale.controlplane.documents.api import DocumentApi
-from zincvale.controlplane.documents.derived_intent import DocumentIntent, StoreTerms
+from zincvale.controlplane.documents.derived_intent import DocumentIntent, StoreConfig
 from zincvale.controlplane.documents.reducer import DocumentReducer
 from zincvale.controlplane.documents.rows import DocumentDecoder
 from zincvale.controlplane.placement.controller import PlacementController
@@ -31,7 +35,7 @@
 from zincvale.daemons.core_assembly import core_config, core_tracing, open_files
 from zincvale.daemons.core_view import LocalCoreView
 from zincvale.daemons.demand_translation import demand_reported
-from zincvale.daemons.discovery_runner import ListRunner
+from zincvale.daemons.discovery_runner import DiscoveryRunner
 from zincvale.daemons.forwarding_dialects import ForwardingDialects
 from zincvale.daemons.forwarding_placement import placement_config
 from zincvale.daemons.http_fetch import HttpFetcher
@@ -112,7 +116,7 @@
             MACHINE_TICK_MS,
         )
         self._decoder = DocumentDecoder()
-        self._intent = DocumentIntent(StoreTerms(forwarding.store_window_s, forwarding.store_over))
+        self._intent = DocumentIntent(StoreConfig(forwarding.store_window_s, forwarding.store_over))
         self._view = LocalCoreView(self.machine, self._clock)
         api = DocumentApi(self._view, dialects.operators, self._name)
         self._api = ControlApiServer(api, self.process.driver, self._clock)
@@ -152,8 +156,8 @@
         fetcher = HttpFetcher(settings.address_map, settings.member_id, settings.peer_address)
         guard = RoleGuard(self.machine, PLACEMENT_ROLE, self._clock)
         publisher = TopicPublisher(self.process.driver, guard)
-        self._list = ListRunner(
-            ListedServers(self._name, self._forwarding.list_lag_s, self._clock()),
+        self._list = DiscoveryRunner(
+            ServerDiscovery(self._name, self._forwarding.list_lag_s, self._clock()),
             self._dialects.server_list,
             fetcher,
             self._forwarding.list_address,
@@ -212,7 +216,7 @@
     def _document(self) -> ForwardingDocument:
         return self._decoder.document
 
-    def _servers_seen(self, seen: ServersSeen) -> None:
+    def _servers_seen(self, seen: ServersObserved) -> None:
         """Feed placement; a settled server's own holdings change only by our orders."""
         reports = tuple(
             StatusReport(
--- a/src/zincvale/daemons/node_daemon.py
+++ b/src/zincvale/daemons/node_daemon.py
@@ -10,7 +10,7 @@
 
 from zincvale.controlplane.directory.row_codec import DIRECTORY_TOPIC, DirectoryDecoder
 from zincvale.controlplane.intent.row_codec import IntentDecoder
-from zincvale.controlplane.placement.draining_row_codec import MOVES_TOPIC, ClosingDecoder
+from zincvale.controlplane.placement.draining_row_codec import MOVES_TOPIC, DrainingReplicasDecoder
 from zincvale.coordination.node.machine import NodeMachine
 from zincvale.coordination.replication.replica_sets import INTENT_KEY, REGISTRY_KEY
 from zincvale.daemons.draining_replicas import with_closing
@@ -55,7 +55,7 @@
         self._member = MemberId(settings.member_id)
         self._intent = IntentDecoder()
         self._directory = DirectoryDecoder()
-        self._closing = ClosingDecoder()
+        self._closing = DrainingReplicasDecoder()
         self._demand_due_at = 0.0
         self._first_fresh_at: float | None = None
         self._claims_began = False
--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -17,7 +17,7 @@
     CompletionRecorded,
     DirectoryChanged,
     Input,
-    MarkClosing,
+    MarkDraining,
     Order,
     OrderAccepted,
     OrderAction,
@@ -121,7 +121,7 @@
                 IOLoop.current().add_callback(self._ask_status, effect)
             case PublishMoves():
                 self._publications.put_nowait(self._publication(effect))
-            case MarkClosing():
+            case MarkDraining():
                 self._on_touched(effect.server)
             case OrderRecorded():
                 self._spans.order_sent(effect)
--- a/src/zincvale/simulator/placement/controller_policy.py
+++ b/src/zincvale/simulator/placement/controller_policy.py
@@ -18,7 +18,7 @@
     Input,
     IntentChanged,
     LeaderGained,
-    MarkClosing,
+    MarkDraining,
     OrderAccepted,
     OrderAction,
     OrderRefusal,
@@ -127,7 +127,7 @@
                 self._order(fleet, effect)
             case AskStatus(server, _):
                 self._later(0.0, lambda fleet: self._answer_status(fleet, server))
-            case MarkClosing(server, names):
+            case MarkDraining(server, names):
                 self._later(MARK_DELAY_S, lambda fleet: self._mark(fleet, server, names))
 
     def _order(self, fleet: Fleet, effect: SendOrder) -> None:
--- a/tests/controlplane/placement/test_closing_rows.py
+++ b/tests/controlplane/placement/test_closing_rows.py
@@ -4,7 +4,7 @@
 from testtools import TestCase
 
 from tests.controlplane.placement.test_move_rows import MOVE
-from zincvale.controlplane.placement.draining_row_codec import ClosingDecoder
+from zincvale.controlplane.placement.draining_row_codec import DrainingReplicasDecoder
 from zincvale.controlplane.placement.move_row_codec import closing_by_server, encode_move
 from zincvale.controlplane.placement.moves import MoveKind, MoveState
 from zincvale.model.errors import MalformedBodyError
@@ -21,10 +21,10 @@
         ]
         for move in moves:
             rows = {move.move_id: encode_move(move)}
-            self.assertEqual(closing_by_server([move]), ClosingDecoder().update(rows))
+            self.assertEqual(closing_by_server([move]), DrainingReplicasDecoder().update(rows))
 
     def test_a_changed_row_counts_and_a_removed_one_does_not(self):
-        decoder = ClosingDecoder()
+        decoder = DrainingReplicasDecoder()
         unload = attrs.evolve(MOVE, kind=MoveKind.UNLOAD, state=MoveState.CLOSING)
         rows = {"a": encode_move(unload), "b": encode_move(attrs.evolve(unload, name="other"))}
         names = decoder.update(rows)[unload.server]
@@ -35,5 +35,7 @@
 
     def test_an_unreadable_row_is_refused_with_a_remedy(self):
         for content in (b"", b"{}", b"[1]"):
-            error = self.assertRaises(MalformedBodyError, ClosingDecoder().update, {"a": content})
+            error = self.assertRaises(
+                MalformedBodyError, DrainingReplicasDecoder().update, {"a": content}
+            )
             self.assertEqual("run the same release on every machine", error.remedy)
--- a/tests/controlplane/placement/test_options.py
+++ b/tests/controlplane/placement/test_options.py
@@ -21,7 +21,7 @@
     Effect,
     IntentChanged,
     LeaderGained,
-    MarkClosing,
+    MarkDraining,
     OrderAccepted,
     OrderAction,
     StatusReport,
@@ -183,4 +183,4 @@
         self.assertEqual(
             [], [o for o in orders_in(effects) if o.order.action is OrderAction.UNLOAD]
         )
-        self.assertTrue(any(isinstance(effect, MarkClosing) for effect in effects))
+        self.assertTrue(any(isinstance(effect, MarkDraining) for effect in effects))
--- a/tests/controlplane/placement/test_residency.py
+++ b/tests/controlplane/placement/test_residency.py
@@ -18,7 +18,7 @@
 from zincvale.controlplane.placement.events import (
     DirectoryChanged,
     IntentChanged,
-    MarkClosing,
+    MarkDraining,
     OrderAction,
     OrderRefusal,
     OrderRefused,
@@ -126,8 +126,8 @@
         driver.demand(("new", None, 1, 1))
         effects = driver.tick(0.2)
         self.assertEqual(
-            [MarkClosing("server-1", frozenset({"rare"}))],
-            [effect for effect in effects if isinstance(effect, MarkClosing)],
+            [MarkDraining("server-1", frozenset({"rare"}))],
+            [effect for effect in effects if isinstance(effect, MarkDraining)],
         )
         self.assertEqual([], orders_in(effects))
         driver.tick(0.5)
@@ -154,8 +154,8 @@
         for _ in range(10):
             driver.demand(("new", None, 3, 3), use=busy)
             driver.tick(0.5)
-        closing = [effect for effect in driver.seen if isinstance(effect, MarkClosing)]
-        self.assertEqual([MarkClosing("server-1", frozenset({"rare"}))], closing)
+        closing = [effect for effect in driver.seen if isinstance(effect, MarkDraining)]
+        self.assertEqual([MarkDraining("server-1", frozenset({"rare"}))], closing)
         self.assertEqual([], orders_in(driver.seen))
         driver.demand(("new", None, 0, 3), use=busy[:2])
         self.assertEqual([("server-1", "rare")], unloads_in(driver.tick(0.2)))
--- a/tests/controlplane/placement/test_transcript.py
+++ b/tests/controlplane/placement/test_transcript.py
@@ -20,7 +20,7 @@
     CompletionRecorded,
     Effect,
     IntentChanged,
-    MarkClosing,
+    MarkDraining,
     OrderRecorded,
     OrderUnknown,
     PublishMoves,
@@ -40,7 +40,7 @@
         case PublishMoves(changed, removed, whole):
             rows = ", ".join(f"{move.move_id} {move.state.value}" for move in changed)
             return f"publish{' whole' if whole else ''} [{rows}] remove {list(removed)}"
-        case MarkClosing(server, names):
+        case MarkDraining(server, names):
             return f"closing on {server}: {sorted(names)}"
         case OrderRecorded(move_id, order):
             return f"record {order.order_id} of {move_id}: {effect.reason.value}; {effect.detail}"
--- a/tests/controlplane/test_directory.py
+++ b/tests/controlplane/test_directory.py
@@ -8,8 +8,8 @@
 from tests.controlplane.approval import verify
 from tests.controlplane.directory_driver import DirectoryDriver, listed, status
 from zincvale.controlplane.directory.events import (
-    ClosingMarked,
     DirectoryRoleLost,
+    DrainingMarked,
     IntentChanged,
     PassiveFailureNoted,
     PlatformListFailed,
@@ -190,14 +190,14 @@
     def test_closing_marks_are_published_at_once_and_fenced(self) -> None:
         driver = settled_driver()
         names = frozenset({"base-1"})
-        effects = driver.give(ClosingMarked(S1, names, epoch=5))
+        effects = driver.give(DrainingMarked(S1, names, epoch=5))
         self.assertEqual(1, len(effects))
-        self.assertEqual([], driver.give(ClosingMarked(S1, frozenset(), epoch=4)))
+        self.assertEqual([], driver.give(DrainingMarked(S1, frozenset(), epoch=4)))
         self.assertEqual(names, driver.machine.rows()[S1].closing)
 
     def test_a_new_incarnation_drops_the_marks_of_the_old_one(self) -> None:
         driver = settled_driver()
-        driver.give(ClosingMarked(S1, frozenset({"base-1"}), epoch=5))
+        driver.give(DrainingMarked(S1, frozenset({"base-1"}), epoch=5))
         driver.answer("s1", incarnation="i2")
         self.assertEqual(frozenset(), driver.machine.rows()[S1].closing)
 
--- a/tests/controlplane/test_documents.py
+++ b/tests/controlplane/test_documents.py
@@ -24,7 +24,7 @@
 from zincvale.controlplane.documents.derived_intent import (
     REQUESTS_PER_COPY,
     DocumentIntent,
-    StoreTerms,
+    StoreConfig,
 )
 from zincvale.controlplane.documents.reducer import DocumentReducer
 from zincvale.controlplane.documents.rows import DocumentDecoder, source_document
@@ -175,7 +175,7 @@
             )
         )
         typed = DocumentDecoder().update(3, document.rows)
-        intent = DocumentIntent(StoreTerms(5.0, 1.1)).update(typed)
+        intent = DocumentIntent(StoreConfig(5.0, 1.1)).update(typed)
         self.assertEqual(["p"], list(intent.pools))
         self.assertEqual({"m/a1", "m/a2"}, set(intent.adapters))
         store = intent.stores["p"]
@@ -189,7 +189,7 @@
         document = Document().taken(whole(0, 5, route("a"), pools=pools))
         typed = DocumentDecoder().update(3, document.rows)
         return (
-            DocumentIntent(StoreTerms(5.0, 1.1)).update(typed).pools["p"].max_concurrent_per_server
+            DocumentIntent(StoreConfig(5.0, 1.1)).update(typed).pools["p"].max_concurrent_per_server
         )
 
     def test_copies_are_counted_by_fewer_requests_than_an_engine_has_slots(self):
--- a/tests/controlplane/test_listed_servers.py
+++ b/tests/controlplane/test_listed_servers.py
@@ -13,9 +13,9 @@
     AnnounceRead,
     FetchList,
     ListedServer,
-    ListedServers,
     PublishServers,
-    ServersSeen,
+    ServerDiscovery,
+    ServersObserved,
     reader_rank,
 )
 from zincvale.coordination.changes import TopicView
@@ -37,7 +37,7 @@
     """One core's machine with its topics."""
 
     def __init__(self, name, now=0.0):
-        self.machine = ListedServers(name, LAG_S, now)
+        self.machine = ServerDiscovery(name, LAG_S, now)
         self.topics = EphemeralTopics()
 
     def read(self, servers, now, day_s=DAY_S):
@@ -64,7 +64,7 @@
 
 class ReadingTest(testtools.TestCase):
     def test_ranks_stand_in_one_after_the_other(self):
-        machine = ListedServers("a", LAG_S, 0.0)
+        machine = ServerDiscovery("a", LAG_S, 0.0)
         machine.read_heard(ListRead(5), 0.0)
         self.assertEqual([], machine.tick(0, SILENCE_S - 0.1))
         self.assertEqual([], machine.tick(1, SILENCE_S + 0.1))
@@ -73,8 +73,8 @@
         self.assertEqual([0, 1, 2], [reader_rank(m, "b", ["a", "b", "c"]) for m in "bac"])
 
     def test_a_started_core_that_heard_of_no_reading_reads_in_its_turn(self):
-        self.assertEqual([FetchList()], ListedServers("a", LAG_S, 0.0).tick(0, 0.01))
-        second = ListedServers("b", LAG_S, 0.0)
+        self.assertEqual([FetchList()], ServerDiscovery("a", LAG_S, 0.0).tick(0, 0.01))
+        second = ServerDiscovery("b", LAG_S, 0.0)
         self.assertEqual([], second.tick(1, 0.01))
         self.assertEqual([FetchList()], second.tick(1, 0.5))
 
@@ -146,7 +146,7 @@
         core = Core("a")
         core.read([listed(), listed("s2")], 1.0)
         effects, deltas = core.read([attrs.evolve(listed("s2"), draining=True)], 1.8)
-        seen = find(effects, ServersSeen)[0]
+        seen = find(effects, ServersObserved)[0]
         self.assertEqual(("s1",), seen.gone)
         self.assertTrue(seen.rows[0].draining)
         self.assertEqual(["s1"], deltas[0].deletes)
--- a/tests/daemons/test_list_runner.py
+++ b/tests/daemons/test_list_runner.py
@@ -7,9 +7,9 @@
 import testtools
 
 from zincvale.controlplane.directory.messages import ListRead
-from zincvale.controlplane.directory.server_discovery import ListedServer, ListedServers
+from zincvale.controlplane.directory.server_discovery import ListedServer, ServerDiscovery
 from zincvale.coordination.delivery.messages import PublishTopic, TopicPublished
-from zincvale.daemons.discovery_runner import MAX_PAGES, ListRunner
+from zincvale.daemons.discovery_runner import MAX_PAGES, DiscoveryRunner
 from zincvale.daemons.forwarding_dialects import ListPage
 from zincvale.daemons.http_fetch import FetchResult
 from zincvale.model.errors import MalformedBodyError
@@ -61,15 +61,15 @@
 
 
 class ListRunnerTest(testtools.TestCase):
-    def read_with(self, answers, readings: int = 1) -> ListRunner:
+    def read_with(self, answers, readings: int = 1) -> DiscoveryRunner:
         """Let one core read the list as often as it wants to within a few virtual seconds."""
         self.now = 100.0
         self.driver = FakeDriver()
         self.fetcher = FakeFetcher(answers)
         self.told: list[object] = []
         self.seen: list[object] = []
-        runner = ListRunner(
-            ListedServers("core-1/a", 0.8, self.now),
+        runner = DiscoveryRunner(
+            ServerDiscovery("core-1/a", 0.8, self.now),
             PagesDialect(),
             self.fetcher,
             ADDRESS,
@@ -90,7 +90,7 @@
         asyncio.run(main())
         return runner
 
-    def names(self, runner: ListRunner) -> list[str]:
+    def names(self, runner: DiscoveryRunner) -> list[str]:
         return sorted(runner.machine.rows)
 
     def test_every_page_is_read(self) -> None:
