--- a/src/zincvale/controlplane/placement/apply_demand.py
+++ b/src/zincvale/controlplane/placement/apply_demand.py
@@ -5,73 +5,77 @@
 from zincvale.controlplane.placement.events import DemandReported, DemandRow, UseRow
 from zincvale.controlplane.placement.items import ItemKey, adapter_key, model_key
 from zincvale.controlplane.placement.prefetch import note_asked
-from zincvale.controlplane.placement.state import NodeDemand, World
+from zincvale.controlplane.placement.state import NodeDemand, PlacementState
 from zincvale.model.identifiers import MemberId, ServerId
 
 NODES_CHECK_INTERVAL_S = 1.0
 
 
-def take_demand(world: World, event: DemandReported, now: float) -> None:
+def take_demand(placement: PlacementState, event: DemandReported, now: float) -> None:
     """Replace what is known of one node and count its new requests."""
     waiting: dict[ItemKey, int] = {}
     for row in event.rows:
-        _count_row(world, row, waiting, now)
+        _count_row(placement, row, waiting, now)
     running: dict[tuple[ServerId, ItemKey], int] = {}
     for use in event.use:
-        _count_use(world, use, running)
-    old = world.nodes.get(event.node)
-    _replace(world, old, waiting, running, now)
-    world.nodes[event.node] = NodeDemand(now, waiting, running)
+        _count_use(placement, use, running)
+    old = placement.nodes.get(event.node)
+    _replace(placement, old, waiting, running, now)
+    placement.nodes[event.node] = NodeDemand(now, waiting, running)
 
 
-def expire_nodes(world: World, now: float) -> None:
+def expire_nodes(placement: PlacementState, now: float) -> None:
     """System: forget the waiting and running requests of nodes that went silent."""
-    if now < world.nodes_checked_at + NODES_CHECK_INTERVAL_S:
+    if now < placement.nodes_checked_at + NODES_CHECK_INTERVAL_S:
         return
-    world.nodes_checked_at = now
-    oldest = now - world.config.demand_expiry_s
-    silent = [node for node, row in world.nodes.items() if row.reported_at < oldest]
+    placement.nodes_checked_at = now
+    oldest = now - placement.config.demand_expiry_s
+    silent = [node for node, row in placement.nodes.items() if row.reported_at < oldest]
     for node in silent:
-        _forget_node(world, node, now)
+        _forget_node(placement, node, now)
 
 
-def _forget_node(world: World, node: MemberId, now: float) -> None:
-    _replace(world, world.nodes.pop(node), {}, {}, now)
+def _forget_node(placement: PlacementState, node: MemberId, now: float) -> None:
+    _replace(placement, placement.nodes.pop(node), {}, {}, now)
 
 
-def _count_row(world: World, row: DemandRow, waiting: dict[ItemKey, int], now: float) -> None:
+def _count_row(
+    placement: PlacementState, row: DemandRow, waiting: dict[ItemKey, int], now: float
+) -> None:
     keys = [model_key(row.model)]
     if row.adapter is not None:
         keys.append(adapter_key(row.adapter))
     for key in keys:
-        item = world.items.get(key)
+        item = placement.items.get(key)
         if item is None:
             continue
         if row.requests:
             first = item.demand.profile is None
-            item.demand.add(row.requests, now, world.config)
-            note_asked(world, item, now)
+            item.demand.add(row.requests, now, placement.config)
+            note_asked(placement, item, now)
             if not item.serving:
                 item.missed.add(row.requests, now)
             if first or (item.wanted and not item.holders):
-                world.queue_review(key)
+                placement.queue_review(key)
         if row.waiting:
             waiting[key] = waiting.get(key, 0) + row.waiting
 
 
-def _count_use(world: World, use: UseRow, running: dict[tuple[ServerId, ItemKey], int]) -> None:
+def _count_use(
+    placement: PlacementState, use: UseRow, running: dict[tuple[ServerId, ItemKey], int]
+) -> None:
     keys = [model_key(use.model)]
     if use.adapter is not None:
         keys.append(adapter_key(use.adapter))
     for key in keys:
-        if key not in world.items or not use.running:
+        if key not in placement.items or not use.running:
             continue
         pair = (use.server, key)
         running[pair] = running.get(pair, 0) + use.running
 
 
 def _replace(
-    world: World,
+    placement: PlacementState,
     old: NodeDemand | None,
     waiting: dict[ItemKey, int],
     running: dict[tuple[ServerId, ItemKey], int],
@@ -80,43 +84,45 @@
     old_waiting = old.waiting if old is not None else {}
     old_running = old.running if old is not None else {}
     for key, count in waiting.items():
-        _add_waiting(world, key, count - old_waiting.get(key, 0), now)
+        _add_waiting(placement, key, count - old_waiting.get(key, 0), now)
     for key, count in old_waiting.items():
         if key not in waiting:
-            _add_waiting(world, key, -count, now)
+            _add_waiting(placement, key, -count, now)
     for pair, count in running.items():
-        _add_running(world, pair, count - old_running.get(pair, 0))
+        _add_running(placement, pair, count - old_running.get(pair, 0))
     for pair, count in old_running.items():
         if pair not in running:
-            _add_running(world, pair, -count)
+            _add_running(placement, pair, -count)
 
 
-def _add_waiting(world: World, key: ItemKey, difference: int, now: float) -> None:
+def _add_waiting(placement: PlacementState, key: ItemKey, difference: int, now: float) -> None:
     if difference == 0:
         return
-    item = world.items[key]
+    item = placement.items[key]
     if item.waiting == 0:
         item.waiting_since = now
     item.waiting += difference
-    world.queue_review(key)
+    placement.queue_review(key)
 
 
-def _add_running(world: World, pair: tuple[ServerId, ItemKey], difference: int) -> None:
+def _add_running(
+    placement: PlacementState, pair: tuple[ServerId, ItemKey], difference: int
+) -> None:
     if difference == 0:
         return
-    total = world.running.get(pair, 0) + difference
+    total = placement.running.get(pair, 0) + difference
     if total:
-        world.running[pair] = total
+        placement.running[pair] = total
     else:
-        del world.running[pair]
-    item = world.items[pair[1]]
+        del placement.running[pair]
+    item = placement.items[pair[1]]
     item.running += difference
-    world.queue_review(item.key)
+    placement.queue_review(item.key)
 
 
-def forget_item_demand(world: World, key: ItemKey) -> None:
+def forget_item_demand(placement: PlacementState, key: ItemKey) -> None:
     """Drop what nodes reported of a deleted item, so that it counts from 0 if it comes back."""
-    for node in world.nodes.values():
+    for node in placement.nodes.values():
         node.waiting.pop(key, None)
         node.running = {pair: count for pair, count in node.running.items() if pair[1] != key}
-    world.running = {pair: count for pair, count in world.running.items() if pair[1] != key}
+    placement.running = {pair: count for pair, count in placement.running.items() if pair[1] != key}
--- a/src/zincvale/controlplane/placement/apply_intent.py
+++ b/src/zincvale/controlplane/placement/apply_intent.py
@@ -16,7 +16,7 @@
     model_key,
 )
 from zincvale.controlplane.placement.servers import CountedAs, ServerState
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.state import PlacementState
 from zincvale.controlplane.placement.stores import StoreState
 from zincvale.model.identifiers import (
     Address,
@@ -31,47 +31,47 @@
 UNDECLARED_STORE = StoreName("")
 
 
-def take_intent(world: World, intent: Intent, now: float) -> None:
+def take_intent(placement: PlacementState, intent: Intent, now: float) -> None:
     """Bring the tables to `intent`."""
-    old = world.intent
-    world.intent = intent
+    old = placement.intent
+    placement.intent = intent
     for name, store_spec in _changes(old.stores, intent.stores):
-        _take_store(world, StoreName(name), store_spec)
+        _take_store(placement, StoreName(name), store_spec)
     for name, model_spec in _changes(old.models, intent.models):
-        world.pending_items[model_key(name)] = model_spec
+        placement.pending_items[model_key(name)] = model_spec
     for name, adapter_spec in _changes(old.adapters, intent.adapters):
-        world.pending_items[adapter_key(name)] = adapter_spec
-    take_declarations(world, now)
-    _take_zones(world, old, intent)
+        placement.pending_items[adapter_key(name)] = adapter_spec
+    take_declarations(placement, now)
+    _take_zones(placement, old, intent)
     for name, pool_spec in _changes(old.pools, intent.pools):
-        for server_id in world.servers_by_pool.get(PoolName(name), {}):
-            _set_adapter_slots(world.servers[server_id], pool_spec)
+        for server_id in placement.servers_by_pool.get(PoolName(name), {}):
+            _set_adapter_slots(placement.servers[server_id], pool_spec)
     for name, _ in _changes(old.servers, intent.servers):
-        server = world.servers.get(ServerId(name))
+        server = placement.servers.get(ServerId(name))
         if server is not None:
-            refresh_service(world, server)
+            refresh_service(placement, server)
 
 
-def take_declarations(world: World, now: float) -> None:
+def take_declarations(placement: PlacementState, now: float) -> None:
     """System: take changed models and adapters into the tables, within the budget.
 
     Most changes are whole at once; only the first intent of a large fleet takes several runs.
     """
-    for key in list(itertools.islice(world.pending_items, world.config.declaration_budget)):
-        spec = world.pending_items.pop(key)
+    for key in list(itertools.islice(placement.pending_items, placement.config.declaration_budget)):
+        spec = placement.pending_items.pop(key)
         name = key.partition("/")[2]
         if spec is None:
-            _forget(world, key, now)
+            _forget(placement, key, now)
         elif isinstance(spec, ModelSpec):
-            _take_model(world, key, name, spec, now)
+            _take_model(placement, key, name, spec, now)
         else:
-            _take_adapter(world, key, name, spec, now)
+            _take_adapter(placement, key, name, spec, now)
 
 
-def refresh_service(world: World, server: ServerState) -> None:
+def refresh_service(placement: PlacementState, server: ServerState) -> None:
     """Apply drains and evacuations to one server."""
-    spec = world.intent.servers.get(server.server)
-    zone = world.intent.zones.get(server.zone)
+    spec = placement.intent.servers.get(server.server)
+    zone = placement.intent.zones.get(server.zone)
     drained = spec is not None and spec.drained
     evacuated = zone is not None and zone.evacuated
     if (drained, evacuated) == (server.drained, server.zone_evacuated):
@@ -79,19 +79,19 @@
     server.drained = drained
     server.zone_evacuated = evacuated
     if server.in_service:
-        world.capacity_appeared = True
+        placement.capacity_appeared = True
     else:
-        world.draining[server.server] = float("-inf")
-    world.recount_server(server)
+        placement.draining[server.server] = float("-inf")
+    placement.recount_server(server)
 
 
 def _set_adapter_slots(server: ServerState, spec: PoolSpec | None) -> None:
     server.adapter_slots = spec.adapter_slots if spec is not None else 0
 
 
-def set_adapter_slots(world: World, server: ServerState) -> None:
+def set_adapter_slots(placement: PlacementState, server: ServerState) -> None:
     """Give a new server the limit of its pool."""
-    _set_adapter_slots(server, world.intent.pools.get(server.pool))
+    _set_adapter_slots(server, placement.intent.pools.get(server.pool))
 
 
 def _changes(old: Mapping[Any, Any], new: Mapping[Any, Any]) -> list[tuple[Any, Any]]:
@@ -104,18 +104,18 @@
     return changed
 
 
-def _take_store(world: World, name: StoreName, spec: StoreSpec | None) -> None:
-    store = world.stores.get(name)
+def _take_store(placement: PlacementState, name: StoreName, spec: StoreSpec | None) -> None:
+    store = placement.stores.get(name)
     if spec is None:
         # The row stays: pulls from the deleted store may still be running.
         if store is not None:
             store.max_concurrent_loads = 0
         return
     if store is None:
-        world.stores[name] = StoreState(
+        placement.stores[name] = StoreState(
             name, Address(spec.address), spec.bytes_per_second, spec.max_concurrent_loads
         )
-        _set_window(world.stores[name], spec)
+        _set_window(placement.stores[name], spec)
         return
     store.address = Address(spec.address)
     store.bytes_per_second = spec.bytes_per_second
@@ -128,74 +128,80 @@
     store.window_s = spec.window_s
 
 
-def _take_model(world: World, key: ItemKey, name: str, spec: ModelSpec, now: float) -> None:
-    item = world.items.get(key)
+def _take_model(
+    placement: PlacementState, key: ItemKey, name: str, spec: ModelSpec, now: float
+) -> None:
+    item = placement.items.get(key)
     if item is None:
-        item = _new_item(world, key, ItemKind.MODEL, name, now)
-        item.adapters = world.adapters_by_base.setdefault(key, {})
+        item = _new_item(placement, key, ItemKind.MODEL, name, now)
+        item.adapters = placement.adapters_by_base.setdefault(key, {})
     item.weight_bytes = spec.weight_bytes
-    item.kv_bytes = spec.kv_bytes_per_token * world.config.kv_tokens_per_model
+    item.kv_bytes = spec.kv_bytes_per_token * placement.config.kv_tokens_per_model
     item.store = StoreName(spec.store)
     item.pool = PoolName(spec.pool)
     for adapter in item.adapters:
-        world.items[adapter].pool = item.pool
+        placement.items[adapter].pool = item.pool
     item.min_replicas = spec.min_replicas
     item.stake = spec.stake
     item.declared_load_s = spec.load_s
-    _adopt_holders(world, item)
+    _adopt_holders(placement, item)
 
 
-def _take_adapter(world: World, key: ItemKey, name: str, spec: AdapterSpec, now: float) -> None:
-    item = world.items.get(key)
+def _take_adapter(
+    placement: PlacementState, key: ItemKey, name: str, spec: AdapterSpec, now: float
+) -> None:
+    item = placement.items.get(key)
     if item is not None and item.base is not None:
-        world.adapters_by_base[item.base].pop(key, None)
+        placement.adapters_by_base[item.base].pop(key, None)
     if item is None:
-        item = _new_item(world, key, ItemKind.ADAPTER, name, now)
+        item = _new_item(placement, key, ItemKind.ADAPTER, name, now)
     item.weight_bytes = spec.weight_bytes
     item.store = StoreName(spec.store)
     item.base = model_key(spec.base_model)
-    world.adapters_by_base.setdefault(item.base, {})[key] = None
-    base = world.items.get(item.base)
+    placement.adapters_by_base.setdefault(item.base, {})[key] = None
+    base = placement.items.get(item.base)
     if base is not None:
         item.pool = base.pool
-    _adopt_holders(world, item)
+    _adopt_holders(placement, item)
 
 
-def _new_item(world: World, key: ItemKey, kind: ItemKind, name: str, now: float) -> ItemRow:
-    demand = Demand.begin(world.config, now)
+def _new_item(
+    placement: PlacementState, key: ItemKey, kind: ItemKind, name: str, now: float
+) -> ItemRow:
+    demand = Demand.begin(placement.config, now)
     item = ItemRow(key, kind, name, 0, UNDECLARED_STORE, PoolName(""), demand)
-    world.items[key] = item
+    placement.items[key] = item
     return item
 
 
-def _adopt_holders(world: World, item: ItemRow) -> None:
+def _adopt_holders(placement: PlacementState, item: ItemRow) -> None:
     """Link copies that were reported before the item was declared, and count its size."""
-    item.holders.update(dict.fromkeys(world.undeclared.pop(item.key, {})))
+    item.holders.update(dict.fromkeys(placement.undeclared.pop(item.key, {})))
     for server_id in item.holders:
-        server = world.servers[server_id]
-        holding = server.holdings[item.key]
-        world.resize_holding(server, holding, item)
-        world.recount(server, item.key, holding)
-    world.queue_review(item.key)
+        server = placement.servers[server_id]
+        replica = server.replicas[item.key]
+        placement.resize_replica(server, replica, item)
+        placement.recount(server, item.key, replica)
+    placement.queue_review(item.key)
 
 
-def _forget(world: World, key: ItemKey, now: float) -> None:
+def _forget(placement: PlacementState, key: ItemKey, now: float) -> None:
     """Drop a deleted item; its copies stay counted and are unloaded after a grace."""
-    item = world.items.pop(key, None)
+    item = placement.items.pop(key, None)
     if item is None:
         return
     if item.base is not None:
-        world.adapters_by_base[item.base].pop(key, None)
-    world.queued.discard(key)
-    world.unplaced.pop(key, None)
-    forget_item_demand(world, key)
-    world.disk_copies.forget(key)
+        placement.adapters_by_base[item.base].pop(key, None)
+    placement.queued.discard(key)
+    placement.unplaced.pop(key, None)
+    forget_item_demand(placement, key)
+    placement.disk_copies.forget(key)
     for server_id in item.holders:
-        world.servers[server_id].holdings[key].counted_as = CountedAs.NOTHING
-        world.note_undeclared(key, server_id, now)
+        placement.servers[server_id].replicas[key].counted_as = CountedAs.NOTHING
+        placement.note_undeclared(key, server_id, now)
 
 
-def _take_zones(world: World, old: Intent, new: Intent) -> None:
+def _take_zones(placement: PlacementState, old: Intent, new: Intent) -> None:
     for name, _ in _changes(old.zones, new.zones):
-        for server_id in world.servers_by_zone.get(ZoneName(name), {}):
-            refresh_service(world, world.servers[server_id])
+        for server_id in placement.servers_by_zone.get(ZoneName(name), {}):
+            refresh_service(placement, placement.servers[server_id])
--- a/src/zincvale/controlplane/placement/apply_status.py
+++ b/src/zincvale/controlplane/placement/apply_status.py
@@ -23,287 +23,295 @@
     mark_running,
     note_answer,
 )
-from zincvale.controlplane.placement.servers import NEVER, Holding, HoldingState, ServerState
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.servers import NEVER, Replica, ReplicaState, ServerState
+from zincvale.controlplane.placement.state import PlacementState
 from zincvale.model.identifiers import ServerId
 from zincvale.model.resources import PoolKind
 from zincvale.model.view import ServerHealth, ServerRow
 
 
-def take_directory(world: World, event: DirectoryChanged, now: float) -> None:
+def take_directory(placement: PlacementState, event: DirectoryChanged, now: float) -> None:
     """Apply observed rows and departures."""
     for report in event.reports:
         if report.row.kind is PoolKind.LANGUAGE_MODEL:
-            _take_report(world, report, now)
+            _take_report(placement, report, now)
     for server_id in event.gone:
-        _take_gone(world, server_id, now)
+        _take_gone(placement, server_id, now)
 
 
-def _take_report(world: World, report: StatusReport, now: float) -> None:
+def _take_report(placement: PlacementState, report: StatusReport, now: float) -> None:
     row = report.row
-    server = world.servers.get(row.server)
+    server = placement.servers.get(row.server)
     if server is None:
-        server = _new_server(world, row)
+        server = _new_server(placement, row)
     if row.health is ServerHealth.DOWN:
-        _take_down(world, server, now)
+        _take_down(placement, server, now)
         return
     if report.asked_at < server.asked_at:
         return
     server.asked_at = report.asked_at
     if row.incarnation != server.incarnation:
-        _take_incarnation(world, server, row, now)
-    _take_row(world, server, row)
-    _take_holdings(world, server, report, now)
+        _take_incarnation(placement, server, row, now)
+    _take_row(placement, server, row)
+    _apply_replicas(placement, server, report, now)
     if report.is_own_word:
-        note_answer(world, server, report.asked_at, now)
+        note_answer(placement, server, report.asked_at, now)
 
 
-def _new_server(world: World, row: ServerRow) -> ServerState:
+def _new_server(placement: PlacementState, row: ServerRow) -> ServerState:
     server = ServerState(row.server, row.address, row.pool, row.zone)
-    world.servers[row.server] = server
-    world.server_by_address[row.address] = row.server
-    world.servers_by_pool.setdefault(row.pool, {})[row.server] = None
-    world.servers_by_zone.setdefault(row.zone, {})[row.server] = None
-    world.watched[row.server] = None
-    world.capacity_appeared = True
-    refresh_service(world, server)
-    set_adapter_slots(world, server)
+    placement.servers[row.server] = server
+    placement.server_by_address[row.address] = row.server
+    placement.servers_by_pool.setdefault(row.pool, {})[row.server] = None
+    placement.servers_by_zone.setdefault(row.zone, {})[row.server] = None
+    placement.watched[row.server] = None
+    placement.capacity_appeared = True
+    refresh_service(placement, server)
+    set_adapter_slots(placement, server)
     return server
 
 
-def _take_down(world: World, server: ServerState, now: float) -> None:
+def _take_down(placement: PlacementState, server: ServerState, now: float) -> None:
     if server.health is ServerHealth.DOWN:
         return
     server.health = ServerHealth.DOWN
     server.down_since = now
     server.first_answer_at = NEVER
-    world.recount_server(server)
+    placement.recount_server(server)
 
 
-def _take_incarnation(world: World, server: ServerState, row: ServerRow, now: float) -> None:
+def _take_incarnation(
+    placement: PlacementState, server: ServerState, row: ServerRow, now: float
+) -> None:
     """Forget what an earlier incarnation held: its memory died with it.
 
     Orders in flight keep their reservations: the new incarnation may have taken them, or may
     still. Its status, compared next, and later ones tell.
     """
     if server.incarnation:
-        _cancel_pending(world, server, now)
-        for key, holding in list(server.holdings.items()):
-            if _move_in_flight(world, holding) is None:
-                world.remove_holding(server, key)
+        _cancel_pending(placement, server, now)
+        for key, replica in list(server.replicas.items()):
+            if _move_in_flight(placement, replica) is None:
+                placement.remove_replica(server, key)
         server.first_answer_at = NEVER
         server.listing = None
-        server.cold_until = now + world.config.cold_ramp_s
-        world.log(log_events.SERVER_RETURNED_COLD, server=server.server, zone=server.zone)
+        server.cold_until = now + placement.config.cold_ramp_s
+        placement.log(log_events.SERVER_RETURNED_COLD, server=server.server, zone=server.zone)
     elif row.health is ServerHealth.COLD:
-        server.cold_until = now + world.config.cold_ramp_s
+        server.cold_until = now + placement.config.cold_ramp_s
     server.incarnation = row.incarnation
 
 
-def _cancel_pending(world: World, server: ServerState, now: float) -> None:
-    for move_id in list(world.moves_by_server.get(server.server, ())):
-        move = world.moves.get(move_id)
+def _cancel_pending(placement: PlacementState, server: ServerState, now: float) -> None:
+    for move_id in list(placement.moves_by_server.get(server.server, ())):
+        move = placement.moves.get(move_id)
         if move is not None and move.kind is not MoveKind.DRAIN and not move.in_flight:
-            end_move(world, move, MoveState.CANCELLED, "the server restarted", now)
+            end_move(placement, move, MoveState.CANCELLED, "the server restarted", now)
 
 
-def _take_row(world: World, server: ServerState, row: ServerRow) -> None:
+def _take_row(placement: PlacementState, server: ServerState, row: ServerRow) -> None:
     server.running = row.running
     if row.closing and not _marked_closing(server):
         # Left over from an earlier leader.
-        world.changed_closing[server.server] = None
+        placement.changed_closing[server.server] = None
     server.max_running = row.max_running
     if row.address != server.address:
-        _forget_address(world, server)
+        _forget_address(placement, server)
         server.address = row.address
-        world.server_by_address[row.address] = row.server
+        placement.server_by_address[row.address] = row.server
     if (row.pool, row.zone) != (server.pool, server.zone):
-        _move_server(world, server, row)
+        _move_server(placement, server, row)
     if row.memory_bytes != server.memory_bytes:
         server.memory_bytes = row.memory_bytes
-        world.index_free(server)
+        placement.index_free(server)
     if row.health is not server.health:
         server.health = row.health
-        world.capacity_appeared = True
-        world.recount_server(server)
+        placement.capacity_appeared = True
+        placement.recount_server(server)
 
 
 def _marked_closing(server: ServerState) -> bool:
-    return any(holding.closing for holding in server.holdings.values())
+    return any(replica.closing for replica in server.replicas.values())
 
 
-def _move_server(world: World, server: ServerState, row: ServerRow) -> None:
-    world.unindex_free(server)
-    world.servers_by_pool[server.pool].pop(server.server, None)
-    world.servers_by_zone[server.zone].pop(server.server, None)
+def _move_server(placement: PlacementState, server: ServerState, row: ServerRow) -> None:
+    placement.unindex_free(server)
+    placement.servers_by_pool[server.pool].pop(server.server, None)
+    placement.servers_by_zone[server.zone].pop(server.server, None)
     server.pool = row.pool
     server.zone = row.zone
-    world.servers_by_pool.setdefault(row.pool, {})[row.server] = None
-    world.servers_by_zone.setdefault(row.zone, {})[row.server] = None
-    world.index_free(server)
-    refresh_service(world, server)
+    placement.servers_by_pool.setdefault(row.pool, {})[row.server] = None
+    placement.servers_by_zone.setdefault(row.zone, {})[row.server] = None
+    placement.index_free(server)
+    refresh_service(placement, server)
 
 
-def _take_holdings(world: World, server: ServerState, report: StatusReport, now: float) -> None:
+def _apply_replicas(
+    placement: PlacementState, server: ServerState, report: StatusReport, now: float
+) -> None:
     row = report.row
     listing = (row.models, row.adapters, row.loading, report.unloading)
-    if listing != server.listing or world.moves_by_server.get(server.server):
+    if listing != server.listing or placement.moves_by_server.get(server.server):
         server.listing = listing
-        _compare_holdings(world, server, report, now)
+        _compare_replicas(placement, server, report, now)
     unexplained = max(row.used_bytes - server.listed_bytes, 0)
     if unexplained != server.unexplained_bytes:
         server.unexplained_bytes = unexplained
-        world.index_free(server)
+        placement.index_free(server)
 
 
-def _compare_holdings(world: World, server: ServerState, report: StatusReport, now: float) -> None:
-    shown = _shown_states(world, report)
+def _compare_replicas(
+    placement: PlacementState, server: ServerState, report: StatusReport, now: float
+) -> None:
+    shown = _shown_states(placement, report)
     for key, state in shown.items():
-        holding = server.holdings.get(key)
-        if holding is None:
-            _found(world, server, key, state, now)
+        replica = server.replicas.get(key)
+        if replica is None:
+            _found(placement, server, key, state, now)
         else:
-            _confirm(world, server, key, holding, state, report.asked_at, now)
-    if len(server.holdings) > len(shown):
-        for key in [key for key in server.holdings if key not in shown]:
-            _missing(world, server, key, report.asked_at, now)
-    held = [server.holdings[key] for key in shown if key in server.holdings]
-    server.listed_bytes = sum(holding.item_bytes for holding in held)
+            _confirm(placement, server, key, replica, state, report.asked_at, now)
+    if len(server.replicas) > len(shown):
+        for key in [key for key in server.replicas if key not in shown]:
+            _missing(placement, server, key, report.asked_at, now)
+    held = [server.replicas[key] for key in shown if key in server.replicas]
+    server.listed_bytes = sum(replica.item_bytes for replica in held)
 
 
-def _shown_states(world: World, report: StatusReport) -> dict[ItemKey, HoldingState]:
+def _shown_states(placement: PlacementState, report: StatusReport) -> dict[ItemKey, ReplicaState]:
     row = report.row
-    shown: dict[ItemKey, HoldingState] = {}
+    shown: dict[ItemKey, ReplicaState] = {}
     for model in sorted(row.models):
-        shown[model_key(model)] = HoldingState.LOADED
+        shown[model_key(model)] = ReplicaState.LOADED
     for adapter in sorted(row.adapters):
-        shown[adapter_key(adapter)] = HoldingState.LOADED
+        shown[adapter_key(adapter)] = ReplicaState.LOADED
     for names, state in (
-        (row.loading, HoldingState.LOADING),
-        (report.unloading, HoldingState.UNLOADING),
+        (row.loading, ReplicaState.LOADING),
+        (report.unloading, ReplicaState.UNLOADING),
     ):
         for name in sorted(names):
-            key = _key_of(world, name)
+            key = _key_of(placement, name)
             if key is not None:
                 shown[key] = state
     return shown
 
 
-def _key_of(world: World, name: str) -> ItemKey | None:
+def _key_of(placement: PlacementState, name: str) -> ItemKey | None:
     for key in (model_key(name), adapter_key(name)):
-        if key in world.items:
+        if key in placement.items:
             return key
     return None
 
 
 def _found(
-    world: World, server: ServerState, key: ItemKey, state: HoldingState, now: float
+    placement: PlacementState, server: ServerState, key: ItemKey, state: ReplicaState, now: float
 ) -> None:
     """Count a copy that the tables did not have."""
-    item = world.items.get(key)
+    item = placement.items.get(key)
     if item is None:
-        world.note_undeclared(key, server.server, now)
-        world.add_holding(server, key, Holding(state, 0, 0, now))
+        placement.note_undeclared(key, server.server, now)
+        placement.add_replica(server, key, Replica(state, 0, 0, now))
         return
-    holding = Holding(state, item.weight_bytes, item.kv_bytes, now)
-    world.add_holding(server, key, holding)
-    if state is HoldingState.LOADING:
-        adopt_load(world, server, item, holding, now)
+    replica = Replica(state, item.weight_bytes, item.kv_bytes, now)
+    placement.add_replica(server, key, replica)
+    if state is ReplicaState.LOADING:
+        adopt_load(placement, server, item, replica, now)
 
 
 def _confirm(
-    world: World,
+    placement: PlacementState,
     server: ServerState,
     key: ItemKey,
-    holding: Holding,
-    state: HoldingState,
+    replica: Replica,
+    state: ReplicaState,
     asked_at: float,
     now: float,
 ) -> None:
     """Handle a copy that the tables have and the status shows."""
-    move = _move_in_flight(world, holding)
+    move = _move_in_flight(placement, replica)
     if move is None:
-        _take_state(world, server, key, holding, state, now)
+        _take_state(placement, server, key, replica, state, now)
         return
     if asked_at < move.start_at:
         return
     if move.kind is MoveKind.LOAD:
-        confirm_load(world, move, holding, state, now)
+        confirm_load(placement, move, replica, state, now)
         return
-    if state is HoldingState.UNLOADING:
-        mark_running(world, move, now)
+    if state is ReplicaState.UNLOADING:
+        mark_running(placement, move, now)
     else:
-        contradict(world, move, holding, asked_at, now)
+        contradict(placement, move, replica, asked_at, now)
 
 
 def _take_state(
-    world: World,
+    placement: PlacementState,
     server: ServerState,
     key: ItemKey,
-    holding: Holding,
-    state: HoldingState,
+    replica: Replica,
+    state: ReplicaState,
     now: float,
 ) -> None:
     """Follow a state that no order of this process explains."""
-    if state is holding.state:
+    if state is replica.state:
         return
-    world.set_state(server, key, holding, state)
-    holding.since = now
-    world.queue_review(key)
-    item = world.items.get(key)
-    if state is HoldingState.LOADING and item is not None:
-        adopt_load(world, server, item, holding, now)
+    placement.set_state(server, key, replica, state)
+    replica.since = now
+    placement.queue_review(key)
+    item = placement.items.get(key)
+    if state is ReplicaState.LOADING and item is not None:
+        adopt_load(placement, server, item, replica, now)
 
 
-def _missing(world: World, server: ServerState, key: ItemKey, asked_at: float, now: float) -> None:
+def _missing(
+    placement: PlacementState, server: ServerState, key: ItemKey, asked_at: float, now: float
+) -> None:
     """Handle a copy that the tables have and the status does not show."""
-    holding = server.holdings[key]
-    move = _move_in_flight(world, holding)
+    replica = server.replicas[key]
+    move = _move_in_flight(placement, replica)
     if move is None:
-        if world.config.confirms_orders and NEVER < asked_at < holding.since:
+        if placement.config.confirms_orders and NEVER < asked_at < replica.since:
             # The end of the load was learned another way, after the status was taken.
             return
-        pending = world.moves.get(holding.move) if holding.move is not None else None
+        pending = placement.moves.get(replica.move) if replica.move is not None else None
         if pending is not None:
-            end_move(world, pending, MoveState.CANCELLED, "the server no longer holds it", now)
-        world.remove_holding(server, key)
+            end_move(placement, pending, MoveState.CANCELLED, "the server no longer holds it", now)
+        placement.remove_replica(server, key)
         return
     if asked_at < move.start_at:
         return
     if move.kind is MoveKind.UNLOAD:
-        end_move(world, move, MoveState.DONE, "observed", now)
+        end_move(placement, move, MoveState.DONE, "observed", now)
         return
-    contradict(world, move, holding, asked_at, now)
+    contradict(placement, move, replica, asked_at, now)
 
 
-def _move_in_flight(world: World, holding: Holding) -> Move | None:
-    if holding.move is None:
+def _move_in_flight(placement: PlacementState, replica: Replica) -> Move | None:
+    if replica.move is None:
         return None
-    move = world.moves.get(holding.move)
+    move = placement.moves.get(replica.move)
     if move is None or not move.in_flight:
         return None
     return move
 
 
-def _take_gone(world: World, server_id: ServerId, now: float) -> None:
-    server = world.servers.get(server_id)
+def _take_gone(placement: PlacementState, server_id: ServerId, now: float) -> None:
+    server = placement.servers.get(server_id)
     if server is None:
         return
-    linger_loads_of(world, server, now)
-    fail_moves_of(world, server, "the server left the directory", now)
-    for key in list(server.holdings):
-        world.remove_holding(server, key)
-    world.unindex_free(server)
-    _forget_address(world, server)
-    world.servers_by_pool[server.pool].pop(server_id, None)
-    world.servers_by_zone[server.zone].pop(server_id, None)
-    world.moves_by_server.pop(server_id, None)
-    world.watched.pop(server_id, None)
-    world.draining.pop(server_id, None)
-    del world.servers[server_id]
-    world.log(log_events.SERVER_GONE, server=server_id, zone=server.zone)
-
-
-def _forget_address(world: World, server: ServerState) -> None:
-    if world.server_by_address.get(server.address) == server.server:
-        del world.server_by_address[server.address]
+    linger_loads_of(placement, server, now)
+    fail_moves_of(placement, server, "the server left the directory", now)
+    for key in list(server.replicas):
+        placement.remove_replica(server, key)
+    placement.unindex_free(server)
+    _forget_address(placement, server)
+    placement.servers_by_pool[server.pool].pop(server_id, None)
+    placement.servers_by_zone[server.zone].pop(server_id, None)
+    placement.moves_by_server.pop(server_id, None)
+    placement.watched.pop(server_id, None)
+    placement.draining.pop(server_id, None)
+    del placement.servers[server_id]
+    placement.log(log_events.SERVER_GONE, server=server_id, zone=server.zone)
+
+
+def _forget_address(placement: PlacementState, server: ServerState) -> None:
+    if placement.server_by_address.get(server.address) == server.server:
+        del placement.server_by_address[server.address]
--- a/src/zincvale/controlplane/placement/choose_server.py
+++ b/src/zincvale/controlplane/placement/choose_server.py
@@ -9,8 +9,8 @@
 from zincvale.controlplane.placement.eviction import NO_EVICTION, Eviction, Space, find_eviction
 from zincvale.controlplane.placement.items import ItemKind, ItemRow
 from zincvale.controlplane.placement.replica_value import expected_rate
-from zincvale.controlplane.placement.servers import HoldingState, ServerState
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.servers import ReplicaState, ServerState
+from zincvale.controlplane.placement.state import PlacementState
 from zincvale.model.identifiers import ServerId, ZoneName
 
 SOONER_PART = 0.7
@@ -33,31 +33,36 @@
     eviction: Eviction
 
 
-def choose_server(world: World, space: Space, spread_first: bool, now: float) -> Choice | None:
+def choose_server(
+    placement: PlacementState, space: Space, spread_first: bool, now: float
+) -> Choice | None:
     """Return the best server for one more copy of an item, or None when none can hold it.
 
     Servers with room come first, and among them other zones than those of present copies, servers
     that are not loading, and those whose models are asked for least. With `spread_first` another
     zone comes before room. Raises `AllServersBusyError` when servers could take it, but not soon.
     """
-    return _best(world, space, _free_to_load(world, space.item, now), spread_first, now)
+    return _best(placement, space, _free_to_load(placement, space.item, now), spread_first, now)
 
 
-def choose_by_disk(world: World, space: Space, now: float) -> Choice | None:
+def choose_by_disk(placement: PlacementState, space: Space, now: float) -> Choice | None:
     """Return the best of the servers that hold the item's weights on their own disk, if any can.
 
     None when a load from there is not clearly sooner than one from the store. Raises
     `AllServersBusyError` when such a server is loading, and waiting for its end is still sooner.
     """
     item = space.item
-    known = _on_disk(world, item, now)
-    from_store_s = world.expected_load_s(item)
-    if not known or world.expected_load_s(item, known[0]) > from_store_s * SOONER_PART:
+    known = _on_disk(placement, item, now)
+    from_store_s = placement.expected_load_s(item)
+    if not known or placement.expected_load_s(item, known[0]) > from_store_s * SOONER_PART:
         return None
-    free = [server for server in known if _pending(server) < server.load_slots(world.config, now)]
-    choice = _best(world, space, free, False, now)
+    free = [
+        server for server in known if _pending(server) < server.load_slots(placement.config, now)
+    ]
+    choice = _best(placement, space, free, False, now)
     if choice is None and any(
-        _busy_until(world, server, now) - now + world.expected_load_s(item, server) < from_store_s
+        _busy_until(placement, server, now) - now + placement.expected_load_s(item, server)
+        < from_store_s
         for server in known
         if server not in free
     ):
@@ -65,55 +70,67 @@
     return choice
 
 
-def _on_disk(world: World, item: ItemRow, now: float) -> list[ServerState]:
+def _on_disk(placement: PlacementState, item: ItemRow, now: float) -> list[ServerState]:
     servers = []
-    for address in world.disk_copies.addresses(item.key):
-        server = world.servers.get(world.server_by_address.get(address, NO_SERVER))
-        if server is None or server.pool != item.pool or not _may_take(world, item, server, now):
+    for address in placement.disk_copies.addresses(item.key):
+        server = placement.servers.get(placement.server_by_address.get(address, NO_SERVER))
+        if (
+            server is None
+            or server.pool != item.pool
+            or not _may_take(placement, item, server, now)
+        ):
             continue
         servers.append(server)
     return servers
 
 
-def _busy_until(world: World, server: ServerState, now: float) -> float:
+def _busy_until(placement: PlacementState, server: ServerState, now: float) -> float:
     """Return when what is planned or under way on the server should be over."""
-    moves = (world.moves[move] for move in world.moves_by_server.get(server.server, ()))
+    moves = (placement.moves[move] for move in placement.moves_by_server.get(server.server, ()))
     return max((move.expected_end for move in moves), default=now)
 
 
 def _best(
-    world: World, space: Space, candidates: list[ServerState], spread_first: bool, now: float
+    placement: PlacementState,
+    space: Space,
+    candidates: list[ServerState],
+    spread_first: bool,
+    now: float,
 ) -> Choice | None:
     item = space.item
-    zones = _zones_of_copies(world, item)
-    roomy = [server for server in candidates if space.fits(world, server)]
+    zones = _zones_of_copies(placement, item)
+    roomy = [server for server in candidates if space.fits(placement, server)]
     if roomy and not spread_first:
-        return Choice(_least(world, roomy, zones, now), NO_EVICTION)
+        return Choice(_least(placement, roomy, zones, now), NO_EVICTION)
     best: tuple[tuple[float, ...], Choice] | None = None
-    for server in _sample(world, candidates, EVICTION_SAMPLE):
-        eviction = find_eviction(world, server, space, now)
+    for server in _sample(placement, candidates, EVICTION_SAMPLE):
+        eviction = find_eviction(placement, server, space, now)
         if eviction is None:
             continue
         score = (
             float(zones.get(server.zone, 0)) if spread_first else 0.0,
             eviction.cost,
-            *_preference(world, server, zones, now),
+            *_preference(placement, server, zones, now),
         )
         if best is None or score < best[0]:
             best = (score, Choice(server, eviction))
     return best[1] if best is not None else None
 
 
-def _free_to_load(world: World, item: ItemRow, now: float) -> list[ServerState]:
+def _free_to_load(placement: PlacementState, item: ItemRow, now: float) -> list[ServerState]:
     """Return the servers that may take the load, and soon.
 
     A load is bound to a server late, so that it does not queue at one while another is free.
     Adapters go where their base is, and are short.
     """
-    able = [server for server in _candidates(world, item) if _may_take(world, item, server, now)]
+    able = [
+        server for server in _candidates(placement, item) if _may_take(placement, item, server, now)
+    ]
     if item.kind is ItemKind.ADAPTER:
         return able
-    free = [server for server in able if _pending(server) < server.load_slots(world.config, now)]
+    free = [
+        server for server in able if _pending(server) < server.load_slots(placement.config, now)
+    ]
     if able and not free:
         raise AllServersBusyError
     return free
@@ -124,86 +141,86 @@
 
 
 def _least(
-    world: World, servers: list[ServerState], zones: dict[ZoneName, int], now: float
+    placement: PlacementState, servers: list[ServerState], zones: dict[ZoneName, int], now: float
 ) -> ServerState:
     if len(servers) > SHORTLIST:
-        servers = sorted(servers, key=lambda server: _rough_preference(world, server, zones))
-    return min(servers[:SHORTLIST], key=lambda server: _preference(world, server, zones, now))
+        servers = sorted(servers, key=lambda server: _rough_preference(placement, server, zones))
+    return min(servers[:SHORTLIST], key=lambda server: _preference(placement, server, zones, now))
 
 
 def _rough_preference(
-    world: World, server: ServerState, zones: dict[ZoneName, int]
+    placement: PlacementState, server: ServerState, zones: dict[ZoneName, int]
 ) -> tuple[float, ...]:
     return (
         float(zones.get(server.zone, 0)),
         float(_pending(server)),
-        world.random.random(),
+        placement.random.random(),
     )
 
 
 def _preference(
-    world: World, server: ServerState, zones: dict[ZoneName, int], now: float
+    placement: PlacementState, server: ServerState, zones: dict[ZoneName, int], now: float
 ) -> tuple[float, ...]:
-    zone_copies, busy, tie = _rough_preference(world, server, zones)
-    asked_for = _asked_for(world, server, now)
-    free_bytes = float(server.free_planned_bytes(world.config, 0))
+    zone_copies, busy, tie = _rough_preference(placement, server, zones)
+    asked_for = _asked_for(placement, server, now)
+    free_bytes = float(server.free_planned_bytes(placement.config, 0))
     return (zone_copies, busy, asked_for, -free_bytes, tie)
 
 
-def _asked_for(world: World, server: ServerState, now: float) -> float:
+def _asked_for(placement: PlacementState, server: ServerState, now: float) -> float:
     """Return the request rate of the server's models, shared among their copies."""
     total = 0.0
-    for key in server.holdings:
-        item = world.items.get(key)
+    for key in server.replicas:
+        item = placement.items.get(key)
         if item is not None and item.kind is ItemKind.MODEL:
-            total += expected_rate(world, item, now) / max(len(item.holders), 1)
+            total += expected_rate(placement, item, now) / max(len(item.holders), 1)
     return total
 
 
-def _candidates(world: World, item: ItemRow) -> Iterable[ServerState]:
+def _candidates(placement: PlacementState, item: ItemRow) -> Iterable[ServerState]:
     if item.base is not None:
-        return _candidates_beside(world, item)
-    pool = world.servers_by_pool.get(item.pool, {})
-    if len(pool) <= world.config.candidate_sample:
-        return [world.servers[server] for server in pool]
-    return _sampled_pool(world, item)
+        return _candidates_beside(placement, item)
+    pool = placement.servers_by_pool.get(item.pool, {})
+    if len(pool) <= placement.config.candidate_sample:
+        return [placement.servers[server] for server in pool]
+    return _sampled_pool(placement, item)
 
 
-def _candidates_beside(world: World, adapter: ItemRow) -> list[ServerState]:
-    base = world.items.get(adapter.base) if adapter.base is not None else None
+def _candidates_beside(placement: PlacementState, adapter: ItemRow) -> list[ServerState]:
+    base = placement.items.get(adapter.base) if adapter.base is not None else None
     if base is None:
         return []
     servers = []
     for server_id in base.holders:
-        server = world.servers[server_id]
-        holding = server.holdings[base.key]
-        if holding.state is not HoldingState.UNLOADING and not holding.closing:
+        server = placement.servers[server_id]
+        replica = server.replicas[base.key]
+        if replica.state is not ReplicaState.UNLOADING and not replica.closing:
             servers.append(server)
-    return _sample(world, servers, world.config.candidate_sample)
+    return _sample(placement, servers, placement.config.candidate_sample)
 
 
-def _sampled_pool(world: World, item: ItemRow) -> list[ServerState]:
+def _sampled_pool(placement: PlacementState, item: ItemRow) -> list[ServerState]:
     """Return the servers with most free memory and some at random."""
-    by_free = world.free_index(item.pool)
+    by_free = placement.free_index(item.pool)
     count = len(by_free)
     chosen: dict[ServerId, None] = {}
     for _, server_id in by_free[-LARGEST_FREE_SAMPLE:]:
         chosen[server_id] = None
-    for _ in range(world.config.candidate_sample):
-        chosen[by_free[world.random.randrange(count)][1]] = None
-    return [world.servers[server] for server in chosen]
+    for _ in range(placement.config.candidate_sample):
+        chosen[by_free[placement.random.randrange(count)][1]] = None
+    return [placement.servers[server] for server in chosen]
 
 
-def _sample(world: World, servers: list[ServerState], limit: int) -> list[ServerState]:
+def _sample(placement: PlacementState, servers: list[ServerState], limit: int) -> list[ServerState]:
     if len(servers) <= limit:
         return servers
-    return world.random.sample(servers, limit)
+    return placement.random.sample(servers, limit)
 
 
-def _may_take(world: World, item: ItemRow, server: ServerState, now: float) -> bool:
-    if not server.serving or server.settled_epoch != world.leadership.epoch:
+def _may_take(placement: PlacementState, item: ItemRow, server: ServerState, now: float) -> bool:
+    if not server.serving or server.settled_epoch != placement.leadership.epoch:
         return False
-    if server.server in item.planned or item.key in server.holdings:
+    if server.server in item.planned or item.key in server.replicas:
         return False
     barred_until = server.barred_until.get(item.key)
     if barred_until is not None:
@@ -213,10 +230,10 @@
     return server.memory_bytes > 0
 
 
-def _zones_of_copies(world: World, item: ItemRow) -> dict[ZoneName, int]:
+def _zones_of_copies(placement: PlacementState, item: ItemRow) -> dict[ZoneName, int]:
     zones: dict[ZoneName, int] = {}
     for server_id in (*item.holders, *item.planned):
-        server = world.servers[server_id]
+        server = placement.servers[server_id]
         if server.serving:
             zones[server.zone] = zones.get(server.zone, 0) + 1
     return zones
--- a/src/zincvale/controlplane/placement/controller.py
+++ b/src/zincvale/controlplane/placement/controller.py
@@ -45,10 +45,10 @@
 from zincvale.controlplane.placement.plan_unloads import unload_undeclared
 from zincvale.controlplane.placement.prefetch import prefetch
 from zincvale.controlplane.placement.publication import publish_changes, trim_history
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.state import PlacementState
 from zincvale.model.machine import ClockJumped, Tick
 
-System = Callable[[World, float], None]
+System = Callable[[PlacementState, float], None]
 
 SYSTEMS: tuple[System, ...] = (
     expire_leadership,
@@ -80,14 +80,14 @@
     """
 
     def __init__(self, random_source: random.Random, config: PlacementConfig) -> None:
-        self.world = World(config, random_source)
+        self.state = PlacementState(config, random_source)
         self._run_at = float("-inf")
 
     def handle(self, event: Input, now: float) -> list[Effect]:
         """Apply one input and return what to do, in order."""
         self._apply(event, now)
-        effects = self.world.effects
-        self.world.effects = []
+        effects = self.state.effects
+        self.state.effects = []
         return effects
 
     def _apply(self, event: Input, now: float) -> None:
@@ -95,28 +95,28 @@
             case Tick():
                 self._tick(now)
             case DirectoryChanged():
-                take_directory(self.world, event, now)
+                take_directory(self.state, event, now)
             case DemandReported():
-                take_demand(self.world, event, now)
+                take_demand(self.state, event, now)
             case OrderAccepted(order_id, done):
-                take_accepted(self.world, order_id, done, now)
+                take_accepted(self.state, order_id, done, now)
                 if done:
                     # A load may have waited for the room that an unload just left.
-                    order_loads(self.world, now)
+                    order_loads(self.state, now)
             case OrderRefused(order_id, why):
-                take_refused(self.world, order_id, why, now)
+                take_refused(self.state, order_id, why, now)
             case OrderUnknown(order_id):
-                take_unknown(self.world, order_id)
+                take_unknown(self.state, order_id)
             case IntentChanged(intent):
-                take_intent(self.world, intent, now)
+                take_intent(self.state, intent, now)
             case LeaderGained():
-                take_leadership(self.world, event, now)
+                take_leadership(self.state, event, now)
             case LeaderLost() | ClockJumped():
-                give_up_leadership(self.world, now)
+                give_up_leadership(self.state, now)
 
     def _tick(self, now: float) -> None:
         if now < self._run_at:
             return
-        self._run_at = now + self.world.config.plan_interval_s
+        self._run_at = now + self.state.config.plan_interval_s
         for system in SYSTEMS:
-            system(self.world, now)
+            system(self.state, now)
--- a/src/zincvale/controlplane/placement/desired_replicas.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -8,7 +8,7 @@
 from zincvale.controlplane.placement.items import ItemKind, ItemRow
 from zincvale.controlplane.placement.moves import URGENCY_BY_REASON, MoveReason
 from zincvale.controlplane.placement.replica_value import is_missed, item_value, need
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.state import PlacementState
 
 PRESSURE_PATIENCE_S = 1.0
 URGENT_REVIEW_S = 1.0
@@ -18,78 +18,80 @@
 DAILY_CHANGE_FACTOR = 2.0
 
 
-def review_items(world: World, now: float) -> None:
+def review_items(placement: PlacementState, now: float) -> None:
     """System: look at the items that changed or whose review is due, within the budget."""
-    _queue_due(world, now)
-    _queue_unplaced(world, now)
-    _queue_daily_change(world, now)
-    for _ in range(min(len(world.review_queue), world.config.review_budget)):
-        key = world.review_queue.popleft()
-        world.queued.discard(key)
-        item = world.items.get(key)
+    _queue_due(placement, now)
+    _queue_unplaced(placement, now)
+    _queue_daily_change(placement, now)
+    for _ in range(min(len(placement.review_queue), placement.config.review_budget)):
+        key = placement.review_queue.popleft()
+        placement.queued.discard(key)
+        item = placement.items.get(key)
         if item is not None:
-            _review(world, item, now)
+            _review(placement, item, now)
 
 
-def _queue_due(world: World, now: float) -> None:
-    timers = world.review_timers
+def _queue_due(placement: PlacementState, now: float) -> None:
+    timers = placement.review_timers
     while timers and timers[0][0] <= now:
         at, key = heapq.heappop(timers)
-        item = world.items.get(key)
+        item = placement.items.get(key)
         if item is not None and item.review_at == at:
             item.review_at = math.inf
-            world.queue_review(key)
+            placement.queue_review(key)
 
 
-def _queue_unplaced(world: World, now: float) -> None:
+def _queue_unplaced(placement: PlacementState, now: float) -> None:
     """Look again at what found no server, after servers came or settled."""
-    if not world.capacity_appeared or now < world.unplaced_queued_at + UNPLACED_INTERVAL_S:
+    if not placement.capacity_appeared or now < placement.unplaced_queued_at + UNPLACED_INTERVAL_S:
         return
-    world.capacity_appeared = False
-    world.unplaced_queued_at = now
-    for key in world.unplaced:
-        world.items[key].place_after = now
-        world.queue_review(key)
-    world.unplaced.clear()
+    placement.capacity_appeared = False
+    placement.unplaced_queued_at = now
+    for key in placement.unplaced:
+        placement.items[key].place_after = now
+        placement.queue_review(key)
+    placement.unplaced.clear()
 
 
-def _queue_daily_change(world: World, now: float) -> None:
+def _queue_daily_change(placement: PlacementState, now: float) -> None:
     """Look at everything with a history before each part of the day begins."""
-    bucket = int((now + world.config.lookahead_s) / world.config.bucket_s)
-    if bucket == world.profile_bucket:
+    bucket = int((now + placement.config.lookahead_s) / placement.config.bucket_s)
+    if bucket == placement.profile_bucket:
         return
-    world.profile_bucket = bucket
-    for key, item in world.items.items():
+    placement.profile_bucket = bucket
+    for key, item in placement.items.items():
         if item.demand.profile is not None:
-            world.queue_review(key)
+            placement.queue_review(key)
 
 
-def _review(world: World, item: ItemRow, now: float) -> None:
+def _review(placement: PlacementState, item: ItemRow, now: float) -> None:
     serving = item.serving
-    coming = world.coming_copies(item)
+    coming = placement.coming_copies(item)
     if item.kind is ItemKind.MODEL:
-        item.wanted = _wanted_models(world, item, serving, coming, now)
+        item.wanted = _wanted_models(placement, item, serving, coming, now)
     else:
-        item.wanted = _wanted_adapters(world, item, now)
+        item.wanted = _wanted_adapters(placement, item, now)
     if serving + coming < item.wanted:
-        _note_shortage(world, item, serving, coming, now)
-    _plan_next_review(world, item, serving, now)
+        _note_shortage(placement, item, serving, coming, now)
+    _plan_next_review(placement, item, serving, now)
 
 
-def _plan_next_review(world: World, item: ItemRow, serving: int, now: float) -> None:
+def _plan_next_review(placement: PlacementState, item: ItemRow, serving: int, now: float) -> None:
     if item.waiting:
-        world.review_later(item, now + URGENT_REVIEW_S)
+        placement.review_later(item, now + URGENT_REVIEW_S)
     elif item.wanted or serving:
-        world.review_later(item, now + world.config.review_interval_s)
+        placement.review_later(item, now + placement.config.review_interval_s)
 
 
-def _wanted_models(world: World, item: ItemRow, serving: int, coming: int, now: float) -> int:
-    pressure = _pressure(world, item, serving)
+def _wanted_models(
+    placement: PlacementState, item: ItemRow, serving: int, coming: int, now: float
+) -> int:
+    pressure = _pressure(placement, item, serving)
     # A crowd that waits for the first copy says little about how many it will keep busy.
     present = item.running + (pressure if serving else 0)
-    _follow_concurrency(world, item, present, now)
-    slots = _slots_per_copy(world, item)
-    config = world.config
+    _follow_concurrency(placement, item, present, now)
+    slots = _slots_per_copy(placement, item)
+    config = placement.config
     by_load = math.ceil(item.concurrency / (slots * config.target_utilization))
     if by_load < item.wanted:
         # Hysteresis: the last copy goes only when the others would stay well below the target.
@@ -99,21 +101,24 @@
     if pressed and coming == 0 and not config.crowds_count_as_waiting:
         by_load = max(by_load, serving + 1)
     wanted = max(
-        item.min_replicas, by_load, _single_copy(world, item), _for_adapters(world, item, now)
+        item.min_replicas,
+        by_load,
+        _single_copy(placement, item),
+        _for_adapters(placement, item, now),
     )
-    servers = len(world.servers_by_pool.get(item.pool, ()))
+    servers = len(placement.servers_by_pool.get(item.pool, ()))
     if wanted > servers:
         # Looked at again when servers of the pool appear.
-        world.unplaced[item.key] = None
+        placement.unplaced[item.key] = None
     return min(wanted, servers)
 
 
-def _for_adapters(world: World, item: ItemRow, now: float) -> int:
+def _for_adapters(placement: PlacementState, item: ItemRow, now: float) -> int:
     """Return the copies that have room for the adapters asked for lately."""
-    pool = world.intent.pools.get(item.pool)
-    if not world.config.adapters_add_copies or pool is None or not pool.adapter_slots:
+    pool = placement.intent.pools.get(item.pool)
+    if not placement.config.adapters_add_copies or pool is None or not pool.adapter_slots:
         return 0
-    asked_for = sum(1 for key in item.adapters if _is_asked_for(world.items[key], now))
+    asked_for = sum(1 for key in item.adapters if _is_asked_for(placement.items[key], now))
     return math.ceil(asked_for / pool.adapter_slots)
 
 
@@ -122,93 +127,97 @@
     return bool(adapter.waiting or adapter.running or adapter.demand.is_recent(now))
 
 
-def _wanted_adapters(world: World, item: ItemRow, now: float) -> int:
-    base = world.items.get(item.base) if item.base is not None else None
+def _wanted_adapters(placement: PlacementState, item: ItemRow, now: float) -> int:
+    base = placement.items.get(item.base) if item.base is not None else None
     if base is None:
         return 0
-    base_copies = base.serving + world.coming_copies(base)
+    base_copies = base.serving + placement.coming_copies(base)
     if base_copies == 0:
         return 0
-    _follow_concurrency(world, item, item.running + item.waiting, now)
-    slots = _slots_per_copy(world, base)
-    wanted = math.ceil(item.concurrency / (slots * world.config.target_utilization))
+    _follow_concurrency(placement, item, item.running + item.waiting, now)
+    slots = _slots_per_copy(placement, base)
+    wanted = math.ceil(item.concurrency / (slots * placement.config.target_utilization))
     if item.demand.slow_rate(now) >= BUSY_ADAPTER_RATE_PER_S:
         wanted = max(wanted, base.min_replicas)
-    wanted = max(wanted, _single_copy(world, item))
+    wanted = max(wanted, _single_copy(placement, item))
     return min(wanted, base_copies)
 
 
-def _single_copy(world: World, item: ItemRow) -> int:
+def _single_copy(placement: PlacementState, item: ItemRow) -> int:
     """Return 1 when one copy is worth having as far as memory allows."""
     if item.waiting or item.demand.profile is not None:
         return 1
-    return 1 if world.config.fill_free_memory and item.kind is ItemKind.MODEL else 0
+    return 1 if placement.config.fill_free_memory and item.kind is ItemKind.MODEL else 0
 
 
-def _pressure(world: World, item: ItemRow, serving: int) -> int:
+def _pressure(placement: PlacementState, item: ItemRow, serving: int) -> int:
     """Return waiting requests that more copies of the model would help."""
     if serving == 0:
         return item.waiting
     waiting_for_adapters = 0
     for key in item.adapters:
-        adapter = world.items[key]
+        adapter = placement.items[key]
         if adapter.waiting and adapter.serving == 0:
             waiting_for_adapters += adapter.waiting
     return max(item.waiting - waiting_for_adapters, 0)
 
 
-def _follow_concurrency(world: World, item: ItemRow, present: int, now: float) -> None:
+def _follow_concurrency(placement: PlacementState, item: ItemRow, present: int, now: float) -> None:
     elapsed = max(now - item.concurrency_at, 0.0)
-    weight = 1.0 - math.exp(-elapsed / world.config.concurrency_time_s)
+    weight = 1.0 - math.exp(-elapsed / placement.config.concurrency_time_s)
     item.concurrency += weight * (present - item.concurrency)
     item.concurrency_at = now
 
 
-def _slots_per_copy(world: World, item: ItemRow) -> int:
-    pool = world.intent.pools.get(item.pool)
+def _slots_per_copy(placement: PlacementState, item: ItemRow) -> int:
+    pool = placement.intent.pools.get(item.pool)
     if pool is not None and pool.max_concurrent_per_server > 0:
         return pool.max_concurrent_per_server
     return DEFAULT_SLOTS
 
 
-def _note_shortage(world: World, item: ItemRow, serving: int, coming: int, now: float) -> None:
+def _note_shortage(
+    placement: PlacementState, item: ItemRow, serving: int, coming: int, now: float
+) -> None:
     if item.retry_at > now:
-        world.review_later(item, item.retry_at)
+        placement.review_later(item, item.retry_at)
         return
-    if not world.leadership.held:
+    if not placement.leadership.held:
         return
-    reason = _reason(world, item, serving, coming, now)
+    reason = _reason(placement, item, serving, coming, now)
     if now < item.place_after and reason is not MoveReason.WAITING_REQUESTS:
         return
     urgency = URGENCY_BY_REASON[reason]
     pending = item.shortage_stamp != 0 and item.shortage_urgency == urgency
     if pending and reason is not MoveReason.WAITING_REQUESTS:
         return
-    rank = -item_value(world, item, now)
+    rank = -item_value(placement, item, now)
     if reason is MoveReason.WAITING_REQUESTS:
         # Weighted shortest first: the sum of the waits is least.
-        rank = -need(world, item, now) / max(item.weight_bytes, 1)
-    stamp = world.next_shortage_stamp
-    world.next_shortage_stamp += 1
+        rank = -need(placement, item, now) / max(item.weight_bytes, 1)
+    stamp = placement.next_shortage_stamp
+    placement.next_shortage_stamp += 1
     item.shortage_stamp = stamp
     item.shortage_urgency = urgency
-    queue = world.shortages.setdefault(item.store, [])
+    queue = placement.shortages.setdefault(item.store, [])
     heapq.heappush(queue, (urgency, rank, stamp, item.key))
 
 
-def _reason(world: World, item: ItemRow, serving: int, coming: int, now: float) -> MoveReason:
+def _reason(
+    placement: PlacementState, item: ItemRow, serving: int, coming: int, now: float
+) -> MoveReason:
     copies = serving + coming
-    if is_missed(world, item, now) and (copies == 0 or serving > 0):
+    if is_missed(placement, item, now) and (copies == 0 or serving > 0):
         return MoveReason.WAITING_REQUESTS
     if copies < item.min_replicas:
         return MoveReason.MIN_REPLICAS
     if copies == 0 and item.kind is ItemKind.ADAPTER:
         return MoveReason.BESIDE_BASE
-    if copies == 0 and _lost_copies(world, item):
+    if copies == 0 and _lost_copies(placement, item):
         return MoveReason.REPLACEMENT
     if copies > 0:
         return MoveReason.MORE_LOAD
-    config = world.config
+    config = placement.config
     predicted = item.demand.predicted_rate(now + config.lookahead_s, now, config)
     if predicted is not None and predicted > DAILY_CHANGE_FACTOR * item.demand.slow_rate(now):
         return MoveReason.DAILY_CHANGE
@@ -217,5 +226,5 @@
     return MoveReason.HIGHER_VALUE
 
 
-def _lost_copies(world: World, item: ItemRow) -> bool:
-    return any(not world.servers[server].serving for server in item.holders)
+def _lost_copies(placement: PlacementState, item: ItemRow) -> bool:
+    return any(not placement.servers[server].serving for server in item.holders)
--- a/src/zincvale/controlplane/placement/drains.py
+++ b/src/zincvale/controlplane/placement/drains.py
@@ -7,42 +7,42 @@
 from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveReason, MoveState
 from zincvale.controlplane.placement.servers import ServerState
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.state import PlacementState
 
 CHECK_INTERVAL_S = 1.0
 
 
-def track_drains(world: World, now: float) -> None:
+def track_drains(placement: PlacementState, now: float) -> None:
     """System: open, follow and end one drain move for each server out of service."""
-    if not world.leadership.held:
+    if not placement.leadership.held:
         return
-    for server_id, check_at in list(world.draining.items()):
+    for server_id, check_at in list(placement.draining.items()):
         if check_at <= now:
-            world.draining[server_id] = now + CHECK_INTERVAL_S
-            _track(world, world.servers[server_id], now)
+            placement.draining[server_id] = now + CHECK_INTERVAL_S
+            _track(placement, placement.servers[server_id], now)
 
 
-def _track(world: World, server: ServerState, now: float) -> None:
-    move_id = world.drain_by_server.get(server.server)
-    move = world.moves.get(move_id) if move_id is not None else None
+def _track(placement: PlacementState, server: ServerState, now: float) -> None:
+    move_id = placement.drain_by_server.get(server.server)
+    move = placement.moves.get(move_id) if move_id is not None else None
     if server.in_service:
-        del world.draining[server.server]
-        world.drain_by_server.pop(server.server, None)
+        del placement.draining[server.server]
+        placement.drain_by_server.pop(server.server, None)
         if move is not None:
-            end_move(world, move, MoveState.CANCELLED, "the server is in service again", now)
+            end_move(placement, move, MoveState.CANCELLED, "the server is in service again", now)
         return
-    missing = _missing_elsewhere(world, server)
-    if move_id is None and server.holdings:
-        _open_drain(world, server, missing, now)
+    missing = _missing_elsewhere(placement, server)
+    if move_id is None and server.replicas:
+        _open_drain(placement, server, missing, now)
     elif move is not None and not missing:
-        end_move(world, move, MoveState.DONE, "everything wanted runs elsewhere", now)
-        world.log(log_events.DRAIN_DONE, server=server.server)
+        end_move(placement, move, MoveState.DONE, "everything wanted runs elsewhere", now)
+        placement.log(log_events.DRAIN_DONE, server=server.server)
 
 
-def _missing_elsewhere(world: World, server: ServerState) -> list[ItemRow]:
+def _missing_elsewhere(placement: PlacementState, server: ServerState) -> list[ItemRow]:
     missing = []
-    for key in server.holdings:
-        item = world.items.get(key)
+    for key in server.replicas:
+        item = placement.items.get(key)
         if item is None or item.kind is not ItemKind.MODEL:
             continue
         least = max(item.min_replicas, 1 if item.waiting or item.planned else 0)
@@ -51,16 +51,18 @@
     return missing
 
 
-def _open_drain(world: World, server: ServerState, missing: list[ItemRow], now: float) -> None:
+def _open_drain(
+    placement: PlacementState, server: ServerState, missing: list[ItemRow], now: float
+) -> None:
     reason = MoveReason.SERVER_DRAINED if server.drained else MoveReason.ZONE_EVACUATED
-    longest_s = max((world.expected_load_s(item) for item in missing), default=0.0)
+    longest_s = max((placement.expected_load_s(item) for item in missing), default=0.0)
     names = ", ".join(sorted(item.name for item in missing)) or "nothing"
     move = Move(
-        move_id=world.new_move_id(),
+        move_id=placement.new_move_id(),
         kind=MoveKind.DRAIN,
         state=MoveState.RUNNING,
         reason=reason,
-        detail=f"{len(server.holdings)} copies leave service; to be replaced: {names}",
+        detail=f"{len(server.replicas)} copies leave service; to be replaced: {names}",
         server=server.server,
         address=server.address,
         zone=server.zone,
@@ -68,6 +70,6 @@
         start_at=now,
         expected_end=now + longest_s,
     )
-    world.drain_by_server[server.server] = move.move_id
-    world.put_move(move)
-    world.log(log_events.DRAIN_STARTED, server=server.server, replaces=names)
+    placement.drain_by_server[server.server] = move.move_id
+    placement.put_move(move)
+    placement.log(log_events.DRAIN_STARTED, server=server.server, replaces=names)
--- a/src/zincvale/controlplane/placement/events.py
+++ b/src/zincvale/controlplane/placement/events.py
@@ -211,7 +211,7 @@
 
 
 @attrs.frozen
-class AskStatus:
+class RequestStatus:
     """Effect: ask the server for its status now; answer with `DirectoryChanged`."""
 
     server: ServerId
@@ -265,5 +265,11 @@
 
 
 Effect = (
-    SendOrder | AskStatus | PublishMoves | MarkDraining | OrderRecorded | CompletionRecorded | Log
+    SendOrder
+    | RequestStatus
+    | PublishMoves
+    | MarkDraining
+    | OrderRecorded
+    | CompletionRecorded
+    | Log
 )
--- a/src/zincvale/controlplane/placement/eviction.py
+++ b/src/zincvale/controlplane/placement/eviction.py
@@ -10,8 +10,8 @@
 
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow, is_adapter_key
 from zincvale.controlplane.placement.replica_value import copy_value
-from zincvale.controlplane.placement.servers import Holding, HoldingState, ServerState
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.servers import Replica, ReplicaState, ServerState
+from zincvale.controlplane.placement.state import PlacementState
 
 
 @attrs.frozen
@@ -55,13 +55,13 @@
     needed_bytes: int
     may_drain: bool = False
 
-    def fits(self, world: World, server: ServerState) -> bool:
+    def fits(self, placement: PlacementState, server: ServerState) -> bool:
         """Whether the server has the room already."""
-        return self.missing_bytes(world, server) <= 0 and not self.missing_adapter_slots(server)
+        return self.missing_bytes(placement, server) <= 0 and not self.missing_adapter_slots(server)
 
-    def missing_bytes(self, world: World, server: ServerState) -> int:
+    def missing_bytes(self, placement: PlacementState, server: ServerState) -> int:
         """Return what must leave the server, 0 or less when nothing must."""
-        free = server.free_planned_bytes(world.config, self.item.kv_bytes)
+        free = server.free_planned_bytes(placement.config, self.item.kv_bytes)
         return self.needed_bytes - free
 
     def missing_adapter_slots(self, server: ServerState) -> int:
@@ -69,12 +69,16 @@
         return server.missing_adapter_slots() if self.item.kind is ItemKind.ADAPTER else 0
 
 
-def find_eviction(world: World, server: ServerState, space: Space, now: float) -> Eviction | None:
+def find_eviction(
+    placement: PlacementState, server: ServerState, space: Space, now: float
+) -> Eviction | None:
     """Return what must leave `server` to make the space, or None when it cannot be made."""
-    shortage = _Shortage(space.missing_bytes(world, server), space.missing_adapter_slots(server))
+    shortage = _Shortage(
+        space.missing_bytes(placement, server), space.missing_adapter_slots(server)
+    )
     if shortage.is_met(server, []):
         return NO_EVICTION
-    groups = _groups(world, server, space, now)
+    groups = _groups(placement, server, space, now)
     if shortage.missing_bytes <= 0:
         groups = [
             group for group in groups if len(group.keys) == 1 and is_adapter_key(group.keys[0])
@@ -98,7 +102,7 @@
     def is_met(self, server: ServerState, groups: list[VictimGroup]) -> bool:
         """Whether it is free once the groups have left; an adapter may be in two of them."""
         keys = {key for group in groups for key in group.keys}
-        freed_bytes = sum(server.holdings[key].item_bytes for key in keys)
+        freed_bytes = sum(server.replicas[key].item_bytes for key in keys)
         freed_slots = sum(1 for key in keys if is_adapter_key(key))
         return freed_bytes >= self.missing_bytes and freed_slots >= self.missing_adapter_slots
 
@@ -118,11 +122,13 @@
     return Eviction(keys, sum(group.cost for group in needed))
 
 
-def _groups(world: World, server: ServerState, space: Space, now: float) -> list[VictimGroup]:
+def _groups(
+    placement: PlacementState, server: ServerState, space: Space, now: float
+) -> list[VictimGroup]:
     adapters_by_model: dict[ItemKey, list[ItemKey]] = {}
     models: list[ItemKey] = []
-    for key in server.holdings:
-        item = world.items.get(key)
+    for key in server.replicas:
+        item = placement.items.get(key)
         if item is None:
             continue
         if item.base is None:
@@ -133,41 +139,45 @@
     for model in models:
         if model != space.item.base:
             keys = (*adapters_by_model.get(model, ()), model)
-            groups.append(_group(world, server, keys, space.may_drain, now))
+            groups.append(_group(placement, server, keys, space.may_drain, now))
     for adapters in adapters_by_model.values():
-        groups.extend(_group(world, server, (key,), space.may_drain, now) for key in adapters)
+        groups.extend(_group(placement, server, (key,), space.may_drain, now) for key in adapters)
     return [group for group in groups if group is not None]
 
 
 def _group(
-    world: World, server: ServerState, keys: tuple[ItemKey, ...], may_drain: bool, now: float
+    placement: PlacementState,
+    server: ServerState,
+    keys: tuple[ItemKey, ...],
+    may_drain: bool,
+    now: float,
 ) -> VictimGroup | None:
     cost = 0.0
     item_bytes = 0
     for key in keys:
-        item = world.items[key]
-        holding = server.holdings[key]
-        if not _may_leave(world, item, holding, now):
+        item = placement.items[key]
+        replica = server.replicas[key]
+        if not _may_leave(placement, item, replica, now):
             return None
-        item_cost = copy_value(world, item, now)
-        if _is_used_here_only(world, server, item):
+        item_cost = copy_value(placement, item, now)
+        if _is_used_here_only(placement, server, item):
             if not may_drain:
                 return None
             item_cost *= DRAIN_COST_FACTOR
         cost = max(cost, item_cost)
-        item_bytes += holding.item_bytes
+        item_bytes += replica.item_bytes
     return VictimGroup(keys, item_bytes, cost)
 
 
-def _may_leave(world: World, item: ItemRow, holding: Holding, now: float) -> bool:
+def _may_leave(placement: PlacementState, item: ItemRow, replica: Replica, now: float) -> bool:
     """Whether a copy is neither pinned, nor moving, nor just loaded, nor waited for."""
-    if holding.state is not HoldingState.LOADED or holding.closing or holding.move is not None:
+    if replica.state is not ReplicaState.LOADED or replica.closing or replica.move is not None:
         return False
-    if now - holding.since < world.config.min_residency_s:
+    if now - replica.since < placement.config.min_residency_s:
         return False
     others = item.serving - 1
     return others >= item.min_replicas and (others >= 1 or item.waiting == 0)
 
 
-def _is_used_here_only(world: World, server: ServerState, item: ItemRow) -> bool:
-    return item.serving <= 1 and world.running_on(server, item.key) > 0
+def _is_used_here_only(placement: PlacementState, server: ServerState, item: ItemRow) -> bool:
+    return item.serving <= 1 and placement.running_on(server, item.key) > 0
--- a/src/zincvale/controlplane/placement/items.py
+++ b/src/zincvale/controlplane/placement/items.py
@@ -53,7 +53,7 @@
     adapters : the model's declared adapters.
     holders : servers where it occupies memory, in any state.
     serving, loading : how many of the holders serve it, or load it, on servers in service; kept
-        true by `World.recount`.
+        true by `PlacementState.recount`.
     planned : servers for which a load is planned but not ordered.
     missed : requests that came while no copy served.
     waiting : requests that wait for it at the nodes now.
--- a/src/zincvale/controlplane/placement/load_candidates.py
+++ b/src/zincvale/controlplane/placement/load_candidates.py
@@ -13,14 +13,16 @@
     item_value,
     need,
 )
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.state import PlacementState
 
 DRAIN_PATIENCE_S = 2.0
 """Requests that waited this long may close a copy on which others still run."""
 EXPECTED_DRAIN_S = 5.0
 
 
-def find_place(world: World, item: ItemRow, reason: MoveReason, now: float) -> Choice | None:
+def find_place(
+    placement: PlacementState, item: ItemRow, reason: MoveReason, now: float
+) -> Choice | None:
     """Return the best server for a load, with room for the adapters that come along if possible.
 
     A server that has the weights on its own disk comes first, where that is sooner.
@@ -28,63 +30,65 @@
     Raises `AllServersBusyError` when servers could take it, but not soon.
     """
     may_drain = item.waiting > 0 and now - item.waiting_since > DRAIN_PATIENCE_S
-    if world.config.servers_keep_weights and item.kind is ItemKind.MODEL:
-        choice = choose_by_disk(world, Space(item, item.weight_bytes, may_drain), now)
-        if choice is not None and is_worth(world, item, reason, choice, now):
+    if placement.config.servers_keep_weights and item.kind is ItemKind.MODEL:
+        choice = choose_by_disk(placement, Space(item, item.weight_bytes, may_drain), now)
+        if choice is not None and is_worth(placement, item, reason, choice, now):
             return choice
     spread_first = reason is MoveReason.MIN_REPLICAS
-    companions = _companion_bytes(world, item)
+    companions = _companion_bytes(placement, item)
     for extra in (companions, 0) if companions else (0,):
         space = Space(item, item.weight_bytes + extra, may_drain)
-        choice = choose_server(world, space, spread_first, now)
+        choice = choose_server(placement, space, spread_first, now)
         if choice is not None:
             return choice
     return None
 
 
-def _companion_bytes(world: World, item: ItemRow) -> int:
+def _companion_bytes(placement: PlacementState, item: ItemRow) -> int:
     """Return the room for adapters that were asked for and will come with the model."""
-    limit = int(item.weight_bytes * world.config.companion_share)
+    limit = int(item.weight_bytes * placement.config.companion_share)
     total = 0
     for key in item.adapters:
-        adapter = world.items[key]
+        adapter = placement.items[key]
         if adapter.demand.profile is not None and adapter.serving == 0:
             total += adapter.weight_bytes
     return min(total, limit)
 
 
-def is_worth(world: World, item: ItemRow, reason: MoveReason, choice: Choice, now: float) -> bool:
+def is_worth(
+    placement: PlacementState, item: ItemRow, reason: MoveReason, choice: Choice, now: float
+) -> bool:
     """Whether the load is worth more than what leaves for it."""
     if not choice.eviction.keys or reason is MoveReason.MIN_REPLICAS:
         return True
     if reason is MoveReason.WAITING_REQUESTS:
-        cost = _waits_caused(world, choice, now)
-        return cost <= need(world, item, now) + eviction_cost(world, item, now)
+        cost = _waits_caused(placement, choice, now)
+        return cost <= need(placement, item, now) + eviction_cost(placement, item, now)
     if reason is MoveReason.DAILY_CHANGE:
-        victims = [world.items[key] for key in choice.eviction.keys]
-        if any(_needed_until_change(world, victim, now) for victim in victims):
+        victims = [placement.items[key] for key in choice.eviction.keys]
+        if any(_needed_until_change(placement, victim, now) for victim in victims):
             return False
-        loss = max(foreseen_value(world, victim, now) for victim in victims)
-        return foreseen_value(world, item, now) > world.config.foreseen_gain * loss
-    return item_value(world, item, now) > world.config.swap_gain * choice.eviction.cost
+        loss = max(foreseen_value(placement, victim, now) for victim in victims)
+        return foreseen_value(placement, item, now) > placement.config.foreseen_gain * loss
+    return item_value(placement, item, now) > placement.config.swap_gain * choice.eviction.cost
 
 
-def _needed_until_change(world: World, item: ItemRow, now: float) -> bool:
+def _needed_until_change(placement: PlacementState, item: ItemRow, now: float) -> bool:
     """Whether the item will be asked for before the change that is looked ahead to."""
-    return item.demand.fast_rate(now) * world.config.lookahead_s >= 1.0
+    return item.demand.fast_rate(now) * placement.config.lookahead_s >= 1.0
 
 
-def _waits_caused(world: World, choice: Choice, now: float) -> float:
+def _waits_caused(placement: PlacementState, choice: Choice, now: float) -> float:
     """Return requests expected to wait; those of an adapter are among those of its model.
 
     While a copy drains, requests for it wait already.
     """
     total = 0.0
     for key in choice.eviction.keys:
-        victim = world.items[key]
+        victim = placement.items[key]
         if victim.base in choice.eviction.keys:
             continue
-        total += eviction_cost(world, victim, now)
-        if world.running_on(choice.server, key):
-            total += expected_rate(world, victim, now) * EXPECTED_DRAIN_S
+        total += eviction_cost(placement, victim, now)
+        if placement.running_on(choice.server, key):
+            total += expected_rate(placement, victim, now) * EXPECTED_DRAIN_S
     return total
--- a/src/zincvale/controlplane/placement/move_completion.py
+++ b/src/zincvale/controlplane/placement/move_completion.py
@@ -14,8 +14,8 @@
     MoveState,
     Reservation,
 )
-from zincvale.controlplane.placement.servers import Holding, HoldingState, ServerState
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.servers import Replica, ReplicaState, ServerState
+from zincvale.controlplane.placement.state import PlacementState
 
 LOG_BY_STATE = {
     MoveState.DONE: log_events.MOVE_DONE,
@@ -31,14 +31,16 @@
     return model_key(move.name)
 
 
-def end_move(world: World, move: Move, state: MoveState, outcome: str, now: float) -> None:
+def end_move(
+    placement: PlacementState, move: Move, state: MoveState, outcome: str, now: float
+) -> None:
     """Finish a move in `state` and give its reservations back."""
     if move.kind is MoveKind.LOAD:
-        _end_load(world, world.servers[move.server], move, state, now)
+        _end_load(placement, placement.servers[move.server], move, state, now)
     elif move.kind is MoveKind.UNLOAD:
-        _end_unload(world, world.servers[move.server], move, state, now)
-    world.retire_move(attrs.evolve(move, state=state, finished_at=now, outcome=outcome))
-    world.log(
+        _end_unload(placement, placement.servers[move.server], move, state, now)
+    placement.retire_move(attrs.evolve(move, state=state, finished_at=now, outcome=outcome))
+    placement.log(
         LOG_BY_STATE[state],
         move=move.move_id,
         kind=move.kind.value,
@@ -48,19 +50,19 @@
     )
     if move.order_id:
         text = "done" if state is MoveState.DONE else f"{state.value}: {outcome}"
-        world.effects.append(
+        placement.effects.append(
             CompletionRecorded(move.move_id, move.order_id, move.server, move.start_at, text)
         )
 
 
 def adopt_load(
-    world: World, server: ServerState, item: ItemRow, holding: Holding, now: float
+    placement: PlacementState, server: ServerState, item: ItemRow, replica: Replica, now: float
 ) -> None:
     """Put a load that another leader ordered on the calendar, with its reservations."""
-    store = world.stores.get(item.store)
+    store = placement.stores.get(item.store)
     rate = store.bytes_per_second if store else 0
     move = Move(
-        move_id=world.new_move_id(),
+        move_id=placement.new_move_id(),
         kind=MoveKind.LOAD,
         state=MoveState.RUNNING,
         reason=MoveReason.FOUND_IN_PROGRESS,
@@ -71,147 +73,153 @@
         created_at=now,
         start_at=now,
         answered_at=now,
-        expected_end=now + world.expected_load_s(item, server),
+        expected_end=now + placement.expected_load_s(item, server),
         item_kind=item.kind,
         name=item.name,
-        base_model=base_name(world, item),
+        base_model=base_name(placement, item),
         store=item.store,
         reservation=Reservation(item.weight_bytes, item.kv_bytes, rate, 1),
     )
-    holding.move = move.move_id
+    replica.move = move.move_id
     server.loads_in_flight += 1
     if store is not None:
         store.adopt()
-        world.store_slots[move.move_id] = store.store
-    world.watched[server.server] = None
-    world.put_move(move)
-    world.log(log_events.LOAD_FOUND, server=server.server, name=item.name)
+        placement.store_slots[move.move_id] = store.store
+    placement.watched[server.server] = None
+    placement.put_move(move)
+    placement.log(log_events.LOAD_FOUND, server=server.server, name=item.name)
 
 
-def base_name(world: World, item: ItemRow) -> str:
+def base_name(placement: PlacementState, item: ItemRow) -> str:
     """Return the name of an adapter's base model, empty for models."""
     if item.base is None:
         return ""
     return item.base.removeprefix("model/")
 
 
-def fail_moves_of(world: World, server: ServerState, outcome: str, now: float) -> None:
+def fail_moves_of(placement: PlacementState, server: ServerState, outcome: str, now: float) -> None:
     """End every move of a server whose memory is gone."""
-    for move_id in list(world.moves_by_server.get(server.server, ())):
-        move = world.moves.get(move_id)
+    for move_id in list(placement.moves_by_server.get(server.server, ())):
+        move = placement.moves.get(move_id)
         if move is not None:
             state = MoveState.FAILED if move.in_flight else MoveState.CANCELLED
-            end_move(world, move, state, outcome, now)
+            end_move(placement, move, state, outcome, now)
 
 
-def linger_loads_of(world: World, server: ServerState, now: float) -> None:
+def linger_loads_of(placement: PlacementState, server: ServerState, now: float) -> None:
     """Keep the store slots of an unobservable server for as long as a pull can take."""
-    for move_id in world.moves_by_server.get(server.server, ()):
-        name = world.store_slots.pop(move_id, None)
+    for move_id in placement.moves_by_server.get(server.server, ()):
+        name = placement.store_slots.pop(move_id, None)
         if name is None:
             continue
-        store = world.stores[name]
-        move = world.moves[move_id]
+        store = placement.stores[name]
+        move = placement.moves[move_id]
         share = max(store.bytes_per_second, 1) / max(store.max_concurrent_loads, 1)
-        longest_s = move.reservation.memory_bytes / share + world.config.order_lifetime_s
+        longest_s = move.reservation.memory_bytes / share + placement.config.order_lifetime_s
         store.linger(now + longest_s)
 
 
-def _end_load(world: World, server: ServerState, move: Move, state: MoveState, now: float) -> None:
+def _end_load(
+    placement: PlacementState, server: ServerState, move: Move, state: MoveState, now: float
+) -> None:
     key = move_item_key(move)
-    item = world.items.get(key)
+    item = placement.items.get(key)
     if not move.in_flight:
-        _unplan_load(world, server, move, item, now)
+        _unplan_load(placement, server, move, item, now)
         return
     server.loads_in_flight -= 1
-    store = world.store_slots.pop(move.move_id, None)
+    store = placement.store_slots.pop(move.move_id, None)
     if store is not None:
-        world.stores[store].release()
-    holding = server.holdings[key]
-    holding.move = None
+        placement.stores[store].release()
+    replica = server.replicas[key]
+    replica.move = None
     if state is MoveState.DONE:
-        _finish_load(world, server, move, holding, item, now)
+        _finish_load(placement, server, move, replica, item, now)
         return
-    world.remove_holding(server, key)
+    placement.remove_replica(server, key)
     if item is not None:
-        _back_off(world, item, now)
+        _back_off(placement, item, now)
 
 
 def _finish_load(
-    world: World,
+    placement: PlacementState,
     server: ServerState,
     move: Move,
-    holding: Holding,
+    replica: Replica,
     item: ItemRow | None,
     now: float,
 ) -> None:
-    world.set_state(server, move_item_key(move), holding, HoldingState.LOADED)
-    holding.since = now
-    holding.fetched_ahead = move.reason is MoveReason.PREFETCH
+    placement.set_state(server, move_item_key(move), replica, ReplicaState.LOADED)
+    replica.since = now
+    replica.fetched_ahead = move.reason is MoveReason.PREFETCH
     if item is None:
         return
     item.failures = 0
     item.missed.count = 0.0
     if move.reason is not MoveReason.FOUND_IN_PROGRESS:
-        _learn_time(world, server, move, item, now)
-    world.queue_review(item.key)
+        _learn_time(placement, server, move, item, now)
+    placement.queue_review(item.key)
     if item.kind is ItemKind.MODEL:
-        world.queue_adapters(item)
+        placement.queue_adapters(item)
 
 
-def _learn_time(world: World, server: ServerState, move: Move, item: ItemRow, now: float) -> None:
+def _learn_time(
+    placement: PlacementState, server: ServerState, move: Move, item: ItemRow, now: float
+) -> None:
     took_s = now - move.start_at
     if move.from_disk:
-        world.load_times.observe_from_disk(item.weight_bytes, item.store, took_s)
+        placement.load_times.observe_from_disk(item.weight_bytes, item.store, took_s)
         return
-    world.load_times.observe(item.key, item.weight_bytes, server.server, item.store, took_s)
+    placement.load_times.observe(item.key, item.weight_bytes, server.server, item.store, took_s)
 
 
-def _back_off(world: World, item: ItemRow, now: float) -> None:
-    config = world.config
+def _back_off(placement: PlacementState, item: ItemRow, now: float) -> None:
+    config = placement.config
     pause_s = min(config.retry_backoff_s * 2.0**item.failures, config.max_retry_backoff_s)
     item.failures += 1
     item.retry_at = now + pause_s
-    world.review_later(item, item.retry_at)
+    placement.review_later(item, item.retry_at)
 
 
 def _unplan_load(
-    world: World, server: ServerState, move: Move, item: ItemRow | None, now: float
+    placement: PlacementState, server: ServerState, move: Move, item: ItemRow | None, now: float
 ) -> None:
     server.planned_bytes -= move.reservation.memory_bytes
     server.planned_kv_bytes -= move.reservation.kv_bytes
     server.planned_models -= move.item_kind is ItemKind.MODEL
     server.planned_adapters -= move.item_kind is ItemKind.ADAPTER
-    world.index_free(server)
+    placement.index_free(server)
     if item is not None:
         item.planned.pop(server.server, None)
-        world.queue_review(item.key)
+        placement.queue_review(item.key)
     for needed_id in move.after:
-        needed = world.moves.get(needed_id)
+        needed = placement.moves.get(needed_id)
         if needed is not None and needed.state is MoveState.CLOSING:
-            end_move(world, needed, MoveState.CANCELLED, "its space is not needed any more", now)
+            end_move(
+                placement, needed, MoveState.CANCELLED, "its space is not needed any more", now
+            )
 
 
 def _end_unload(
-    world: World, server: ServerState, move: Move, state: MoveState, now: float
+    placement: PlacementState, server: ServerState, move: Move, state: MoveState, now: float
 ) -> None:
     key = move_item_key(move)
-    world.dependents.pop(move.move_id, None)
+    placement.dependents.pop(move.move_id, None)
     server.planned_free_bytes -= move.reservation.memory_bytes
     server.planned_free_adapters -= move.item_kind is ItemKind.ADAPTER
     if move.in_flight and move.answered_at is None:
         # The order may still arrive, and must not meet a load of the same item.
-        server.barred_until[key] = move.start_at + world.config.order_lifetime_s
-    holding = server.holdings.get(key)
-    if holding is None:
-        world.index_free(server)
+        server.barred_until[key] = move.start_at + placement.config.order_lifetime_s
+    replica = server.replicas.get(key)
+    if replica is None:
+        placement.index_free(server)
         return
-    holding.move = None
+    replica.move = None
     if state is MoveState.DONE:
-        world.remove_holding(server, key)
+        placement.remove_replica(server, key)
         return
-    world.set_state(server, key, holding, HoldingState.LOADED)
-    holding.contrary_since = None
-    world.set_closing(server, key, holding, False)
-    world.index_free(server)
-    world.queue_review(key)
+    placement.set_state(server, key, replica, ReplicaState.LOADED)
+    replica.contrary_since = None
+    placement.set_closing(server, key, replica, False)
+    placement.index_free(server)
+    placement.queue_review(key)
--- a/src/zincvale/controlplane/placement/order_confirmation.py
+++ b/src/zincvale/controlplane/placement/order_confirmation.py
@@ -15,87 +15,91 @@
 from zincvale.controlplane.placement import log_events
 from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveState
-from zincvale.controlplane.placement.servers import Holding, HoldingState, ServerState
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.servers import Replica, ReplicaState, ServerState
+from zincvale.controlplane.placement.state import PlacementState
 
 
-def note_answer(world: World, server: ServerState, asked_at: float, now: float) -> None:
+def note_answer(
+    placement: PlacementState, server: ServerState, asked_at: float, now: float
+) -> None:
     """Take a status as evidence that the server carries no order of an earlier leader."""
-    leadership = world.leadership
+    leadership = placement.leadership
     if not leadership.held or server.settled_epoch == leadership.epoch:
         return
-    if asked_at < leadership.gained_at + world.config.order_lifetime_s:
+    if asked_at < leadership.gained_at + placement.config.order_lifetime_s:
         return
-    if not world.config.one_status_settles and server.first_answer_at < leadership.gained_at:
+    if not placement.config.one_status_settles and server.first_answer_at < leadership.gained_at:
         server.first_answer_at = now
         return
     if (
-        world.config.one_status_settles
-        or asked_at >= server.first_answer_at + world.config.settle_s
+        placement.config.one_status_settles
+        or asked_at >= server.first_answer_at + placement.config.settle_s
     ):
         server.settled_epoch = leadership.epoch
-        world.capacity_appeared = True
-        world.log(log_events.SERVER_SETTLED, server=server.server, epoch=leadership.epoch)
+        placement.capacity_appeared = True
+        placement.log(log_events.SERVER_SETTLED, server=server.server, epoch=leadership.epoch)
 
 
 def confirm_load(
-    world: World, move: Move, holding: Holding, state: HoldingState, now: float
+    placement: PlacementState, move: Move, replica: Replica, state: ReplicaState, now: float
 ) -> None:
     """Handle a load in flight that the server's status shows."""
-    holding.contrary_since = None
-    if state is HoldingState.LOADED:
-        end_move(world, move, MoveState.DONE, "observed", now)
+    replica.contrary_since = None
+    if state is ReplicaState.LOADED:
+        end_move(placement, move, MoveState.DONE, "observed", now)
     else:
-        mark_running(world, move, now)
+        mark_running(placement, move, now)
 
 
-def mark_running(world: World, move: Move, now: float) -> None:
+def mark_running(placement: PlacementState, move: Move, now: float) -> None:
     """Note that the server carries the order out."""
     if move.state is not MoveState.RUNNING:
-        world.put_move(attrs.evolve(move, state=MoveState.RUNNING, answered_at=now))
+        placement.put_move(attrs.evolve(move, state=MoveState.RUNNING, answered_at=now))
 
 
-def contradict(world: World, move: Move, holding: Holding, asked_at: float, now: float) -> None:
+def contradict(
+    placement: PlacementState, move: Move, replica: Replica, asked_at: float, now: float
+) -> None:
     """Handle a status, asked after the order left, that shows it not carried out."""
     if move.state is MoveState.ORDERED:
         return
     taken = move.answered_at is not None and asked_at >= move.answered_at
     if taken and move.kind is MoveKind.LOAD:
-        end_move(world, move, MoveState.FAILED, "the server took it and does not show it", now)
+        end_move(placement, move, MoveState.FAILED, "the server took it and does not show it", now)
         return
-    if asked_at < move.start_at + world.config.order_lifetime_s:
+    if asked_at < move.start_at + placement.config.order_lifetime_s:
         return
-    if holding.contrary_since is None:
-        holding.contrary_since = now
+    if replica.contrary_since is None:
+        replica.contrary_since = now
         return
-    if asked_at >= holding.contrary_since + world.config.settle_s:
-        end_move(world, move, MoveState.FAILED, "the server's status does not show it", now)
+    if asked_at >= replica.contrary_since + placement.config.settle_s:
+        end_move(placement, move, MoveState.FAILED, "the server's status does not show it", now)
 
 
-def expire_unanswered(world: World, now: float) -> None:
+def expire_unanswered(placement: PlacementState, now: float) -> None:
     """System: treat orders whose answer is overdue as unknown; settle dark servers' pulls."""
-    for server_id in list(world.watched):
-        for move_id in list(world.moves_by_server.get(server_id, ())):
-            move = world.moves[move_id]
-            overdue = now >= move.start_at + world.config.order_lifetime_s
+    for server_id in list(placement.watched):
+        for move_id in list(placement.moves_by_server.get(server_id, ())):
+            move = placement.moves[move_id]
+            overdue = now >= move.start_at + placement.config.order_lifetime_s
             if move.state is MoveState.ORDERED and overdue:
-                mark_unknown(world, move)
-        _release_dark(world, world.servers.get(server_id), now)
+                mark_unknown(placement, move)
+        _release_dark(placement, placement.servers.get(server_id), now)
 
 
-def mark_unknown(world: World, move: Move) -> None:
+def mark_unknown(placement: PlacementState, move: Move) -> None:
     """Keep the reservation of an order that may or may not run."""
-    world.put_move(attrs.evolve(move, state=MoveState.UNKNOWN))
-    world.log(log_events.ORDER_UNKNOWN, move=move.move_id, server=move.server, name=move.name)
+    placement.put_move(attrs.evolve(move, state=MoveState.UNKNOWN))
+    placement.log(log_events.ORDER_UNKNOWN, move=move.move_id, server=move.server, name=move.name)
 
 
-def _release_dark(world: World, server: ServerState | None, now: float) -> None:
+def _release_dark(placement: PlacementState, server: ServerState | None, now: float) -> None:
     """Give store slots of a server that is dark for very long to others."""
     if server is None or server.serving or server.loads_in_flight == 0:
         return
-    if server.down_since + world.config.dark_release_s > now or server.down_since < 0.0:
+    if server.down_since + placement.config.dark_release_s > now or server.down_since < 0.0:
         return
-    for move_id in world.moves_by_server.get(server.server, ()):
-        store = world.store_slots.pop(move_id, None)
+    for move_id in placement.moves_by_server.get(server.server, ()):
+        store = placement.store_slots.pop(move_id, None)
         if store is not None:
-            world.stores[store].release()
+            placement.stores[store].release()
--- a/src/zincvale/controlplane/placement/order_responses.py
+++ b/src/zincvale/controlplane/placement/order_responses.py
@@ -9,58 +9,58 @@
 from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveState
 from zincvale.controlplane.placement.order_confirmation import mark_unknown
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.state import PlacementState
 
 BUSY_PAUSE_S = 0.5
 
 
-def take_accepted(world: World, order_id: str, done: bool, now: float) -> None:
+def take_accepted(placement: PlacementState, order_id: str, done: bool, now: float) -> None:
     """The server took the order; unless it is done, the server's status tells when it is."""
-    move = _waiting_move(world, order_id)
+    move = _waiting_move(placement, order_id)
     if move is None and done:
-        move = _running_move(world, order_id)
+        move = _running_move(placement, order_id)
     if move is None:
         return
     taken = attrs.evolve(move, state=MoveState.RUNNING, answered_at=now)
     if done:
-        end_move(world, taken, MoveState.DONE, "answered as done", now)
+        end_move(placement, taken, MoveState.DONE, "answered as done", now)
     else:
-        world.put_move(taken)
+        placement.put_move(taken)
 
 
-def take_refused(world: World, order_id: str, why: OrderRefusal, now: float) -> None:
+def take_refused(placement: PlacementState, order_id: str, why: OrderRefusal, now: float) -> None:
     """The order never ran and never will: its reservation is free at once."""
-    move = _waiting_move(world, order_id)
+    move = _waiting_move(placement, order_id)
     if move is None:
         return
-    world.log(log_events.ORDER_REFUSED, order=order_id, server=move.server, why=why.value)
+    placement.log(log_events.ORDER_REFUSED, order=order_id, server=move.server, why=why.value)
     if why is OrderRefusal.BUSY:
-        world.servers[move.server].retry_at = now + BUSY_PAUSE_S
+        placement.servers[move.server].retry_at = now + BUSY_PAUSE_S
     if move.kind is MoveKind.UNLOAD and why is OrderRefusal.NOT_HELD:
-        end_move(world, move, MoveState.DONE, "the server did not hold it", now)
+        end_move(placement, move, MoveState.DONE, "the server did not hold it", now)
         return
-    end_move(world, move, MoveState.FAILED, f"refused: {why.value}", now)
+    end_move(placement, move, MoveState.FAILED, f"refused: {why.value}", now)
 
 
-def take_unknown(world: World, order_id: str) -> None:
+def take_unknown(placement: PlacementState, order_id: str) -> None:
     """The order got no answer, or its end could not be learned: it may run."""
-    move = _waiting_move(world, order_id)
-    if move is None and world.config.confirms_orders:
-        move = _running_move(world, order_id)
+    move = _waiting_move(placement, order_id)
+    if move is None and placement.config.confirms_orders:
+        move = _running_move(placement, order_id)
     if move is not None:
-        mark_unknown(world, move)
+        mark_unknown(placement, move)
 
 
-def _waiting_move(world: World, order_id: str) -> Move | None:
-    move_id = world.move_by_order.get(order_id)
-    move = world.moves.get(move_id) if move_id is not None else None
+def _waiting_move(placement: PlacementState, order_id: str) -> Move | None:
+    move_id = placement.move_by_order.get(order_id)
+    move = placement.moves.get(move_id) if move_id is not None else None
     if move is None or move.state not in (MoveState.ORDERED, MoveState.UNKNOWN):
         return None
     return move
 
 
-def _running_move(world: World, order_id: str) -> Move | None:
+def _running_move(placement: PlacementState, order_id: str) -> Move | None:
     """Return the move of an order that was taken before and is now answered as done."""
-    move_id = world.move_by_order.get(order_id)
-    move = world.moves.get(move_id) if move_id is not None else None
+    move_id = placement.move_by_order.get(order_id)
+    move = placement.moves.get(move_id) if move_id is not None else None
     return move if move is not None and move.state is MoveState.RUNNING else None
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -23,8 +23,8 @@
     LEAST_NEED,
     expected_rate,
 )
-from zincvale.controlplane.placement.servers import HoldingState, ServerState
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.servers import ReplicaState, ServerState
+from zincvale.controlplane.placement.state import PlacementState
 from zincvale.controlplane.placement.stores import PlannedPulls, StoreState
 from zincvale.model.identifiers import MoveId, StoreName
 
@@ -44,49 +44,51 @@
     NOWHERE = "nowhere"
 
 
-def plan_loads(world: World, now: float) -> None:
+def plan_loads(placement: PlacementState, now: float) -> None:
     """System: plan loads for the shortages of each store, as far as they can soon be ordered.
 
     What is planned early would hold its server and its victims while something more urgent comes.
     """
-    if not world.leadership.held or not world.leadership.stores_open:
+    if not placement.leadership.held or not placement.leadership.stores_open:
         return
-    planned = _planned_by_store(world)
-    budget = world.config.plan_budget
-    for name, queue in world.shortages.items():
-        _compact(world, queue)
-        store = world.stores.get(name)
+    planned = _planned_by_store(placement)
+    budget = placement.config.plan_budget
+    for name, queue in placement.shortages.items():
+        _compact(placement, queue)
+        store = placement.stores.get(name)
         if store is not None:
             pulls = planned.setdefault(name, PlannedPulls())
-            budget = _plan_store(world, store, queue, pulls, budget, now)
+            budget = _plan_store(placement, store, queue, pulls, budget, now)
 
 
-def _planned_by_store(world: World) -> dict[StoreName, PlannedPulls]:
+def _planned_by_store(placement: PlacementState) -> dict[StoreName, PlannedPulls]:
     planned: dict[StoreName, PlannedPulls] = {}
-    for move in world.moves.values():
+    for move in placement.moves.values():
         if move.kind is MoveKind.LOAD and move.state is MoveState.PLANNED:
             pulls = planned.setdefault(move.store, PlannedPulls())
             pulls.add(move.reservation.memory_bytes)
     return planned
 
 
-def _compact(world: World, queue: list[tuple[int, float, int, ItemKey]]) -> None:
+def _compact(placement: PlacementState, queue: list[tuple[int, float, int, ItemKey]]) -> None:
     """Drop outdated entries when they have piled up."""
-    if len(queue) <= SHORTAGES_KEPT_PER_ITEM * max(len(world.items), 1):
+    if len(queue) <= SHORTAGES_KEPT_PER_ITEM * max(len(placement.items), 1):
         return
-    queue[:] = [entry for entry in queue if _valid_item(world, entry) is not None]
+    queue[:] = [entry for entry in queue if _valid_item(placement, entry) is not None]
     heapq.heapify(queue)
 
 
-def _valid_item(world: World, entry: tuple[int, float, int, ItemKey]) -> ItemRow | None:
-    item = world.items.get(entry[3])
+def _valid_item(
+    placement: PlacementState, entry: tuple[int, float, int, ItemKey]
+) -> ItemRow | None:
+    item = placement.items.get(entry[3])
     if item is None or item.shortage_stamp != entry[2]:
         return None
     return item
 
 
 def _plan_store(
-    world: World,
+    placement: PlacementState,
     store: StoreState,
     queue: list[tuple[int, float, int, ItemKey]],
     planned: PlannedPulls,
@@ -97,18 +99,18 @@
     later: list[tuple[int, float, int, ItemKey]] = []
     while queue and budget > 0 and len(later) < LOOKED_PAST:
         entry = heapq.heappop(queue)
-        item = _valid_item(world, entry)
+        item = _valid_item(placement, entry)
         if item is None:
             continue
-        if not _still_short(world, item):
+        if not _still_short(placement, item):
             item.shortage_stamp = 0
             continue
         reason = REASONS[entry[0]]
-        if not _store_takes(store, item, reason, planned, now, world.config):
+        if not _store_takes(store, item, reason, planned, now, placement.config):
             later.append(entry)
             continue
         budget -= 1
-        result = _plan(world, item, reason, now)
+        result = _plan(placement, item, reason, now)
         if result is Planning.BUSY:
             later.append(entry)
             continue
@@ -145,31 +147,31 @@
     return config.crowds_count_as_waiting and reason not in urgent
 
 
-def _still_short(world: World, item: ItemRow) -> bool:
-    return item.serving + world.coming_copies(item) < item.wanted
+def _still_short(placement: PlacementState, item: ItemRow) -> bool:
+    return item.serving + placement.coming_copies(item) < item.wanted
 
 
-def _plan(world: World, item: ItemRow, reason: MoveReason, now: float) -> Planning:
+def _plan(placement: PlacementState, item: ItemRow, reason: MoveReason, now: float) -> Planning:
     try:
-        choice = find_place(world, item, reason, now)
+        choice = find_place(placement, item, reason, now)
     except AllServersBusyError:
         return Planning.BUSY
-    if choice is None or not is_worth(world, item, reason, choice, now):
-        world.unplaced[item.key] = None
-        _log_unplaced(world, item, reason, choice, now)
+    if choice is None or not is_worth(placement, item, reason, choice, now):
+        placement.unplaced[item.key] = None
+        _log_unplaced(placement, item, reason, choice, now)
         if reason is not MoveReason.WAITING_REQUESTS:
-            item.place_after = now + world.config.review_interval_s
+            item.place_after = now + placement.config.review_interval_s
         return Planning.NOWHERE
-    add_load_moves(world, item, reason, choice, now)
+    add_load_moves(placement, item, reason, choice, now)
     if item.kind is ItemKind.MODEL:
-        world.queue_adapters(item)
-    if _still_short(world, item):
-        world.queue_review(item.key)
+        placement.queue_adapters(item)
+    if _still_short(placement, item):
+        placement.queue_review(item.key)
     return Planning.PLANNED
 
 
 def _log_unplaced(
-    world: World, item: ItemRow, reason: MoveReason, choice: Choice | None, now: float
+    placement: PlacementState, item: ItemRow, reason: MoveReason, choice: Choice | None, now: float
 ) -> None:
     """Tell why a wanted copy has no place; once in a while for each item."""
     if now < item.unplaced_logged_at + UNPLACED_LOG_INTERVAL_S:
@@ -178,7 +180,7 @@
     limit = "every server that may take it is full of copies in use, pinned or moving"
     if choice is not None:
         limit = f"what would leave {choice.server.server} is worth more"
-    world.log(
+    placement.log(
         log_events.NOTHING_FITS,
         name=item.name,
         reason=reason.value,
@@ -188,19 +190,19 @@
 
 
 def add_load_moves(
-    world: World, item: ItemRow, reason: MoveReason, choice: Choice, now: float
+    placement: PlacementState, item: ItemRow, reason: MoveReason, choice: Choice, now: float
 ) -> None:
     """Put a load and what leaves for it on the calendar."""
     server = choice.server
-    detail = _detail(world, item, reason, choice, now)
-    after = _plan_evictions(world, item, choice, now)
-    load_id = world.new_move_id()
+    detail = _detail(placement, item, reason, choice, now)
+    after = _plan_evictions(placement, item, choice, now)
+    load_id = placement.new_move_id()
     for unload_id in after:
-        world.dependents[unload_id] = load_id
-    start_at = _start_at(world, item, server, after, now)
-    store = world.stores[item.store]
+        placement.dependents[unload_id] = load_id
+    start_at = _start_at(placement, item, server, after, now)
+    store = placement.stores[item.store]
     rate = store.bytes_per_second
-    base_load = _base_load(world, item, server)
+    base_load = _base_load(placement, item, server)
     if base_load is not None:
         after = (*after, base_load)
     move = Move(
@@ -214,10 +216,10 @@
         zone=server.zone,
         created_at=now,
         start_at=start_at,
-        expected_end=start_at + world.expected_load_s(item, server),
+        expected_end=start_at + placement.expected_load_s(item, server),
         item_kind=item.kind,
         name=item.name,
-        base_model=base_name(world, item),
+        base_model=base_name(placement, item),
         store=item.store,
         reservation=Reservation(item.weight_bytes, item.kv_bytes, rate, 1),
         after=after,
@@ -227,9 +229,9 @@
     server.planned_models += item.kind is ItemKind.MODEL
     server.planned_adapters += item.kind is ItemKind.ADAPTER
     item.planned[server.server] = None
-    world.index_free(server)
-    world.put_move(move)
-    world.log(
+    placement.index_free(server)
+    placement.put_move(move)
+    placement.log(
         log_events.LOAD_PLANNED,
         move=load_id,
         name=item.name,
@@ -239,43 +241,53 @@
     )
 
 
-def _plan_evictions(world: World, item: ItemRow, choice: Choice, now: float) -> tuple[MoveId, ...]:
+def _plan_evictions(
+    placement: PlacementState, item: ItemRow, choice: Choice, now: float
+) -> tuple[MoveId, ...]:
     """Close what leaves; a model's unload comes after those of its adapters."""
     server = choice.server
     planned: dict[ItemKey, MoveId] = {}
     detail = f"makes room for {item.kind.value} {item.name}"
     for key in choice.eviction.keys:
-        victim = world.items[key]
+        victim = placement.items[key]
         before = tuple(planned[adapter] for adapter in victim.adapters if adapter in planned)
-        planned[key] = plan_unload(world, server, key, MoveReason.MAKE_ROOM, detail, before, now)
+        planned[key] = plan_unload(
+            placement, server, key, MoveReason.MAKE_ROOM, detail, before, now
+        )
     return tuple(planned.values())
 
 
 def _start_at(
-    world: World, item: ItemRow, server: ServerState, after: tuple[MoveId, ...], now: float
+    placement: PlacementState,
+    item: ItemRow,
+    server: ServerState,
+    after: tuple[MoveId, ...],
+    now: float,
 ) -> float:
-    start_at = world.stores[item.store].free_at(now, world.config)
+    start_at = placement.stores[item.store].free_at(now, placement.config)
     for move_id in after:
-        start_at = max(start_at, world.moves[move_id].expected_end)
-    base_load = _base_load(world, item, server)
+        start_at = max(start_at, placement.moves[move_id].expected_end)
+    base_load = _base_load(placement, item, server)
     if base_load is not None:
-        start_at = max(start_at, world.moves[base_load].expected_end)
+        start_at = max(start_at, placement.moves[base_load].expected_end)
     return start_at
 
 
-def _base_load(world: World, item: ItemRow, server: ServerState) -> MoveId | None:
+def _base_load(placement: PlacementState, item: ItemRow, server: ServerState) -> MoveId | None:
     """Return the running load of an adapter's base model on the server, if any."""
     if item.base is None:
         return None
-    holding = server.holdings.get(item.base)
-    if holding is None or holding.state is not HoldingState.LOADING:
+    replica = server.replicas.get(item.base)
+    if replica is None or replica.state is not ReplicaState.LOADING:
         return None
-    return holding.move
+    return replica.move
 
 
-def _detail(world: World, item: ItemRow, reason: MoveReason, choice: Choice, now: float) -> str:
+def _detail(
+    placement: PlacementState, item: ItemRow, reason: MoveReason, choice: Choice, now: float
+) -> str:
     copies = item.serving
-    per_minute = expected_rate(world, item, now) * 60.0
+    per_minute = expected_rate(placement, item, now) * 60.0
     facts = f"{copies} of {item.wanted} copies serve, {per_minute:.2f} requests/min expected"
     if reason is MoveReason.WAITING_REQUESTS:
         facts += _why_missed(item, now)
@@ -296,9 +308,9 @@
     return f", {item.min_replicas} copies are declared"
 
 
-def cancel_planned(world: World, now: float, outcome: str) -> None:
+def cancel_planned(placement: PlacementState, now: float, outcome: str) -> None:
     """Give up everything that was not ordered."""
-    for move in list(world.moves.values()):
+    for move in list(placement.moves.values()):
         pending = move.state in (MoveState.PLANNED, MoveState.CLOSING)
-        if pending and move.move_id in world.moves:
-            end_move(world, move, MoveState.CANCELLED, outcome, now)
+        if pending and move.move_id in placement.moves:
+            end_move(placement, move, MoveState.CANCELLED, outcome, now)
--- a/src/zincvale/controlplane/placement/plan_unloads.py
+++ b/src/zincvale/controlplane/placement/plan_unloads.py
@@ -11,15 +11,15 @@
     MoveState,
     Reservation,
 )
-from zincvale.controlplane.placement.servers import HoldingState, ServerState
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.servers import ReplicaState, ServerState
+from zincvale.controlplane.placement.state import PlacementState
 from zincvale.model.identifiers import MoveId
 
 EXPECTED_UNLOAD_S = 0.2
 
 
 def plan_unload(
-    world: World,
+    placement: PlacementState,
     server: ServerState,
     key: ItemKey,
     reason: MoveReason,
@@ -28,11 +28,11 @@
     now: float,
 ) -> MoveId:
     """Close a copy and put its unload on the calendar; return the move."""
-    holding = server.holdings[key]
+    replica = server.replicas[key]
     kind, _, name = key.partition("/")
-    start_at = now + world.config.closing_wait_s
+    start_at = now + placement.config.closing_wait_s
     move = Move(
-        move_id=world.new_move_id(),
+        move_id=placement.new_move_id(),
         kind=MoveKind.UNLOAD,
         state=MoveState.CLOSING,
         reason=reason,
@@ -45,17 +45,17 @@
         expected_end=start_at + EXPECTED_UNLOAD_S,
         item_kind=ItemKind(kind),
         name=name,
-        reservation=Reservation(memory_bytes=holding.item_bytes),
+        reservation=Reservation(memory_bytes=replica.item_bytes),
         after=after,
     )
-    holding.move = move.move_id
-    world.set_closing(server, key, holding, True)
-    server.planned_free_bytes += holding.item_bytes
+    replica.move = move.move_id
+    placement.set_closing(server, key, replica, True)
+    server.planned_free_bytes += replica.item_bytes
     server.planned_free_adapters += move.item_kind is ItemKind.ADAPTER
-    world.index_free(server)
-    world.put_move(move)
-    world.queue_review(key)
-    world.log(
+    placement.index_free(server)
+    placement.put_move(move)
+    placement.queue_review(key)
+    placement.log(
         log_events.UNLOAD_PLANNED,
         move=move.move_id,
         name=name,
@@ -66,29 +66,29 @@
     return move.move_id
 
 
-def unload_undeclared(world: World, now: float) -> None:
+def unload_undeclared(placement: PlacementState, now: float) -> None:
     """System: unload copies of models and adapters that were deleted from the intent.
 
     A process that has no intent yet knows nothing of what is declared, and unloads nothing.
     """
-    if world.intent.version == 0:
+    if placement.intent.version == 0:
         return
-    due = world.undeclared_due
+    due = placement.undeclared_due
     while due and due[0][0] <= now:
         _, server_id, key = due.popleft()
-        found_at = world.undeclared.get(key, {}).get(server_id)
+        found_at = placement.undeclared.get(key, {}).get(server_id)
         if found_at is None:
             continue
-        if found_at + world.config.undeclared_grace_s <= now and world.leadership.held:
-            _unload_copy(world, world.servers[server_id], key, now)
+        if found_at + placement.config.undeclared_grace_s <= now and placement.leadership.held:
+            _unload_copy(placement, placement.servers[server_id], key, now)
         # Looked at again until it is gone: the unload may fail, or not be possible yet.
-        due.append((now + world.config.undeclared_grace_s, server_id, key))
+        due.append((now + placement.config.undeclared_grace_s, server_id, key))
 
 
-def _unload_copy(world: World, server: ServerState, key: ItemKey, now: float) -> None:
-    holding = server.holdings.get(key)
-    if holding is None or holding.move is not None or holding.state is not HoldingState.LOADED:
+def _unload_copy(placement: PlacementState, server: ServerState, key: ItemKey, now: float) -> None:
+    replica = server.replicas.get(key)
+    if replica is None or replica.move is not None or replica.state is not ReplicaState.LOADED:
         return
-    if not server.serving or server.settled_epoch != world.leadership.epoch:
+    if not server.serving or server.settled_epoch != placement.leadership.epoch:
         return
-    plan_unload(world, server, key, MoveReason.NOT_DECLARED, "no resource declares it", (), now)
+    plan_unload(placement, server, key, MoveReason.NOT_DECLARED, "no resource declares it", (), now)
--- a/src/zincvale/controlplane/placement/prefetch.py
+++ b/src/zincvale/controlplane/placement/prefetch.py
@@ -20,8 +20,8 @@
 from zincvale.controlplane.placement.plan_loads import add_load_moves
 from zincvale.controlplane.placement.plan_unloads import plan_unload
 from zincvale.controlplane.placement.prefetch_state import PrefetchState
-from zincvale.controlplane.placement.servers import Holding, HoldingState, ServerState
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.servers import Replica, ReplicaState, ServerState
+from zincvale.controlplane.placement.state import PlacementState
 from zincvale.model.identifiers import PoolName, ServerId
 
 SHORT_LOAD_S = 1.5
@@ -37,52 +37,52 @@
 """Part of what a store gives in a window that fetching may use up; the rest is for requests."""
 
 
-def note_asked(world: World, item: ItemRow, now: float) -> None:
+def note_asked(placement: PlacementState, item: ItemRow, now: float) -> None:
     """Requests came for an item."""
-    world.prefetches.setdefault(item.pool, PrefetchState()).asked_at = now
+    placement.prefetches.setdefault(item.pool, PrefetchState()).asked_at = now
 
 
-def prefetch(world: World, now: float) -> None:
+def prefetch(placement: PlacementState, now: float) -> None:
     """System: plan loads that bring weights onto disks."""
-    if not world.config.servers_keep_weights or not world.leadership.may_order(now):
+    if not placement.config.servers_keep_weights or not placement.leadership.may_order(now):
         return
-    if not world.leadership.stores_open:
+    if not placement.leadership.stores_open:
         return
-    for pool, servers in world.servers_by_pool.items():
-        state = world.prefetches.setdefault(pool, PrefetchState())
+    for pool, servers in placement.servers_by_pool.items():
+        state = placement.prefetches.setdefault(pool, PrefetchState())
         if now < state.looked_at + LOOK_INTERVAL_S:
             continue
         state.looked_at = now
-        idle = [world.servers[server] for server in servers if _is_idle(world, server)]
+        idle = [placement.servers[server] for server in servers if _is_idle(placement, server)]
         if not idle:
             continue
-        worth = _is_worth(world, pool)
+        worth = _is_worth(placement, pool)
         if worth is None:
-            _try_disk(world, state, idle, now)
+            _try_disk(placement, state, idle, now)
         elif worth:
-            _fetch(world, pool, state, idle, now)
+            _fetch(placement, pool, state, idle, now)
 
 
-def _is_idle(world: World, server_id: ServerId) -> bool:
-    server = world.servers[server_id]
-    if not server.serving or server.settled_epoch != world.leadership.epoch:
+def _is_idle(placement: PlacementState, server_id: ServerId) -> bool:
+    server = placement.servers[server_id]
+    if not server.serving or server.settled_epoch != placement.leadership.epoch:
         return False
-    return not world.moves_by_server.get(server_id) and not server.planned_models
+    return not placement.moves_by_server.get(server_id) and not server.planned_models
 
 
-def _is_worth(world: World, pool: PoolName) -> bool | None:
+def _is_worth(placement: PlacementState, pool: PoolName) -> bool | None:
     """Whether disks are much faster than the store; None when that must be tried."""
     longest = max(
-        (item for item in world.items.values() if _is_model_of(item, pool)),
-        key=world.expected_load_s,
+        (item for item in placement.items.values() if _is_model_of(item, pool)),
+        key=placement.expected_load_s,
         default=None,
     )
-    if longest is None or world.expected_load_s(longest) <= SHORT_LOAD_S:
+    if longest is None or placement.expected_load_s(longest) <= SHORT_LOAD_S:
         return False
-    if longest.store not in world.load_times.disk_rate_by_store:
+    if longest.store not in placement.load_times.disk_rate_by_store:
         return None
-    from_disk_s = world.expected_return_s(longest)
-    return from_disk_s <= world.expected_load_s(longest) * FASTER_PART
+    from_disk_s = placement.expected_return_s(longest)
+    return from_disk_s <= placement.expected_load_s(longest) * FASTER_PART
 
 
 def _is_model_of(item: ItemRow, pool: PoolName) -> bool:
@@ -92,34 +92,36 @@
 # --- the trial ------------------------------------------------------------------------------
 
 
-def _try_disk(world: World, state: PrefetchState, idle: list[ServerState], now: float) -> None:
-    if state.trial is not None and state.trial in world.moves:
+def _try_disk(
+    placement: PlacementState, state: PrefetchState, idle: list[ServerState], now: float
+) -> None:
+    if state.trial is not None and state.trial in placement.moves:
         return
-    finished = world.finished_moves.get(state.trial) if state.trial is not None else None
+    finished = placement.finished_moves.get(state.trial) if state.trial is not None else None
     state.trial = None
-    server = world.servers.get(state.trial_server)
-    item = world.items.get(state.trial_key)
+    server = placement.servers.get(state.trial_server)
+    item = placement.items.get(state.trial_key)
     if finished is not None and finished.state is MoveState.DONE and server in idle and item:
-        _load(world, item, server, NO_EVICTION, now)
+        _load(placement, item, server, NO_EVICTION, now)
         return
-    if any(_is_prefetch(move) for move in world.moves.values()):
+    if any(_is_prefetch(move) for move in placement.moves.values()):
         return
     for server in idle:
-        key = _spare_copy(world, server, now)
+        key = _spare_copy(placement, server, now)
         if key is not None:
             detail = "loaded again at once, to learn how long that takes from the server's disk"
-            state.trial = plan_unload(world, server, key, MoveReason.PREFETCH, detail, (), now)
+            state.trial = plan_unload(placement, server, key, MoveReason.PREFETCH, detail, (), now)
             state.trial_key, state.trial_server = key, server.server
             return
 
 
-def _spare_copy(world: World, server: ServerState, now: float) -> ItemKey | None:
+def _spare_copy(placement: PlacementState, server: ServerState, now: float) -> ItemKey | None:
     """Return a model on the server whose other copies are enough."""
-    for key, holding in server.holdings.items():
-        item = world.items.get(key)
+    for key, replica in server.replicas.items():
+        item = placement.items.get(key)
         if item is None or item.kind is not ItemKind.MODEL:
             continue
-        is_free = holding.state is HoldingState.LOADED and holding.move is None
+        is_free = replica.state is ReplicaState.LOADED and replica.move is None
         if is_free and item.serving > max(item.wanted, item.min_replicas, 1) and not item.running:
             return key
     return None
@@ -129,96 +131,104 @@
 
 
 def _fetch(
-    world: World, pool: PoolName, state: PrefetchState, idle: list[ServerState], now: float
+    placement: PlacementState,
+    pool: PoolName,
+    state: PrefetchState,
+    idle: list[ServerState],
+    now: float,
 ) -> None:
     room = len(idle)
     if now - state.asked_at <= QUIET_S:
-        room -= math.ceil(len(world.servers_by_pool[pool]) * KEPT_IDLE_SHARE)
+        room -= math.ceil(len(placement.servers_by_pool[pool]) * KEPT_IDLE_SHARE)
     if room <= 0:
         return
-    missing = _on_no_disk(world, pool)
-    room = min(room, _window_left(world, missing, now)) if missing else 0
+    missing = _on_no_disk(placement, pool)
+    room = min(room, _window_left(placement, missing, now)) if missing else 0
     for server in idle:
         if room <= 0 or not missing:
             return
         item = missing[-1]
-        eviction = _place(world, item, server)
+        eviction = _place(placement, item, server)
         if eviction is None:
             continue
         missing.pop()
         room -= 1
-        _load(world, item, server, eviction, now)
+        _load(placement, item, server, eviction, now)
 
 
 def _is_prefetch(move: Move) -> bool:
     return move.reason is MoveReason.PREFETCH
 
 
-def _window_left(world: World, missing: list[ItemRow], now: float) -> int:
+def _window_left(placement: PlacementState, missing: list[ItemRow], now: float) -> int:
     """Return how many more loads fetching may begin in the store's window that ends now."""
-    store = world.stores.get(missing[-1].store)
+    store = placement.stores.get(missing[-1].store)
     if store is None:
         return 0
     if not store.loads_per_window:
         return len(missing)
     planned = sum(
-        1 for move in world.moves.values() if _is_prefetch(move) and move.state is MoveState.PLANNED
+        1
+        for move in placement.moves.values()
+        if _is_prefetch(move) and move.state is MoveState.PLANNED
     )
     return math.floor(store.loads_per_window * WINDOW_SHARE) - store.begun(now) - planned
 
 
-def _on_no_disk(world: World, pool: PoolName) -> list[ItemRow]:
+def _on_no_disk(placement: PlacementState, pool: PoolName) -> list[ItemRow]:
     """Return the models that no server in the directory has on disk, the least wanted first."""
     missing = [
         item
-        for item in world.items.values()
+        for item in placement.items.values()
         if _is_model_of(item, pool)
         and not item.holders
         and not item.planned
-        and not world.is_on_disk(item)
+        and not placement.is_on_disk(item)
     ]
     missing.sort(key=lambda item: item.missed.count)
     return missing
 
 
-def _place(world: World, item: ItemRow, server: ServerState) -> Eviction | None:
+def _place(placement: PlacementState, item: ItemRow, server: ServerState) -> Eviction | None:
     """Return what leaves for the item, None when something that may be asked for would."""
     space = Space(item, item.weight_bytes)
-    missing_bytes = space.missing_bytes(world, server)
+    missing_bytes = space.missing_bytes(placement, server)
     if missing_bytes <= 0:
         return NO_EVICTION
     fitting = [
         (rank, key)
-        for key, holding in server.holdings.items()
-        if holding.item_bytes >= missing_bytes
-        and (rank := _rank_of_leaving(world, server, key, holding)) is not None
+        for key, replica in server.replicas.items()
+        if replica.item_bytes >= missing_bytes
+        and (rank := _rank_of_leaving(placement, server, key, replica)) is not None
     ]
     if not fitting:
         return None
     model = min(fitting)[1]
-    adapters = (key for key in world.items[model].adapters if key in server.holdings)
+    adapters = (key for key in placement.items[model].adapters if key in server.replicas)
     return Eviction((*adapters, model), 0.0)
 
 
 def _rank_of_leaving(
-    world: World, server: ServerState, key: ItemKey, holding: Holding
+    placement: PlacementState, server: ServerState, key: ItemKey, replica: Replica
 ) -> int | None:
     """Return which copies leave first, 0 before 1; None for those that stay.
 
     Several copies of a model that nobody asked for yet were put there by somebody who expects that.
     """
-    item = world.items.get(key)
+    item = placement.items.get(key)
     if item is None or item.kind is not ItemKind.MODEL or item.waiting or item.min_replicas:
         return None
-    is_free = holding.state is HoldingState.LOADED and holding.move is None
-    if not is_free or world.running_on(server, key):
+    is_free = replica.state is ReplicaState.LOADED and replica.move is None
+    if not is_free or placement.running_on(server, key):
         return None
     if item.demand.profile is not None:
         return 2 if item.serving > max(item.wanted, 1) else None
     if item.serving > 1:
         return None
-    return 0 if holding.fetched_ahead else 1
+    return 0 if replica.fetched_ahead else 1
 
 
-def _load(world: World, item: ItemRow, server: ServerState, eviction: Eviction, now: float) -> None:
-    add_load_moves(world, item, MoveReason.PREFETCH, Choice(server, eviction), now)
+def _load(
+    placement: PlacementState, item: ItemRow, server: ServerState, eviction: Eviction, now: float
+) -> None:
+    add_load_moves(placement, item, MoveReason.PREFETCH, Choice(server, eviction), now)
--- a/src/zincvale/controlplane/placement/replica_value.py
+++ b/src/zincvale/controlplane/placement/replica_value.py
@@ -5,7 +5,7 @@
 import math
 
 from zincvale.controlplane.placement.items import ItemRow
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.state import PlacementState
 from zincvale.model.resources import Stake
 
 FAST_RATE_WEIGHT = 0.25
@@ -19,11 +19,11 @@
 WEIGHT_BY_STAKE = {Stake.LOW: 0.5, Stake.NORMAL: 1.0, Stake.HIGH: 4.0}
 
 
-def expected_rate(world: World, item: ItemRow, now: float) -> float:
+def expected_rate(placement: PlacementState, item: ItemRow, now: float) -> float:
     """Return requests per second expected soon: measured, recent, or shown by earlier days."""
     if item.rate_at == now:
         return item.rate
-    config = world.config
+    config = placement.config
     demand = item.demand
     rate = demand.slow_rate(now)
     predicted = demand.predicted_rate(now + config.lookahead_s, now, config)
@@ -35,64 +35,64 @@
     return item.rate
 
 
-def item_value(world: World, item: ItemRow, now: float) -> float:
+def item_value(placement: PlacementState, item: ItemRow, now: float) -> float:
     """Return waits per second that one copy avoids while there is no other.
 
     Without a copy each request starts a load, and those that arrive during it wait as well.
     """
-    rate = expected_rate(world, item, now)
-    waits = rate * (1.0 + rate * world.expected_return_s(item))
+    rate = expected_rate(placement, item, now)
+    waits = rate * (1.0 + rate * placement.expected_return_s(item))
     return waits * WEIGHT_BY_STAKE[item.stake]
 
 
-def need(world: World, item: ItemRow, now: float) -> float:
+def need(placement: PlacementState, item: ItemRow, now: float) -> float:
     """Return how much a copy of an item is missed now, in requests.
 
     Requests that wait or crowd the present copies count, and those that came lately while there was
     none, which may have been refused. What operators pinned counts as if one request waited. The
     longer something waits, the more it counts.
     """
-    requests = item.waiting + item.missed.present(now) + overload(world, item)
+    requests = item.waiting + item.missed.present(now) + overload(placement, item)
     if item.min_replicas:
         requests = max(requests, 1.0)
     age = 1.0
     if item.waiting:
-        age += (now - item.waiting_since) / world.config.urgent_age_s
+        age += (now - item.waiting_since) / placement.config.urgent_age_s
     return requests * age * WEIGHT_BY_STAKE[item.stake]
 
 
-def overload(world: World, item: ItemRow) -> float:
+def overload(placement: PlacementState, item: ItemRow) -> float:
     """Return the requests that run on a model beyond what its copies should run at once.
 
     Only where copies are added for crowds as urgently as for waiting requests.
     """
-    pool = world.intent.pools.get(item.pool)
-    if not world.config.crowds_count_as_waiting or not item.serving or pool is None:
+    pool = placement.intent.pools.get(item.pool)
+    if not placement.config.crowds_count_as_waiting or not item.serving or pool is None:
         return 0.0
     crowd = item.running - (item.serving + item.loading) * pool.max_concurrent_per_server
     return float(crowd) if crowd >= LEAST_OVERLOAD and item.base is None else 0.0
 
 
-def is_missed(world: World, item: ItemRow, now: float) -> bool:
+def is_missed(placement: PlacementState, item: ItemRow, now: float) -> bool:
     """Whether requests ask now for an item that no copy serves, or too few do."""
     if item.serving:
-        return overload(world, item) > 0.0
-    return item.waiting > 0 or need(world, item, now) >= LEAST_NEED
+        return overload(placement, item) > 0.0
+    return item.waiting > 0 or need(placement, item, now) >= LEAST_NEED
 
 
-def foreseen_value(world: World, item: ItemRow, now: float) -> float:
+def foreseen_value(placement: PlacementState, item: ItemRow, now: float) -> float:
     """Return the value that earlier days show for the time ahead, else the present one."""
-    config = world.config
+    config = placement.config
     rate = item.demand.predicted_rate(now + config.lookahead_s, now, config)
     if rate is None:
-        return item_value(world, item, now)
-    waits = rate * (1.0 + rate * world.expected_load_s(item))
+        return item_value(placement, item, now)
+    waits = rate * (1.0 + rate * placement.expected_load_s(item))
     return waits * WEIGHT_BY_STAKE[item.stake]
 
 
-def copy_value(world: World, item: ItemRow, now: float) -> float:
+def copy_value(placement: PlacementState, item: ItemRow, now: float) -> float:
     """Return what one of the item's copies is worth, less when there are more than wanted."""
-    value = item_value(world, item, now)
+    value = item_value(placement, item, now)
     copies = item.serving
     if copies > max(item.wanted, 1):
         return value * SURPLUS_WEIGHT
@@ -101,11 +101,11 @@
     return value
 
 
-def eviction_cost(world: World, item: ItemRow, now: float) -> float:
+def eviction_cost(placement: PlacementState, item: ItemRow, now: float) -> float:
     """Return requests expected to wait if a copy goes for the sake of waiting ones."""
-    rate = expected_rate(world, item, now)
-    asked_again = 1.0 - math.exp(-rate * world.config.urgent_horizon_s)
-    cost = asked_again * (1.0 + rate * world.expected_return_s(item))
+    rate = expected_rate(placement, item, now)
+    asked_again = 1.0 - math.exp(-rate * placement.config.urgent_horizon_s)
+    cost = asked_again * (1.0 + rate * placement.expected_return_s(item))
     if item.serving > 1:
         cost *= SURPLUS_WEIGHT
     return cost * WEIGHT_BY_STAKE[item.stake]
--- a/src/zincvale/controlplane/placement/servers.py
+++ b/src/zincvale/controlplane/placement/servers.py
@@ -22,7 +22,7 @@
     LOADING = "loading"
 
 
-class HoldingState(enum.Enum):
+class ReplicaState(enum.Enum):
     """What a server does with an item that occupies its memory."""
 
     LOADING = "loading"
@@ -31,7 +31,7 @@
 
 
 @attrs.define(eq=False)
-class Holding:
+class Replica:
     """An item on a server; counted in memory from the order to load until it is seen gone.
 
     Attributes
@@ -44,7 +44,7 @@
     contrary_since : arrival of the first status that contradicts the order; see `settle`.
     """
 
-    state: HoldingState
+    state: ReplicaState
     item_bytes: int
     kv_bytes: int
     since: float
@@ -96,7 +96,7 @@
     cold_until: float = NEVER
     down_since: float = NEVER
     status_asked_at: float = NEVER
-    holdings: dict[ItemKey, Holding] = attrs.field(factory=dict)
+    replicas: dict[ItemKey, Replica] = attrs.field(factory=dict)
     held_bytes: int = 0
     held_kv_bytes: int = 0
     planned_bytes: int = 0
--- a/src/zincvale/controlplane/placement/state.py
+++ b/src/zincvale/controlplane/placement/state.py
@@ -17,7 +17,7 @@
 from zincvale.controlplane.placement.load_times import LoadTimes
 from zincvale.controlplane.placement.moves import Move
 from zincvale.controlplane.placement.prefetch_state import PrefetchState
-from zincvale.controlplane.placement.servers import CountedAs, Holding, HoldingState, ServerState
+from zincvale.controlplane.placement.servers import CountedAs, Replica, ReplicaState, ServerState
 from zincvale.controlplane.placement.stores import StoreState
 from zincvale.model.identifiers import (
     Address,
@@ -63,7 +63,7 @@
 
 
 @attrs.define(eq=False)
-class World:
+class PlacementState:
     """Every table, and the queues that tell the systems what changed.
 
     Attributes
@@ -166,35 +166,35 @@
         """Return loads that are planned or in flight on servers in service."""
         return item.loading + len(item.planned)
 
-    def recount(self, server: ServerState, key: ItemKey, holding: Holding) -> None:
+    def recount(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
         """Count a holding in its item's row as what it is now."""
-        counted_as = _counted_as(server, holding)
-        if counted_as is holding.counted_as:
+        counted_as = _counted_as(server, replica)
+        if counted_as is replica.counted_as:
             return
         item = self.items.get(key)
         if item is None:
             return
         item.serving += (counted_as is CountedAs.SERVING) - (
-            holding.counted_as is CountedAs.SERVING
+            replica.counted_as is CountedAs.SERVING
         )
         item.loading += (counted_as is CountedAs.LOADING) - (
-            holding.counted_as is CountedAs.LOADING
+            replica.counted_as is CountedAs.LOADING
         )
-        holding.counted_as = counted_as
+        replica.counted_as = counted_as
 
     def recount_server(self, server: ServerState) -> None:
         """Count everything on a server whose service changed, and have it looked at."""
-        for key, holding in server.holdings.items():
-            self.recount(server, key, holding)
+        for key, replica in server.replicas.items():
+            self.recount(server, key, replica)
             self.queue_review(key)
 
     def set_state(
-        self, server: ServerState, key: ItemKey, holding: Holding, state: HoldingState
+        self, server: ServerState, key: ItemKey, replica: Replica, state: ReplicaState
     ) -> None:
         """Change what a server does with an item."""
-        holding.state = state
-        self._note_disk_copy(server, key, holding)
-        self.recount(server, key, holding)
+        replica.state = state
+        self._note_disk_copy(server, key, replica)
+        self.recount(server, key, replica)
 
     def loads_from_disk(self, item: ItemRow, server: ServerState) -> bool:
         """Whether the server has the item's weights on its own disk, as far as known."""
@@ -239,49 +239,49 @@
 
     # Holdings
 
-    def _note_disk_copy(self, server: ServerState, key: ItemKey, holding: Holding) -> None:
-        if holding.state is HoldingState.LOADED and not is_adapter_key(key):
+    def _note_disk_copy(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
+        if replica.state is ReplicaState.LOADED and not is_adapter_key(key):
             self.disk_copies.note(key, server.address)
 
-    def add_holding(self, server: ServerState, key: ItemKey, holding: Holding) -> None:
+    def add_replica(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
         """Count an item in the server's memory."""
-        server.holdings[key] = holding
-        self._note_disk_copy(server, key, holding)
+        server.replicas[key] = replica
+        self._note_disk_copy(server, key, replica)
         server.held_adapters += is_adapter_key(key)
-        server.held_bytes += holding.item_bytes
-        server.held_kv_bytes += holding.kv_bytes
+        server.held_bytes += replica.item_bytes
+        server.held_kv_bytes += replica.kv_bytes
         item = self.items.get(key)
         if item is not None:
             item.holders[server.server] = None
-        self.recount(server, key, holding)
+        self.recount(server, key, replica)
         self.index_free(server)
         self.queue_review(key)
 
-    def remove_holding(self, server: ServerState, key: ItemKey) -> None:
+    def remove_replica(self, server: ServerState, key: ItemKey) -> None:
         """Take an item out of the server's memory: it was observed to be gone."""
-        holding = server.holdings.pop(key)
+        replica = server.replicas.pop(key)
         server.held_adapters -= is_adapter_key(key)
-        server.held_bytes -= holding.item_bytes
-        server.held_kv_bytes -= holding.kv_bytes
-        if holding.closing:
+        server.held_bytes -= replica.item_bytes
+        server.held_kv_bytes -= replica.kv_bytes
+        if replica.closing:
             self.changed_closing[server.server] = None
         item = self.items.get(key)
         if item is not None:
             item.holders.pop(server.server, None)
-            item.serving -= holding.counted_as is CountedAs.SERVING
-            item.loading -= holding.counted_as is CountedAs.LOADING
+            item.serving -= replica.counted_as is CountedAs.SERVING
+            item.loading -= replica.counted_as is CountedAs.LOADING
         self.forget_undeclared(key, server.server)
         self.index_free(server)
         self.queue_review(key)
         if item is not None and item.kind is ItemKind.MODEL:
             self.queue_adapters(item)
 
-    def resize_holding(self, server: ServerState, holding: Holding, item: ItemRow) -> None:
+    def resize_replica(self, server: ServerState, replica: Replica, item: ItemRow) -> None:
         """Count a copy with the sizes that are declared now."""
-        server.held_bytes += item.weight_bytes - holding.item_bytes
-        server.held_kv_bytes += item.kv_bytes - holding.kv_bytes
-        holding.item_bytes = item.weight_bytes
-        holding.kv_bytes = item.kv_bytes
+        server.held_bytes += item.weight_bytes - replica.item_bytes
+        server.held_kv_bytes += item.kv_bytes - replica.kv_bytes
+        replica.item_bytes = item.weight_bytes
+        replica.kv_bytes = item.kv_bytes
         self.index_free(server)
 
     def note_undeclared(self, key: ItemKey, server_id: ServerId, now: float) -> None:
@@ -299,12 +299,12 @@
             del self.undeclared[key]
 
     def set_closing(
-        self, server: ServerState, key: ItemKey, holding: Holding, closing: bool
+        self, server: ServerState, key: ItemKey, replica: Replica, closing: bool
     ) -> None:
         """Have nodes send nothing new to a copy, or send again."""
-        if holding.closing != closing:
-            holding.closing = closing
-            self.recount(server, key, holding)
+        if replica.closing != closing:
+            replica.closing = closing
+            self.recount(server, key, replica)
             self.changed_closing[server.server] = None
 
     def queue_adapters(self, model: ItemRow) -> None:
@@ -365,11 +365,11 @@
         return MoveId(f"m{self.leadership.epoch}-{self.number()}")
 
 
-def _counted_as(server: ServerState, holding: Holding) -> CountedAs:
+def _counted_as(server: ServerState, replica: Replica) -> CountedAs:
     if not server.serving:
         return CountedAs.NOTHING
-    if holding.state is HoldingState.LOADING:
+    if replica.state is ReplicaState.LOADING:
         return CountedAs.LOADING
-    if holding.state is HoldingState.LOADED and not holding.closing:
+    if replica.state is ReplicaState.LOADED and not replica.closing:
         return CountedAs.SERVING
     return CountedAs.NOTHING
--- a/src/zincvale/coordination/delivery/applied_versions.py
+++ b/src/zincvale/coordination/delivery/applied_versions.py
@@ -63,13 +63,13 @@
             settled = all(self.is_settled(key) for key in DELIVERED_KEYS)
             self._repeat_at = now + (IDLE_INTERVAL_S if settled else BUSY_INTERVAL_S)
             return self.report(now, only_news=False)
-        if self._grantor.holdings_changed or self._grantor.has_laggards():
+        if self._grantor.replicas_changed or self._grantor.has_laggards():
             return self.report(now, only_news=True)
         return []
 
     def report(self, now: float, only_news: bool) -> list[Effect]:
         """Tell the other cores which versions every live lease here holds."""
-        self._grantor.holdings_changed = False
+        self._grantor.replicas_changed = False
         effects: list[Effect] = []
         for key in DELIVERED_KEYS:
             report = self._report(key, now)
--- a/src/zincvale/coordination/leases/core_leases.py
+++ b/src/zincvale/coordination/leases/core_leases.py
@@ -54,7 +54,7 @@
 
     def report_if_complete(self, now: float) -> list[Effect]:
         """Report at once when the last node that lacked a version confirmed it."""
-        if not self.caught_up or not self.grantor.holdings_changed or self.grantor.has_laggards():
+        if not self.caught_up or not self.grantor.replicas_changed or self.grantor.has_laggards():
             return []
         return self.reports.report(now, only_news=True)
 
--- a/src/zincvale/coordination/leases/lease_grantor.py
+++ b/src/zincvale/coordination/leases/lease_grantor.py
@@ -68,7 +68,7 @@
         """Leases of earlier incarnations, which may still be in use."""
         self._chosen: dict[str, _Chosen] = {}
         self._lagging: dict[str, set[str]] = {}
-        self.holdings_changed = False
+        self.replicas_changed = False
         """Whether what nodes hold may have changed since the last report."""
         self.members_changed: set[str] = set()
         """Nodes that came, went, moved or changed readiness since the member table was made."""
@@ -79,7 +79,7 @@
         self._lagging[key] = {
             member for member, row in self.rows.items() if row.held.get(key, 0) < version
         }
-        self.holdings_changed = True
+        self.replicas_changed = True
 
     def renew(self, renewal: RenewLease, newest: dict[str, int], now: float) -> dict[str, int]:
         """Grant or renew a lease; return the versions its holder must hold.
@@ -124,7 +124,7 @@
                 lagging.discard(member)
         if gone:
             self.members_changed.update(gone)
-            self.holdings_changed = True
+            self.replicas_changed = True
 
     def has_laggards(self) -> bool:
         """Whether some node with a lease lacks a chosen version."""
@@ -172,7 +172,7 @@
             or before.held != after.held
             or before.evidence_silent != after.evidence_silent
         ):
-            self.holdings_changed = True
+            self.replicas_changed = True
 
     def _overdue(self, held: dict[str, int], now: float) -> dict[str, int]:
         overdue = {}
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -185,7 +185,7 @@
             self._server_reached,
         )
         self._residency = ResidencyPublication(
-            lambda: self._controller.world.servers, self._placement.publish
+            lambda: self._controller.state.servers, self._placement.publish
         )
         self.process.router.add_service("dataplane", self._demand_received)
         self.process.router.add_service("listed", self._list.message_received)
@@ -233,7 +233,7 @@
         self._residency.touch(row.server for row in seen.rows)
 
     def _is_settled(self, server: ServerId) -> bool:
-        state = self._controller.world.servers.get(server)
+        state = self._controller.state.servers.get(server)
         return (
             state is not None
             and bool(self._role_epoch)
--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -13,7 +13,6 @@
 from zincvale.controlplane.placement.controller import PlacementController
 from zincvale.controlplane.placement.draining_row_codec import MOVES_TOPIC
 from zincvale.controlplane.placement.events import (
-    AskStatus,
     CompletionRecorded,
     DirectoryChanged,
     Input,
@@ -26,6 +25,7 @@
     OrderRefused,
     OrderUnknown,
     PublishMoves,
+    RequestStatus,
     SendOrder,
     StatusReport,
 )
@@ -117,7 +117,7 @@
         match effect:
             case SendOrder():
                 IOLoop.current().add_callback(self._send_order, effect)
-            case AskStatus():
+            case RequestStatus():
                 IOLoop.current().add_callback(self._ask_status, effect)
             case PublishMoves():
                 self._publications.put_nowait(self._publication(effect))
@@ -160,7 +160,7 @@
         if reply in (OrderRefusal.NOT_CONNECTED, OrderReply.UNKNOWN):
             self._on_reached(effect.server, False)
         if reply is OrderRefusal.BUSY and self._orders.confirms_by_repeating:
-            await self._ask_status(AskStatus(effect.server, effect.address))
+            await self._ask_status(RequestStatus(effect.server, effect.address))
         if reply is OrderReply.TAKEN and self._orders.confirms_by_repeating:
             await self._confirm(effect, row)
 
@@ -231,11 +231,11 @@
         """Ask a server for its status now."""
         row = self._row_of(server)
         if row is not None:
-            IOLoop.current().add_callback(self._ask_status, AskStatus(server, row.address))
+            IOLoop.current().add_callback(self._ask_status, RequestStatus(server, row.address))
 
     # --- statuses -------------------------------------------------------------------------
 
-    async def _ask_status(self, effect: AskStatus) -> None:
+    async def _ask_status(self, effect: RequestStatus) -> None:
         row = self._row_of(effect.server)
         if row is None:
             return
--- a/src/zincvale/daemons/residency_publication.py
+++ b/src/zincvale/daemons/residency_publication.py
@@ -7,7 +7,7 @@
 import orjson
 
 from zincvale.controlplane.placement.items import ItemKind
-from zincvale.controlplane.placement.servers import HoldingState, ServerState
+from zincvale.controlplane.placement.servers import ReplicaState, ServerState
 from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.daemons.residency_rows import RESIDENCY_TOPIC
 from zincvale.model.identifiers import ServerId
@@ -65,9 +65,9 @@
     What is about to be unloaded is left out as soon as that is planned.
     """
     held: dict[str, list[str]] = {ItemKind.MODEL.value: [], ItemKind.ADAPTER.value: []}
-    for key, holding in server.holdings.items():
+    for key, replica in server.replicas.items():
         kind, _, name = key.partition("/")
-        if holding.state is HoldingState.LOADED and not holding.closing:
+        if replica.state is ReplicaState.LOADED and not replica.closing:
             held[kind].append(name)
     return orjson.dumps(
         {
--- a/src/zincvale/simulator/placement/controller_policy.py
+++ b/src/zincvale/simulator/placement/controller_policy.py
@@ -10,7 +10,6 @@
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.controller import PlacementController
 from zincvale.controlplane.placement.events import (
-    AskStatus,
     DemandReported,
     DemandRow,
     DirectoryChanged,
@@ -23,6 +22,7 @@
     OrderAction,
     OrderRefusal,
     OrderRefused,
+    RequestStatus,
     SendOrder,
     StatusReport,
     UseRow,
@@ -125,7 +125,7 @@
         match effect:
             case SendOrder():
                 self._order(fleet, effect)
-            case AskStatus(server, _):
+            case RequestStatus(server, _):
                 self._later(0.0, lambda fleet: self._answer_status(fleet, server))
             case MarkDraining(server, names):
                 self._later(MARK_DELAY_S, lambda fleet: self._mark(fleet, server, names))
--- a/src/zincvale/simulator/placement_scale.py
+++ b/src/zincvale/simulator/placement_scale.py
@@ -21,7 +21,6 @@
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.controller import PlacementController
 from zincvale.controlplane.placement.events import (
-    AskStatus,
     DemandReported,
     DemandRow,
     DirectoryChanged,
@@ -31,6 +30,7 @@
     LeaderGained,
     OrderAccepted,
     OrderAction,
+    RequestStatus,
     SendOrder,
     StatusReport,
 )
@@ -126,7 +126,7 @@
 
     def _changed_intent(self) -> Intent:
         """Return the intent with one model changed, as a decoder hands it over."""
-        intent = self._controller.world.intent
+        intent = self._controller.state.intent
         name = ModelName("m0")
         changed = dataclasses.replace(intent.models[name], min_replicas=1)
         return attrs.evolve(intent, version=2, models={**intent.models, name: changed})
@@ -208,7 +208,7 @@
                 self._feed("answer", OrderAccepted(effect.order.order_id))
                 unload = effect.order.action is OrderAction.UNLOAD
                 self._loading.append((self._now + (0.1 if unload else LOAD_S), effect))
-            case AskStatus(server, _):
+            case RequestStatus(server, _):
                 self._report([server], "statuses")
 
     def _make_rows(self, servers: int) -> list[ServerRow]:
--- a/src/zincvale/simulator/what_if/control_machine.py
+++ b/src/zincvale/simulator/what_if/control_machine.py
@@ -33,7 +33,6 @@
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.controller import PlacementController
 from zincvale.controlplane.placement.events import (
-    AskStatus,
     CompletionRecorded,
     DirectoryChanged,
     Input,
@@ -45,6 +44,7 @@
     OrderRefusal,
     OrderRefused,
     PublishMoves,
+    RequestStatus,
     SendOrder,
     StatusReport,
 )
@@ -186,7 +186,7 @@
         match effect:
             case SendOrder():
                 self._later(self._timings.order_hop_s, lambda: self._order(effect))
-            case AskStatus(server, _):
+            case RequestStatus(server, _):
                 self._ask_status(server)
             case PublishMoves():
                 self._take_moves(effect)
--- a/tests/controlplane/placement/bench_world.py
+++ b/tests/controlplane/placement/bench_world.py
@@ -92,9 +92,9 @@
         effects: list[Effect] = []
         for _ in range(max(round(seconds / 0.1), 1)):
             self.now = round(self.now + 0.1, 3)
-            if renew and self.controller.world.leadership.held:
+            if renew and self.controller.state.leadership.held:
                 effects += self.feed(
-                    LeaderGained(self.controller.world.leadership.epoch, self.now + 2.0)
+                    LeaderGained(self.controller.state.leadership.epoch, self.now + 2.0)
                 )
             effects += self.feed(Tick())
         return effects
--- a/tests/controlplane/placement/chaos.py
+++ b/tests/controlplane/placement/chaos.py
@@ -18,7 +18,6 @@
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.controller import PlacementController
 from zincvale.controlplane.placement.events import (
-    AskStatus,
     DemandReported,
     DemandRow,
     DirectoryChanged,
@@ -30,6 +29,7 @@
     OrderRefusal,
     OrderRefused,
     OrderUnknown,
+    RequestStatus,
     SendOrder,
     StatusReport,
 )
@@ -297,7 +297,7 @@
 
     def _carry_out(self, process: Process, effect: object) -> None:
         match effect:
-            case AskStatus(server, _):
+            case RequestStatus(server, _):
                 self._ask(process, self.servers[server])
             case SendOrder():
                 self._send(process, effect)
--- a/tests/controlplane/placement/test_demand.py
+++ b/tests/controlplane/placement/test_demand.py
@@ -155,7 +155,7 @@
         driver = Driver(make_intent({"alpha": 8}), {"server-1": make_row("server-1")})
         driver.demand(("alpha", None, 2, 2), node="node-1")
         driver.demand(("alpha", None, 1, 1), node="node-2")
-        item = driver.controller.world.items[model_key("alpha")]
+        item = driver.controller.state.items[model_key("alpha")]
         self.assertEqual(3, item.waiting)
         driver.tick(2.0)
         driver.demand(("alpha", None, 0, 1), node="node-2")
@@ -167,7 +167,7 @@
         driver.demand(("alpha", None, 2, 2), use=(("server-1", "alpha", 3),))
         driver.feed(IntentChanged(attrs.evolve(driver.intent, version=2, models={})))
         driver.feed(IntentChanged(attrs.evolve(driver.intent, version=3)))
-        item = driver.controller.world.items[model_key("alpha")]
+        item = driver.controller.state.items[model_key("alpha")]
         self.assertEqual((0, 0), (item.waiting, item.running))
         driver.demand(("alpha", None, 0, 1), use=(("server-1", "alpha", 2),))
         self.assertEqual((1, 2), (item.waiting, item.running))
--- a/tests/controlplane/placement/test_disk_copies.py
+++ b/tests/controlplane/placement/test_disk_copies.py
@@ -126,7 +126,7 @@
     def test_where_disks_are_slower_than_the_store_nothing_draws_it_there(self) -> None:
         for store_s, disk_s, expected in ((5.0, 0.8, True), (0.8, 5.0, False), (0.8, 0.7, False)):
             driver = settled()
-            times = driver.controller.world.load_times
+            times = driver.controller.state.load_times
             times.observe(model_key("x"), 30 * GB, "server-9", "weights", store_s)
             times.observe_from_disk(30 * GB, "weights", disk_s)
             for server in ("server-1", "server-3"):
@@ -144,14 +144,14 @@
     def test_a_load_from_disk_teaches_nothing_of_the_store(self) -> None:
         driver = settled()
         order = load_of(wanted(driver), "m")
-        world = driver.controller.world
+        placement = driver.controller.state
         driver.complete([order])
-        self.assertEqual({}, world.load_times.rate_by_store)
-        self.assertIn("weights", world.load_times.disk_rate_by_store)
+        self.assertEqual({}, placement.load_times.rate_by_store)
+        self.assertIn("weights", placement.load_times.disk_rate_by_store)
 
     def test_it_waits_for_a_load_there_that_ends_soon(self) -> None:
         driver = settled()
-        times = driver.controller.world.load_times
+        times = driver.controller.state.load_times
         times.observe(model_key("x"), 30 * GB, "server-9", "weights", 20.0)
         times.observe_from_disk(30 * GB, "weights", 0.8)
         driver.report("server-2", models=frozenset())
--- a/tests/controlplane/placement/test_leadership.py
+++ b/tests/controlplane/placement/test_leadership.py
@@ -71,12 +71,12 @@
         driver = make_driver()
         driver.report("server-1", loading=frozenset({"alpha"}))
         driver.lead()
-        moves = [m for m in driver.controller.world.moves.values() if m.kind is MoveKind.LOAD]
+        moves = [m for m in driver.controller.state.moves.values() if m.kind is MoveKind.LOAD]
         self.assertEqual([MoveReason.FOUND_IN_PROGRESS], [move.reason for move in moves])
-        self.assertEqual(1, driver.controller.world.stores["weights"].in_flight)
+        self.assertEqual(1, driver.controller.state.stores["weights"].in_flight)
         self.assertEqual([], loads_in(driver.seen))
         driver.report("server-1", loading=frozenset(), models=frozenset({"alpha"}))
-        self.assertEqual(0, driver.controller.world.stores["weights"].in_flight)
+        self.assertEqual(0, driver.controller.state.stores["weights"].in_flight)
 
     def test_an_expired_lease_stops_orders(self):
         driver = make_driver()
@@ -86,7 +86,7 @@
         driver.seen.clear()
         driver.tick(1.0, renew=False)
         self.assertEqual([], orders_in(driver.seen))
-        self.assertFalse(driver.controller.world.leadership.held)
+        self.assertFalse(driver.controller.state.leadership.held)
 
     def test_a_woken_leader_gives_no_order(self):
         for event in (ClockJumped(20.0), LeaderLost()):
@@ -105,7 +105,7 @@
         driver.lead(epoch=5)
         driver.feed(LeaderLost())
         driver.feed(LeaderGained(4, driver.now + 100.0))
-        self.assertFalse(driver.controller.world.leadership.held)
+        self.assertFalse(driver.controller.state.leadership.held)
 
     def test_orders_carry_epoch_lease_end_and_store_address(self):
         driver = make_driver(servers=1)
@@ -120,8 +120,8 @@
         driver = make_driver(servers=1)
         order = orders_in(driver.lead())[0]
         driver.feed(OrderRefused(order.order.order_id, OrderRefusal.WITHHELD))
-        self.assertEqual(0, driver.controller.world.stores["weights"].in_flight)
-        self.assertEqual(0, driver.controller.world.servers["server-1"].held_bytes)
+        self.assertEqual(0, driver.controller.state.stores["weights"].in_flight)
+        self.assertEqual(0, driver.controller.state.servers["server-1"].held_bytes)
 
     def test_the_first_publication_of_a_leader_is_whole(self):
         driver = make_driver()
@@ -135,14 +135,16 @@
         self.driver = make_driver(servers=1)
         self.order = orders_in(self.driver.lead())[0]
         self.driver.feed(OrderUnknown(self.order.order.order_id))
-        self.world = self.driver.controller.world
+        self.placement = self.driver.controller.state
 
     def held(self) -> int:
-        return self.world.servers["server-1"].held_bytes
+        return self.placement.servers["server-1"].held_bytes
 
     def test_the_reservation_stays_without_a_status(self):
         self.driver.tick(60.0)
-        self.assertEqual((8_000_000_000, 1), (self.held(), self.world.stores["weights"].in_flight))
+        self.assertEqual(
+            (8_000_000_000, 1), (self.held(), self.placement.stores["weights"].in_flight)
+        )
 
     def test_one_status_does_not_release_it(self):
         self.driver.tick(10.0)
@@ -156,14 +158,14 @@
         self.driver.tick(self.driver.config.settle_s)
         self.driver.report()
         self.assertEqual(0, self.held())
-        self.assertEqual(0, self.world.stores["weights"].in_flight)
+        self.assertEqual(0, self.placement.stores["weights"].in_flight)
 
     def test_a_status_that_shows_it_loading_keeps_it(self):
         self.driver.tick(1.0)
         self.driver.report(loading=frozenset({"alpha"}))
         self.driver.tick(10.0)
         self.driver.report(loading=frozenset({"alpha"}))
-        states = [move.state for move in self.world.moves.values()]
+        states = [move.state for move in self.placement.moves.values()]
         self.assertEqual([MoveState.RUNNING], states)
         self.assertEqual(8_000_000_000, self.held())
 
@@ -185,7 +187,7 @@
         self.driver.report(incarnation="i2")
         self.assertEqual(8_000_000_000, self.held())
         self.driver.report(loading=frozenset({"alpha"}))
-        states = [move.state for move in self.world.moves.values()]
+        states = [move.state for move in self.placement.moves.values()]
         self.assertEqual([MoveState.RUNNING], states)
 
     def test_it_outlasts_a_change_of_leader(self):
@@ -195,12 +197,12 @@
 
     def test_a_late_answer_after_all_is_taken(self):
         self.driver.feed(OrderAccepted(self.order.order.order_id))
-        states = [move.state for move in self.world.moves.values()]
+        states = [move.state for move in self.placement.moves.values()]
         self.assertEqual([MoveState.RUNNING], states)
 
     def test_a_server_that_left_keeps_its_store_slot_for_the_longest_pull(self):
         self.driver.feed(DirectoryChanged((), ("server-1",)))
-        store = self.world.stores["weights"]
+        store = self.placement.stores["weights"]
         self.assertEqual(1, store.occupied_slots(self.driver.now))
         longest_s = 8 / (10 / 4) + self.driver.config.order_lifetime_s
         self.assertEqual(0, store.occupied_slots(self.driver.now + longest_s + 0.1))
--- a/tests/controlplane/placement/test_mutations.py
+++ b/tests/controlplane/placement/test_mutations.py
@@ -19,36 +19,36 @@
 RUN_S = 120.0
 
 
-def release_on_first_status(world, move, holding, asked_at, now):
-    settle.end_move(world, move, MoveState.FAILED, "mutation", now)
+def release_on_first_status(placement, move, replica, asked_at, now):
+    settle.end_move(placement, move, MoveState.FAILED, "mutation", now)
 
 
-def settle_on_first_status(world, server, asked_at, now):
-    if world.leadership.held:
-        server.settled_epoch = world.leadership.epoch
+def settle_on_first_status(placement, server, asked_at, now):
+    if placement.leadership.held:
+        server.settled_epoch = placement.leadership.epoch
 
 
 def free_of_confirmed(server, config, more_kv_bytes):
-    confirmed = [h.item_bytes for h in server.holdings.values() if h.move is None]
+    confirmed = [h.item_bytes for h in server.replicas.values() if h.move is None]
     return int(server.memory_bytes * (1.0 - config.kv_headroom_fraction)) - sum(confirmed)
 
 
-def open_at_once(world, now):
-    world.leadership.stores_open = world.leadership.held
+def open_at_once(placement, now):
+    placement.leadership.stores_open = placement.leadership.held
 
 
 MUTATIONS: dict[str, dict[str, object]] = {
     "an unknown order is forgotten at the first status": {
-        f"{PLACEMENT}.report_intake.contradict": release_on_first_status,
+        f"{PLACEMENT}.apply_status.contradict": release_on_first_status,
     },
     "a new leader trusts the first status and waits for nothing": {
-        f"{PLACEMENT}.report_intake.note_answer": settle_on_first_status,
+        f"{PLACEMENT}.apply_status.note_answer": settle_on_first_status,
         f"{PLACEMENT}.controller.SYSTEMS": tuple(
             open_at_once if system is open_stores else system for system in SYSTEMS
         ),
     },
     "orders leave without a look at the lease": {
-        f"{PLACEMENT}.world.Leadership.may_order": lambda self, now: self.held,
+        f"{PLACEMENT}.state.Leadership.may_order": lambda self, now: self.held,
         f"{PLACEMENT}.controller.SYSTEMS": tuple(
             system for system in SYSTEMS if system is not expire_leadership
         ),
@@ -90,5 +90,5 @@
         chaos.run(RUN_S)
         if chaos.problems:
             return chaos.problems[0]
-        off = [line for process in chaos.processes for line in sums_off(process.controller.world)]
+        off = [line for process in chaos.processes for line in sums_off(process.controller.state)]
         return off[0] if off else ""
--- a/tests/controlplane/placement/test_prefetch.py
+++ b/tests/controlplane/placement/test_prefetch.py
@@ -125,7 +125,7 @@
         effects = made.lead()
         self.assertEqual("busy", unloads_in(effects)[0][1])
         self.assertEqual("busy", loads_in(effects)[0][1])
-        times = made.driver.controller.world.load_times
+        times = made.driver.controller.state.load_times
         self.assertAlmostEqual(DISK_S, SIZE / times.disk_rate_by_store[POOL], delta=0.2)
 
     def test_without_a_spare_copy_nothing_is_tried(self) -> None:
@@ -182,7 +182,7 @@
         made = engines(absent=12)
         asked = (("a1", None, 1, 0),)
         for _ in range(40):
-            made.run(0.5, asked) if made.driver.controller.world.leadership.held else made.lead(0.5)
+            made.run(0.5, asked) if made.driver.controller.state.leadership.held else made.lead(0.5)
             loading = [e for _, e in made.under_way if e.order.name.startswith("absent")]
             if made.driver.now > 110.0:
                 self.assertLessEqual(len(loading), SERVERS * (1.0 - KEPT_IDLE_SHARE))
--- a/tests/controlplane/placement/test_properties.py
+++ b/tests/controlplane/placement/test_properties.py
@@ -5,20 +5,20 @@
 import testtools
 
 from tests.controlplane.placement.chaos import Chaos
-from zincvale.controlplane.placement.servers import HoldingState
-from zincvale.controlplane.placement.state import World
+from zincvale.controlplane.placement.servers import ReplicaState
+from zincvale.controlplane.placement.state import PlacementState
 
 SEEDS = range(1, 13)
 RUN_S = 120.0
 
 
-def sums_off(world: World) -> list[str]:
+def sums_off(placement: PlacementState) -> list[str]:
     """Return every running sum and index of the tables that differs from its recount."""
     found = []
-    for server in world.servers.values():
-        held = sum(holding.item_bytes for holding in server.holdings.values())
-        loading = sum(h.state is HoldingState.LOADING for h in server.holdings.values())
-        moves = [world.moves[move] for move in world.moves_by_server.get(server.server, ())]
+    for server in placement.servers.values():
+        held = sum(replica.item_bytes for replica in server.replicas.values())
+        loading = sum(h.state is ReplicaState.LOADING for h in server.replicas.values())
+        moves = [placement.moves[move] for move in placement.moves_by_server.get(server.server, ())]
         pending = [m for m in moves if not m.in_flight and m.kind.value == "load"]
         planned = sum(move.reservation.memory_bytes for move in pending)
         leaving = sum(m.reservation.memory_bytes for m in moves if m.kind.value == "unload")
@@ -31,15 +31,15 @@
         found += [
             f"{server.server} {name} {pair}" for name, pair in facts.items() if pair[0] != pair[1]
         ]
-    for key, item in world.items.items():
-        holders = {s.server for s in world.servers.values() if key in s.holdings}
+    for key, item in placement.items.items():
+        holders = {s.server for s in placement.servers.values() if key in s.replicas}
         if holders != set(item.holders):
             found.append(f"{key} holders {item.holders} are {holders}")
-        waiting = sum(node.waiting.get(key, 0) for node in world.nodes.values())
+        waiting = sum(node.waiting.get(key, 0) for node in placement.nodes.values())
         if item.waiting != waiting:
             found.append(f"{key} waiting {item.waiting}, nodes say {waiting}")
-    for store in world.stores.values():
-        slots = sum(name == store.store for name in world.store_slots.values())
+    for store in placement.stores.values():
+        slots = sum(name == store.store for name in placement.store_slots.values())
         if store.in_flight != slots:
             found.append(f"{store.store} in flight {store.in_flight}, slots {slots}")
     return found
@@ -52,7 +52,7 @@
             chaos.run(RUN_S)
             self.assertEqual([], chaos.problems, f"seed {seed}")
             for process in chaos.processes:
-                self.assertEqual([], sums_off(process.controller.world), f"seed {seed}")
+                self.assertEqual([], sums_off(process.controller.state), f"seed {seed}")
             self.assertTrue(chaos.loads_done > 10, f"seed {seed}: {chaos.loads_done} loads")
 
     def test_equal_seeds_give_equal_runs(self):
--- a/tests/controlplane/placement/test_residency.py
+++ b/tests/controlplane/placement/test_residency.py
@@ -200,12 +200,12 @@
         other = "server-2" if home == "server-1" else "server-1"
         self.assertEqual([(other, "alpha")], loads_in(second))
         drain = next(
-            move for move in driver.controller.world.moves.values() if move.kind is MoveKind.DRAIN
+            move for move in driver.controller.state.moves.values() if move.kind is MoveKind.DRAIN
         )
         self.assertEqual((MoveReason.SERVER_DRAINED, home), (drain.reason, drain.server))
         driver.complete(second)
         driver.tick(2.0)
-        finished = driver.controller.world.finished_moves[drain.move_id]
+        finished = driver.controller.state.finished_moves[drain.move_id]
         self.assertEqual(MoveState.DONE, finished.state)
 
     def test_an_evacuated_zone_takes_no_loads(self):
@@ -253,9 +253,9 @@
         driver = Driver(make_intent({}), {"server-1": make_row("server-1")}, NO_FILL)
         driver.report(models=frozenset({"alpha"}), adapters=frozenset({"tuned"}))
         driver.feed(IntentChanged(make_intent({"alpha": 8}, {"tuned": "alpha"})))
-        server = driver.controller.world.servers["server-1"]
+        server = driver.controller.state.servers["server-1"]
         self.assertEqual(8 * GB + GB // 10, server.held_bytes)
-        self.assertEqual({}, driver.controller.world.undeclared)
+        self.assertEqual({}, driver.controller.state.undeclared)
 
     def test_a_leader_without_an_intent_unloads_nothing(self):
         driver = Driver(Intent(), {"server-1": make_row("server-1")})
@@ -270,7 +270,7 @@
         newer = make_intent({"a": 5, "b": 7})
         driver.feed(IntentChanged(attrs.evolve(newer, version=2)))
         driver.tick(0.5)
-        sizes = {key: item.weight_bytes for key, item in driver.controller.world.items.items()}
+        sizes = {key: item.weight_bytes for key, item in driver.controller.state.items.items()}
         self.assertEqual({"model/a": 5 * GB, "model/b": 7 * GB}, sizes)
 
     def test_reported_memory_that_nothing_explains_is_kept_free(self):
--- a/tests/controlplane/placement/test_transcript.py
+++ b/tests/controlplane/placement/test_transcript.py
@@ -16,7 +16,6 @@
 )
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.events import (
-    AskStatus,
     CompletionRecorded,
     Effect,
     IntentChanged,
@@ -24,6 +23,7 @@
     OrderRecorded,
     OrderUnknown,
     PublishMoves,
+    RequestStatus,
     SendOrder,
 )
 from zincvale.model.log_events import log_event
@@ -49,7 +49,7 @@
         case Log(number, fields):
             kept = {key: fields[key] for key in ("name", "server", "outcome") if fields.get(key)}
             return f"log {number} {log_event(number).name} {kept}"
-        case AskStatus(server, _):
+        case RequestStatus(server, _):
             return f"ask status of {server}"
     return repr(effect)
 
--- a/tests/daemons/test_placement_runner.py
+++ b/tests/daemons/test_placement_runner.py
@@ -11,7 +11,6 @@
 
 from tests.controlplane.placement.bench_world import make_row
 from zincvale.controlplane.placement.events import (
-    AskStatus,
     DirectoryChanged,
     Order,
     OrderAccepted,
@@ -19,6 +18,7 @@
     OrderRefusal,
     OrderRefused,
     OrderUnknown,
+    RequestStatus,
     SendOrder,
 )
 from zincvale.controlplane.placement.items import ItemKind
@@ -60,7 +60,7 @@
         return self.reading
 
 
-class World:
+class PlacementState:
     """A runner whose server gives the listed answers in turn; sleeping moves the clock."""
 
     def __init__(self, *statuses: int) -> None:
@@ -98,7 +98,7 @@
     async def sleep(self, seconds):
         self.now += seconds
 
-    def send(self, not_after: float = 102.0, order: Order = ORDER) -> World:
+    def send(self, not_after: float = 102.0, order: Order = ORDER) -> PlacementState:
         effect = SendOrder("server-1", "10.0.0.1:9000", order, not_after)
         with mock.patch("zincvale.daemons.placement_runner.gen.sleep", self.sleep):
             asyncio.run(self.runner._send_order(effect))
@@ -108,20 +108,20 @@
         self.orders.reading = StatusReading(
             make_row("server-1"), frozenset(), 0.0, is_busy, sequence
         )
-        asyncio.run(self.runner._ask_status(AskStatus("server-1", "10.0.0.1:9000")))
+        asyncio.run(self.runner._ask_status(RequestStatus("server-1", "10.0.0.1:9000")))
 
 
 class StatusTest(testtools.TestCase):
     def test_while_anothers_order_is_under_way_nothing_is_learned(self) -> None:
         """Else the next order would pass by its count, planned on what was there before."""
-        world = World(200)
+        world = PlacementState(200)
         world.ask(is_busy=False, sequence=4)
         world.ask(is_busy=True, sequence=5)
         self.assertEqual(1, len([each for each in world.fed if isinstance(each, DirectoryChanged)]))
         self.assertEqual(4, world.runner._sequences["server-1"])
 
     def test_an_order_of_an_earlier_lease_does_not_explain_a_busy_server(self) -> None:
-        world = World(200)
+        world = PlacementState(200)
         world.runner._carried_out["server-1"] = ORDER
         world.ask(is_busy=True, sequence=5)
         self.assertEqual(1, len(world.fed))
@@ -133,14 +133,14 @@
 
 class OrderTest(testtools.TestCase):
     def test_an_order_is_sent_again_about_when_it_should_be_done(self) -> None:
-        world = World(202, 200).send()
+        world = PlacementState(202, 200).send()
         self.assertEqual([0.0, round(LOAD_S * FIRST_LOOK_PART, 3)], [at for at, _ in world.called])
         expected = [OrderAccepted("o1"), OrderAccepted("o1", done=True)]
         self.assertEqual(expected, world.fed)
 
     def test_short_orders_are_asked_about_when_the_last_ones_ended(self) -> None:
         adapter = attrs.evolve(ORDER, item_kind=ItemKind.ADAPTER, name="m/a1")
-        world = World(202, 409, 409, 200)
+        world = PlacementState(202, 409, 409, 200)
         world.send(order=adapter)
         first = len(world.called)
         for _ in range(3):
@@ -153,7 +153,7 @@
         self,
     ) -> None:
         from_disk = attrs.evolve(ORDER, from_disk=True)
-        world = World(202, 409, 409, 409, 200)
+        world = PlacementState(202, 409, 409, 409, 200)
         world.send(order=from_disk)
         self.assertEqual(round(LOAD_S * FIRST_DISK_LOOK_PART, 3), world.called[1][0])
         took_s = world.called[-1][0]
@@ -164,17 +164,17 @@
         self.assertAlmostEqual(took_s * LOOK_PART, world.called[1][0] - began_s, 2)
 
     def test_it_is_sent_again_while_the_server_is_busy_with_it(self) -> None:
-        world = World(202, 409, 409, 200).send()
+        world = PlacementState(202, 409, 409, 200).send()
         self.assertEqual(4, len(world.called))
         self.assertEqual(OrderAccepted("o1", done=True), world.fed[-1])
 
     def test_what_never_ends_is_unknown_in_the_end(self) -> None:
-        world = World(202, 409).send()
+        world = PlacementState(202, 409).send()
         self.assertEqual(OrderUnknown("o1"), world.fed[-1])
         self.assertLess(world.now - 100.0, CONFIRM_LIMIT_S + 1.0)
 
     def test_nothing_is_sent_again_once_the_lease_ended(self) -> None:
-        world = World(202, 409)
+        world = PlacementState(202, 409)
         sleep = world.sleep
 
         async def lose_the_lease(seconds):
@@ -187,24 +187,24 @@
         self.assertEqual([OrderAccepted("o1")], world.fed)
 
     def test_an_order_without_a_lease_does_not_leave(self) -> None:
-        world = World(202)
+        world = PlacementState(202)
         world.leads = False
         world.send()
         self.assertEqual([], world.called)
         self.assertEqual([OrderRefused("o1", OrderRefusal.WITHHELD)], world.fed)
 
     def test_an_order_that_is_late_does_not_leave(self) -> None:
-        world = World(202).send(not_after=99.9)
+        world = PlacementState(202).send(not_after=99.9)
         self.assertEqual([], world.called)
         self.assertEqual([OrderRefused("o1", OrderRefusal.WITHHELD)], world.fed)
 
     def test_an_order_without_an_answer_is_unknown_and_the_server_not_reached(self) -> None:
-        world = World(0).send()
+        world = PlacementState(0).send()
         self.assertEqual([OrderUnknown("o1")], world.fed)
         self.assertEqual([("server-1", False)], world.reached)
 
     def test_each_order_taken_raises_the_count_that_the_next_one_names(self) -> None:
-        world = World(202, 200)
+        world = PlacementState(202, 200)
         world.runner._sequences["server-1"] = 7
         world.send()
         world.statuses = [412]
--- a/tests/daemons/test_residency_publication.py
+++ b/tests/daemons/test_residency_publication.py
@@ -6,7 +6,7 @@
 
 from tests.controlplane.placement.bench_world import make_row
 from zincvale.controlplane.placement.items import model_key
-from zincvale.controlplane.placement.servers import Holding, HoldingState, ServerState
+from zincvale.controlplane.placement.servers import Replica, ReplicaState, ServerState
 from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.daemons.forwarding_node import TOPICS
 from zincvale.daemons.residency_publication import ResidencyPublication
@@ -16,18 +16,18 @@
 SERVER = ServerId("s1")
 
 
-def make_server(**holdings: Holding) -> ServerState:
+def make_server(**replicas: Replica) -> ServerState:
     """Return placement's row of a server that holds these models."""
     row = make_row(SERVER)
     state = ServerState(row.server, row.address, row.pool, row.zone, row.incarnation)
-    for name, holding in holdings.items():
-        state.holdings[model_key(name)] = holding
+    for name, replica in replicas.items():
+        state.replicas[model_key(name)] = replica
     return state
 
 
-def loaded(closing: bool = False) -> Holding:
+def loaded(closing: bool = False) -> Replica:
     """Return a copy in service, or about to be unloaded."""
-    return Holding(HoldingState.LOADED, 1, 0, 0.0, closing=closing)
+    return Replica(ReplicaState.LOADED, 1, 0, 0.0, closing=closing)
 
 
 class PublicationTest(testtools.TestCase):
@@ -49,13 +49,13 @@
     def test_what_is_about_to_be_unloaded_is_left_out_as_soon_as_that_is_planned(self) -> None:
         self.servers[SERVER] = make_server(a=loaded(), b=loaded())
         self.assertEqual(frozenset({"a", "b"}), self.told())
-        self.servers[SERVER].holdings[model_key("b")].closing = True
+        self.servers[SERVER].replicas[model_key("b")].closing = True
         self.assertEqual(frozenset({"a"}), self.told())
 
     def test_an_unload_that_was_given_up_brings_the_copy_back(self) -> None:
         self.servers[SERVER] = make_server(a=loaded(closing=True))
         self.assertEqual(frozenset(), self.told())
-        self.servers[SERVER].holdings[model_key("a")].closing = False
+        self.servers[SERVER].replicas[model_key("a")].closing = False
         self.assertEqual(frozenset({"a"}), self.told())
 
     def test_what_did_not_change_is_not_published_again(self) -> None:
