--- a/src/zincvale/coordination/core/machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -23,8 +23,8 @@
 from zincvale.coordination.core.components import CoreComponents
 from zincvale.coordination.core.context import CoreContext
 from zincvale.coordination.core.dispatch import handle_call, handle_message
-from zincvale.coordination.core.queries import core_state, key_states, replica_states
-from zincvale.coordination.core.status import CoreState, ReplicaState
+from zincvale.coordination.core.queries import core_state, key_states, replica_statuses
+from zincvale.coordination.core.status import CoreState, ReplicaStatus
 from zincvale.coordination.core.tick import drain_effects, run_tick
 from zincvale.coordination.membership.member_codec import MemberTableDecoder
 from zincvale.coordination.membership.peer_table import PeerTable
@@ -200,9 +200,9 @@
         """Return the declared cores and replicas, as this core follows them."""
         return self._context.sets
 
-    def replica_states(self, now: float) -> list[ReplicaState]:
+    def replica_statuses(self, now: float) -> list[ReplicaStatus]:
         """Return every core of the cluster as this one sees it."""
-        return replica_states(self._context, now)
+        return replica_statuses(self._context, now)
 
     def state(self, now: float) -> CoreState:
         """Return what operators ask about this core."""
--- a/src/zincvale/coordination/core/queries.py
+++ b/src/zincvale/coordination/core/queries.py
@@ -6,7 +6,7 @@
 
 from zincvale.coordination.core.context import CoreContext
 from zincvale.coordination.core.messages import Heartbeat
-from zincvale.coordination.core.status import CoreState, KeyState, ReplicaState
+from zincvale.coordination.core.status import CoreState, KeyState, ReplicaStatus
 from zincvale.coordination.delivery.rollout import RolloutTracker
 from zincvale.coordination.registers.ownership import Ownership
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
@@ -54,17 +54,17 @@
     return states
 
 
-def replica_states(context: CoreContext, now: float) -> list[ReplicaState]:
+def replica_statuses(context: CoreContext, now: float) -> list[ReplicaStatus]:
     """Return every core of the cluster as this one sees it."""
-    return [_replica_state(context, member, now) for member in context.sets.cores]
+    return [_replica_status(context, member, now) for member in context.sets.cores]
 
 
-def _replica_state(context: CoreContext, member: MemberId, now: float) -> ReplicaState:
+def _replica_status(context: CoreContext, member: MemberId, now: float) -> ReplicaStatus:
     row = context.sets.cores[member]
     is_own = member == context.own_id
     status = context.cores.status(member)
     intent_version = context.chosen_version(INTENT_KEY) if is_own else _intent_version(status)
-    return ReplicaState(
+    return ReplicaStatus(
         member=member,
         zone=ZoneName(row.info.zone),
         peer_address=Address(row.info.peer_address),
--- a/src/zincvale/coordination/core/status.py
+++ b/src/zincvale/coordination/core/status.py
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class ReplicaState:
+class ReplicaStatus:
     """One core of the cluster, as another core sees it.
 
     Attributes
--- a/src/zincvale/coordination/registers/cluster_creation.py
+++ b/src/zincvale/coordination/registers/cluster_creation.py
@@ -11,7 +11,7 @@
 from zincvale.coordination.core.context import CoreContext
 from zincvale.coordination.core.messages import CreateCluster, Heartbeat
 from zincvale.coordination.registers.epochs import Epoch, Position
-from zincvale.coordination.registers.record_codec import ReplicaState
+from zincvale.coordination.registers.record_codec import StoredKeyState
 from zincvale.coordination.registers.records import Record
 from zincvale.coordination.replication.replica_config import ReplicaConfig
 from zincvale.coordination.replication.replica_sets import (
@@ -49,7 +49,7 @@
     def is_empty(self) -> bool:
         """Whether this disk holds no record and promised nothing."""
         replica = self._context.replica
-        return all(replica.state(key) == ReplicaState() for key in replica.known_keys())
+        return all(replica.state(key) == StoredKeyState() for key in replica.known_keys())
 
     def note_existing(self, cluster_incarnation: str) -> None:
         """A process knows a cluster of this id."""
--- a/src/zincvale/coordination/registers/record_codec.py
+++ b/src/zincvale/coordination/registers/record_codec.py
@@ -57,14 +57,14 @@
 
 
 @attrs.frozen
-class ReplicaState:
+class StoredKeyState:
     """What a replica holds of one key: its promise and its newest accepted record."""
 
     promised: Epoch = Epoch()
     record: Record = Record()
 
 
-def encode_snapshot(state: ReplicaState) -> bytes:
+def encode_snapshot(state: StoredKeyState) -> bytes:
     """Return a file that needs no other file."""
     return SNAPSHOT_MARK + _encode(state.promised, state.record.to_update())
 
@@ -74,9 +74,9 @@
     return DELTA_MARK + _encode(promised, update)
 
 
-def decode_chain(contents: list[bytes]) -> ReplicaState:
+def decode_chain(contents: list[bytes]) -> StoredKeyState:
     """Return the state after a snapshot and the differences that follow it."""
-    state = ReplicaState()
+    state = StoredKeyState()
     for content in contents:
         plain = _decode(content[1:])
         position = _position(plain["position"])
@@ -92,7 +92,7 @@
         record = apply_update(state.record, update)
         if record is None:
             raise ValueError("a difference without its base")
-        state = ReplicaState(_epoch(plain["promised"]), record)
+        state = StoredKeyState(_epoch(plain["promised"]), record)
     return state
 
 
--- a/src/zincvale/coordination/registers/replica.py
+++ b/src/zincvale/coordination/registers/replica.py
@@ -26,7 +26,7 @@
     Refused,
 )
 from zincvale.coordination.registers.record_codec import (
-    ReplicaState,
+    StoredKeyState,
     decode_chain,
     encode_delta,
     encode_snapshot,
@@ -48,13 +48,13 @@
 @attrs.frozen
 class _WriteInFlight:
     token: str
-    state: ReplicaState
+    state: StoredKeyState
     answers: list[Send]
 
 
 @attrs.define
 class _KeySlot:
-    state: ReplicaState = attrs.field(factory=ReplicaState)
+    state: StoredKeyState = attrs.field(factory=StoredKeyState)
     last_file: int = 0
     files_since_snapshot: int = SNAPSHOT_EVERY_FILES
     in_flight: _WriteInFlight | None = None
@@ -89,10 +89,10 @@
         """Return the keys with a record or a promise."""
         return sorted(self._slots)
 
-    def state(self, key: str) -> ReplicaState:
+    def state(self, key: str) -> StoredKeyState:
         """Return what is durable of `key`."""
         slot = self._slots.get(key)
-        return slot.state if slot else ReplicaState()
+        return slot.state if slot else StoredKeyState()
 
     def handle(self, sender: MemberId, request: Request, key: str, now: float) -> list[Effect]:
         """Take a request; its answer follows once the disk took it."""
@@ -193,7 +193,7 @@
         record = apply_update(slot.state.record, update)
         if record is None:
             return [Send(sender, BaseVersionMissing(key, epoch))]
-        state = ReplicaState(epoch, record)
+        state = StoredKeyState(epoch, record)
         return [self._write(key, slot, state, update, [answer])]
 
     def _start_create(
@@ -204,14 +204,14 @@
         record = apply_update(slot.state.record, update)
         if record is None:
             return []
-        state = ReplicaState(update.position.epoch, record)
+        state = StoredKeyState(update.position.epoch, record)
         return [self._write(key, slot, state, None, [])]
 
     def _write(
         self,
         key: str,
         slot: _KeySlot,
-        state: ReplicaState,
+        state: StoredKeyState,
         update: RecordUpdate | None,
         answers: list[Send],
     ) -> Write:
--- a/src/zincvale/daemons/core_view.py
+++ b/src/zincvale/daemons/core_view.py
@@ -78,5 +78,5 @@
                 disk=row.disk,
                 chosen_version=row.chosen_version,
             )
-            for row in self._machine.replica_states(self._clock())
+            for row in self._machine.replica_statuses(self._clock())
         ]
--- a/src/zincvale/simulator/register_exploration.py
+++ b/src/zincvale/simulator/register_exploration.py
@@ -25,7 +25,7 @@
 from zincvale.coordination.registers.epochs import Position
 from zincvale.coordination.registers.messages import Accepted, BaseVersionMissing, Promise
 from zincvale.coordination.registers.owner import NewlyChosen, Phase, RegisterOwner
-from zincvale.coordination.registers.record_codec import ReplicaState, decode_chain
+from zincvale.coordination.registers.record_codec import StoredKeyState, decode_chain
 from zincvale.coordination.registers.recovered_state import RecoveredKey, RecoveredState
 from zincvale.coordination.registers.replica import RegisterReplica
 from zincvale.coordination.replication.replica_config import ReplicaConfig, replica_id
@@ -94,9 +94,9 @@
         keys = {KEY: RecoveredKey(list(self.files), self.last_file)} if self.files else {}
         self.machine = RegisterReplica(RecoveredState(DISK, keys), Timings())
 
-    def durable(self) -> ReplicaState:
+    def durable(self) -> StoredKeyState:
         """Return what the disk holds."""
-        return decode_chain(self.files) if self.files else ReplicaState()
+        return decode_chain(self.files) if self.files else StoredKeyState()
 
     def handle_and_crash(self, sender: str, message: Any) -> list[Effect]:
         """Take a request and restart before its write is durable; return what had left by then."""
--- a/tests/coordination/test_register.py
+++ b/tests/coordination/test_register.py
@@ -12,7 +12,7 @@
 from zincvale.coordination.config import Timings
 from zincvale.coordination.registers.epochs import Epoch
 from zincvale.coordination.registers.messages import Accept, Prepare, Promise, Refused
-from zincvale.coordination.registers.record_codec import ReplicaState
+from zincvale.coordination.registers.record_codec import StoredKeyState
 from zincvale.coordination.registers.records import Record
 from zincvale.coordination.registers.recovered_state import RecoveredState
 from zincvale.coordination.registers.replica import RegisterReplica
@@ -77,7 +77,7 @@
         assert isinstance(write, Write)
         answers = self.replica.handle_written(write.token, "full", 0.0)
         self.assertEqual([], [each for each in answers if isinstance(each, Send)])
-        self.assertEqual(ReplicaState(), self.replica.state(KEY))
+        self.assertEqual(StoredKeyState(), self.replica.state(KEY))
         self.assertEqual([], self.ask(Prepare(KEY, Epoch(4, "owner/1"))))
 
     def test_lower_epochs_are_refused(self) -> None:
--- a/tests/golden/test_row_bytes.py
+++ b/tests/golden/test_row_bytes.py
@@ -31,7 +31,7 @@
 from zincvale.coordination.registers.epochs import Epoch
 from zincvale.coordination.registers.messages import RecordUpdate
 from zincvale.coordination.registers.record_codec import (
-    ReplicaState,
+    StoredKeyState,
     decode_chain,
     encode_delta,
     encode_snapshot,
@@ -103,7 +103,7 @@
     """Return every row and body, under what it is called outside."""
     info, config = full(MemberInfo), full(ReplicaConfig)
     node = attrs.evolve(info, role=Role.NODE.value)
-    snapshot = encode_snapshot(full(ReplicaState))
+    snapshot = encode_snapshot(full(StoredKeyState))
     delta = encode_delta(full(Epoch), full(RecordUpdate))
     return {
         "core/": both(CoreRow, encode_core),
@@ -194,7 +194,7 @@
 
     def test_golden_files_decode_to_the_same_state(self) -> None:
         snapshot = bytes.fromhex(golden(ROWS)["file S"])
-        state, sample = decode_chain([snapshot]), full(ReplicaState)
+        state, sample = decode_chain([snapshot]), full(StoredKeyState)
         self.assertThat(state.promised, Equals(sample.promised))
         self.assertThat(state.record.to_update(), Equals(sample.record.to_update()))
         by_id = {entry.order_id: entry for entry in sample.record.orders.values()}
