--- a/src/zincvale/controlplane/api/dispatch.py
+++ b/src/zincvale/controlplane/api/dispatch.py
@@ -211,7 +211,7 @@
     def _change_intent(self, request: ApiRequest, now: float) -> list[ApiEffect]:
         _check_query(request.query, ())
         proposal = read_proposal(request, self._view.intent_rows().version)
-        return self._call_core(request.token, proposal, proposal.order_id, now)
+        return self._call_core(request.token, proposal, proposal.idempotency_key, now)
 
     def _replace_replica(self, request: ApiRequest, now: float) -> list[ApiEffect]:
         _check_query(request.query, ())
--- a/src/zincvale/coordination/core/dispatch.py
+++ b/src/zincvale/coordination/core/dispatch.py
@@ -213,6 +213,6 @@
     parts: CoreComponents, token: str, request: ReplaceReplica, now: float
 ) -> list[Effect]:
     change = parts.manager.operator_change(request.remove, request.add)
-    order_id = f"replace:{request.remove}:{request.add}:{parts.context.sets.version}"
-    proposal = ProposeChange(REPLICA_SETS_KEY, order_id, None, change)
+    idempotency_key = f"replace:{request.remove}:{request.add}:{parts.context.sets.version}"
+    proposal = ProposeChange(REPLICA_SETS_KEY, idempotency_key, None, change)
     return parts.proposals.propose(token, proposal, now)
--- a/src/zincvale/coordination/core/tick.py
+++ b/src/zincvale/coordination/core/tick.py
@@ -70,12 +70,12 @@
         parts.statuses.send_soon(now)
     parts.values.choose(key, position.version, chosen.record.rows, now)
     effects = parts.context.to_other_cores(Chosen(key, position))
-    for order in chosen.orders:
+    for proposal in chosen.accepted:
         if key in DELIVERED_KEYS:
-            parts.leases.reports.trackers[key].wait(Waiter(order.token, order.version))
+            parts.leases.reports.trackers[key].wait(Waiter(proposal.token, proposal.version))
             continue
-        result = ChangeResult(IN_FORCE, order.version, position.version)
-        effects.extend(parts.proposals.finish(order.token, result, now))
+        result = ChangeResult(IN_FORCE, proposal.version, position.version)
+        effects.extend(parts.proposals.finish(proposal.token, result, now))
     return effects
 
 
--- a/src/zincvale/coordination/registers/change_batch.py
+++ b/src/zincvale/coordination/registers/change_batch.py
@@ -21,8 +21,8 @@
 
 
 @attrs.frozen
-class AcceptedChange:
-    """An order whose change is part of the record at `version`."""
+class AcceptedProposal:
+    """A proposal whose change is part of the record at `version`."""
 
     token: str
     version: int
@@ -32,9 +32,9 @@
     """Changes that go together in one write, each with its own version."""
 
     def __init__(self, record: Record, reducer: Reducer) -> None:
-        self.orders: list[AcceptedChange] = []
+        self.accepted: list[AcceptedProposal] = []
         self.entries: list[IdempotencyEntry] = []
-        self._entry_by_order: dict[str, IdempotencyEntry] = {}
+        self._entry_by_key: dict[str, IdempotencyEntry] = {}
         self._record = record
         self._reducer = reducer
         self._rows: Rows = record.rows
@@ -42,13 +42,13 @@
         self._touched: dict[str, bytes | None] = {}
 
     def add(self, token: str, proposal: ProposeChange) -> ChangeResult | None:
-        """Evaluate one change; return its refusal, or None when it is part of the batch."""
+        """Evaluate one change; return its rejection, or None when it is part of the batch."""
         digest = change_digest(proposal)
-        known = self._entry_by_order.get(proposal.order_id)
+        known = self._entry_by_key.get(proposal.idempotency_key)
         if known is None:
-            known = self._record.orders.get(proposal.order_id)
+            known = self._record.idempotency_entries.get(proposal.idempotency_key)
         if known is not None:
-            return self._answer_again(token, known, digest)
+            return self._accept_again(token, known, digest)
         if proposal.base_version is not None and proposal.base_version != self._version:
             return ChangeResult(
                 CONFLICT,
@@ -58,14 +58,14 @@
             )
         result = self._reducer(self._rows, proposal.change)
         if isinstance(result, Failure):
-            refused = result.failure()
+            rejection = result.failure()
             return ChangeResult(
-                CONFLICT if refused.is_conflict else INVALID,
+                CONFLICT if rejection.is_conflict else INVALID,
                 current_version=self._version,
-                problem=refused.problem,
-                remedy=refused.remedy,
+                problem=rejection.problem,
+                remedy=rejection.remedy,
             )
-        self._take(token, proposal.order_id, digest, result.unwrap())
+        self._apply(token, proposal.idempotency_key, digest, result.unwrap())
         return None
 
     def finish(self, epoch: Epoch) -> tuple[Record, RecordUpdate]:
@@ -76,39 +76,39 @@
             config=self._record.config,
             puts={row: value for row, value in self._touched.items() if value is not None},
             deletes=[row for row, value in self._touched.items() if value is None],
-            orders=self.entries,
+            idempotency_entries=self.entries,
         )
         record = apply_update(self._record, update)
         assert record is not None
         return record, update
 
-    def _answer_again(
+    def _accept_again(
         self, token: str, known: IdempotencyEntry, digest: str
     ) -> ChangeResult | None:
         if known.digest != digest:
             return ChangeResult(
                 INVALID,
                 current_version=self._version,
-                problem=f"order id {known.order_id!r} was used for another change",
+                problem=f"order id {known.idempotency_key!r} was used for another change",
                 remedy="send a new change under a new order id",
             )
-        self.orders.append(AcceptedChange(token, known.version))
+        self.accepted.append(AcceptedProposal(token, known.version))
         return None
 
-    def _take(
-        self, token: str, order_id: str, digest: str, row_changes: Iterable[RowChange]
+    def _apply(
+        self, token: str, idempotency_key: str, digest: str, row_changes: Iterable[RowChange]
     ) -> None:
         changes = list(row_changes)
         self._rows = apply_changes(self._rows, changes)
         for change in changes:
             self._touched[change.row] = change.value
         self._version += 1
-        entry = IdempotencyEntry(order_id, self._version, digest)
+        entry = IdempotencyEntry(idempotency_key, self._version, digest)
         self.entries.append(entry)
-        self._entry_by_order[order_id] = entry
-        self.orders.append(AcceptedChange(token, self._version))
+        self._entry_by_key[idempotency_key] = entry
+        self.accepted.append(AcceptedProposal(token, self._version))
 
 
 def change_digest(proposal: ProposeChange) -> str:
-    """Return a digest of what an order asks, to tell a resend from a reused id."""
+    """Return a digest of what a proposal changes, to tell a resend from a reused key."""
     return xxhash.xxh3_64_hexdigest(f"{proposal.base_version}:".encode() + proposal.change)
--- a/src/zincvale/coordination/registers/change_messages.py
+++ b/src/zincvale/coordination/registers/change_messages.py
@@ -10,10 +10,10 @@
 @peer_message("change.propose")
 @attrs.frozen
 class ProposeChange:
-    """Change `key`; the same `order_id` sent again gets its first answer."""
+    """Change `key`; a resend under the same `idempotency_key` gets the first result."""
 
     key: str
-    order_id: str
+    idempotency_key: str
     base_version: int | None
     change: bytes
 
--- a/src/zincvale/coordination/registers/messages.py
+++ b/src/zincvale/coordination/registers/messages.py
@@ -11,23 +11,23 @@
 
 @attrs.frozen
 class IdempotencyEntry:
-    """The remembered answer of one accepted order: the version it made, a digest of its body."""
+    """The remembered result of one accepted change: the version it made, a digest of its body."""
 
-    order_id: str
+    idempotency_key: str
     version: int
     digest: str
 
 
 @attrs.frozen
 class RecordUpdate:
-    """A record at `position`: whole when `base` is None, else the difference from `base`."""
+    """A record at `position`: complete when `base` is None, else the difference from `base`."""
 
     position: Position
     base: Position | None
     config: ReplicaConfig
     puts: dict[str, bytes]
     deletes: list[str]
-    orders: list[IdempotencyEntry]
+    idempotency_entries: list[IdempotencyEntry]
 
 
 @peer_message("register.prepare")
--- a/src/zincvale/coordination/registers/owner.py
+++ b/src/zincvale/coordination/registers/owner.py
@@ -20,7 +20,7 @@
 from zincvale.coordination import log_events
 from zincvale.coordination.changes import Reducer, Rows
 from zincvale.coordination.config import Timings
-from zincvale.coordination.registers.change_batch import AcceptedChange, ChangeBatch
+from zincvale.coordination.registers.change_batch import AcceptedProposal, ChangeBatch
 from zincvale.coordination.registers.change_messages import ProposeChange
 from zincvale.coordination.registers.epochs import Epoch, Position
 from zincvale.coordination.registers.messages import (
@@ -57,10 +57,10 @@
 
 @attrs.frozen
 class NewlyChosen:
-    """The key's record was chosen at `record.position`; the listed orders are in it."""
+    """The key's record was chosen at `record.position`; the accepted proposals are in it."""
 
     record: Record
-    orders: list[AcceptedChange]
+    accepted: list[AcceptedProposal]
 
 
 Outcome = Evaluated | NewlyChosen
@@ -70,7 +70,7 @@
 class _InFlight:
     record: Record
     update: RecordUpdate
-    orders: list[AcceptedChange]
+    accepted: list[AcceptedProposal]
     quorum: ReplicaConfig
     sent_at: float
     acknowledged: set[str] = attrs.field(factory=set)
@@ -163,7 +163,7 @@
         """Return and forget the tokens of changes that wait or are in flight."""
         tokens = [token for token, _ in self._queue]
         if self._in_flight is not None:
-            tokens.extend(order.token for order in self._in_flight.orders)
+            tokens.extend(proposal.token for proposal in self._in_flight.accepted)
         self._queue.clear()
         self._in_flight = None
         return [*tokens, *self._proof.abandon()]
@@ -283,7 +283,7 @@
         self._record = flight.record
         self._holders = flight.acknowledged
         self._straggler_at = now + STRAGGLER_INTERVAL_S
-        self.outcomes.append(NewlyChosen(flight.record, flight.orders))
+        self.outcomes.append(NewlyChosen(flight.record, flight.accepted))
         effects: list[Effect] = []
         if self._restoring:
             self._restoring = False
@@ -316,28 +316,28 @@
             return []
         batch = ChangeBatch(self._record, self._reducer)
         refusals = []
-        while self._queue and len(batch.orders) < BATCH_LIMIT:
+        while self._queue and len(batch.accepted) < BATCH_LIMIT:
             token, proposal = self._queue.popleft()
             refusal = batch.add(token, proposal)
             if refusal is not None:
                 refusals.append(Evaluated(token, refusal))
         effects = self._proof.add(refusals, self.epoch, self._record.config, now)
         if not batch.entries:
-            if batch.orders:
-                self.outcomes.append(NewlyChosen(self._record, batch.orders))
+            if batch.accepted:
+                self.outcomes.append(NewlyChosen(self._record, batch.accepted))
             return effects
         record, update = batch.finish(self.epoch)
-        return effects + self._begin_write(record, update, batch.orders, record.config, now)
+        return effects + self._begin_write(record, update, batch.accepted, record.config, now)
 
     def _begin_write(
         self,
         record: Record,
         update: RecordUpdate,
-        orders: list[AcceptedChange],
+        accepted: list[AcceptedProposal],
         quorum: ReplicaConfig,
         now: float,
     ) -> list[Effect]:
-        self._in_flight = _InFlight(record, update, orders, quorum, now)
+        self._in_flight = _InFlight(record, update, accepted, quorum, now)
         return self._send_accepts(self._in_flight)
 
     def _send_accepts(self, flight: _InFlight) -> list[Effect]:
--- a/src/zincvale/coordination/registers/proposals.py
+++ b/src/zincvale/coordination/registers/proposals.py
@@ -1,7 +1,7 @@
 """Changes on their way: to the local owner, or to the core that is believed to own the key.
 
 A change is repeated towards whoever owns the key until it has an answer or its time is over; the
-record's order history makes the repetition safe.
+record's idempotency entries make the repetition safe.
 """
 
 from __future__ import annotations
@@ -80,8 +80,8 @@
         With a `base`, the change loses when another one was made on that version before.
         """
         self._internal_count += 1
-        order_id = f"{self._context.owner_name}:{self._internal_count}"
-        proposal = ProposeChange(key, order_id, base, change)
+        idempotency_key = f"{self._context.owner_name}:{self._internal_count}"
+        proposal = ProposeChange(key, idempotency_key, base, change)
         return self.propose(f"{INTERNAL_PREFIX}{name}", proposal, now)
 
     def take_forwarded(self, token: str, forward: ForwardChange, now: float) -> list[Effect]:
--- a/src/zincvale/coordination/registers/record_codec.py
+++ b/src/zincvale/coordination/registers/record_codec.py
@@ -30,7 +30,7 @@
     "name": "Position",
     "fields": [{"name": "epoch", "type": _EPOCH}, {"name": "version", "type": "long"}],
 }
-_ORDER = {
+_IDEMPOTENCY_ENTRY = {
     "type": "record",
     "name": "Order",
     "fields": [
@@ -50,7 +50,7 @@
             {"name": "previous", "type": {"type": "array", "items": "string"}},
             {"name": "puts", "type": {"type": "map", "values": "bytes"}},
             {"name": "deletes", "type": {"type": "array", "items": "string"}},
-            {"name": "orders", "type": {"type": "array", "items": _ORDER}},
+            {"name": "orders", "type": {"type": "array", "items": _IDEMPOTENCY_ENTRY}},
         ],
     }
 )
@@ -87,7 +87,7 @@
             config=ReplicaConfig(plain["replicas"], plain["previous"]),
             puts=plain["puts"],
             deletes=plain["deletes"],
-            orders=[IdempotencyEntry(**order) for order in plain["orders"]],
+            idempotency_entries=[_idempotency_entry(order) for order in plain["orders"]],
         )
         record = apply_update(state.record, update)
         if record is None:
@@ -105,12 +105,24 @@
         "previous": update.config.previous,
         "puts": update.puts,
         "deletes": update.deletes,
-        "orders": [attrs.asdict(order) for order in update.orders],
+        "orders": [_plain_entry(entry) for entry in update.idempotency_entries],
     }
     fastavro.schemaless_writer(buffer, _FILE_SCHEMA, plain)
     return buffer.getvalue()
 
 
+def _plain_entry(entry: IdempotencyEntry) -> dict[str, Any]:
+    return {
+        "order_id": entry.idempotency_key,
+        "version": entry.version,
+        "digest": entry.digest,
+    }
+
+
+def _idempotency_entry(plain: dict[str, Any]) -> IdempotencyEntry:
+    return IdempotencyEntry(plain["order_id"], plain["version"], plain["digest"])
+
+
 def _decode(body: bytes) -> Any:
     return fastavro.schemaless_reader(io.BytesIO(body), _FILE_SCHEMA, None)
 
--- a/src/zincvale/coordination/registers/records.py
+++ b/src/zincvale/coordination/registers/records.py
@@ -1,4 +1,4 @@
-"""Records of a register: a value, its position and the answers of recent orders."""
+"""Records of a register: a value, its position and the results of recently accepted changes."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from zincvale.coordination.registers.messages import IdempotencyEntry, RecordUpdate
 from zincvale.coordination.replication.replica_config import ReplicaConfig
 
-ORDER_HISTORY_LIMIT = 4096
-"""How many accepted orders a record remembers."""
+IDEMPOTENCY_HISTORY_LIMIT = 4096
+"""Accepted changes that a record remembers; a resend of an older one is applied a second time."""
 
 
 @attrs.frozen
@@ -20,17 +20,18 @@
     position: Position = Position()
     config: ReplicaConfig = ReplicaConfig()
     rows: Rows = attrs.field(factory=dict)
-    orders: dict[str, IdempotencyEntry] = attrs.field(factory=dict)
+    idempotency_entries: dict[str, IdempotencyEntry] = attrs.field(factory=dict)
+    """Results of accepted changes by idempotency key, oldest first."""
 
     def to_update(self) -> RecordUpdate:
-        """Return the whole record as an update."""
+        """Return the complete record as an update."""
         return RecordUpdate(
             position=self.position,
             base=None,
             config=self.config,
             puts=self.rows,
             deletes=[],
-            orders=list(self.orders.values()),
+            idempotency_entries=list(self.idempotency_entries.values()),
         )
 
     def moved_to(self, epoch: Epoch, config: ReplicaConfig) -> Record:
@@ -42,26 +43,26 @@
 def apply_update(record: Record, update: RecordUpdate) -> Record | None:
     """Return the record at `update.position`, or None when `record` is not the update's base."""
     if update.base is None:
-        orders = {entry.order_id: entry for entry in update.orders}
-        return Record(update.position, update.config, dict(update.puts), orders)
+        entries = {entry.idempotency_key: entry for entry in update.idempotency_entries}
+        return Record(update.position, update.config, dict(update.puts), entries)
     if update.base != record.position:
         return None
     rows = dict(record.rows)
     rows.update(update.puts)
     for row in update.deletes:
         rows.pop(row, None)
-    orders = _extend_orders(record.orders, update.orders)
-    return Record(update.position, update.config, rows, orders)
+    entries = _extend_entries(record.idempotency_entries, update.idempotency_entries)
+    return Record(update.position, update.config, rows, entries)
 
 
-def _extend_orders(
-    orders: dict[str, IdempotencyEntry], added: list[IdempotencyEntry]
+def _extend_entries(
+    entries: dict[str, IdempotencyEntry], added: list[IdempotencyEntry]
 ) -> dict[str, IdempotencyEntry]:
     if not added:
-        return orders
-    result = dict(orders)
+        return entries
+    result = dict(entries)
     for entry in added:
-        result[entry.order_id] = entry
-    while len(result) > ORDER_HISTORY_LIMIT:
+        result[entry.idempotency_key] = entry
+    while len(result) > IDEMPOTENCY_HISTORY_LIMIT:
         del result[next(iter(result))]
     return result
--- a/src/zincvale/simulator/mutations/registers.py
+++ b/src/zincvale/simulator/mutations/registers.py
@@ -150,7 +150,7 @@
     original = RegisterOwner._handle_promise
 
     def forgetful(self: Any, sender: Any, message: Promise, now: float) -> Any:
-        record = attrs.evolve(message.record, orders=[])
+        record = attrs.evolve(message.record, idempotency_entries=[])
         return original(self, sender, attrs.evolve(message, record=record), now)
 
     with mock.patch.object(RegisterOwner, "_handle_promise", forgetful):
--- a/tests/controlplane/fake_cores.py
+++ b/tests/controlplane/fake_cores.py
@@ -100,8 +100,8 @@
 
     def _decide(self, proposal: ProposeChange) -> ChangeResult:
         rows = self.view.rows
-        if proposal.order_id in self._orders:
-            return ChangeResult("in-force", self._orders[proposal.order_id])
+        if proposal.idempotency_key in self._orders:
+            return ChangeResult("in-force", self._orders[proposal.idempotency_key])
         if proposal.base_version not in (None, rows.version):
             problem = f"built on version {proposal.base_version}, now {rows.version}"
             return ChangeResult("conflict", 0, rows.version, problem, "rebuild the change")
@@ -110,5 +110,5 @@
             refused = result.failure()
             return ChangeResult("invalid", 0, rows.version, refused.problem, refused.remedy)
         self.view.rows = KeyView(rows.version + 1, apply_changes(rows.rows, result.unwrap()))
-        self._orders[proposal.order_id] = rows.version + 1
+        self._orders[proposal.idempotency_key] = rows.version + 1
         return ChangeResult("in-force", rows.version + 1)
--- a/tests/controlplane/test_documents.py
+++ b/tests/controlplane/test_documents.py
@@ -244,11 +244,11 @@
         first = self.proposal(self.call("PUT"))
         other = DocumentApi(FakeView(), PlainDialect(), "core-2/y")
         again = self.proposal(other.handle(ApiRequest("PUT", "/", {}, {}, b"", "t"), 9.0))
-        self.assertEqual(first.order_id, again.order_id)
+        self.assertEqual(first.idempotency_key, again.idempotency_key)
 
     def test_each_evacuation_is_an_order_of_its_own(self):
         first, second = self.proposal(self.call("POST")), self.proposal(self.call("POST", "t2"))
-        self.assertNotEqual(first.order_id, second.order_id)
+        self.assertNotEqual(first.idempotency_key, second.idempotency_key)
 
     def test_a_read_waits_for_the_version_that_a_quorum_proved(self):
         self.assertEqual(NO_VERSION, self.proposal(self.call("GET")).base_version)
--- a/tests/golden/test_row_bytes.py
+++ b/tests/golden/test_row_bytes.py
@@ -197,8 +197,10 @@
         state, sample = decode_chain([snapshot]), full(StoredKeyState)
         self.assertThat(state.promised, Equals(sample.promised))
         self.assertThat(state.record.to_update(), Equals(sample.record.to_update()))
-        by_id = {entry.order_id: entry for entry in sample.record.orders.values()}
-        self.assertThat(state.record.orders, Equals(by_id))
+        by_id = {
+            entry.idempotency_key: entry for entry in sample.record.idempotency_entries.values()
+        }
+        self.assertThat(state.record.idempotency_entries, Equals(by_id))
         self.assertThat(encode_snapshot(state), Equals(snapshot))
 
     def test_a_golden_difference_extends_a_golden_snapshot(self) -> None:
