--- a/src/zincvale/controlplane/api/core_view.py
+++ b/src/zincvale/controlplane/api/core_view.py
@@ -1,4 +1,4 @@
-"""What the control API reads of the core it runs in: one small protocol, kept by the program."""
+"""What the control API reads of the core it runs in: a protocol that the core daemon implements."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @attrs.frozen
 class RoleRow:
-    """One singleton role and who holds its leader lease.
+    """One singleton role and the member that leads it.
 
     Attributes
     ----------
-    holder : the holder, or None while nobody is known to hold it.
+    holder : the member with the leader lease, or None while none is known.
     epoch : fencing epoch of the lease.
     """
 
@@ -61,8 +61,8 @@
         """Return the members with live leases."""
         ...
 
-    def held_versions(self) -> Mapping[MemberId, int]:
-        """Return the intent version that each live node last said it holds."""
+    def applied_versions(self) -> Mapping[MemberId, int]:
+        """Return the intent version that each live node last reported as applied."""
         ...
 
     def directory(self) -> Directory:
--- a/src/zincvale/controlplane/api/dispatch.py
+++ b/src/zincvale/controlplane/api/dispatch.py
@@ -1,7 +1,7 @@
 """The control API as a pure state machine: one dispatch on method and path segments.
 
-The HTTP server hands in requests and carries out the effects; what the core answers comes back as
-`core_replied`. Nothing here waits, reads a clock or opens a connection.
+The HTTP server hands in requests and carries out the effects; the core's response to a `CallCore`
+comes back as `core_replied`. Nothing here waits, reads a clock or opens a connection.
 """
 
 from __future__ import annotations
@@ -9,17 +9,15 @@
 import functools
 import urllib.parse
 from collections.abc import Callable, Mapping
-from typing import Any
 
 import attrs
 
-from zincvale.controlplane.api import reads as api_reads
 from zincvale.controlplane.api.core_view import CoreView
 from zincvale.controlplane.api.intent_changes import (
     CHANGE_TIMEOUT_S,
     PendingChange,
-    answer_change,
-    not_confirmed,
+    change_response,
+    not_confirmed_response,
     read_proposal,
 )
 from zincvale.controlplane.api.messages import (
@@ -32,6 +30,17 @@
     json_response,
 )
 from zincvale.controlplane.api.pending_watches import PendingWatches, read_watch
+from zincvale.controlplane.api.reads import (
+    IntentBodyCache,
+    members_body,
+    move_body,
+    moves_body,
+    read_page,
+    replicas_body,
+    resource_body,
+    resource_list,
+    roles_body,
+)
 from zincvale.controlplane.api.replica_changes import read_replacement
 from zincvale.controlplane.intent.row_codec import KIND_BY_TABLE
 from zincvale.controlplane.status.cluster_snapshot import ClusterSnapshot, lagging_nodes, observe
@@ -44,7 +53,11 @@
 from zincvale.model.errors import InvalidInputError, NotFoundError, UnavailableError, ZincvaleError
 
 MAX_PENDING_CHANGES = 1_000
-"""Changes that wait for the core's answer; a burst beyond it is refused at once."""
+"""Changes that wait for the core's response; a burst beyond it is refused at once.
+
+It bounds the memory of a core whose owner of the intent is unreachable: without it every retry of
+every operator would be kept for `CHANGE_TIMEOUT_S`.
+"""
 
 Handler = Callable[[ApiRequest, float], list[ApiEffect]]
 
@@ -60,52 +73,54 @@
     def __init__(self, view: CoreView) -> None:
         self._view = view
         self._pending: dict[str, PendingChange] = {}
-        self._intent_body = api_reads.IntentResponse()
-        self._polls = PendingWatches(self._intent_body)
+        self._intent_bodies = IntentBodyCache()
+        self._watches = PendingWatches(self._intent_bodies)
         self._drains = DrainProgress()
 
     def handle(self, request: ApiRequest, now: float) -> list[ApiEffect]:
-        """Take one request; the answer is among the effects now or later."""
+        """Take one request; its `ApiResponse` is among these effects or those of a later input."""
         try:
             return self._dispatch(request, now)
         except ZincvaleError as error:
             return [_with_allow(error_response(request.token, error), error)]
 
-    def core_replied(self, token: str, message: Any, now: float) -> list[ApiEffect]:
-        """Take the core's answer to `CallCore(token, ...)`."""
+    def core_replied(self, token: str, message: object) -> list[ApiEffect]:
+        """Take the core's response to `CallCore(token, ...)`."""
         pending = self._pending.pop(token, None)
         if pending is None:
             return []
         if isinstance(message, ChangeResult):
-            return [answer_change(pending, message)]
-        return [not_confirmed(pending, f"the core answered {type(message).__name__}")]
+            return [change_response(pending, message)]
+        # The core replies to a change with a `ChangeResult` alone (`registers.proposals`), so this
+        # only survives a defect there: the operator learns that nothing is promised.
+        return [not_confirmed_response(pending, f"the core answered {type(message).__name__}")]
 
-    def core_failed(self, token: str, reason: str, now: float) -> list[ApiEffect]:
-        """Take notice that `CallCore(token, ...)` gets no answer."""
+    def core_failed(self, token: str, reason: str) -> list[ApiEffect]:
+        """Take notice that `CallCore(token, ...)` gets no response."""
         pending = self._pending.pop(token, None)
-        return [] if pending is None else [not_confirmed(pending, reason)]
+        return [] if pending is None else [not_confirmed_response(pending, reason)]
 
     def abandoned(self, token: str) -> None:
         """Forget a request whose client went away; its change goes on."""
         self._pending.pop(token, None)
-        self._polls.abandon(token)
+        self._watches.abandon(token)
 
     def intent_changed(self, now: float) -> list[ApiEffect]:
-        """Answer the polls that the newest intent is news for."""
-        self._watch_drains(now)
-        return list(self._polls.release(self._view.intent_rows(), now))
+        """Complete the watches that the newest intent is an update for."""
+        self._update_drains(now)
+        return list(self._watches.complete(self._view.intent_rows(), now))
 
     def tick(self, now: float) -> list[ApiEffect]:
-        """Answer what has waited for its time."""
-        self._watch_drains(now)
-        effects: list[ApiEffect] = list(self._polls.release(self._view.intent_rows(), now))
+        """Complete the watches and fail the changes whose deadline has passed."""
+        self._update_drains(now)
+        effects: list[ApiEffect] = list(self._watches.complete(self._view.intent_rows(), now))
         overdue = [pending for pending in self._pending.values() if now >= pending.deadline]
         for pending in overdue:
             del self._pending[pending.token]
-            effects.append(not_confirmed(pending, "the core did not answer in time"))
+            effects.append(not_confirmed_response(pending, "the core did not answer in time"))
         return effects
 
-    def _watch_drains(self, now: float) -> None:
+    def _update_drains(self, now: float) -> None:
         try:
             intent = self._view.intent()
         except ZincvaleError:
@@ -116,7 +131,8 @@
         )
 
     def _observe(self, now: float) -> ClusterSnapshot:
-        self._watch_drains(now)
+        """Return a snapshot; raises `UnavailableError` for a row of a later release."""
+        self._update_drains(now)
         try:
             return observe(self._view, self._drains, now)
         except InvalidInputError as error:
@@ -146,16 +162,16 @@
             case ["v1", "watch"]:
                 return {"GET": self._watch}
             case ["v1", "members"]:
-                return {"GET": self._read(api_reads.members_body)}
+                return {"GET": self._read(members_body)}
             case ["v1", "moves"]:
-                return {"GET": self._read(api_reads.moves_body)}
+                return {"GET": self._read(moves_body)}
             case ["v1", "moves", name]:
-                return {"GET": self._read(functools.partial(api_reads.move_body, name=name))}
+                return {"GET": self._read(functools.partial(move_body, name=name))}
             case ["v1", "roles"]:
-                return {"GET": self._read(api_reads.roles_body)}
+                return {"GET": self._read(roles_body)}
             case ["v1", "replicas"]:
                 return {
-                    "GET": self._read(api_reads.replicas_body),
+                    "GET": self._read(replicas_body),
                     "POST": self._replace_replica,
                 }
             case ["v1", table] if table in KIND_BY_TABLE:
@@ -164,10 +180,10 @@
                 return {"GET": functools.partial(self._read_resource, table, name)}
         return {}
 
-    def _read(self, body_of: Callable[[CoreView], bytes]) -> Handler:
+    def _read(self, read_body: Callable[[CoreView], bytes]) -> Handler:
         def handler(request: ApiRequest, now: float) -> list[ApiEffect]:
             _check_query(request.query, ())
-            return [json_response(request.token, 200, body_of(self._view))]
+            return [json_response(request.token, 200, read_body(self._view))]
 
         return handler
 
@@ -182,16 +198,14 @@
     def _read_intent(self, request: ApiRequest, now: float) -> list[ApiEffect]:
         _check_query(request.query, ())
         self._check_current()
-        body = self._intent_body.of(self._view.intent_rows())
+        body = self._intent_bodies.body_of(self._view.intent_rows())
         return [json_response(request.token, 200, body)]
 
     def _list_resources(self, table: str, request: ApiRequest, now: float) -> list[ApiEffect]:
         _check_query(request.query, ("after", "limit"))
         self._check_current()
-        after, limit = api_reads.read_page(
-            request.query.get("after", ""), request.query.get("limit", "")
-        )
-        body = api_reads.resource_list(self._view, self._observe(now), table, after, limit)
+        after, limit = read_page(request.query.get("after", ""), request.query.get("limit", ""))
+        body = resource_list(self._view, self._observe(now), table, after, limit)
         return [json_response(request.token, 200, body)]
 
     def _read_resource(
@@ -199,14 +213,14 @@
     ) -> list[ApiEffect]:
         _check_query(request.query, ())
         self._check_current()
-        body = api_reads.resource_body(self._view, self._observe(now), table, name)
+        body = resource_body(self._view, self._observe(now), table, name)
         return [json_response(request.token, 200, body)]
 
     def _watch(self, request: ApiRequest, now: float) -> list[ApiEffect]:
         _check_query(request.query, ("after", "timeout_s"))
         self._check_current()
-        poll = read_watch(request.token, request.query, now)
-        return list(self._polls.start(poll, self._view.intent_rows()))
+        watch = read_watch(request.token, request.query, now)
+        return list(self._watches.start(watch, self._view.intent_rows()))
 
     def _change_intent(self, request: ApiRequest, now: float) -> list[ApiEffect]:
         _check_query(request.query, ())
@@ -218,18 +232,19 @@
         return self._call_core(request.token, read_replacement(request), "", now)
 
     def _call_core(
-        self, token: str, message: ProposeChange | ReplaceReplica, order_id: str, now: float
+        self, token: str, message: ProposeChange | ReplaceReplica, idempotency_key: str, now: float
     ) -> list[ApiEffect]:
         if len(self._pending) >= MAX_PENDING_CHANGES:
             raise UnavailableError(
                 f"this core carries {MAX_PENDING_CHANGES} changes already",
                 "send the change to another core, or again in a second",
             )
-        self._pending[token] = PendingChange(token, order_id, now + CHANGE_TIMEOUT_S)
+        self._pending[token] = PendingChange(token, idempotency_key, now + CHANGE_TIMEOUT_S)
         return [CallCore(token, message)]
 
 
 def _segments(path: str) -> list[str]:
+    """Return the decoded segments of a path; none for a path that does not start with `/`."""
     parts = path.split("/")
     if parts[0] != "":
         return []
@@ -244,6 +259,7 @@
 
 
 def _with_allow(response: ApiResponse, error: ZincvaleError) -> ApiResponse:
+    """Return `response` with the header that a 405 must carry (RFC 9110, section 15.5.6)."""
     if not isinstance(error, MethodNotAllowedError):
         return response
     headers = {**response.headers, "Allow": ", ".join(error.allowed)}
--- a/src/zincvale/controlplane/api/intent_changes.py
+++ b/src/zincvale/controlplane/api/intent_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the intent on their way: from the operator's request to the answer it gets."""
+"""Changes of the intent: the proposal in an operator's request, and the response to its result."""
 
 from __future__ import annotations
 
@@ -35,28 +35,38 @@
 )
 
 CHANGE_TIMEOUT_S = 10.0
-"""After this without a word of the core the operator is told `not-confirmed`."""
+"""After this without a response of the core the operator gets `not-confirmed`.
+
+Longer than the core's own limit on a change, so that its result arrives first where there is one.
+"""
 
 _BODY_FIELDS = ("baseVersion", "mode", "resources")
-_ORDER_ID = re.compile(r"[A-Za-z0-9._:-]{1,128}")
+_IDEMPOTENCY_KEY = re.compile(r"[A-Za-z0-9._:-]{1,128}")
 _IF_MATCH = re.compile(r'"?([0-9]{1,18})"?')
-_SEND_AGAIN = "send the same order again, here or to another core"
+_RETRY_REMEDY = "send the same order again, here or to another core"
 
 
 @attrs.frozen
 class PendingChange:
-    """A change handed to the core and not answered yet; a replica change has no order id."""
+    """A change handed to the core whose result is pending.
+
+    Attributes
+    ----------
+    idempotency_key : identity of a resend; empty for a change of the replicas.
+    deadline : when the operator gets `not-confirmed`.
+    """
 
     token: str
-    order_id: str
+    idempotency_key: str
     deadline: float
 
 
 def read_proposal(request: ApiRequest, current_version: int) -> ProposeChange:
     """Return the proposal in `POST /v1/intent`; raises a `ZincvaleError`.
 
-    `current_version` only goes into the order id of a change that names neither a base version nor
-    a key: the same body sent again after other changes is a new order, never the old one's answer.
+    `current_version` only goes into the idempotency key of a change that names neither a base
+    version nor a key: the same body sent again after other changes is a new change, and never gets
+    the old one's result.
     """
     if len(request.body) > MAX_CHANGE_BYTES:
         raise BodyTooLargeError(
@@ -71,45 +81,45 @@
     _refuse_unknown_fields(data)
     base_version = _read_base_version(data.get("baseVersion"), request.header("If-Match"))
     change = _canonical_change(data)
-    order_id = request.header(IDEMPOTENCY_KEY_HEADER)
-    if not order_id:
+    idempotency_key = request.header(IDEMPOTENCY_KEY_HEADER)
+    if not idempotency_key:
         base_for_digest = current_version if base_version is None else base_version
-        order_id = _digest(base_for_digest, change)
-    elif not _ORDER_ID.fullmatch(order_id):
+        idempotency_key = _digest(base_for_digest, change)
+    elif not _IDEMPOTENCY_KEY.fullmatch(idempotency_key):
         raise InvalidInputError(
-            f"{IDEMPOTENCY_KEY_HEADER} {order_id[:128]!r} is not usable",
+            f"{IDEMPOTENCY_KEY_HEADER} {idempotency_key[:128]!r} is not usable",
             "use 1 to 128 letters, digits and any of . _ : -",
         )
-    return ProposeChange(INTENT_KEY, order_id, base_version, change)
+    return ProposeChange(INTENT_KEY, idempotency_key, base_version, change)
 
 
-def answer_change(pending: PendingChange, result: ChangeResult) -> ApiResponse:
-    """Return the operator's answer to a decided change."""
+def change_response(pending: PendingChange, result: ChangeResult) -> ApiResponse:
+    """Return the operator's response to a change that the core decided."""
     if result.status == IN_FORCE:
-        body = {"version": result.version, **_order(pending), "state": IN_FORCE}
+        body = {"version": result.version, **_key_fields(pending), "state": IN_FORCE}
         return json_response(pending.token, 200, body)
     if result.status == CONFLICT:
         conflict = VersionConflictError(result.problem, result.remedy, result.current_version)
-        return error_response(pending.token, conflict, **_order(pending))
+        return error_response(pending.token, conflict, **_key_fields(pending))
     if result.status == INVALID:
         invalid = InvalidInputError(result.problem, result.remedy)
         return error_response(
             pending.token,
             invalid,
-            **_order(pending),
+            **_key_fields(pending),
             current_version=result.current_version,
         )
-    return not_confirmed(pending, result.problem or "the change is not confirmed")
+    return not_confirmed_response(pending, result.problem or "the change is not confirmed")
 
 
-def not_confirmed(pending: PendingChange, problem: str) -> ApiResponse:
-    """Return the answer that promises nothing about the change."""
-    error = NotConfirmedError(problem, _SEND_AGAIN)
-    return error_response(pending.token, error, **_order(pending))
+def not_confirmed_response(pending: PendingChange, problem: str) -> ApiResponse:
+    """Return the response that promises nothing about the change."""
+    error = NotConfirmedError(problem, _RETRY_REMEDY)
+    return error_response(pending.token, error, **_key_fields(pending))
 
 
-def _order(pending: PendingChange) -> dict[str, str]:
-    return {"order_id": pending.order_id} if pending.order_id else {}
+def _key_fields(pending: PendingChange) -> dict[str, str]:
+    return {"order_id": pending.idempotency_key} if pending.idempotency_key else {}
 
 
 def _refuse_unknown_fields(data: Mapping[str, Any]) -> None:
@@ -147,7 +157,7 @@
 
 
 def _canonical_change(data: Mapping[str, Any]) -> bytes:
-    """The same JSON values are the same bytes, whatever their order and spacing."""
+    """Return the change as bytes: equal JSON values, in any order and spacing, are equal bytes."""
     change = {name: data[name] for name in ("mode", "resources") if name in data}
     try:
         return orjson.dumps(change, option=orjson.OPT_SORT_KEYS)
--- a/src/zincvale/controlplane/api/messages.py
+++ b/src/zincvale/controlplane/api/messages.py
@@ -1,19 +1,20 @@
-"""Requests, effects and bodies of the control API."""
+"""Requests, effects and response bodies of the control API."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any
+from http import HTTPStatus
 
 import attrs
 import orjson
 
+from zincvale.coordination.registers.change_messages import ProposeChange, ReplaceReplica
 from zincvale.model.errors import VersionConflictError, ZincvaleError
 
 JSON_HEADERS = {"Content-Type": "application/json"}
 IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 RETRY_AFTER_S = 1
-"""When a client should send an unconfirmed or unserved request again."""
+"""Value of `Retry-After`: when a client should send an unconfirmed or unserved request again."""
 
 
 @attrs.frozen
@@ -55,7 +56,7 @@
 
 @attrs.frozen
 class ApiResponse:
-    """Effect: answer the request `token`."""
+    """Effect: send the response to the request `token`."""
 
     token: str
     status: int
@@ -68,24 +69,24 @@
     """Effect: hand `message` to the local core; `core_replied(token, ...)` follows."""
 
     token: str
-    message: Any
+    message: ProposeChange | ReplaceReplica
 
 
 ApiEffect = ApiResponse | CallCore
 
 
-def json_response(token: str, status: int, body: Any) -> ApiResponse:
-    """Return an answer with a JSON body; `bytes` are sent as they are."""
+def json_response(token: str, status: int, body: object) -> ApiResponse:
+    """Return a response with a JSON body; `bytes` are sent as they are."""
     content = body if isinstance(body, bytes) else orjson.dumps(body)
     return ApiResponse(token, status, dict(JSON_HEADERS), content)
 
 
-def error_response(token: str, error: ZincvaleError, **extra: Any) -> ApiResponse:
-    """Return the answer that shows a typed error; `extra` fields go into its body."""
-    body: dict[str, Any] = {**error.to_json(), **extra}
+def error_response(token: str, error: ZincvaleError, **extra: object) -> ApiResponse:
+    """Return the response that shows a typed error; `extra` fields go into its body."""
+    body: dict[str, object] = {**error.to_json(), **extra}
     if isinstance(error, VersionConflictError):
         body["current_version"] = error.current_version
     headers = dict(JSON_HEADERS)
-    if error.http_status == 503:
+    if error.http_status == HTTPStatus.SERVICE_UNAVAILABLE:
         headers["Retry-After"] = str(RETRY_AFTER_S)
     return ApiResponse(token, error.http_status, headers, orjson.dumps(body))
--- a/src/zincvale/controlplane/api/pending_watches.py
+++ b/src/zincvale/controlplane/api/pending_watches.py
@@ -1,7 +1,7 @@
 """Long polls of `GET /v1/watch` that wait for a newer intent.
 
-News is the whole intent, `{"version", "resources"}`; a poll whose time is over gets the version
-alone.
+The response is the complete intent, `{"version", "resources"}`; a watch that reaches its deadline
+first gets the version alone.
 """
 
 from __future__ import annotations
@@ -11,18 +11,23 @@
 import attrs
 
 from zincvale.controlplane.api.messages import ApiResponse, json_response
-from zincvale.controlplane.api.reads import IntentResponse
+from zincvale.controlplane.api.reads import IntentBodyCache
 from zincvale.coordination.changes import KeyView
 from zincvale.model.errors import InvalidInputError, UnavailableError
 
 DEFAULT_WATCH_S = 30.0
+"""How long a watch waits when the client names no time-out."""
 MAX_WATCH_S = 300.0
-MAX_HELD_POLLS = 1_000
+"""Longest time-out that a client may ask for."""
+MAX_PENDING_WATCHES = 1_000
+"""Watches in wait at one core; each holds a connection."""
+MAX_VERSION_DIGITS = 18
+"""A version beyond this does not fit a signed 64-bit number."""
 
 
 @attrs.frozen
 class WatchRequest:
-    """A poll for an intent newer than `after`, held until `deadline` at most."""
+    """A watch for an intent newer than `after`, pending until `deadline` at most."""
 
     token: str
     after: int
@@ -30,9 +35,9 @@
 
 
 def read_watch(token: str, query: Mapping[str, str], now: float) -> WatchRequest:
-    """Return the checked parameters of a poll; raises `InvalidInputError`."""
+    """Return the checked parameters of a watch received at `now`; raises `InvalidInputError`."""
     after = query.get("after", "0")
-    if not after.isascii() or not after.isdigit() or len(after) > 18:
+    if not after.isascii() or not after.isdigit() or len(after) > MAX_VERSION_DIGITS:
         raise InvalidInputError(
             f"after is {after[:40]!r}, not a version", "write the version you hold"
         )
@@ -53,38 +58,41 @@
 
 
 class PendingWatches:
-    """Polls in wait; completed by a newer intent or by their deadline."""
+    """Watches in wait; each is completed by a newer intent or by its deadline."""
 
-    def __init__(self, intent_body: IntentResponse) -> None:
-        self._polls: dict[str, WatchRequest] = {}
-        self._intent_body = intent_body
+    def __init__(self, intent_bodies: IntentBodyCache) -> None:
+        self._watches: dict[str, WatchRequest] = {}
+        self._intent_bodies = intent_bodies
 
-    def start(self, poll: WatchRequest, rows: KeyView) -> list[ApiResponse]:
-        """Answer a poll at once when there is something newer, else hold it."""
-        if rows.version > poll.after:
-            return [self._news(poll, rows)]
-        if len(self._polls) >= MAX_HELD_POLLS:
+    def start(self, watch: WatchRequest, rows: KeyView) -> list[ApiResponse]:
+        """Return the response at once when `rows` are newer, else add the watch.
+
+        Raises `UnavailableError` when too many watches are pending.
+        """
+        if rows.version > watch.after:
+            return [self._intent_response(watch, rows)]
+        if len(self._watches) >= MAX_PENDING_WATCHES:
             raise UnavailableError(
-                f"this core holds {MAX_HELD_POLLS} watches already", "watch at another core"
+                f"this core holds {MAX_PENDING_WATCHES} watches already", "watch at another core"
             )
-        self._polls[poll.token] = poll
+        self._watches[watch.token] = watch
         return []
 
-    def release(self, rows: KeyView, now: float) -> list[ApiResponse]:
-        """Answer every poll that `rows` is news for, or whose time is over."""
-        answers = []
-        for poll in list(self._polls.values()):
-            if rows.version > poll.after:
-                answers.append(self._news(poll, rows))
-            elif now >= poll.deadline:
-                answers.append(json_response(poll.token, 200, {"version": rows.version}))
-        for answer in answers:
-            del self._polls[answer.token]
-        return answers
+    def complete(self, rows: KeyView, now: float) -> list[ApiResponse]:
+        """Return the responses of the watches that `rows` update, or whose deadline has passed."""
+        responses = []
+        for watch in list(self._watches.values()):
+            if rows.version > watch.after:
+                responses.append(self._intent_response(watch, rows))
+            elif now >= watch.deadline:
+                responses.append(json_response(watch.token, 200, {"version": rows.version}))
+        for response in responses:
+            del self._watches[response.token]
+        return responses
 
     def abandon(self, token: str) -> None:
-        """Forget a poll whose client went away."""
-        self._polls.pop(token, None)
+        """Forget a watch whose client disconnected."""
+        self._watches.pop(token, None)
 
-    def _news(self, poll: WatchRequest, rows: KeyView) -> ApiResponse:
-        return json_response(poll.token, 200, self._intent_body.of(rows))
+    def _intent_response(self, watch: WatchRequest, rows: KeyView) -> ApiResponse:
+        return json_response(watch.token, 200, self._intent_bodies.body_of(rows))
--- a/src/zincvale/controlplane/api/reads.py
+++ b/src/zincvale/controlplane/api/reads.py
@@ -1,4 +1,4 @@
-"""Bodies of the control API's reads."""
+"""Response bodies of the control API's reads, as JSON bytes."""
 
 from __future__ import annotations
 
@@ -23,18 +23,23 @@
 from zincvale.model.view import MemberRow, ServerRow
 
 DEFAULT_PAGE_ROWS = 1_000
+"""Resources of a page when the client names no limit."""
 MAX_PAGE_ROWS = 10_000
+"""Largest page; encoding one blocks the core's event loop, which also sends heartbeats."""
 
 
-class IntentResponse:
-    """Keeps the body of `GET /v1/intent`, which is large, for the newest version."""
+class IntentBodyCache:
+    """Keeps the body of `GET /v1/intent`, which is large, for the newest version.
+
+    Every watch that one change completes gets the same bytes.
+    """
 
     def __init__(self) -> None:
         self._version = -1
         self._body = b""
 
-    def of(self, rows: KeyView) -> bytes:
-        """Return `{"version", "resources"}` of the whole intent, straight from its rows."""
+    def body_of(self, rows: KeyView) -> bytes:
+        """Return `{"version", "resources"}` of the complete intent, straight from its rows."""
         if rows.version != self._version:
             self._body = _intent_body(rows)
             self._version = rows.version
@@ -52,7 +57,7 @@
 
 
 def resource_list(
-    view: CoreView, world: ClusterSnapshot, table: str, after: str, limit: int
+    view: CoreView, snapshot: ClusterSnapshot, table: str, after: str, limit: int
 ) -> bytes:
     """Return one page of a kind's resources with spec and status, ordered by name.
 
@@ -60,35 +65,35 @@
     """
     kind = KIND_BY_TABLE[table]
     rows = view.intent_rows()
-    names = sorted(name for name in _names(world, table) if name > after)
+    names = sorted(name for name in _names(snapshot, table) if name > after)
     body: dict[str, Any] = {
         "version": rows.version,
-        "resources": [_resource(kind, name, rows, world) for name in names[:limit]],
+        "resources": [_resource(kind, name, rows, snapshot) for name in names[:limit]],
     }
     if len(names) > limit:
         body["next"] = names[limit - 1]
     return orjson.dumps(body)
 
 
-def resource_body(view: CoreView, world: ClusterSnapshot, table: str, name: str) -> bytes:
+def resource_body(view: CoreView, snapshot: ClusterSnapshot, table: str, name: str) -> bytes:
     """Return one resource with spec, effective spec and status; raises `NotFoundError`."""
     kind = KIND_BY_TABLE[table]
-    names = _names(world, table)
+    names = _names(snapshot, table)
     if name not in names:
         raise _no_resource(kind, name, names, table)
-    body = _resource(kind, name, view.intent_rows(), world)
-    spec = getattr(world.intent, table).get(name)
+    body = _resource(kind, name, view.intent_rows(), snapshot)
+    spec = getattr(snapshot.intent, table).get(name)
     if spec is not None:
         body["effective_spec"] = spec.to_dict()
-    body["version"] = world.intent.version
+    body["version"] = snapshot.intent.version
     return orjson.dumps(body)
 
 
 def members_body(view: CoreView) -> bytes:
-    """Return the members with live leases and the intent version that each node holds."""
+    """Return the members with live leases and the intent version that each node applied."""
     members = view.members()
-    held = view.held_versions()
-    rows = [_member(members.rows[name], held.get(name)) for name in sorted(members.rows)]
+    applied = view.applied_versions()
+    rows = [_member(members.rows[name], applied.get(name)) for name in sorted(members.rows)]
     return orjson.dumps({"version": members.version, "members": rows})
 
 
@@ -106,7 +111,7 @@
 
 
 def roles_body(view: CoreView) -> bytes:
-    """Return the singleton roles and their holders."""
+    """Return the singleton roles and their leaders."""
     rows = [{"role": row.role, "holder": row.holder, "epoch": row.epoch} for row in view.roles()]
     return orjson.dumps({"roles": sorted(rows, key=lambda row: str(row["role"]))})
 
@@ -137,22 +142,22 @@
     return after, int(limit)
 
 
-def _names(world: ClusterSnapshot, table: str) -> Collection[str]:
-    declared: Mapping[str, Any] = getattr(world.intent, table)
+def _names(snapshot: ClusterSnapshot, table: str) -> Collection[str]:
+    declared: Mapping[str, Any] = getattr(snapshot.intent, table)
     if table == "servers":
-        return declared.keys() | world.directory.servers.keys()
+        return declared.keys() | snapshot.directory.servers.keys()
     return declared.keys()
 
 
-def _resource(kind: str, name: str, rows: KeyView, world: ClusterSnapshot) -> dict[str, Any]:
+def _resource(kind: str, name: str, rows: KeyView, snapshot: ClusterSnapshot) -> dict[str, Any]:
     content = rows.rows.get(row_id(kind, name))
     status: dict[str, Any] = {
         "conditions": [
             condition.to_json()
-            for condition in conditions_of(kind, name, content is not None, world)
+            for condition in conditions_of(kind, name, content is not None, snapshot)
         ]
     }
-    server = world.directory.servers.get(ServerId(name)) if kind == "Server" else None
+    server = snapshot.directory.servers.get(ServerId(name)) if kind == "Server" else None
     if server is not None:
         status["observed"] = _server(server)
     return {
@@ -182,7 +187,7 @@
     }
 
 
-def _member(row: MemberRow, held_version: int | None) -> dict[str, Any]:
+def _member(row: MemberRow, applied_version: int | None) -> dict[str, Any]:
     return {
         "member": MemberId(row.member),
         "role": row.role.value,
@@ -191,7 +196,7 @@
         "peer_address": row.peer_address,
         "incarnation": row.incarnation,
         "ready": row.ready,
-        "intent_version": held_version,
+        "intent_version": applied_version,
     }
 
 
--- a/src/zincvale/controlplane/api/replica_changes.py
+++ b/src/zincvale/controlplane/api/replica_changes.py
@@ -11,6 +11,7 @@
 from zincvale.model.errors import BodyTooLargeError, InvalidInputError
 
 MAX_REPLACEMENT_BYTES = 4_096
+"""Largest body: two member ids with room to spare."""
 
 
 @dataclass
--- a/src/zincvale/controlplane/documents/api.py
+++ b/src/zincvale/controlplane/documents/api.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import itertools
-from typing import Any, Protocol
+from typing import Protocol
 
 import attrs
 
@@ -109,7 +109,7 @@
         self._pending[request.token] = _Pending(command, now + CALL_LIMIT_S)
         return [CallCore(request.token, self._proposal(command))]
 
-    def core_replied(self, token: str, message: Any, now: float) -> list[ApiEffect]:
+    def core_replied(self, token: str, message: object) -> list[ApiEffect]:
         """Take the core's answer to `CallCore(token, ...)`."""
         pending = self._pending.get(token)
         if pending is None:
@@ -124,7 +124,7 @@
         pending.needed_version = message.current_version
         return self._answer_reads()
 
-    def core_failed(self, token: str, reason: str, now: float) -> list[ApiEffect]:
+    def core_failed(self, token: str, reason: str) -> list[ApiEffect]:
         """Take notice that `CallCore(token, ...)` gets no answer."""
         return self._give_up(token, reason) if token in self._pending else []
 
--- a/src/zincvale/controlplane/status/cluster_snapshot.py
+++ b/src/zincvale/controlplane/status/cluster_snapshot.py
@@ -66,8 +66,8 @@
 
 def lagging_nodes(view: CoreView, intent: Intent) -> list[MemberId]:
     """Return the nodes with a live lease that hold an older intent."""
-    held = view.held_versions()
-    return [member for member, version in held.items() if version < intent.version]
+    applied = view.applied_versions()
+    return [member for member, version in applied.items() if version < intent.version]
 
 
 def observe(view: CoreView, drains: DrainProgress, now: float) -> ClusterSnapshot:
@@ -78,7 +78,7 @@
         intent=intent,
         directory=directory,
         lagging=tuple(sorted(lagging_nodes(view, intent))),
-        node_count=len(view.held_versions()),
+        node_count=len(view.applied_versions()),
         rows_by_pool=_by_pool(directory.servers.values()),
         drains=drains,
         now=now,
--- a/src/zincvale/daemons/control_api_handler.py
+++ b/src/zincvale/daemons/control_api_handler.py
@@ -21,12 +21,12 @@
         """Take one request; the answer is among the effects now or later."""
         ...
 
-    def core_replied(self, token: str, message: Any, now: float) -> list[ApiEffect]:
-        """Take the core's answer to `CallCore(token, ...)`."""
+    def core_replied(self, token: str, message: object) -> list[ApiEffect]:
+        """Take the core's response to `CallCore(token, ...)`."""
         ...
 
-    def core_failed(self, token: str, reason: str, now: float) -> list[ApiEffect]:
-        """Take notice that `CallCore(token, ...)` gets no answer."""
+    def core_failed(self, token: str, reason: str) -> list[ApiEffect]:
+        """Take notice that `CallCore(token, ...)` gets no response."""
         ...
 
     def abandoned(self, token: str) -> None:
@@ -95,11 +95,10 @@
 
     async def _call_core(self, effect: CallCore) -> None:
         reply = await self._driver.call_local(effect.message)
-        now = self._clock()
         if reply is None:
-            self._carry_out(self._api.core_failed(effect.token, "the core gave no answer", now))
+            self._carry_out(self._api.core_failed(effect.token, "the core gave no answer"))
             return
-        self._carry_out(self._api.core_replied(effect.token, reply, now))
+        self._carry_out(self._api.core_replied(effect.token, reply))
 
 
 class HealthHandler(RequestHandler):
--- a/src/zincvale/daemons/core_view.py
+++ b/src/zincvale/daemons/core_view.py
@@ -16,7 +16,7 @@
 
 
 class LocalCoreView:
-    """Implements `controlplane.core_view.CoreView` on the local machine."""
+    """Implements `controlplane.api.core_view.CoreView` on the local machine."""
 
     def __init__(self, machine: CoreMachine, clock: Callable[[], float]) -> None:
         self._machine = machine
@@ -43,8 +43,8 @@
         """Return the members with live leases."""
         return self._machine.members(self._clock())
 
-    def held_versions(self) -> Mapping[MemberId, int]:
-        """Return the intent version that each live node last said it holds."""
+    def applied_versions(self) -> Mapping[MemberId, int]:
+        """Return the intent version that each live node last reported as applied."""
         return self._machine.held_versions(INTENT_KEY)
 
     def directory(self) -> Directory:
--- a/tests/controlplane/fake_cores.py
+++ b/tests/controlplane/fake_cores.py
@@ -94,7 +94,8 @@
             effects = api.tick(self.clock)
         effect: ApiEffect = effects[0]
         if isinstance(effect, CallCore):
-            effect = api.core_replied(effect.token, self._decide(effect.message), self.clock)[0]
+            assert isinstance(effect.message, ProposeChange)
+            effect = api.core_replied(effect.token, self._decide(effect.message))[0]
         assert isinstance(effect, ApiResponse)
         return CoreAnswer(effect.status, effect.body)
 
--- a/tests/controlplane/fake_view.py
+++ b/tests/controlplane/fake_view.py
@@ -110,7 +110,7 @@
         rows[MemberId("core-1")] = member("core-1", Role.CORE)
         return Members(3, rows)
 
-    def held_versions(self) -> Mapping[MemberId, int]:
+    def applied_versions(self) -> Mapping[MemberId, int]:
         return self.held
 
     def directory(self) -> Directory:
--- a/tests/controlplane/test_api_transcripts.py
+++ b/tests/controlplane/test_api_transcripts.py
@@ -10,7 +10,7 @@
 from tests.controlplane.fake_view import FakeView, directory, move_row, server
 from tests.controlplane.samples import apply_change, change, resource
 from zincvale.controlplane.api.dispatch import MAX_PENDING_CHANGES
-from zincvale.controlplane.api.pending_watches import MAX_HELD_POLLS
+from zincvale.controlplane.api.pending_watches import MAX_PENDING_WATCHES
 from zincvale.controlplane.intent import change_body
 from zincvale.coordination.changes import KeyView
 from zincvale.coordination.registers.change_messages import ChangeResult
@@ -185,7 +185,7 @@
         driver = ApiDriver()
         for number in range(MAX_PENDING_CHANGES):
             driver.send("POST", "/v1/intent", EVACUATE, {"Idempotency-Key": f"op-{number}"})
-        for _ in range(MAX_HELD_POLLS):
+        for _ in range(MAX_PENDING_WATCHES):
             driver.send("GET", "/v1/watch", query={"after": "7"})
         refused = [
             *driver.send("POST", "/v1/intent", EVACUATE, {"Idempotency-Key": "one-more"}),
@@ -202,7 +202,7 @@
         driver.send("POST", "/v1/replicas", {"remove": "core-2", "add": "core-5"})
         driver.reply("t2", ChangeResult("invalid", 0, 3, "core-2 is no replica", "see replicas"))
         driver.send("POST", "/v1/replicas", {"remove": "core-2", "add": "core-5"})
-        driver.record(driver.api.core_failed("t3", "the core stops", driver.now))
+        driver.record(driver.api.core_failed("t3", "the core stops"))
         driver.send("POST", "/v1/replicas", {"remove": "", "add": ""})
         driver.send("POST", "/v1/replicas", {"remove": "core-2"})
         driver.send("POST", "/v1/replicas", {"remove": "core-2", "add": 4})
