--- a/src/zincvale/controlplane/placement/apply_demand.py
+++ b/src/zincvale/controlplane/placement/apply_demand.py
@@ -4,7 +4,7 @@
 
 from zincvale.controlplane.placement.events import DemandReported, DemandRow, UseRow
 from zincvale.controlplane.placement.items import ItemKey, adapter_key, model_key
-from zincvale.controlplane.placement.prefetch import note_asked
+from zincvale.controlplane.placement.prefetch import record_request
 from zincvale.controlplane.placement.state import NodeDemand, PlacementState
 from zincvale.model.identifiers import MemberId, ServerId
 
@@ -52,7 +52,7 @@
         if row.requests:
             first = item.demand.profile is None
             item.demand.add(row.requests, now, placement.config)
-            note_asked(placement, item, now)
+            record_request(placement, item, now)
             if not item.serving:
                 item.missed.add(row.requests, now)
             if first or (item.wanted and not item.holders):
--- a/src/zincvale/controlplane/placement/apply_status.py
+++ b/src/zincvale/controlplane/placement/apply_status.py
@@ -1,6 +1,6 @@
 """Takes servers' own statuses into the tables and completes moves by what they show.
 
-A status is compared only with what was known before it was asked for: what changed since then
+A status is compared only with what was known before it was requested: what changed since then
 (an order that left meanwhile) is newer than the status and stays.
 """
 
@@ -14,14 +14,14 @@
     adopt_load,
     end_move,
     fail_moves_of,
-    linger_loads_of,
+    keep_reservations_of,
 )
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveState
 from zincvale.controlplane.placement.order_confirmation import (
     confirm_load,
-    contradict,
+    confirm_no_stale_orders,
     mark_running,
-    note_answer,
+    observe_missing,
 )
 from zincvale.controlplane.placement.servers import NEVER, Replica, ReplicaState, ServerState
 from zincvale.controlplane.placement.state import PlacementState
@@ -47,15 +47,15 @@
     if row.health is ServerHealth.DOWN:
         _take_down(placement, server, now)
         return
-    if report.asked_at < server.asked_at:
+    if report.requested_at < server.requested_at:
         return
-    server.asked_at = report.asked_at
+    server.requested_at = report.requested_at
     if row.incarnation != server.incarnation:
         _take_incarnation(placement, server, row, now)
     _take_row(placement, server, row)
     _apply_replicas(placement, server, report, now)
-    if report.is_own_word:
-        note_answer(placement, server, report.asked_at, now)
+    if report.is_from_server:
+        confirm_no_stale_orders(placement, server, report.requested_at, now)
 
 
 def _new_server(placement: PlacementState, row: ServerRow) -> ServerState:
@@ -76,7 +76,7 @@
         return
     server.health = ServerHealth.DOWN
     server.down_since = now
-    server.first_answer_at = NEVER
+    server.first_response_at = NEVER
     placement.recount_server(server)
 
 
@@ -93,10 +93,10 @@
         for key, replica in list(server.replicas.items()):
             if _move_in_flight(placement, replica) is None:
                 placement.remove_replica(server, key)
-        server.first_answer_at = NEVER
+        server.first_response_at = NEVER
         server.listing = None
         server.cold_until = now + placement.config.cold_ramp_s
-        placement.log(log_events.SERVER_RETURNED_COLD, server=server.server, zone=server.zone)
+        placement.log(log_events.SERVER_RESTARTED, server=server.server, zone=server.zone)
     elif row.health is ServerHealth.COLD:
         server.cold_until = now + placement.config.cold_ramp_s
     server.incarnation = row.incarnation
@@ -169,10 +169,10 @@
         if replica is None:
             _found(placement, server, key, state, now)
         else:
-            _confirm(placement, server, key, replica, state, report.asked_at, now)
+            _confirm(placement, server, key, replica, state, report.requested_at, now)
     if len(server.replicas) > len(shown):
         for key in [key for key in server.replicas if key not in shown]:
-            _missing(placement, server, key, report.asked_at, now)
+            _missing(placement, server, key, report.requested_at, now)
     held = [server.replicas[key] for key in shown if key in server.replicas]
     server.listed_bytes = sum(replica.item_bytes for replica in held)
 
@@ -223,7 +223,7 @@
     key: ItemKey,
     replica: Replica,
     state: ReplicaState,
-    asked_at: float,
+    requested_at: float,
     now: float,
 ) -> None:
     """Handle a copy that the tables have and the status shows."""
@@ -231,7 +231,7 @@
     if move is None:
         _take_state(placement, server, key, replica, state, now)
         return
-    if asked_at < move.start_at:
+    if requested_at < move.start_at:
         return
     if move.kind is MoveKind.LOAD:
         confirm_load(placement, move, replica, state, now)
@@ -239,7 +239,7 @@
     if state is ReplicaState.UNLOADING:
         mark_running(placement, move, now)
     else:
-        contradict(placement, move, replica, asked_at, now)
+        observe_missing(placement, move, replica, requested_at, now)
 
 
 def _take_state(
@@ -262,13 +262,13 @@
 
 
 def _missing(
-    placement: PlacementState, server: ServerState, key: ItemKey, asked_at: float, now: float
+    placement: PlacementState, server: ServerState, key: ItemKey, requested_at: float, now: float
 ) -> None:
     """Handle a copy that the tables have and the status does not show."""
     replica = server.replicas[key]
     move = _move_in_flight(placement, replica)
     if move is None:
-        if placement.config.confirms_orders and NEVER < asked_at < replica.since:
+        if placement.config.confirms_orders and NEVER < requested_at < replica.since:
             # The end of the load was learned another way, after the status was taken.
             return
         pending = placement.moves.get(replica.move) if replica.move is not None else None
@@ -276,12 +276,12 @@
             end_move(placement, pending, MoveState.CANCELLED, "the server no longer holds it", now)
         placement.remove_replica(server, key)
         return
-    if asked_at < move.start_at:
+    if requested_at < move.start_at:
         return
     if move.kind is MoveKind.UNLOAD:
         end_move(placement, move, MoveState.DONE, "observed", now)
         return
-    contradict(placement, move, replica, asked_at, now)
+    observe_missing(placement, move, replica, requested_at, now)
 
 
 def _move_in_flight(placement: PlacementState, replica: Replica) -> Move | None:
@@ -297,7 +297,7 @@
     server = placement.servers.get(server_id)
     if server is None:
         return
-    linger_loads_of(placement, server, now)
+    keep_reservations_of(placement, server, now)
     fail_moves_of(placement, server, "the server left the directory", now)
     for key in list(server.replicas):
         placement.remove_replica(server, key)
--- a/src/zincvale/controlplane/placement/choose_server.py
+++ b/src/zincvale/controlplane/placement/choose_server.py
@@ -61,7 +61,7 @@
     ]
     choice = _best(placement, space, free, False, now)
     if choice is None and any(
-        _busy_until(placement, server, now) - now + placement.expected_load_s(item, server)
+        _moves_end_at(placement, server, now) - now + placement.expected_load_s(item, server)
         < from_store_s
         for server in known
         if server not in free
@@ -84,8 +84,8 @@
     return servers
 
 
-def _busy_until(placement: PlacementState, server: ServerState, now: float) -> float:
-    """Return when what is planned or under way on the server should be over."""
+def _moves_end_at(placement: PlacementState, server: ServerState, now: float) -> float:
+    """Return when the last planned or running move of the server is expected to end."""
     moves = (placement.moves[move] for move in placement.moves_by_server.get(server.server, ()))
     return max((move.expected_end for move in moves), default=now)
 
@@ -218,7 +218,7 @@
 
 
 def _may_take(placement: PlacementState, item: ItemRow, server: ServerState, now: float) -> bool:
-    if not server.serving or server.settled_epoch != placement.leadership.epoch:
+    if not server.serving or server.confirmed_epoch != placement.leadership.epoch:
         return False
     if server.server in item.planned or item.key in server.replicas:
         return False
--- a/src/zincvale/controlplane/placement/config.py
+++ b/src/zincvale/controlplane/placement/config.py
@@ -17,11 +17,11 @@
     order_lifetime_s : an order that was sent can reach its server no later than this, counted
         from sending; the runtime's order timeout must be shorter by the network's delay.
     orders_from_s : a new leader gives no order before it has led for this long.
-    settle_s : a server that answered two statuses this far apart has handled whatever was
-        waiting in its sockets before the first.
-    takeover_limit_s : a new leader waits at most this long for dark servers before it uses the
-        stores.
-    dark_release_s : a dark server's store reservation is given up after this long.
+    confirmation_interval_s : a server that responded to two status requests this far apart has
+        handled whatever was waiting in its sockets before the first.
+    takeover_limit_s : a new leader waits at most this long for unresponsive servers before it uses
+        the stores.
+    unresponsive_release_s : an unresponsive server's store slot is given up after this long.
     demand_expiry_s : a node that has not reported for this long counts as gone.
     closing_wait_s : time for nodes to learn that a model is closing, before it is unloaded.
     drain_limit_s : longest wait for requests that still run on a closing model.
@@ -52,11 +52,11 @@
     prior_rate_per_s : assumed demand of a declared model that nobody asked for yet.
     fill_free_memory : load what is declared but absent while memory is free.
     finished_move_keep_s, finished_moves_kept : history that stays readable.
-    status_interval_s : time between two status questions to a server that is not settled, or whose
-        order has no answer.
+    status_interval_s : time between two status requests to a server that is not confirmed, or whose
+        order has no response.
     shortest_status_interval_s : as above, near the end of a load.
     undeclared_grace_s : a copy that no resource declares is unloaded after this long.
-    one_status_settles : orders carry the number of orders that the server's status showed, so that
+    one_status_confirms : orders carry the number of orders that the server's status showed, so that
         one status is enough to order on.
     servers_guard_unloads : servers themselves refuse requests for what they unload and let running
         ones end, so that an unload needs no word of the nodes.
@@ -67,15 +67,15 @@
     serial_orders : a server carries out one order at a time; the next waits for its end.
     servers_keep_weights : a server keeps on its own disk what it held, and loads it from there in
         another time than from the store.
-    confirms_orders : the runtime learns the end of an order itself; no status is asked for it.
+    confirms_orders : the runtime learns the end of an order itself; no status is requested for it.
     """
 
     plan_interval_s: float = 0.1
     order_lifetime_s: float = 3.0
     orders_from_s: float = 0.0
-    settle_s: float = 1.0
+    confirmation_interval_s: float = 1.0
     takeover_limit_s: float = 15.0
-    dark_release_s: float = 120.0
+    unresponsive_release_s: float = 120.0
     demand_expiry_s: float = 3.0
     closing_wait_s: float = 0.2
     drain_limit_s: float = 60.0
@@ -115,7 +115,7 @@
     status_interval_s: float = 0.2
     shortest_status_interval_s: float = 0.1
     undeclared_grace_s: float = 30.0
-    one_status_settles: bool = False
+    one_status_confirms: bool = False
     servers_guard_unloads: bool = False
     adapters_add_copies: bool = False
     crowds_count_as_waiting: bool = False
--- a/src/zincvale/controlplane/placement/controller.py
+++ b/src/zincvale/controlplane/placement/controller.py
@@ -29,13 +29,13 @@
     OrderUnknown,
 )
 from zincvale.controlplane.placement.leadership import (
-    ask_statuses,
     expire_leadership,
     give_up_leadership,
     open_stores,
+    request_statuses,
     take_leadership,
 )
-from zincvale.controlplane.placement.order_confirmation import expire_unanswered
+from zincvale.controlplane.placement.order_confirmation import expire_overdue_orders
 from zincvale.controlplane.placement.order_responses import (
     take_accepted,
     take_refused,
@@ -53,7 +53,7 @@
 SYSTEMS: tuple[System, ...] = (
     expire_leadership,
     expire_nodes,
-    expire_unanswered,
+    expire_overdue_orders,
     take_declarations,
     open_stores,
     review_items,
@@ -63,7 +63,7 @@
     order_unloads,
     order_loads,
     track_drains,
-    ask_statuses,
+    request_statuses,
     trim_history,
     publish_changes,
 )
--- a/src/zincvale/controlplane/placement/desired_replicas.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -42,7 +42,7 @@
 
 
 def _queue_unplaced(placement: PlacementState, now: float) -> None:
-    """Look again at what found no server, after servers came or settled."""
+    """Look again at what found no server, after servers appeared or were confirmed."""
     if not placement.capacity_appeared or now < placement.unplaced_queued_at + UNPLACED_INTERVAL_S:
         return
     placement.capacity_appeared = False
--- a/src/zincvale/controlplane/placement/dispatch.py
+++ b/src/zincvale/controlplane/placement/dispatch.py
@@ -47,7 +47,7 @@
         return
     if any(_is_pending(placement, adapter_unload) for adapter_unload in move.after):
         return
-    if server.settled_epoch != placement.leadership.epoch or now < server.retry_at:
+    if server.confirmed_epoch != placement.leadership.epoch or now < server.retry_at:
         return
     if _is_carrying_out(placement, server):
         return
@@ -168,7 +168,7 @@
         return False
     if item.base is not None and server.replicas[item.base].state is not ReplicaState.LOADED:
         return False
-    if server.settled_epoch != placement.leadership.epoch or now < server.retry_at:
+    if server.confirmed_epoch != placement.leadership.epoch or now < server.retry_at:
         return False
     if server.loads_in_flight >= server.load_slots(config, now):
         return False
--- a/src/zincvale/controlplane/placement/events.py
+++ b/src/zincvale/controlplane/placement/events.py
@@ -35,18 +35,18 @@
     Attributes
     ----------
     row : the directory's row. `loading` holds names of models and adapters being loaded.
-    asked_at : a time on this process's clock before which the status was certainly not taken:
-        when this process sent the status question, or, for a row relayed by a prober, when this
-        process asked the prober, less the row's age in the prober's answer.
+    requested_at : a time on this process's clock before which the status was certainly not taken:
+        when this process sent the status request, or, for a row relayed by a prober, when this
+        process requested it from the prober, less the row's age in the prober's response.
     unloading : names of models and adapters being unloaded.
-    is_own_word : the server itself said so. What a list says of it may trail behind an order of an
-        earlier leader, so a list never settles a server.
+    is_from_server : the server itself reported it. What a list says of it may trail behind an
+        order of an earlier leader, so a list never confirms a server.
     """
 
     row: ServerRow
-    asked_at: float
+    requested_at: float
     unloading: frozenset[str] = frozenset()
-    is_own_word: bool = True
+    is_from_server: bool = True
 
 
 @attrs.frozen
@@ -130,7 +130,7 @@
 
 @attrs.frozen
 class OrderUnknown:
-    """Input: the order got no answer; it may run."""
+    """Input: the order got no response; it may run."""
 
     order_id: str
 
@@ -212,7 +212,7 @@
 
 @attrs.frozen
 class RequestStatus:
-    """Effect: ask the server for its status now; answer with `DirectoryChanged`."""
+    """Effect: request the server's status now; feed back `DirectoryChanged`."""
 
     server: ServerId
     address: Address
--- a/src/zincvale/controlplane/placement/leadership.py
+++ b/src/zincvale/controlplane/placement/leadership.py
@@ -10,7 +10,7 @@
 from zincvale.controlplane.placement.events import LeaderGained, RequestStatus
 from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveReason, MoveState
-from zincvale.controlplane.placement.order_confirmation import mark_unknown
+from zincvale.controlplane.placement.order_confirmation import mark_unconfirmed
 from zincvale.controlplane.placement.plan_loads import cancel_planned
 from zincvale.controlplane.placement.servers import ServerState
 from zincvale.controlplane.placement.state import PlacementState
@@ -55,7 +55,7 @@
         if move.kind in (MoveKind.DRAIN, MoveKind.WAIT):
             end_move(placement, move, MoveState.CANCELLED, "the leader lease ended", now)
         elif move.state is MoveState.ORDERED:
-            mark_unknown(placement, move)
+            mark_unconfirmed(placement, move)
     placement.drain_by_server.clear()
     placement.leadership.held = False
     placement.leadership.stores_open = False
@@ -74,7 +74,7 @@
     if not leadership.held or leadership.stores_open:
         return
     limit = leadership.gained_at + placement.config.takeover_limit_s
-    if now < limit and not _all_settled(placement):
+    if now < limit and not _all_confirmed(placement):
         return
     if now < leadership.gained_at + placement.config.order_lifetime_s:
         return
@@ -84,33 +84,34 @@
             end_move(placement, move, MoveState.DONE, "the servers' own statuses are known", now)
 
 
-def ask_statuses(placement: PlacementState, now: float) -> None:
-    """System: ask the servers whose status is waited for."""
+def request_statuses(placement: PlacementState, now: float) -> None:
+    """System: request the status of the servers that a decision waits for."""
     if not placement.leadership.held:
         return
-    asked = 0
+    requested = 0
     for server_id in list(placement.watched):
         server = placement.servers[server_id]
-        settled = server.settled_epoch == placement.leadership.epoch
-        if settled and not placement.moves_by_server.get(server_id):
+        confirmed = server.confirmed_epoch == placement.leadership.epoch
+        if confirmed and not placement.moves_by_server.get(server_id):
             placement.watched.pop(server_id, None)
             continue
-        if asked >= STATUS_BUDGET or now < _ask_at(placement, server):
+        if requested >= STATUS_BUDGET or now < _next_request_at(placement, server):
             continue
-        asked += 1
-        server.status_asked_at = now
+        requested += 1
+        server.status_requested_at = now
         placement.effects.append(RequestStatus(server_id, server.address))
 
 
-def _ask_at(placement: PlacementState, server: ServerState) -> float:
+def _next_request_at(placement: PlacementState, server: ServerState) -> float:
     """Return when the server's next status is worth asking for.
 
-    A load is asked about from shortly before its expected end, more often the shorter it is.
+    The status of a load is requested from shortly before its expected end, more often the shorter
+    it is.
     """
     config = placement.config
-    last = max(server.asked_at, server.status_asked_at)
+    last = max(server.requested_at, server.status_requested_at)
     soonest = float("inf")
-    if server.settled_epoch != placement.leadership.epoch:
+    if server.confirmed_epoch != placement.leadership.epoch:
         soonest = last + config.status_interval_s
     for move_id in placement.moves_by_server.get(server.server, ()):
         move = placement.moves[move_id]
@@ -127,10 +128,10 @@
     return soonest
 
 
-def _all_settled(placement: PlacementState) -> bool:
-    """Whether no server, dark ones included, may still carry out an earlier order unseen."""
+def _all_confirmed(placement: PlacementState) -> bool:
+    """Whether no server, not even an unresponsive one, may still carry out an earlier order."""
     epoch = placement.leadership.epoch
-    return all(server.settled_epoch == epoch for server in placement.servers.values())
+    return all(server.confirmed_epoch == epoch for server in placement.servers.values())
 
 
 def _plan_wait(placement: PlacementState, now: float) -> None:
@@ -147,6 +148,6 @@
             zone=ZoneName(""),
             created_at=now,
             start_at=now,
-            expected_end=now + config.order_lifetime_s + config.settle_s,
+            expected_end=now + config.order_lifetime_s + config.confirmation_interval_s,
         )
     )
--- a/src/zincvale/controlplane/placement/load_candidates.py
+++ b/src/zincvale/controlplane/placement/load_candidates.py
@@ -20,7 +20,7 @@
 EXPECTED_DRAIN_S = 5.0
 
 
-def find_place(
+def find_candidate(
     placement: PlacementState, item: ItemRow, reason: MoveReason, now: float
 ) -> Choice | None:
     """Return the best server for a load, with room for the adapters that come along if possible.
--- a/src/zincvale/controlplane/placement/log_events.py
+++ b/src/zincvale/controlplane/placement/log_events.py
@@ -10,8 +10,8 @@
 LEADERSHIP_LOST = declare(
     5002, "placement.leadership-lost", "This process gives no more orders; planned moves end."
 )
-SERVER_SETTLED = declare(
-    5003, "placement.server-settled", "A server's own status is newer than any earlier order."
+SERVER_CONFIRMED = declare(
+    5003, "placement.server-confirmed", "A server's own status is newer than any earlier order."
 )
 LOAD_PLANNED = declare(5010, "placement.load-planned", "A load entered the calendar; see reason.")
 UNLOAD_PLANNED = declare(
@@ -25,8 +25,8 @@
 MOVE_DONE = declare(5015, "placement.move-done", "A move was observed to be complete.")
 MOVE_FAILED = declare(5016, "placement.move-failed", "A move was observed to have come to nothing.")
 MOVE_CANCELLED = declare(5017, "placement.move-cancelled", "A move was given up before its order.")
-LOAD_FOUND = declare(
-    5018, "placement.load-found", "A server reports a load that this process did not order."
+UNPLANNED_LOAD = declare(
+    5018, "placement.unplanned-load", "A server reports a load that this process did not order."
 )
 LOAD_OVERDUE = declare(
     5019, "placement.load-overdue", "A load takes several times longer than was learned."
@@ -34,8 +34,8 @@
 NOTHING_FITS = declare(
     5020, "placement.nothing-fits", "No server can take a wanted copy; names the closest limit."
 )
-SERVER_RETURNED_COLD = declare(
-    5021, "placement.server-returned-cold", "A server came back as a new, empty incarnation."
+SERVER_RESTARTED = declare(
+    5021, "placement.server-restarted", "A server came back as a new, empty incarnation."
 )
 SERVER_GONE = declare(5022, "placement.server-gone", "A server left the directory.")
 DRAIN_STARTED = declare(5023, "placement.drain-started", "Copies of a server are to be replaced.")
--- a/src/zincvale/controlplane/placement/move_completion.py
+++ b/src/zincvale/controlplane/placement/move_completion.py
@@ -72,7 +72,7 @@
         zone=server.zone,
         created_at=now,
         start_at=now,
-        answered_at=now,
+        responded_at=now,
         expected_end=now + placement.expected_load_s(item, server),
         item_kind=item.kind,
         name=item.name,
@@ -87,7 +87,7 @@
         placement.store_slots[move.move_id] = store.store
     placement.watched[server.server] = None
     placement.put_move(move)
-    placement.log(log_events.LOAD_FOUND, server=server.server, name=item.name)
+    placement.log(log_events.UNPLANNED_LOAD, server=server.server, name=item.name)
 
 
 def base_name(placement: PlacementState, item: ItemRow) -> str:
@@ -106,7 +106,7 @@
             end_move(placement, move, state, outcome, now)
 
 
-def linger_loads_of(placement: PlacementState, server: ServerState, now: float) -> None:
+def keep_reservations_of(placement: PlacementState, server: ServerState, now: float) -> None:
     """Keep the store slots of an unobservable server for as long as a pull can take."""
     for move_id in placement.moves_by_server.get(server.server, ()):
         name = placement.store_slots.pop(move_id, None)
@@ -116,7 +116,7 @@
         move = placement.moves[move_id]
         share = max(store.bytes_per_second, 1) / max(store.max_concurrent_loads, 1)
         longest_s = move.reservation.memory_bytes / share + placement.config.order_lifetime_s
-        store.linger(now + longest_s)
+        store.keep_slot(now + longest_s)
 
 
 def _end_load(
@@ -207,7 +207,7 @@
     placement.dependents.pop(move.move_id, None)
     server.planned_free_bytes -= move.reservation.memory_bytes
     server.planned_free_adapters -= move.item_kind is ItemKind.ADAPTER
-    if move.in_flight and move.answered_at is None:
+    if move.in_flight and move.responded_at is None:
         # The order may still arrive, and must not meet a load of the same item.
         server.barred_until[key] = move.start_at + placement.config.order_lifetime_s
     replica = server.replicas.get(key)
--- a/src/zincvale/controlplane/placement/move_row_codec.py
+++ b/src/zincvale/controlplane/placement/move_row_codec.py
@@ -25,7 +25,14 @@
 from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import Address, MoveId, ServerId, StoreName, ZoneName
 
-TIME_FIELDS = ("created_at", "start_at", "expected_end", "answered_at", "finished_at")
+TIME_FIELD_BY_KEY = {
+    "created_at": "created_at",
+    "start_at": "start_at",
+    "expected_end": "expected_end",
+    "answered_at": "responded_at",
+    "finished_at": "finished_at",
+}
+"""Fields of `Move` by the keys of a row; the keys are text of the API and of the topic."""
 CLOSING_STATES = frozenset(MoveState(state) for state in CLOSING_STATE_NAMES)
 
 
@@ -75,9 +82,9 @@
         "outcome": move.outcome,
         "from_disk": move.from_disk,
     }
-    for name in TIME_FIELDS:
-        value = getattr(move, name)
-        data[name] = None if value is None else value + wall_offset_s
+    for key, field in TIME_FIELD_BY_KEY.items():
+        value = getattr(move, field)
+        data[key] = None if value is None else value + wall_offset_s
     return data
 
 
@@ -121,5 +128,5 @@
         after=tuple(MoveId(move) for move in data["after"]),
         outcome=data["outcome"],
         from_disk=data.get("from_disk", False),
-        **{name: data[name] for name in TIME_FIELDS},
+        **{field: data[key] for key, field in TIME_FIELD_BY_KEY.items()},
     )
--- a/src/zincvale/controlplane/placement/moves.py
+++ b/src/zincvale/controlplane/placement/moves.py
@@ -26,11 +26,11 @@
     CLOSING = "closing"
     """Nodes were told to send nothing new; the unload follows."""
     ORDERED = "ordered"
-    """The order left; its answer is awaited."""
+    """The order was sent; its response is pending."""
     RUNNING = "running"
     """The server took the order, or (drain, wait) the time runs."""
     UNKNOWN = "unknown"
-    """No answer came; the reservation stays until the server's own status tells."""
+    """No response came; the reservation stays until the server's own status shows the outcome."""
     DONE = "done"
     FAILED = "failed"
     CANCELLED = "cancelled"
@@ -112,7 +112,7 @@
     epoch: int = 0
     after: tuple[MoveId, ...] = ()
     """Moves that must be done before this one is ordered."""
-    answered_at: float | None = None
+    responded_at: float | None = None
     """When the server took the order, or was seen carrying it out."""
     finished_at: float | None = None
     outcome: str = ""
--- a/src/zincvale/controlplane/placement/order_responses.py
+++ b/src/zincvale/controlplane/placement/order_responses.py
@@ -1,4 +1,4 @@
-"""Takes the servers' answers to orders."""
+"""Applies the servers' responses to orders."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from zincvale.controlplane.placement.events import OrderRefusal
 from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveState
-from zincvale.controlplane.placement.order_confirmation import mark_unknown
+from zincvale.controlplane.placement.order_confirmation import mark_unconfirmed
 from zincvale.controlplane.placement.state import PlacementState
 
 BUSY_PAUSE_S = 0.5
@@ -21,7 +21,7 @@
         move = _running_move(placement, order_id)
     if move is None:
         return
-    taken = attrs.evolve(move, state=MoveState.RUNNING, answered_at=now)
+    taken = attrs.evolve(move, state=MoveState.RUNNING, responded_at=now)
     if done:
         end_move(placement, taken, MoveState.DONE, "answered as done", now)
     else:
@@ -43,12 +43,12 @@
 
 
 def take_unknown(placement: PlacementState, order_id: str) -> None:
-    """The order got no answer, or its end could not be learned: it may run."""
+    """The order got no response, or its end could not be learned: it may run."""
     move = _waiting_move(placement, order_id)
     if move is None and placement.config.confirms_orders:
         move = _running_move(placement, order_id)
     if move is not None:
-        mark_unknown(placement, move)
+        mark_unconfirmed(placement, move)
 
 
 def _waiting_move(placement: PlacementState, order_id: str) -> Move | None:
@@ -60,7 +60,7 @@
 
 
 def _running_move(placement: PlacementState, order_id: str) -> Move | None:
-    """Return the move of an order that was taken before and is now answered as done."""
+    """Return the move of an order that was accepted before and is now reported done."""
     move_id = placement.move_by_order.get(order_id)
     move = placement.moves.get(move_id) if move_id is not None else None
     return move if move is not None and move.state is MoveState.RUNNING else None
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -9,7 +9,7 @@
 from zincvale.controlplane.placement.choose_server import AllServersBusyError, Choice
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow
-from zincvale.controlplane.placement.load_candidates import find_place, is_worth
+from zincvale.controlplane.placement.load_candidates import find_candidate, is_worth
 from zincvale.controlplane.placement.move_completion import base_name, end_move
 from zincvale.controlplane.placement.moves import (
     Move,
@@ -153,7 +153,7 @@
 
 def _plan(placement: PlacementState, item: ItemRow, reason: MoveReason, now: float) -> Planning:
     try:
-        choice = find_place(placement, item, reason, now)
+        choice = find_candidate(placement, item, reason, now)
     except AllServersBusyError:
         return Planning.BUSY
     if choice is None or not is_worth(placement, item, reason, choice, now):
--- a/src/zincvale/controlplane/placement/plan_unloads.py
+++ b/src/zincvale/controlplane/placement/plan_unloads.py
@@ -89,6 +89,6 @@
     replica = server.replicas.get(key)
     if replica is None or replica.move is not None or replica.state is not ReplicaState.LOADED:
         return
-    if not server.serving or server.settled_epoch != placement.leadership.epoch:
+    if not server.serving or server.confirmed_epoch != placement.leadership.epoch:
         return
     plan_unload(placement, server, key, MoveReason.NOT_DECLARED, "no resource declares it", (), now)
--- a/src/zincvale/controlplane/placement/prefetch.py
+++ b/src/zincvale/controlplane/placement/prefetch.py
@@ -37,9 +37,9 @@
 """Part of what a store gives in a window that fetching may use up; the rest is for requests."""
 
 
-def note_asked(placement: PlacementState, item: ItemRow, now: float) -> None:
-    """Requests came for an item."""
-    placement.prefetches.setdefault(item.pool, PrefetchState()).asked_at = now
+def record_request(placement: PlacementState, item: ItemRow, now: float) -> None:
+    """Record that requests arrived for the item's pool."""
+    placement.prefetches.setdefault(item.pool, PrefetchState()).requested_at = now
 
 
 def prefetch(placement: PlacementState, now: float) -> None:
@@ -65,7 +65,7 @@
 
 def _is_idle(placement: PlacementState, server_id: ServerId) -> bool:
     server = placement.servers[server_id]
-    if not server.serving or server.settled_epoch != placement.leadership.epoch:
+    if not server.serving or server.confirmed_epoch != placement.leadership.epoch:
         return False
     return not placement.moves_by_server.get(server_id) and not server.planned_models
 
@@ -138,7 +138,7 @@
     now: float,
 ) -> None:
     room = len(idle)
-    if now - state.asked_at <= QUIET_S:
+    if now - state.requested_at <= QUIET_S:
         room -= math.ceil(len(placement.servers_by_pool[pool]) * KEPT_IDLE_SHARE)
     if room <= 0:
         return
--- a/src/zincvale/controlplane/placement/prefetch_state.py
+++ b/src/zincvale/controlplane/placement/prefetch_state.py
@@ -14,13 +14,13 @@
 
     Attributes
     ----------
-    asked_at : when the pool was last asked for anything.
+    requested_at : when a request for the pool last arrived.
     looked_at : when fetching was last considered.
     trial : the unload of a copy that is loaded again to learn how long that takes.
     trial_key, trial_server : that copy.
     """
 
-    asked_at: float = float("-inf")
+    requested_at: float = float("-inf")
     looked_at: float = float("-inf")
     trial: MoveId | None = None
     trial_key: ItemKey = ItemKey("")
--- a/src/zincvale/controlplane/placement/servers.py
+++ b/src/zincvale/controlplane/placement/servers.py
@@ -41,7 +41,8 @@
     closing : nodes were told to send nothing new.
     move : the move that loads or unloads it.
     fetched_ahead : loaded so that the server has it on disk, not for requests.
-    contrary_since : arrival of the first status that contradicts the order; see `settle`.
+    contrary_since : arrival of the first status that contradicts the order; see
+        `order_confirmation`.
     """
 
     state: ReplicaState
@@ -61,9 +62,9 @@
 
     Attributes
     ----------
-    asked_at : when the newest status was asked for, on this process's clock.
-    first_answer_at : arrival of the first status asked for under the present leadership.
-    settled_epoch : leadership epoch under which orders may be given.
+    requested_at : when the newest status was requested, on this process's clock.
+    first_response_at : arrival of the first status requested under the present leadership.
+    confirmed_epoch : leadership epoch under which orders may be given.
     cold_until : end of the ramp after its incarnation appeared.
     held_bytes, held_kv_bytes : sums over `holdings`.
     planned_bytes, planned_kv_bytes : loads planned but not ordered.
@@ -90,12 +91,12 @@
     running: int = 0
     drained: bool = False
     zone_evacuated: bool = False
-    asked_at: float = NEVER
-    first_answer_at: float = NEVER
-    settled_epoch: int = 0
+    requested_at: float = NEVER
+    first_response_at: float = NEVER
+    confirmed_epoch: int = 0
     cold_until: float = NEVER
     down_since: float = NEVER
-    status_asked_at: float = NEVER
+    status_requested_at: float = NEVER
     replicas: dict[ItemKey, Replica] = attrs.field(factory=dict)
     held_bytes: int = 0
     held_kv_bytes: int = 0
--- a/src/zincvale/controlplane/placement/state.py
+++ b/src/zincvale/controlplane/placement/state.py
@@ -79,7 +79,7 @@
     shortages : per store, heap of (urgency, rank, stamp, item); old stamps are skipped.
     server_by_address : servers in the directory.
     prefetches : what is known of fetching ahead, by pool.
-    watched : servers whose next status matters (orders in flight, or not settled).
+    watched : servers whose next status matters (orders in flight, or not confirmed).
     undeclared : copies that no resource declares, with the time they were found.
     unplaced : wanted items for which no server was found; looked at again when
         `capacity_appeared`.
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -220,7 +220,7 @@
         """Feed placement; a settled server's own holdings change only by our orders."""
         reports = tuple(
             StatusReport(
-                _for_placement(row), self._told_at(seen.asked_at), frozenset(), is_own_word=False
+                _for_placement(row), self._told_at(seen.asked_at), frozenset(), is_from_server=False
             )
             for row in seen.rows
             if row.draining
@@ -237,7 +237,7 @@
         return (
             state is not None
             and bool(self._role_epoch)
-            and (state.settled_epoch == self._role_epoch)
+            and (state.confirmed_epoch == self._role_epoch)
         )
 
     def _told_at(self, asked_at: float) -> float:
--- a/src/zincvale/daemons/forwarding_placement.py
+++ b/src/zincvale/daemons/forwarding_placement.py
@@ -24,7 +24,7 @@
         plan_interval_s=0.05,
         order_lifetime_s=ORDER_LIFETIME_S,
         orders_from_s=order_quiet_s,
-        one_status_settles=True,
+        one_status_confirms=True,
         takeover_limit_s=ORDER_LIFETIME_S,
         closing_wait_s=0.0,
         min_residency_s=0.5,
--- a/tests/controlplane/placement/bench_world.py
+++ b/tests/controlplane/placement/bench_world.py
@@ -1,4 +1,4 @@
-"""A tiny driven world for the tests: rows, intents and a controller that has settled."""
+"""A controller driven by hand: rows, intents and virtual time."""
 
 from __future__ import annotations
 
@@ -99,17 +99,17 @@
             effects += self.feed(Tick())
         return effects
 
-    def report(self, *servers: str, asked_at: float | None = None, **fields) -> list[Effect]:
+    def report(self, *servers: str, requested_at: float | None = None, **fields) -> list[Effect]:
         """Have servers (all when none is named) report, with changed fields."""
         reports = []
         for name in servers or tuple(self.rows):
             self.rows[name] = attrs.evolve(self.rows[name], **fields)
-            at = self.now if asked_at is None else asked_at
+            at = self.now if requested_at is None else requested_at
             reports.append(StatusReport(self.rows[name], at))
         return self.feed(DirectoryChanged(tuple(reports)))
 
     def lead(self, epoch: int = 1) -> list[Effect]:
-        """Gain leadership and let every server settle."""
+        """Gain leadership and let every server be confirmed."""
         effects = self.feed(LeaderGained(epoch, self.now + 2.0))
         for _ in range(5):
             effects += self.report()
--- a/tests/controlplane/placement/chaos.py
+++ b/tests/controlplane/placement/chaos.py
@@ -217,17 +217,17 @@
             process.inbox.append(DirectoryChanged((StatusReport(row, self.now),)))
 
     def _ask(self, process: Process, server: ChaosServer) -> None:
-        asked_at = self.now
+        requested_at = self.now
         incarnation = server.incarnation
 
         def arrive() -> None:
             if server.incarnation == incarnation or self.random.random() < 0.5:
-                server.socket.append(lambda: self._answer(process, server, asked_at))
+                server.socket.append(lambda: self._answer(process, server, requested_at))
 
         if self.random.random() < 0.9:
             self.later(self._delay(), arrive)
 
-    def _answer(self, process: Process, server: ChaosServer, asked_at: float) -> None:
+    def _answer(self, process: Process, server: ChaosServer, requested_at: float) -> None:
         server.answered_at = self.now
         names = frozenset(server.loaded)
         row = make_row(
@@ -240,7 +240,7 @@
             adapters=frozenset(name for name in names if "-" in name),
             loading=frozenset(server.loading),
         )
-        report = DirectoryChanged((StatusReport(row, asked_at),))
+        report = DirectoryChanged((StatusReport(row, requested_at),))
         if self.random.random() < 0.9:
             self.later(self._delay(), lambda: process.inbox.append(report))
 
--- a/tests/controlplane/placement/test_demand.py
+++ b/tests/controlplane/placement/test_demand.py
@@ -116,7 +116,7 @@
             self.assertTrue(store.may_order(GB, 0.0, config))
             store.order(GB, 0.0, config)
         self.assertFalse(store.may_order(1, 0.0, config))
-        store.linger(5.0)
+        store.keep_slot(5.0)
         self.assertFalse(store.may_order(1, 4.0, config))
         self.assertTrue(store.may_order(1, 5.1, config))
 
--- a/tests/controlplane/placement/test_leadership.py
+++ b/tests/controlplane/placement/test_leadership.py
@@ -52,18 +52,20 @@
             driver.demand(("alpha", None, 0, 1))
             if orders_in(driver.tick(0.2)):
                 first_order_at = driver.now
-        settled_at = gained_at + driver.config.order_lifetime_s + driver.config.settle_s
-        self.assertTrue(first_order_at >= settled_at)
-        self.assertTrue(first_order_at < settled_at + 1.0)
+        confirmed_at = (
+            gained_at + driver.config.order_lifetime_s + driver.config.confirmation_interval_s
+        )
+        self.assertTrue(first_order_at >= confirmed_at)
+        self.assertTrue(first_order_at < confirmed_at + 1.0)
 
-    def test_statuses_asked_for_before_leadership_do_not_settle(self):
+    def test_statuses_requested_before_leadership_do_not_confirm(self):
         driver = make_driver()
         driver.demand(("alpha", None, 1, 1))
         before = driver.now
         driver.feed(LeaderGained(1, driver.now + 2.0))
         effects = []
         for _ in range(20):
-            effects += driver.report(asked_at=before - 0.1)
+            effects += driver.report(requested_at=before - 0.1)
             effects += driver.tick(1.0)
         self.assertEqual([], orders_in(effects))
 
@@ -155,7 +157,7 @@
     def test_a_second_status_after_the_settling_time_releases_it(self):
         self.driver.tick(10.0)
         self.driver.report()
-        self.driver.tick(self.driver.config.settle_s)
+        self.driver.tick(self.driver.config.confirmation_interval_s)
         self.driver.report()
         self.assertEqual(0, self.held())
         self.assertEqual(0, self.placement.stores["weights"].in_flight)
@@ -173,7 +175,7 @@
         self.driver.tick(self.driver.config.order_lifetime_s)
         self.driver.report(incarnation="i2")
         self.assertEqual(8_000_000_000, self.held())
-        self.driver.tick(self.driver.config.settle_s)
+        self.driver.tick(self.driver.config.confirmation_interval_s)
         self.driver.report()
         self.assertEqual(0, self.held())
 
--- a/tests/controlplane/placement/test_mutations.py
+++ b/tests/controlplane/placement/test_mutations.py
@@ -9,7 +9,7 @@
 
 from tests.controlplane.placement.chaos import Chaos
 from tests.controlplane.placement.test_properties import sums_off
-from zincvale.controlplane.placement import order_confirmation as settle
+from zincvale.controlplane.placement import order_confirmation
 from zincvale.controlplane.placement.controller import SYSTEMS
 from zincvale.controlplane.placement.leadership import expire_leadership, open_stores
 from zincvale.controlplane.placement.moves import MoveState
@@ -19,13 +19,13 @@
 RUN_S = 120.0
 
 
-def release_on_first_status(placement, move, replica, asked_at, now):
-    settle.end_move(placement, move, MoveState.FAILED, "mutation", now)
+def release_on_first_status(placement, move, replica, requested_at, now):
+    order_confirmation.end_move(placement, move, MoveState.FAILED, "mutation", now)
 
 
-def settle_on_first_status(placement, server, asked_at, now):
+def confirm_on_first_status(placement, server, requested_at, now):
     if placement.leadership.held:
-        server.settled_epoch = placement.leadership.epoch
+        server.confirmed_epoch = placement.leadership.epoch
 
 
 def free_of_confirmed(server, config, more_kv_bytes):
@@ -39,10 +39,10 @@
 
 MUTATIONS: dict[str, dict[str, object]] = {
     "an unknown order is forgotten at the first status": {
-        f"{PLACEMENT}.apply_status.contradict": release_on_first_status,
+        f"{PLACEMENT}.apply_status.observe_missing": release_on_first_status,
     },
     "a new leader trusts the first status and waits for nothing": {
-        f"{PLACEMENT}.apply_status.note_answer": settle_on_first_status,
+        f"{PLACEMENT}.apply_status.confirm_no_stale_orders": confirm_on_first_status,
         f"{PLACEMENT}.controller.SYSTEMS": tuple(
             open_at_once if system is open_stores else system for system in SYSTEMS
         ),
--- a/tests/controlplane/placement/test_options.py
+++ b/tests/controlplane/placement/test_options.py
@@ -137,7 +137,7 @@
 
 class FirstOrderTest(testtools.TestCase):
     def test_a_new_leader_waits_out_the_orders_of_the_one_before(self):
-        config = attrs.evolve(SHORT_DAY, orders_from_s=3.0, one_status_settles=True)
+        config = attrs.evolve(SHORT_DAY, orders_from_s=3.0, one_status_confirms=True)
         driver = driver_of(config, {"m1": 4}, servers=1)
         driver.feed(LeaderGained(1, driver.now + 2.0))
         began = driver.now
@@ -150,14 +150,14 @@
 
 
 class ListedTest(testtools.TestCase):
-    def test_a_list_tells_of_servers_but_does_not_settle_them(self):
-        config = attrs.evolve(SHORT_DAY, one_status_settles=True)
+    def test_a_list_reports_servers_but_does_not_confirm_them(self):
+        config = attrs.evolve(SHORT_DAY, one_status_confirms=True)
         driver = driver_of(config, {"m1": 4}, servers=1)
         driver.feed(LeaderGained(1, driver.now + 2.0))
         driver.demand(("m1", None, 1, 1))
         for _ in range(60):
             row = driver.rows["server-1"]
-            listed = StatusReport(row, driver.now, is_own_word=False)
+            listed = StatusReport(row, driver.now, is_from_server=False)
             driver.feed(DirectoryChanged((listed,)))
             driver.demand(("m1", None, 0, 1))
             driver.tick(0.1)
--- a/tests/controlplane/placement/test_prefetch.py
+++ b/tests/controlplane/placement/test_prefetch.py
@@ -28,7 +28,7 @@
 from zincvale.controlplane.placement.prefetch import KEPT_IDLE_SHARE, WINDOW_SHARE
 from zincvale.model.resources import ModelSpec, StoreSpec
 
-CONFIG = attrs.evolve(KEEPING, one_status_settles=True, confirms_orders=True)
+CONFIG = attrs.evolve(KEEPING, one_status_confirms=True, confirms_orders=True)
 POOL = "chat"
 SERVERS = 4
 SETTLE_S = 4.0
@@ -55,7 +55,7 @@
     under_way: list[tuple[float, object]] = attrs.field(factory=list)
 
     def lead(self, seconds: float = 3.0) -> list:
-        """Gain leadership, let every server settle, and let time pass."""
+        """Gain leadership, let every server be confirmed, and let time pass."""
         self.driver.feed(LeaderGained(1, self.driver.now + 2.0))
         self.driver.tick(SETTLE_S)
         self.driver.report()
--- a/tests/controlplane/placement/test_residency.py
+++ b/tests/controlplane/placement/test_residency.py
@@ -220,7 +220,7 @@
             {driver.rows[server].zone for server, _ in loads_in(driver.seen)},
         )
 
-    def test_a_dark_servers_model_is_loaded_elsewhere_for_those_who_wait(self):
+    def test_an_unresponsive_servers_model_is_loaded_elsewhere_for_those_who_wait(self):
         driver = make_driver({"alpha": 8}, servers=2)
         driver.report("server-1", models=frozenset({"alpha"}))
         driver.lead()
