--- a/src/zincvale/controlplane/placement/apply_demand.py
+++ b/src/zincvale/controlplane/placement/apply_demand.py
@@ -1,4 +1,4 @@
-"""Takes the nodes' demand reports into the tables."""
+"""Applies the demand reports of nodes to the tables."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 NODES_CHECK_INTERVAL_S = 1.0
 
 
-def take_demand(placement: PlacementState, event: DemandReported, now: float) -> None:
+def apply_demand_report(placement: PlacementState, event: DemandReported, now: float) -> None:
     """Replace what is known of one node and count its new requests."""
     waiting: dict[ItemKey, int] = {}
     for row in event.rows:
@@ -20,23 +20,23 @@
     for use in event.use:
         _count_use(placement, use, running)
     old = placement.nodes.get(event.node)
-    _replace(placement, old, waiting, running, now)
+    _replace_report(placement, old, waiting, running, now)
     placement.nodes[event.node] = NodeDemand(now, waiting, running)
 
 
 def expire_nodes(placement: PlacementState, now: float) -> None:
-    """System: forget the waiting and running requests of nodes that went silent."""
+    """System: forget the waiting and running requests of nodes that stopped reporting."""
     if now < placement.nodes_checked_at + NODES_CHECK_INTERVAL_S:
         return
     placement.nodes_checked_at = now
     oldest = now - placement.config.demand_expiry_s
-    silent = [node for node, row in placement.nodes.items() if row.reported_at < oldest]
-    for node in silent:
-        _forget_node(placement, node, now)
+    expired = [node for node, row in placement.nodes.items() if row.reported_at < oldest]
+    for node in expired:
+        _remove_node(placement, node, now)
 
 
-def _forget_node(placement: PlacementState, node: MemberId, now: float) -> None:
-    _replace(placement, placement.nodes.pop(node), {}, {}, now)
+def _remove_node(placement: PlacementState, node: MemberId, now: float) -> None:
+    _replace_report(placement, placement.nodes.pop(node), {}, {}, now)
 
 
 def _count_row(
@@ -74,7 +74,7 @@
         running[pair] = running.get(pair, 0) + use.running
 
 
-def _replace(
+def _replace_report(
     placement: PlacementState,
     old: NodeDemand | None,
     waiting: dict[ItemKey, int],
@@ -120,7 +120,7 @@
     placement.queue_review(item.key)
 
 
-def forget_item_demand(placement: PlacementState, key: ItemKey) -> None:
+def remove_item_demand(placement: PlacementState, key: ItemKey) -> None:
     """Drop what nodes reported of a deleted item, so that it counts from 0 if it comes back."""
     for node in placement.nodes.values():
         node.waiting.pop(key, None)
--- a/src/zincvale/controlplane/placement/apply_intent.py
+++ b/src/zincvale/controlplane/placement/apply_intent.py
@@ -1,4 +1,4 @@
-"""Takes a changed intent into the tables; unchanged tables and specs are skipped by identity."""
+"""Applies a changed intent to the tables; unchanged tables and specs are skipped by identity."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from zincvale.controlplane.placement.apply_demand import forget_item_demand
+from zincvale.controlplane.placement.apply_demand import remove_item_demand
 from zincvale.controlplane.placement.demand import Demand
 from zincvale.controlplane.placement.items import (
     ItemKey,
@@ -31,18 +31,18 @@
 UNDECLARED_STORE = StoreName("")
 
 
-def take_intent(placement: PlacementState, intent: Intent, now: float) -> None:
+def apply_intent_change(placement: PlacementState, intent: Intent, now: float) -> None:
     """Bring the tables to `intent`."""
     old = placement.intent
     placement.intent = intent
     for name, store_spec in _changes(old.stores, intent.stores):
-        _take_store(placement, StoreName(name), store_spec)
+        _apply_store(placement, StoreName(name), store_spec)
     for name, model_spec in _changes(old.models, intent.models):
         placement.pending_items[model_key(name)] = model_spec
     for name, adapter_spec in _changes(old.adapters, intent.adapters):
         placement.pending_items[adapter_key(name)] = adapter_spec
-    take_declarations(placement, now)
-    _take_zones(placement, old, intent)
+    apply_declarations(placement, now)
+    _apply_zones(placement, old, intent)
     for name, pool_spec in _changes(old.pools, intent.pools):
         for server_id in placement.servers_by_pool.get(PoolName(name), {}):
             _set_adapter_slots(placement.servers[server_id], pool_spec)
@@ -52,20 +52,20 @@
             refresh_service(placement, server)
 
 
-def take_declarations(placement: PlacementState, now: float) -> None:
-    """System: take changed models and adapters into the tables, within the budget.
+def apply_declarations(placement: PlacementState, now: float) -> None:
+    """System: apply changed models and adapters to the tables, within the budget.
 
-    Most changes are whole at once; only the first intent of a large fleet takes several runs.
+    Most changes are applied in one run; only the first intent of a large fleet takes several runs.
     """
     for key in list(itertools.islice(placement.pending_items, placement.config.declaration_budget)):
         spec = placement.pending_items.pop(key)
         name = key.partition("/")[2]
         if spec is None:
-            _forget(placement, key, now)
+            _remove_item(placement, key, now)
         elif isinstance(spec, ModelSpec):
-            _take_model(placement, key, name, spec, now)
+            _apply_model(placement, key, name, spec, now)
         else:
-            _take_adapter(placement, key, name, spec, now)
+            _apply_adapter(placement, key, name, spec, now)
 
 
 def refresh_service(placement: PlacementState, server: ServerState) -> None:
@@ -104,7 +104,7 @@
     return changed
 
 
-def _take_store(placement: PlacementState, name: StoreName, spec: StoreSpec | None) -> None:
+def _apply_store(placement: PlacementState, name: StoreName, spec: StoreSpec | None) -> None:
     store = placement.stores.get(name)
     if spec is None:
         # The row stays: pulls from the deleted store may still be running.
@@ -128,7 +128,7 @@
     store.window_s = spec.window_s
 
 
-def _take_model(
+def _apply_model(
     placement: PlacementState, key: ItemKey, name: str, spec: ModelSpec, now: float
 ) -> None:
     item = placement.items.get(key)
@@ -147,7 +147,7 @@
     _adopt_holders(placement, item)
 
 
-def _take_adapter(
+def _apply_adapter(
     placement: PlacementState, key: ItemKey, name: str, spec: AdapterSpec, now: float
 ) -> None:
     item = placement.items.get(key)
@@ -185,7 +185,7 @@
     placement.queue_review(item.key)
 
 
-def _forget(placement: PlacementState, key: ItemKey, now: float) -> None:
+def _remove_item(placement: PlacementState, key: ItemKey, now: float) -> None:
     """Drop a deleted item; its copies stay counted and are unloaded after a grace."""
     item = placement.items.pop(key, None)
     if item is None:
@@ -194,14 +194,14 @@
         placement.adapters_by_base[item.base].pop(key, None)
     placement.queued.discard(key)
     placement.unplaced.pop(key, None)
-    forget_item_demand(placement, key)
-    placement.disk_copies.forget(key)
+    remove_item_demand(placement, key)
+    placement.disk_copies.remove(key)
     for server_id in item.holders:
         placement.servers[server_id].replicas[key].counted_as = CountedAs.NOTHING
-        placement.note_undeclared(key, server_id, now)
+        placement.add_undeclared(key, server_id, now)
 
 
-def _take_zones(placement: PlacementState, old: Intent, new: Intent) -> None:
+def _apply_zones(placement: PlacementState, old: Intent, new: Intent) -> None:
     for name, _ in _changes(old.zones, new.zones):
         for server_id in placement.servers_by_zone.get(ZoneName(name), {}):
             refresh_service(placement, placement.servers[server_id])
--- a/src/zincvale/controlplane/placement/apply_status.py
+++ b/src/zincvale/controlplane/placement/apply_status.py
@@ -1,4 +1,4 @@
-"""Takes servers' own statuses into the tables and completes moves by what they show.
+"""Applies servers' own statuses to the tables and completes moves by what they show.
 
 A status is compared only with what was known before it was requested: what changed since then
 (an order that left meanwhile) is newer than the status and stays.
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+import attrs
+
 from zincvale.controlplane.placement import log_events
 from zincvale.controlplane.placement.apply_intent import refresh_service, set_adapter_slots
 from zincvale.controlplane.placement.events import DirectoryChanged, StatusReport
@@ -30,35 +32,35 @@
 from zincvale.model.view import ServerHealth, ServerRow
 
 
-def take_directory(placement: PlacementState, event: DirectoryChanged, now: float) -> None:
+def apply_directory(placement: PlacementState, event: DirectoryChanged, now: float) -> None:
     """Apply observed rows and departures."""
     for report in event.reports:
         if report.row.kind is PoolKind.LANGUAGE_MODEL:
-            _take_report(placement, report, now)
+            _apply_report(placement, report, now)
     for server_id in event.gone:
-        _take_gone(placement, server_id, now)
+        _remove_server(placement, server_id, now)
 
 
-def _take_report(placement: PlacementState, report: StatusReport, now: float) -> None:
+def _apply_report(placement: PlacementState, report: StatusReport, now: float) -> None:
     row = report.row
     server = placement.servers.get(row.server)
     if server is None:
-        server = _new_server(placement, row)
+        server = _add_server(placement, row)
     if row.health is ServerHealth.DOWN:
-        _take_down(placement, server, now)
+        _apply_down(placement, server, now)
         return
     if report.requested_at < server.requested_at:
         return
     server.requested_at = report.requested_at
     if row.incarnation != server.incarnation:
-        _take_incarnation(placement, server, row, now)
-    _take_row(placement, server, row)
+        _apply_incarnation(placement, server, row, now)
+    _apply_row(placement, server, row)
     _apply_replicas(placement, server, report, now)
     if report.is_from_server:
         confirm_no_stale_orders(placement, server, report.requested_at, now)
 
 
-def _new_server(placement: PlacementState, row: ServerRow) -> ServerState:
+def _add_server(placement: PlacementState, row: ServerRow) -> ServerState:
     server = ServerState(row.server, row.address, row.pool, row.zone)
     placement.servers[row.server] = server
     placement.server_by_address[row.address] = row.server
@@ -71,7 +73,7 @@
     return server
 
 
-def _take_down(placement: PlacementState, server: ServerState, now: float) -> None:
+def _apply_down(placement: PlacementState, server: ServerState, now: float) -> None:
     if server.health is ServerHealth.DOWN:
         return
     server.health = ServerHealth.DOWN
@@ -80,7 +82,7 @@
     placement.recount_server(server)
 
 
-def _take_incarnation(
+def _apply_incarnation(
     placement: PlacementState, server: ServerState, row: ServerRow, now: float
 ) -> None:
     """Forget what an earlier incarnation held: its memory died with it.
@@ -109,14 +111,14 @@
             end_move(placement, move, MoveState.CANCELLED, "the server restarted", now)
 
 
-def _take_row(placement: PlacementState, server: ServerState, row: ServerRow) -> None:
+def _apply_row(placement: PlacementState, server: ServerState, row: ServerRow) -> None:
     server.running = row.running
     if row.closing and not _marked_closing(server):
         # Left over from an earlier leader.
         placement.changed_closing[server.server] = None
     server.max_running = row.max_running
     if row.address != server.address:
-        _forget_address(placement, server)
+        _remove_address(placement, server)
         server.address = row.address
         placement.server_by_address[row.address] = row.server
     if (row.pool, row.zone) != (server.pool, server.zone):
@@ -163,27 +165,30 @@
 def _compare_replicas(
     placement: PlacementState, server: ServerState, report: StatusReport, now: float
 ) -> None:
-    shown = _shown_states(placement, report)
-    for key, state in shown.items():
+    reported = _reported_states(placement, report)
+    for key, state in reported.items():
         replica = server.replicas.get(key)
         if replica is None:
-            _found(placement, server, key, state, now)
+            _add_reported(placement, server, key, state, now)
         else:
-            _confirm(placement, server, key, replica, state, report.requested_at, now)
-    if len(server.replicas) > len(shown):
-        for key in [key for key in server.replicas if key not in shown]:
-            _missing(placement, server, key, report.requested_at, now)
-    held = [server.replicas[key] for key in shown if key in server.replicas]
+            sighting = _Sighting(server, key, replica, state, report.requested_at)
+            _apply_reported(placement, sighting, now)
+    if len(server.replicas) > len(reported):
+        for key in [key for key in server.replicas if key not in reported]:
+            _apply_unreported(placement, server, key, report.requested_at, now)
+    held = [server.replicas[key] for key in reported if key in server.replicas]
     server.listed_bytes = sum(replica.item_bytes for replica in held)
 
 
-def _shown_states(placement: PlacementState, report: StatusReport) -> dict[ItemKey, ReplicaState]:
+def _reported_states(
+    placement: PlacementState, report: StatusReport
+) -> dict[ItemKey, ReplicaState]:
     row = report.row
-    shown: dict[ItemKey, ReplicaState] = {}
+    reported: dict[ItemKey, ReplicaState] = {}
     for model in sorted(row.models):
-        shown[model_key(model)] = ReplicaState.LOADED
+        reported[model_key(model)] = ReplicaState.LOADED
     for adapter in sorted(row.adapters):
-        shown[adapter_key(adapter)] = ReplicaState.LOADED
+        reported[adapter_key(adapter)] = ReplicaState.LOADED
     for names, state in (
         (row.loading, ReplicaState.LOADING),
         (report.unloading, ReplicaState.UNLOADING),
@@ -191,8 +196,8 @@
         for name in sorted(names):
             key = _key_of(placement, name)
             if key is not None:
-                shown[key] = state
-    return shown
+                reported[key] = state
+    return reported
 
 
 def _key_of(placement: PlacementState, name: str) -> ItemKey | None:
@@ -202,13 +207,13 @@
     return None
 
 
-def _found(
+def _add_reported(
     placement: PlacementState, server: ServerState, key: ItemKey, state: ReplicaState, now: float
 ) -> None:
     """Count a copy that the tables did not have."""
     item = placement.items.get(key)
     if item is None:
-        placement.note_undeclared(key, server.server, now)
+        placement.add_undeclared(key, server.server, now)
         placement.add_replica(server, key, Replica(state, 0, 0, now))
         return
     replica = Replica(state, item.weight_bytes, item.kv_bytes, now)
@@ -217,19 +222,28 @@
         adopt_load(placement, server, item, replica, now)
 
 
-def _confirm(
-    placement: PlacementState,
-    server: ServerState,
-    key: ItemKey,
-    replica: Replica,
-    state: ReplicaState,
-    requested_at: float,
-    now: float,
-) -> None:
-    """Handle a copy that the tables have and the status shows."""
+@attrs.frozen
+class _Sighting:
+    """A replica that the tables have and a status shows.
+
+    Attributes
+    ----------
+    state : what the status shows.
+    requested_at : when the status was requested.
+    """
+
+    server: ServerState
+    key: ItemKey
+    replica: Replica
+    state: ReplicaState
+    requested_at: float
+
+
+def _apply_reported(placement: PlacementState, sighting: _Sighting, now: float) -> None:
+    replica, state, requested_at = sighting.replica, sighting.state, sighting.requested_at
     move = _move_in_flight(placement, replica)
     if move is None:
-        _take_state(placement, server, key, replica, state, now)
+        _apply_unordered_state(placement, sighting, now)
         return
     if requested_at < move.start_at:
         return
@@ -242,26 +256,20 @@
         observe_missing(placement, move, replica, requested_at, now)
 
 
-def _take_state(
-    placement: PlacementState,
-    server: ServerState,
-    key: ItemKey,
-    replica: Replica,
-    state: ReplicaState,
-    now: float,
-) -> None:
+def _apply_unordered_state(placement: PlacementState, sighting: _Sighting, now: float) -> None:
     """Follow a state that no order of this process explains."""
-    if state is replica.state:
+    server, key, replica = sighting.server, sighting.key, sighting.replica
+    if sighting.state is replica.state:
         return
-    placement.set_state(server, key, replica, state)
+    placement.set_state(server, key, replica, sighting.state)
     replica.since = now
     placement.queue_review(key)
     item = placement.items.get(key)
-    if state is ReplicaState.LOADING and item is not None:
+    if sighting.state is ReplicaState.LOADING and item is not None:
         adopt_load(placement, server, item, replica, now)
 
 
-def _missing(
+def _apply_unreported(
     placement: PlacementState, server: ServerState, key: ItemKey, requested_at: float, now: float
 ) -> None:
     """Handle a copy that the tables have and the status does not show."""
@@ -293,7 +301,7 @@
     return move
 
 
-def _take_gone(placement: PlacementState, server_id: ServerId, now: float) -> None:
+def _remove_server(placement: PlacementState, server_id: ServerId, now: float) -> None:
     server = placement.servers.get(server_id)
     if server is None:
         return
@@ -302,7 +310,7 @@
     for key in list(server.replicas):
         placement.remove_replica(server, key)
     placement.unindex_free(server)
-    _forget_address(placement, server)
+    _remove_address(placement, server)
     placement.servers_by_pool[server.pool].pop(server_id, None)
     placement.servers_by_zone[server.zone].pop(server_id, None)
     placement.moves_by_server.pop(server_id, None)
@@ -312,6 +320,6 @@
     placement.log(log_events.SERVER_GONE, server=server_id, zone=server.zone)
 
 
-def _forget_address(placement: PlacementState, server: ServerState) -> None:
+def _remove_address(placement: PlacementState, server: ServerState) -> None:
     if placement.server_by_address.get(server.address) == server.server:
         del placement.server_by_address[server.address]
--- a/src/zincvale/controlplane/placement/controller.py
+++ b/src/zincvale/controlplane/placement/controller.py
@@ -9,9 +9,9 @@
 import random
 from collections.abc import Callable
 
-from zincvale.controlplane.placement.apply_demand import expire_nodes, take_demand
-from zincvale.controlplane.placement.apply_intent import take_declarations, take_intent
-from zincvale.controlplane.placement.apply_status import take_directory
+from zincvale.controlplane.placement.apply_demand import apply_demand_report, expire_nodes
+from zincvale.controlplane.placement.apply_intent import apply_declarations, apply_intent_change
+from zincvale.controlplane.placement.apply_status import apply_directory
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.desired_replicas import review_items
 from zincvale.controlplane.placement.dispatch import order_loads, order_unloads
@@ -29,17 +29,17 @@
     OrderUnknown,
 )
 from zincvale.controlplane.placement.leadership import (
+    apply_leadership,
     expire_leadership,
     give_up_leadership,
     open_stores,
     request_statuses,
-    take_leadership,
 )
 from zincvale.controlplane.placement.order_confirmation import expire_overdue_orders
 from zincvale.controlplane.placement.order_responses import (
-    take_accepted,
-    take_refused,
-    take_unknown,
+    apply_accepted,
+    apply_refused,
+    apply_unknown,
 )
 from zincvale.controlplane.placement.plan_loads import plan_loads
 from zincvale.controlplane.placement.plan_unloads import unload_undeclared
@@ -54,7 +54,7 @@
     expire_leadership,
     expire_nodes,
     expire_overdue_orders,
-    take_declarations,
+    apply_declarations,
     open_stores,
     review_items,
     unload_undeclared,
@@ -95,22 +95,22 @@
             case Tick():
                 self._tick(now)
             case DirectoryChanged():
-                take_directory(self.state, event, now)
+                apply_directory(self.state, event, now)
             case DemandReported():
-                take_demand(self.state, event, now)
+                apply_demand_report(self.state, event, now)
             case OrderAccepted(order_id, done):
-                take_accepted(self.state, order_id, done, now)
+                apply_accepted(self.state, order_id, done, now)
                 if done:
                     # A load may have waited for the room that an unload just left.
                     order_loads(self.state, now)
             case OrderRefused(order_id, why):
-                take_refused(self.state, order_id, why, now)
+                apply_refused(self.state, order_id, why, now)
             case OrderUnknown(order_id):
-                take_unknown(self.state, order_id)
+                apply_unknown(self.state, order_id)
             case IntentChanged(intent):
-                take_intent(self.state, intent, now)
+                apply_intent_change(self.state, intent, now)
             case LeaderGained():
-                take_leadership(self.state, event, now)
+                apply_leadership(self.state, event, now)
             case LeaderLost() | ClockJumped():
                 give_up_leadership(self.state, now)
 
--- a/src/zincvale/controlplane/placement/desired_replicas.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -72,7 +72,7 @@
     else:
         item.wanted = _wanted_adapters(placement, item, now)
     if serving + coming < item.wanted:
-        _note_shortage(placement, item, serving, coming, now)
+        _queue_shortage(placement, item, serving, coming, now)
     _plan_next_review(placement, item, serving, now)
 
 
@@ -176,7 +176,7 @@
     return DEFAULT_SLOTS
 
 
-def _note_shortage(
+def _queue_shortage(
     placement: PlacementState, item: ItemRow, serving: int, coming: int, now: float
 ) -> None:
     if item.retry_at > now:
--- a/src/zincvale/controlplane/placement/disk_copies.py
+++ b/src/zincvale/controlplane/placement/disk_copies.py
@@ -12,7 +12,7 @@
 from zincvale.controlplane.placement.items import ItemKey
 from zincvale.model.identifiers import Address
 
-ADDRESSES_KEPT_PER_ITEM = 64
+MAX_ADDRESSES_PER_ITEM = 64
 
 
 @attrs.define(eq=False)
@@ -21,12 +21,12 @@
 
     _addresses: dict[ItemKey, dict[Address, None]] = attrs.field(factory=dict)
 
-    def note(self, key: ItemKey, address: Address) -> None:
-        """The server at `address` holds the item."""
+    def record(self, key: ItemKey, address: Address) -> None:
+        """Record that the server at `address` holds the item."""
         known = self._addresses.setdefault(key, {})
         known.pop(address, None)
         known[address] = None
-        if len(known) > ADDRESSES_KEPT_PER_ITEM:
+        if len(known) > MAX_ADDRESSES_PER_ITEM:
             del known[next(iter(known))]
 
     def has(self, key: ItemKey, address: Address) -> bool:
@@ -37,6 +37,6 @@
         """Return where the item was held."""
         return tuple(self._addresses.get(key, ()))
 
-    def forget(self, key: ItemKey) -> None:
-        """The item is declared no more."""
+    def remove(self, key: ItemKey) -> None:
+        """Remove an item that is no longer declared."""
         self._addresses.pop(key, None)
--- a/src/zincvale/controlplane/placement/drains.py
+++ b/src/zincvale/controlplane/placement/drains.py
@@ -19,10 +19,10 @@
     for server_id, check_at in list(placement.draining.items()):
         if check_at <= now:
             placement.draining[server_id] = now + CHECK_INTERVAL_S
-            _track(placement, placement.servers[server_id], now)
+            _update_drain(placement, placement.servers[server_id], now)
 
 
-def _track(placement: PlacementState, server: ServerState, now: float) -> None:
+def _update_drain(placement: PlacementState, server: ServerState, now: float) -> None:
     move_id = placement.drain_by_server.get(server.server)
     move = placement.moves.get(move_id) if move_id is not None else None
     if server.in_service:
--- a/src/zincvale/controlplane/placement/leadership.py
+++ b/src/zincvale/controlplane/placement/leadership.py
@@ -1,4 +1,4 @@
-"""Takes and gives up leadership of placement.
+"""Gains and gives up leadership of placement.
 
 A new leader trusts no memory: it plans nothing for a server that has not reported since, and
 orders no load before every reachable server has shown what it may still be pulling.
@@ -22,7 +22,7 @@
 LONGEST_STATUS_INTERVAL_S = 1.0
 
 
-def take_leadership(placement: PlacementState, event: LeaderGained, now: float) -> None:
+def apply_leadership(placement: PlacementState, event: LeaderGained, now: float) -> None:
     """Hold the lease under a new epoch, or hold it for longer."""
     leadership = placement.leadership
     if leadership.held and event.epoch == leadership.epoch:
--- a/src/zincvale/controlplane/placement/move_completion.py
+++ b/src/zincvale/controlplane/placement/move_completion.py
@@ -157,13 +157,13 @@
     item.failures = 0
     item.missed.count = 0.0
     if move.reason is not MoveReason.FOUND_IN_PROGRESS:
-        _learn_time(placement, server, move, item, now)
+        _record_load_time(placement, server, move, item, now)
     placement.queue_review(item.key)
     if item.kind is ItemKind.MODEL:
         placement.queue_adapters(item)
 
 
-def _learn_time(
+def _record_load_time(
     placement: PlacementState, server: ServerState, move: Move, item: ItemRow, now: float
 ) -> None:
     took_s = now - move.start_at
--- a/src/zincvale/controlplane/placement/order_responses.py
+++ b/src/zincvale/controlplane/placement/order_responses.py
@@ -14,9 +14,9 @@
 BUSY_PAUSE_S = 0.5
 
 
-def take_accepted(placement: PlacementState, order_id: str, done: bool, now: float) -> None:
+def apply_accepted(placement: PlacementState, order_id: str, done: bool, now: float) -> None:
     """The server took the order; unless it is done, the server's status tells when it is."""
-    move = _waiting_move(placement, order_id)
+    move = _unresponded_move(placement, order_id)
     if move is None and done:
         move = _running_move(placement, order_id)
     if move is None:
@@ -28,9 +28,9 @@
         placement.put_move(taken)
 
 
-def take_refused(placement: PlacementState, order_id: str, why: OrderRefusal, now: float) -> None:
+def apply_refused(placement: PlacementState, order_id: str, why: OrderRefusal, now: float) -> None:
     """The order never ran and never will: its reservation is free at once."""
-    move = _waiting_move(placement, order_id)
+    move = _unresponded_move(placement, order_id)
     if move is None:
         return
     placement.log(log_events.ORDER_REFUSED, order=order_id, server=move.server, why=why.value)
@@ -42,16 +42,16 @@
     end_move(placement, move, MoveState.FAILED, f"refused: {why.value}", now)
 
 
-def take_unknown(placement: PlacementState, order_id: str) -> None:
+def apply_unknown(placement: PlacementState, order_id: str) -> None:
     """The order got no response, or its end could not be learned: it may run."""
-    move = _waiting_move(placement, order_id)
+    move = _unresponded_move(placement, order_id)
     if move is None and placement.config.confirms_orders:
         move = _running_move(placement, order_id)
     if move is not None:
         mark_unconfirmed(placement, move)
 
 
-def _waiting_move(placement: PlacementState, order_id: str) -> Move | None:
+def _unresponded_move(placement: PlacementState, order_id: str) -> Move | None:
     move_id = placement.move_by_order.get(order_id)
     move = placement.moves.get(move_id) if move_id is not None else None
     if move is None or move.state not in (MoveState.ORDERED, MoveState.UNKNOWN):
--- a/src/zincvale/controlplane/placement/state.py
+++ b/src/zincvale/controlplane/placement/state.py
@@ -193,7 +193,7 @@
     ) -> None:
         """Change what a server does with an item."""
         replica.state = state
-        self._note_disk_copy(server, key, replica)
+        self._record_disk_copy(server, key, replica)
         self.recount(server, key, replica)
 
     def loads_from_disk(self, item: ItemRow, server: ServerState) -> bool:
@@ -239,14 +239,14 @@
 
     # Holdings
 
-    def _note_disk_copy(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
+    def _record_disk_copy(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
         if replica.state is ReplicaState.LOADED and not is_adapter_key(key):
-            self.disk_copies.note(key, server.address)
+            self.disk_copies.record(key, server.address)
 
     def add_replica(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
         """Count an item in the server's memory."""
         server.replicas[key] = replica
-        self._note_disk_copy(server, key, replica)
+        self._record_disk_copy(server, key, replica)
         server.held_adapters += is_adapter_key(key)
         server.held_bytes += replica.item_bytes
         server.held_kv_bytes += replica.kv_bytes
@@ -270,7 +270,7 @@
             item.holders.pop(server.server, None)
             item.serving -= replica.counted_as is CountedAs.SERVING
             item.loading -= replica.counted_as is CountedAs.LOADING
-        self.forget_undeclared(key, server.server)
+        self.remove_undeclared(key, server.server)
         self.index_free(server)
         self.queue_review(key)
         if item is not None and item.kind is ItemKind.MODEL:
@@ -284,12 +284,12 @@
         replica.kv_bytes = item.kv_bytes
         self.index_free(server)
 
-    def note_undeclared(self, key: ItemKey, server_id: ServerId, now: float) -> None:
+    def add_undeclared(self, key: ItemKey, server_id: ServerId, now: float) -> None:
         """Note a copy that no resource declares; it is unloaded after a grace."""
         self.undeclared.setdefault(key, {})[server_id] = now
         self.undeclared_due.append((now + self.config.undeclared_grace_s, server_id, key))
 
-    def forget_undeclared(self, key: ItemKey, server_id: ServerId) -> None:
+    def remove_undeclared(self, key: ItemKey, server_id: ServerId) -> None:
         """Take a copy off the list of undeclared ones."""
         copies = self.undeclared.get(key)
         if copies is None:
--- a/tests/controlplane/placement/test_disk_copies.py
+++ b/tests/controlplane/placement/test_disk_copies.py
@@ -15,7 +15,7 @@
     orders_in,
 )
 from zincvale.controlplane.placement.config import PlacementConfig
-from zincvale.controlplane.placement.disk_copies import ADDRESSES_KEPT_PER_ITEM, DiskCopies
+from zincvale.controlplane.placement.disk_copies import MAX_ADDRESSES_PER_ITEM, DiskCopies
 from zincvale.controlplane.placement.events import OrderAccepted, OrderAction, SendOrder
 from zincvale.controlplane.placement.items import model_key
 from zincvale.controlplane.placement.load_times import DISK_GUESS_PART, LoadTimes
@@ -39,24 +39,24 @@
 class DiskCopiesTest(testtools.TestCase):
     def test_what_was_held_is_remembered_by_address(self) -> None:
         copies = DiskCopies()
-        copies.note(MODEL, "10.0.0.1:1")
+        copies.record(MODEL, "10.0.0.1:1")
         self.assertTrue(copies.has(MODEL, "10.0.0.1:1"))
         self.assertFalse(copies.has(MODEL, "10.0.0.2:1"))
         self.assertFalse(copies.has(model_key("n"), "10.0.0.1:1"))
 
     def test_the_oldest_addresses_are_forgotten(self) -> None:
         copies = DiskCopies()
-        for number in range(ADDRESSES_KEPT_PER_ITEM + 1):
-            copies.note(MODEL, f"10.0.0.{number}:1")
-            copies.note(MODEL, "10.0.0.0:1")
-        self.assertEqual(ADDRESSES_KEPT_PER_ITEM, len(copies.addresses(MODEL)))
+        for number in range(MAX_ADDRESSES_PER_ITEM + 1):
+            copies.record(MODEL, f"10.0.0.{number}:1")
+            copies.record(MODEL, "10.0.0.0:1")
+        self.assertEqual(MAX_ADDRESSES_PER_ITEM, len(copies.addresses(MODEL)))
         self.assertFalse(copies.has(MODEL, "10.0.0.1:1"))
         self.assertTrue(copies.has(MODEL, "10.0.0.0:1"))
 
     def test_an_item_that_is_declared_no_more_is_forgotten(self) -> None:
         copies = DiskCopies()
-        copies.note(MODEL, "10.0.0.1:1")
-        copies.forget(MODEL)
+        copies.record(MODEL, "10.0.0.1:1")
+        copies.remove(MODEL)
         self.assertEqual((), copies.addresses(MODEL))
 
 
