--- a/src/zincvale/daemons/http_fetch.py
+++ b/src/zincvale/daemons/http_fetch.py
@@ -16,7 +16,7 @@
 import orjson
 
 from zincvale.model.addresses import split_address
-from zincvale.transport.complete_exchange import NoResponseError, fetch_whole
+from zincvale.transport.complete_exchange import NoResponseError, fetch_response
 from zincvale.transport.server_client import ServerClient
 from zincvale.transport.server_exchange import OutgoingRequest
 
@@ -74,10 +74,15 @@
         if body is not None:
             sent["Content-Type"] = "application/json"
         request = OutgoingRequest(
-            method, path, list({**sent, **headers}.items()), body, _belongs, may_repeat=False
+            method,
+            path,
+            list({**sent, **headers}.items()),
+            body,
+            _accept_any_response,
+            may_repeat=False,
         )
         try:
-            answer = await fetch_whole(self._client, address, request, timeout_s)
+            answer = await fetch_response(self._client, address, request, timeout_s)
         except NoResponseError as error:
             return FetchResult(NO_ANSWER_STATUS, error=str(error), connected=error.connected)
         return FetchResult(answer.status, answer.body)
@@ -99,6 +104,6 @@
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS)
 
 
-def _belongs(status: int, headers: Mapping[str, str]) -> bool:
+def _accept_any_response(status: int, headers: Mapping[str, str]) -> bool:
     """A connection carries one call at a time, and its answer is the one that follows."""
     return True
--- a/src/zincvale/dataplane/forwarding/forwarded_request.py
+++ b/src/zincvale/dataplane/forwarding/forwarded_request.py
@@ -43,8 +43,8 @@
 from zincvale.dataplane.forwarding.request_machine import RequestMachine
 from zincvale.dataplane.forwarding.servers import ServerState
 from zincvale.model.forwarding import ForwardRoute
-from zincvale.transport.server_client import Exchange
-from zincvale.transport.server_exchange import AnswerHead, OutgoingRequest
+from zincvale.transport.server_client import ServerExchange
+from zincvale.transport.server_exchange import OutgoingRequest, ResponseHead
 
 EVENT_STREAM = "text/event-stream"
 MAX_UNSENT_BYTES = 262_144
@@ -82,8 +82,8 @@
         self._running = False
         self._waiting: Waiting | None = None
         self._chosen: Chosen | None = None
-        self._exchange: Exchange | None = None
-        self._head: AnswerHead | None = None
+        self._exchange: ServerExchange | None = None
+        self._head: ResponseHead | None = None
         self._splitter: EventSplitter | None = None
         self._sent_at = 0.0
         self._first_at = 0.0
@@ -112,11 +112,11 @@
 
     # --- listener of the exchange ---------------------------------------------------------
 
-    def not_sent(self, reason: str) -> None:
+    def on_not_sent(self, reason: str) -> None:
         """No connection came up."""
         self._feed(NotSent(reason))
 
-    def head(self, head: AnswerHead) -> None:
+    def on_head(self, head: ResponseHead) -> None:
         """The head of the answer."""
         now = self._context.clock()
         lowered = head.lowered()
@@ -130,7 +130,7 @@
         self._first_at = 0.0
         self._feed(HeadReceived(head.status, facts, is_stream))
 
-    def content(self, data: bytes) -> None:
+    def on_content(self, data: bytes) -> None:
         """A part of the body."""
         if self._splitter is None:
             self._feed(ContentReceived(data))
@@ -142,7 +142,7 @@
             self._note_first_event()
         self._feed(ContentReceived(whole.content, whole.last_id))
 
-    def ended(self) -> None:
+    def on_complete(self) -> None:
         """The answer is whole."""
         self._exchange = None
         rest = self._splitter.take_rest() if self._splitter is not None else b""
@@ -150,7 +150,7 @@
             self._feed(ContentReceived(rest))
         self._feed(AnswerEnded())
 
-    def broken(self, reason: str) -> None:
+    def on_broken(self, reason: str) -> None:
         """The exchange broke."""
         self._exchange = None
         self._feed(AnswerBroken(reason))
@@ -281,7 +281,7 @@
             self._incoming.target,
             to_server(self._incoming.headers, added),
             self._incoming.body,
-            self._belongs,
+            self._is_own_response,
             self._machine.may_repeat,
         )
         self._send_span = self._context.spans.start(
@@ -291,7 +291,7 @@
         )
         self._exchange = self._context.client.start(row.address, row.incarnation, request, self)
 
-    def _belongs(self, status: int, headers: Any) -> bool:
+    def _is_own_response(self, status: int, headers: Any) -> bool:
         """Whether an answer is this request's; a success must name it, a refusal may be silent."""
         named = self._context.dialect.answer_facts(status, headers).request_id
         if not named and status >= 300:
--- a/src/zincvale/dataplane/inference/exchange_reader.py
+++ b/src/zincvale/dataplane/inference/exchange_reader.py
@@ -20,7 +20,7 @@
 
 
 class RunningExchange(Protocol):
-    """The part of `transport.curl_client.Exchange` that is used here."""
+    """The part of `transport.curl_exchange.CurlExchange` that is used here."""
 
     @property
     def sent(self) -> bool:
@@ -46,7 +46,7 @@
 
 @attrs.define(eq=False)
 class ExchangeReader:
-    """Listener of one exchange (`transport.curl_client.ExchangeListener`)."""
+    """Listener of one exchange (`transport.curl_exchange.ExchangeListener`)."""
 
     request: CallerRequest
     adapter: BackendAdapter
--- a/src/zincvale/dataplane/inference/server_side.py
+++ b/src/zincvale/dataplane/inference/server_side.py
@@ -71,7 +71,7 @@
         self._reader = reader
         self.record.dispatched(self.server.row, effect.attempt, len(effect.prefix))
         built = adapter.build(request, self.server.row.address, effect.prefix)
-        guarded = attrs.evolve(built, may_leave=functools.partial(self._may_leave, self.server))
+        guarded = attrs.evolve(built, may_send=functools.partial(self._may_leave, self.server))
         reader.exchange = context.client.start(guarded, reader)
         return True
 
--- a/src/zincvale/simulator/forwarding/servers.py
+++ b/src/zincvale/simulator/forwarding/servers.py
@@ -11,7 +11,7 @@
 
 from zincvale.dataplane.forwarding.native_dialect import INCARNATION, LAST_EVENT_ID, NEVER_RAN
 from zincvale.simulator.forwarding.journal import Arrival, ForwardingJournal, Run
-from zincvale.transport.server_exchange import AnswerHead, AnswerListener, OutgoingRequest
+from zincvale.transport.server_exchange import OutgoingRequest, ResponseHead, ResponseListener
 
 REQUEST_ID = "x-request-id"
 STREAM_EVENTS = 6
@@ -95,7 +95,7 @@
     knows_evacuated: Callable[[ModelServer], bool]
 
     def start(
-        self, address: str, incarnation: str, request: OutgoingRequest, listener: AnswerListener
+        self, address: str, incarnation: str, request: OutgoingRequest, listener: ResponseListener
     ) -> ModelExchange:
         """Begin an exchange; the listener is called later, never from here."""
         exchange = ModelExchange()
@@ -123,7 +123,7 @@
         client: ModelClient,
         server: ModelServer,
         request: OutgoingRequest,
-        listener: AnswerListener,
+        listener: ResponseListener,
         exchange: ModelExchange,
     ) -> None:
         self._client = client
@@ -140,7 +140,7 @@
     def not_connected(self) -> None:
         """No connection came up in time."""
         if not self._exchange.is_cancelled:
-            self._listener.not_sent("no connection")
+            self._listener.on_not_sent("no connection")
 
     def arrive(self, sent_at: float) -> None:
         """The request is at the server, unless its caller gave it up before."""
@@ -148,7 +148,7 @@
             return
         server = self._server
         if server.conduct in (Conduct.DOWN, Conduct.DARK):
-            self._listener.not_sent("refused")
+            self._listener.on_not_sent("refused")
             return
         now = self._loop.time()
         misdirected = self._headers[INCARNATION] != server.incarnation
@@ -205,7 +205,7 @@
             return
         if self._server.incarnation != self._incarnation or conduct in (Conduct.DOWN, Conduct.DARK):
             self._note_answered()
-            self._listener.broken("reset")
+            self._listener.on_broken("reset")
         elif conduct is Conduct.GREY:
             self._head(500)
             self._end()
@@ -223,7 +223,7 @@
         if not pieces:
             self._end()
             return
-        self._listener.content(pieces[0])
+        self._listener.on_content(pieces[0])
         self._loop.call_later(EVENT_GAP_S if self._is_stream else 0.0, self._write, pieces[1:])
 
     def _note_answered(self) -> None:
@@ -234,16 +234,16 @@
     def _break_off(self, pieces: list[bytes]) -> None:
         self._note_answered()
         if pieces:
-            self._listener.content(pieces[0][: self._client.random.randrange(len(pieces[0]))])
+            self._listener.on_content(pieces[0][: self._client.random.randrange(len(pieces[0]))])
         if not self._exchange.is_cancelled:
-            self._listener.broken("reset")
+            self._listener.on_broken("reset")
 
     def _head(self, status: int, *headers: tuple[str, str]) -> None:
         kind = "text/event-stream" if self._is_stream and status == 200 else "text/plain"
         named = [(REQUEST_ID, self._request_id), ("Content-Type", kind), *headers]
-        self._listener.head(AnswerHead(status, "", named))
+        self._listener.on_head(ResponseHead(status, "", named))
 
     def _end(self) -> None:
         self._note_answered()
         if not self._exchange.is_cancelled:
-            self._listener.ended()
+            self._listener.on_complete()
--- a/src/zincvale/transport/complete_exchange.py
+++ b/src/zincvale/transport/complete_exchange.py
@@ -1,4 +1,4 @@
-"""One request and its whole answer, over the connections of a `ServerClient`."""
+"""One request and its complete response, over the connections of a `ServerClient`."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 import attrs
 
-from zincvale.transport.server_client import Exchange, ServerClient
-from zincvale.transport.server_exchange import AnswerHead, OutgoingRequest
+from zincvale.transport.server_client import ServerClient, ServerExchange
+from zincvale.transport.server_exchange import OutgoingRequest, ResponseHead
 
 
 @attrs.frozen
-class WholeAnswer:
-    """Status, headers (names in lower case) and body of an answer."""
+class CompleteResponse:
+    """Status, headers (names in lower case) and body of a response."""
 
     status: int
     headers: Mapping[str, str]
@@ -21,82 +21,89 @@
 
 
 class NoResponseError(Exception):
-    """No whole answer came.
+    """No complete response came.
 
     Attributes
     ----------
-    connected : False when no connection was made: nothing of the request left.
-    reused : the request left on a connection that had served another one, and broke off before
-        any answer; the other side may have closed it before the request arrived.
+    connected : False when no connection was made: nothing of the request was sent.
+    reused : the request was sent on a connection that had served another one, and broke off before
+        any response; the other side may have closed it before the request arrived.
     """
 
-    def __init__(self, reason: str, connected: bool = True, reused: bool = False) -> None:
+    def __init__(self, reason: str, *, connected: bool = True, reused: bool = False) -> None:
         super().__init__(reason)
         self.connected = connected
         self.reused = reused
 
 
-async def fetch_whole(
+async def fetch_response(
     client: ServerClient, address: str, request: OutgoingRequest, timeout_s: float
-) -> WholeAnswer:
-    """Return the answer to `request`; raises `NoResponseError`, and closes the connection."""
+) -> CompleteResponse:
+    """Return the response to `request`.
+
+    Raises `NoResponseError`; the connection of an exchange that did not complete is closed.
+    """
     loop = asyncio.get_running_loop()
-    listener = _Collector(loop.create_future())
+    listener = _ResponseCollector(loop.create_future())
     exchange = client.start(address, "", request, listener)
     listener.exchange = exchange
-    timer = loop.call_later(timeout_s, listener.give_up, timeout_s)
+    timer = loop.call_later(timeout_s, listener.on_timeout, timeout_s)
     try:
-        return await listener.answer
+        return await listener.response
     finally:
         timer.cancel()
         if not listener.is_over:
             exchange.cancel()
 
 
-class _Collector:
-    """Listens to an exchange and keeps its answer."""
+class _ResponseCollector:
+    """Listens to an exchange and collects its response."""
 
-    def __init__(self, answer: asyncio.Future[WholeAnswer]) -> None:
-        self.answer = answer
-        self.exchange: Exchange | None = None
+    def __init__(self, response: asyncio.Future[CompleteResponse]) -> None:
+        self.response = response
+        self.exchange: ServerExchange | None = None
         self.is_over = False
-        """The exchange ended by itself: its connection is not its own any more."""
-        self._head: AnswerHead | None = None
+        """The exchange ended by itself, so its connection may already serve another one."""
+        self._head: ResponseHead | None = None
         self._body: list[bytes] = []
 
-    def not_sent(self, reason: str) -> None:
+    def on_not_sent(self, reason: str) -> None:
         """No connection came up."""
         self._fail(NoResponseError(reason, connected=False))
 
-    def head(self, head: AnswerHead) -> None:
-        """Keep the head."""
+    def on_head(self, head: ResponseHead) -> None:
+        """Store the head."""
         self._head = head
 
-    def content(self, data: bytes) -> None:
-        """Keep a part of the body."""
+    def on_content(self, data: bytes) -> None:
+        """Store a part of the body."""
         self._body.append(data)
 
-    def ended(self) -> None:
-        """The answer is whole."""
+    def on_complete(self) -> None:
+        """The response is complete."""
         self.is_over = True
         assert self._head is not None
-        if not self.answer.done():
+        if not self.response.done():
             body = b"".join(self._body)
-            self.answer.set_result(WholeAnswer(self._head.status, self._head.lowered(), body))
+            self.response.set_result(
+                CompleteResponse(self._head.status, self._head.lowered(), body)
+            )
 
-    def broken(self, reason: str) -> None:
+    def on_broken(self, reason: str) -> None:
         """The exchange broke."""
-        is_unanswered = self._head is None
-        reused = is_unanswered and self.exchange is not None and self.exchange.reused
+        has_no_head = self._head is None
+        reused = has_no_head and self.exchange is not None and self.exchange.reused
         self._fail(NoResponseError(reason, reused=reused))
 
-    def give_up(self, after_s: float) -> None:
-        """Nothing came in time."""
+    def on_timeout(self, after_s: float) -> None:
+        """Fail the exchange: the response is not complete in time."""
         connected = self.exchange is not None and self.exchange.is_attached
-        if not self.answer.done():
-            self.answer.set_exception(NoResponseError(f"no answer within {after_s} s", connected))
+        if not self.response.done():
+            self.response.set_exception(
+                NoResponseError(f"no answer within {after_s} s", connected=connected)
+            )
 
     def _fail(self, failure: NoResponseError) -> None:
         self.is_over = True
-        if not self.answer.done():
-            self.answer.set_exception(failure)
+        if not self.response.done():
+            self.response.set_exception(failure)
--- a/src/zincvale/transport/compression.py
+++ b/src/zincvale/transport/compression.py
@@ -1,8 +1,8 @@
 """Compression of large bodies between peers.
 
 A document of many routes is a megabyte of rows: over a slow link it would take seconds and hold up
-the requests beside it. The HTTP server and the peer client expand what is marked as compressed. The
-answer to polls is the same for many pollers, so the last ones are kept in their compressed form.
+the requests beside it. The HTTP server and the peer client expand what is marked as compressed.
+Responses to polls are the same for many pollers, so the last ones are cached in compressed form.
 """
 
 from __future__ import annotations
@@ -13,14 +13,16 @@
 
 GZIP = "gzip"
 """The content coding, as headers name it."""
-LEAST_COMPRESSED_BYTES = 8 * 1024
+MIN_COMPRESSED_BYTES = 8 * 1024
 """Smaller bodies cost more to compress than to send."""
 LEVEL = 1
-KEPT_ANSWERS = 3
+"""The fastest level of gzip: a document of routes is compressed on the event loop."""
+MAX_CACHED_RESPONSES = 3
+"""With fewer than the large tables that are polled, each poll would compress its table again."""
 
 
 class DecompressionError(Exception):
-    """A body that is marked as compressed is not, or not whole."""
+    """A body that is marked as compressed is not, or is incomplete."""
 
 
 def expanded(body: bytes) -> bytes:
@@ -39,14 +41,14 @@
     return gzip.compress(body, LEVEL, mtime=0)
 
 
-class AnswerCompressor:
-    """Remembers the last few large answers in their compressed form."""
+class ResponseCompressor:
+    """Caches the last few large responses in their compressed form."""
 
     def __init__(self) -> None:
         self._compressed: OrderedDict[bytes, bytes] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many answers are remembered."""
+        """Return how many responses are cached."""
         return len(self._compressed)
 
     def compress(self, body: bytes) -> bytes:
@@ -55,6 +57,6 @@
         if known is None:
             known = self._compressed[body] = compressed(body)
         self._compressed.move_to_end(body)
-        while len(self._compressed) > KEPT_ANSWERS:
+        while len(self._compressed) > MAX_CACHED_RESPONSES:
             self._compressed.popitem(last=False)
         return known
--- a/src/zincvale/transport/curl_client.py
+++ b/src/zincvale/transport/curl_client.py
@@ -1,8 +1,8 @@
 """HTTP/1.1 client on libcurl's multi interface, driven by the daemon's event loop.
 
-Unlike tornado's curl client it tells a request that provably never left from one that may have
+Unlike tornado's curl client it tells a request that was provably not sent from one that may have
 run, pauses the server of a slow reader, and never sends a request twice: libcurl itself repeats a
-request when a kept connection turns out to be closed, which `CurlHandle` forbids.
+request when a pooled connection turns out to be closed, which `CurlHandle` forbids.
 
 Listeners are called outside of libcurl's callbacks, so they may start, pause and cancel exchanges.
 """
@@ -19,7 +19,7 @@
 from zincvale.transport.curl_exchange import (
     ClientRequest,
     ClientResponse,
-    Exchange,
+    CurlExchange,
     ExchangeError,
     ExchangeFailure,
     ExchangeListener,
@@ -28,11 +28,13 @@
 from zincvale.transport.curl_sockets import SocketTable
 
 IDLE_CONNECTION_LIMIT = 1024
-KEPT_HANDLE_LIMIT = 512
+"""Idle connections to all servers together; fewer cost a connection set-up for each request."""
+FREE_HANDLE_LIMIT = 512
+"""Handles are set up once and reused; with fewer a burst sets them up again."""
 
 
 class CurlClient:
-    """All exchanges of one daemon, on the running event loop.
+    """The exchanges of one daemon, on the running event loop.
 
     Parameters
     ----------
@@ -49,28 +51,28 @@
         self._events_by_fd: dict[int, int] = {}
         self._timer: asyncio.Handle | None = None
         self._free: list[CurlHandle] = []
-        self._exchanges: dict[pycurl.Curl, Exchange] = {}
-        self._handles: dict[Exchange, CurlHandle] = {}
+        self._exchanges: dict[pycurl.Curl, CurlExchange] = {}
+        self._handles: dict[CurlExchange, CurlHandle] = {}
         self._sockets = SocketTable()
-        self._touched: list[Exchange] = []
+        self._touched: list[CurlExchange] = []
         self._closed = False
 
     @property
     def running(self) -> int:
-        """Exchanges under way."""
+        """How many exchanges are in flight."""
         return len(self._handles)
 
-    def start(self, request: ClientRequest, listener: ExchangeListener) -> Exchange:
+    def start(self, request: ClientRequest, listener: ExchangeListener) -> CurlExchange:
         """Begin an exchange; the listener is called later, never from here."""
         if self._loop is None:
             self._loop = asyncio.get_running_loop()
-        exchange = Exchange(request, listener, self)
+        exchange = CurlExchange(request, listener, self)
         self._launch(exchange)
         return exchange
 
     async def fetch(self, request: ClientRequest, timeout_s: float) -> ClientResponse:
-        """Return the whole answer to a non-streaming request; raises `ExchangeError`."""
-        waiter = _Waiter(asyncio.get_running_loop().create_future())
+        """Return the complete response to a non-streaming request; raises `ExchangeError`."""
+        waiter = _FetchListener(asyncio.get_running_loop().create_future())
         exchange = self.start(request, waiter)
         try:
             return await asyncio.wait_for(waiter.future, timeout_s)
@@ -95,7 +97,7 @@
         for fd in list(self._events_by_fd):
             self._unregister(fd)
 
-    def _launch(self, exchange: Exchange) -> None:
+    def _launch(self, exchange: CurlExchange) -> None:
         handle = self._free.pop() if self._free else CurlHandle(self._touch, self._sockets)
         advertised = exchange.request.address
         address = self._address_map.get(advertised, advertised)
@@ -151,9 +153,9 @@
         self._multi.socket_action(pycurl.SOCKET_TIMEOUT, 0)
         self._deliver()
 
-    # what happened inside libcurl is told outside of it
+    # listeners are notified outside of libcurl's callbacks
 
-    def _touch(self, exchange: Exchange) -> None:
+    def _touch(self, exchange: CurlExchange) -> None:
         if not exchange.touched:
             exchange.touched = True
             self._touched.append(exchange)
@@ -163,47 +165,47 @@
             touched, self._touched = self._touched, []
             for exchange in touched:
                 exchange.touched = False
-                self._tell(exchange)
+                self._notify(exchange)
         self._finish_completed()
 
-    def _tell(self, exchange: Exchange) -> None:
+    def _notify(self, exchange: CurlExchange) -> None:
         if exchange.finished:
             return
         listener = exchange.listener
-        if exchange.sent and not exchange.connected_told:
-            exchange.connected_told = True
+        if exchange.sent and not exchange.connected_notified:
+            exchange.connected_notified = True
             listener.on_connected()
-        if exchange.headers_complete and not exchange.headers_told and not exchange.finished:
-            exchange.headers_told = True
+        if exchange.headers_complete and not exchange.headers_notified and not exchange.finished:
+            exchange.headers_notified = True
             listener.on_headers(exchange.status, exchange.headers)
         if exchange.request.streaming:
-            self._tell_body(exchange)
+            self._deliver_body(exchange)
         if exchange.completion is not None and not exchange.body and not exchange.finished:
             self._end(exchange, exchange.completion)
 
-    def _tell_body(self, exchange: Exchange) -> None:
+    def _deliver_body(self, exchange: CurlExchange) -> None:
         while exchange.body and not exchange.paused and not exchange.finished:
             data = b"".join(exchange.body)
             exchange.body.clear()
             exchange.body_bytes = 0
             exchange.listener.on_body(data)
-        if exchange.held_by_curl and not exchange.body and not exchange.finished:
-            exchange.held_by_curl = False
-            # May call the write callback at once with what libcurl kept back.
+        if exchange.paused_by_curl and not exchange.body and not exchange.finished:
+            exchange.paused_by_curl = False
+            # May call the write callback at once with what libcurl had buffered.
             with contextlib.suppress(pycurl.error):
                 self._handles[exchange].curl.pause(pycurl.PAUSE_CONT)
 
     def _finish_completed(self) -> None:
         for exchange, error in self._completed():
-            # A listener told before may have cancelled this one and reused its handle.
+            # A listener notified before may have cancelled this one and reused its handle.
             if not exchange.finished:
                 self._complete(exchange, error)
 
-    def _completed(self) -> list[tuple[Exchange, str]]:
+    def _completed(self) -> list[tuple[CurlExchange, str]]:
         completed = []
-        left = 1
-        while left:
-            left, succeeded, failed = self._multi.info_read()
+        remaining = 1
+        while remaining:
+            remaining, succeeded, failed = self._multi.info_read()
             ended = [(curl, "") for curl in succeeded]
             ended += [(curl, f"{code}: {message}") for curl, code, message in failed]
             for curl, error in ended:
@@ -212,14 +214,14 @@
                     completed.append((exchange, error))
         return completed
 
-    def _complete(self, exchange: Exchange, error: str) -> None:
+    def _complete(self, exchange: CurlExchange, error: str) -> None:
         if exchange.stale_connection and not exchange.sent and not exchange.relaunched:
-            # Nothing left this process, so sending over a fresh connection repeats nothing.
+            # Nothing was sent, so sending over a fresh connection repeats nothing.
             exchange.relaunched = True
             self._recycle(exchange)
             self._launch(exchange)
             return
-        self._tell(exchange)
+        self._notify(exchange)
         if exchange.finished:
             return
         if exchange.request.streaming and exchange.body:
@@ -227,14 +229,14 @@
         else:
             self._end(exchange, error)
 
-    def _end(self, exchange: Exchange, error: str) -> None:
+    def _end(self, exchange: CurlExchange, error: str) -> None:
         exchange.finished = True
         try:
-            self._tell_end(exchange, error)
+            self._notify_end(exchange, error)
         finally:
             self._recycle(exchange)
 
-    def _tell_end(self, exchange: Exchange, error: str) -> None:
+    def _notify_end(self, exchange: CurlExchange, error: str) -> None:
         if error:
             failure = ExchangeFailure(error, exchange.sent, exchange.status)
             exchange.listener.on_failed(failure)
@@ -242,14 +244,14 @@
         body = b"" if exchange.request.streaming else b"".join(exchange.body)
         exchange.listener.on_done(body)
 
-    def cancel(self, exchange: Exchange) -> None:
-        """Close the exchange's connection; its listener hears nothing more."""
+    def cancel(self, exchange: CurlExchange) -> None:
+        """Close the exchange's connection; its listener receives no more events."""
         exchange.finished = True
         # Removing an unfinished transfer makes libcurl close its connection.
         self._recycle(exchange)
 
-    def resume(self, exchange: Exchange) -> None:
-        """Hand over the body that waited, from the event loop."""
+    def resume(self, exchange: CurlExchange) -> None:
+        """Deliver the body that was held back, from the event loop."""
         self._touch(exchange)
         assert self._loop is not None
         self._loop.call_soon(self._deliver_resumed)
@@ -258,7 +260,7 @@
         if not self._closed:
             self._deliver()
 
-    def _recycle(self, exchange: Exchange) -> None:
+    def _recycle(self, exchange: CurlExchange) -> None:
         handle = self._handles.pop(exchange, None)
         if handle is None:
             return
@@ -266,15 +268,15 @@
         self._multi.remove_handle(handle.curl)
         handle.release()
         if exchange.finished:
-            # The listener usually knows its exchange: let neither keep the other alive.
-            exchange.listener = SILENT
-        if len(self._free) < KEPT_HANDLE_LIMIT and not self._closed:
+            # The listener usually refers to its exchange: the cycle would keep both alive.
+            exchange.listener = NULL_LISTENER
+        if len(self._free) < FREE_HANDLE_LIMIT and not self._closed:
             self._free.append(handle)
         else:
             handle.curl.close()
 
 
-class _Silent:
+class _NullListener:
     """Listener of exchanges that are over."""
 
     def on_connected(self) -> None:
@@ -293,11 +295,11 @@
         """Ignore it."""
 
 
-SILENT = _Silent()
+NULL_LISTENER = _NullListener()
 
 
 @attrs.define(eq=False)
-class _Waiter:
+class _FetchListener:
     """Listener behind `fetch`."""
 
     future: asyncio.Future[ClientResponse]
@@ -305,10 +307,10 @@
     headers: dict[str, str] = attrs.field(factory=dict)
 
     def on_connected(self) -> None:
-        """Nothing to do: only the end counts."""
+        """Ignore it: the response is returned when complete."""
 
     def on_headers(self, status: int, headers: Mapping[str, str]) -> None:
-        """Keep status and headers for the response."""
+        """Store status and headers for the response."""
         self.status = status
         self.headers = dict(headers)
 
@@ -316,11 +318,11 @@
         """Never called: `fetch` does not stream."""
 
     def on_done(self, body: bytes) -> None:
-        """Hand the response over."""
+        """Resolve `fetch` with the response."""
         if not self.future.done():
             self.future.set_result(ClientResponse(self.status, self.headers, body))
 
     def on_failed(self, failure: ExchangeFailure) -> None:
-        """Hand the failure over."""
+        """Fail `fetch`."""
         if not self.future.done():
             self.future.set_exception(ExchangeError(failure))
--- a/src/zincvale/transport/curl_exchange.py
+++ b/src/zincvale/transport/curl_exchange.py
@@ -9,6 +9,7 @@
 import attrs
 
 CONNECT_TIMEOUT_S = 1.0
+"""Shorter fails on slow links; longer delays the retry at another server."""
 
 
 @attrs.frozen
@@ -20,9 +21,10 @@
     address : `ip:port` as advertised; the client's address map may redirect it.
     target : path with query, percent-encoded.
     body : sent with POST; None makes it a GET.
-    streaming : the body is handed over piece by piece instead of whole.
-    may_leave : asked when the connection stands and the first byte is about to leave; False
-        fails the exchange with nothing sent. Guards against a freeze between start and send.
+    streaming : the body is delivered in chunks as it arrives, instead of complete.
+    may_send : called when the connection is established and the first byte is about to be sent;
+        False fails the exchange with nothing sent. Guards against a freeze between start and
+        send.
     """
 
     address: str
@@ -31,14 +33,14 @@
     headers: tuple[str, ...] = ()
     streaming: bool = False
     connect_timeout_s: float = CONNECT_TIMEOUT_S
-    may_leave: Callable[[], bool] | None = None
+    may_send: Callable[[], bool] | None = None
 
 
 @attrs.frozen
 class ExchangeFailure:
-    """Why an exchange has no whole answer.
+    """Why an exchange has no complete response.
 
-    `sent` is False only when no byte of the request can have left.
+    `sent` is False only when no byte of the request can have been sent.
     """
 
     reason: str
@@ -47,10 +49,10 @@
 
 
 class ExchangeListener(Protocol):
-    """Who hears of an exchange. After `on_done` or `on_failed` nothing more is called."""
+    """Receives the events of an exchange. After `on_done` or `on_failed` nothing more is called."""
 
     def on_connected(self) -> None:
-        """Note that a connection is established and the request leaves now."""
+        """A connection is established and the request is being sent."""
         ...
 
     def on_headers(self, status: int, headers: Mapping[str, str]) -> None:
@@ -62,7 +64,7 @@
         ...
 
     def on_done(self, body: bytes) -> None:
-        """Take the whole body, or `b""` for a streaming exchange, which ended whole."""
+        """Take the complete body, or `b""` for a streaming exchange, which ended complete."""
         ...
 
     def on_failed(self, failure: ExchangeFailure) -> None:
@@ -73,28 +75,28 @@
 class ExchangeOwner(Protocol):
     """The client that runs an exchange."""
 
-    def cancel(self, exchange: Exchange) -> None:
+    def cancel(self, exchange: CurlExchange) -> None:
         """Close the exchange's connection and forget it."""
         ...
 
-    def resume(self, exchange: Exchange) -> None:
-        """Hand over what waited."""
+    def resume(self, exchange: CurlExchange) -> None:
+        """Deliver the body that was held back while the exchange was paused."""
         ...
 
 
 @attrs.define(eq=False)
-class Exchange:
-    """A request under way.
+class CurlExchange:
+    """A request in flight.
 
     Attributes
     ----------
-    sent : whether a byte of the request may have left.
+    sent : whether a byte of the request may have been sent.
     finished : nothing more happens.
-    paused : the listener wants no body now.
-    body, body_bytes : received and not yet handed over.
-    headers_complete, connected_told, headers_told, touched, held_by_curl, completion : the
-        client's book-keeping; `completion` says how the transfer ended (empty: well) while body
-        still waits for the listener.
+    paused : the listener takes no body now.
+    body, body_bytes : received and not yet delivered.
+    headers_complete, connected_notified, headers_notified, touched, paused_by_curl, completion :
+        the client's state; `completion` is the error of a transfer that ended (empty: none) while
+        body is still to be delivered.
     """
 
     request: ClientRequest
@@ -108,40 +110,40 @@
     body: deque[bytes] = attrs.field(factory=deque)
     body_bytes: int = 0
     headers_complete: bool = False
-    connected_told: bool = False
-    headers_told: bool = False
+    connected_notified: bool = False
+    headers_notified: bool = False
     touched: bool = False
-    held_by_curl: bool = False
+    paused_by_curl: bool = False
     completion: str | None = None
     shut_socket: Callable[[], None] | None = None
     relaunched: bool = False
     stale_connection: bool = False
-    """A kept connection was found closed or out of step; the request goes over a fresh one."""
+    """A reused connection was closed or holds unread bytes; the request goes over a new one."""
 
     def cancel(self) -> None:
-        """Give up: the connection is closed, the listener hears nothing more."""
+        """Give up: the connection is closed, the listener receives no more events."""
         if not self.finished:
             self.owner.cancel(self)
 
     def pause(self) -> None:
-        """Stop handing over body; the socket is read no further than the bounded buffer."""
+        """Stop delivering body; the socket is read no further than the bounded buffer."""
         self.paused = True
 
     def resume(self) -> None:
-        """Hand over body again."""
+        """Deliver body again."""
         self.paused = False
         if not self.finished:
             self.owner.resume(self)
 
     def close_connection(self) -> None:
-        """Make sure the connection is never used again, also after a whole answer."""
+        """Make sure the connection is never used again, also after a complete response."""
         if self.shut_socket is not None:
             self.shut_socket()
 
 
 @attrs.frozen
 class ClientResponse:
-    """A whole answer; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: Mapping[str, str]
@@ -149,7 +151,7 @@
 
 
 class ExchangeError(Exception):
-    """`fetch` got no whole answer; `failure.sent` tells whether the request may have run."""
+    """`fetch` got no complete response; `failure.sent` tells whether the request may have run."""
 
     def __init__(self, failure: ExchangeFailure) -> None:
         super().__init__(failure.reason)
--- a/src/zincvale/transport/curl_handle.py
+++ b/src/zincvale/transport/curl_handle.py
@@ -8,27 +8,27 @@
 
 import pycurl
 
-from zincvale.transport.curl_exchange import Exchange
+from zincvale.transport.curl_exchange import CurlExchange
 from zincvale.transport.curl_sockets import SocketTable
 
 NO_DESCRIPTOR = -1
 IDLE_CONNECTION_AGE_S = 30
 MAX_BODY_BYTES = 64 * 1024 * 1024
 PAUSE_BUFFER_BYTES = 64 * 1024
-"""A streaming exchange stops reading its socket while this much waits for its listener."""
+"""A streaming exchange stops reading its socket while this much is undelivered."""
 FIRST_FINAL_STATUS = 200
 
 _CONSTANT_HEADERS = ("Expect:", "Accept:", "User-Agent: zincvale")
 
 
 class CurlHandle:
-    """Set up once; `touch` is told, inside libcurl's callbacks, of exchanges with news."""
+    """Set up once; `touch` is called, inside libcurl's callbacks, with exchanges that changed."""
 
-    def __init__(self, touch: Callable[[Exchange], None], sockets: SocketTable) -> None:
+    def __init__(self, touch: Callable[[CurlExchange], None], sockets: SocketTable) -> None:
         self._touch = touch
         self._sockets = sockets
         self._new_descriptor = NO_DESCRIPTOR
-        self.exchange: Exchange | None = None
+        self.exchange: CurlExchange | None = None
         curl = pycurl.Curl()
         self.curl = curl
         curl.setopt(pycurl.NOSIGNAL, 1)
@@ -43,7 +43,7 @@
         curl.setopt(pycurl.HEADERFUNCTION, self._on_header)
         curl.setopt(pycurl.WRITEFUNCTION, self._on_data)
 
-    def prepare(self, exchange: Exchange, address: str) -> None:
+    def prepare(self, exchange: CurlExchange, address: str) -> None:
         """Set the options that differ from one exchange to the next."""
         self.exchange = exchange
         self._new_descriptor = NO_DESCRIPTOR
@@ -61,7 +61,7 @@
             curl.setopt(pycurl.COPYPOSTFIELDS, request.body)
 
     def release(self) -> None:
-        """Let go of the exchange, whose transfer is removed from libcurl."""
+        """Forget the exchange, whose transfer was removed from libcurl."""
         if self.exchange is not None:
             self.exchange.shut_socket = None
         self.exchange = None
@@ -82,11 +82,11 @@
     def _before_request(
         self, _remote_host: str, local_host: str, _remote_port: int, local_port: int
     ) -> int:
-        """Let the request leave, but only once and only into a connection that is in step.
+        """Let the request be sent, but only once and only over a connection with nothing to read.
 
-        Guards against libcurl's own repetition on a kept connection that the server closed: the
-        first copy may have run. And against kept connections that are closed or hold bytes of a
-        late answer: of those nothing leaves, so that the request can be sent elsewhere.
+        Guards against libcurl's own retry on a reused connection that the server closed: the first
+        copy may have run. And against reused connections that are closed or hold bytes of a late
+        response: over those nothing is sent, so that the request can be sent elsewhere.
         """
         exchange = self.exchange
         if exchange is None or exchange.sent:
@@ -97,8 +97,8 @@
         elif not self._sockets.is_quiet(endpoint):
             exchange.stale_connection = True
             return pycurl.PREREQFUNC_ABORT
-        may_leave = exchange.request.may_leave
-        if may_leave is not None and not may_leave():
+        may_send = exchange.request.may_send
+        if may_send is not None and not may_send():
             return pycurl.PREREQFUNC_ABORT
         exchange.sent = True
         self._touch(exchange)
@@ -127,15 +127,15 @@
             return 0
         limit = PAUSE_BUFFER_BYTES if exchange.request.streaming else MAX_BODY_BYTES
         if exchange.body and exchange.body_bytes + len(data) > limit:
-            return self._hold_or_fail(exchange)
+            return self._pause_or_fail(exchange)
         exchange.body.append(data)
         exchange.body_bytes += len(data)
         if exchange.request.streaming:
             self._touch(exchange)
         return len(data)
 
-    def _hold_or_fail(self, exchange: Exchange) -> int:
+    def _pause_or_fail(self, exchange: CurlExchange) -> int:
         if not exchange.request.streaming:
             return 0
-        exchange.held_by_curl = True
+        exchange.paused_by_curl = True
         return pycurl.WRITEFUNC_PAUSE
--- a/src/zincvale/transport/curl_sockets.py
+++ b/src/zincvale/transport/curl_sockets.py
@@ -1,8 +1,8 @@
-"""Sockets of kept connections, to see whether one is still in step before it is used again.
+"""Sockets of pooled connections, to check that one is open and quiet before it is reused.
 
-libcurl checks a kept connection only when it was idle for a second. Within that second a request
+libcurl checks a pooled connection only when it was idle for a second. Within that second a request
 would be written into a connection that its server closed, and might be taken for sent; or bytes of
-a late answer could wait there and be read as the next one.
+a late response could wait there and be read as the next one.
 """
 
 from __future__ import annotations
@@ -13,6 +13,7 @@
 import attrs
 
 MAX_SOCKETS = 8192
+"""Must exceed the client's open connections: an evicted endpoint is reused unchecked."""
 
 LocalEndpoint = tuple[str, int]
 
@@ -28,14 +29,14 @@
     _descriptor_by_endpoint: OrderedDict[LocalEndpoint, int] = attrs.field(factory=OrderedDict)
 
     def add(self, endpoint: LocalEndpoint, descriptor: int) -> None:
-        """Note a connection that was just made."""
+        """Record a connection that was just made."""
         self._descriptor_by_endpoint[endpoint] = descriptor
         self._descriptor_by_endpoint.move_to_end(endpoint)
         if len(self._descriptor_by_endpoint) > MAX_SOCKETS:
             self._descriptor_by_endpoint.popitem(last=False)
 
     def is_quiet(self, endpoint: LocalEndpoint) -> bool:
-        """Whether the kept connection is open and has nothing to read; True when unknown."""
+        """Whether the pooled connection is open and has nothing to read; True when unknown."""
         descriptor = self._descriptor_by_endpoint.get(endpoint)
         return descriptor is None or _has_nothing_to_read(descriptor)
 
--- a/src/zincvale/transport/peer.py
+++ b/src/zincvale/transport/peer.py
@@ -1,4 +1,6 @@
-"""The interface through which a plane calls other daemons."""
+"""The interface through which a plane calls other daemons.
+
+`transport.peer_client.PeerClient` implements it; the simulators have their own."""
 
 from __future__ import annotations
 
@@ -8,7 +10,7 @@
 
 
 class PeerCallError(Exception):
-    """No answer came back; whether the call was handled is not known."""
+    """No reply came; whether the call was handled is not known."""
 
 
 class PeerUnreachableError(PeerCallError):
--- a/src/zincvale/transport/peer_client.py
+++ b/src/zincvale/transport/peer_client.py
@@ -14,10 +14,10 @@
 from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import MemberId
 from zincvale.transport.codec import Batch, decode_batch, encode_batch
-from zincvale.transport.complete_exchange import NoResponseError, WholeAnswer, fetch_whole
+from zincvale.transport.complete_exchange import CompleteResponse, NoResponseError, fetch_response
 from zincvale.transport.compression import (
     GZIP,
-    LEAST_COMPRESSED_BYTES,
+    MIN_COMPRESSED_BYTES,
     DecompressionError,
     compressed,
     expanded,
@@ -26,16 +26,19 @@
 from zincvale.transport.server_client import ServerClient
 from zincvale.transport.server_exchange import HeaderList, OutgoingRequest
 
-LEAST_FAILURE_STATUS = 300
+MIN_FAILURE_STATUS = 300
 SEND_TIMEOUT_S = 0.8
+"""One-way messages queue behind a batch in flight: longer delays those that follow."""
 MAX_QUEUED_MESSAGES = 2_000
+"""Bounds the memory of an unreachable peer's queue; one-way messages may be lost."""
 RAW_ADDRESS_PREFIX = "@"
+"""A member identifier with this prefix is itself the address: seeds have no identifier yet."""
 BATCH_CONTENT_TYPE = "application/vnd.zincvale.avro"
 
 
 @attrs.define
 class PeerIdentity:
-    """What each batch says of its sender."""
+    """The sender that each batch names."""
 
     cluster_id: str
     member: MemberId
@@ -44,7 +47,7 @@
 
 @attrs.define
 class _Link:
-    """One-way messages to one member: at most one batch in flight, the rest queue."""
+    """One-way messages to one member: at most one batch in flight, later ones queue."""
 
     queue: deque[Any] = attrs.field(factory=deque)
     in_flight: bool = False
@@ -63,18 +66,18 @@
 def make_connections(address_map: Mapping[str, str] | None = None) -> ServerClient:
     """Return the connections of one process to its peers.
 
-    A peer that went dark is noticed by the machines, which time every call and lease; the kernel
-    need not give up bytes that cross a slow link.
+    The machines time every call and lease, so an unreachable peer is detected without the kernel's
+    time-outs, which would break connections whose bytes cross a slow link.
     """
-    return ServerClient(time.monotonic, address_map, _send_at_once)
+    return ServerClient(time.monotonic, address_map, _disable_send_delay)
 
 
-def _send_at_once(connected: socket.socket) -> None:
+def _disable_send_delay(connected: socket.socket) -> None:
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def _belongs(status: int, headers: Mapping[str, str]) -> bool:
-    """Peers answer each request once, in its place."""
+def _accept_any_response(_status: int, _headers: Mapping[str, str]) -> bool:
+    """Peers respond to each request once and in order, so every response is accepted."""
     return True
 
 
@@ -91,7 +94,7 @@
     identity : stamped on each batch.
     resolve : returns a member's peer address, or None while it is not known.
     address_map : advertised address to the address that is dialled instead.
-    on_messages : called with the messages that a peer's answer to a batch carries.
+    on_messages : called with the messages that a peer's response to a batch carries.
     on_link_state : called with (member, reachable, reason) when a link changes state.
     connections : shared by several peer clients in one process; by default its own.
     """
@@ -122,7 +125,7 @@
         if link.in_flight:
             return
         link.in_flight = True
-        IOLoop.current().add_callback(self._drain, member, link)
+        IOLoop.current().add_callback(self._send_queued, member, link)
 
     async def call(self, member: MemberId, message: Any, timeout_s: float) -> Any:
         """Return the member's reply; raises `PeerCallError` or `PeerUnreachableError`."""
@@ -135,7 +138,7 @@
         """Close every connection."""
         self._connections.close()
 
-    async def _drain(self, member: MemberId, link: _Link) -> None:
+    async def _send_queued(self, member: MemberId, link: _Link) -> None:
         try:
             while link.queue:
                 messages = list(link.queue)
@@ -177,17 +180,17 @@
             ("Content-Type", BATCH_CONTENT_TYPE),
             ("Accept-Encoding", GZIP),
         ]
-        if len(body) >= LEAST_COMPRESSED_BYTES:
+        if len(body) >= MIN_COMPRESSED_BYTES:
             body = compressed(body)
             headers.append(("Content-Encoding", GZIP))
         self.traffic.exchanges += 1
         self.traffic.sent_bytes += len(body)
-        answer = await self._fetch(member, address, path, headers, body, timeout_s)
-        self.traffic.received_bytes += len(answer.body)
-        if not answer.body:
+        response = await self._fetch(member, address, path, headers, body, timeout_s)
+        self.traffic.received_bytes += len(response.body)
+        if not response.body:
             return []
         try:
-            return decode_batch(_expanded_body(answer)).messages
+            return decode_batch(_decoded_body(response)).messages
         except (MalformedBodyError, DecompressionError) as error:
             raise PeerCallError(f"{member}: {error}") from error
 
@@ -199,30 +202,32 @@
         headers: HeaderList,
         body: bytes,
         timeout_s: float,
-    ) -> WholeAnswer:
-        request = OutgoingRequest("POST", path, headers, body, _belongs, may_repeat=True)
+    ) -> CompleteResponse:
+        request = OutgoingRequest(
+            "POST", path, headers, body, _accept_any_response, may_repeat=True
+        )
         try:
-            answer = await self._fetch_again_if_stale(address, request, timeout_s)
+            response = await self._fetch_with_retry(address, request, timeout_s)
         except NoResponseError as error:
             failure = PeerCallError if error.connected else PeerUnreachableError
             raise failure(f"{member}: {error}") from error
-        if answer.status >= LEAST_FAILURE_STATUS:
-            raise PeerCallError(f"{member}: HTTP status {answer.status}")
-        return answer
+        if response.status >= MIN_FAILURE_STATUS:
+            raise PeerCallError(f"{member}: HTTP status {response.status}")
+        return response
 
-    async def _fetch_again_if_stale(
+    async def _fetch_with_retry(
         self, address: str, request: OutgoingRequest, timeout_s: float
-    ) -> WholeAnswer:
-        """Send once more when a resting connection ends as the request leaves on it.
+    ) -> CompleteResponse:
+        """Retry once when a reused connection closes as the request is sent on it.
 
         The peer may have handled it: messages between peers may come twice, and may be lost.
         """
         try:
-            return await fetch_whole(self._connections, address, request, timeout_s)
+            return await fetch_response(self._connections, address, request, timeout_s)
         except NoResponseError as error:
             if not error.reused:
                 raise
-        return await fetch_whole(self._connections, address, request, timeout_s)
+        return await fetch_response(self._connections, address, request, timeout_s)
 
     def _address_of(self, member: MemberId) -> str | None:
         if member.startswith(RAW_ADDRESS_PREFIX):
@@ -230,7 +235,7 @@
         return self._resolve(member)
 
 
-def _expanded_body(answer: WholeAnswer) -> bytes:
-    if answer.headers.get("content-encoding") == GZIP:
-        return expanded(answer.body)
-    return answer.body
+def _decoded_body(response: CompleteResponse) -> bytes:
+    if response.headers.get("content-encoding") == GZIP:
+        return expanded(response.body)
+    return response.body
--- a/src/zincvale/transport/peer_server.py
+++ b/src/zincvale/transport/peer_server.py
@@ -21,10 +21,11 @@
 from zincvale.model.errors import MalformedBodyError, WrongClusterError, ZincvaleError
 from zincvale.model.identifiers import MemberId
 from zincvale.transport.codec import Batch, decode_batch, encode_batch
-from zincvale.transport.compression import GZIP, LEAST_COMPRESSED_BYTES, AnswerCompressor
+from zincvale.transport.compression import GZIP, MIN_COMPRESSED_BYTES, ResponseCompressor
 from zincvale.transport.peer_client import BATCH_CONTENT_TYPE, PeerIdentity
 
 MAX_PEER_BODY_BYTES = 64 * 1024 * 1024
+"""A snapshot of all tables must fit; a larger body is rejected by the HTTP server."""
 MESSAGES_TARGET = ("POST", "/peer/messages")
 CALL_TARGET = ("POST", "/peer/call")
 JSON_CONTENT_TYPE = "application/json"
@@ -32,26 +33,26 @@
 
 
 class PeerEndpoint(Protocol):
-    """What the server hands peers' messages to."""
+    """Handles peers' messages."""
 
     def messages_received(self, sender: MemberId, messages: list[Any]) -> list[Any]:
         """Handle one-way messages; return what handling sent back to `sender` at once."""
         ...
 
     def call_received(self, sender: MemberId, token: str, message: Any) -> None:
-        """Handle a call; `PeerServer.reply(token, message)` answers it."""
+        """Handle a call; `PeerServer.reply(token, message)` responds."""
         ...
 
     def call_abandoned(self, token: str) -> None:
-        """The caller behind `token` went away."""
+        """The caller of `token` closed its connection."""
         ...
 
 
 class PeerServer(HTTPServerConnectionDelegate):
-    """Serves `/peer/messages` and `/peer/call`, and keeps the calls that wait for a reply.
+    """Serves `/peer/messages` and `/peer/call`, and holds the calls that are pending.
 
-    It sits on the library's connections, one level below its request handlers: a core answers
-    hundreds of small exchanges a second, and a handler costs as much as all the rest of them.
+    It implements the connection delegate of tornado, one level below its request handlers: a core
+    serves hundreds of small requests a second, and a handler would double the cost of each.
     """
 
     def __init__(
@@ -64,8 +65,8 @@
         self.endpoint = endpoint
         self._on_refused = on_refused
         self._tokens = itertools.count(1)
-        self._waiting: dict[str, Future[Any]] = {}
-        self.compressor = AnswerCompressor()
+        self._pending: dict[str, Future[Any]] = {}
+        self.compressor = ResponseCompressor()
 
     def start_request(self, server_conn: object, request_conn: Any) -> HTTPMessageDelegate:
         """Return the receiver of one request."""
@@ -75,12 +76,12 @@
         """Return a new token and the future that its reply resolves."""
         token = f"peer-{next(self._tokens)}"
         future: Future[Any] = Future()
-        self._waiting[token] = future
+        self._pending[token] = future
         return token, future
 
     def reply(self, token: str, message: Any) -> bool:
-        """Answer the call `token`; returns whether it still waited."""
-        future = self._waiting.pop(token, None)
+        """Respond to the call `token`; returns whether it was still pending."""
+        future = self._pending.pop(token, None)
         if future is None:
             return False
         if not future.done():
@@ -88,11 +89,11 @@
         return True
 
     def abandon(self, token: str) -> None:
-        """Forget the call `token` and tell the endpoint."""
-        if self._waiting.pop(token, None) is not None:
+        """Forget the call `token` and notify the endpoint."""
+        if self._pending.pop(token, None) is not None:
             self.endpoint.call_abandoned(token)
 
-    def read(self, body: bytes) -> Batch:
+    def decode(self, body: bytes) -> Batch:
         """Return the batch in `body`; raises `MalformedBodyError` or `WrongClusterError`."""
         try:
             batch = decode_batch(body)
@@ -109,8 +110,8 @@
             raise refusal
         return batch
 
-    def write(self, messages: list[Any]) -> bytes:
-        """Return the body that carries `messages` back."""
+    def encode(self, messages: list[Any]) -> bytes:
+        """Return the response body that carries `messages`."""
         identity = self.identity
         return encode_batch(
             Batch(identity.cluster_id, identity.member, identity.incarnation, messages)
@@ -118,80 +119,82 @@
 
 
 class _PeerRequest(HTTPMessageDelegate):
-    """Receives one request and answers it."""
+    """Receives one request and responds to it."""
 
     def __init__(self, server: PeerServer, connection: Any) -> None:
         self._server = server
         self._connection = connection
         self._body: list[bytes] = []
         self._target = ("", "")
-        self._takes_gzip = False
+        self._accepts_gzip = False
         self._token = ""
 
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Keep what is asked for."""
+        """Store the target."""
         assert isinstance(start_line, RequestStartLine)
         self._target = (start_line.method, start_line.path)
-        self._takes_gzip = GZIP in headers.get("Accept-Encoding", "")
+        self._accepts_gzip = GZIP in headers.get("Accept-Encoding", "")
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a part of the body; the HTTP server bounds its size before it is expanded."""
+        """Store a part of the body; the HTTP server bounds its size before it is expanded."""
         self._body.append(chunk)
 
     def finish(self) -> None:
-        """Hand the whole request over."""
+        """Handle the complete request."""
         if self._target == MESSAGES_TARGET:
-            self._take(self._handle_messages)
+            self._handle_batch(self._handle_messages)
         elif self._target == CALL_TARGET:
-            self._take(self._handle_call)
+            self._handle_batch(self._handle_call)
         else:
-            self._answer(404)
+            self._respond(404)
 
     def on_connection_close(self) -> None:
-        """Forget a call whose caller went away."""
+        """Abandon the call of a closed connection."""
         if self._token:
             self._server.abandon(self._token)
 
-    def _take(self, handle: Callable[[Batch], None]) -> None:
+    def _handle_batch(self, handle: Callable[[Batch], None]) -> None:
         try:
-            batch = self._server.read(b"".join(self._body))
+            batch = self._server.decode(b"".join(self._body))
         except ZincvaleError as error:
-            self._answer(error.http_status, json.dumps(error.to_json()).encode(), JSON_CONTENT_TYPE)
+            self._respond(
+                error.http_status, json.dumps(error.to_json()).encode(), JSON_CONTENT_TYPE
+            )
             return
         handle(batch)
 
     def _handle_messages(self, batch: Batch) -> None:
-        """One-way messages; the body of the answer is what handling sent back at once."""
+        """One-way messages; the response body carries the messages sent back at once."""
         replies = self._server.endpoint.messages_received(MemberId(batch.sender), batch.messages)
         if replies:
-            self._answer(200, self._server.write(replies))
+            self._respond(200, self._server.encode(replies))
         else:
-            self._answer(204)
+            self._respond(204)
 
     def _handle_call(self, batch: Batch) -> None:
-        """A call is held until its reply."""
+        """The response is pending until the endpoint replies."""
         if len(batch.messages) != 1:
-            self._answer(400)
+            self._respond(400)
             return
         self._token, future = self._server.open_call()
         self._connection.set_close_callback(self.on_connection_close)
-        future.add_done_callback(lambda done: self._replied(done.result()))
+        future.add_done_callback(lambda done: self._on_reply(done.result()))
         self._server.endpoint.call_received(MemberId(batch.sender), self._token, batch.messages[0])
 
-    def _replied(self, reply: Any) -> None:
+    def _on_reply(self, reply: Any) -> None:
         self._token = ""
         if reply is None:
-            self._answer(503)
+            self._respond(503)
         else:
-            self._answer(200, self._server.write([reply]))
+            self._respond(200, self._server.encode([reply]))
 
-    def _answer(
+    def _respond(
         self, status: int, body: bytes = b"", content_type: str = BATCH_CONTENT_TYPE
     ) -> None:
         headers = HTTPHeaders()
-        if self._takes_gzip and len(body) >= LEAST_COMPRESSED_BYTES:
+        if self._accepts_gzip and len(body) >= MIN_COMPRESSED_BYTES:
             body = self._server.compressor.compress(body)
             headers["Content-Encoding"] = GZIP
         if body:
@@ -204,4 +207,4 @@
             written.add_done_callback(lambda done: done.exception())
             self._connection.finish()
         except StreamClosedError:
-            """The caller went away; it asks again."""
+            """The caller closed its connection; it calls again."""
--- a/src/zincvale/transport/response_reader.py
+++ b/src/zincvale/transport/response_reader.py
@@ -1,7 +1,7 @@
-"""Reads the answers of one server connection; the framing is httptools' (llhttp, strict).
+"""Reads the responses on one server connection; the framing is httptools' (llhttp, strict).
 
-The parser calls back while it is fed. What it tells is collected and handed out afterwards, so that
-whoever acts on it may close the connection without the parser being at work.
+The parser calls back while it is fed. Its events are collected and returned afterwards, so that a
+handler of an event may close the connection while the parser is not running.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 import attrs
 import httptools
 
-from zincvale.transport.server_exchange import AnswerHead, HeaderList
+from zincvale.transport.server_exchange import HeaderList, ResponseHead
 
 FIRST_FINAL_STATUS = 200
 BODILESS_STATUSES = frozenset({204, 304})
 CHUNKED = "chunked"
 
 
-class AnswerEnd(enum.Enum):
-    """How an answer ended."""
+class ResponseEnd(enum.Enum):
+    """How a response ended."""
 
     REUSABLE = "reusable"
     """Another request may follow on the connection."""
@@ -28,47 +28,47 @@
 
 
 @attrs.frozen
-class Unreadable:
-    """What came is no answer; nothing after it can be read."""
+class UnreadableResponse:
+    """The bytes are no HTTP response; nothing after them can be read."""
 
     problem: str
 
 
-AnswerEvent = AnswerHead | bytes | AnswerEnd | Unreadable
+ResponseEvent = ResponseHead | bytes | ResponseEnd | UnreadableResponse
 
 
-class AnswerReader:
+class ResponseReader:
     """Turns bytes into heads, contents and ends, in order.
 
     Attributes
     ----------
-    is_within : an answer has begun and not ended.
-    ends_with_connection : the answer under way has no length of its own.
+    is_in_message : a response has begun and not ended.
+    ends_with_connection : the current response states no length: the connection's end ends it.
     """
 
     def __init__(self) -> None:
-        self.is_within = False
+        self.is_in_message = False
         self.ends_with_connection = False
         self._has_body = True
-        self._skips_rest = False
+        self._ignores_body = False
         self._reason = ""
         self._headers: HeaderList = []
         self._is_interim = False
-        self._events: list[AnswerEvent] = []
+        self._events: list[ResponseEvent] = []
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
 
-    def expect(self, has_body: bool) -> None:
-        """Say whether answers to the next request may have a body; those to HEAD have none."""
+    def expect(self, *, has_body: bool) -> None:
+        """Set whether the response to the next request may have a body; to HEAD it has none."""
         self._has_body = has_body
 
-    def feed(self, data: bytes | memoryview) -> list[AnswerEvent]:
-        """Return what `data` completes; after `Unreadable` nothing follows."""
-        if self._parser is None or self._skips_rest:
+    def feed(self, data: bytes | memoryview) -> list[ResponseEvent]:
+        """Return what `data` completes; after `UnreadableResponse` nothing follows."""
+        if self._parser is None or self._ignores_body:
             return []
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._events.append(Unreadable(f"not an answer: {error}"))
+            self._events.append(UnreadableResponse(f"not an answer: {error}"))
         events, self._events = self._events, []
         return events
 
@@ -79,8 +79,8 @@
     # --- called by the parser -------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """An answer begins."""
-        self.is_within = True
+        """A response begins."""
+        self.is_in_message = True
         self._reason = ""
         self._headers = []
 
@@ -89,29 +89,29 @@
         self._reason += reason.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header of the head, or of the trailer, which is not passed on."""
+        """One header of the head, or of the trailer, which is not forwarded."""
         self._headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
+        """The head is complete."""
         assert self._parser is not None
         status = self._parser.get_status_code()
         self._is_interim = status < FIRST_FINAL_STATUS
         if self._is_interim:
             return
-        head = AnswerHead(status, self._reason, self._headers)
+        head = ResponseHead(status, self._reason, self._headers)
         self._headers = []
         self._events.append(head)
         self.ends_with_connection = status not in BODILESS_STATUSES and not _has_length(head)
         if not self._has_body:
             # The parser would wait for the body that the length announces.
-            self._skips_rest = True
-            self.is_within = False
-            self._events.append(AnswerEnd.LAST)
+            self._ignores_body = True
+            self.is_in_message = False
+            self._events.append(ResponseEnd.LAST)
 
     def on_body(self, data: bytes) -> None:
         """A part of the body."""
-        if self._skips_rest:
+        if self._ignores_body:
             return
         events = self._events
         if events and isinstance(events[-1], bytes):
@@ -120,16 +120,16 @@
             events.append(data)
 
     def on_message_complete(self) -> None:
-        """The answer is whole."""
+        """The response is complete."""
         assert self._parser is not None
-        if self._is_interim or self._skips_rest:
+        if self._is_interim or self._ignores_body:
             return
-        self.is_within = False
+        self.is_in_message = False
         keeps_alive = self._parser.should_keep_alive()
-        self._events.append(AnswerEnd.REUSABLE if keeps_alive else AnswerEnd.LAST)
+        self._events.append(ResponseEnd.REUSABLE if keeps_alive else ResponseEnd.LAST)
 
 
-def _has_length(head: AnswerHead) -> bool:
+def _has_length(head: ResponseHead) -> bool:
     lowered = head.lowered()
     encodings = lowered.get("transfer-encoding", "").lower()
     return "content-length" in lowered or encodings.rpartition(",")[2].strip() == CHUNKED
--- a/src/zincvale/transport/server_client.py
+++ b/src/zincvale/transport/server_client.py
@@ -1,7 +1,8 @@
 """Connections to servers: reused where that is safe, never repeating a request by themselves.
 
-Connections rest per server and incarnation, and the one used last is used first. How long a server
-lets a connection rest is its own word, or learned from the connections that it closed or reset.
+Idle connections are pooled by server and incarnation, and the one used last is used first. How long
+a server keeps an idle connection open comes from its Keep-Alive header, or is learned from the
+connections that it closed or reset.
 """
 
 from __future__ import annotations
@@ -14,32 +15,37 @@
 
 from zincvale.model.addresses import split_address
 from zincvale.transport.server_connection import ServerConnection, set_options
-from zincvale.transport.server_exchange import AnswerListener, OutgoingRequest
+from zincvale.transport.server_exchange import OutgoingRequest, ResponseListener
 
 CONNECT_TIMEOUT_S = 0.5
-MAX_RESTING_PER_SERVER = 8
-FIRST_REST_LIMIT_S = 10.0
-"""How long a connection is taken to live at rest before anything was learned."""
-REST_MARGIN = 0.7
-"""Part of a known limit that is used: the server counts from another moment."""
-UNREPEATABLE_REST_PART = 0.6
-"""Part of that again for requests that may not be repeated."""
+"""A retry at another server starts after this; shorter fails on slow links between zones."""
+MAX_IDLE_PER_SERVER = 8
+"""More hold descriptors at both ends; fewer cost a connection set-up in a burst."""
+INITIAL_IDLE_LIMIT_S = 10.0
+"""How long an idle connection is assumed to live before anything was learned of its server."""
+MIN_IDLE_LIMIT_S = 0.2
+"""One early close must not stop reuse within a burst."""
+IDLE_LIMIT_FACTOR = 0.7
+"""Factor on a known limit: the server measures from another moment. At 1 a request may meet a
+connection that its server is closing."""
+NON_REPEATABLE_IDLE_FACTOR = 0.6
+"""Further factor for requests that may not be repeated: for them such a meeting ends as unknown."""
 
 
 @attrs.define(eq=False)
-class _Target:
-    """What is known of one incarnation of a server."""
+class _ConnectionPool:
+    """The idle connections to one incarnation of a server, and how long they live."""
 
-    resting: list[ServerConnection] = attrs.field(factory=list)
-    rest_limit_s: float = FIRST_REST_LIMIT_S
+    idle: list[ServerConnection] = attrs.field(factory=list)
+    idle_limit_s: float = INITIAL_IDLE_LIMIT_S
 
 
-class Exchange:
-    """One request on its way; `cancel` closes its connection.
+class ServerExchange:
+    """One request in flight; `cancel` closes its connection.
 
     Attributes
     ----------
-    reused : the request left on a connection that had served another one.
+    reused : the request was sent on a connection that had served another one.
     """
 
     def __init__(self) -> None:
@@ -48,7 +54,7 @@
         self._cancelled = False
 
     def cancel(self) -> None:
-        """Give the exchange up: nothing more is told, its connection is closed."""
+        """Give the exchange up: its listener receives no more events, its connection is closed."""
         self._cancelled = True
         if self._connection is not None:
             self._connection.close()
@@ -70,11 +76,11 @@
 
     @property
     def is_attached(self) -> bool:
-        """Whether the request left."""
+        """Whether the request was sent."""
         return self._connection is not None
 
-    def attach(self, connection: ServerConnection, reused: bool) -> None:
-        """The request left on `connection`."""
+    def attach(self, connection: ServerConnection, *, reused: bool) -> None:
+        """Record that the request was sent on `connection`."""
         self._connection = connection
         self.reused = reused
 
@@ -106,29 +112,29 @@
         self._clock = clock
         self._prepare = prepare
         self._address_map = address_map or {}
-        self._targets: dict[tuple[str, str], _Target] = {}
+        self._pools: dict[tuple[str, str], _ConnectionPool] = {}
         self._open: set[ServerConnection] = set()
         self._connecting: set[asyncio.Task[None]] = set()
         self.counts = ClientCounts()
 
     def start(
-        self, address: str, incarnation: str, request: OutgoingRequest, listener: AnswerListener
-    ) -> Exchange:
+        self, address: str, incarnation: str, request: OutgoingRequest, listener: ResponseListener
+    ) -> ServerExchange:
         """Begin an exchange; the listener is called later, never from here."""
-        exchange = Exchange()
-        target = self._targets.setdefault((address, incarnation), _Target())
-        if not self._send_on_resting(target, request, listener, exchange):
+        exchange = ServerExchange()
+        pool = self._pools.setdefault((address, incarnation), _ConnectionPool())
+        if not self._send_on_idle(pool, request, listener, exchange):
             connecting = asyncio.ensure_future(
-                self._send_on_new(address, target, request, listener, exchange)
+                self._send_on_new(address, pool, request, listener, exchange)
             )
             self._connecting.add(connecting)
             connecting.add_done_callback(self._connecting.discard)
         return exchange
 
     def keep_only(self, targets: set[tuple[str, str]]) -> None:
-        """Close the resting connections of servers that are gone."""
-        for key in [key for key in self._targets if key not in targets]:
-            for connection in list(self._targets.pop(key).resting):
+        """Close the idle connections of servers that were removed."""
+        for key in [key for key in self._pools if key not in targets]:
+            for connection in list(self._pools.pop(key).idle):
                 connection.close()
 
     def close(self) -> None:
@@ -139,39 +145,39 @@
     async def _send_on_new(
         self,
         address: str,
-        target: _Target,
+        pool: _ConnectionPool,
         request: OutgoingRequest,
-        listener: AnswerListener,
-        exchange: Exchange,
+        listener: ResponseListener,
+        exchange: ServerExchange,
     ) -> None:
         if exchange.is_cancelled:
             return
         try:
-            connection = await self._connect(address, target)
+            connection = await self._connect(address, pool)
         except (TimeoutError, OSError) as error:
             if not exchange.is_cancelled:
-                listener.not_sent(f"{address}: {error or type(error).__name__}")
+                listener.on_not_sent(f"{address}: {error or type(error).__name__}")
             return
         if exchange.is_cancelled:
-            self._rest(target, connection)
+            self._return_to_pool(pool, connection)
             return
         self._send_on(connection, request, listener, exchange)
 
-    def _send_on_resting(
+    def _send_on_idle(
         self,
-        target: _Target,
+        pool: _ConnectionPool,
         request: OutgoingRequest,
-        listener: AnswerListener,
-        exchange: Exchange,
+        listener: ResponseListener,
+        exchange: ServerExchange,
     ) -> bool:
-        part = 1.0 if request.may_repeat else UNREPEATABLE_REST_PART
-        while target.resting:
-            connection = target.resting.pop()
-            rested_s = self._clock() - connection.rests_since
-            limit_s = target.rest_limit_s
+        idle_factor = 1.0 if request.may_repeat else NON_REPEATABLE_IDLE_FACTOR
+        while pool.idle:
+            connection = pool.idle.pop()
+            idle_s = self._clock() - connection.idle_since
+            limit_s = pool.idle_limit_s
             if connection.keep_alive_s is not None:
-                limit_s = min(limit_s, connection.keep_alive_s * REST_MARGIN)
-            if rested_s > limit_s * part:
+                limit_s = min(limit_s, connection.keep_alive_s * IDLE_LIMIT_FACTOR)
+            if idle_s > limit_s * idle_factor:
                 connection.close()
                 continue
             if connection.send(request, listener):
@@ -184,15 +190,15 @@
         self,
         connection: ServerConnection,
         request: OutgoingRequest,
-        listener: AnswerListener,
-        exchange: Exchange,
+        listener: ResponseListener,
+        exchange: ServerExchange,
     ) -> None:
         if connection.send(request, listener):
             exchange.attach(connection, reused=False)
         else:
-            listener.not_sent("the connection was closed at once")
+            listener.on_not_sent("the connection was closed at once")
 
-    async def _connect(self, address: str, target: _Target) -> ServerConnection:
+    async def _connect(self, address: str, pool: _ConnectionPool) -> ServerConnection:
         host, port = split_address(self._address_map.get(address, address))
         loop = asyncio.get_running_loop()
         connected = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -207,29 +213,29 @@
         self.counts.opened += 1
         connection = ServerConnection(
             self._clock,
-            lambda each: self._rest(target, each),
-            lambda each: self._closed(target, each),
+            lambda each: self._return_to_pool(pool, each),
+            lambda each: self._on_closed(pool, each),
         )
         self._open.add(connection)
         await loop.create_connection(lambda: connection, sock=connected)
         return connection
 
-    def _rest(self, target: _Target, connection: ServerConnection) -> None:
+    def _return_to_pool(self, pool: _ConnectionPool, connection: ServerConnection) -> None:
         if not connection.is_open:
             return
-        target.resting.append(connection)
-        if len(target.resting) > MAX_RESTING_PER_SERVER:
-            target.resting[0].close()
+        pool.idle.append(connection)
+        if len(pool.idle) > MAX_IDLE_PER_SERVER:
+            pool.idle[0].close()
 
-    def _closed(self, target: _Target, connection: ServerConnection) -> None:
+    def _on_closed(self, pool: _ConnectionPool, connection: ServerConnection) -> None:
         self._open.discard(connection)
-        if connection not in target.resting:
+        if connection not in pool.idle:
             return
-        target.resting.remove(connection)
-        rested_s = self._clock() - connection.rests_since
-        if connection.used and rested_s < target.rest_limit_s:
-            self._learn_rest(target, rested_s)
-
-    def _learn_rest(self, target: _Target, rested_s: float) -> None:
-        """The server closed a connection at rest: others will not live longer."""
-        target.rest_limit_s = max(0.2, rested_s * REST_MARGIN)
+        pool.idle.remove(connection)
+        idle_s = self._clock() - connection.idle_since
+        if connection.used and idle_s < pool.idle_limit_s:
+            self._learn_idle_limit(pool, idle_s)
+
+    def _learn_idle_limit(self, pool: _ConnectionPool, idle_s: float) -> None:
+        """The server closed an idle connection: others will not live longer."""
+        pool.idle_limit_s = max(MIN_IDLE_LIMIT_S, idle_s * IDLE_LIMIT_FACTOR)
--- a/src/zincvale/transport/server_connection.py
+++ b/src/zincvale/transport/server_connection.py
@@ -1,7 +1,7 @@
 """One HTTP/1.1 connection to a server.
 
-The connection is read all the time, so that a server that closes it or sends what nobody asked for
-is noticed while the connection rests. A connection on which anything unexpected arrived is closed.
+The connection is read all the time, so that a server that closes it or sends unrequested bytes is
+noticed while the connection is idle. A connection on which anything unexpected arrived is closed.
 """
 
 from __future__ import annotations
@@ -13,19 +13,21 @@
 from collections.abc import Callable
 from typing import cast
 
-from zincvale.transport.response_reader import AnswerEnd, AnswerReader, Unreadable
-from zincvale.transport.server_exchange import AnswerHead, AnswerListener, OutgoingRequest
+from zincvale.transport.response_reader import ResponseEnd, ResponseReader, UnreadableResponse
+from zincvale.transport.server_exchange import OutgoingRequest, ResponseHead, ResponseListener
 
 READ_BYTES = 65_536
-ANSWER_START = b"HTTP/"
+RESPONSE_START = b"HTTP/"
 KEEP_ALIVE_TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)", re.IGNORECASE)
 LINE_BREAKS = re.compile(r"[\r\n\0]")
 BODILESS_METHOD = "HEAD"
 PROBE_IDLE_S = 2
+"""With the two values below an idle connection to an unreachable peer fails within 4 s."""
 PROBE_INTERVAL_S = 1
 PROBE_COUNT = 2
 UNACKNOWLEDGED_LIMIT_MS = 1_500
-"""Bytes that a peer does not acknowledge for so long end the connection."""
+"""Bytes that a peer does not acknowledge for so long end the connection. Larger values delay the
+retry of requests at a machine that lost its network."""
 
 _received = memoryview(bytearray(READ_BYTES))
 """Shared by all connections: what is read into it is parsed before anything else is read."""
@@ -36,39 +38,40 @@
 
     Parameters
     ----------
-    on_rest : called when an exchange ended and the connection can be used again.
-    on_closed : called once, when the connection is gone.
+    on_idle : called when an exchange ended and the connection can be used again.
+    on_closed : called once, when the connection is closed.
     """
 
     def __init__(
         self,
         clock: Callable[[], float],
-        on_rest: Callable[[ServerConnection], None],
+        on_idle: Callable[[ServerConnection], None],
         on_closed: Callable[[ServerConnection], None],
     ) -> None:
         self._clock = clock
-        self._on_rest = on_rest
+        self._on_idle = on_idle
         self._on_closed = on_closed
         self._transport: asyncio.Transport | None = None
-        self._reader = AnswerReader()
+        self._reader = ResponseReader()
         self._request: OutgoingRequest | None = None
-        self._listener: AnswerListener | None = None
-        self._is_ours = False
-        self._awaits_answer = False
+        self._listener: ResponseListener | None = None
+        self._is_own_response = False
+        self._awaits_response = False
         """Nothing was received since the request was sent."""
         self._is_closed = False
         self.used = False
-        self.rests_since = clock()
+        self.idle_since = clock()
         self.keep_alive_s: float | None = None
-        """The server's own word on how long a resting connection lives."""
+        """How long an idle connection lives, as the server's Keep-Alive header says."""
 
     @property
     def is_open(self) -> bool:
         """Whether a request can be sent."""
         return not self._is_closed and self._transport is not None
 
-    def send(self, request: OutgoingRequest, listener: AnswerListener) -> bool:
-        """Send a request; False when nothing left: the connection is gone, or the head is not one.
+    def send(self, request: OutgoingRequest, listener: ResponseListener) -> bool:
+        """Send a request; False when nothing was sent: the connection is closed, or the
+        head cannot be encoded.
 
         The listener is called later, never from here.
         """
@@ -77,8 +80,8 @@
             return False
         self._request = request
         self._listener = listener
-        self._is_ours = False
-        self._awaits_answer = True
+        self._is_own_response = False
+        self._awaits_response = True
         self._reader.expect(has_body=request.method != BODILESS_METHOD)
         self._transport.write(content)
         self.used = True
@@ -95,7 +98,7 @@
             self._transport.resume_reading()
 
     def close(self) -> None:
-        """Close the connection; its listener is told nothing."""
+        """Close the connection; its listener receives no event."""
         self._listener = None
         self._request = None
         if self._is_closed:
@@ -103,7 +106,7 @@
         self._is_closed = True
         self._reader.close()
         if self._transport is not None:
-            # What was not sent yet must not follow the caller's leaving.
+            # Unsent bytes must not reach the server after the caller gave the request up.
             self._transport.abort()
         self._on_closed(self)
 
@@ -115,7 +118,7 @@
         if self._is_closed:
             self._transport.abort()
 
-    def get_buffer(self, sizehint: int) -> memoryview:
+    def get_buffer(self, sizehint: int) -> memoryview:  # noqa: ARG002 (asyncio's interface)
         """Return where to read into."""
         return _received
 
@@ -124,10 +127,10 @@
         if self._is_closed:
             return
         if self._request is None:
-            # Bytes that no request asked for belong to nobody.
+            # These bytes answer no request: a later request must not read them as its response.
             self.close()
             return
-        self._take(_received[:nbytes])
+        self._parse(_received[:nbytes])
 
     def eof_received(self) -> bool:
         """The server will send nothing more."""
@@ -135,69 +138,69 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone."""
+        """The connection is closed."""
         reason = "the server closed the connection" if exc is None else repr(exc)
         self._end_of_stream(reason, is_clean=False)
 
     # --- reading --------------------------------------------------------------------------
 
-    def _end_of_stream(self, reason: str, is_clean: bool) -> None:
+    def _end_of_stream(self, reason: str, *, is_clean: bool) -> None:
         if self._is_closed:
             return
         reader = self._reader
-        if is_clean and reader.is_within and reader.ends_with_connection:
-            self._take_end(AnswerEnd.LAST, is_last_event=True)
+        if is_clean and reader.is_in_message and reader.ends_with_connection:
+            self._on_end(ResponseEnd.LAST, is_last_event=True)
         self._break(reason)
 
-    def _take(self, data: memoryview) -> None:
-        if self._awaits_answer and not _may_begin_answer(bytes(data[: len(ANSWER_START)])):
+    def _parse(self, data: memoryview) -> None:
+        if self._awaits_response and not _may_begin_response(bytes(data[: len(RESPONSE_START)])):
             self._break("not an answer: it begins with other bytes")
             return
-        self._awaits_answer = False
+        self._awaits_response = False
         events = self._reader.feed(data)
         last = len(events) - 1
-        for place, event in enumerate(events):
+        for index, event in enumerate(events):
             if self._request is None or self._is_closed:
                 return
             if isinstance(event, bytes):
-                if self._is_ours and self._listener is not None:
-                    self._listener.content(event)
-            elif isinstance(event, AnswerHead):
-                self._take_head(event)
-            elif isinstance(event, AnswerEnd):
-                self._take_end(event, is_last_event=place == last)
-            elif isinstance(event, Unreadable):
+                if self._is_own_response and self._listener is not None:
+                    self._listener.on_content(event)
+            elif isinstance(event, ResponseHead):
+                self._on_head(event)
+            elif isinstance(event, ResponseEnd):
+                self._on_end(event, is_last_event=index == last)
+            elif isinstance(event, UnreadableResponse):
                 self._break(event.problem)
 
-    def _take_head(self, head: AnswerHead) -> None:
+    def _on_head(self, head: ResponseHead) -> None:
         lowered = head.lowered()
         assert self._request is not None
-        self._is_ours = self._request.belongs(head.status, lowered)
+        self._is_own_response = self._request.is_own_response(head.status, lowered)
         limit = KEEP_ALIVE_TIMEOUT.search(lowered.get("keep-alive", ""))
         if limit is not None:
             self.keep_alive_s = float(limit.group(1))
-        if self._is_ours and self._listener is not None:
-            self._listener.head(head)
+        if self._is_own_response and self._listener is not None:
+            self._listener.on_head(head)
 
-    def _take_end(self, end: AnswerEnd, is_last_event: bool) -> None:
-        if not self._is_ours:
-            # An answer to another request came in the place of ours: ours may follow.
-            if end is not AnswerEnd.REUSABLE:
+    def _on_end(self, end: ResponseEnd, *, is_last_event: bool) -> None:
+        if not self._is_own_response:
+            # A late response to an earlier request came first: this request's may follow.
+            if end is not ResponseEnd.REUSABLE:
                 self._break("an answer of another request")
             return
         listener = self._listener
         self._listener = None
         self._request = None
-        self._finish_exchange(end, is_last_event)
+        self._finish_exchange(end, is_last_event=is_last_event)
         if listener is not None:
-            listener.ended()
+            listener.on_complete()
 
-    def _finish_exchange(self, end: AnswerEnd, is_last_event: bool) -> None:
-        """Rest, unless the stream ended, more than the answer came, or the request still leaves."""
+    def _finish_exchange(self, end: ResponseEnd, *, is_last_event: bool) -> None:
+        """Become idle, unless the stream ended, more bytes came, or the request is unsent."""
         is_clean = (
-            end is AnswerEnd.REUSABLE
+            end is ResponseEnd.REUSABLE
             and is_last_event
-            and not self._reader.is_within
+            and not self._reader.is_in_message
             and self._transport is not None
             and not self._transport.get_write_buffer_size()
             and not self._transport.is_closing()
@@ -205,22 +208,22 @@
         if not is_clean or self._is_closed:
             self.close()
             return
-        self.rests_since = self._clock()
-        self._on_rest(self)
+        self.idle_since = self._clock()
+        self._on_idle(self)
 
     def _break(self, reason: str) -> None:
         listener = self._listener
         self.close()
         if listener is not None:
-            listener.broken(reason)
+            listener.on_broken(reason)
 
 
-def _may_begin_answer(start: bytes) -> bool:
-    return ANSWER_START.startswith(start)
+def _may_begin_response(start: bytes) -> bool:
+    return RESPONSE_START.startswith(start)
 
 
 def _encode(request: OutgoingRequest) -> bytes | None:
-    """Return the request as it travels; None when a part of its head would end a line."""
+    """Return the request's bytes; None when a part of its head holds a line break."""
     headers = list(request.headers)
     if request.body is not None:
         headers.append(("Content-Length", str(len(request.body))))
@@ -233,7 +236,7 @@
 
 
 def set_options(connected: socket.socket) -> None:
-    """Have a peer noticed that went dark: with unread bytes soon, when silent by probes."""
+    """Detect an unreachable peer: by unacknowledged bytes, or by keep-alive probes when idle."""
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     connected.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
--- a/src/zincvale/transport/server_exchange.py
+++ b/src/zincvale/transport/server_exchange.py
@@ -1,4 +1,4 @@
-"""One request to a server and the listener of its answer."""
+"""One request to a server and the listener of its response."""
 
 from __future__ import annotations
 
@@ -18,22 +18,23 @@
     ----------
     headers : without those that frame the body.
     body : None sends no body at all.
-    belongs : whether an answer with this status and these headers (names in lower case) is this
-        request's; others are read to their end and dropped.
-    may_repeat : an idle connection may be used that the server may have forgotten.
+    is_own_response : whether a response with this status and these headers (names in lower case)
+        is this request's; others are read to their end and dropped.
+    may_repeat : the request may be sent twice, so it may use a connection that was idle for so
+        long that the server may have closed it.
     """
 
     method: str
     target: str
     headers: HeaderList
     body: bytes | None
-    belongs: Callable[[int, Mapping[str, str]], bool]
+    is_own_response: Callable[[int, Mapping[str, str]], bool]
     may_repeat: bool = False
 
 
 @attrs.frozen
-class AnswerHead:
-    """Status and headers of an answer, in the order and spelling that the server used."""
+class ResponseHead:
+    """Status and headers of a response, in the order and spelling that the server used."""
 
     status: int
     reason: str
@@ -44,25 +45,28 @@
         return {name.lower(): value for name, value in self.headers}
 
 
-class AnswerListener(Protocol):
-    """Told what becomes of an exchange, in order; after `ended` or `broken` nothing follows."""
+class ResponseListener(Protocol):
+    """Receives the events of an exchange, in order.
 
-    def not_sent(self, reason: str) -> None:
-        """No connection came up: nothing of the request left."""
+    `on_not_sent`, `on_complete` and `on_broken` are the last event of an exchange.
+    """
+
+    def on_not_sent(self, reason: str) -> None:
+        """No connection came up: nothing of the request was sent."""
         ...
 
-    def head(self, head: AnswerHead) -> None:
-        """The head of the answer."""
+    def on_head(self, head: ResponseHead) -> None:
+        """The head of the response."""
         ...
 
-    def content(self, data: bytes) -> None:
+    def on_content(self, data: bytes) -> None:
         """A part of the body."""
         ...
 
-    def ended(self) -> None:
-        """The answer is whole."""
+    def on_complete(self) -> None:
+        """The response is complete."""
         ...
 
-    def broken(self, reason: str) -> None:
-        """The exchange broke after the request had begun to leave."""
+    def on_broken(self, reason: str) -> None:
+        """The exchange broke after a part of the request may have been sent."""
         ...
--- a/tests/daemons/test_http_fetch.py
+++ b/tests/daemons/test_http_fetch.py
@@ -15,8 +15,8 @@
     HttpFetcher,
     discard_on_close,
 )
-from zincvale.transport.server_client import Exchange
-from zincvale.transport.server_exchange import AnswerHead
+from zincvale.transport.server_client import ServerExchange
+from zincvale.transport.server_exchange import ResponseHead
 
 
 class DiscardTest(TestCase):
@@ -63,14 +63,14 @@
     def start(self, address, incarnation, request, listener):
         self.requests.append((address, request))
         asyncio.get_running_loop().call_soon(self.script, listener)
-        return Exchange()
+        return ServerExchange()
 
 
 def answers(listener):
-    listener.head(AnswerHead(202, "Accepted", [("Content-Length", "4")]))
-    listener.content(b"do")
-    listener.content(b"ne")
-    listener.ended()
+    listener.on_head(ResponseHead(202, "Accepted", [("Content-Length", "4")]))
+    listener.on_content(b"do")
+    listener.on_content(b"ne")
+    listener.on_complete()
 
 
 class CallTest(TestCase):
@@ -88,12 +88,12 @@
         self.assertIn(("X-A", "b"), request.headers)
 
     def test_a_call_that_broke_off_may_have_been_handled_and_is_not_sent_again(self):
-        result = self.call(lambda listener: listener.broken("reset"))
+        result = self.call(lambda listener: listener.on_broken("reset"))
         self.assertEqual((0, True), (result.status, result.connected))
         self.assertEqual(1, len(self.client.requests))
 
     def test_without_a_connection_nothing_was_handled(self):
-        result = self.call(lambda listener: listener.not_sent("refused"))
+        result = self.call(lambda listener: listener.on_not_sent("refused"))
         self.assertEqual((0, False), (result.status, result.connected))
 
     def test_a_call_without_an_answer_is_given_up(self):
--- a/tests/dataplane/forwarding/test_service.py
+++ b/tests/dataplane/forwarding/test_service.py
@@ -22,7 +22,7 @@
 from zincvale.dataplane.forwarding.service import LATE_REQUESTS_S, LATE_STREAMS_S, ForwardingService
 from zincvale.model.forwarding import CallerLimits
 from zincvale.model.identifiers import MemberId, ZoneName
-from zincvale.transport.server_exchange import AnswerHead
+from zincvale.transport.server_exchange import ResponseHead
 
 
 class Span:
@@ -142,12 +142,12 @@
             self.assertEqual(
                 ("1", incarnation), (headers["X-Other"], headers["x-zincvale-incarnation"])
             )
-            self.assertTrue(request.belongs(200, {"x-request-id": "q1"}))
-            self.assertFalse(request.belongs(200, {"x-request-id": "q0"}))
-            self.assertFalse(request.belongs(200, {}))
-            listener.head(AnswerHead(200, "OK", [("X-Request-Id", "q1")]))
-            listener.content(b"answer")
-            listener.ended()
+            self.assertTrue(request.is_own_response(200, {"x-request-id": "q1"}))
+            self.assertFalse(request.is_own_response(200, {"x-request-id": "q0"}))
+            self.assertFalse(request.is_own_response(200, {}))
+            listener.on_head(ResponseHead(200, "OK", [("X-Request-Id", "q1")]))
+            listener.on_content(b"answer")
+            listener.on_complete()
             self.assertEqual([("open", 200), ("write", b"answer"), "end"], sink.log)
             self.assertEqual(0, node.service.active_requests)
             self.assertEqual(0, node.service.world.servers["s1"].outstanding)
@@ -158,19 +158,19 @@
         async def scenario():
             node = Node()
             _, sink = node.ask("/stream/x")
-            head = AnswerHead(
+            head = ResponseHead(
                 200, "OK", [("X-Request-Id", "q1"), ("Content-Type", "text/event-stream")]
             )
             first, _, listener, _ = node.client.sent[0]
-            listener.head(head)
-            listener.content(b"id: 1\ndata: a\n\nid: 2\nda")
-            listener.broken("reset")
+            listener.on_head(head)
+            listener.on_content(b"id: 1\ndata: a\n\nid: 2\nda")
+            listener.on_broken("reset")
             second, request, listener, _ = node.client.sent[1]
             self.assertNotEqual(first, second)
             self.assertEqual("1", dict(request.headers)["last-event-id"])
-            listener.head(head)
-            listener.content(b"id: 2\ndata: b\n\n")
-            listener.ended()
+            listener.on_head(head)
+            listener.on_content(b"id: 2\ndata: b\n\n")
+            listener.on_complete()
             written = b"".join(entry[1] for entry in sink.log if entry[0] == "write")
             self.assertEqual(b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", written)
             self.assertEqual((1, "end"), (sink.log.count(("open", 200)), sink.log[-1]))
--- a/tests/dataplane/node_harness.py
+++ b/tests/dataplane/node_harness.py
@@ -45,7 +45,7 @@
     paused: bool = False
 
     def connect(self):
-        if not self.request.may_leave():
+        if not self.request.may_send():
             self.fail("not allowed to leave")
             return
         self.sent = True
--- a/tests/dataplane/test_curl_client.py
+++ b/tests/dataplane/test_curl_client.py
@@ -191,8 +191,8 @@
 
     def test_a_request_that_may_not_leave_any_more_is_not_sent(self):
         async def scenario(client, script):
-            for may_leave in (True, False):
-                request = attrs.evolve(request_to("/a"), may_leave=lambda may=may_leave: may)
+            for may_send in (True, False):
+                request = attrs.evolve(request_to("/a"), may_send=lambda may=may_send: may)
                 listener = Listener()
                 client.start(request, listener)
                 await listener.ended
--- a/tests/simulator/test_forwarding_model.py
+++ b/tests/simulator/test_forwarding_model.py
@@ -32,7 +32,7 @@
 
 
 def _closes_broken_answers_whole():
-    return mock.patch.object(ForwardedRequest, "broken", lambda self, reason: self.ended())
+    return mock.patch.object(ForwardedRequest, "on_broken", lambda self, reason: self.on_complete())
 
 
 def _resumes_from_the_start():
@@ -46,10 +46,10 @@
 
 
 def _passes_unfinished_events_on():
-    def content(self, data):
+    def on_content(self, data):
         self._feed(ContentReceived(data))
 
-    return mock.patch.object(ForwardedRequest, "content", content)
+    return mock.patch.object(ForwardedRequest, "on_content", on_content)
 
 
 def _never_spends_the_budget():
--- a/tests/transport/test_peer_client.py
+++ b/tests/transport/test_peer_client.py
@@ -9,8 +9,8 @@
 from zincvale.transport.codec import Batch, decode_batch, encode_batch
 from zincvale.transport.peer import PeerCallError, PeerUnreachableError
 from zincvale.transport.peer_client import PeerClient, PeerIdentity
-from zincvale.transport.server_client import Exchange
-from zincvale.transport.server_exchange import AnswerHead
+from zincvale.transport.server_client import ServerExchange
+from zincvale.transport.server_exchange import ResponseHead
 
 ASKED = LeaseRedirect([], "asked")
 REPLY = LeaseRedirect([], "reply")
@@ -25,15 +25,15 @@
 
     def start(self, address, incarnation, request, listener):
         self.requests.append(request)
-        exchange = Exchange()
+        exchange = ServerExchange()
         answer = self.script.pop(0) if self.script else nothing
         asyncio.get_running_loop().call_soon(answer, exchange, listener)
         return exchange
 
 
 def nothing(exchange, listener):
-    listener.head(AnswerHead(204, "No Content", []))
-    listener.ended()
+    listener.on_head(ResponseHead(204, "No Content", []))
+    listener.on_complete()
 
 
 def reset(on_reused):
@@ -41,7 +41,7 @@
 
     def end(exchange, listener):
         exchange.reused = on_reused
-        listener.broken("reset")
+        listener.on_broken("reset")
 
     return end
 
@@ -50,9 +50,9 @@
     """Return an answer."""
 
     def answer(exchange, listener):
-        listener.head(AnswerHead(status, "", list(headers)))
-        listener.content(body)
-        listener.ended()
+        listener.on_head(ResponseHead(status, "", list(headers)))
+        listener.on_content(body)
+        listener.on_complete()
 
     return answer
 
@@ -115,7 +115,7 @@
         self.assertEqual(1, len(self.connections.requests))
 
     def test_a_member_without_a_connection_or_an_address_was_not_reached(self):
-        peers = self.peers(lambda exchange, listener: listener.not_sent("refused"))
+        peers = self.peers(lambda exchange, listener: listener.on_not_sent("refused"))
         self.assertRaises(PeerUnreachableError, asyncio.run, peers.call("core-1", ASKED, 1.0))
         peers = self.peers(resolve=lambda member: None)
         self.assertRaises(PeerUnreachableError, asyncio.run, peers.call("core-1", ASKED, 1.0))
--- a/tests/transport/test_server_connection.py
+++ b/tests/transport/test_server_connection.py
@@ -22,19 +22,19 @@
         self.log = []
         self.over = asyncio.get_running_loop().create_future()
 
-    def not_sent(self, reason):
+    def on_not_sent(self, reason):
         self._end("not-sent")
 
-    def head(self, head):
+    def on_head(self, head):
         self.log.append(head.status)
 
-    def content(self, data):
+    def on_content(self, data):
         self.log.append(data)
 
-    def ended(self):
+    def on_complete(self):
         self._end("ended")
 
-    def broken(self, reason):
+    def on_broken(self, reason):
         self._end("broken")
 
     def _end(self, word):
