--- a/tests/transport/test_peer_client.py
+++ b/tests/transport/test_peer_client.py
@@ -17,7 +17,7 @@
 
 
 class Connections:
-    """Keeps the requests; each meets the next answer of the script, then an empty one."""
+    """Records the requests; each gets the next response of the script, then an empty one."""
 
     def __init__(self, *script):
         self.requests = []
@@ -26,8 +26,8 @@
     def start(self, address, incarnation, request, listener):
         self.requests.append(request)
         exchange = ServerExchange()
-        answer = self.script.pop(0) if self.script else nothing
-        asyncio.get_running_loop().call_soon(answer, exchange, listener)
+        response = self.script.pop(0) if self.script else nothing
+        asyncio.get_running_loop().call_soon(response, exchange, listener)
         return exchange
 
 
@@ -37,7 +37,7 @@
 
 
 def reset(on_reused):
-    """Return an end of the connection before any answer."""
+    """Return an end of the connection before any response."""
 
     def end(exchange, listener):
         exchange.reused = on_reused
@@ -47,14 +47,14 @@
 
 
 def says(body, status=200, headers=()):
-    """Return an answer."""
+    """Return a response."""
 
-    def answer(exchange, listener):
+    def response(exchange, listener):
         listener.on_head(ResponseHead(status, "", list(headers)))
         listener.on_content(body)
         listener.on_complete()
 
-    return answer
+    return response
 
 
 def batch_of(message):
@@ -85,21 +85,21 @@
 
 
 class ExchangeTest(PeerTest):
-    def test_the_answer_to_a_call_is_its_reply(self):
+    def test_the_response_to_a_call_is_its_reply(self):
         peers = self.peers(says(batch_of(REPLY)))
         self.assertEqual(REPLY, asyncio.run(peers.call("core-1", ASKED, 1.0)))
         (request,) = self.connections.requests
         self.assertEqual(("POST", "/peer/call"), (request.method, request.target))
 
-    def test_a_compressed_answer_is_expanded(self):
+    def test_a_compressed_response_is_expanded(self):
         coding = [("Content-Encoding", "gzip")]
         peers = self.peers(says(gzip.compress(batch_of(REPLY)), headers=coding))
         self.assertEqual(REPLY, asyncio.run(peers.call("core-1", ASKED, 1.0)))
 
     def test_what_cannot_be_read_fails_the_call(self):
         coding = [("Content-Encoding", "gzip")]
-        for answer in (says(b"abc"), says(b"abc", headers=coding), says(b"", status=503)):
-            peers = self.peers(answer)
+        for response in (says(b"abc"), says(b"abc", headers=coding), says(b"", status=503)):
+            peers = self.peers(response)
             self.assertRaises(PeerCallError, asyncio.run, peers.call("core-1", ASKED, 1.0))
 
     def test_a_call_on_a_connection_that_had_ended_is_sent_once_more(self):
@@ -124,7 +124,7 @@
         peers = self.peers(lambda exchange, listener: None)
         self.assertRaises(PeerCallError, asyncio.run, peers.call("core-1", ASKED, 0.0))
 
-    def test_messages_that_come_back_are_handed_on_and_link_states_told_once(self):
+    def test_messages_that_come_back_are_delivered_and_link_states_are_reported_once(self):
         peers = self.peers(says(batch_of(REPLY)), reset(False), reset(False), nothing)
         for _ in range(4):
             self.send(peers, ASKED)
--- a/tests/transport/test_peer_server.py
+++ b/tests/transport/test_peer_server.py
@@ -22,7 +22,7 @@
     """What the library hands to the receiver of a request."""
 
     def __init__(self, is_closed=False):
-        self.answers = []
+        self.responses = []
         self.is_closed = is_closed
         self.is_finished = False
         self.close_callback = None
@@ -33,7 +33,7 @@
     def write_headers(self, line, headers, body):
         if self.is_closed:
             raise StreamClosedError
-        self.answers.append((line.code, dict(headers.get_all()), body))
+        self.responses.append((line.code, dict(headers.get_all()), body))
         future = Future()
         future.set_result(None)
         return future
@@ -43,7 +43,7 @@
 
 
 class Endpoint:
-    """Takes messages and calls; answers messages with `replies`."""
+    """Receives messages and calls; responds to messages with `replies`."""
 
     def __init__(self):
         self.replies = []
@@ -61,7 +61,7 @@
 
 
 class PeerServerTest(TestCase):
-    """Whole requests in, whole answers out."""
+    """Complete requests in, complete responses out."""
 
     def setUp(self):
         super().setUp()
@@ -93,50 +93,52 @@
     def test_messages_are_handed_over_in_order(self):
         connection = self.ask("/peer/messages", self.batch(MESSAGE, MESSAGE))
         self.assertEqual([("node-1", [MESSAGE, MESSAGE])], self.endpoint.taken)
-        self.assertEqual([(204, {}, b"")], connection.answers)
+        self.assertEqual([(204, {}, b"")], connection.responses)
         self.assertTrue(connection.is_finished)
 
-    def test_what_handling_sent_back_rides_on_the_answer(self):
+    def test_what_handling_sent_back_is_in_the_response(self):
         self.endpoint.replies = [MESSAGE]
-        ((status, headers, body),) = self.ask("/peer/messages", self.batch(MESSAGE)).answers
+        ((status, headers, body),) = self.ask("/peer/messages", self.batch(MESSAGE)).responses
         self.assertEqual(200, status)
         self.assertEqual(str(len(body)), headers["Content-Length"])
         self.assertEqual([MESSAGE], decode_batch(body).messages)
 
-    def test_a_call_is_answered_when_its_reply_comes(self):
+    def test_a_call_is_responded_to_when_its_reply_comes(self):
         connection = self.ask("/peer/call", self.batch(MESSAGE))
         ((_, token, _),) = self.endpoint.taken
-        self.assertEqual([], connection.answers)
+        self.assertEqual([], connection.responses)
         self.assertTrue(self.server.reply(token, MESSAGE))
         self.run_loop()
-        ((status, _, body),) = connection.answers
+        ((status, _, body),) = connection.responses
         self.assertEqual((200, [MESSAGE]), (status, decode_batch(body).messages))
 
-    def test_a_large_answer_is_compressed_once_for_all_that_take_it(self):
+    def test_a_large_response_is_compressed_once_for_all_that_accept_it(self):
         self.endpoint.replies = [LeaseRedirect([], "text " * 4_000)]
         for _ in range(2):
             ((_, headers, body),) = self.ask(
                 "/peer/messages", self.batch(MESSAGE), accepted=GZIP
-            ).answers
+            ).responses
             self.assertEqual("gzip", headers["Content-Encoding"])
             self.assertEqual(str(len(body)), headers["Content-Length"])
             self.assertLess(len(body), 1_000)
             self.assertEqual(self.endpoint.replies, decode_batch(gzip.decompress(body)).messages)
         self.assertEqual(1, len(self.server.compressor))
 
-    def test_a_large_answer_stays_as_it_is_for_others_and_a_small_one_for_all(self):
+    def test_a_large_response_stays_as_it_is_for_others_and_a_small_one_for_all(self):
         self.endpoint.replies = [LeaseRedirect([], "text " * 4_000)]
-        ((_, headers, _),) = self.ask("/peer/messages", self.batch(MESSAGE)).answers
+        ((_, headers, _),) = self.ask("/peer/messages", self.batch(MESSAGE)).responses
         self.assertNotIn("Content-Encoding", headers)
         self.endpoint.replies = [MESSAGE]
-        ((_, headers, _),) = self.ask("/peer/messages", self.batch(MESSAGE), accepted=GZIP).answers
+        ((_, headers, _),) = self.ask(
+            "/peer/messages", self.batch(MESSAGE), accepted=GZIP
+        ).responses
         self.assertNotIn("Content-Encoding", headers)
 
     def test_a_call_without_a_reply_is_unavailable(self):
         connection = self.ask("/peer/call", self.batch(MESSAGE))
         self.server.reply(self.endpoint.taken[0][1], None)
         self.run_loop()
-        self.assertEqual(503, connection.answers[0][0])
+        self.assertEqual(503, connection.responses[0][0])
 
     def test_a_caller_that_goes_away_abandons_its_call_once(self):
         connection = self.ask("/peer/call", self.batch(MESSAGE))
@@ -146,20 +148,20 @@
         self.assertEqual([("abandoned", token)], self.endpoint.taken[1:])
         self.assertFalse(self.server.reply(token, MESSAGE))
 
-    def test_an_answer_to_a_closed_connection_is_dropped(self):
+    def test_a_response_to_a_closed_connection_is_dropped(self):
         connection = self.ask("/peer/messages", self.batch(MESSAGE), connection=Connection(True))
         self.assertFalse(connection.is_finished)
 
     def test_a_call_carries_one_message(self):
-        self.assertEqual(400, self.ask("/peer/call", self.batch()).answers[0][0])
+        self.assertEqual(400, self.ask("/peer/call", self.batch()).responses[0][0])
 
     def test_unknown_paths_and_methods_are_not_found(self):
         for method, path in (("POST", "/other"), ("GET", "/peer/call")):
-            self.assertEqual(404, self.ask(path, b"", method).answers[0][0])
+            self.assertEqual(404, self.ask(path, b"", method).responses[0][0])
 
     def test_an_unreadable_batch_or_another_cluster_is_refused_with_a_remedy(self):
         for body in (b"\xff\xff", self.batch(MESSAGE, cluster="other")):
-            ((status, headers, content),) = self.ask("/peer/messages", body).answers
+            ((status, headers, content),) = self.ask("/peer/messages", body).responses
             self.assertGreaterEqual(status, 400)
             self.assertEqual("application/json", headers["Content-Type"])
             self.assertTrue(json.loads(content)["remedy"])
--- a/tests/transport/test_server_connection.py
+++ b/tests/transport/test_server_connection.py
@@ -16,7 +16,7 @@
 
 
 class Listener:
-    """Keeps what it is told, and wakes whoever waits for the end."""
+    """Records its events, and resolves `over` at the end."""
 
     def __init__(self):
         self.log = []
@@ -52,8 +52,8 @@
     def __init__(self):
         self.near, self.far = socket.socketpair()
         self.far.setblocking(False)
-        self.rested, self.closed = [], []
-        self.connection = ServerConnection(lambda: 0.0, self.rested.append, self.closed.append)
+        self.idle, self.closed = [], []
+        self.connection = ServerConnection(lambda: 0.0, self.idle.append, self.closed.append)
 
     @classmethod
     async def open(cls):
@@ -64,13 +64,13 @@
 
     def send(self, body=b"{}", method="POST", headers=(("Host", "a"),)):
         request = OutgoingRequest(
-            method, "/x", list(headers), body, lambda status, answer: answer.get("rid") == "q1"
+            method, "/x", list(headers), body, lambda status, headers: headers.get("rid") == "q1"
         )
         listener = Listener()
         self.was_sent = self.connection.send(request, listener)
         return listener
 
-    async def answer(self, *parts):
+    async def respond(self, *parts):
         for part in parts:
             await asyncio.get_running_loop().sock_sendall(self.far, part)
 
@@ -85,7 +85,7 @@
 async def outcome(wire, *parts, close=False):
     listener = wire.send()
     await wire.read()
-    await wire.answer(*parts)
+    await wire.respond(*parts)
     if close:
         wire.far.close()
     await asyncio.wait_for(listener.over, LIMIT_S)
@@ -96,13 +96,13 @@
     def run_async(self, scenario):
         asyncio.run(scenario())
 
-    def test_an_answer_is_read_and_the_connection_rests(self):
+    def test_a_response_is_read_and_the_connection_becomes_idle(self):
         async def scenario():
             wire = await Wire.open()
             for _ in range(3):
                 listener = await outcome(wire, OURS[:20], OURS[20:50], OURS[50:])
-                self.assertEqual((200, b"ours", "ended"), _told(listener))
-            self.assertEqual(3, len(wire.rested))
+                self.assertEqual((200, b"ours", "ended"), _events_of(listener))
+            self.assertEqual(3, len(wire.idle))
 
         self.run_async(scenario)
 
@@ -119,28 +119,28 @@
 
         self.run_async(scenario)
 
-    def test_an_answer_of_another_request_in_our_place_is_passed_over(self):
+    def test_a_response_to_another_request_in_our_place_is_ignored(self):
         async def scenario():
             for parts in ((THEIRS, OURS), (THEIRS + OURS,), (THEIRS + THEIRS + OURS,)):
                 listener = await outcome(await Wire.open(), *parts)
-                self.assertEqual((200, b"ours", "ended"), _told(listener))
+                self.assertEqual((200, b"ours", "ended"), _events_of(listener))
 
         self.run_async(scenario)
 
-    def test_bytes_behind_our_answer_end_the_connection(self):
+    def test_bytes_behind_our_response_end_the_connection(self):
         async def scenario():
             wire = await Wire.open()
             listener = await outcome(wire, OURS + THEIRS)
             self.assertEqual(b"ours", listener.body)
-            self.assertEqual(([], 1), (wire.rested, len(wire.closed)))
+            self.assertEqual(([], 1), (wire.idle, len(wire.closed)))
 
         self.run_async(scenario)
 
-    def test_bytes_that_arrive_at_rest_end_the_connection(self):
+    def test_bytes_that_arrive_while_idle_end_the_connection(self):
         async def scenario():
             wire = await Wire.open()
             await outcome(wire, OURS)
-            await wire.answer(THEIRS)
+            await wire.respond(THEIRS)
             await wire.until_closed()
             self.assertFalse(wire.connection.is_open)
             wire.send()
@@ -148,7 +148,7 @@
 
         self.run_async(scenario)
 
-    def test_a_server_that_closes_at_rest_is_noticed(self):
+    def test_a_server_that_closes_while_idle_is_noticed(self):
         async def scenario():
             wire = await Wire.open()
             await outcome(wire, OURS)
@@ -159,16 +159,16 @@
 
         self.run_async(scenario)
 
-    def test_an_answer_without_a_length_ends_with_its_connection(self):
+    def test_a_response_without_a_length_ends_with_its_connection(self):
         async def scenario():
             wire = await Wire.open()
             listener = await outcome(wire, b"HTTP/1.1 200 OK\r\nrid: q1\r\n\r\nall", close=True)
-            self.assertEqual((200, b"all", "ended"), _told(listener))
-            self.assertEqual([], wire.rested)
+            self.assertEqual((200, b"all", "ended"), _events_of(listener))
+            self.assertEqual([], wire.idle)
 
         self.run_async(scenario)
 
-    def test_what_breaks_off_is_never_whole(self):
+    def test_what_breaks_off_is_never_complete(self):
         async def scenario():
             for parts in (
                 (),
@@ -183,7 +183,7 @@
 
         self.run_async(scenario)
 
-    def test_what_is_no_answer_breaks_the_exchange(self):
+    def test_what_is_no_response_breaks_the_exchange(self):
         async def scenario():
             for garbage in (b"\x00\x01\x02\r\n\r\n", b"HTTP/1.1 abc\r\n\r\n", b"SSH-2.0\r\n"):
                 wire = await Wire.open()
@@ -193,12 +193,12 @@
 
         self.run_async(scenario)
 
-    def test_an_answer_that_comes_before_the_request_was_taken_ends_the_connection(self):
+    def test_a_response_that_comes_before_the_request_was_taken_ends_the_connection(self):
         async def scenario():
             wire = await Wire.open()
             listener = wire.send(b"x" * 5_000_000)
             await wire.read(100)
-            await wire.answer(b"HTTP/1.1 503 Full\r\nrid: q1\r\nContent-Length: 0\r\n\r\n")
+            await wire.respond(b"HTTP/1.1 503 Full\r\nrid: q1\r\nContent-Length: 0\r\n\r\n")
             await asyncio.wait_for(listener.over, LIMIT_S)
             self.assertEqual(503, listener.log[0])
             self.assertFalse(wire.connection.is_open)
@@ -209,7 +209,7 @@
         async def scenario():
             wire = await Wire.open()
             await outcome(wire, OURS.replace(b"rid", b"Connection: close\r\nrid"))
-            self.assertEqual(([], False), (wire.rested, wire.connection.is_open))
+            self.assertEqual(([], False), (wire.idle, wire.connection.is_open))
 
         self.run_async(scenario)
 
@@ -224,22 +224,22 @@
 
         self.run_async(scenario)
 
-    def test_an_interim_answer_is_passed_over(self):
+    def test_an_interim_response_is_ignored(self):
         async def scenario():
             listener = await outcome(await Wire.open(), b"HTTP/1.1 100 Continue\r\n\r\n" + OURS)
-            self.assertEqual((200, b"ours", "ended"), _told(listener))
+            self.assertEqual((200, b"ours", "ended"), _events_of(listener))
 
         self.run_async(scenario)
 
-    def test_an_answer_to_a_question_for_the_head_has_no_body(self):
+    def test_a_response_to_a_head_request_has_no_body(self):
         async def scenario():
             wire = await Wire.open()
             listener = wire.send(None, method="HEAD")
             await wire.read()
-            await wire.answer(OURS[: -len(b"ours")])
+            await wire.respond(OURS[: -len(b"ours")])
             await asyncio.wait_for(listener.over, LIMIT_S)
             self.assertEqual([200, "ended"], listener.log)
-            self.assertEqual(([], False), (wire.rested, wire.connection.is_open))
+            self.assertEqual(([], False), (wire.idle, wire.connection.is_open))
 
         self.run_async(scenario)
 
@@ -250,12 +250,12 @@
             for cut in range(1, len(whole)):
                 wire = await Wire.open()
                 listener = await outcome(wire, whole[:cut], whole[cut:])
-                self.assertEqual((200, b"abcde", "ended"), _told(listener), cut)
-                self.assertEqual(1, len(wire.rested), cut)
+                self.assertEqual((200, b"abcde", "ended"), _events_of(listener), cut)
+                self.assertEqual(1, len(wire.idle), cut)
 
         self.run_async(scenario)
 
-    def test_two_lengths_are_no_answer(self):
+    def test_two_lengths_are_no_response(self):
         async def scenario():
             for framing in (
                 b"Content-Length: 4\r\nContent-Length: 5",
@@ -283,11 +283,11 @@
             wire = await Wire.open()
             listener = wire.send()
             await wire.read()
-            await wire.answer(b"HTTP/1.1 200 OK\r\nrid: q1\r\nContent-Length: 6\r\n\r\nabc")
+            await wire.respond(b"HTTP/1.1 200 OK\r\nrid: q1\r\nContent-Length: 6\r\n\r\nabc")
             while not listener.body:
                 await asyncio.sleep(0)
             wire.connection.pause()
-            await wire.answer(b"def")
+            await wire.respond(b"def")
             for _ in range(20):
                 await asyncio.sleep(0)
             self.assertEqual(b"abc", listener.body)
@@ -298,5 +298,5 @@
         self.run_async(scenario)
 
 
-def _told(listener):
+def _events_of(listener):
     return listener.log[0], listener.body, listener.log[-1]
