--- a/src/zincvale/dataplane/inference/request_record.py
+++ b/src/zincvale/dataplane/inference/request_record.py
@@ -4,7 +4,15 @@
 
 import attrs
 
-from zincvale.dataplane.inference.dependencies import Span, Spans
+from zincvale.dataplane.inference.dependencies import (
+    ClaimDecision,
+    ClaimGranted,
+    ClaimRefused,
+    OutcomePending,
+    RecordedOutcome,
+    Span,
+    Spans,
+)
 from zincvale.dataplane.inference.events import (
     ClaimDecided,
     Input,
@@ -19,6 +27,13 @@
 from zincvale.model.view import ServerRow
 
 MS_PER_S = 1000.0
+CLAIM_DECISION_TEXTS: dict[type[ClaimDecision], str] = {
+    ClaimGranted: "ClaimGranted",
+    ClaimRefused: "ClaimRefused",
+    RecordedOutcome: "RecordedOutcome",
+    OutcomePending: "OutcomePending",
+}
+"""How traces name a claim's decision; stored traces and `tracing.api.explain` hold these texts."""
 FAILED_ENDS = frozenset({ExchangeEnd.NOT_CONNECTED, ExchangeEnd.FAILED, ExchangeEnd.TIMED_OUT})
 
 
@@ -69,7 +84,7 @@
         """Keep what outsiders said, as far as it explains the request's way."""
         match event:
             case ClaimDecided(decision):
-                self.root.event("claim", decision=type(decision).__name__)
+                self.root.event("claim", decision=CLAIM_DECISION_TEXTS[type(decision)])
             case ServerRefused(_, error):
                 self._failed_attempt(f"refused: {error}", error=False)
             case ServerFailed(reason, sent):
