--- a/src/zincvale/coordination/core/components.py
+++ b/src/zincvale/coordination/core/components.py
@@ -29,8 +29,8 @@
 from zincvale.coordination.registers.cluster_creation import ClusterCreation
 from zincvale.coordination.registers.owner import RegisterOwner
 from zincvale.coordination.registers.ownership import Ownership
-from zincvale.coordination.registers.proposals import Proposals
-from zincvale.coordination.registers.repair import Repair
+from zincvale.coordination.registers.proposal_router import ProposalRouter
+from zincvale.coordination.registers.value_repair import ValueRepair
 from zincvale.coordination.replication.replica_manager import ReplicaSetReconciler
 from zincvale.coordination.replication.replica_set_changes import reduce_replica_sets
 from zincvale.coordination.replication.replica_sets import (
@@ -55,17 +55,17 @@
             for key, reducer in _all_reducers(context, reducers).items()
         }
         for key, owner in self.owners.items():
-            owner.note_epoch(context.replica.state(key).promised)
+            owner.observe_epoch(context.replica.state(key).promised)
         self.values = ChosenValues(context, self._on_chosen)
         self.creation = ClusterCreation(context, list(self.owners))
-        self.creation.note_written()
+        self.creation.follow_accepted_replica_sets()
         self.leases = MemberLeases(context)
         self.home = LeaseRenewalBatcher(context)
         self.manager = ReplicaSetReconciler(context, self.owners)
         self.catch_up_tracker = CatchUpTracker(context, self.owners)
         self.ownership = Ownership(context, self.owners)
-        self.proposals = Proposals(context, self.owners, self.ownership, self._on_internal)
-        self.repair = Repair(context, self.owners)
+        self.proposals = ProposalRouter(context, self.owners, self.ownership, self._on_internal)
+        self.repair = ValueRepair(context, self.owners)
         self.roles = LeaderElection(context, self.ownership.owner_of, self.repair.may_take_role)
         self.delivery = LongPollServer(timings, context.values, context.members, context.topics)
         self.topics = CoreTopics(context, self.delivery)
--- a/src/zincvale/coordination/core/context.py
+++ b/src/zincvale/coordination/core/context.py
@@ -46,8 +46,8 @@
 
     leaving: bool = False
     """The process was asked to stop."""
-    listens_until: float = 0.0
-    """Until when a restarted core only listens to what nodes hold."""
+    grants_blocked_until: float = 0.0
+    """Until when a restarted core grants no lease: it first hears what nodes store."""
 
     @property
     def own_id(self) -> MemberId:
--- a/src/zincvale/coordination/core/dispatch.py
+++ b/src/zincvale/coordination/core/dispatch.py
@@ -61,7 +61,7 @@
         case ProposeChange():
             return parts.proposals.propose(token, message, now)
         case ForwardChange():
-            return parts.proposals.take_forwarded(token, message, now)
+            return parts.proposals.handle_forwarded(token, message, now)
         case Poll():
             return parts.delivery.poll(token, message, now)
         case PublishTopic():
@@ -165,16 +165,16 @@
         # The sender does not know this process yet, or not that it was heard: keys are taken and
         # roles granted by what all say of each other, so it need not wait for the next status.
         parts.statuses.send_soon(now)
-    parts.creation.note_existing(status.cluster_incarnation)
-    effects = parts.ownership.handle_status(sender, status, now)
-    effects.extend(parts.values.handle_status(sender, status, now))
+    parts.creation.record_existing_cluster(status.cluster_incarnation)
+    effects = parts.ownership.handle_heartbeat(sender, status, now)
+    effects.extend(parts.values.handle_heartbeat(sender, status, now))
     effects.extend(parts.topics.handle_status(sender, status))
     return effects
 
 
 def _renew(parts: CoreComponents, renewal: RenewLease, now: float) -> LeaseGranted | LeaseRedirect:
-    parts.creation.note_existing(renewal.cluster_incarnation)
-    parts.repair.note(MemberId(renewal.info.member), renewal)
+    parts.creation.record_existing_cluster(renewal.cluster_incarnation)
+    parts.repair.record_renewal(MemberId(renewal.info.member), renewal)
     return parts.leases.handle_renew(renewal, parts.repair.required(), now)
 
 
--- a/src/zincvale/coordination/core/machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -28,7 +28,7 @@
 from zincvale.coordination.core.tick import drain_effects, run_tick
 from zincvale.coordination.membership.member_codec import MemberTableDecoder
 from zincvale.coordination.membership.peer_table import PeerTable
-from zincvale.coordination.registers.proposals import FORWARD_PREFIX
+from zincvale.coordination.registers.proposal_router import FORWARD_PREFIX
 from zincvale.coordination.registers.recovered_state import RecoveredState
 from zincvale.coordination.registers.replica import RegisterReplica
 from zincvale.coordination.replication.replica_sets import ReplicaSets
@@ -83,7 +83,7 @@
         self._parts = CoreComponents(self._context, reducers)
         self._members = MemberTableDecoder()
         if recovered.keys:
-            self._context.listens_until = now + config.timings.lease_ttl_s
+            self._context.grants_blocked_until = now + config.timings.lease_ttl_s
 
     # --- inputs ---------------------------------------------------------------------------
 
@@ -116,7 +116,7 @@
                 return parts.proposals.handle_forward_reply(token, None, now)
             case WriteCompleted(token, error):
                 effects = self._context.replica.handle_written(token, error, now)
-                parts.creation.note_written()
+                parts.creation.follow_accepted_replica_sets()
                 return effects
             case ShutdownRequested():
                 return self._leave(now)
--- a/src/zincvale/coordination/core/tick.py
+++ b/src/zincvale/coordination/core/tick.py
@@ -8,8 +8,8 @@
 from zincvale.coordination.delivery.rollout import Waiter
 from zincvale.coordination.registers.change_messages import IN_FORCE, ChangeResult
 from zincvale.coordination.registers.messages import Chosen
-from zincvale.coordination.registers.owner import NewlyChosen, Phase, RegisterOwner
-from zincvale.coordination.registers.ownership_proof import Evaluated
+from zincvale.coordination.registers.owner import NewlyChosen, OwnerPhase, RegisterOwner
+from zincvale.coordination.registers.ownership_proof import RejectedProposal
 from zincvale.coordination.replication.replica_sets import (
     DELIVERED_KEYS,
     REGISTRY_KEY,
@@ -35,10 +35,10 @@
     for key, owner in parts.owners.items():
         if owner.outcomes:
             effects.extend(_carry_outcomes(parts, key, owner, now))
-        if owner.phase is Phase.FOLLOWING:
-            tokens = owner.abandon_queue()
+        if owner.phase is OwnerPhase.FOLLOWING:
+            tokens = owner.take_abandoned_tokens()
             if tokens:
-                effects.extend(parts.proposals.release(tokens, now))
+                effects.extend(parts.proposals.reroute(tokens, now))
     effects.extend(parts.delivery.answer_if_due(now))
     effects.extend(parts.home.pass_on_if_due(now))
     for key in DELIVERED_KEYS:
@@ -56,7 +56,7 @@
     outcomes, owner.outcomes = owner.outcomes, []
     for outcome in outcomes:
         match outcome:
-            case Evaluated(token, result):
+            case RejectedProposal(token, result):
                 effects.extend(parts.proposals.finish(token, result, now))
             case NewlyChosen():
                 effects.extend(_carry_chosen(parts, key, outcome, now))
@@ -103,7 +103,7 @@
 
 
 def _repair(parts: CoreComponents, now: float) -> list[Effect]:
-    parts.repair.end_listening(now)
+    parts.repair.end_grant_block_if_complete(now)
     return parts.repair.tick(now)
 
 
@@ -128,14 +128,14 @@
 
 
 def _keep_registry(parts: CoreComponents, now: float) -> list[Effect]:
-    if not parts.owners[REGISTRY_KEY].serving():
+    if not parts.owners[REGISTRY_KEY].is_serving():
         return []
     change = parts.leases.registry_change(now)
     return _propose_own(parts, REGISTRY_KEY, change, now)
 
 
 def _keep_replicas(parts: CoreComponents, now: float) -> list[Effect]:
-    if not parts.owners[REPLICA_SETS_KEY].serving():
+    if not parts.owners[REPLICA_SETS_KEY].is_serving():
         return []
     change = parts.manager.next_change(now)
     return _propose_own(parts, REPLICA_SETS_KEY, change, now)
--- a/src/zincvale/coordination/leases/catch_up.py
+++ b/src/zincvale/coordination/leases/catch_up.py
@@ -50,7 +50,7 @@
     """Return where this core stands with `key`."""
     state = context.replica.state(key)
     owner = owners.get(key)
-    serving = owner is not None and owner.serving()
+    serving = owner is not None and owner.is_serving()
     return KeyStatus(
         key=key,
         promised=state.promised,
--- a/src/zincvale/coordination/leases/core_leases.py
+++ b/src/zincvale/coordination/leases/core_leases.py
@@ -33,7 +33,7 @@
         """Grant a lease, or say why not; a lease that starts anew needs the `newest` versions."""
         context = self._context
         context.cores.note_address(renewal.info)
-        if not self.caught_up or not context.is_voter() or now < context.listens_until:
+        if not self.caught_up or not context.is_voter() or now < context.grants_blocked_until:
             return LeaseRedirect(self.core_infos(), "this core cannot grant yet")
         is_informed = renewal.config_version == context.sets.version
         return LeaseGranted(
--- a/src/zincvale/coordination/registers/change_messages.py
+++ b/src/zincvale/coordination/registers/change_messages.py
@@ -21,7 +21,7 @@
 @peer_message("replica.replace")
 @attrs.frozen
 class ReplaceReplica:
-    """Replace the replica on core `remove` by one on core `add`; answered by `ChangeResult`."""
+    """Replace the replica on core `remove` by one on core `add`; responds `ChangeResult`."""
 
     remove: str
     add: str
@@ -30,7 +30,7 @@
 @peer_message("change.forward")
 @attrs.frozen
 class ForwardChange:
-    """A change handed by another core to the owner it believes in."""
+    """A change that another core forwards to the core that it takes for the owner."""
 
     proposal: ProposeChange
     limit_s: float
@@ -39,7 +39,7 @@
 @peer_message("change.result")
 @attrs.frozen
 class ChangeResult:
-    """Answer to a change: `in-force`, `conflict`, `invalid` or `not-confirmed`."""
+    """Result of a change; `status` is one of the constants below."""
 
     status: str
     version: int = 0
@@ -49,15 +49,12 @@
 
 
 IN_FORCE = "in-force"
-
-
+"""The change is chosen and, for a delivered key, applied wherever it must be."""
 CONFLICT = "conflict"
-
-
+"""Another change won on the version that this one was built on."""
 INVALID = "invalid"
-
-
+"""The change cannot be applied to the current value."""
 NOT_CONFIRMED = "not-confirmed"
-
-
+"""The time is over and the outcome unknown: resend under the same idempotency key."""
 NOT_OWNER = "not-owner"
+"""To forwarding cores only: the sender does not own the key."""
--- a/src/zincvale/coordination/registers/chosen_values.py
+++ b/src/zincvale/coordination/registers/chosen_values.py
@@ -1,4 +1,4 @@
-"""Chosen values at a core: learned from own accepted records, from owners, or fetched."""
+"""The learner: chosen values at a core, from own accepted records, from owners, or fetched."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 from zincvale.model.machine import Effect, Send
 
 FETCH_INTERVAL_S = 0.2
+"""Between two fetches of one key; shorter, every heartbeat of every core starts one."""
 
 
 class ChosenValues:
-    """Keeps the chosen value of every key that this core knows.
+    """Maintains the newest chosen value known here of every key.
 
     Parameters
     ----------
@@ -31,22 +32,22 @@
         self._fetched_at: dict[str, float] = {}
 
     def choose(self, key: str, version: int, rows: Rows, now: float) -> None:
-        """Take a value that is known to be chosen; older ones change nothing."""
+        """Store a value that is known to be chosen; older ones change nothing."""
         table = self._context.values.setdefault(key, VersionedTable())
         if version <= table.version:
             return
         table.replace(version, rows)
-        self._learned(key, table, now)
+        self._on_newer_value(key, table, now)
 
     def handle_accept(self, accept: Accept, now: float) -> None:
-        """An owner that goes on from our accepted record says that the record was chosen."""
+        """Learn from an owner's next proposal that the record accepted here was chosen."""
         record = self._context.replica.state(accept.key).record
         same_epoch = record.position.epoch == accept.epoch
         if same_epoch and record.position.version <= accept.chosen_version:
             self.choose(accept.key, record.position.version, record.rows, now)
 
     def handle_chosen(self, sender: MemberId, chosen: Chosen, now: float) -> list[Effect]:
-        """Take the accepted record if it is the chosen one, else fetch."""
+        """Store the accepted record if it is the chosen one, else fetch."""
         record = self._context.replica.state(chosen.key).record
         if record.position == chosen.position:
             self.choose(chosen.key, record.position.version, record.rows, now)
@@ -54,22 +55,22 @@
         return self._fetch(sender, chosen.key, chosen.position.version, now)
 
     def handle_fetch(self, sender: MemberId, fetch: FetchValue) -> list[Effect]:
-        """Send what is newer than the asker's version."""
+        """Send what is newer than the requester's version."""
         table = self._context.values.get(fetch.key)
         if table is None or table.version <= fetch.version:
             return []
         return [Send(sender, ChosenValue(delta_message(fetch.key, table.since(fetch.version))))]
 
     def handle_value(self, value: ChosenValue, now: float) -> None:
-        """Take a fetched value."""
+        """Store a fetched value."""
         delta = value.delta
         table = self._context.values.setdefault(delta.name, VersionedTable())
         if delta.version <= table.version:
             return
         if table.apply(delta_of(delta)):
-            self._learned(delta.name, table, now)
+            self._on_newer_value(delta.name, table, now)
 
-    def handle_status(self, sender: MemberId, status: Heartbeat, now: float) -> list[Effect]:
+    def handle_heartbeat(self, sender: MemberId, status: Heartbeat, now: float) -> list[Effect]:
         """Fetch what another core knows to be chosen and this one does not."""
         effects: list[Effect] = []
         for key_status in status.keys:
@@ -77,13 +78,16 @@
         return effects
 
     def _fetch(self, sender: MemberId, key: str, version: int, now: float) -> list[Effect]:
-        held = self._context.chosen_version(key)
-        if version <= held or now - self._fetched_at.get(key, float("-inf")) < FETCH_INTERVAL_S:
+        known_version = self._context.chosen_version(key)
+        if (
+            version <= known_version
+            or now - self._fetched_at.get(key, float("-inf")) < FETCH_INTERVAL_S
+        ):
             return []
         self._fetched_at[key] = now
-        return [Send(sender, FetchValue(key, held))]
+        return [Send(sender, FetchValue(key, known_version))]
 
-    def _learned(self, key: str, table: VersionedTable, now: float) -> None:
+    def _on_newer_value(self, key: str, table: VersionedTable, now: float) -> None:
         if key == REPLICA_SETS_KEY:
             self._context.use_sets(table.version, table.rows)
         self._context.notes.keys.add(key)
--- a/src/zincvale/coordination/registers/cluster_creation.py
+++ b/src/zincvale/coordination/registers/cluster_creation.py
@@ -2,7 +2,7 @@
 
 The first core of the list waits until every initial core reports an empty disk and no process
 reports an older cluster of this id; then it writes the first `replica-sets` record, which binds the
-votes to the disks' identities, and hands it to the others.
+votes to the disks' identities, and sends it to the others.
 """
 
 from __future__ import annotations
@@ -24,9 +24,11 @@
 from zincvale.model.machine import Effect, Log, Send
 
 CLUSTER_INCARNATION_BITS = 64
+"""Random bits of a cluster's identity; two creations must never draw the same."""
 CREATION_RETRY_S = 2.0
-LISTEN_TO_NODES_FACTOR = 3
-"""A recovering core hears what every node holds before it serves."""
+"""Between two attempts to write the first record, while its write is not durable."""
+RECOVERY_LISTEN_LEASE_TTLS = 3
+"""Lease lifetimes that a recovering core listens, to hear what every node stores."""
 
 
 class ClusterCreation:
@@ -42,48 +44,48 @@
         self._keys = keys
         self.older_cluster = ""
         """Identity of an existing cluster that some process reported."""
-        self._refused = False
+        self._is_refused = False
         self._retry_at = 0.0
-        self._used = Position()
+        self._followed_position = Position()
 
     def is_empty(self) -> bool:
         """Whether this disk holds no record and promised nothing."""
         replica = self._context.replica
         return all(replica.state(key) == StoredKeyState() for key in replica.known_keys())
 
-    def note_existing(self, cluster_incarnation: str) -> None:
-        """A process knows a cluster of this id."""
+    def record_existing_cluster(self, cluster_incarnation: str) -> None:
+        """Record that another process knows a cluster of this id."""
         if cluster_incarnation:
             self.older_cluster = cluster_incarnation
 
     def tick(self, now: float) -> list[Effect]:
-        """Create the cluster when everything allows it, or hand the first record on."""
+        """Create the cluster when it is safe, or send the first record to cores without it."""
         context = self._context
         if not context.config.bootstrap or not context.config.initial_cores:
             return []
         if context.config.initial_cores[0].member != context.own_id:
             return []
         if not self.is_empty():
-            return self._hand_on(now)
+            return self._send_first_record(now)
         if now - context.started_at < self._listen_s():
             return []
         if self.older_cluster and not context.config.recover:
-            return self._refuse()
+            return self._refuse_creation()
         if now < self._retry_at:
             return []
         return self._create(now)
 
     def handle(self, sender: MemberId, message: CreateCluster, now: float) -> list[Effect]:
-        """Take the first record on an empty disk that it names."""
+        """Store the first record if it names this disk and the disk is empty."""
         context = self._context
-        wanted = context.config.bootstrap and message.disk == context.disk and self.is_empty()
+        is_expected = context.config.bootstrap and message.disk == context.disk and self.is_empty()
         created = message.update.puts.get(CLUSTER_ROW, b"").decode()
-        if not wanted or self.older_cluster not in ("", created):
+        if not is_expected or self.older_cluster not in ("", created):
             return []
         self._listen_after_recovery(now)
         return context.replica.handle(sender, message, REPLICA_SETS_KEY, now)
 
-    def note_written(self) -> None:
+    def follow_accepted_replica_sets(self) -> None:
         """Use the newest accepted replica sets after a restart, a creation or a change.
 
         An accepted change that was never chosen is overwritten under a higher epoch, maybe by an
@@ -91,20 +93,20 @@
         """
         context = self._context
         record = context.replica.state(REPLICA_SETS_KEY).record
-        if record.position > self._used:
-            self._used = record.position
+        if record.position > self._followed_position:
+            self._followed_position = record.position
             if record.position.version >= context.chosen_version(REPLICA_SETS_KEY):
                 context.use_sets(record.position.version, record.rows)
 
     def _listen_s(self) -> float:
         timings = self._context.config.timings
         if self._context.config.recover:
-            return timings.lease_ttl_s * LISTEN_TO_NODES_FACTOR
+            return timings.lease_ttl_s * RECOVERY_LISTEN_LEASE_TTLS
         return timings.bootstrap_listen_s
 
     def _listen_after_recovery(self, now: float) -> None:
         if self._context.config.recover:
-            self._context.listens_until = now + self._context.config.timings.lease_ttl_s
+            self._context.grants_blocked_until = now + self._context.config.timings.lease_ttl_s
 
     def _create(self, now: float) -> list[Effect]:
         context = self._context
@@ -129,7 +131,7 @@
         effects = context.replica.handle(context.own_id, message, REPLICA_SETS_KEY, now)
         return [Log(log_events.CLUSTER_CREATED, {"cluster": incarnation}), *effects]
 
-    def _hand_on(self, now: float) -> list[Effect]:
+    def _send_first_record(self, now: float) -> list[Effect]:
         context = self._context
         record = context.replica.state(REPLICA_SETS_KEY).record
         if record.position.version != 1:
@@ -141,10 +143,10 @@
                 effects.append(Send(member, CreateCluster(status.disk, record.to_update())))
         return effects
 
-    def _refuse(self) -> list[Effect]:
-        if self._refused:
+    def _refuse_creation(self) -> list[Effect]:
+        if self._is_refused:
             return []
-        self._refused = True
+        self._is_refused = True
         fields = {"existing": self.older_cluster}
         return [Log(log_events.CREATION_REFUSED, fields)]
 
--- a/src/zincvale/coordination/registers/messages.py
+++ b/src/zincvale/coordination/registers/messages.py
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class RecordUpdate:
-    """A record at `position`: complete when `base` is None, else the difference from `base`."""
+    """A record at `position`: complete when `base` is None, else the delta from `base`."""
 
     position: Position
     base: Position | None
@@ -33,7 +33,7 @@
 @peer_message("register.prepare")
 @attrs.frozen
 class Prepare:
-    """Ask a replica to refuse every epoch below `epoch` of `key`, for ever."""
+    """Request that a replica refuse every epoch below `epoch` of `key`, for ever."""
 
     key: str
     epoch: Epoch
@@ -53,7 +53,7 @@
 @peer_message("register.accept")
 @attrs.frozen
 class Accept:
-    """Ask a replica to make `update` durable; `chosen_version` is known to be chosen."""
+    """Request that a replica make `update` durable; `chosen_version` is known to be chosen."""
 
     key: str
     epoch: Epoch
@@ -74,7 +74,7 @@
 @peer_message("register.refused")
 @attrs.frozen
 class Refused:
-    """A replica holds a promise to a higher epoch."""
+    """The sender promised a higher epoch."""
 
     key: str
     epoch: Epoch
@@ -84,7 +84,7 @@
 @peer_message("register.confirm")
 @attrs.frozen
 class ConfirmEpoch:
-    """Ask a replica whether `epoch` is still the highest it promised."""
+    """Request whether `epoch` is still the highest that the replica promised."""
 
     key: str
     epoch: Epoch
@@ -94,7 +94,7 @@
 @peer_message("register.confirmed")
 @attrs.frozen
 class EpochConfirmed:
-    """No higher epoch was promised on the sender's `disk` when it answered."""
+    """No higher epoch was promised on the sender's `disk` when it responded."""
 
     key: str
     disk: str
@@ -105,7 +105,7 @@
 @peer_message("register.base-missing")
 @attrs.frozen
 class BaseVersionMissing:
-    """A replica cannot apply a difference; send the whole record."""
+    """The sender cannot apply a delta; send the complete record."""
 
     key: str
     epoch: Epoch
@@ -123,7 +123,7 @@
 @peer_message("value.fetch")
 @attrs.frozen
 class FetchValue:
-    """Ask for a chosen value newer than `version`."""
+    """Request a chosen value newer than `version`."""
 
     key: str
     version: int
@@ -131,7 +131,7 @@
 
 @attrs.frozen
 class TableDelta:
-    """A table at `version`: whole when `base_version` is None, else a difference."""
+    """A table at `version`: complete when `base_version` is None, else a delta."""
 
     name: str
     base_version: int | None
@@ -143,6 +143,6 @@
 @peer_message("value.chosen")
 @attrs.frozen
 class ChosenValue:
-    """A chosen value, whole or as a difference."""
+    """A chosen value, complete or as a delta."""
 
     delta: TableDelta
--- a/src/zincvale/coordination/registers/ownership.py
+++ b/src/zincvale/coordination/registers/ownership.py
@@ -1,7 +1,7 @@
-"""Decides when this core takes a key: when nobody who claims it was heard for a while.
+"""Decides when this core takes a key: when no heartbeat claimed it for a timeout.
 
-Claims travel in the cores' statuses. Among the live candidates the strongest by rendezvous hash
-goes first, so that the keys spread over the cores; the others follow one silence later each.
+Claims travel in the cores' heartbeats. Among the live candidates the first by rendezvous hash goes
+first, so that the keys spread over the cores; the others follow one peer timeout later each.
 """
 
 from __future__ import annotations
@@ -10,20 +10,21 @@
 from zincvale.coordination.core.messages import Heartbeat, KeyStatus
 from zincvale.coordination.membership.peer_table import rendezvous_order
 from zincvale.coordination.registers.epochs import Epoch
-from zincvale.coordination.registers.owner import Phase, RegisterOwner
+from zincvale.coordination.registers.owner import OwnerPhase, RegisterOwner
 from zincvale.coordination.replication.replica_sets import DELIVERED_KEYS, REPLICA_SETS_KEY
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect
 
 RETRY_SPREAD_S = 0.4
+"""Jitter of retries; without it two candidates go on ending each other's attempts."""
 DENIED_WAIT_S = 0.05
-"""Enough when every replica of a key said that it does not own it."""
+"""Wait when every replica of a key said that it does not own it."""
 NEW_KEY_WAIT_S = 0.3
-"""A key that nobody ever owned needs no time for its owner to be heard."""
+"""Wait for a key that was never owned: no owner's heartbeat can be on its way."""
 
 
 class Ownership:
-    """Follows the owner of each key and takes keys that have none."""
+    """Tracks the owner of each key and takes keys that have none."""
 
     def __init__(self, context: CoreContext, owners: dict[str, RegisterOwner]) -> None:
         self._context = context
@@ -34,21 +35,21 @@
     def owner_of(self, key: str, now: float) -> MemberId | None:
         """Return the live core that is believed to own `key`."""
         owner = self._owners.get(key)
-        if owner is not None and owner.phase is not Phase.FOLLOWING:
+        if owner is not None and owner.phase is not OwnerPhase.FOLLOWING:
             return self._context.own_id
         claim = self._claims.get(key)
         if claim is None or not self._context.cores.is_live(claim[1], now):
             return None
         return claim[1] if claim[1] != self._context.own_id else None
 
-    def handle_status(self, sender: MemberId, status: Heartbeat, now: float) -> list[Effect]:
+    def handle_heartbeat(self, sender: MemberId, status: Heartbeat, now: float) -> list[Effect]:
         """Learn of promises and claims."""
         effects: list[Effect] = []
         for key_status in status.keys:
             owner = self._owners.get(key_status.key)
             if owner is not None:
-                effects.extend(owner.note_epoch(key_status.promised))
-            self._note_claim(sender, key_status, now)
+                effects.extend(owner.observe_epoch(key_status.promised))
+            self._record_claim(sender, key_status, now)
         return effects
 
     def tick(self, now: float) -> list[Effect]:
@@ -57,14 +58,14 @@
             return []
         effects: list[Effect] = []
         for key, owner in self._owners.items():
-            if owner.phase is not Phase.FOLLOWING:
+            if owner.phase is not OwnerPhase.FOLLOWING:
                 self._claimed_at[key] = now
             elif self._is_our_turn(key, owner, now):
                 effects.extend(self._take(key, owner, now))
         return effects
 
     def resign(self) -> None:
-        """Own nothing any more: this process is about to stop."""
+        """Give up every key: this process is about to stop."""
         for owner in self._owners.values():
             owner.resign()
 
@@ -78,7 +79,7 @@
         owner.retry_at = now + context.config.timings.prepare_timeout_s + spread
         return owner.start(guess, initial, context.sets.group_of(key).replicas, now)
 
-    def _note_claim(self, sender: MemberId, key_status: KeyStatus, now: float) -> None:
+    def _record_claim(self, sender: MemberId, key_status: KeyStatus, now: float) -> None:
         claimed = key_status.owned_epoch
         if claimed is None:
             return
@@ -91,7 +92,7 @@
     def _is_our_turn(self, key: str, owner: RegisterOwner, now: float) -> bool:
         if now < owner.retry_at or not self._is_configuration_known(key):
             return False
-        if key in DELIVERED_KEYS and now < self._context.listens_until:
+        if key in DELIVERED_KEYS and now < self._context.grants_blocked_until:
             return False
         silence_s = self._context.config.timings.core_silence_s
         silent_for = now - self._claimed_at.setdefault(key, now)
--- a/src/zincvale/coordination/registers/proposals.py
+++ b/src/zincvale/coordination/registers/proposal_router.py
@@ -1,6 +1,6 @@
-"""Changes on their way: to the local owner, or to the core that is believed to own the key.
+"""Routes changes to the local owner, or to the core that is believed to own the key.
 
-A change is repeated towards whoever owns the key until it has an answer or its time is over; the
+A change is resent to whoever owns the key until it has a result or its deadline passes; the
 record's idempotency entries make the repetition safe.
 """
 
@@ -12,6 +12,7 @@
 
 from zincvale.coordination.core.context import CoreContext
 from zincvale.coordination.registers.change_messages import (
+    INVALID,
     NOT_CONFIRMED,
     NOT_OWNER,
     ChangeResult,
@@ -28,18 +29,18 @@
 
 
 @attrs.define
-class _Pending:
+class _PendingProposal:
     proposal: ProposeChange
     deadline: float
-    forwarded_in: bool
-    """Came from another core, which repeats it: not forwarded again."""
-    routed: bool = False
+    is_forwarded_here: bool
+    """Came from another core, which resends it: not forwarded again."""
+    is_routed: bool = False
     forward_token: str = ""
     forwarded_to: MemberId | None = None
 
 
-class Proposals:
-    """Every change this core has not answered yet.
+class ProposalRouter:
+    """Every change without a result at this core.
 
     Parameters
     ----------
@@ -57,18 +58,18 @@
         self._owners = owners
         self._ownership = ownership
         self._on_internal = on_internal
-        self._pending: dict[str, _Pending] = {}
+        self._pending: dict[str, _PendingProposal] = {}
         self._token_by_forward: dict[str, str] = {}
         self._forward_count = 0
         self._internal_count = 0
 
     def propose(self, token: str, proposal: ProposeChange, now: float) -> list[Effect]:
-        """Take a change from a local caller."""
+        """Route a change of a local caller."""
         if proposal.key not in self._owners:
             problem = f"there is no key {proposal.key!r}"
-            return [Reply(token, ChangeResult("invalid", problem=problem, remedy="name a key"))]
+            return [Reply(token, ChangeResult(INVALID, problem=problem, remedy="name a key"))]
         deadline = now + self._context.config.timings.change_limit_s
-        pending = _Pending(proposal, deadline, forwarded_in=False)
+        pending = _PendingProposal(proposal, deadline, is_forwarded_here=False)
         self._pending[token] = pending
         return self._route(token, pending, now)
 
@@ -84,40 +85,40 @@
         proposal = ProposeChange(key, idempotency_key, base, change)
         return self.propose(f"{INTERNAL_PREFIX}{name}", proposal, now)
 
-    def take_forwarded(self, token: str, forward: ForwardChange, now: float) -> list[Effect]:
-        """Take a change that another core forwarded, if this core owns the key."""
+    def handle_forwarded(self, token: str, forward: ForwardChange, now: float) -> list[Effect]:
+        """Route a change that another core forwarded, if this core owns the key."""
         owner = self._owners.get(forward.proposal.key)
-        if owner is None or not owner.serving():
+        if owner is None or not owner.is_serving():
             return [Reply(token, ChangeResult(NOT_OWNER))]
-        pending = _Pending(forward.proposal, now + forward.limit_s, forwarded_in=True)
+        pending = _PendingProposal(forward.proposal, now + forward.limit_s, is_forwarded_here=True)
         self._pending[token] = pending
         return self._route(token, pending, now)
 
     def handle_forward_reply(self, forward_token: str, result: object, now: float) -> list[Effect]:
-        """Take the answer to a forwarded change; None means that there was none."""
+        """Apply the result of a forwarded change; None means that the call failed."""
         token = self._token_by_forward.pop(forward_token, None)
         pending = self._pending.get(token) if token is not None else None
         if token is None or pending is None or pending.forward_token != forward_token:
             return []
         if isinstance(result, ChangeResult) and result.status not in (NOT_OWNER, NOT_CONFIRMED):
             return self.finish(token, result, now)
-        pending.routed = False
+        pending.is_routed = False
         return []
 
-    def release(self, tokens: list[str], now: float) -> list[Effect]:
-        """The local owner lost the key: route its changes anew."""
+    def reroute(self, tokens: list[str], now: float) -> list[Effect]:
+        """Route changes anew whose local owner lost the key."""
         effects: list[Effect] = []
         for token in tokens:
             pending = self._pending.get(token)
             if pending is None:
                 continue
-            pending.routed = False
-            if pending.forwarded_in:
+            pending.is_routed = False
+            if pending.is_forwarded_here:
                 effects.extend(self.finish(token, ChangeResult(NOT_OWNER), now))
         return effects
 
     def finish(self, token: str, result: ChangeResult, now: float) -> list[Effect]:
-        """Answer a change."""
+        """Send the result of a change."""
         if self._pending.pop(token, None) is None:
             return []
         if token.startswith(INTERNAL_PREFIX):
@@ -125,43 +126,54 @@
         return [Reply(token, result)]
 
     def tick(self, now: float) -> list[Effect]:
-        """Route what has no owner yet; answer what took too long."""
+        """Route what has no owner yet; end what is past its deadline."""
         effects: list[Effect] = []
         for token, pending in list(self._pending.items()):
             if now >= pending.deadline:
                 effects.extend(self.finish(token, self._not_confirmed(pending), now))
-            elif not pending.routed or self._was_forwarded_elsewhere(pending, now):
+            elif not pending.is_routed or self._was_forwarded_elsewhere(pending, now):
                 effects.extend(self._route(token, pending, now))
         return effects
 
-    def _was_forwarded_elsewhere(self, pending: _Pending, now: float) -> bool:
-        """Whether another core than the one that was asked now owns the key."""
+    def _was_forwarded_elsewhere(self, pending: _PendingProposal, now: float) -> bool:
+        """Whether another core than the one that it was forwarded to now owns the key."""
         if pending.forwarded_to is None:
             return False
         owner = self._ownership.owner_of(pending.proposal.key, now)
         return owner is not None and owner != pending.forwarded_to
 
-    def _route(self, token: str, pending: _Pending, now: float) -> list[Effect]:
+    def _route(self, token: str, pending: _PendingProposal, now: float) -> list[Effect]:
         key = pending.proposal.key
         owner = self._owners[key]
-        if owner.serving():
-            pending.routed = True
+        if owner.is_serving():
+            pending.is_routed = True
             pending.forwarded_to = None
             return owner.submit(token, pending.proposal, now)
-        believed = self._ownership.owner_of(key, now)
-        if pending.forwarded_in or believed is None or believed == self._context.own_id:
+        believed_owner = self._ownership.owner_of(key, now)
+        if (
+            pending.is_forwarded_here
+            or believed_owner is None
+            or believed_owner == self._context.own_id
+        ):
             return []
         self._forward_count += 1
         forward_token = f"{FORWARD_PREFIX}{self._forward_count}"
-        pending.routed = True
+        pending.is_routed = True
         pending.forward_token = forward_token
-        pending.forwarded_to = believed
+        pending.forwarded_to = believed_owner
         self._token_by_forward[forward_token] = token
-        left_s = pending.deadline - now
-        timeout_s = min(left_s, self._context.config.timings.forward_timeout_s)
-        return [Call(believed, forward_token, ForwardChange(pending.proposal, left_s), timeout_s)]
-
-    def _not_confirmed(self, pending: _Pending) -> ChangeResult:
+        remaining_s = pending.deadline - now
+        timeout_s = min(remaining_s, self._context.config.timings.forward_timeout_s)
+        return [
+            Call(
+                believed_owner,
+                forward_token,
+                ForwardChange(pending.proposal, remaining_s),
+                timeout_s,
+            )
+        ]
+
+    def _not_confirmed(self, pending: _PendingProposal) -> ChangeResult:
         return ChangeResult(
             NOT_CONFIRMED,
             current_version=self._context.chosen_version(pending.proposal.key),
--- a/src/zincvale/coordination/registers/record_codec.py
+++ b/src/zincvale/coordination/registers/record_codec.py
@@ -1,6 +1,6 @@
 """Encoding of a replica's state as version files.
 
-A file is a snapshot (first byte `S`) or a difference on the previous file (first byte `D`); storage
+A file is a snapshot (first byte `S`) or a delta on the previous file (first byte `D`); storage
 reads only this byte, to know which older files are still needed.
 """
 
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class StoredKeyState:
-    """What a replica holds of one key: its promise and its newest accepted record."""
+    """What a replica stores of one key: its promise and its newest accepted record."""
 
     promised: Epoch = Epoch()
     record: Record = Record()
@@ -75,7 +75,13 @@
 
 
 def decode_chain(contents: list[bytes]) -> StoredKeyState:
-    """Return the state after a snapshot and the differences that follow it."""
+    """Return the state after a snapshot and the deltas that follow it.
+
+    Raises
+    ------
+    ValueError
+        A delta does not continue the record before it.
+    """
     state = StoredKeyState()
     for content in contents:
         plain = _decode(content[1:])
@@ -91,7 +97,7 @@
         )
         record = apply_update(state.record, update)
         if record is None:
-            raise ValueError("a difference without its base")
+            raise ValueError("a delta without its base")
         state = StoredKeyState(_epoch(plain["promised"]), record)
     return state
 
--- a/src/zincvale/coordination/registers/recovered_state.py
+++ b/src/zincvale/coordination/registers/recovered_state.py
@@ -1,4 +1,4 @@
-"""What storage hands to a core at its start."""
+"""What storage recovered for a core at its start."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class RecoveredKey:
-    """The files of one key: a snapshot, the differences after it, and the last file number."""
+    """The files of one key: a snapshot, the deltas after it, and the last file number."""
 
     contents: list[bytes]
     last_file: int
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class RecoveredState:
-    """Everything a data folder held.
+    """Everything that a data folder stored.
 
     Attributes
     ----------
--- a/src/zincvale/coordination/registers/replica.py
+++ b/src/zincvale/coordination/registers/replica.py
@@ -1,7 +1,7 @@
 """Replica of the registers: durable promises and accepted records, one key at a time.
 
-A request of a key waits while a write of that key is on its way to the disk, and no answer leaves
-before the disk took what it says.
+A request of a key waits while a write of that key is in flight to the disk, and no response leaves
+before the disk stored what it says.
 """
 
 from __future__ import annotations
@@ -37,9 +37,9 @@
 from zincvale.model.machine import Effect, Log, Send, Write
 
 SNAPSHOT_EVERY_FILES = 64
-"""Longest chain of differences on one snapshot."""
+"""Longest chain of deltas on one snapshot; bounds the reading at a restart."""
 PENDING_REQUESTS_LIMIT = 64
-"""Requests of one key that wait for its disk; the senders repeat what is dropped."""
+"""Most requests of one key that wait for its disk; the senders resend what is dropped."""
 WRITE_TOKEN_PREFIX = "record:"
 
 Request = Prepare | Accept | CreateCluster
@@ -49,16 +49,16 @@
 class _WriteInFlight:
     token: str
     state: StoredKeyState
-    answers: list[Send]
+    responses: list[Send]
 
 
 @attrs.define
-class _KeySlot:
+class _KeyReplica:
     state: StoredKeyState = attrs.field(factory=StoredKeyState)
     last_file: int = 0
     files_since_snapshot: int = SNAPSHOT_EVERY_FILES
     in_flight: _WriteInFlight | None = None
-    waiting: deque[tuple[MemberId, Request]] = attrs.field(factory=deque)
+    pending: deque[tuple[MemberId, Request]] = attrs.field(factory=deque)
 
 
 class RegisterReplica:
@@ -73,12 +73,12 @@
     def __init__(self, recovered: RecoveredState, timings: Timings) -> None:
         self._timings = timings
         self._disk = recovered.disk
-        self._slots: dict[str, _KeySlot] = {}
+        self._slots: dict[str, _KeyReplica] = {}
         self._failure = ""
         self._retry_at = 0.0
         for key, files in recovered.keys.items():
             state = decode_chain(files.contents)
-            self._slots[key] = _KeySlot(state, files.last_file, len(files.contents))
+            self._slots[key] = _KeyReplica(state, files.last_file, len(files.contents))
 
     @property
     def failure(self) -> str:
@@ -95,18 +95,18 @@
         return slot.state if slot else StoredKeyState()
 
     def handle(self, sender: MemberId, request: Request, key: str, now: float) -> list[Effect]:
-        """Take a request; its answer follows once the disk took it."""
+        """Apply a request; its response follows once the disk stored it."""
         if self._failure:
             return []
-        slot = self._slots.setdefault(key, _KeySlot())
+        slot = self._slots.setdefault(key, _KeyReplica())
         if slot.in_flight is not None:
-            if len(slot.waiting) < PENDING_REQUESTS_LIMIT:
-                slot.waiting.append((sender, request))
+            if len(slot.pending) < PENDING_REQUESTS_LIMIT:
+                slot.pending.append((sender, request))
             return []
         return self._start(key, slot, sender, request)
 
     def confirm(self, sender: MemberId, request: ConfirmEpoch) -> list[Effect]:
-        """Tell whether an epoch is the highest that is durably promised; needs no write."""
+        """Respond whether an epoch is the highest durably promised one; needs no write."""
         key, epoch = request.key, request.epoch
         promised = self.state(key).promised
         if epoch < promised:
@@ -114,7 +114,7 @@
         return [Send(sender, EpochConfirmed(key, self._disk, epoch, request.round))]
 
     def handle_written(self, token: str, error: str, now: float) -> list[Effect]:
-        """Take the end of a write; answer or stop voting."""
+        """Complete a write: send its responses, or stop voting when it failed."""
         key = token.removeprefix(WRITE_TOKEN_PREFIX).rpartition(":")[0]
         slot = self._slots.get(key)
         if slot is None or slot.in_flight is None or slot.in_flight.token != token:
@@ -128,14 +128,14 @@
             self._failure = ""
             effects.append(Log(log_events.REPLICA_RESUMED, {"key": key}))
         slot.state = write.state
-        effects.extend(write.answers)
-        while slot.waiting and slot.in_flight is None:
-            sender, request = slot.waiting.popleft()
+        effects.extend(write.responses)
+        while slot.pending and slot.in_flight is None:
+            sender, request = slot.pending.popleft()
             effects.extend(self._start(key, slot, sender, request))
         return effects
 
     def tick(self, now: float) -> list[Effect]:
-        """Try the disk again after a failure."""
+        """Retry the disk after a failure."""
         if not self._failure or now < self._retry_at or not self._slots:
             return []
         self._retry_at = now + self._timings.disk_retry_s
@@ -145,9 +145,9 @@
             return []
         return [self._write(key, slot, slot.state, None, [])]
 
-    def _stop(self, slot: _KeySlot, error: str, now: float) -> list[Effect]:
+    def _stop(self, slot: _KeyReplica, error: str, now: float) -> list[Effect]:
         for each in self._slots.values():
-            each.waiting.clear()
+            each.pending.clear()
             each.files_since_snapshot = SNAPSHOT_EVERY_FILES
         self._retry_at = now + self._timings.disk_retry_s
         if self._failure:
@@ -155,7 +155,9 @@
         self._failure = error
         return [Log(log_events.REPLICA_STOPPED, {"error": error})]
 
-    def _start(self, key: str, slot: _KeySlot, sender: MemberId, request: Request) -> list[Effect]:
+    def _start(
+        self, key: str, slot: _KeyReplica, sender: MemberId, request: Request
+    ) -> list[Effect]:
         match request:
             case Prepare():
                 return self._start_prepare(key, slot, sender, request)
@@ -165,39 +167,39 @@
                 return self._start_create(key, slot, sender, update)
 
     def _start_prepare(
-        self, key: str, slot: _KeySlot, sender: MemberId, request: Prepare
+        self, key: str, slot: _KeyReplica, sender: MemberId, request: Prepare
     ) -> list[Effect]:
         promised = slot.state.promised
         if request.epoch < promised:
             return [Send(sender, Refused(key, request.epoch, promised))]
-        answer = Send(
+        response = Send(
             sender, Promise(key, self._disk, request.epoch, slot.state.record.to_update())
         )
         if request.epoch == promised:
-            return [answer]
+            return [response]
         state = attrs.evolve(slot.state, promised=request.epoch)
         record = state.record
         unchanged = RecordUpdate(record.position, record.position, record.config, {}, [], [])
-        return [self._write(key, slot, state, unchanged, [answer])]
+        return [self._write(key, slot, state, unchanged, [response])]
 
     def _start_accept(
-        self, key: str, slot: _KeySlot, sender: MemberId, epoch: Epoch, update: RecordUpdate
+        self, key: str, slot: _KeyReplica, sender: MemberId, epoch: Epoch, update: RecordUpdate
     ) -> list[Effect]:
         if epoch < slot.state.promised:
             return [Send(sender, Refused(key, epoch, slot.state.promised))]
-        answer = Send(sender, Accepted(key, self._disk, update.position))
+        response = Send(sender, Accepted(key, self._disk, update.position))
         if update.position == slot.state.record.position:
-            return [answer]
+            return [response]
         if update.position < slot.state.record.position:
             return []
         record = apply_update(slot.state.record, update)
         if record is None:
             return [Send(sender, BaseVersionMissing(key, epoch))]
         state = StoredKeyState(epoch, record)
-        return [self._write(key, slot, state, update, [answer])]
+        return [self._write(key, slot, state, update, [response])]
 
     def _start_create(
-        self, key: str, slot: _KeySlot, sender: MemberId, update: RecordUpdate
+        self, key: str, slot: _KeyReplica, sender: MemberId, update: RecordUpdate
     ) -> list[Effect]:
         if slot.state.record.position != Position():
             return []
@@ -210,14 +212,14 @@
     def _write(
         self,
         key: str,
-        slot: _KeySlot,
+        slot: _KeyReplica,
         state: StoredKeyState,
         update: RecordUpdate | None,
-        answers: list[Send],
+        responses: list[Send],
     ) -> Write:
         slot.last_file += 1
-        whole = update is None or update.base is None
-        if whole or slot.files_since_snapshot >= SNAPSHOT_EVERY_FILES:
+        is_complete = update is None or update.base is None
+        if is_complete or slot.files_since_snapshot >= SNAPSHOT_EVERY_FILES:
             content = encode_snapshot(state)
             slot.files_since_snapshot = 1
         else:
@@ -225,5 +227,5 @@
             content = encode_delta(state.promised, update)
             slot.files_since_snapshot += 1
         token = f"{WRITE_TOKEN_PREFIX}{key}:{slot.last_file}"
-        slot.in_flight = _WriteInFlight(token, state, answers)
+        slot.in_flight = _WriteInFlight(token, state, responses)
         return Write(token, key, slot.last_file, content)
--- a/src/zincvale/coordination/replication/replica_manager.py
+++ b/src/zincvale/coordination/replication/replica_manager.py
@@ -109,7 +109,7 @@
                 if key_status.owned_epoch is not None:
                     configs[key_status.key] = key_status.config
         for key, owner in self._owners.items():
-            if owner.serving():
+            if owner.is_serving():
                 configs[key] = owner.record.config
         return all(configs.get(key) == settled for key in self._owners)
 
--- a/src/zincvale/simulator/mutations/leases.py
+++ b/src/zincvale/simulator/mutations/leases.py
@@ -61,7 +61,7 @@
     original = MemberLeases.handle_renew
 
     def hasty(self: Any, renewal: Any, newest: Any, now: float) -> Any:
-        self._context.listens_until = 0.0
+        self._context.grants_blocked_until = 0.0
         return original(self, renewal, newest, now)
 
     with mock.patch.object(MemberLeases, "handle_renew", hasty):
--- a/src/zincvale/simulator/mutations/registers.py
+++ b/src/zincvale/simulator/mutations/registers.py
@@ -46,8 +46,8 @@
         for effect in effects:
             early.append(effect)
             if isinstance(effect, Write) and slot.in_flight is not None:
-                early.extend(slot.in_flight.answers)
-                slot.in_flight = attrs.evolve(slot.in_flight, answers=[])
+                early.extend(slot.in_flight.responses)
+                slot.in_flight = attrs.evolve(slot.in_flight, responses=[])
         return early
 
     with mock.patch.object(RegisterReplica, "_start", eager):
--- a/src/zincvale/simulator/register_exploration.py
+++ b/src/zincvale/simulator/register_exploration.py
@@ -24,7 +24,7 @@
 from zincvale.coordination.registers.change_messages import ProposeChange
 from zincvale.coordination.registers.epochs import Position
 from zincvale.coordination.registers.messages import Accepted, BaseVersionMissing, Promise
-from zincvale.coordination.registers.owner import NewlyChosen, Phase, RegisterOwner
+from zincvale.coordination.registers.owner import NewlyChosen, OwnerPhase, RegisterOwner
 from zincvale.coordination.registers.record_codec import StoredKeyState, decode_chain
 from zincvale.coordination.registers.recovered_state import RecoveredKey, RecoveredState
 from zincvale.coordination.registers.replica import RegisterReplica
@@ -307,7 +307,7 @@
             self._actor_index[text] = len(self._actors)
             self._actors.append(pickle.dumps(machine))
             self._durable.append(Position() if is_proposer else machine.durable().record.position)
-            dead = (machine.epoch, machine.phase is Phase.FOLLOWING) if is_proposer else None
+            dead = (machine.epoch, machine.phase is OwnerPhase.FOLLOWING) if is_proposer else None
             self._dead_below.append(dead)
         return self._actor_index[text]
 
@@ -358,7 +358,7 @@
     flight = owner._in_flight
     in_flight = (flight.record.position, sorted(flight.acknowledged)) if flight else None
     promises = sorted((name, repr(update)) for name, update in owner._promises.items())
-    numbers = (owner._highest_number, sorted(owner._holders), len(owner._queue))
+    numbers = (owner._highest_number, sorted(owner._replicas_with_record), len(owner._queue))
     return repr((owner.phase, owner.epoch, promises, owner.record, in_flight, numbers))
 
 
--- a/tests/coordination/exploration.py
+++ b/tests/coordination/exploration.py
@@ -188,7 +188,7 @@
     flight = owner._in_flight
     in_flight = (flight.record.position, sorted(flight.acknowledged)) if flight else None
     promises = sorted((name, repr(update)) for name, update in owner._promises.items())
-    numbers = (owner._highest_number, sorted(owner._holders), len(owner._queue))
+    numbers = (owner._highest_number, sorted(owner._replicas_with_record), len(owner._queue))
     return repr((owner.phase, owner.epoch, promises, owner.record, in_flight, numbers))
 
 
--- a/tests/coordination/test_creation.py
+++ b/tests/coordination/test_creation.py
@@ -59,7 +59,7 @@
         for effect in effects:
             if isinstance(effect, Write):
                 self.replica.handle_written(effect.token, "", 0.0)
-        self.creation.note_written()
+        self.creation.follow_accepted_replica_sets()
 
     def test_the_newest_accepted_sets_are_used(self) -> None:
         self.accept(FIRST_OWNER, 1, "core-1", "core-2")
