--- a/src/zincvale/coordination/core/components.py
+++ b/src/zincvale/coordination/core/components.py
@@ -6,7 +6,7 @@
 - `proposals`: changes on their way to an owner and back;
 - `chosen_values`, `core_topics`, `delivery`: what long polls are answered from;
 - `core_leases`, `home_renewals`: member leases, and what their holders hold;
-- `replica_manager`: replacement of replicas;
+- `replica_set_reconciler`: replacement of replicas;
 - `core_roles`: singleton roles;
 - `core_statuses`: what the cores tell each other.
 """
@@ -31,8 +31,8 @@
 from zincvale.coordination.registers.ownership import Ownership
 from zincvale.coordination.registers.proposal_router import ProposalRouter
 from zincvale.coordination.registers.value_repair import ValueRepair
-from zincvale.coordination.replication.replica_manager import ReplicaSetReconciler
 from zincvale.coordination.replication.replica_set_changes import reduce_replica_sets
+from zincvale.coordination.replication.replica_set_reconciler import ReplicaSetReconciler
 from zincvale.coordination.replication.replica_sets import (
     DELIVERED_KEYS,
     REGISTRY_KEY,
@@ -74,7 +74,7 @@
     def is_isolated(self, now: float) -> bool:
         """Whether this core does not hear a majority of the cores, itself included."""
         heard = {self.context.own_id, *self.context.cores.live(now)}
-        return not self.context.sets.grantors().reached_by_members(heard)
+        return not self.context.sets.grantors().is_member_quorum(heard)
 
     def _on_chosen(self, key: str, version: int, now: float) -> None:
         if key in DELIVERED_KEYS:
--- a/src/zincvale/coordination/core/context.py
+++ b/src/zincvale/coordination/core/context.py
@@ -77,7 +77,7 @@
 
     def is_voter(self) -> bool:
         """Whether this process's disk is a declared replica."""
-        return self.own_replica() in self.sets.grantors().everyone()
+        return self.own_replica() in self.sets.grantors().all_replicas()
 
     def is_learner(self) -> bool:
         """Whether this process could become a replica."""
--- a/src/zincvale/coordination/core/queries.py
+++ b/src/zincvale/coordination/core/queries.py
@@ -25,7 +25,7 @@
         caught_up=caught_up,
         disk_failure=context.replica.failure,
         quarantined=dict(context.quarantined),
-        replicas=context.sets.grantors().everyone(),
+        replicas=context.sets.grantors().all_replicas(),
         live_cores=[str(each) for each in context.cores.live(now)],
         keys=keys,
     )
--- a/src/zincvale/coordination/delivery/rollout.py
+++ b/src/zincvale/coordination/delivery/rollout.py
@@ -86,7 +86,7 @@
         reports = {
             core: report for core, report in self._reports.items() if report.version >= version
         }
-        if not rules.grantors.reached_by_members(reports):
+        if not rules.grantors.is_member_quorum(reports):
             return False
         if any(self._knows_newer_rules(report, rules) for report in reports.values()):
             return False
@@ -121,4 +121,4 @@
     for core, report in reports.items():
         for node in report.nodes:
             cores_by_node.setdefault(node, set()).add(core)
-    return {node for node, cores in cores_by_node.items() if grantors.reached_by_members(cores)}
+    return {node for node, cores in cores_by_node.items() if grantors.is_member_quorum(cores)}
--- a/src/zincvale/coordination/election/leader_election.py
+++ b/src/zincvale/coordination/election/leader_election.py
@@ -188,7 +188,7 @@
         if self._grantor.held_elsewhere(role, self._context.own_id, now):
             return False
         live = self._context.cores.live(now)
-        if not self._context.sets.grantors().reached_by_members({self._context.own_id, *live}):
+        if not self._context.sets.grantors().is_member_quorum({self._context.own_id, *live}):
             # A proposal made while cut off would be chosen on the return.
             return False
         if any(role in status.held_roles for status in live.values()):
--- a/src/zincvale/coordination/election/leader_lease.py
+++ b/src/zincvale/coordination/election/leader_lease.py
@@ -159,7 +159,7 @@
         """Return the instant after which a majority of grantors may have forgotten this holder."""
         for asked_at in sorted(self._asked_at.values(), reverse=True):
             granted = {each for each, at in self._asked_at.items() if at >= asked_at}
-            if quorum.reached_by_members(granted):
+            if quorum.is_member_quorum(granted):
                 return asked_at + self._timings.role_lease_s - self._timings.role_margin_s
         return float("-inf")
 
--- a/src/zincvale/coordination/leases/catch_up.py
+++ b/src/zincvale/coordination/leases/catch_up.py
@@ -30,7 +30,7 @@
         statuses = self._statuses_since_start(key, now)
         highest = max((status.promised for status in statuses.values()), default=Epoch())
         for status in statuses.values():
-            if status.owned_epoch == highest and status.config.reached_by(statuses):
+            if status.owned_epoch == highest and status.config.is_quorum(statuses):
                 return self._context.chosen_version(key) >= status.chosen_version
         return False
 
--- a/src/zincvale/coordination/leases/member_lease.py
+++ b/src/zincvale/coordination/leases/member_lease.py
@@ -76,7 +76,7 @@
 
     def is_majority(self, cores: list[MemberId]) -> bool:
         """Whether grants of `cores` are enough for a lease."""
-        return self._grantors.reached_by_members(cores)
+        return self._grantors.is_member_quorum(cores)
 
     def grantors(self) -> list[MemberId]:
         """Return the cores whose grants count, once they are known."""
@@ -140,7 +140,7 @@
             for core, grant in self._grants.items()
             if all(held.get(key, 0) >= version for key, version in grant.required.items())
         }
-        sets = self._grantors.sets()
+        sets = self._grantors.quorum_sets()
         return min(_majority_asked(each, asked) for each in sets) + self._config.timings.lease_ttl_s
 
 
--- a/src/zincvale/coordination/leases/renewal_batcher.py
+++ b/src/zincvale/coordination/leases/renewal_batcher.py
@@ -82,7 +82,7 @@
         return [_answer(self._waiting.pop(node)) for node in overdue]
 
     def _is_complete(self, waiting: _Waiting) -> bool:
-        return self._context.sets.grantors().reached_by_members(waiting.grants)
+        return self._context.sets.grantors().is_member_quorum(waiting.grants)
 
 
 def _answer(waiting: _Waiting) -> Reply:
--- a/src/zincvale/coordination/registers/cluster_creation.py
+++ b/src/zincvale/coordination/registers/cluster_creation.py
@@ -18,7 +18,7 @@
     CLUSTER_ROW,
     REPLICA_SETS_KEY,
     CoreRow,
-    first_rows,
+    initial_rows,
 )
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Log, Send
@@ -126,7 +126,7 @@
             incarnation = f"{context.random_source.getrandbits(CLUSTER_INCARNATION_BITS):016x}"
         position = Position(Epoch(1, context.owner_name), 1)
         config = ReplicaConfig([row.replica() for row in rows])
-        record = Record(position, config, first_rows(incarnation, rows, self._keys))
+        record = Record(position, config, initial_rows(incarnation, rows, self._keys))
         message = CreateCluster(context.disk, record.to_update())
         effects = context.replica.handle(context.own_id, message, REPLICA_SETS_KEY, now)
         return [Log(log_events.CLUSTER_CREATED, {"cluster": incarnation}), *effects]
--- a/src/zincvale/coordination/registers/owner.py
+++ b/src/zincvale/coordination/registers/owner.py
@@ -264,7 +264,7 @@
         assert newest_promised is not None
         if not newest_promised.config.replicas:
             newest_promised = attrs.evolve(newest_promised, config=self._initial)
-        if not newest_promised.config.reached_by(self._promises):
+        if not newest_promised.config.is_quorum(self._promises):
             return self._prepare_requests(newest_promised.config)
         self.phase = OwnerPhase.REPROPOSING
         record = newest_promised.moved_to(self.epoch, self._next_config(newest_promised))
@@ -279,9 +279,9 @@
         """
         config = newest_promised.config
         if not config.previous:
-            return config.opened_to(self._desired) if self._desired else config
+            return config.joint_with(self._desired) if self._desired else config
         if newest_promised.position == self._record.position:
-            return config.closed_to(self._desired)
+            return config.settled_from_joint(self._desired)
         return config
 
     def _handle_accepted(self, sender: MemberId, message: Accepted, now: float) -> list[Effect]:
@@ -292,7 +292,7 @@
         if in_flight is None or message.position != in_flight.record.position:
             return []
         in_flight.acknowledged.add(replica)
-        if not in_flight.quorum.reached_by(in_flight.acknowledged):
+        if not in_flight.quorum.is_quorum(in_flight.acknowledged):
             return []
         self._in_flight = None
         self._record = in_flight.record
@@ -357,7 +357,7 @@
 
     def _send_accepts(self, in_flight: _InFlight) -> list[Effect]:
         missing = [
-            each for each in in_flight.quorum.everyone() if each not in in_flight.acknowledged
+            each for each in in_flight.quorum.all_replicas() if each not in in_flight.acknowledged
         ]
         return self._to_replicas(missing, self._accept(in_flight.update))
 
@@ -367,7 +367,7 @@
         self._straggler_push_at = now + STRAGGLER_INTERVAL_S
         lacking = [
             each
-            for each in self._record.config.everyone()
+            for each in self._record.config.all_replicas()
             if each not in self._replicas_with_record
         ]
         if not lacking:
--- a/src/zincvale/coordination/registers/ownership_proof.py
+++ b/src/zincvale/coordination/registers/ownership_proof.py
@@ -64,7 +64,7 @@
         if response.epoch != epoch or response.round != self._round:
             return [], []
         self._confirmed.add(replica_id(sender, response.disk))
-        if not config.reached_by(self._confirmed):
+        if not config.is_quorum(self._confirmed):
             return [], []
         proven, self._proving = self._proving, []
         return proven, self._start_round(epoch, config, now)
--- a/src/zincvale/coordination/replication/replica_set_changes.py
+++ b/src/zincvale/coordination/replication/replica_set_changes.py
@@ -28,7 +28,7 @@
 )
 from zincvale.model.identifiers import MemberId
 
-Reduced = Result[list[RowChange], ChangeRefused]
+ReducerResult = Result[list[RowChange], ChangeRefused]
 
 
 def join_change(info: MemberInfo, disk: str) -> bytes:
@@ -37,17 +37,17 @@
 
 
 def leave_change(member: str) -> bytes:
-    """Return the change that forgets a core without replicas."""
+    """Return the change that removes a core without replicas."""
     return orjson.dumps({"op": "leave", "core": member})
 
 
 def replace_change(remove: str, add: str, group: str = DEFAULT_GROUP) -> bytes:
-    """Return the change that opens a replacement; either side may be empty."""
+    """Return the change that begins a replacement; either side may be empty."""
     return orjson.dumps({"op": "replace", "group": group, "remove": remove, "add": add})
 
 
-def close_change(forward: bool, group: str = DEFAULT_GROUP) -> bytes:
-    """Return the change that ends a replacement, carried out or taken back."""
+def close_change(*, forward: bool, group: str = DEFAULT_GROUP) -> bytes:
+    """Return the change that ends a replacement, completed or rolled back."""
     return orjson.dumps({"op": "close", "group": group, "forward": forward})
 
 
@@ -56,66 +56,66 @@
     return orjson.dumps({"op": "keys", "keys": keys})
 
 
-def reduce_replica_sets(rows: Rows, change: bytes) -> Reduced:
+def reduce_replica_sets(rows: Rows, change: bytes) -> ReducerResult:
     """Reducer of the key `replica-sets`."""
-    plain = orjson.loads(change)
+    fields = orjson.loads(change)
     sets = decode_replica_sets(0, rows)
-    match plain["op"]:
+    match fields["op"]:
         case "join":
-            row = CoreRow(**_core_fields(plain["core"]))
+            row = CoreRow(**_core_fields(fields["core"]))
             return Success([RowChange(f"{CORE_PREFIX}{row.info.member}", encode_core(row))])
         case "leave":
-            return _leave(sets, plain["core"])
+            return _leave(sets, fields["core"])
         case "replace":
-            return _replace(sets, plain)
+            return _replace(sets, fields)
         case "close":
-            return _close(sets, plain)
+            return _close(sets, fields)
         case "keys":
-            return _declare(sets, plain["keys"])
-    return _refused(f"unknown change {plain['op']!r}", "run the same release on every core")
+            return _declare_keys(sets, fields["keys"])
+    return _rejected(f"unknown change {fields['op']!r}", "run the same release on every core")
 
 
 def _core_fields(text: str) -> dict[str, Any]:
-    plain = orjson.loads(text)
-    return {"info": MemberInfo(**plain["info"]), "disk": plain["disk"]}
+    fields = orjson.loads(text)
+    return {"info": MemberInfo(**fields["info"]), "disk": fields["disk"]}
 
 
-def _leave(sets: ReplicaSets, member: str) -> Reduced:
-    holds = any(MemberId(member) in group.members() for group in sets.groups.values())
-    if holds:
-        return _refused(f"core {member} holds replicas", "replace it first")
+def _leave(sets: ReplicaSets, member: str) -> ReducerResult:
+    has_replicas = any(MemberId(member) in group.members() for group in sets.groups.values())
+    if has_replicas:
+        return _rejected(f"core {member} holds replicas", "replace it first")
     return Success([RowChange(f"{CORE_PREFIX}{member}", None)])
 
 
-def _replace(sets: ReplicaSets, plain: dict[str, Any]) -> Reduced:
-    group = sets.groups.get(plain["group"])
+def _replace(sets: ReplicaSets, fields: dict[str, Any]) -> ReducerResult:
+    group = sets.groups.get(fields["group"])
     if group is None:
-        return _refused(f"there is no group {plain['group']!r}", "name a group that exists")
+        return _rejected(f"there is no group {fields['group']!r}", "name a group that exists")
     if group.previous:
-        return _refused("a change of replicas is under way", "wait until it has ended")
-    remove, add = plain["remove"], plain["add"]
+        return _rejected("a change of replicas is under way", "wait until it has ended")
+    remove, add = fields["remove"], fields["add"]
     if remove and remove not in group.replicas:
-        return _refused(f"{remove} is no replica", f"replicas are {', '.join(group.replicas)}")
+        return _rejected(f"{remove} is no replica", f"replicas are {', '.join(group.replicas)}")
     if add and (add in group.replicas or add not in _known_replicas(sets)):
-        return _refused(f"{add} is no core without a vote", "start the core and let it join first")
+        return _rejected(f"{add} is no core without a vote", "start the core and let it join first")
     replicas = [each for each in group.replicas if each != remove] + ([add] if add else [])
     if not replicas:
-        return _refused("the last replica cannot be removed", "add another one first")
-    return Success([_group_row(plain["group"], ReplicaConfig(replicas, group.replicas))])
+        return _rejected("the last replica cannot be removed", "add another one first")
+    return Success([_group_row(fields["group"], ReplicaConfig(replicas, group.replicas))])
 
 
-def _close(sets: ReplicaSets, plain: dict[str, Any]) -> Reduced:
-    group = sets.groups.get(plain["group"], ReplicaConfig())
+def _close(sets: ReplicaSets, fields: dict[str, Any]) -> ReducerResult:
+    group = sets.groups.get(fields["group"], ReplicaConfig())
     if not group.previous:
-        return _refused("no change of replicas is under way", "nothing is to be done")
-    replicas = group.replicas if plain["forward"] else group.previous
-    return Success([_group_row(plain["group"], ReplicaConfig(replicas))])
+        return _rejected("no change of replicas is under way", "nothing is to be done")
+    replicas = group.replicas if fields["forward"] else group.previous
+    return Success([_group_row(fields["group"], ReplicaConfig(replicas))])
 
 
-def _declare(sets: ReplicaSets, keys: list[str]) -> Reduced:
+def _declare_keys(sets: ReplicaSets, keys: list[str]) -> ReducerResult:
     group = sets.groups.get(DEFAULT_GROUP, ReplicaConfig())
     if group.previous:
-        return _refused("a change of replicas is under way", "wait until it has ended")
+        return _rejected("a change of replicas is under way", "wait until it has ended")
     row = encode_key(KeyRow(DEFAULT_GROUP, group))
     new = [key for key in keys if key not in sets.keys]
     return Success([RowChange(f"{KEY_PREFIX}{key}", row) for key in new])
@@ -129,5 +129,5 @@
     return RowChange(f"{GROUP_PREFIX}{name}", encode_group(group))
 
 
-def _refused(problem: str, remedy: str) -> Reduced:
+def _rejected(problem: str, remedy: str) -> ReducerResult:
     return Failure(ChangeRefused(problem, remedy))
--- a/src/zincvale/coordination/replication/replica_manager.py
+++ b/src/zincvale/coordination/replication/replica_set_reconciler.py
@@ -1,9 +1,9 @@
-"""Keeps the declared replicas alive: learners join, and replace replicas that are gone.
+"""Reconciles the declared replicas with the live cores: learners join and replace lost replicas.
 
-Runs at the owner of the key `replica-sets`. A replacement is opened when a replica was silent for
-the configured delay (or its process runs on another disk), and closed when every key's record
-settled on the new replicas and every lease granted under the old ones has run out; when the new
-replica goes silent meanwhile, it is taken back.
+Runs at the owner of the key `replica-sets`. A replacement begins when a replica was unresponsive
+for the configured delay (or its process runs on another disk), and is completed when every key's
+record settled on the new replicas and every lease granted under the old ones has expired; when the
+new replica becomes unresponsive meanwhile, it is rolled back.
 """
 
 from __future__ import annotations
@@ -23,19 +23,22 @@
 from zincvale.model.identifiers import MemberId
 
 CHECK_INTERVAL_S = 0.25
-LEASE_RUN_OUT_FACTOR = 1.2
-FORGET_CORE_S = 60.0
+"""Between two looks at the live cores; bounds how late a change is proposed."""
+LEASE_EXPIRY_FACTOR = 1.2
+"""Margin on a lease lifetime after which every lease of the old replicas has expired."""
+REMOVE_CORE_AFTER_S = 60.0
+"""A core without replicas that was unresponsive for so long is removed from the declared cores."""
 
 
 class ReplicaSetReconciler:
-    """Proposes changes of `replica-sets`, one at a time."""
+    """Proposes changes of `replica-sets`, one at a time; each is checked again by the reducer."""
 
     def __init__(self, context: CoreContext, owners: dict[str, RegisterOwner]) -> None:
         self._context = context
         self._owners = owners
         self._check_at = 0.0
-        self._silent_since: dict[str, float] = {}
-        self._open_since: tuple[int, float] = (0, 0.0)
+        self._unresponsive_since: dict[str, float] = {}
+        self._joint_since: tuple[int, float] = (0, 0.0)
 
     def next_change(self, now: float) -> bytes | None:
         """Return the change that is due, if any."""
@@ -43,23 +46,23 @@
             return None
         self._check_at = now + CHECK_INTERVAL_S
         live = self._live(now)
-        group = self._context.sets.grantors()
-        self._note_silence(group, live, now)
+        declared = self._context.sets.grantors()
+        self._update_unresponsive(declared, live, now)
         for member, status in live.items():
             row = self._context.sets.cores.get(member)
             if row is None or row.disk != status.disk or row.info != status.info:
                 return join_change(status.info, status.disk)
-        if group.previous:
-            return self._close_when_due(group, now)
+        if declared.previous:
+            return self._settle_change_if_due(declared, now)
         missing = [key for key in self._owners if key not in self._context.sets.keys]
         if missing:
             return keys_change(missing)
-        return self._replace_when_due(group, live, now) or self._forget_when_due(live, now)
+        return self._replacement_if_due(declared, live, now) or self._removal_if_due(live, now)
 
     def operator_change(self, remove: str, add: str) -> bytes:
         """Return the change that replaces the replica on one core by one on another."""
-        group = self._context.sets.grantors()
-        removed = next((each for each in group.replicas if member_of(each) == remove), remove)
+        declared = self._context.sets.grantors()
+        removed = next((each for each in declared.replicas if member_of(each) == remove), remove)
         row = self._context.sets.cores.get(MemberId(add))
         return replace_change(removed, row.replica() if row is not None else add)
 
@@ -72,37 +75,39 @@
             if status.cluster_incarnation in ("", incarnation)
         }
 
-    def _note_silence(
-        self, group: ReplicaConfig, live: dict[MemberId, Heartbeat], now: float
+    def _update_unresponsive(
+        self, declared: ReplicaConfig, live: dict[MemberId, Heartbeat], now: float
     ) -> None:
-        alive = {replica_id(member, status.disk) for member, status in live.items()}
-        alive.add(self._context.own_replica())
-        for replica in group.everyone():
-            if replica in alive:
-                self._silent_since.pop(replica, None)
+        responsive = {replica_id(member, status.disk) for member, status in live.items()}
+        responsive.add(self._context.own_replica())
+        for replica in declared.all_replicas():
+            if replica in responsive:
+                self._unresponsive_since.pop(replica, None)
             else:
-                self._silent_since.setdefault(replica, now)
+                self._unresponsive_since.setdefault(replica, now)
 
-    def _silent_for(self, replica: str, now: float) -> float:
-        return now - self._silent_since.get(replica, now)
+    def _unresponsive_s(self, replica: str, now: float) -> float:
+        return now - self._unresponsive_since.get(replica, now)
 
-    def _close_when_due(self, group: ReplicaConfig, now: float) -> bytes | None:
+    def _settle_change_if_due(self, declared: ReplicaConfig, now: float) -> bytes | None:
         version = self._context.sets.version
         if self._context.chosen_version(REPLICA_SETS_KEY) != version:
             return None
-        if self._open_since[0] != version:
-            self._open_since = (version, now)
+        if self._joint_since[0] != version:
+            self._joint_since = (version, now)
         timings = self._context.config.timings
         delay_s = timings.replace_delay_s
-        if any(self._silent_for(replica, now) > delay_s for replica in group.added()):
+        if any(self._unresponsive_s(replica, now) > delay_s for replica in declared.added()):
             return close_change(forward=False)
-        run_out_s = max(timings.role_lease_s, timings.lease_ttl_s) * LEASE_RUN_OUT_FACTOR
-        if now - self._open_since[1] < run_out_s or not self._all_settled(group, now):
+        expiry_s = max(timings.role_lease_s, timings.lease_ttl_s) * LEASE_EXPIRY_FACTOR
+        if now - self._joint_since[1] < expiry_s or not self._is_every_record_settled(
+            declared, now
+        ):
             return None
-        return close_change(forward=True) if self._all_informed(group, now) else None
+        return close_change(forward=True) if self._is_new_majority_informed(declared, now) else None
 
-    def _all_settled(self, group: ReplicaConfig, now: float) -> bool:
-        settled = ReplicaConfig(group.replicas)
+    def _is_every_record_settled(self, declared: ReplicaConfig, now: float) -> bool:
+        settled = ReplicaConfig(declared.replicas)
         configs: dict[str, ReplicaConfig] = {}
         for status in self._context.cores.live(now).values():
             for key_status in status.keys:
@@ -113,7 +118,7 @@
                 configs[key] = owner.record.config
         return all(configs.get(key) == settled for key in self._owners)
 
-    def _all_informed(self, group: ReplicaConfig, now: float) -> bool:
+    def _is_new_majority_informed(self, declared: ReplicaConfig, now: float) -> bool:
         """Whether a majority of the new replicas' cores knows all that any live core knows.
 
         Cores that still counted by the old replicas may have acknowledged what these do not know.
@@ -124,35 +129,35 @@
             chosen[member] = {key: versions.get(key, 0) for key in DELIVERED_KEYS}
         newest = {key: max(each[key] for each in chosen.values()) for key in DELIVERED_KEYS}
         informed = {member for member, versions in chosen.items() if versions == newest}
-        return ReplicaConfig(group.replicas).reached_by_members(informed)
+        return ReplicaConfig(declared.replicas).is_member_quorum(informed)
 
-    def _replace_when_due(
-        self, group: ReplicaConfig, live: dict[MemberId, Heartbeat], now: float
+    def _replacement_if_due(
+        self, declared: ReplicaConfig, live: dict[MemberId, Heartbeat], now: float
     ) -> bytes | None:
         learners = [
             replica_id(member, status.disk)
             for member, status in live.items()
-            if replica_id(member, status.disk) not in group.replicas and status.can_learn
+            if replica_id(member, status.disk) not in declared.replicas and status.can_learn
         ]
         if not learners:
             return None
-        if len(group.replicas) < self._context.config.group_size:
-            return replace_change("", self._best(learners, group.replicas))
+        if len(declared.replicas) < self._context.config.group_size:
+            return replace_change("", self._best_learner(learners, declared.replicas))
         delay_s = self._context.config.timings.replace_delay_s
-        for replica in group.replicas:
+        for replica in declared.replicas:
             same_member = [each for each in learners if member_of(each) == member_of(replica)]
             if same_member:
                 return replace_change(replica, same_member[0])
         leaving = {
             replica_id(member, status.disk) for member, status in live.items() if status.leaving
         }
-        for replica in group.replicas:
-            if replica in leaving or self._silent_for(replica, now) > delay_s:
-                rest = [each for each in group.replicas if each != replica]
-                return replace_change(replica, self._best(learners, rest))
+        for replica in declared.replicas:
+            if replica in leaving or self._unresponsive_s(replica, now) > delay_s:
+                rest = [each for each in declared.replicas if each != replica]
+                return replace_change(replica, self._best_learner(learners, rest))
         return None
 
-    def _best(self, learners: list[str], rest: list[str]) -> str:
+    def _best_learner(self, learners: list[str], rest: list[str]) -> str:
         """Return the learner whose zone is not yet among the rest, else the first by name."""
         cores = self._context.sets.cores
         zones = {cores[member_of(each)].info.zone for each in rest if member_of(each) in cores}
@@ -163,11 +168,14 @@
 
         return min(learners, key=preference)
 
-    def _forget_when_due(self, live: dict[MemberId, Heartbeat], now: float) -> bytes | None:
+    def _removal_if_due(self, live: dict[MemberId, Heartbeat], now: float) -> bytes | None:
         members = self._context.sets.grantors().members()
         for member in self._context.sets.cores:
             if member in members or member in live or member == self._context.own_id:
-                self._silent_since.pop(f"core {member}", None)
-            elif now - self._silent_since.setdefault(f"core {member}", now) > FORGET_CORE_S:
+                self._unresponsive_since.pop(f"core {member}", None)
+            elif (
+                now - self._unresponsive_since.setdefault(f"core {member}", now)
+                > REMOVE_CORE_AFTER_S
+            ):
                 return leave_change(member)
         return None
--- a/src/zincvale/coordination/replication/replica_sets.py
+++ b/src/zincvale/coordination/replication/replica_sets.py
@@ -3,7 +3,7 @@
 Rows: `cluster` (identity of the creation), `core/ID` (a core and its disk), `group/NAME` (the
 replicas of a group of keys, and those before a change under way), `key/NAME` (a key's group and the
 replicas it was created with). The rows declare; each key's record carries its own configuration and
-its owner moves it towards the declared one.
+its owner moves it to the declared one.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 REGISTRY_KEY = "registry"
 INTENT_KEY = "intent"
 DELIVERED_KEYS = (INTENT_KEY, REGISTRY_KEY)
-"""Keys that nodes hold and confirm."""
+"""Keys that nodes store and whose versions they confirm; the order decides that of effects."""
 ROLE_KEY_PREFIX = "role/"
 DEFAULT_GROUP = "default"
 CLUSTER_ROW = "cluster"
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class ReplicaSets:
-    """The decoded key."""
+    """The decoded value of the key."""
 
     version: int = 0
     cluster_incarnation: str = ""
@@ -89,8 +89,8 @@
     return orjson.dumps({"group": row.group, "initial": attrs.asdict(row.initial)})
 
 
-def first_rows(cluster_incarnation: str, cores: list[CoreRow], keys: list[str]) -> Rows:
-    """Return the rows a new cluster starts with."""
+def initial_rows(cluster_incarnation: str, cores: list[CoreRow], keys: list[str]) -> Rows:
+    """Return the rows that a new cluster starts with."""
     config = ReplicaConfig([row.replica() for row in cores])
     rows = {f"{CORE_PREFIX}{row.info.member}": encode_core(row) for row in cores}
     rows[f"{GROUP_PREFIX}{DEFAULT_GROUP}"] = encode_group(config)
@@ -101,7 +101,7 @@
 
 
 def decode_replica_sets(version: int, rows: Rows) -> ReplicaSets:
-    """Return the decoded key."""
+    """Return the decoded value of the key."""
     sets = ReplicaSets(version, rows.get(CLUSTER_ROW, b"").decode())
     for row, value in rows.items():
         if row.startswith(CORE_PREFIX):
@@ -116,10 +116,10 @@
 
 
 def _decode_core(value: bytes) -> CoreRow:
-    plain = orjson.loads(value)
-    return CoreRow(MemberInfo(**plain["info"]), plain["disk"])
+    fields = orjson.loads(value)
+    return CoreRow(MemberInfo(**fields["info"]), fields["disk"])
 
 
 def _decode_key(value: bytes) -> KeyRow:
-    plain = orjson.loads(value)
-    return KeyRow(plain["group"], ReplicaConfig(**plain["initial"]))
+    fields = orjson.loads(value)
+    return KeyRow(fields["group"], ReplicaConfig(**fields["initial"]))
--- a/src/zincvale/simulator/cluster/cluster.py
+++ b/src/zincvale/simulator/cluster/cluster.py
@@ -152,7 +152,7 @@
             for process in self.world.processes.values()
             if process.kind == CORE
         }
-        sets = newest.machine.replica_sets().grantors().sets()
+        sets = newest.machine.replica_sets().grantors().quorum_sets()
         return all(each and has_majority(each, surviving) for each in sets)
 
     # --- inside ---------------------------------------------------------------------------
--- a/src/zincvale/simulator/mutations/registers.py
+++ b/src/zincvale/simulator/mutations/registers.py
@@ -119,7 +119,7 @@
             "zincvale.coordination.leases.catch_up.replica_id",
             "zincvale.coordination.core.context.replica_id",
             "zincvale.coordination.registers.owner.replica_id",
-            "zincvale.coordination.replication.replica_manager.replica_id",
+            "zincvale.coordination.replication.replica_set_reconciler.replica_id",
             "zincvale.coordination.replication.replica_sets.replica_id",
         ):
             with contextlib.suppress(AttributeError):
--- a/tests/coordination/test_creation.py
+++ b/tests/coordination/test_creation.py
@@ -17,7 +17,7 @@
 from zincvale.coordination.registers.recovered_state import RecoveredState
 from zincvale.coordination.registers.replica import RegisterReplica
 from zincvale.coordination.replication.replica_config import ReplicaConfig
-from zincvale.coordination.replication.replica_sets import REPLICA_SETS_KEY, CoreRow, first_rows
+from zincvale.coordination.replication.replica_sets import REPLICA_SETS_KEY, CoreRow, initial_rows
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.model.machine import Write
 
@@ -51,7 +51,7 @@
         self.creation = ClusterCreation(self.context, [REPLICA_SETS_KEY])
 
     def accept(self, epoch: Epoch, version: int, *names: str) -> None:
-        rows = first_rows("cluster", core_rows(*names), [REPLICA_SETS_KEY])
+        rows = initial_rows("cluster", core_rows(*names), [REPLICA_SETS_KEY])
         replicas = ReplicaConfig([row.replica() for row in core_rows(*names)])
         update = RecordUpdate(Position(epoch, version), None, replicas, rows, [], [])
         request = Accept(REPLICA_SETS_KEY, epoch, update, version - 1)
