--- a/src/zincvale/coordination/core/dispatch.py
+++ b/src/zincvale/coordination/core/dispatch.py
@@ -80,9 +80,9 @@
     match message:
         case Accept():
             parts.values.handle_accept(message, now)
-            return parts.context.replica.handle(sender, message, message.key, now)
+            return parts.context.replica.handle(sender, message, message.key)
         case Prepare():
-            return parts.context.replica.handle(sender, message, message.key, now)
+            return parts.context.replica.handle(sender, message, message.key)
         case ConfirmEpoch():
             return parts.context.replica.confirm(sender, message)
         case Promise() | Accepted() | BaseVersionMissing() | Refused() | EpochConfirmed():
--- a/src/zincvale/coordination/registers/cluster_creation.py
+++ b/src/zincvale/coordination/registers/cluster_creation.py
@@ -83,7 +83,7 @@
         if not is_expected or self.older_cluster not in ("", created):
             return []
         self._listen_after_recovery(now)
-        return context.replica.handle(sender, message, REPLICA_SETS_KEY, now)
+        return context.replica.handle(sender, message, REPLICA_SETS_KEY)
 
     def follow_accepted_replica_sets(self) -> None:
         """Use the newest accepted replica sets after a restart, a creation or a change.
@@ -128,7 +128,7 @@
         config = ReplicaConfig([row.replica() for row in rows])
         record = Record(position, config, initial_rows(incarnation, rows, self._keys))
         message = CreateCluster(context.disk, record.to_update())
-        effects = context.replica.handle(context.own_id, message, REPLICA_SETS_KEY, now)
+        effects = context.replica.handle(context.own_id, message, REPLICA_SETS_KEY)
         return [Log(log_events.CLUSTER_CREATED, {"cluster": incarnation}), *effects]
 
     def _send_first_record(self, now: float) -> list[Effect]:
--- a/src/zincvale/coordination/registers/replica.py
+++ b/src/zincvale/coordination/registers/replica.py
@@ -94,7 +94,7 @@
         slot = self._slots.get(key)
         return slot.state if slot else StoredKeyState()
 
-    def handle(self, sender: MemberId, request: Request, key: str, now: float) -> list[Effect]:
+    def handle(self, sender: MemberId, request: Request, key: str) -> list[Effect]:
         """Apply a request; its response follows once the disk stored it."""
         if self._failure:
             return []
@@ -122,7 +122,7 @@
         write = slot.in_flight
         slot.in_flight = None
         if error:
-            return self._stop(slot, error, now)
+            return self._stop(error, now)
         effects: list[Effect] = []
         if self._failure:
             self._failure = ""
@@ -145,7 +145,7 @@
             return []
         return [self._write(key, slot, slot.state, None, [])]
 
-    def _stop(self, slot: _KeyReplica, error: str, now: float) -> list[Effect]:
+    def _stop(self, error: str, now: float) -> list[Effect]:
         for each in self._slots.values():
             each.pending.clear()
             each.files_since_snapshot = SNAPSHOT_EVERY_FILES
@@ -164,7 +164,7 @@
             case Accept(_, epoch, update, _):
                 return self._start_accept(key, slot, sender, epoch, update)
             case CreateCluster(_, update):
-                return self._start_create(key, slot, sender, update)
+                return self._start_create(key, slot, update)
 
     def _start_prepare(
         self, key: str, slot: _KeyReplica, sender: MemberId, request: Prepare
@@ -198,9 +198,7 @@
         state = StoredKeyState(epoch, record)
         return [self._write(key, slot, state, update, [response])]
 
-    def _start_create(
-        self, key: str, slot: _KeyReplica, sender: MemberId, update: RecordUpdate
-    ) -> list[Effect]:
+    def _start_create(self, key: str, slot: _KeyReplica, update: RecordUpdate) -> list[Effect]:
         if slot.state.record.position != Position():
             return []
         record = apply_update(slot.state.record, update)
--- a/src/zincvale/simulator/register_exploration.py
+++ b/src/zincvale/simulator/register_exploration.py
@@ -100,14 +100,14 @@
 
     def handle_and_crash(self, sender: str, message: Any) -> list[Effect]:
         """Take a request and restart before its write is durable; return what had left by then."""
-        effects = self.machine.handle(MemberId(sender), message, KEY, 0.0)
+        effects = self.machine.handle(MemberId(sender), message, KEY)
         self.restart()
         is_writing = any(isinstance(effect, Write) for effect in effects)
         return [each for each in effects if isinstance(each, Send)] if is_writing else []
 
     def handle(self, sender: str, message: Any) -> list[Effect]:
         """Take a request and complete its write."""
-        effects = list(self.machine.handle(MemberId(sender), message, KEY, 0.0))
+        effects = list(self.machine.handle(MemberId(sender), message, KEY))
         for effect in list(effects):
             if isinstance(effect, Write):
                 if effect.content[:1] == b"S":
--- a/tests/coordination/exploration.py
+++ b/tests/coordination/exploration.py
@@ -177,7 +177,7 @@
 
 def _to_replica(replica: RegisterReplica, sender: str, message: object) -> list[Effect]:
     assert isinstance(message, Prepare | Accept)
-    effects = replica.handle(MemberId(sender), message, KEY, 0.0)
+    effects = replica.handle(MemberId(sender), message, KEY)
     for effect in list(effects):
         if isinstance(effect, Write):
             effects += replica.handle_written(effect.token, "", 0.0)
--- a/tests/coordination/test_creation.py
+++ b/tests/coordination/registers/test_cluster_creation.py
@@ -55,7 +55,7 @@
         replicas = ReplicaConfig([row.replica() for row in core_rows(*names)])
         update = RecordUpdate(Position(epoch, version), None, replicas, rows, [], [])
         request = Accept(REPLICA_SETS_KEY, epoch, update, version - 1)
-        effects = self.replica.handle(MemberId("owner"), request, REPLICA_SETS_KEY, 0.0)
+        effects = self.replica.handle(MemberId("owner"), request, REPLICA_SETS_KEY)
         for effect in effects:
             if isinstance(effect, Write):
                 self.replica.handle_written(effect.token, "", 0.0)
--- a/tests/coordination/test_register.py
+++ b/tests/coordination/registers/test_register.py
@@ -56,7 +56,7 @@
         self.replica = RegisterReplica(RecoveredState("disk"), Timings())
 
     def ask(self, request: Prepare | Accept) -> list[object]:
-        return list(self.replica.handle(MemberId("owner"), request, KEY, 0.0))
+        return list(self.replica.handle(MemberId("owner"), request, KEY))
 
     def promise(self, number: int) -> list[object]:
         (write,) = self.ask(Prepare(KEY, Epoch(number, "owner/1")))
