--- a/src/zincvale/storage/disk.py
+++ b/src/zincvale/storage/disk.py
@@ -8,7 +8,13 @@
 
 
 class DiskInterface(Protocol):
-    """What storage needs of a file system; every call may raise `OSError`."""
+    """What storage needs of a file system.
+
+    Raises
+    ------
+    OSError
+        By every call, when the file system fails.
+    """
 
     def make_folder(self, folder: Path) -> None:
         """Create a folder and its parents, and make that durable."""
--- a/src/zincvale/storage/quota_disk.py
+++ b/src/zincvale/storage/quota_disk.py
@@ -21,8 +21,8 @@
     def __init__(self, disk: DiskInterface, quota_file: str) -> None:
         self._disk = disk
         self._quota_file = Path(quota_file)
-        self._quota_read = ""
-        self._written = 0
+        self._last_quota_text = ""
+        self._written_bytes = 0
 
     def make_folder(self, folder: Path) -> None:
         """Create a folder and its parents, and make that durable."""
@@ -42,7 +42,7 @@
 
     def write_synced(self, path: Path, content: bytes) -> None:
         """Write a new file and sync its content, or raise `OSError` when the quota is used up."""
-        self._take(len(content), path)
+        self._reserve_bytes(len(content), path)
         self._disk.write_synced(path, content)
 
     def rename(self, source: Path, target: Path) -> None:
@@ -57,22 +57,22 @@
         """Remove a file."""
         self._disk.remove(path)
 
-    def _take(self, size_bytes: int, path: Path) -> None:
-        quota = self._read_quota()
-        if quota is None:
+    def _reserve_bytes(self, size_bytes: int, path: Path) -> None:
+        quota_bytes = self._read_quota_bytes()
+        if quota_bytes is None:
             return
-        if self._written + size_bytes > quota:
+        if self._written_bytes + size_bytes > quota_bytes:
             raise OSError(errno.ENOSPC, "No space left on device", str(path))
-        self._written += size_bytes
+        self._written_bytes += size_bytes
 
-    def _read_quota(self) -> int | None:
+    def _read_quota_bytes(self) -> int | None:
         """Return the bytes allowed since the file last changed, or None without a limit."""
         try:
             text = self._quota_file.read_text(encoding="ascii").strip()
-            quota = int(text)
+            quota_bytes = int(text)
         except (OSError, ValueError):
             return None
-        if text != self._quota_read:
-            self._quota_read = text
-            self._written = 0
-        return quota
+        if text != self._last_quota_text:
+            self._last_quota_text = text
+            self._written_bytes = 0
+        return quota_bytes
--- a/src/zincvale/storage/version_files.py
+++ b/src/zincvale/storage/version_files.py
@@ -1,9 +1,10 @@
 """Durable storage of one core: one file for each version of each key.
 
-A file is written aside, synced, renamed, and its folder synced, before it counts. Its name carries
-the key and a number that increases; its content carries a checksum, the cluster id and the disk's
-identity. The first byte of a body says whether it is a snapshot (`S`) or continues the previous
-file (`D`), which decides what older files are still needed.
+A file is written under a temporary name, synced, renamed, and its folder synced, before its write
+is reported. Its folder carries the key and its name a number that increases; its content begins
+with a checksum over the cluster id, the disk's identity and the body. The first byte of a body says
+whether it is a snapshot (`S`) or continues the previous file (`D`), which decides what older files
+are still needed.
 
 Layout: `identity` (cluster id and disk identity, written once), `keys/<encoded key>/<number>`,
 `quarantine/`.
@@ -30,19 +31,25 @@
 IDENTITY_FILE = "identity"
 KEYS_FOLDER = "keys"
 QUARANTINE_FOLDER = "quarantine"
-ASIDE_SUFFIX = ".aside"
+TEMPORARY_SUFFIX = ".aside"
 NUMBER_DIGITS = 12
+"""Digits of a file's name; the names sort by number only while all have the same length."""
 CHECKSUM_BYTES = 8
+"""Length of the xxh3 checksum that a file begins with."""
 DISK_ID_BITS = 64
-SNAPSHOTS_KEPT = 2
-"""Older chains than the newest, kept for inspection."""
+"""Random bits of a disk's identity; two disks with one identity would share a vote."""
+CHAINS_RETAINED = 2
+"""Chains retained for each key: the newest, and the one before it for inspection."""
 
 LogFunction = Callable[[int, dict[str, Any]], None]
 
 
+def _discard_log(_number: int, _fields: dict[str, Any]) -> None:
+    """Drop a log event."""
+
+
 @attrs.frozen
-class _FileFound:
-    name: str
+class _ReadableFile:
     number: int
     body: bytes
 
@@ -54,7 +61,7 @@
     ----------
     folder : the data folder.
     disk : the file system, injected.
-    cluster_id : a folder of another cluster is refused.
+    cluster_id : a folder of another cluster is rejected.
     random_source : draws the disk's identity when the folder is new.
     log : takes numbered log events with fields.
     """
@@ -65,7 +72,7 @@
         disk: DiskInterface,
         cluster_id: str,
         random_source: random.Random,
-        log: LogFunction = lambda number, fields: None,
+        log: LogFunction = _discard_log,
     ) -> None:
         self._folder = folder
         self._disk = disk
@@ -89,7 +96,7 @@
             self._disk.make_folder(self._folder / KEYS_FOLDER)
             self._disk_id = self._read_identity()
             if not self._disk_id:
-                self._refuse_without_identity()
+                self._check_no_records()
                 self._create_identity()
             return self._load_keys()
         except OSError as error:
@@ -99,15 +106,20 @@
             ) from error
 
     def write(self, key: str, number: int, content: bytes) -> str:
-        """Make a file durable; return an empty string, or what went wrong."""
+        """Make a file durable.
+
+        Returns
+        -------
+        str : empty, or what failed. It is no exception: the replica stops voting and retries.
+        """
         try:
             folder = self._key_folder(key)
             if key not in self._chains:
                 self._disk.make_folder(folder)
-            self._write_file(folder, _file_name(number), self._sealed(content))
+            self._write_file(folder, _file_name(number), self._with_checksum(content))
         except OSError as error:
             return f"{key} file {number}: {error.strerror or error}"
-        self._remember(key, number, content)
+        self._record_written(key, number, content)
         self._prune(key)
         return ""
 
@@ -136,7 +148,7 @@
         self._write_file(self._folder, IDENTITY_FILE, content)
         self._log(log_events.FOLDER_CREATED, {"disk": self._disk_id})
 
-    def _refuse_without_identity(self) -> None:
+    def _check_no_records(self) -> None:
         if self._disk.list_folders(self._folder / KEYS_FOLDER):
             raise StorageError(
                 f"data folder {self._folder} has records but no identity file",
@@ -148,55 +160,55 @@
         damaged: dict[str, str] = {}
         for folder_name in self._disk.list_folders(self._folder / KEYS_FOLDER):
             key = unquote(folder_name)
-            loaded = self._load_key(key)
-            if isinstance(loaded, RecoveredKey):
-                keys[key] = loaded
-            elif loaded:
-                damaged[key] = loaded
+            key_or_damage = self._load_key(key)
+            if isinstance(key_or_damage, RecoveredKey):
+                keys[key] = key_or_damage
+            elif key_or_damage:
+                damaged[key] = key_or_damage
         if damaged:
-            self._abandon(damaged)
+            self._abandon_identity(damaged)
             keys = {}
         return RecoveredState(self._disk_id, keys, damaged)
 
     def _load_key(self, key: str) -> RecoveredKey | str:
         """Return the files of one key, or what is wrong with them."""
         folder = self._key_folder(key)
-        found, unreadable = self._read_files(folder)
-        self._chains[key] = _chains_of(found)
+        readable, unreadable = self._read_files(folder)
+        self._chains[key] = _split_into_chains(readable)
         newest = self._chains[key][-1] if self._chains[key] else []
         if any(number >= (newest[0] if newest else 0) for number in unreadable):
             return f"a file of key {key!r} is torn or foreign"
         if not newest:
             return ""
-        chain = [each for each in found if each.number in newest]
+        chain = [each for each in readable if each.number in newest]
         if chain[0].body[:1] != SNAPSHOT_MARK:
             return f"key {key!r} has no snapshot"
         if newest != list(range(newest[0], newest[0] + len(newest))):
             return f"a file of key {key!r} is missing"
         return RecoveredKey([each.body for each in chain], newest[-1])
 
-    def _read_files(self, folder: Path) -> tuple[list[_FileFound], list[int]]:
+    def _read_files(self, folder: Path) -> tuple[list[_ReadableFile], list[int]]:
         """Return the readable files and the numbers of the others, which are quarantined."""
-        found: list[_FileFound] = []
+        readable: list[_ReadableFile] = []
         unreadable: list[int] = []
         for name in self._disk.list_files(folder):
-            if name.endswith(ASIDE_SUFFIX):
+            if name.endswith(TEMPORARY_SUFFIX):
                 self._disk.remove(folder / name)
                 continue
-            body = self._opened(self._disk.read(folder / name)) if name.isdigit() else None
+            body = self._verified_body(self._disk.read(folder / name)) if name.isdigit() else None
             if body is not None:
-                found.append(_FileFound(name, int(name), body))
+                readable.append(_ReadableFile(int(name), body))
                 continue
             self._quarantine(folder, name)
             if name.isdigit():
                 unreadable.append(int(name))
-        return found, unreadable
+        return readable, unreadable
 
-    def _abandon(self, damaged: dict[str, str]) -> None:
-        """Give the folder a new identity: this disk may have forgotten what it promised.
+    def _abandon_identity(self, damaged: dict[str, str]) -> None:
+        """Give the folder a new identity: this disk may have lost what it promised.
 
         The new identity is durable before the first record moves, so that a crash in between leaves
-        files that no longer open.
+        files whose checksums no longer match.
         """
         former = self._disk_id
         self._create_identity()
@@ -216,16 +228,16 @@
         self._log(log_events.FILE_QUARANTINED, {"key": unquote(folder.name), "file": name})
 
     def _write_file(self, folder: Path, name: str, content: bytes) -> None:
-        aside = folder / f"{name}{ASIDE_SUFFIX}"
+        temporary = folder / f"{name}{TEMPORARY_SUFFIX}"
         try:
-            self._disk.write_synced(aside, content)
-            self._disk.rename(aside, folder / name)
+            self._disk.write_synced(temporary, content)
+            self._disk.rename(temporary, folder / name)
         except OSError:
-            self._remove_quietly(aside)
+            self._remove_quietly(temporary)
             raise
         self._disk.sync_folder(folder)
 
-    def _remember(self, key: str, number: int, content: bytes) -> None:
+    def _record_written(self, key: str, number: int, content: bytes) -> None:
         chains = self._chains.setdefault(key, [])
         if content[:1] == SNAPSHOT_MARK or not chains:
             chains.append([number])
@@ -234,7 +246,7 @@
 
     def _prune(self, key: str) -> None:
         chains = self._chains[key]
-        while len(chains) > SNAPSHOTS_KEPT:
+        while len(chains) > CHAINS_RETAINED:
             for number in chains.pop(0):
                 self._remove_quietly(self._key_folder(key) / _file_name(number))
 
@@ -247,11 +259,11 @@
     def _key_folder(self, key: str) -> Path:
         return self._folder / KEYS_FOLDER / quote(key, safe="")
 
-    def _sealed(self, content: bytes) -> bytes:
+    def _with_checksum(self, content: bytes) -> bytes:
         return self._checksum(content) + content
 
-    def _opened(self, sealed: bytes) -> bytes | None:
-        checksum, content = sealed[:CHECKSUM_BYTES], sealed[CHECKSUM_BYTES:]
+    def _verified_body(self, file_content: bytes) -> bytes | None:
+        checksum, content = file_content[:CHECKSUM_BYTES], file_content[CHECKSUM_BYTES:]
         return content if content and checksum == self._checksum(content) else None
 
     def _checksum(self, content: bytes) -> bytes:
@@ -264,9 +276,9 @@
     return f"{number:0{NUMBER_DIGITS}d}"
 
 
-def _chains_of(found: list[_FileFound]) -> list[list[int]]:
+def _split_into_chains(readable: list[_ReadableFile]) -> list[list[int]]:
     chains: list[list[int]] = []
-    for each in found:
+    for each in readable:
         if each.body[:1] == SNAPSHOT_MARK or not chains:
             chains.append([])
         chains[-1].append(each.number)
