--- a/src/zincvale/controlplane/intent/change_body.py
+++ b/src/zincvale/controlplane/intent/change_body.py
@@ -20,10 +20,11 @@
 """Largest body of one change, some 18,000 resources; more goes into several changes.
 
 Checking blocks the event loop of the core that owns the intent: the limit keeps that well under the
-time after which the other cores take it for dead.
+time-out after which the other cores count it as failed.
 """
 
 MAX_NAME_CHARACTERS = 128
+"""Longest name of a resource; names are parts of row ids and of the API's paths."""
 MAX_SPEC_DEPTH = 8
 """Deeper values are no resource of any release; the limit bounds every recursion over a spec."""
 
@@ -38,7 +39,7 @@
     MERGE = "merge"
     """Patch the named resources; everything else stays."""
     REPLACE = "replace"
-    """The resources are the whole intent; everything else is deleted."""
+    """The resources are the complete intent; everything else is deleted."""
 
 
 @attrs.frozen
@@ -126,21 +127,22 @@
         raise InvalidInputError(
             f"{kind} {name}: spec is {type(spec).__name__}, not an object", "write it as fields"
         )
-    if spec is not None and _is_deeper(spec, MAX_SPEC_DEPTH):
+    if spec is not None and _is_deeper_than(spec, MAX_SPEC_DEPTH):
         raise InvalidInputError(
             f"{kind} {name}: spec is nested deeper than {MAX_SPEC_DEPTH}", "write plain fields"
         )
     return ResourceEdit(kind, name, row_id(kind, name), spec)
 
 
-def _is_deeper(value: dict[str, Any] | list[Any], depth: int) -> bool:
+def _is_deeper_than(value: dict[str, Any] | list[Any], depth: int) -> bool:
     if depth == 0:
         return True
     items = value.values() if isinstance(value, dict) else value
-    return any(isinstance(item, dict | list) and _is_deeper(item, depth - 1) for item in items)
+    return any(isinstance(item, dict | list) and _is_deeper_than(item, depth - 1) for item in items)
 
 
 def _refuse_status(item: object, where: str) -> None:
+    """Raise `InvalidInputError` for a resource that was read back and sent with its status."""
     if isinstance(item, dict) and "status" in item:
         raise InvalidInputError(
             f"{where}: `status` is observed, never declared", "remove `status` from the resource"
--- a/src/zincvale/controlplane/intent/proposed_rows.py
+++ b/src/zincvale/controlplane/intent/proposed_rows.py
@@ -33,7 +33,7 @@
     Parameters
     ----------
     stored : rows in force.
-    changed : changed rows by row id.
+    changed : rows that the change puts or deletes, by row id.
     """
 
     def __init__(self, stored: Mapping[str, bytes], changed: Mapping[str, ChangedRow]) -> None:
--- a/src/zincvale/controlplane/intent/reducer.py
+++ b/src/zincvale/controlplane/intent/reducer.py
@@ -1,6 +1,6 @@
 """Reducer of the intent: checks a change against the rows and returns the rows it changes.
 
-Pure and without memory: the same rows and change give the same answer on every core.
+Pure and stateless: the same rows and change give the same result on every core.
 """
 
 from __future__ import annotations
@@ -65,11 +65,12 @@
                 "apply the resources in several changes",
             )
         body = read_change_body(parse_json(change, "the change"))
-        proposed = ProposedRows(rows, _changed_rows(rows, body))
+        proposed = ProposedRows(rows, _apply_edits(rows, body))
         self._check(proposed)
         return {row: changed.content for row, changed in proposed.changed.items()}
 
     def _check(self, proposed: ProposedRows) -> None:
+        """Raise a `ZincvaleError` for the first rule broken: fields before what they refer to."""
         for changed in proposed.written():
             check_fields(changed.kind, changed.name, changed.fields or {}, self.known_policies)
         for changed in proposed.written():
@@ -78,7 +79,8 @@
         check_referrers(proposed)
 
 
-def _changed_rows(rows: Mapping[str, bytes], body: ChangeBody) -> dict[str, ChangedRow]:
+def _apply_edits(rows: Mapping[str, bytes], body: ChangeBody) -> dict[str, ChangedRow]:
+    """Return the rows whose content a change makes different, by row id, unchecked."""
     changed: dict[str, ChangedRow] = {}
     for edit in body.edits:
         fields = _fields_after(rows, edit, body.mode)
@@ -86,9 +88,9 @@
         if content != rows.get(edit.row):
             changed[edit.row] = ChangedRow(edit.kind, edit.name, fields, content)
     if body.mode is ChangeMode.REPLACE:
-        kept = {edit.row for edit in body.edits}
+        retained = {edit.row for edit in body.edits}
         for row in rows:
-            if row not in kept:
+            if row not in retained:
                 changed[row] = ChangedRow(*split_row_id(row), None, None)
     return changed
 
@@ -96,6 +98,7 @@
 def _fields_after(
     rows: Mapping[str, bytes], edit: ResourceEdit, mode: ChangeMode
 ) -> dict[str, Any] | None:
+    """Return a resource's declared fields after an edit; None when it deletes the resource."""
     if edit.spec is None:
         return None
     stored = None if mode is ChangeMode.REPLACE else rows.get(edit.row)
--- a/src/zincvale/controlplane/intent/row_codec.py
+++ b/src/zincvale/controlplane/intent/row_codec.py
@@ -50,7 +50,7 @@
 def encode_spec(spec: Mapping[str, Any]) -> bytes:
     """Return the row content of declared fields.
 
-    The library leaves its result in a buffer of several kilobytes; rows are kept, so it is copied
+    orjson returns its result in a buffer of several kilobytes; rows stay in memory, so it is copied
     to its own size.
     """
     return bytes(memoryview(orjson.dumps(spec, option=orjson.OPT_SORT_KEYS)))
@@ -82,13 +82,14 @@
     try:
         return SPEC_BY_KIND[kind].from_dict(fields)
     except Exception as error:
+        # The decoder raises many types; whichever it is, this release cannot read the row.
         raise InvalidInputError(
             f"intent row {row} cannot be read: {error}", "run the same release on every machine"
         ) from error
 
 
 def decode_intent(version: int, rows: Mapping[str, bytes]) -> Intent:
-    """Return the whole intent; raises `InvalidInputError` for the first unreadable row."""
+    """Return the complete intent; raises `InvalidInputError` for the first unreadable row."""
     return IntentDecoder().update(version, rows)
 
 
@@ -125,11 +126,12 @@
         changed : ids of the rows that may differ from the last update, where the caller knows
             them; otherwise every row is compared.
         """
-        candidates = self._compare(rows) if changed is None else changed
+        candidates = self._differing_rows(rows) if changed is None else changed
         contents = {row: rows.get(row) for row in candidates}
-        return self._take(version, contents)
+        return self._apply(version, contents)
 
-    def _compare(self, rows: Mapping[str, bytes]) -> list[str]:
+    def _differing_rows(self, rows: Mapping[str, bytes]) -> list[str]:
+        """Return the ids of the rows that were put or deleted since the last update."""
         known = self._rows
         differing = [row for row, content in rows.items() if known.get(row) != content]
         added = sum(1 for row in differing if row not in known)
@@ -137,7 +139,11 @@
             differing.extend(row for row in known if row not in rows)
         return differing
 
-    def _take(self, version: int, contents: Mapping[str, bytes | None]) -> Intent:
+    def _apply(self, version: int, contents: Mapping[str, bytes | None]) -> Intent:
+        """Decode changed rows (None: deleted) and return the new intent.
+
+        The tables are copied on write: an intent that was returned before never changes.
+        """
         tables: dict[str, Any] = {}
         for row, content in contents.items():
             kind, name = split_row_id(row)
--- a/src/zincvale/controlplane/intent/validation/fields.py
+++ b/src/zincvale/controlplane/intent/validation/fields.py
@@ -21,13 +21,16 @@
 )
 
 MAX_DEADLINE_MS = 24 * 3_600 * 1_000
+"""Longest deadline that a route may declare, one day."""
 MAX_WEIGHT_BYTES = 2**50
-"""No model is a pebibyte: a larger size is a slip of units."""
+"""No model has a pebibyte: a larger size is a slip of units."""
 MAX_PATH_CHARACTERS = 256
+"""Longest path of a route."""
 
 RESERVED_PATHS = frozenset({"/ready", "/healthz", "/metrics"})
 """Paths that every node serves itself."""
 RESERVED_PATH_PREFIXES = ("/v1/traces", "/v1/requests", "/peer")
+"""Beginnings of the paths that every node serves itself."""
 
 _PATH = re.compile(r"(/[A-Za-z0-9._~-]+)+")
 
--- a/src/zincvale/controlplane/intent/validation/resources.py
+++ b/src/zincvale/controlplane/intent/validation/resources.py
@@ -1,4 +1,4 @@
-"""Rules between resources, beyond that references name something."""
+"""Rules between resources, beyond that each reference names an existing resource."""
 
 from __future__ import annotations
 
@@ -18,8 +18,11 @@
 _UNIQUE_FIELD_BY_KIND = {"Route": "path", "Store": "address"}
 """A path leads to one route; a store under two names would be pulled beyond its bandwidth."""
 
-QUICK_LOOK_NAMES = 8
-"""So many names at most are looked for in a row's bytes before the row is decoded."""
+MAX_PREFILTER_NAMES = 8
+"""Most names that are searched for in a row's bytes before it is decoded.
+
+Above it every row is decoded; the result of a check is the same either way, only slower.
+"""
 
 _DEFAULT_POOL_KIND = PoolKind.LANGUAGE_MODEL.value
 
@@ -49,16 +52,16 @@
     Costs a pass over the referring kinds, made only when a change deletes a resource or moves one
     to another pool or pool kind.
     """
-    moved: dict[str, list[str]] = {}
+    targets_by_kind: dict[str, list[str]] = {}
     for row in proposed.changed:
-        for kind in _kinds_to_check(row, proposed):
-            moved.setdefault(kind, []).append(row)
-    for kind, targets in sorted(moved.items()):
+        for kind in _kinds_to_recheck(row, proposed):
+            targets_by_kind.setdefault(kind, []).append(row)
+    for kind, targets in sorted(targets_by_kind.items()):
         _check_referrers_of(kind, frozenset(targets), proposed)
 
 
 def _check_referrers_of(kind: str, targets: frozenset[str], proposed: ProposedRows) -> None:
-    may_refer = _content_filter(targets)
+    may_refer = _content_prefilter(targets)
     for row, content in proposed.unchanged(kind):
         if not may_refer(content):
             continue
@@ -67,8 +70,8 @@
             check_resource(kind, row.partition("/")[2], fields, proposed)
 
 
-def _content_filter(targets: Collection[str]) -> Callable[[bytes], bool]:
-    """Return a quick look at a row's JSON that never misses a name among `targets`.
+def _content_prefilter(targets: Collection[str]) -> Callable[[bytes], bool]:
+    """Return a test on a row's JSON that is true whenever the row may name one of `targets`.
 
     Names need no escapes in JSON (`change_body.read_name`).
     """
@@ -76,12 +79,12 @@
     if len(quoted) == 1:
         name = quoted[0]
         return lambda content: name in content
-    if len(quoted) <= QUICK_LOOK_NAMES:
+    if len(quoted) <= MAX_PREFILTER_NAMES:
         return lambda content: any(name in content for name in quoted)
-    return lambda content: True
+    return lambda _content: True
 
 
-def _kinds_to_check(row: str, proposed: ProposedRows) -> list[str]:
+def _kinds_to_recheck(row: str, proposed: ProposedRows) -> list[str]:
     """Return the kinds whose resources must be checked again when they name `row`."""
     kind = row.partition("/")[0]
     if proposed.deletes(row):
