--- a/src/zincvale/controlplane/documents/api.py
+++ b/src/zincvale/controlplane/documents/api.py
@@ -1,8 +1,8 @@
 """The operators' calls about the forwarding document, as a pure state machine.
 
-A dialect reads requests into commands and writes answers; this module carries changes to the
-owner of the document and answers reads only with what is certainly the newest: before a read is
-answered, the owner proves the current version by a quorum.
+A dialect reads requests into commands and writes responses; this module carries changes to the
+owner of the document and completes reads only with what is certainly the newest: before a read is
+completed, the owner confirms the current version by a quorum (a linearizable read).
 """
 
 from __future__ import annotations
@@ -25,10 +25,13 @@
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.model.errors import UnavailableError, ZincvaleError
 
-CALL_LIMIT_S = 4.5
+CALL_TIMEOUT_S = 4.5
+"""After this a call gets an error; longer than the core's own limit on a change (4 s by default),
+so that its result arrives first where there is one."""
 MAX_PENDING_CALLS = 1_000
+"""Calls that wait for the core; it bounds memory while the owner is unreachable."""
 NO_VERSION = -1
-"""A base that no version has: the owner answers with the current version and changes nothing."""
+"""A base that no version has: the owner replies with the current version and changes nothing."""
 
 
 @attrs.frozen
@@ -38,7 +41,7 @@
 
 @attrs.frozen
 class ChangeDocument:
-    """Change the document, or close or open a zone."""
+    """Change the document, or evacuate or open a zone."""
 
     change: DocumentChange | EvacuationChange
 
@@ -47,22 +50,22 @@
 
 
 class OperatorDialect(Protocol):
-    """How operators speak."""
+    """Maps operators' HTTP requests to commands, and results to HTTP responses."""
 
     def read(self, request: ApiRequest) -> Command:
-        """Return what is asked; raises a `ZincvaleError`."""
+        """Return the command in a request; raises a `ZincvaleError`."""
         ...
 
-    def document_answer(self, token: str, document: SourceDocument) -> ApiResponse:
-        """Return the answer to a read."""
+    def document_response(self, token: str, document: SourceDocument) -> ApiResponse:
+        """Return the response to a read."""
         ...
 
-    def change_answer(self, token: str, result: ChangeResult) -> ApiResponse:
-        """Return the answer to a change."""
+    def change_response(self, token: str, result: ChangeResult) -> ApiResponse:
+        """Return the response to a change."""
         ...
 
-    def error_answer(self, token: str, error: ZincvaleError) -> ApiResponse:
-        """Return the answer that shows an error."""
+    def error_response(self, token: str, error: ZincvaleError) -> ApiResponse:
+        """Return the response that shows an error."""
         ...
 
 
@@ -75,11 +78,11 @@
 
 
 @attrs.define
-class _Pending:
+class _PendingCall:
     command: Command
     deadline: float
     needed_version: int | None = None
-    """Of a read: the version that it must show, once the owner told."""
+    """Of a read: the version that it must show at least, once the owner confirmed one."""
 
 
 class DocumentApi:
@@ -87,74 +90,75 @@
 
     Parameters
     ----------
-    view : state of the local core, read at the moment of each answer.
-    name : unique name of this process, for orders that have no identity of their own.
+    view : state of the local core, read at the moment of each response.
+    name : unique name of this process, for calls whose content is no idempotency key.
     """
 
     def __init__(self, view: DocumentView, dialect: OperatorDialect, name: str) -> None:
         self._view = view
         self._dialect = dialect
         self._name = name
-        self._numbers = itertools.count(1)
-        self._pending: dict[str, _Pending] = {}
+        self._call_numbers = itertools.count(1)
+        self._pending: dict[str, _PendingCall] = {}
 
     def handle(self, request: ApiRequest, now: float) -> list[ApiEffect]:
-        """Take one request; the answer is among the effects now or later."""
+        """Take one request; its `ApiResponse` is among these effects or those of a later input."""
         try:
             command = self._dialect.read(request)
             if len(self._pending) >= MAX_PENDING_CALLS:
                 raise UnavailableError("this core carries too many calls", "ask another core")
         except ZincvaleError as error:
-            return [self._dialect.error_answer(request.token, error)]
-        self._pending[request.token] = _Pending(command, now + CALL_LIMIT_S)
+            return [self._dialect.error_response(request.token, error)]
+        self._pending[request.token] = _PendingCall(command, now + CALL_TIMEOUT_S)
         return [CallCore(request.token, self._proposal(command))]
 
     def core_replied(self, token: str, message: object) -> list[ApiEffect]:
-        """Take the core's answer to `CallCore(token, ...)`."""
+        """Take the core's response to `CallCore(token, ...)`."""
         pending = self._pending.get(token)
         if pending is None:
             return []
         if not isinstance(message, ChangeResult):
-            return self._give_up(token, "the core gave no usable answer")
+            return self._fail(token, "the core gave no usable answer")
         if isinstance(pending.command, ChangeDocument):
             del self._pending[token]
-            return [self._dialect.change_answer(token, message)]
+            return [self._dialect.change_response(token, message)]
         if message.status != CONFLICT:
-            return self._give_up(token, "no quorum tells the newest version now")
+            return self._fail(token, "no quorum tells the newest version now")
         pending.needed_version = message.current_version
-        return self._answer_reads()
+        return self._complete_reads()
 
     def core_failed(self, token: str, reason: str) -> list[ApiEffect]:
-        """Take notice that `CallCore(token, ...)` gets no answer."""
-        return self._give_up(token, reason) if token in self._pending else []
+        """Take notice that `CallCore(token, ...)` gets no response."""
+        return self._fail(token, reason) if token in self._pending else []
 
     def abandoned(self, token: str) -> None:
         """Forget a request whose client went away; its change goes on."""
         self._pending.pop(token, None)
 
     def intent_changed(self, now: float) -> list[ApiEffect]:
-        """Answer the reads that waited for what has just arrived."""
-        return self._answer_reads()
+        """Complete the reads that waited for the version that has just arrived."""
+        return self._complete_reads()
 
     def tick(self, now: float) -> list[ApiEffect]:
-        """Give up what has taken too long."""
+        """Fail the calls whose deadline has passed."""
         overdue = [token for token, each in self._pending.items() if now >= each.deadline]
         effects: list[ApiEffect] = []
         for token in overdue:
-            effects.extend(self._give_up(token, "the core did not answer in time"))
+            effects.extend(self._fail(token, "the core did not answer in time"))
         return effects
 
     def _proposal(self, command: Command) -> ProposeChange:
-        own_id = f"{self._name}:{next(self._numbers)}"
+        """Return the message to the owner; that of a read changes nothing."""
+        own_id = f"{self._name}:{next(self._call_numbers)}"
         if isinstance(command, ReadDocument):
             return ProposeChange(INTENT_KEY, own_id, NO_VERSION, b"")
         content = encode_change(command.change)
         if isinstance(command.change, EvacuationChange):
-            # A state, not a step: each call is an order of its own.
+            # It sets a state, so that each call is a change of its own.
             return ProposeChange(INTENT_KEY, own_id, None, content)
         return ProposeChange(INTENT_KEY, change_identity(content), None, content)
 
-    def _answer_reads(self) -> list[ApiEffect]:
+    def _complete_reads(self) -> list[ApiEffect]:
         rows = self._view.intent_rows()
         ready = [
             token
@@ -166,9 +170,9 @@
         document = source_document(rows.rows)
         for token in ready:
             del self._pending[token]
-        return [self._dialect.document_answer(token, document) for token in ready]
+        return [self._dialect.document_response(token, document) for token in ready]
 
-    def _give_up(self, token: str, reason: str) -> list[ApiEffect]:
+    def _fail(self, token: str, reason: str) -> list[ApiEffect]:
         self._pending.pop(token, None)
         error = UnavailableError(reason, "send the same call again, to any core")
-        return [self._dialect.error_answer(token, error)]
+        return [self._dialect.error_response(token, error)]
--- a/src/zincvale/controlplane/documents/changes.py
+++ b/src/zincvale/controlplane/documents/changes.py
@@ -1,7 +1,7 @@
 """Changes of the forwarding document, as they travel to the owner of its key.
 
 An operator's dialect reads what was sent into these types; `source` is the item as the operator
-wrote it, kept whole so that it can be read back.
+wrote it, stored unchanged so that it can be read back.
 """
 
 from __future__ import annotations
@@ -38,13 +38,13 @@
 
 @attrs.frozen
 class DocumentChange:
-    """A whole document, or a patch of one.
+    """A complete document, or a patch of one.
 
     Attributes
     ----------
     base : number of the document that the change was built on.
     number : number of the document that the change makes.
-    whole : the routes and pools listed are all there are.
+    is_complete : the routes and pools listed are all there are; otherwise the change is a patch.
     removed_routes, removed_pools : names that a patch takes away.
     limits : what callers may send; None leaves the limits as they are.
     other : what else the operator wrote at the top of the document.
@@ -52,7 +52,7 @@
 
     base: int
     number: int
-    whole: bool
+    is_complete: bool
     routes: tuple[DeclaredRoute, ...] = ()
     pools: tuple[DeclaredPool, ...] = ()
     removed_routes: tuple[str, ...] = ()
@@ -64,7 +64,7 @@
 
 @attrs.frozen
 class EvacuationChange:
-    """Close a zone to requests, or open it again."""
+    """Evacuate a zone, or open it to requests again."""
 
     zone: str
     evacuated: bool
@@ -78,7 +78,7 @@
             option=orjson.OPT_SORT_KEYS,
         )
     plain = {
-        "mode": REPLACE if change.whole else PATCH,
+        "mode": REPLACE if change.is_complete else PATCH,
         "base": change.base,
         "number": change.number,
         "routes": [_declared(each.spec.to_dict(), each.source) for each in change.routes],
@@ -107,7 +107,7 @@
 
 
 def change_identity(change: bytes) -> str:
-    """Return the order id of a change: the same change sent again is the same order."""
+    """Return the idempotency key of a change: equal changes have equal keys."""
     return xxhash.xxh3_128_hexdigest(change)
 
 
--- a/src/zincvale/controlplane/documents/derived_intent.py
+++ b/src/zincvale/controlplane/documents/derived_intent.py
@@ -26,16 +26,17 @@
 )
 from zincvale.model.view import Intent
 
-REQUESTS_PER_COPY = 8
-"""Requests at once that one copy of a model serves within usual objectives; an engine has more
-slots, but reads prompts one after the other."""
-ADAPTER_LOADS_AT_ONCE = 256
+REQUESTS_PER_REPLICA = 8
+"""Concurrent requests that one replica of a model serves within usual objectives; an engine has
+more slots, but reads prompts one after the other."""
+MAX_CONCURRENT_ADAPTER_LOADS = 256
 ADAPTER_BYTES_PER_S = 100_000_000_000
+"""Adapters load in milliseconds: their store is declared with limits that do not delay them."""
 
 
 @attrs.frozen
 class StoreConfig:
-    """What a deployment allows of loads from a store: `over` times its rate in any `window_s`."""
+    """How many loads a store allows: `over` times its rate in any `window_s`."""
 
     window_s: float = 5.0
     over: float = 1.0
@@ -43,6 +44,8 @@
 
 @attrs.define
 class _PoolResources:
+    """The resources derived from one pool, reused while its declaration is the same object."""
+
     spec: ForwardPool
     pool: PoolSpec
     store: StoreSpec
@@ -52,19 +55,19 @@
 
 
 class DocumentIntent:
-    """Keeps the derived intent of a changing document."""
+    """Keeps the derived intent of a changing document; derives only pools that changed."""
 
-    def __init__(self, terms: StoreConfig) -> None:
-        self._terms = terms
+    def __init__(self, config: StoreConfig) -> None:
+        self._config = config
         self._known: dict[str, _PoolResources] = {}
 
     def update(self, document: ForwardingDocument) -> Intent:
         """Return the intent of `document`."""
         known: dict[str, _PoolResources] = {}
         for name, spec in document.pools.items():
-            before = self._known.get(name)
-            if before is not None and before.spec is spec:
-                known[name] = before
+            cached = self._known.get(name)
+            if cached is not None and cached.spec is spec:
+                known[name] = cached
             elif spec.engine is not None:
                 known[name] = self._resources(name, spec, spec.engine)
         self._known = known
@@ -103,7 +106,7 @@
                 )
         pool = PoolSpec(
             kind=PoolKind.LANGUAGE_MODEL,
-            max_concurrent_per_server=max(1, min(engine.slots, REQUESTS_PER_COPY)),
+            max_concurrent_per_server=max(1, min(engine.slots, REQUESTS_PER_REPLICA)),
             adapter_slots=engine.adapter_slots,
         )
         return _PoolResources(
@@ -111,15 +114,15 @@
         )
 
     def _store(self, engine: Engine) -> StoreSpec:
-        terms = self._terms
+        config = self._config
         largest = max((each.weight_bytes for each in engine.models.values()), default=1)
-        per_window = int(engine.loads_per_s * terms.window_s * terms.over)
+        per_window = int(engine.loads_per_s * config.window_s * config.over)
         return StoreSpec(
             address="",
-            bytes_per_second=max(1, int(engine.loads_per_s * terms.over * largest * 4)),
+            bytes_per_second=max(1, int(engine.loads_per_s * config.over * largest * 4)),
             max_concurrent_loads=_loads_at_full_speed(engine),
             loads_per_window=max(1, per_window),
-            window_s=terms.window_s,
+            window_s=config.window_s,
         )
 
 
@@ -133,12 +136,12 @@
     return StoreSpec(
         address="",
         bytes_per_second=ADAPTER_BYTES_PER_S,
-        max_concurrent_loads=ADAPTER_LOADS_AT_ONCE,
+        max_concurrent_loads=MAX_CONCURRENT_ADAPTER_LOADS,
     )
 
 
 def _loads_at_full_speed(engine: Engine) -> int:
-    """Return how many loads together take what the store gives: more only slow each other down."""
+    """Return how many concurrent loads use the store's full rate: more slow each other down."""
     times = [each.load_s for each in engine.models.values()]
     mean_s = sum(times) / max(1, len(times))
     return max(1, int(engine.loads_per_s * mean_s))
--- a/src/zincvale/controlplane/documents/reducer.py
+++ b/src/zincvale/controlplane/documents/reducer.py
@@ -1,6 +1,6 @@
 """Reducer of the forwarding document: checks a change against the rows and returns the new rows.
 
-Pure and without memory: the same rows and change give the same answer on every core. A change is
+Pure and stateless: the same rows and change give the same result on every core. A change is
 built on a document number; of two that were built on the same number one wins.
 """
 
@@ -35,7 +35,8 @@
 from zincvale.coordination.changes import ChangeRefused, RowChange, Rows
 from zincvale.model.errors import InvalidInputError, VersionConflictError, ZincvaleError
 
-NO_PLACE = 0
+FIRST_ORDER = 0
+"""Order of the first item of a table, and of the limits, which have no order."""
 
 
 @attrs.frozen
@@ -61,17 +62,18 @@
         return {row: EVACUATED if plain["evacuated"] else None}
     identity = change_identity(change).encode()
     if rows.get(LAST_CHANGE_ROW) == identity:
-        # Sent again after its order was forgotten: it is what is in force.
+        # A retry after its idempotency entry was dropped: it is what is in force.
         return {}
     _check_numbers(rows, plain)
     changed = _changed_items(rows, plain)
-    _check_whole(rows, changed)
+    _check_consistency(rows, changed)
     changed[NUMBER_ROW] = str(plain["number"]).encode()
     changed[LAST_CHANGE_ROW] = identity
     return changed
 
 
 def _check_numbers(rows: Mapping[str, bytes], plain: Mapping[str, Any]) -> None:
+    """Raise unless the change was built on the current document and has a higher number."""
     current = number_of(rows)
     if plain["base"] != current:
         raise VersionConflictError(
@@ -86,19 +88,20 @@
 
 
 def _changed_items(rows: Mapping[str, bytes], plain: Mapping[str, Any]) -> dict[str, bytes | None]:
+    """Return the rows of routes, pools and limits that the change makes different."""
     changed: dict[str, bytes | None] = {}
-    is_whole = plain["mode"] == REPLACE
+    is_complete = plain["mode"] == REPLACE
     for prefix, items, removed in (
         (ROUTE_PREFIX, plain["routes"], plain["removed_routes"]),
         (POOL_PREFIX, plain["pools"], plain["removed_pools"]),
     ):
-        changed.update(_changed_table(rows, prefix, items, removed, is_whole))
+        changed.update(_changed_table(rows, prefix, items, removed, is_complete=is_complete))
     if plain["limits"] is not None:
         limits = plain["limits"]
-        changed[LIMITS_ROW] = encode_item(NO_PLACE, limits["spec"], limits["source"])
-    elif is_whole and LIMITS_ROW in rows:
+        changed[LIMITS_ROW] = encode_item(FIRST_ORDER, limits["spec"], limits["source"])
+    elif is_complete and LIMITS_ROW in rows:
         changed[LIMITS_ROW] = None
-    if is_whole:
+    if is_complete:
         changed[OTHER_ROW] = orjson.dumps(plain["other"])
     return {row: content for row, content in changed.items() if rows.get(row) != content}
 
@@ -108,42 +111,52 @@
     prefix: str,
     items: Iterable[Mapping[str, Any]],
     removed: Iterable[str],
-    is_whole: bool,
+    *,
+    is_complete: bool,
 ) -> dict[str, bytes | None]:
-    kept = {row: content for row, content in rows.items() if row.startswith(prefix)}
+    """Return the rows of one table after a change, None for removed ones.
+
+    A patch leaves an item that it names again at its order and appends new ones.
+    """
+    stored = {row: content for row, content in rows.items() if row.startswith(prefix)}
     changed: dict[str, bytes | None] = {f"{prefix}{name}": None for name in removed}
-    if is_whole:
-        changed.update(dict.fromkeys(kept))
-        next_place = NO_PLACE
+    if is_complete:
+        changed.update(dict.fromkeys(stored))
+        next_order = FIRST_ORDER
     else:
-        next_place = max((item_order(content) + 1 for content in kept.values()), default=NO_PLACE)
+        next_order = max(
+            (item_order(content) + 1 for content in stored.values()), default=FIRST_ORDER
+        )
     named: set[str] = set()
     for item in items:
         row = f"{prefix}{item['spec']['name']}"
         if row in named:
             raise InvalidInputError(f"{row} is declared twice", "declare each name once")
         named.add(row)
-        if is_whole or row not in kept:
-            place, next_place = next_place, next_place + 1
+        if is_complete or row not in stored:
+            order, next_order = next_order, next_order + 1
         else:
-            place = item_order(kept[row])
-        changed[row] = encode_item(place, item["spec"], item["source"])
+            order = item_order(stored[row])
+        changed[row] = encode_item(order, item["spec"], item["source"])
     return changed
 
 
-def _check_whole(rows: Mapping[str, bytes], changed: Mapping[str, bytes | None]) -> None:
-    """Check what no item can tell by itself: references, and places taken twice."""
+def _check_consistency(rows: Mapping[str, bytes], changed: Mapping[str, bytes | None]) -> None:
+    """Check what concerns several items: pools named by routes, and paths claimed twice.
+
+    Raises `InvalidInputError` for the first rule broken.
+    """
     after = {**rows, **changed}
     route_specs = {
         row: orjson.loads(content)["spec"]
         for row, content in after.items()
         if content is not None and row.startswith(ROUTE_PREFIX)
     }
-    places: dict[tuple[str, str], str] = {}
+    row_by_location: dict[tuple[str, str], str] = {}
     for row, spec in route_specs.items():
         _check_route(row, spec, after)
-        place = (spec["host"], spec["path_prefix"])
-        other = places.setdefault(place, row)
+        location = (spec["host"], spec["path_prefix"])
+        other = row_by_location.setdefault(location, row)
         if other != row:
             raise InvalidInputError(
                 f"{other} and {row} have the same host and path prefix", "change one of them"
--- a/src/zincvale/controlplane/documents/rows.py
+++ b/src/zincvale/controlplane/documents/rows.py
@@ -1,7 +1,8 @@
 """Rows of the forwarding document in the control state, and the typed document of these rows.
 
 Row ids: `number`, `last-change`, `limits`, `other`, `route/NAME`, `pool/NAME`, `evacuated/ZONE`.
-A route's or pool's row holds its place in the document, its spec and what the operator wrote.
+A route's or pool's row holds its order in the document (JSON `place`), its spec and what the
+operator wrote (JSON `source`).
 """
 
 from __future__ import annotations
@@ -28,6 +29,7 @@
 POOL_PREFIX = "pool/"
 EVACUATED_PREFIX = "evacuated/"
 EVACUATED = b"1"
+"""Content of the row of an evacuated zone; an open zone has no row."""
 
 
 def number_of(rows: Mapping[str, bytes]) -> int:
@@ -35,13 +37,16 @@
     return int(rows.get(NUMBER_ROW, b"0"))
 
 
-def encode_item(place: int, spec: Mapping[str, Any], source: Any) -> bytes:
-    """Return the row of a route, a pool or the limits."""
-    return bytes(memoryview(orjson.dumps({"place": place, "spec": spec, "source": source})))
+def encode_item(order: int, spec: Mapping[str, Any], source: Any) -> bytes:
+    """Return the row of a route, a pool or the limits; `order` is its position in the document.
+
+    Copied to its own size, as `intent.row_codec.encode_spec` does and for its reason.
+    """
+    return bytes(memoryview(orjson.dumps({"place": order, "spec": spec, "source": source})))
 
 
 def item_order(row: bytes) -> int:
-    """Return the place of an item in its document."""
+    """Return the position of an item in its document, from 0."""
     return int(orjson.loads(row)["place"])
 
 
@@ -57,7 +62,7 @@
 
 
 def source_document(rows: Mapping[str, bytes]) -> SourceDocument:
-    """Return the document in `rows` as it was written."""
+    """Return the document in `rows` as operators wrote it."""
     limits = rows.get(LIMITS_ROW)
     return SourceDocument(
         number=number_of(rows),
@@ -130,6 +135,7 @@
     try:
         return kind.from_dict(orjson.loads(content)["spec"])
     except Exception as error:
+        # The decoder raises many types; whichever it is, this release cannot read the row.
         raise InvalidInputError(
             f"document row {row} cannot be read: {error}", "run the same release on every machine"
         ) from error
--- a/src/zincvale/platform/operators.py
+++ b/src/zincvale/platform/operators.py
@@ -50,7 +50,7 @@
     """Implements `OperatorDialect`."""
 
     def read(self, request: ApiRequest) -> Command:
-        """Return what is asked; raises a `ZincvaleError`."""
+        """Return the command in a request; raises a `ZincvaleError`."""
         segments = [unquote(part) for part in request.path.split("/")[1:]]
         if segments == CONFIGURATION and request.method == "GET":
             return ReadDocument()
@@ -65,7 +65,7 @@
             return ChangeDocument(EvacuationChange(segments[2], request.method == "POST"))
         raise NotFoundError(f"no call {request.method} {request.path[:200]!r}", "see the pages")
 
-    def document_answer(self, token: str, document: SourceDocument) -> ApiResponse:
+    def document_response(self, token: str, document: SourceDocument) -> ApiResponse:
         """Return the configuration as it was written."""
         body = {
             **(document.other or {}),
@@ -77,14 +77,14 @@
             body["limits"] = document.limits
         return json_response(token, 200, body)
 
-    def change_answer(self, token: str, result: ChangeResult) -> ApiResponse:
-        """Return the answer to a change."""
+    def change_response(self, token: str, result: ChangeResult) -> ApiResponse:
+        """Return the response to a change."""
         status = STATUS_BY_RESULT.get(result.status, UNCLEAR)
         body = {"status": result.status, "problem": result.problem, "remedy": result.remedy}
         return json_response(token, status, body)
 
-    def error_answer(self, token: str, error: ZincvaleError) -> ApiResponse:
-        """Return the answer that shows an error."""
+    def error_response(self, token: str, error: ZincvaleError) -> ApiResponse:
+        """Return the response that shows an error."""
         status = (
             BAD_REQUEST
             if isinstance(error, InvalidInputError | MalformedBodyError)
@@ -98,21 +98,23 @@
         plain = orjson.loads(request.body)
     except orjson.JSONDecodeError as error:
         raise MalformedBodyError(f"the body is not JSON: {error}", "send it whole") from error
-    whole = request.method == "PUT"
-    items = plain if whole else plain.get("set") or {}
-    removed = {} if whole else plain.get("remove") or {}
+    is_complete = request.method == "PUT"
+    items = plain if is_complete else plain.get("set") or {}
+    removed = {} if is_complete else plain.get("remove") or {}
     limits = items.get("limits")
     return DocumentChange(
         base=int(request.header("If-Match").strip().strip('"')),
         number=_whole_number(plain["version"]),
-        whole=whole,
+        is_complete=is_complete,
         routes=tuple(DeclaredRoute(_route(each), each) for each in items.get("routes") or ()),
         pools=tuple(DeclaredPool(_pool(each), each) for each in items.get("services") or ()),
         removed_routes=tuple(removed.get("routes") or ()),
         removed_pools=tuple(removed.get("services") or ()),
         limits=None if limits is None else _limits(limits),
         limits_source=limits,
-        other={name: plain[name] for name in plain if name not in OWN_FIELDS} if whole else None,
+        other={name: plain[name] for name in plain if name not in OWN_FIELDS}
+        if is_complete
+        else None,
     )
 
 
--- a/tests/controlplane/test_documents.py
+++ b/tests/controlplane/test_documents.py
@@ -8,7 +8,7 @@
 
 from zincvale.controlplane.api.messages import ApiRequest, ApiResponse, CallCore, json_response
 from zincvale.controlplane.documents.api import (
-    CALL_LIMIT_S,
+    CALL_TIMEOUT_S,
     NO_VERSION,
     ChangeDocument,
     DocumentApi,
@@ -22,7 +22,7 @@
     encode_change,
 )
 from zincvale.controlplane.documents.derived_intent import (
-    REQUESTS_PER_COPY,
+    REQUESTS_PER_REPLICA,
     DocumentIntent,
     StoreConfig,
 )
@@ -50,7 +50,7 @@
     return DeclaredPool(ForwardPool(name), {"name": name})
 
 
-def whole(base, number, *routes, pools=None):
+def complete_document(base, number, *routes, pools=None):
     return DocumentChange(
         base, number, True, tuple(routes), tuple(pools or [pool()]), other={"x": 1}
     )
@@ -72,7 +72,7 @@
                     self.rows[each.row] = each.value
         return result
 
-    def taken(self, change):
+    def accept(self, change):
         result = self.apply(change)
         assert isinstance(result, Success), result
         return self
@@ -87,75 +87,77 @@
 
 class ReducerTest(testtools.TestCase):
     def test_what_was_written_is_read_back_in_its_order(self):
-        document = Document().taken(whole(0, 5, route("b"), route("a")))
+        document = Document().accept(complete_document(0, 5, route("b"), route("a")))
         read = source_document(document.rows)
         self.assertEqual((5, {"x": 1}), (read.number, read.other))
         self.assertEqual(["b", "a"], [each["name"] for each in read.routes])
         self.assertEqual([{"name": "p"}], read.pools)
 
     def test_a_patch_changes_by_name_and_keeps_places(self):
-        document = Document().taken(whole(0, 5, route("a"), route("b")))
+        document = Document().accept(complete_document(0, 5, route("a"), route("b")))
         changed = DeclaredRoute(route("a", "/new/").spec, {"name": "a", "as": "changed"})
         patch = DocumentChange(5, 9, False, (changed, route("c")), removed_routes=("b",))
-        document.taken(patch)
+        document.accept(patch)
         read = source_document(document.rows)
         self.assertEqual(["a", "c"], [each["name"] for each in read.routes])
         self.assertEqual("changed", read.routes[0]["as"])
         self.assertEqual((9, {"x": 1}), (read.number, read.other))
 
     def test_of_two_changes_on_one_number_one_wins(self):
-        document = Document().taken(whole(0, 5, route("a")))
-        document.taken(whole(5, 7, route("b")))
-        refusal = document.refusal(whole(5, 8, route("c")))
+        document = Document().accept(complete_document(0, 5, route("a")))
+        document.accept(complete_document(5, 7, route("b")))
+        refusal = document.refusal(complete_document(5, 8, route("c")))
         self.assertTrue(refusal.is_conflict)
 
     def test_the_last_change_sent_again_changes_nothing_and_is_accepted(self):
-        change = whole(0, 5, route("a"))
-        document = Document().taken(change)
+        change = complete_document(0, 5, route("a"))
+        document = Document().accept(change)
         before = dict(document.rows)
-        document.taken(change)
+        document.accept(change)
         self.assertEqual(before, document.rows)
 
     def test_another_change_under_the_same_number_is_refused(self):
-        document = Document().taken(whole(0, 5, route("a")))
-        self.assertTrue(document.refusal(whole(0, 5, route("b"))).is_conflict)
+        document = Document().accept(complete_document(0, 5, route("a")))
+        self.assertTrue(document.refusal(complete_document(0, 5, route("b"))).is_conflict)
 
     def test_invalid_documents_change_nothing(self):
-        document = Document().taken(whole(0, 5, route("a")))
+        document = Document().accept(complete_document(0, 5, route("a")))
         for change in (
-            whole(5, 5, route("a", "/x/")),
-            whole(5, 4, route("a", "/x/")),
-            whole(5, 6, route("a", pool="unknown")),
-            whole(5, 6, route("a", "/x/"), route("b", "/x/")),
-            whole(5, 6, route("a"), route("a", "/y/")),
-            whole(5, 6, route("a", split=[WeightedPool("p", 0.0)])),
-            whole(5, 6, route("a", split=[WeightedPool("p", 2.0), WeightedPool("p", -1.0)])),
-            whole(5, 6, route("a", timeout_s=0.0)),
+            complete_document(5, 5, route("a", "/x/")),
+            complete_document(5, 4, route("a", "/x/")),
+            complete_document(5, 6, route("a", pool="unknown")),
+            complete_document(5, 6, route("a", "/x/"), route("b", "/x/")),
+            complete_document(5, 6, route("a"), route("a", "/y/")),
+            complete_document(5, 6, route("a", split=[WeightedPool("p", 0.0)])),
+            complete_document(
+                5, 6, route("a", split=[WeightedPool("p", 2.0), WeightedPool("p", -1.0)])
+            ),
+            complete_document(5, 6, route("a", timeout_s=0.0)),
             DocumentChange(5, 6, False, removed_pools=("p",)),
         ):
             self.assertFalse(document.refusal(change).is_conflict, change)
         self.assertEqual(5, source_document(document.rows).number)
 
     def test_a_pool_that_a_patch_brings_may_be_named_by_its_routes(self):
-        document = Document().taken(whole(0, 5, route("a")))
-        document.taken(DocumentChange(5, 6, False, (route("b", pool="q"),), (pool("q"),)))
+        document = Document().accept(complete_document(0, 5, route("a")))
+        document.accept(DocumentChange(5, 6, False, (route("b", pool="q"),), (pool("q"),)))
 
     def test_evacuations_are_states_beside_the_document(self):
-        document = Document().taken(whole(0, 5, route("a")))
-        document.taken(EvacuationChange("z1", True)).taken(EvacuationChange("z1", True))
+        document = Document().accept(complete_document(0, 5, route("a")))
+        document.accept(EvacuationChange("z1", True)).accept(EvacuationChange("z1", True))
         self.assertEqual({"z1"}, DocumentDecoder().update(1, document.rows).evacuated)
-        document.taken(whole(5, 6, route("b")))
+        document.accept(complete_document(5, 6, route("b")))
         self.assertEqual({"z1"}, DocumentDecoder().update(2, document.rows).evacuated)
-        document.taken(EvacuationChange("z1", False))
+        document.accept(EvacuationChange("z1", False))
         self.assertEqual(frozenset(), DocumentDecoder().update(3, document.rows).evacuated)
 
 
 class DecoderTest(testtools.TestCase):
     def test_rows_that_did_not_change_are_the_same_objects(self):
-        document = Document().taken(whole(0, 5, route("a"), route("b")))
+        document = Document().accept(complete_document(0, 5, route("a"), route("b")))
         decoder = DocumentDecoder()
         first = decoder.update(1, document.rows)
-        document.taken(DocumentChange(5, 6, False, (route("a", "/x/"),)))
+        document.accept(DocumentChange(5, 6, False, (route("a", "/x/"),)))
         second = decoder.update(2, document.rows)
         self.assertIs(first.routes["b"], second.routes["b"])
         self.assertEqual("/x/", second.routes["a"].path_prefix)
@@ -166,8 +168,8 @@
     def test_an_engine_becomes_models_adapters_and_two_stores(self):
         models = {"m": EngineModel(100, 0.5, ("a1", "a2"), 3)}
         engine = Engine(64, 1000, 300, 8, 4.0, models)
-        document = Document().taken(
-            whole(
+        document = Document().accept(
+            complete_document(
                 0,
                 5,
                 route("a"),
@@ -183,18 +185,18 @@
         self.assertEqual(0, intent.stores["p/adapters"].loads_per_window)
         self.assertEqual(8, intent.pools["p"].adapter_slots)
 
-    def requests_per_copy(self, slots: int) -> int:
+    def requests_per_replica(self, slots: int) -> int:
         engine = Engine(slots, 1000, 300, 8, 4.0, {"m": EngineModel(100, 0.5, (), 3)})
         pools = [DeclaredPool(ForwardPool("p", engine=engine), {})]
-        document = Document().taken(whole(0, 5, route("a"), pools=pools))
+        document = Document().accept(complete_document(0, 5, route("a"), pools=pools))
         typed = DocumentDecoder().update(3, document.rows)
         return (
             DocumentIntent(StoreConfig(5.0, 1.1)).update(typed).pools["p"].max_concurrent_per_server
         )
 
-    def test_copies_are_counted_by_fewer_requests_than_an_engine_has_slots(self):
-        self.assertEqual(REQUESTS_PER_COPY, self.requests_per_copy(slots=64))
-        self.assertEqual(2, self.requests_per_copy(slots=2))
+    def test_replicas_are_counted_by_fewer_requests_than_an_engine_has_slots(self):
+        self.assertEqual(REQUESTS_PER_REPLICA, self.requests_per_replica(slots=64))
+        self.assertEqual(2, self.requests_per_replica(slots=2))
 
 
 class FakeView:
@@ -212,18 +214,18 @@
         if request.method == "GET":
             return ReadDocument()
         if request.method == "PUT":
-            return ChangeDocument(whole(0, 5, route("a")))
+            return ChangeDocument(complete_document(0, 5, route("a")))
         if request.method == "POST":
             return ChangeDocument(EvacuationChange("z1", True))
         raise NotFoundError("unknown", "ask for something else")
 
-    def document_answer(self, token, document):
+    def document_response(self, token, document):
         return json_response(token, 200, {"number": document.number})
 
-    def change_answer(self, token, result):
+    def change_response(self, token, result):
         return json_response(token, 200, {"status": result.status})
 
-    def error_answer(self, token, error):
+    def error_response(self, token, error):
         return json_response(token, error.http_status, error.to_json())
 
 
@@ -254,28 +256,28 @@
         self.assertEqual(NO_VERSION, self.proposal(self.call("GET")).base_version)
         proved = ChangeResult(CONFLICT, current_version=3)
         self.assertEqual([], self.api.core_replied("t1", proved))
-        document = Document().taken(whole(0, 5, route("a")))
+        document = Document().accept(complete_document(0, 5, route("a")))
         self.view.view = KeyView(2, document.rows)
         self.assertEqual([], self.api.intent_changed(0.2))
         self.view.view = KeyView(3, document.rows)
-        answer = self.api.intent_changed(0.3)[0]
-        self.assertEqual({"number": 5}, orjson.loads(answer.body))
+        response = self.api.intent_changed(0.3)[0]
+        self.assertEqual({"number": 5}, orjson.loads(response.body))
 
     def test_a_read_without_a_quorum_has_no_clear_answer(self):
         self.call("GET")
-        answer = self.api.core_replied("t1", ChangeResult("not-confirmed"))[0]
-        self.assertEqual(503, answer.status)
+        response = self.api.core_replied("t1", ChangeResult("not-confirmed"))[0]
+        self.assertEqual(503, response.status)
 
     def test_a_change_is_answered_once(self):
         self.call("PUT")
-        answer = self.api.core_replied("t1", ChangeResult(IN_FORCE, 1))
-        self.assertIsInstance(answer[0], ApiResponse)
+        response = self.api.core_replied("t1", ChangeResult(IN_FORCE, 1))
+        self.assertIsInstance(response[0], ApiResponse)
         self.assertEqual([], self.api.core_replied("t1", ChangeResult(IN_FORCE, 1)))
 
     def test_what_takes_too_long_has_no_clear_answer(self):
         self.call("PUT")
-        self.assertEqual([], self.api.tick(CALL_LIMIT_S - 0.1))
-        self.assertEqual(503, self.api.tick(CALL_LIMIT_S)[0].status)
+        self.assertEqual([], self.api.tick(CALL_TIMEOUT_S - 0.1))
+        self.assertEqual(503, self.api.tick(CALL_TIMEOUT_S)[0].status)
 
     def test_an_unknown_call_is_answered_at_once(self):
         self.assertEqual(404, self.call("DELETE")[0].status)
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -136,7 +136,7 @@
                 body,
                 If_Match="5",
             )
-            answer = PlatformOperators().error_answer("t1", error)
+            answer = PlatformOperators().error_response("t1", error)
             self.assertEqual(400, answer.status)
         for broken in ({"name": "r1"}, {**ROUTE, "trafficSplit": [{"service": 3, "weight": 1}]}):
             self.assertRaises(InvalidInputError, self.whole, routes=[broken])
@@ -152,10 +152,10 @@
             "not-confirmed": 503,
         }
         for result, status in statuses.items():
-            answer = operators.change_answer("t1", ChangeResult(result))
+            answer = operators.change_response("t1", ChangeResult(result))
             self.assertEqual(status, answer.status)
         document = SourceDocument(7, [ROUTE], [SERVICE], {"maxBodyBytes": 10}, {"extra": 3})
-        body = orjson.loads(operators.document_answer("t1", document).body)
+        body = orjson.loads(operators.document_response("t1", document).body)
         self.assertEqual(
             {
                 "version": 7,
@@ -169,7 +169,7 @@
 
 
 def _head(change):
-    return change.base, change.number, change.whole, change.other
+    return change.base, change.number, change.is_complete, change.other
 
 
 def _kind(spec):
