--- a/src/zincvale/controlplane/api/reads.py
+++ b/src/zincvale/controlplane/api/reads.py
@@ -154,7 +154,7 @@
     status: dict[str, Any] = {
         "conditions": [
             condition.to_json()
-            for condition in conditions_of(kind, name, content is not None, snapshot)
+            for condition in conditions_of(kind, name, snapshot, is_declared=content is not None)
         ]
     }
     server = snapshot.directory.servers.get(ServerId(name)) if kind == "Server" else None
--- a/src/zincvale/controlplane/status/cluster_snapshot.py
+++ b/src/zincvale/controlplane/status/cluster_snapshot.py
@@ -1,4 +1,4 @@
-"""What is observed at one moment, indexed for the status of resources."""
+"""Intent and observations of one moment, indexed for the status of resources."""
 
 from __future__ import annotations
 
@@ -22,50 +22,53 @@
 
     Attributes
     ----------
-    lagging : nodes with a live lease that hold an older intent.
-    rows_by_pool : observed servers by pool.
-    drains : how far the servers out of service are.
+    lagging : nodes with a live lease that applied only an older intent.
+    node_count : nodes with a live lease that reported a version.
+    servers_by_pool : observed servers by pool.
+    drains : progress of the servers out of service.
     """
 
     intent: Intent
     directory: Directory
     lagging: tuple[MemberId, ...]
     node_count: int
-    rows_by_pool: dict[PoolName, list[ServerRow]]
+    servers_by_pool: dict[PoolName, list[ServerRow]]
     drains: DrainProgress
     now: float
 
-    def drain_done(self, server: ServerId) -> bool:
-        """Whether a server out of service gets nothing and runs nothing any more."""
-        return self.drains.done(server, self.now)
+    def is_drain_done(self, server: ServerId) -> bool:
+        """Whether the drain of a server out of service is complete."""
+        return self.drains.is_done(server, self.now)
 
-    def out_of_service(self, row: ServerRow) -> bool:
+    def is_out_of_service(self, row: ServerRow) -> bool:
         """Whether the intent keeps new requests away from a server."""
-        return self.drained(row.server) or self.evacuated(row)
+        return self.is_drained(row.server) or self.is_evacuated(row)
 
-    def drained(self, server: ServerId) -> bool:
+    def is_drained(self, server: ServerId) -> bool:
         """Whether the server is declared drained."""
         return self.intent.servers.get(server, _DEFAULT_SERVER).drained
 
-    def evacuated(self, row: ServerRow) -> bool:
+    def is_evacuated(self, row: ServerRow) -> bool:
         """Whether the server's zone is declared evacuated."""
         return self.intent.zones.get(row.zone, _DEFAULT_ZONE).evacuated
 
-    def in_service(self, pool: PoolName) -> list[ServerRow]:
-        """Return the pool's servers that can take a request now."""
-        rows = self.rows_by_pool.get(pool, [])
+    def ready_servers(self, pool: PoolName) -> list[ServerRow]:
+        """Return the pool's servers that are ready and in service."""
+        rows = self.servers_by_pool.get(pool, [])
         return [
-            row for row in rows if row.health is ServerHealth.READY and not self.out_of_service(row)
+            row
+            for row in rows
+            if row.health is ServerHealth.READY and not self.is_out_of_service(row)
         ]
 
     def largest_memory_bytes(self, pool: PoolName) -> int:
         """Return the largest memory of the pool's servers; 0 when none was observed."""
-        rows = self.rows_by_pool.get(pool, [])
+        rows = self.servers_by_pool.get(pool, [])
         return max((row.memory_bytes for row in rows), default=0)
 
 
 def lagging_nodes(view: CoreView, intent: Intent) -> list[MemberId]:
-    """Return the nodes with a live lease that hold an older intent."""
+    """Return the nodes with a live lease that applied only an older intent."""
     applied = view.applied_versions()
     return [member for member, version in applied.items() if version < intent.version]
 
@@ -79,7 +82,7 @@
         directory=directory,
         lagging=tuple(sorted(lagging_nodes(view, intent))),
         node_count=len(view.applied_versions()),
-        rows_by_pool=_by_pool(directory.servers.values()),
+        servers_by_pool=_by_pool(directory.servers.values()),
         drains=drains,
         now=now,
     )
--- a/src/zincvale/controlplane/status/conditions.py
+++ b/src/zincvale/controlplane/status/conditions.py
@@ -9,7 +9,7 @@
 
 
 class ConditionStatus(enum.Enum):
-    """Whether a condition holds."""
+    """Whether a condition holds; any status may follow any other."""
 
     TRUE = "True"
     FALSE = "False"
@@ -43,9 +43,9 @@
         }
 
 
-def holds(condition_type: str, holding: bool, reason: str, message: str) -> Condition:
-    """Return a condition that is known to hold or known not to."""
-    status = ConditionStatus.TRUE if holding else ConditionStatus.FALSE
+def known(condition_type: str, reason: str, message: str, *, is_true: bool) -> Condition:
+    """Return a condition that is known to be true or known to be false."""
+    status = ConditionStatus.TRUE if is_true else ConditionStatus.FALSE
     return Condition(condition_type, status, reason, message)
 
 
@@ -57,7 +57,7 @@
 ACCEPTED = "Accepted"
 """The declaration was checked and is durable at a majority of the core's disks."""
 IN_FORCE = "InForce"
-"""Every node with a live lease holds a version that contains the declaration."""
+"""Every node with a live lease applied a version that contains the declaration."""
 READY = "Ready"
 """Probes find the server ready."""
 DRAINING = "Draining"
@@ -71,6 +71,6 @@
 SERVING = "Serving"
 """At least one server in service can take a request."""
 RESIDENT = "Resident"
-"""As many ready servers hold it as were declared, and at least one."""
+"""As many ready servers have it loaded as were declared, and at least one."""
 FITS = "Fits"
 """Some server of the pool has memory for it."""
--- a/src/zincvale/controlplane/status/drain_progress.py
+++ b/src/zincvale/controlplane/status/drain_progress.py
@@ -1,4 +1,4 @@
-"""When a drain is done: every node was told, and the server then stayed idle.
+"""When a drain is done: every node applied it, and the server then stayed idle.
 
 A server's running count is as old as its last probe. A drain counts as done only after the count
 was zero for longer than the time between two probes, all of it after the drain was in force, so
@@ -15,7 +15,8 @@
 from zincvale.model.view import Directory, Intent, ServerHealth, ServerRow
 
 IDLE_S = 2.5
-"""More than a probe's interval, its timeout and the publication of its result."""
+"""How long a server must stay idle: more than a probe's interval, its time-out and the publication
+of its result. With less, a request sent just before the drain was in force may be overlooked."""
 
 
 @attrs.define
@@ -24,11 +25,11 @@
 
     Attributes
     ----------
-    told : whether every live node has held the drain at some moment since it was declared.
+    is_applied : whether every live node had applied the drain at some moment since it was declared.
     idle_since : since when the server runs nothing after that, or None.
     """
 
-    told: bool = False
+    is_applied: bool = False
     idle_since: float | None = None
 
 
@@ -39,40 +40,45 @@
         self._drains: dict[ServerId, _Drain] = {}
 
     def update(
-        self, intent: Intent, directory: Directory, nodes_lag: Callable[[], bool], now: float
+        self,
+        intent: Intent,
+        directory: Directory,
+        has_lagging_nodes: Callable[[], bool],
+        now: float,
     ) -> None:
-        """Take note of the present state.
+        """Follow the present intent and directory.
 
         Parameters
         ----------
-        nodes_lag : tells whether a live node holds an older intent; asked only when it matters.
+        has_lagging_nodes : whether a live node applied only an older intent; called only when a
+            server is out of service.
         """
         out = {row.server: row for row in _out_of_service(intent, directory)}
         for server in [known for known in self._drains if known not in out]:
             del self._drains[server]
-        all_told = bool(out) and not nodes_lag()
+        all_applied = bool(out) and not has_lagging_nodes()
         for server, row in out.items():
             drain = self._drains.setdefault(server, _Drain())
-            drain.told = drain.told or all_told
-            if not drain.told or runs_requests(row):
+            drain.is_applied = drain.is_applied or all_applied
+            if not drain.is_applied or may_run_requests(row):
                 drain.idle_since = None
             elif drain.idle_since is None:
                 drain.idle_since = now
 
-    def told(self, server: ServerId) -> bool:
-        """Whether every live node knows that the server is out of service."""
+    def is_applied(self, server: ServerId) -> bool:
+        """Whether every live node has applied that the server is out of service."""
         drain = self._drains.get(server)
-        return drain is not None and drain.told
+        return drain is not None and drain.is_applied
 
-    def done(self, server: ServerId, now: float) -> bool:
-        """Whether the server gets nothing and runs nothing any more."""
+    def is_done(self, server: ServerId, now: float) -> bool:
+        """Whether the server gets no requests and runs none any more."""
         drain = self._drains.get(server)
         return (
             drain is not None and drain.idle_since is not None and now - drain.idle_since >= IDLE_S
         )
 
 
-def runs_requests(row: ServerRow) -> bool:
+def may_run_requests(row: ServerRow) -> bool:
     """Whether the server may be running requests, by its last probe."""
     return row.running > 0 and row.health is not ServerHealth.DOWN
 
