--- a/src/zincvale/controlplane/__init__.py
+++ b/src/zincvale/controlplane/__init__.py
@@ -1,1 +1,11 @@
-"""The control plane: intent, control API, server directory, placement and the move calendar."""
+"""The control plane: what operators declare, what is observed, and what is placed where.
+
+All of it is pure: state machines, reducers and codecs without I/O, clock or global randomness, run
+by the daemons, by the simulator and by transcript tests alike. It may import `model`,
+`coordination` and each other's packages; never the data plane, the runtime or the daemons.
+
+Packages, in reading order: `intent` (declared resources and the rules of a change), `documents`
+(the same for the forwarding mode), `directory` (observed servers), `status` (conditions of
+resources), `api` (the operators' HTTP API) and `placement` (moves of models between servers).
+`addresses` checks `ip:port`, `log_events` declares the log lines of all but placement.
+"""
--- a/src/zincvale/controlplane/addresses.py
+++ b/src/zincvale/controlplane/addresses.py
@@ -5,6 +5,7 @@
 import ipaddress
 
 HIGHEST_PORT = 65_535
+IPV6 = 6
 
 
 def is_address(text: str) -> bool:
@@ -19,4 +20,4 @@
         version = ipaddress.ip_address(host[1:-1] if bracketed else host).version
     except ValueError:
         return False
-    return bracketed == (version == 6)
+    return bracketed == (version == IPV6)
--- a/src/zincvale/controlplane/directory/server_table.py
+++ b/src/zincvale/controlplane/directory/server_table.py
@@ -125,7 +125,7 @@
             if server not in listed and entry.vanished_at is None:
                 entry.vanished_at = now
                 self._vanished[server] = None
-                effects.append(_log(log_events.SERVER_VANISHED, server))
+                effects.append(_log(log_events.SERVER_DELISTED, server))
         return TableChange(effects, list(listed))
 
     def take_status(self, event: StatusObserved, now: float) -> TableChange:
@@ -195,7 +195,7 @@
     def _take_mistaken(self, event: StatusObserved, entry: ServerEntry, now: float) -> TableChange:
         answered_as = event.status.server
         change = self._fail(entry, f"{answered_as} answers at its address", True, now)
-        mistaken = _log(log_events.SERVER_MISTAKEN, event.server, answered_as=answered_as)
+        mistaken = _log(log_events.SERVER_IDENTITY_MISMATCH, event.server, answered_as=answered_as)
         return attrs.evolve(change, effects=[mistaken, *change.effects])
 
     def _fail(self, entry: ServerEntry, why: str, refused: bool, now: float) -> TableChange:
