--- a/src/zincvale/controlplane/directory/backend_status.py
+++ b/src/zincvale/controlplane/directory/backend_status.py
@@ -1,13 +1,13 @@
 """Adapter for the back ends' `GET /status` and the platform's `GET /v1/servers`.
 
-The only module of the control plane that knows the field names of these answers: another back-end
+The only module of the control plane that knows the field names of these responses: another back-end
 dialect is another module with the same two functions.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any
+from typing import Any, TypeVar
 
 import attrs
 import orjson
@@ -21,8 +21,11 @@
 STATUS_PATH = "/status"
 PLATFORM_LIST_PATH = "/v1/servers"
 MAX_STATUS_BYTES = 1024 * 1024
+"""Largest status: decoding blocks the event loop of the process that probes."""
 MAX_PLATFORM_LIST_BYTES = 16 * 1024 * 1024
 
+Decoded = TypeVar("Decoded")
+
 _HEALTH_BY_STATE = {"ready": ServerHealth.READY, "cold": ServerHealth.COLD}
 _STATUS_REMEDY = "check that the address is a back end's and that its dialect is the configured one"
 _LIST_REMEDY = "check the platform's address and its list"
@@ -30,7 +33,7 @@
 
 @attrs.frozen
 class ServerStatus:
-    """What a server says of itself; sizes are bytes."""
+    """A server's own report; sizes are bytes."""
 
     server: ServerId
     incarnation: str
@@ -44,9 +47,9 @@
     """Loaded and able to serve."""
     adapters: frozenset[AdapterName]
     loading: frozenset[str]
-    """Models and adapters on their way in."""
+    """Models and adapters being loaded."""
     unloading: frozenset[str]
-    """Models and adapters on their way out."""
+    """Models and adapters being unloaded."""
 
 
 @attrs.frozen
@@ -72,11 +75,13 @@
     )
 
 
-def _read(body: bytes, limit_bytes: int, what: str, remedy: str, read: Callable[[Any], Any]) -> Any:
+def _read(
+    body: bytes, limit_bytes: int, what: str, remedy: str, decode: Callable[[Any], Decoded]
+) -> Decoded:
     if len(body) > limit_bytes:
         raise MalformedBodyError(f"{what} has {len(body)} bytes, more than {limit_bytes}", remedy)
     try:
-        return read(orjson.loads(body))
+        return decode(orjson.loads(body))
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise MalformedBodyError(f"{what} cannot be read: {error!r}", remedy) from error
 
@@ -121,13 +126,13 @@
     )
 
 
-def _text(value: Any) -> str:
+def _text(value: object) -> str:
     if not isinstance(value, str) or not value:
         raise ValueError(f"{value!r} is not a name")
     return value
 
 
-def _count(value: Any) -> int:
+def _count(value: object) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
         raise ValueError(f"{value!r} is not a count")
     return value
--- a/src/zincvale/controlplane/directory/events.py
+++ b/src/zincvale/controlplane/directory/events.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class DirectoryRoleTaken:
+class DirectoryRoleGained:
     """Input: this process publishes under `epoch`; `published` is what is published so far."""
 
     epoch: int
@@ -45,26 +45,26 @@
 
     Attributes
     ----------
-    asked_at : a time before which the status was certainly not taken.
+    requested_at : a time before which the status was certainly not taken.
     """
 
     server: ServerId
     status: ServerStatus
-    asked_at: float
+    requested_at: float
 
 
 @attrs.frozen
 class StatusFailed:
-    """Input: a probe that left at `asked_at` failed; `refused` when nothing listens there."""
+    """Input: a probe that left at `requested_at` failed; `refused` when nothing listens there."""
 
     server: ServerId
     why: str
     refused: bool
-    asked_at: float
+    requested_at: float
 
 
 @attrs.frozen
-class PassiveFailureNoted:
+class PassiveFailureObserved:
     """Input: requests of a node fail at a server; it is probed at once."""
 
     server: ServerId
@@ -111,13 +111,13 @@
 
 
 DirectoryInput = (
-    DirectoryRoleTaken
+    DirectoryRoleGained
     | DirectoryRoleLost
     | PlatformListed
     | PlatformListFailed
     | StatusObserved
     | StatusFailed
-    | PassiveFailureNoted
+    | PassiveFailureObserved
     | DrainingMarked
     | IntentChanged
     | ProbersChanged
@@ -160,22 +160,22 @@
 
     Attributes
     ----------
-    asked_at : a time before which the status was certainly not taken.
+    requested_at : a time before which the status was certainly not taken.
     unloading : models and adapters being unloaded.
     """
 
     row: ServerRow
-    asked_at: float
+    requested_at: float
     unloading: frozenset[str] = frozenset()
 
 
 @attrs.frozen
-class ServerForgotten:
+class ServerRemoved:
     """Effect: tell the placement controller that a server is gone."""
 
     server: ServerId
 
 
 DirectoryEffect = (
-    FetchPlatformList | ProbeServer | PublishRows | ServerReported | ServerForgotten | Log
+    FetchPlatformList | ProbeServer | PublishRows | ServerReported | ServerRemoved | Log
 )
--- a/src/zincvale/controlplane/directory/machine.py
+++ b/src/zincvale/controlplane/directory/machine.py
@@ -1,9 +1,9 @@
 """The server directory as a pure machine, run by the process that publishes it.
 
-The platform's list lags: it only adds candidates. Probes decide health; a server that answers as
-another incarnation is taken as it describes itself, cold and empty. The table is published on a
-soft topic under the role's fencing epoch. A new publisher starts from what its predecessor
-published and publishes nothing until it has probed every server once, so that a change of holder
+The platform's list lags: it only adds candidates. Probes decide health; a server that responds
+as another incarnation is taken as it describes itself, cold and empty. The table is published on
+an ephemeral topic under the role's fencing epoch. A new publisher starts from what its predecessor
+published and publishes nothing until it has probed every server once, so that a change of leader
 never empties the nodes' directory.
 """
 
@@ -16,12 +16,12 @@
 from zincvale.controlplane.directory.events import (
     DirectoryEffect,
     DirectoryInput,
+    DirectoryRoleGained,
     DirectoryRoleLost,
-    DirectoryRoleTaken,
     DrainingMarked,
     FetchPlatformList,
     IntentChanged,
-    PassiveFailureNoted,
+    PassiveFailureObserved,
     PlatformListed,
     PlatformListFailed,
     ProbersChanged,
@@ -42,9 +42,14 @@
 from zincvale.model.view import Intent, ServerRow
 
 LIST_INTERVAL_S = 2.0
+"""Between two reads of the platform's list."""
 LIST_TIMEOUT_S = 2.0
-SETTLE_LIMIT_S = 3.0
-"""Longest wait of a new publisher for the first probe of every server."""
+"""Time that the platform has to respond."""
+FIRST_PROBES_TIMEOUT_S = 3.0
+"""Longest wait of a new publisher for the first probe of every server.
+
+Without the bound one server whose probes get no result would hold back the whole directory.
+"""
 
 _OPEN_ZONE = ZoneSpec()
 _UNDRAINED = ServerSpec()
@@ -66,12 +71,12 @@
         self._probers: tuple[MemberId, ...] = ()
         self._table = ServerTable(member, random_source)
         self._publication: DirectoryPublication | None = None
-        self._settle_until = 0.0
+        self._first_probes_until = 0.0
         self._list_due_at = 0.0
-        self._listed = False
+        self._has_list = False
 
     @property
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Whether this process publishes."""
         return self._publication is not None
 
@@ -82,12 +87,12 @@
     def handle(self, event: DirectoryInput, now: float) -> list[DirectoryEffect]:
         """Apply one input and return what to do."""
         match event:
-            case DirectoryRoleTaken(epoch, published):
-                return self._take_role(epoch, published, now)
+            case DirectoryRoleGained(epoch, published):
+                return self._start_publishing(epoch, published, now)
             case IntentChanged(intent):
                 self._intent = intent
                 if self._publication is not None:
-                    self._publication.reconsider()
+                    self._publication.mark_delayed_rows()
             case ProbersChanged(probers):
                 self._probers = probers
                 self._table.assign(probers, now)
@@ -100,26 +105,26 @@
     ) -> list[DirectoryEffect]:
         match event:
             case DirectoryRoleLost():
-                return self._drop_role()
+                return self._stop_publishing()
             case PlatformListed(rows):
-                self._listed = True
-                change = self._table.take_list(rows, now)
+                self._has_list = True
+                change = self._table.apply_platform_list(rows, now)
                 self._table.assign(self._probers, now)
-                return self._follow(change, publication, now)
+                return self._apply_change(change, publication, now)
             case PlatformListFailed(why):
                 return [Log(log_events.PLATFORM_LIST_FAILED, {"why": why})]
             case StatusObserved():
-                return self._follow(self._table.take_status(event, now), publication, now)
+                return self._apply_change(self._table.apply_status(event, now), publication, now)
             case StatusFailed():
-                return self._follow(self._table.take_failure(event, now), publication, now)
+                return self._apply_change(self._table.apply_failure(event, now), publication, now)
             case DrainingMarked():
-                return self._follow(self._table.mark_closing(event), publication, now)
-            case PassiveFailureNoted(server):
-                self._table.hasten(server, now)
+                return self._apply_change(self._table.mark_draining(event), publication, now)
+            case PassiveFailureObserved(server):
+                self._table.probe_soon(server, now)
             case Published(accepted):
-                return self._handle_published(accepted, publication, now)
+                return self._on_published(accepted, publication, now)
             case PublishFailed(why):
-                return self._handle_unpublished(why, publication, now)
+                return self._on_publish_failed(why, publication, now)
             case ClockJumped():
                 self._table.restart_probes(now)
             case Tick():
@@ -128,17 +133,19 @@
 
     # --- role ---------------------------------------------------------------------------------
 
-    def _take_role(self, epoch: int, published: TopicView, now: float) -> list[DirectoryEffect]:
+    def _start_publishing(
+        self, epoch: int, published: TopicView, now: float
+    ) -> list[DirectoryEffect]:
         self._publication = DirectoryPublication(epoch, self._out_of_service)
         self._table = ServerTable(self._member, self._random, _readable_rows(published), now)
         self._table.assign(self._probers, now)
-        self._settle_until = now + SETTLE_LIMIT_S
+        self._first_probes_until = now + FIRST_PROBES_TIMEOUT_S
         self._list_due_at = now
-        self._listed = False
+        self._has_list = False
         fields = {"epoch": epoch, "servers": len(self._table)}
         return [Log(log_events.DIRECTORY_STARTED, fields)]
 
-    def _drop_role(self) -> list[DirectoryEffect]:
+    def _stop_publishing(self) -> list[DirectoryEffect]:
         self._publication = None
         self._table = ServerTable(self._member, self._random)
         return [Log(log_events.DIRECTORY_STOPPED, {})]
@@ -151,8 +158,8 @@
 
     def _tick(self, publication: DirectoryPublication, now: float) -> list[DirectoryEffect]:
         effects = self._fetch_list(now)
-        for change in [*self._table.give_up_lost_probes(now), self._table.forget_overdue(now)]:
-            effects += self._follow(change, publication, now)
+        for change in [*self._table.fail_overdue_probes(now), self._table.remove_overdue(now)]:
+            effects += self._apply_change(change, publication, now)
         effects += self._table.due_probes(now)
         return effects + self._publish(publication, now)
 
@@ -164,44 +171,45 @@
 
     # --- publication --------------------------------------------------------------------------
 
-    def _follow(
+    def _apply_change(
         self, change: TableChange, publication: DirectoryPublication, now: float
     ) -> list[DirectoryEffect]:
-        """Return a change's effects, with a publication where routing depends on it."""
+        """Mark the touched rows; return the effects, with a publication if the change is urgent."""
         for server in change.touched:
-            publication.touch(server)
-        if not change.urgent:
+            publication.mark_touched(server)
+        if not change.is_urgent:
             return change.effects
         return change.effects + self._publish(publication, now)
 
     def _publish(self, publication: DirectoryPublication, now: float) -> list[DirectoryEffect]:
-        if not publication.has_work(now) or not self._settled(now):
+        if not publication.has_work(now) or not self._may_publish(now):
             return []
-        message = publication.next(self.rows(), now)
+        message = publication.next_message(self.rows(), now)
         return [] if message is None else [PublishRows(message)]
 
-    def _settled(self, now: float) -> bool:
-        if now >= self._settle_until:
-            return len(self._table) > 0 or self._listed
-        if self._listed and self._table.all_probed():
-            self._settle_until = now
+    def _may_publish(self, now: float) -> bool:
+        """Whether every server was probed once, or the wait for that is over."""
+        if now >= self._first_probes_until:
+            return len(self._table) > 0 or self._has_list
+        if self._has_list and self._table.all_probed():
+            self._first_probes_until = now
             return True
         return False
 
-    def _handle_published(
+    def _on_published(
         self, accepted: bool, publication: DirectoryPublication, now: float
     ) -> list[DirectoryEffect]:
         if accepted:
-            publication.answered()
+            publication.on_accepted()
             return self._publish(publication, now)
-        # The lease did not cover the moment, or another epoch publishes. Which of the two is told
-        # by the role alone: it ends by `DirectoryRoleLost`, never by a guess made here.
-        return self._handle_unpublished("refused", publication, now)
+        # The lease did not cover the moment, or another epoch publishes. Only the role tells which:
+        # it ends by `DirectoryRoleLost`, never by a guess made here.
+        return self._on_publish_failed("refused", publication, now)
 
-    def _handle_unpublished(
+    def _on_publish_failed(
         self, why: str, publication: DirectoryPublication, now: float
     ) -> list[DirectoryEffect]:
-        publication.failed(now)
+        publication.on_failed(now)
         return [Log(log_events.PUBLICATION_FAILED, {"why": why})]
 
 
--- a/src/zincvale/controlplane/directory/messages.py
+++ b/src/zincvale/controlplane/directory/messages.py
@@ -16,7 +16,7 @@
     status : body of the server's `GET /status`; empty when the probe failed.
     why : cause of the failure.
     refused : no connection was made: nothing listens at the address.
-    age_s : time from asking the server to sending this.
+    age_s : time from the request to the server until this was sent.
     """
 
     server: str
@@ -29,7 +29,7 @@
 @peer_message("directory.observed")
 @attrs.frozen
 class ServerObservations:
-    """What a prober saw of the servers that it is assigned."""
+    """Results of a prober's probes of the servers that it is assigned."""
 
     observations: list[ServerObservation]
 
@@ -45,7 +45,7 @@
 @peer_message("directory.closing")
 @attrs.frozen
 class MarkServerDraining:
-    """The placement controller's word that nodes must send nothing new for `names`.
+    """The placement controller drains `names` on a server: nodes send nothing new for them.
 
     `epoch` is the fencing epoch of the placement role; older ones are ignored.
     """
@@ -58,6 +58,6 @@
 @peer_message("listed.read")
 @attrs.frozen
 class ListRead:
-    """Between cores: the sender read the outside list just now and has published what it saw."""
+    """Between cores: the sender read the outside list just now and has published it."""
 
     epoch: int
--- a/src/zincvale/controlplane/directory/probe_schedule.py
+++ b/src/zincvale/controlplane/directory/probe_schedule.py
@@ -1,7 +1,7 @@
-"""When each server is probed next: jittered intervals, quick second looks, backoff for the dead.
+"""When each server is probed next: jittered intervals, quick confirmation of a failure, backoff.
 
-A tick costs what is due, not what is known: due times are in a heap, and an entry whose time was
-changed meanwhile is skipped when it comes up.
+A tick costs what is due, not what is known: due times are in a heap, and a heap item whose
+time was changed meanwhile is skipped when it comes up.
 """
 
 from __future__ import annotations
@@ -14,26 +14,32 @@
 from zincvale.model.identifiers import ServerId
 
 PROBE_INTERVAL_S = 1.0
-"""Between two probes of a server that answers."""
-SECOND_LOOK_S = 0.2
-"""Between the first failure of a server that answered and the probe that decides."""
+"""Between two probes of a server that responds."""
+CONFIRMATION_DELAY_S = 0.2
+"""Between the first failure of a server that responded and the probe that decides."""
 BACKOFF_START_S = 0.5
+"""Time to the next probe once a server is down; it doubles with each failure."""
 BACKOFF_LIMIT_S = 4.0
 """Longest time between two probes of a server that is down."""
 JITTER = 0.2
 """Every delay is drawn from this fraction around it, so that probes do not bunch."""
 PROBE_TIMEOUT_S = 1.0
-LOST_PROBE_S = 2.0
-"""A probe without a result for this long is given up; its late result still counts."""
+"""Time that a server has to respond to a probe."""
+MAX_BACKOFF_DOUBLINGS = 10
+"""Bounds the exponent; `BACKOFF_LIMIT_S` is reached long before."""
+RESULT_TIMEOUT_S = 2.0
+"""A probe without a result for this long counts as failed; its late result still counts.
+
+More than `PROBE_TIMEOUT_S`: it covers a result that the process lost."""
 
 
 @attrs.define
 class ProbeState:
-    """One server's place in the schedule.
+    """One server in the schedule.
 
     Attributes
     ----------
-    due_at : when it is probed next; not looked at while a probe is in flight.
+    due_at : when it is probed next; ignored while a probe is in flight.
     failures : failed probes in a row.
     """
 
@@ -64,7 +70,7 @@
         self._in_flight.pop(server, None)
 
     def assign(self, servers: list[ServerId], now: float) -> None:
-        """Probe exactly these servers; those that stay keep their place."""
+        """Probe exactly these servers; those that stay keep their due times."""
         assigned = set(servers)
         for server in [known for known in self._states if known not in assigned]:
             self.remove(server)
@@ -75,7 +81,7 @@
         """Return the servers in the schedule."""
         return list(self._states)
 
-    def hasten(self, server: ServerId, now: float) -> None:
+    def probe_soon(self, server: ServerId, now: float) -> None:
         """Probe a server at the next tick."""
         state = self._states.get(server)
         if state is not None and state.due_at > now:
@@ -87,13 +93,13 @@
         for server in self._states:
             self._set_due(server, now)
 
-    def answered(self, server: ServerId, now: float) -> None:
-        """Take note of an answer."""
-        self._finish(server, now, failed=False)
+    def on_success(self, server: ServerId, now: float) -> None:
+        """Schedule the next probe after a success."""
+        self._finish(server, now, has_failed=False)
 
-    def failed(self, server: ServerId, now: float) -> None:
-        """Take note of a failure."""
-        self._finish(server, now, failed=True)
+    def on_failure(self, server: ServerId, now: float) -> None:
+        """Schedule the next probe after a failure."""
+        self._finish(server, now, has_failed=True)
 
     def due(self, now: float) -> list[ServerId]:
         """Return the servers to probe now and mark their probes as sent."""
@@ -107,22 +113,22 @@
             due.append(server)
         return due
 
-    def lost(self, now: float) -> list[ServerId]:
+    def overdue(self, now: float) -> list[ServerId]:
         """Return servers whose probe got no result in time."""
-        lost: list[ServerId] = []
+        overdue: list[ServerId] = []
         for server, sent_at in self._in_flight.items():
-            if now - sent_at <= LOST_PROBE_S:
+            if now - sent_at <= RESULT_TIMEOUT_S:
                 break
-            lost.append(server)
-        return lost
+            overdue.append(server)
+        return overdue
 
-    def _finish(self, server: ServerId, now: float, failed: bool) -> None:
+    def _finish(self, server: ServerId, now: float, *, has_failed: bool) -> None:
         state = self._states.get(server)
         if state is None:
             return
         self._in_flight.pop(server, None)
-        state.failures = state.failures + 1 if failed else 0
-        delay_s = self._delay_after_failure(state.failures) if failed else PROBE_INTERVAL_S
+        state.failures = state.failures + 1 if has_failed else 0
+        delay_s = self._delay_after_failure(state.failures) if has_failed else PROBE_INTERVAL_S
         self._set_due(server, now + delay_s * self._random.uniform(1 - JITTER, 1 + JITTER))
 
     def _set_due(self, server: ServerId, due_at: float) -> None:
@@ -132,6 +138,6 @@
 
     def _delay_after_failure(self, failures: int) -> float:
         if failures == 1:
-            return SECOND_LOOK_S
-        exponent = min(failures - 2, 10)
-        return min(BACKOFF_LIMIT_S, BACKOFF_START_S * 2**exponent)
+            return CONFIRMATION_DELAY_S
+        exponent = min(failures - 2, MAX_BACKOFF_DOUBLINGS)
+        return min(BACKOFF_LIMIT_S, BACKOFF_START_S * 2.0**exponent)
--- a/src/zincvale/controlplane/directory/publication.py
+++ b/src/zincvale/controlplane/directory/publication.py
@@ -1,7 +1,7 @@
 """Which rows are published when.
 
-What decides routing (health, residency, address) goes out at once. Load figures alone go out now
-and then: each node watches its own load, and every row is sent to every node.
+What decides routing (health, residency, address) is published at once. Load figures alone are
+delayed: each node counts its own load, and every row is sent to every node.
 """
 
 from __future__ import annotations
@@ -19,13 +19,16 @@
 """What load figures alone may cost each node, over all servers."""
 LOAD_INTERVAL_S = 2.0
 """Shortest time between two publications of a row whose load alone changed."""
-RESEND_S = 3.0
-"""A publication without an answer for this long counts as failed."""
+PUBLICATION_TIMEOUT_S = 3.0
+"""A publication without a response for this long counts as failed."""
 PAUSE_AFTER_FAILURE_S = 0.25
+"""Pause before all rows are published again; it bounds the load of a core that refuses them."""
 
 
 @attrs.frozen
 class _SentRow:
+    """A row as last published."""
+
     row: ServerRow
     content: bytes
     sent_at: float
@@ -46,94 +49,93 @@
         self._sent: dict[ServerId, _SentRow] = {}
         self._sent_bytes = 0
         self._touched: set[ServerId] = set()
-        self._waiting: set[ServerId] = set()
-        """Rows whose load alone changed, until `_waiting_until`."""
-        self._waiting_until = float("inf")
-        self._whole = True
+        self._delayed: set[ServerId] = set()
+        """Rows whose load alone changed, until `_delayed_until`."""
+        self._delayed_until = float("inf")
+        self._is_full_due = True
         self._in_flight_since: float | None = None
         self._paused_until = float("-inf")
 
-    def touch(self, server: ServerId) -> None:
-        """Look at a server's row with the next publication."""
+    def mark_touched(self, server: ServerId) -> None:
+        """Consider a server's row in the next publication."""
         self._touched.add(server)
 
-    def reconsider(self) -> None:
-        """Look at the waiting rows again: other servers are being drained now."""
-        self._touched |= self._waiting
+    def mark_delayed_rows(self) -> None:
+        """Consider the delayed rows again: other servers are being drained now."""
+        self._touched |= self._delayed
 
     def has_work(self, now: float) -> bool:
-        """Whether `next` may have something to publish."""
+        """Whether `next_message` may have something to publish."""
         if self._in_flight_since is not None:
-            return now - self._in_flight_since >= RESEND_S
+            return now - self._in_flight_since >= PUBLICATION_TIMEOUT_S
         if now < self._paused_until:
             return False
-        return self._whole or bool(self._touched) or now >= self._waiting_until
+        return self._is_full_due or bool(self._touched) or now >= self._delayed_until
 
-    def answered(self) -> None:
-        """Take note that the core took the publication in flight."""
+    def on_accepted(self) -> None:
+        """The core accepted the publication in flight."""
         self._in_flight_since = None
 
-    def failed(self, now: float) -> None:
-        """Publish everything again after a pause: nobody knows what the core holds."""
+    def on_failed(self, now: float) -> None:
+        """Publish everything again after a pause: it is unknown what the core has stored."""
         self._in_flight_since = None
-        self._whole = True
+        self._is_full_due = True
         self._paused_until = now + PAUSE_AFTER_FAILURE_S
 
-    def next(self, rows: Mapping[ServerId, ServerRow], now: float) -> PublishTopic | None:
-        """Return what is to be published of `rows`, the whole directory, or None."""
+    def next_message(self, rows: Mapping[ServerId, ServerRow], now: float) -> PublishTopic | None:
+        """Return the next publication of `rows`, the complete directory, or None if none is due."""
         if not self.has_work(now):
             return None
         if self._in_flight_since is not None:
             self._in_flight_since = None
-            self._whole = True
-        publish = self._publish_whole if self._whole else self._publish_touched
+            self._is_full_due = True
+        publish = self._full_message if self._is_full_due else self._delta_message
         message = publish(rows, now)
         if message is not None:
             self._in_flight_since = now
         return message
 
-    def _publish_whole(self, rows: Mapping[ServerId, ServerRow], now: float) -> PublishTopic | None:
+    def _full_message(self, rows: Mapping[ServerId, ServerRow], now: float) -> PublishTopic | None:
         self._sent = {}
         self._sent_bytes = 0
         self._touched = set()
-        self._wait_for(set(), 0.0)
+        self._set_delayed(set(), 0.0)
         for server, row in rows.items():
-            self._remember(server, row, now)
-        self._whole = False
+            self._record_sent(server, row, now)
+        self._is_full_due = False
         puts: dict[str, bytes] = {server: sent.content for server, sent in self._sent.items()}
         return PublishTopic(DIRECTORY_TOPIC, self._epoch, puts, [], replace=True)
 
-    def _publish_touched(
-        self, rows: Mapping[ServerId, ServerRow], now: float
-    ) -> PublishTopic | None:
+    def _delta_message(self, rows: Mapping[ServerId, ServerRow], now: float) -> PublishTopic | None:
         interval_s = max(LOAD_INTERVAL_S, self._sent_bytes / LOAD_BYTES_PER_SECOND)
-        if now >= self._waiting_until:
-            self._touched |= self._waiting
-            self._waiting = set()
+        if now >= self._delayed_until:
+            self._touched |= self._delayed
+            self._delayed = set()
         puts: dict[str, bytes] = {}
         deletes: list[str] = []
-        waiting = self._waiting - self._touched
+        delayed = self._delayed - self._touched
         for server in sorted(self._touched):
             row = rows.get(server)
             if row is None:
-                if self._forget(server):
+                if self._remove_sent(server):
                     deletes.append(server)
             elif self._is_due(server, row, interval_s, now):
-                puts[server] = self._remember(server, row, now)
+                puts[server] = self._record_sent(server, row, now)
             elif row != self._sent[server].row:
-                waiting.add(server)
+                delayed.add(server)
         self._touched = set()
-        self._wait_for(waiting, interval_s)
+        self._set_delayed(delayed, interval_s)
         if not puts and not deletes:
             return None
         return PublishTopic(DIRECTORY_TOPIC, self._epoch, puts, deletes)
 
-    def _wait_for(self, waiting: set[ServerId], interval_s: float) -> None:
-        added = waiting - self._waiting
-        known_until = self._waiting_until if waiting & self._waiting else float("inf")
+    def _set_delayed(self, delayed: set[ServerId], interval_s: float) -> None:
+        """Replace the delayed rows; the time of those that stay is not put off."""
+        added = delayed - self._delayed
+        known_until = self._delayed_until if delayed & self._delayed else float("inf")
         added_until = min((self._sent[server].sent_at for server in added), default=float("inf"))
-        self._waiting = waiting
-        self._waiting_until = min(known_until, added_until + interval_s)
+        self._delayed = delayed
+        self._delayed_until = min(known_until, added_until + interval_s)
 
     def _is_due(self, server: ServerId, row: ServerRow, interval_s: float, now: float) -> bool:
         sent = self._sent.get(server)
@@ -145,14 +147,15 @@
             return True
         return now - sent.sent_at >= interval_s
 
-    def _remember(self, server: ServerId, row: ServerRow, now: float) -> bytes:
-        self._forget(server)
+    def _record_sent(self, server: ServerId, row: ServerRow, now: float) -> bytes:
+        self._remove_sent(server)
         content = encode_server_row(row)
         self._sent[server] = _SentRow(row, content, now)
         self._sent_bytes += len(content)
         return content
 
-    def _forget(self, server: ServerId) -> bool:
+    def _remove_sent(self, server: ServerId) -> bool:
+        """Remove a row from those published; return whether there was one."""
         sent = self._sent.pop(server, None)
         if sent is None:
             return False
--- a/src/zincvale/controlplane/directory/server_discovery.py
+++ b/src/zincvale/controlplane/directory/server_discovery.py
@@ -1,11 +1,11 @@
 """The directory of servers from a list that an outside system keeps, without a leader.
 
-Reading the list harms nobody, so no lease guards it: one core reads and publishes, and each other
-core begins to read when it has not heard of a reading for a time that grows with its rank. Of two
-readers the one with the newer publication stays. Epochs of the publication are made unique by the
-reader's name; they are no fencing epochs. They grow with the time of day, so that what a reader
-publishes after a restart of all cores is newer than what nodes still hold; a clock that went back
-is noticed by the epochs that nodes ask with.
+Reading the list is safe for any number of cores, so no lease guards it: one core reads and
+publishes, and each other core begins to read when it has heard of no read for a time that grows
+with its rank. Of two readers the one with the newer publication stays. Epochs of the publication
+are made unique by the reader's name; they are no fencing epochs. They grow with the time of day, so
+that what a reader publishes after a restart of all cores is newer than what nodes still store; a
+clock that went back shows in the epochs that nodes poll with.
 
 Times are seconds on the process's clock.
 """
@@ -40,14 +40,18 @@
 from zincvale.model.view import ServerHealth, ServerRow
 
 READ_INTERVAL_S = 0.8
-SILENCE_S = 1.3
-"""Without news of a reading for so long, the core of the first rank reads; a started core that
-heard of none yet does not wait for it."""
-RANK_STEP_S = 0.4
+"""Between two reads of the list by the reader."""
+READER_TIMEOUT_S = 1.3
+"""Time since the last known read after which the core of rank 0 reads; a started core that knows of
+none yet does not wait for it. Below `READ_INTERVAL_S` a second core reads as well."""
+RANK_DELAY_S = 0.4
+"""What each further rank waits longer, so that the ranks before it are heard first."""
 THROTTLED_PAUSE_S = 1.0
-EMPTY_READINGS_BELIEVED = 3
-"""An empty list is believed only when it stays empty."""
+"""Pause after the outside system refused a read for its rate limit."""
+EMPTY_READS_UNTIL_ACCEPTED = 3
+"""So many empty reads in a row make an empty list; fewer are taken for a fault of the list."""
 EPOCH_NAME_BITS = 20
+"""Low bits of an epoch that come from the reader's name: two cores never choose the same epoch."""
 
 
 @attrs.frozen
@@ -71,30 +75,36 @@
 
 @attrs.frozen
 class FetchList:
-    """Read the whole list; answer with `list_read` or `list_failed`."""
+    """Effect: read the complete list; `on_list_read` or `on_list_failed` follows."""
 
 
 @attrs.frozen
 class AnnounceRead:
-    """Tell the other cores that the list was read."""
+    """Effect: tell the other cores that the list was read."""
 
     message: ListRead
 
 
 @attrs.frozen
 class PublishServers:
-    """Publish at the local core."""
+    """Effect: publish at the local core; `on_publication_refused` follows if it is refused."""
 
     message: PublishTopic
 
 
 @attrs.frozen
 class ServersObserved:
-    """Rows as last seen; `asked_at` is a time before which they were certainly not taken."""
+    """Effect: rows as last observed.
+
+    Attributes
+    ----------
+    removed : servers observed before and no longer.
+    requested_at : a time before which the rows were certainly not taken.
+    """
 
     rows: tuple[ServerRow, ...]
-    gone: tuple[ServerId, ...]
-    asked_at: float
+    removed: tuple[ServerId, ...]
+    requested_at: float
 
 
 Effect = FetchList | AnnounceRead | PublishServers | ServersObserved | Log
@@ -106,7 +116,7 @@
     Parameters
     ----------
     name : unique name of this process.
-    lag_s : how far the list trails behind.
+    lag_s : longest time by which the list trails the servers.
     """
 
     def __init__(self, name: str, lag_s: float, now: float) -> None:
@@ -118,14 +128,14 @@
         self._published: dict[str, bytes] = {}
         self._known_epoch = 0
         self._own_epoch = 0
-        self._heard_at = now
+        self._last_read_at = now
         self._read_due_at = now
-        self._reading = False
-        self._empty_readings = 0
+        self._is_reading = False
+        self._empty_reads = 0
 
     @property
     def rows(self) -> dict[ServerId, ServerRow]:
-        """The servers as last seen."""
+        """The servers as last observed."""
         return self._rows
 
     @property
@@ -135,14 +145,14 @@
 
     # --- inputs ---------------------------------------------------------------------------
 
-    def document_changed(self, document: ForwardingDocument, now: float) -> list[Effect]:
+    def on_document_changed(self, document: ForwardingDocument, now: float) -> list[Effect]:
         """Take a newer document: it tells what the servers of a pool are."""
         self._document = document
         if not self.is_reader:
             return []
-        return self._take(list(self._listed.values()), now - self._lag_s)
+        return self._update_servers(list(self._listed.values()), now - self._lag_s)
 
-    def published(self, view: TopicView, now: float) -> list[Effect]:
+    def on_published(self, view: TopicView, now: float) -> list[Effect]:
         """Take what another core published."""
         if view.epoch <= self._known_epoch and view.epoch != 0 and self.is_reader:
             return []
@@ -150,54 +160,55 @@
             return []
         if view.epoch > self._known_epoch:
             self._known_epoch = view.epoch
-        self._heard_at = now
+        self._last_read_at = now
         rows = {}
         for server, content in view.rows.items():
             try:
                 rows[ServerId(server)] = decode_server_row(server, content)
             except InvalidInputError:
+                # A row of another release: the next read of the list brings it back.
                 continue
-        gone = tuple(server for server in self._rows if server not in rows)
+        removed = tuple(server for server in self._rows if server not in rows)
         self._rows = rows
         self._published = dict(view.rows)
-        asked_at = now - self._lag_s - READ_INTERVAL_S - SILENCE_S
-        return [ServersObserved(tuple(rows.values()), gone, asked_at)]
+        requested_at = now - self._lag_s - READ_INTERVAL_S - READER_TIMEOUT_S
+        return [ServersObserved(tuple(rows.values()), removed, requested_at)]
 
-    def read_heard(self, message: ListRead, now: float) -> None:
-        """Another core read the list."""
+    def on_peer_read(self, message: ListRead, now: float) -> None:
+        """Take the message that another core read the list."""
         if message.epoch >= self._known_epoch:
             self._known_epoch = message.epoch
-            self._heard_at = now
+            self._last_read_at = now
 
-    def list_read(
-        self, servers: list[ListedServer], asked_at: float, now: float, day_s: float
+    def on_list_read(
+        self, servers: list[ListedServer], requested_at: float, now: float, day_s: float
     ) -> list[Effect]:
-        """Take a whole reading that was begun at `asked_at`; `day_s` is the time of day."""
-        self._reading = False
+        """Take a complete read that began at `requested_at`; `day_s` is the time of day."""
+        self._is_reading = False
         self._read_due_at = now + READ_INTERVAL_S
         if not servers and self._listed:
-            self._empty_readings += 1
-            if self._empty_readings < EMPTY_READINGS_BELIEVED:
+            self._empty_reads += 1
+            if self._empty_reads < EMPTY_READS_UNTIL_ACCEPTED:
                 return []
-        self._empty_readings = 0
+        self._empty_reads = 0
         if not self.is_reader:
             self._begin_epoch(day_s)
-        effects = self._take(servers, asked_at - self._lag_s)
+        effects = self._update_servers(servers, requested_at - self._lag_s)
         return [*effects, AnnounceRead(ListRead(self._own_epoch))]
 
-    def list_failed(self, why: str, throttled: bool, now: float) -> list[Effect]:
-        """A reading came to nothing."""
-        self._reading = False
-        self._read_due_at = now + (THROTTLED_PAUSE_S if throttled else READ_INTERVAL_S / 2)
+    def on_list_failed(self, why: str, now: float, *, is_throttled: bool) -> list[Effect]:
+        """Take the failure of a read; `is_throttled` when it was refused for its rate."""
+        self._is_reading = False
+        self._read_due_at = now + (THROTTLED_PAUSE_S if is_throttled else READ_INTERVAL_S / 2)
         return [Log(log_events.PLATFORM_LIST_FAILED, {"why": why})]
 
-    def publication_refused(self, known_epoch: int) -> None:
-        """The local core knows a newer publication: another core reads."""
+    def on_publication_refused(self, known_epoch: int) -> None:
+        """Give up reading: the local core knows a newer publication of another one."""
         self._known_epoch = max(self._known_epoch, known_epoch)
         self._own_epoch = 0
 
-    def epoch_seen(self, epoch: int) -> None:
-        """A node holds a publication of this epoch, perhaps from before this process started."""
+    def on_epoch_seen(self, epoch: int) -> None:
+        """Take the epoch that a node stores, perhaps from before this process started."""
         if epoch > self._known_epoch:
             self._known_epoch = epoch
 
@@ -206,14 +217,14 @@
 
         Parameters
         ----------
-        rank : 0 for the core that should read, then the order in which others stand in.
+        rank : 0 for the core that should read, then the order in which the others take over.
         """
-        if self._reading or now < self._read_due_at:
+        if self._is_reading or now < self._read_due_at:
             return []
-        patience_s = RANK_STEP_S * rank + (SILENCE_S if self._known_epoch else 0.0)
-        if not self.is_reader and now - self._heard_at < patience_s:
+        delay_s = RANK_DELAY_S * rank + (READER_TIMEOUT_S if self._known_epoch else 0.0)
+        if not self.is_reader and now - self._last_read_at < delay_s:
             return []
-        self._reading = True
+        self._is_reading = True
         return [FetchList()]
 
     # --- publication ----------------------------------------------------------------------
@@ -224,12 +235,13 @@
         self._known_epoch = self._own_epoch
         self._published = {}
 
-    def _take(self, servers: list[ListedServer], asked_at: float) -> list[Effect]:
+    def _update_servers(self, servers: list[ListedServer], requested_at: float) -> list[Effect]:
+        """Replace the servers; return the observation and, if rows changed, a publication."""
         self._listed = {server.server: server for server in servers}
         rows = {server.server: self._row(server) for server in servers}
-        gone = tuple(server for server in self._rows if server not in rows)
+        removed = tuple(server for server in self._rows if server not in rows)
         self._rows = rows
-        effects: list[Effect] = [ServersObserved(tuple(rows.values()), gone, asked_at)]
+        effects: list[Effect] = [ServersObserved(tuple(rows.values()), removed, requested_at)]
         message = self._publication()
         if message is not None:
             effects.append(PublishServers(message))
@@ -267,7 +279,7 @@
         )
 
     def _cold_remaining_s(self, listed: ListedServer) -> float:
-        """Return the time of a cold spell as it was first seen, so that the row stays the same."""
+        """Return the slow-start time as first observed, so that the published row stays."""
         if listed.cold_remaining_s <= 0:
             return 0.0
         known = self._rows.get(listed.server)
@@ -276,9 +288,9 @@
         return listed.cold_remaining_s
 
 
-def reader_rank(own: MemberId, holder: MemberId | None, cores: list[MemberId]) -> int:
-    """Return when this core's turn to read comes: the holder of placement first."""
-    others = sorted(core for core in cores if core != holder)
-    if own == holder or own not in others:
+def reader_rank(own: MemberId, leader: MemberId | None, cores: list[MemberId]) -> int:
+    """Return this core's rank as a reader: the leader of placement has 0."""
+    others = sorted(core for core in cores if core != leader)
+    if own == leader or own not in others:
         return 0
-    return others.index(own) + (1 if holder is not None else 0)
+    return others.index(own) + (1 if leader is not None else 0)
--- a/src/zincvale/controlplane/directory/server_prober.py
+++ b/src/zincvale/controlplane/directory/server_prober.py
@@ -1,8 +1,8 @@
-"""A prober apart from the directory's publisher: probes its share and reports what it saw.
+"""A prober apart from the directory's publisher: probes its share and reports the results.
 
-Where servers are many, the publisher alone would spend its loop on probes. Every prober knows the
+With many servers, the publisher alone would spend its event loop on probes. Every prober knows the
 servers from the published directory and the probers from the member table, and takes its share by
-rendezvous hash; nobody hands out assignments.
+rendezvous hash; no member hands out assignments.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 
 
 @attrs.frozen
-class ProbeAnswered:
-    """Input: a server answered its probe with `body`, not read yet."""
+class ProbeSucceeded:
+    """Input: a server responded to its probe with `body`, not decoded yet."""
 
     server: ServerId
     body: bytes
-    asked_at: float
+    requested_at: float
 
 
 @attrs.frozen
@@ -46,17 +46,19 @@
     server: ServerId
     why: str
     refused: bool
-    asked_at: float
+    requested_at: float
 
 
 @attrs.frozen
 class ReportObservations:
-    """Effect: send `message` to the holder of the role `directory`; it may be lost."""
+    """Effect: send `message` to the leader of the role `directory`; it may be lost."""
 
     message: ServerObservations
 
 
-ProberInput = DirectoryPublished | ProbersChanged | ProbeAnswered | ProbeFailed | ClockJumped | Tick
+ProberInput = (
+    DirectoryPublished | ProbersChanged | ProbeSucceeded | ProbeFailed | ClockJumped | Tick
+)
 ProberEffect = ProbeServer | ReportObservations
 
 
@@ -68,7 +70,7 @@
         self._schedule = ProbeSchedule(random_source)
         self._probers: tuple[MemberId, ...] = ()
         self._addresses: dict[ServerId, Address] = {}
-        self._seen: dict[ServerId, ProbeAnswered | ProbeFailed] = {}
+        self._results: dict[ServerId, ProbeSucceeded | ProbeFailed] = {}
         self._report_at = 0.0
 
     def handle(self, event: ProberInput, now: float) -> list[ProberEffect]:
@@ -80,15 +82,15 @@
             case ProbersChanged(probers):
                 self._probers = probers
                 self._assign(now)
-            case ProbeAnswered(server):
-                self._schedule.answered(server, now)
-                self._seen[server] = event
+            case ProbeSucceeded(server):
+                self._schedule.on_success(server, now)
+                self._results[server] = event
             case ProbeFailed(server):
-                self._schedule.failed(server, now)
-                self._seen[server] = event
+                self._schedule.on_failure(server, now)
+                self._results[server] = event
             case ClockJumped():
-                # What was seen before a freeze is too old to report.
-                self._seen = {}
+                # Results from before a freeze are too old to report.
+                self._results = {}
                 self._schedule.restart(now)
             case Tick():
                 return self._tick(now)
@@ -99,22 +101,22 @@
         self._schedule.assign(mine, now)
 
     def _tick(self, now: float) -> list[ProberEffect]:
-        for server in self._schedule.lost(now):
-            self._schedule.failed(server, now)
+        for server in self._schedule.overdue(now):
+            self._schedule.on_failure(server, now)
         effects: list[ProberEffect] = [
             ProbeServer(server, self._addresses[server], PROBE_TIMEOUT_S)
             for server in self._schedule.due(now)
         ]
-        if self._seen and now >= self._report_at:
+        if self._results and now >= self._report_at:
             self._report_at = now + REPORT_INTERVAL_S
-            observations = [_observation(seen, now) for seen in self._seen.values()]
-            self._seen = {}
+            observations = [_observation(result, now) for result in self._results.values()]
+            self._results = {}
             effects.append(ReportObservations(ServerObservations(observations)))
         return effects
 
 
-def _observation(seen: ProbeAnswered | ProbeFailed, now: float) -> ServerObservation:
-    age_s = now - seen.asked_at
-    if isinstance(seen, ProbeAnswered):
-        return ServerObservation(seen.server, seen.body, "", False, age_s)
-    return ServerObservation(seen.server, b"", seen.why, seen.refused, age_s)
+def _observation(result: ProbeSucceeded | ProbeFailed, now: float) -> ServerObservation:
+    age_s = now - result.requested_at
+    if isinstance(result, ProbeSucceeded):
+        return ServerObservation(result.server, result.body, "", False, age_s)
+    return ServerObservation(result.server, b"", result.why, result.refused, age_s)
--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -10,9 +10,9 @@
 
 from zincvale.controlplane.api.dispatch import ControlApi
 from zincvale.controlplane.directory.events import (
+    DirectoryRoleGained,
     DirectoryRoleLost,
-    DirectoryRoleTaken,
-    ServerForgotten,
+    ServerRemoved,
     ServerReported,
 )
 from zincvale.controlplane.directory.events import IntentChanged as DirectoryIntentChanged
@@ -158,11 +158,11 @@
         reports = tuple(StatusReport(row, float("-inf")) for row in rows.values())
         self._placement.feed(DirectoryChanged(reports))
 
-    def _server_reported(self, report: ServerReported | ServerForgotten) -> None:
-        if isinstance(report, ServerForgotten):
+    def _server_reported(self, report: ServerReported | ServerRemoved) -> None:
+        if isinstance(report, ServerRemoved):
             self._placement.feed(DirectoryChanged(gone=(report.server,)))
             return
-        status = StatusReport(report.row, report.asked_at, report.unloading)
+        status = StatusReport(report.row, report.requested_at, report.unloading)
         self._placement.feed(DirectoryChanged((status,)))
 
     def _row_of(self, server: ServerId) -> ServerRow | None:
@@ -192,7 +192,7 @@
             self._role_epoch = state.epoch
             self._placement.epoch = state.epoch
             published = self.machine.topic(DIRECTORY_TOPIC)
-            self._directory.feed(DirectoryRoleTaken(state.epoch, published))
+            self._directory.feed(DirectoryRoleGained(state.epoch, published))
         self._placement.feed(LeaderGained(state.epoch, state.acts_until))
 
     def _lose_role(self) -> None:
--- a/src/zincvale/daemons/directory_runner.py
+++ b/src/zincvale/daemons/directory_runner.py
@@ -22,7 +22,7 @@
     Published,
     PublishFailed,
     PublishRows,
-    ServerForgotten,
+    ServerRemoved,
     ServerReported,
     StatusFailed,
     StatusObserved,
@@ -36,7 +36,7 @@
 
 HTTP_OK = 200
 
-OnReport = Callable[[ServerReported | ServerForgotten], None]
+OnReport = Callable[[ServerReported | ServerRemoved], None]
 
 
 class DirectoryRunner:
@@ -77,7 +77,7 @@
                 loop.add_callback(self._probe, effect)
             case PublishRows():
                 loop.add_callback(self._publish, effect)
-            case ServerReported() | ServerForgotten():
+            case ServerReported() | ServerRemoved():
                 self._on_report(effect)
             case Log(number, fields):
                 log(number, **fields)
@@ -98,18 +98,18 @@
         self.feed(PlatformListed(rows))
 
     async def _probe(self, effect: ProbeServer) -> None:
-        asked_at = self._clock()
+        requested_at = self._clock()
         result = await self._fetcher.get(effect.address, STATUS_PATH, effect.timeout_s)
         if result.status != HTTP_OK:
             why = result.error or f"status {result.status}"
-            self.feed(StatusFailed(effect.server, why, not result.connected, asked_at))
+            self.feed(StatusFailed(effect.server, why, not result.connected, requested_at))
             return
         try:
             status = read_server_status(result.body)
         except MalformedBodyError as error:
-            self.feed(StatusFailed(effect.server, str(error), False, asked_at))
+            self.feed(StatusFailed(effect.server, str(error), False, requested_at))
             return
-        self.feed(StatusObserved(effect.server, status, asked_at))
+        self.feed(StatusObserved(effect.server, status, requested_at))
 
     async def _publish(self, effect: PublishRows) -> None:
         try:
--- a/src/zincvale/daemons/discovery_runner.py
+++ b/src/zincvale/daemons/discovery_runner.py
@@ -65,20 +65,20 @@
 
     def document_changed(self, document: ForwardingDocument) -> None:
         """Take a newer document."""
-        self._carry_out(self.machine.document_changed(document, self._clock()))
+        self._carry_out(self.machine.on_document_changed(document, self._clock()))
 
     def topic_changed(self, view: TopicView) -> None:
         """Take what a core published."""
-        self._carry_out(self.machine.published(view, self._clock()))
+        self._carry_out(self.machine.on_published(view, self._clock()))
 
     def message_received(self, sender: MemberId, message: Any) -> None:
-        """Take another core's word that it read the list."""
+        """Take another core's message that it read the list."""
         if isinstance(message, ListRead):
-            self.machine.read_heard(message, self._clock())
+            self.machine.on_peer_read(message, self._clock())
 
     def tick(self, rank: int, epoch_seen: int, now: float) -> None:
         """Read when it is this core's turn; `epoch_seen` is the newest that a node holds."""
-        self.machine.epoch_seen(epoch_seen)
+        self.machine.on_epoch_seen(epoch_seen)
         if self._address:
             self._carry_out(self.machine.tick(rank, now))
 
@@ -97,7 +97,7 @@
                     log(number, **fields)
 
     async def _read(self) -> None:
-        asked_at = self._clock()
+        requested_at = self._clock()
         servers: list[ListedServer] = []
         page = ""
         for _ in range(MAX_PAGES):
@@ -105,28 +105,28 @@
                 self._address, self._dialect.list_path(page), LIST_TIMEOUT_S
             )
             if result.status != HTTP_OK:
-                throttled = self._dialect.is_throttled(result)
-                self._failed(result.error or f"status {result.status}", throttled)
+                is_throttled = self._dialect.is_throttled(result)
+                self._failed(result.error or f"status {result.status}", is_throttled=is_throttled)
                 return
             try:
                 read = self._dialect.read_page(result.body)
             except MalformedBodyError as error:
-                self._failed(str(error), False)
+                self._failed(str(error), is_throttled=False)
                 return
             servers.extend(read.servers)
             page = read.next_page
             if not page:
                 break
         else:
-            self._failed(f"more than {MAX_PAGES} pages", False)
+            self._failed(f"more than {MAX_PAGES} pages", is_throttled=False)
             return
         now = self._clock()
-        self._carry_out(self.machine.list_read(servers, asked_at, now, self._wall_clock()))
+        self._carry_out(self.machine.on_list_read(servers, requested_at, now, self._wall_clock()))
 
-    def _failed(self, why: str, throttled: bool) -> None:
-        self._carry_out(self.machine.list_failed(why, throttled, self._clock()))
+    def _failed(self, why: str, *, is_throttled: bool) -> None:
+        self._carry_out(self.machine.on_list_failed(why, self._clock(), is_throttled=is_throttled))
 
     async def _publish(self, effect: PublishServers) -> None:
         reply = await self._driver.call_local(effect.message)
         if isinstance(reply, TopicPublished) and not reply.accepted:
-            self.machine.publication_refused(reply.epoch)
+            self.machine.on_publication_refused(reply.epoch)
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -220,16 +220,19 @@
         """Feed placement; a settled server's own holdings change only by our orders."""
         reports = tuple(
             StatusReport(
-                _for_placement(row), self._told_at(seen.asked_at), frozenset(), is_from_server=False
+                _for_placement(row),
+                self._told_at(seen.requested_at),
+                frozenset(),
+                is_from_server=False,
             )
             for row in seen.rows
             if row.draining
             or not (self._is_settled(row.server) or row.server in self._ask_again_at)
         )
-        for server in seen.gone:
+        for server in seen.removed:
             self._ask_again_at.pop(server, None)
-        self._placement.feed(DirectoryChanged(reports, seen.gone))
-        self._residency.touch(seen.gone)
+        self._placement.feed(DirectoryChanged(reports, seen.removed))
+        self._residency.touch(seen.removed)
         self._residency.touch(row.server for row in seen.rows)
 
     def _is_settled(self, server: ServerId) -> bool:
--- a/src/zincvale/daemons/server_orders.py
+++ b/src/zincvale/daemons/server_orders.py
@@ -12,7 +12,7 @@
 import orjson
 
 from zincvale.controlplane.directory.backend_status import STATUS_PATH, read_server_status
-from zincvale.controlplane.directory.server_entries import observed_row
+from zincvale.controlplane.directory.tracked_servers import observed_row
 from zincvale.controlplane.placement.events import Order, OrderAction, OrderRefusal
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.daemons.http_fetch import FetchResult
--- a/src/zincvale/simulator/what_if/control_machine.py
+++ b/src/zincvale/simulator/what_if/control_machine.py
@@ -15,13 +15,13 @@
 
 from zincvale.controlplane.directory.events import (
     DirectoryInput,
-    DirectoryRoleTaken,
+    DirectoryRoleGained,
     FetchPlatformList,
     PlatformListed,
     ProbeServer,
     Published,
     PublishRows,
-    ServerForgotten,
+    ServerRemoved,
     ServerReported,
     StatusFailed,
     StatusObserved,
@@ -29,7 +29,7 @@
 from zincvale.controlplane.directory.events import IntentChanged as DirectoryIntentChanged
 from zincvale.controlplane.directory.machine import DirectoryMachine
 from zincvale.controlplane.directory.row_codec import DirectoryDecoder
-from zincvale.controlplane.directory.server_entries import observed_row
+from zincvale.controlplane.directory.tracked_servers import observed_row
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.controller import PlacementController
 from zincvale.controlplane.placement.events import (
@@ -108,7 +108,7 @@
 
     def start(self) -> None:
         """Take the role and begin to tick."""
-        self._feed_directory(DirectoryRoleTaken(EPOCH, TopicView()))
+        self._feed_directory(DirectoryRoleGained(EPOCH, TopicView()))
         self._clock.every(self._timings.systems_tick_s, self._tick)
 
     def take_intent(self, intent: Intent) -> None:
@@ -140,7 +140,7 @@
                     self._take_publication(message)
                 case ServerReported(row, asked_at, unloading):
                     self._feed(DirectoryChanged((StatusReport(row, asked_at, unloading),)))
-                case ServerForgotten(server):
+                case ServerRemoved(server):
                     self._feed(DirectoryChanged(gone=(server,)))
 
     def _list(self) -> None:
--- a/tests/controlplane/directory_driver.py
+++ b/tests/controlplane/directory_driver.py
@@ -11,12 +11,12 @@
 from zincvale.controlplane.directory.events import (
     DirectoryEffect,
     DirectoryInput,
-    DirectoryRoleTaken,
+    DirectoryRoleGained,
     FetchPlatformList,
     PlatformListed,
     ProbeServer,
     PublishRows,
-    ServerForgotten,
+    ServerRemoved,
     ServerReported,
     StatusFailed,
     StatusObserved,
@@ -91,7 +91,7 @@
 
     def take_role(self, epoch: int = 1, rows: dict[str, bytes] | None = None) -> None:
         """Become the publisher."""
-        self.give(DirectoryRoleTaken(epoch, TopicView(epoch - 1, 1, rows or {})))
+        self.give(DirectoryRoleGained(epoch, TopicView(epoch - 1, 1, rows or {})))
 
     def list_servers(self, *rows: PlatformServer) -> None:
         """Answer a fetch of the platform's list."""
@@ -154,7 +154,7 @@
             return f"probe {server} at {address}"
         case ServerReported(row, _, _):
             return f"report {row.server} {row.health.value} {row.incarnation}"
-        case ServerForgotten(server):
+        case ServerRemoved(server):
             return f"report {server} gone"
         case Log(number, fields):
             return f"log {log_event(number).name} {fields}"
--- a/tests/controlplane/test_directory.py
+++ b/tests/controlplane/test_directory.py
@@ -11,7 +11,7 @@
     DirectoryRoleLost,
     DrainingMarked,
     IntentChanged,
-    PassiveFailureNoted,
+    PassiveFailureObserved,
     PlatformListFailed,
     ProbersChanged,
     ProbeServer,
@@ -27,7 +27,7 @@
     decode_server_row,
     encode_server_row,
 )
-from zincvale.controlplane.directory.server_entries import ANSWERING_KEPT_S
+from zincvale.controlplane.directory.tracked_servers import RESPONDING_RETENTION_S
 from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import MemberId, ServerId
 from zincvale.model.machine import ClockJumped
@@ -124,7 +124,7 @@
 
     def test_a_passive_failure_hastens_the_probe(self) -> None:
         driver = settled_driver()
-        driver.give(PassiveFailureNoted(S1))
+        driver.give(PassiveFailureObserved(S1))
         self.assertEqual([S1], [e.server for e in driver.tick() if isinstance(e, ProbeServer)])
 
     def test_one_probe_at_a_time_and_a_lost_one_counts_as_failed(self) -> None:
@@ -152,7 +152,7 @@
         driver = settled_driver()
         effects = driver.answer("s1", models=["base-1"])
         reports = [effect for effect in effects if isinstance(effect, ServerReported)]
-        self.assertEqual([driver.now], [report.asked_at for report in reports])
+        self.assertEqual([driver.now], [report.requested_at for report in reports])
 
     def test_only_the_assigned_share_is_probed_until_a_prober_is_silent(self) -> None:
         driver = DirectoryDriver()
@@ -204,7 +204,7 @@
     def test_a_vanished_server_that_answers_is_kept_for_a_bounded_time(self) -> None:
         driver = settled_driver()
         driver.list_servers()
-        driver.now += ANSWERING_KEPT_S - 1.0
+        driver.now += RESPONDING_RETENTION_S - 1.0
         driver.answer("s1", models=["base-1"])
         driver.tick()
         self.assertIn(S1, driver.machine.rows())
--- a/tests/controlplane/test_listed_servers.py
+++ b/tests/controlplane/test_listed_servers.py
@@ -7,9 +7,9 @@
 
 from zincvale.controlplane.directory.messages import ListRead
 from zincvale.controlplane.directory.server_discovery import (
-    EMPTY_READINGS_BELIEVED,
+    EMPTY_READS_UNTIL_ACCEPTED,
     READ_INTERVAL_S,
-    SILENCE_S,
+    READER_TIMEOUT_S,
     AnnounceRead,
     FetchList,
     ListedServer,
@@ -41,12 +41,12 @@
         self.topics = EphemeralTopics()
 
     def read(self, servers, now, day_s=DAY_S):
-        effects = self.machine.list_read(servers, now - 0.01, now, day_s)
+        effects = self.machine.on_list_read(servers, now - 0.01, now, day_s)
         deltas = []
         for effect in find(effects, PublishServers):
             delta = self.topics.publish(effect.message)
             if delta is None:
-                self.machine.publication_refused(self.topics.position("listed-servers")[0])
+                self.machine.on_publication_refused(self.topics.position("listed-servers")[0])
             else:
                 deltas.append(delta)
         return effects, deltas
@@ -55,7 +55,7 @@
         seen = []
         for delta in deltas:
             if self.topics.apply(delta):
-                seen += self.machine.published(self.topics.view("listed-servers"), now)
+                seen += self.machine.on_published(self.topics.view("listed-servers"), now)
         return seen
 
     def held(self):
@@ -65,11 +65,11 @@
 class ReadingTest(testtools.TestCase):
     def test_ranks_stand_in_one_after_the_other(self):
         machine = ServerDiscovery("a", LAG_S, 0.0)
-        machine.read_heard(ListRead(5), 0.0)
-        self.assertEqual([], machine.tick(0, SILENCE_S - 0.1))
-        self.assertEqual([], machine.tick(1, SILENCE_S + 0.1))
-        self.assertEqual([FetchList()], machine.tick(0, SILENCE_S + 0.1))
-        self.assertEqual([], machine.tick(0, SILENCE_S + 0.2))
+        machine.on_peer_read(ListRead(5), 0.0)
+        self.assertEqual([], machine.tick(0, READER_TIMEOUT_S - 0.1))
+        self.assertEqual([], machine.tick(1, READER_TIMEOUT_S + 0.1))
+        self.assertEqual([FetchList()], machine.tick(0, READER_TIMEOUT_S + 0.1))
+        self.assertEqual([], machine.tick(0, READER_TIMEOUT_S + 0.2))
         self.assertEqual([0, 1, 2], [reader_rank(m, "b", ["a", "b", "c"]) for m in "bac"])
 
     def test_a_started_core_that_heard_of_no_reading_reads_in_its_turn(self):
@@ -87,7 +87,7 @@
             self.assertEqual([FetchList()], one.machine.tick(5, now))
             effects, deltas = one.read([listed()], now)
             self.assertEqual([], deltas)
-            other.machine.read_heard(find(effects, AnnounceRead)[0].message, now)
+            other.machine.on_peer_read(find(effects, AnnounceRead)[0].message, now)
             self.assertEqual([], other.machine.tick(0, now + 0.5))
 
     def test_a_stand_in_wins_over_a_reader_that_comes_back(self):
@@ -114,7 +114,7 @@
         node.apply(deltas[0])
         restarted = Core("a/2")
         restarted.read([listed("s2")], 2.0, DAY_S - 30.0)
-        restarted.machine.epoch_seen(node.position("listed-servers")[0])
+        restarted.machine.on_epoch_seen(node.position("listed-servers")[0])
         _, deltas = restarted.read([listed("s2")], 3.0, DAY_S - 29.0)
         node.apply(deltas[0])
         self.assertEqual({"s2"}, set(node.view("listed-servers").rows))
@@ -129,9 +129,9 @@
     def test_an_empty_list_is_believed_only_when_it_stays_empty(self):
         core = Core("a")
         core.read([listed()], 1.0)
-        for turn in range(1, EMPTY_READINGS_BELIEVED + 1):
+        for turn in range(1, EMPTY_READS_UNTIL_ACCEPTED + 1):
             core.read([], 1.0 + turn)
-            self.assertEqual(turn == EMPTY_READINGS_BELIEVED, not core.held())
+            self.assertEqual(turn == EMPTY_READS_UNTIL_ACCEPTED, not core.held())
 
     def test_a_cold_spell_is_published_once_and_its_end(self):
         core = Core("a")
@@ -147,15 +147,15 @@
         core.read([listed(), listed("s2")], 1.0)
         effects, deltas = core.read([attrs.evolve(listed("s2"), draining=True)], 1.8)
         seen = find(effects, ServersObserved)[0]
-        self.assertEqual(("s1",), seen.gone)
+        self.assertEqual(("s1",), seen.removed)
         self.assertTrue(seen.rows[0].draining)
         self.assertEqual(["s1"], deltas[0].deletes)
-        self.assertTrue(seen.asked_at <= 1.8 - LAG_S)
+        self.assertTrue(seen.requested_at <= 1.8 - LAG_S)
 
     def test_a_failed_reading_changes_nothing(self):
         core = Core("a")
         core.read([listed()], 1.0)
-        core.machine.list_failed("status 429", True, 1.8)
+        core.machine.on_list_failed("status 429", 1.8, is_throttled=True)
         self.assertEqual({"s1"}, core.held())
         self.assertEqual([], core.machine.tick(0, 2.5))
         self.assertEqual([FetchList()], core.machine.tick(0, 2.9))
@@ -163,4 +163,4 @@
     def test_an_older_publication_is_not_taken(self):
         core = Core("a")
         core.read([listed()], 1.0)
-        self.assertEqual([], core.machine.published(TopicView(1, 9, {}), 2.0))
+        self.assertEqual([], core.machine.on_published(TopicView(1, 9, {}), 2.0))
--- a/tests/controlplane/test_server_prober.py
+++ b/tests/controlplane/test_server_prober.py
@@ -19,9 +19,9 @@
 from zincvale.controlplane.directory.prober_assignment import probers_of
 from zincvale.controlplane.directory.server_prober import (
     DirectoryPublished,
-    ProbeAnswered,
     ProbeFailed,
     ProberEffect,
+    ProbeSucceeded,
     ReportObservations,
     ServerProber,
 )
@@ -90,7 +90,7 @@
     def test_observations_are_collected_and_carry_their_age(self) -> None:
         machine = prober(PROBERS[0])
         first, second = probed(machine.handle(Tick(), 10.0))[:2]
-        machine.handle(ProbeAnswered(first, status_body(first), 10.0), 10.02)
+        machine.handle(ProbeSucceeded(first, status_body(first), 10.0), 10.02)
         machine.handle(ProbeFailed(second, "timeout", False, 10.0), 10.03)
         reports = [
             effect
@@ -105,7 +105,7 @@
     def test_what_was_seen_before_a_freeze_is_not_reported(self) -> None:
         machine = prober(PROBERS[0])
         first = probed(machine.handle(Tick(), 10.0))[0]
-        machine.handle(ProbeAnswered(first, status_body(first), 10.0), 10.01)
+        machine.handle(ProbeSucceeded(first, status_body(first), 10.0), 10.01)
         machine.handle(ClockJumped(20.0), 30.0)
         effects = machine.handle(Tick(), 30.0)
         self.assertIn(first, probed(effects))
