--- a/src/zincvale/daemons/forwarding_node.py
+++ b/src/zincvale/daemons/forwarding_node.py
@@ -18,8 +18,8 @@
 from zincvale.daemons.process import Drain, build_process
 from zincvale.daemons.residency_rows import RESIDENCY_TOPIC, ResidencyDecoder
 from zincvale.dataplane.forwarding.dialect import ForwardingDialect
-from zincvale.dataplane.forwarding.fleet_budgets import ColdTerms, RetryTerms
-from zincvale.dataplane.forwarding.routing_state import ForwardingTerms
+from zincvale.dataplane.forwarding.fleet_budgets import RetryConfig, SlowStartConfig
+from zincvale.dataplane.forwarding.routing_state import FleetLimits
 from zincvale.dataplane.forwarding.service import ForwardingService
 from zincvale.model.errors import ZincvaleError
 from zincvale.model.identifiers import MemberId, ZoneName
@@ -142,11 +142,11 @@
         self._service = ForwardingService(
             self._member,
             ZoneName(settings.zone),
-            ForwardingTerms(
-                RetryTerms(
+            FleetLimits(
+                RetryConfig(
                     forwarding.retry_ratio, forwarding.retry_slack, forwarding.retry_window_s
                 ),
-                ColdTerms(forwarding.cold_factor, forwarding.cold_slack),
+                SlowStartConfig(forwarding.cold_factor, forwarding.cold_slack),
             ),
             dialect,
             self._tracing.recorder,
@@ -165,11 +165,11 @@
         A started node must be fresh once; after that it serves by what it holds, also while it is
         cut off from the cores: its callers have nobody else.
         """
-        if self._service.is_closing:
+        if self._service.is_draining:
             return False
         if not self._was_ready:
-            world = self._service.world
-            has_all = world.document.number > 0 and world.has_directory
+            routing = self._service.routing
+            has_all = routing.document.number > 0 and routing.has_directory
             self._was_ready = has_all and self.machine.ready(self._clock())
         return self._was_ready
 
@@ -229,13 +229,13 @@
 
     def _start_draining(self) -> None:
         self._drain_began_at = self._clock()
-        self._service.start_closing()
+        self._service.start_draining()
         self._tracing.leave()
 
     def _is_drained(self) -> bool:
         closing_s = self._clock() - self._drain_began_at
         if closing_s >= self._drain_limit_s - LAST_ANSWERS_S:
-            self._service.refuse_waiting()
+            self._service.reject_pending()
         noticed = closing_s >= LAME_DUCK_S
         return noticed and not self._service.active_requests
 
--- a/src/zincvale/dataplane/forwarding/caller_server.py
+++ b/src/zincvale/dataplane/forwarding/caller_server.py
@@ -18,11 +18,11 @@
 from zincvale.transport.server_exchange import HeaderList
 
 
-class RequestTaker(Protocol):
+class RequestHandler(Protocol):
     """Takes whole requests; `dataplane.forwarding.service` is one."""
 
     @property
-    def is_closing(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether callers are asked to close their connections."""
         ...
 
@@ -38,7 +38,7 @@
 class CallerHandle(Protocol):
     """A request under way."""
 
-    def caller_left(self) -> None:
+    def on_caller_disconnected(self) -> None:
         """The caller closed its connection."""
         ...
 
@@ -46,19 +46,19 @@
 class CallerServer(HTTPServerConnectionDelegate):
     """Takes every request of every path."""
 
-    def __init__(self, taker: RequestTaker) -> None:
-        self._taker = taker
+    def __init__(self, handler: RequestHandler) -> None:
+        self._handler = handler
 
     def start_request(self, server_conn: object, request_conn: Any) -> HTTPMessageDelegate:
         """Return the receiver of one request."""
-        return _CallerMessage(self._taker, request_conn)
+        return _CallerMessage(self._handler, request_conn)
 
 
 class _CallerMessage(HTTPMessageDelegate):
     """Receives one request and hands it over when it is whole."""
 
-    def __init__(self, taker: RequestTaker, connection: Any) -> None:
-        self._taker = taker
+    def __init__(self, handler: RequestHandler, connection: Any) -> None:
+        self._handler = handler
         self._connection = connection
         self._body: list[bytes] = []
         self._handle: CallerHandle | None = None
@@ -70,7 +70,7 @@
         assert isinstance(start_line, RequestStartLine)
         self._start_line = start_line
         self._headers = headers
-        self._read_at = self._taker.now()
+        self._read_at = self._handler.now()
 
     def data_received(self, chunk: bytes) -> None:
         """Keep a part of the body; the server bounds its size."""
@@ -87,7 +87,9 @@
             self._read_at,
         )
         self._connection.set_close_callback(self._caller_left)
-        self._handle = self._taker.take(incoming, _ConnectionSink(self._connection, self._taker))
+        self._handle = self._handler.take(
+            incoming, _ConnectionSink(self._connection, self._handler)
+        )
 
     def on_connection_close(self) -> None:
         """Forget a request that did not arrive whole."""
@@ -95,15 +97,15 @@
 
     def _caller_left(self) -> None:
         if self._handle is not None:
-            self._handle.caller_left()
+            self._handle.on_caller_disconnected()
 
 
 class _ConnectionSink:
     """A `CallerSink` over tornado's connection."""
 
-    def __init__(self, connection: Any, taker: RequestTaker) -> None:
+    def __init__(self, connection: Any, handler: RequestHandler) -> None:
         self._connection = connection
-        self._taker = taker
+        self._handler = handler
         self._unsent_bytes = 0
         self._is_open = True
 
@@ -117,7 +119,7 @@
         head = HTTPHeaders()
         for name, value in headers:
             head.add(name, value)
-        if self._taker.is_closing:
+        if self._handler.is_draining:
             head["Connection"] = "close"
         line = ResponseStartLine("HTTP/1.1", status, reason or _reason(status))
         self._guard(lambda: self._connection.write_headers(line, head))
@@ -137,12 +139,12 @@
             self._guard(self._connection.finish)
         self._is_open = False
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break the connection."""
         self._is_open = False
         self._connection.close()
 
-    def answer(self, status: int, headers: HeaderList, body: bytes) -> None:
+    def respond(self, status: int, headers: HeaderList, body: bytes) -> None:
         """Send a whole answer of this node."""
         self.open(status, _reason(status), [*headers, ("Content-Length", str(len(body)))])
         self.write(body)
--- a/src/zincvale/dataplane/forwarding/caller_sink.py
+++ b/src/zincvale/dataplane/forwarding/caller_sink.py
@@ -24,11 +24,11 @@
         """Close the answer whole."""
         ...
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break the connection."""
         ...
 
-    def answer(self, status: int, headers: HeaderList, body: bytes) -> None:
+    def respond(self, status: int, headers: HeaderList, body: bytes) -> None:
         """Send a whole answer of this node."""
         ...
 
--- a/src/zincvale/dataplane/forwarding/dialect.py
+++ b/src/zincvale/dataplane/forwarding/dialect.py
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen
-class SendFacts:
+class AttemptFacts:
     """What forwarding says to a server beyond what the caller said."""
 
     incarnation: str
@@ -66,7 +66,7 @@
 
 
 @attrs.frozen
-class AnswerFacts:
+class ResponseFacts:
     """What a server's head says.
 
     Attributes
@@ -88,10 +88,10 @@
         """Read a caller's head (names in lower case); what cannot be read counts as not said."""
         ...
 
-    def sent_headers(self, facts: SendFacts) -> dict[str, str]:
+    def attempt_headers(self, facts: AttemptFacts) -> dict[str, str]:
         """Return the headers that replace the caller's of the same names."""
         ...
 
-    def answer_facts(self, status: int, headers: Mapping[str, str]) -> AnswerFacts:
+    def response_facts(self, status: int, headers: Mapping[str, str]) -> ResponseFacts:
         """Read a server's head; header names are in lower case."""
         ...
--- a/src/zincvale/dataplane/forwarding/event_splitter.py
+++ b/src/zincvale/dataplane/forwarding/event_splitter.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class WholeEvents:
+class CompleteEvents:
     """Bytes of one or more whole events, and the id of the last one that has an id."""
 
     content: bytes
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self._partial = b""
 
-    def feed(self, data: bytes) -> WholeEvents | None:
+    def feed(self, data: bytes) -> CompleteEvents | None:
         """Return the events that `data` completes, None when it completes none."""
         self._partial += data
         end = 0
@@ -37,9 +37,9 @@
         if end == 0:
             return None
         whole, self._partial = self._partial[:end], self._partial[end:]
-        return WholeEvents(whole, _last_id(whole))
+        return CompleteEvents(whole, _last_id(whole))
 
-    def take_rest(self) -> bytes:
+    def take_remainder(self) -> bytes:
         """Return and forget what has arrived of an unfinished event."""
         rest, self._partial = self._partial, b""
         return rest
--- a/src/zincvale/dataplane/forwarding/fleet_budgets.py
+++ b/src/zincvale/dataplane/forwarding/fleet_budgets.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class RetryTerms:
+class RetryConfig:
     """What a deployment allows of second sends, over all nodes.
 
     Attributes
@@ -37,12 +37,12 @@
 
     SAFETY = 0.7
 
-    def __init__(self, terms: RetryTerms) -> None:
-        self._terms = terms
+    def __init__(self, config: RetryConfig) -> None:
+        self._config = config
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request for the pool."""
         self._requests.append(now)
         self._forget(now)
@@ -50,22 +50,22 @@
     def take(self, node_count: int, now: float) -> bool:
         """Count a second send, if one is left."""
         self._forget(now)
-        terms = self._terms
-        allowed = terms.ratio * len(self._requests) + terms.slack / max(1, node_count)
-        if len(self._repeats) + 1 > allowed * self.SAFETY:
+        config = self._config
+        allowed = config.ratio * len(self._requests) + config.slack / max(1, node_count)
+        if len(self._retries) + 1 > allowed * self.SAFETY:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
     def _forget(self, now: float) -> None:
-        since = now - self._terms.window_s
-        for times in (self._requests, self._repeats):
+        since = now - self._config.window_s
+        for times in (self._requests, self._retries):
             while times and times[0] <= since:
                 times.popleft()
 
 
 @attrs.frozen
-class ColdTerms:
+class SlowStartConfig:
     """What a deployment allows towards a cold server, over all nodes.
 
     `factor` times the pool's rate plus `slack` may arrive in one second.
@@ -75,11 +75,11 @@
     slack: float = 0.0
 
 
-COLD_USED_PART = 0.6
+SLOW_START_SAFETY_FACTOR = 0.6
 """Nodes that are cut off count by an old number of nodes; the rest is left for that."""
 
 
-class ColdAllowance:
+class SlowStartLimiter:
     """When this node may send to one cold server.
 
     The allowance of a second goes to as many nodes as it has requests, by rendezvous hash, one
@@ -97,13 +97,13 @@
         allowed : requests a second that all nodes may send together.
         rank : this node's place for the server, 0 is first.
         """
-        usable = math.floor(allowed * COLD_USED_PART)
+        usable = math.floor(allowed * SLOW_START_SAFETY_FACTOR)
         share = max(usable // max(1, node_count), 1 if rank < usable else 0)
         while self._sent and self._sent[0] <= now - 1.0:
             self._sent.popleft()
         return len(self._sent) < share
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Count a request that leaves."""
         self._sent.append(now)
 
--- a/src/zincvale/dataplane/forwarding/forwarded_request.py
+++ b/src/zincvale/dataplane/forwarding/forwarded_request.py
@@ -10,35 +10,35 @@
 import orjson
 
 from zincvale.dataplane.forwarding.caller_sink import CallerSink, IncomingRequest
-from zincvale.dataplane.forwarding.dialect import CallerFacts, SendFacts
+from zincvale.dataplane.forwarding.dialect import AttemptFacts, CallerFacts
 from zincvale.dataplane.forwarding.event_splitter import EventSplitter
 from zincvale.dataplane.forwarding.header_rewrite import to_caller, to_server
 from zincvale.dataplane.forwarding.node_context import ForwardingContext
-from zincvale.dataplane.forwarding.pending_requests import Waiting, Wanted
-from zincvale.dataplane.forwarding.policies import Blocked, Chosen
+from zincvale.dataplane.forwarding.pending_requests import PendingRequest, ServerRequirements
+from zincvale.dataplane.forwarding.policies import NoServerReason, ServerChoice
 from zincvale.dataplane.forwarding.request_events import (
-    AnswerBroken,
-    AnswerEnded,
-    CallerLeft,
+    AbortResponse,
+    CallerDisconnected,
+    CancelExchange,
+    CancelSelection,
     ContentReceived,
-    CutAnswer,
-    DropExchange,
-    EndAnswer,
-    FinalKind,
-    FindServer,
-    Finish,
+    DeadlineExpired,
+    EndResponse,
+    FinishRequest,
     HeadReceived,
     Input,
+    LocalReply,
     NoServerFound,
     NotSent,
-    OwnAnswer,
     RelayContent,
     RelayHead,
-    Release,
-    Send,
+    ReleaseServer,
+    RequestOutcome,
+    ResponseBroken,
+    ResponseCompleted,
+    SelectServer,
+    SendRequest,
     ServerFound,
-    StopFinding,
-    TimeOver,
 )
 from zincvale.dataplane.forwarding.request_machine import RequestMachine
 from zincvale.dataplane.forwarding.servers import ServerState
@@ -48,10 +48,10 @@
 
 EVENT_STREAM = "text/event-stream"
 MAX_UNSENT_BYTES = 262_144
-PRESSURE_LOOK_S = 0.02
+BACKPRESSURE_POLL_INTERVAL_S = 0.02
 URGENCY_STEP = 2
-MOST_URGENCY = 9
-RETRY_BUDGET_SPENT_S = 0.2
+MAX_URGENCY = 9
+RETRY_BUDGET_RETRY_AFTER_S = 0.2
 
 
 class ForwardedRequest:
@@ -80,13 +80,13 @@
         )
         self._inputs: deque[Input] = deque()
         self._running = False
-        self._waiting: Waiting | None = None
-        self._chosen: Chosen | None = None
+        self._pending: PendingRequest | None = None
+        self._choice: ServerChoice | None = None
         self._exchange: ServerExchange | None = None
         self._head: ResponseHead | None = None
         self._splitter: EventSplitter | None = None
         self._sent_at = 0.0
-        self._first_at = 0.0
+        self._first_event_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
         self._span: Any = None
         self._send_span: Any = None
@@ -94,21 +94,21 @@
     def begin(self) -> None:
         """Start."""
         context = self._context
-        context.under_way.add(self)
+        context.active.add(self)
         self._span = context.spans.start(
             "request",
             attributes={"route": self._route.name, "request_id": self._facts.request_id},
         )
-        context.world.retry_budget(self._pool).note_request(context.clock())
-        context.note_request(self._pool, self._facts.prompt)
+        context.routing.retry_budget(self._pool).record_request(context.clock())
+        context.record_request(self._pool, self._facts.prompt)
         loop = asyncio.get_running_loop()
         left_s = max(0.0, self._deadline_at - context.clock())
-        self._timer = loop.call_later(left_s, self._feed, TimeOver())
+        self._timer = loop.call_later(left_s, self._feed, DeadlineExpired())
         self._run(self._machine.begin())
 
-    def caller_left(self) -> None:
+    def on_caller_disconnected(self) -> None:
         """The caller closed its connection."""
-        self._feed(CallerLeft())
+        self._feed(CallerDisconnected())
 
     # --- listener of the exchange ---------------------------------------------------------
 
@@ -123,11 +123,11 @@
         self._head = head
         is_stream = lowered.get("content-type", "").startswith(EVENT_STREAM)
         self._splitter = EventSplitter() if is_stream else None
-        facts = self._context.dialect.answer_facts(head.status, lowered)
-        if self._chosen is not None and not facts.never_ran and not is_stream:
-            self._chosen.server.note_answer(now - self._sent_at)
+        facts = self._context.dialect.response_facts(head.status, lowered)
+        if self._choice is not None and not facts.never_ran and not is_stream:
+            self._choice.server.on_response(now - self._sent_at)
         self._send_span.event("head", status=head.status)
-        self._first_at = 0.0
+        self._first_event_at = 0.0
         self._feed(HeadReceived(head.status, facts, is_stream))
 
     def on_content(self, data: bytes) -> None:
@@ -138,30 +138,30 @@
         whole = self._splitter.feed(data)
         if whole is None:
             return
-        if not self._first_at:
-            self._note_first_event()
+        if not self._first_event_at:
+            self._on_first_event()
         self._feed(ContentReceived(whole.content, whole.last_id))
 
     def on_complete(self) -> None:
         """The answer is whole."""
         self._exchange = None
-        rest = self._splitter.take_rest() if self._splitter is not None else b""
+        rest = self._splitter.take_remainder() if self._splitter is not None else b""
         if rest:
             self._feed(ContentReceived(rest))
-        self._feed(AnswerEnded())
+        self._feed(ResponseCompleted())
 
     def on_broken(self, reason: str) -> None:
         """The exchange broke."""
         self._exchange = None
-        self._feed(AnswerBroken(reason))
+        self._feed(ResponseBroken(reason))
 
-    def _note_first_event(self) -> None:
-        self._first_at = self._context.clock()
+    def _on_first_event(self) -> None:
+        self._first_event_at = self._context.clock()
         self._send_span.event("first-event")
-        if self._chosen is not None:
-            self._chosen.server.note_answer(self._first_at - self._sent_at)
-            self._chosen.server.outstanding_tokens -= self._chosen.tokens
-            self._chosen = attrs.evolve(self._chosen, tokens=0)
+        if self._choice is not None:
+            self._choice.server.on_response(self._first_event_at - self._sent_at)
+            self._choice.server.outstanding_tokens -= self._choice.tokens
+            self._choice = attrs.evolve(self._choice, tokens=0)
 
     # --- effects --------------------------------------------------------------------------
 
@@ -184,95 +184,97 @@
 
     def _carry_out(self, effect: Any) -> None:
         match effect:
-            case FindServer():
-                self._find(effect)
-            case StopFinding():
-                self._stop_finding()
-            case Send():
+            case SelectServer():
+                self._select(effect)
+            case CancelSelection():
+                self._cancel_selection()
+            case SendRequest():
                 self._send(effect)
-            case DropExchange():
-                self._drop_exchange()
-            case Release():
+            case CancelExchange():
+                self._cancel_exchange()
+            case ReleaseServer():
                 self._release(effect)
             case RelayHead():
                 self._relay_head()
             case RelayContent(content):
                 self._relay(content)
-            case EndAnswer():
+            case EndResponse():
                 self._sink.end()
-            case CutAnswer():
-                self._sink.cut()
-            case OwnAnswer():
-                self._answer(effect)
-            case Finish():
+            case AbortResponse():
+                self._sink.abort()
+            case LocalReply():
+                self._reply(effect)
+            case FinishRequest():
                 self._finish(effect)
 
-    def _find(self, effect: FindServer) -> None:
+    def _select(self, effect: SelectServer) -> None:
         context = self._context
         now = context.clock()
-        wanted = Wanted(
+        requirements = ServerRequirements(
             self._route,
             self._pool,
             self._facts.prompt,
             effect.excluded,
             self._deadline_at,
         )
-        if effect.is_repeat and not context.may_repeat(self._pool, now):
-            self._inputs.append(NoServerFound(Blocked.BUSY, RETRY_BUDGET_SPENT_S))
+        if effect.is_retry and not context.may_repeat(self._pool, now):
+            self._inputs.append(NoServerFound(NoServerReason.BUSY, RETRY_BUDGET_RETRY_AFTER_S))
             return
-        choice = context.choose(wanted)
-        if isinstance(choice, Chosen):
-            self._found(choice)
+        choice = context.choose(requirements)
+        if isinstance(choice, ServerChoice):
+            self._on_server_found(choice)
             return
-        self._waiting = context.room.enter(wanted, choice, self._found, self._given_up, now)
-        if self._waiting is None:
-            again_s = context.room.retry_after_s(choice, wanted)
-            self._inputs.append(NoServerFound(choice, again_s))
+        self._pending = context.pending.add(
+            requirements, choice, self._on_server_found, self._on_selection_expired, now
+        )
+        if self._pending is None:
+            retry_after_s = context.pending.retry_after_s(choice, requirements)
+            self._inputs.append(NoServerFound(choice, retry_after_s))
             return
         self._span.event("held", why=choice.value)
-        context.note_waiting(self._pool, self._facts.prompt, choice, 1)
+        context.record_waiting(self._pool, self._facts.prompt, choice, 1)
 
-    def _found(self, chosen: Chosen) -> None:
-        self._left_room()
-        self._take_place(chosen)
+    def _on_server_found(self, chosen: ServerChoice) -> None:
+        self._stop_waiting()
+        self._reserve(chosen)
         self._feed(ServerFound(chosen.server.row.incarnation))
 
-    def _given_up(self, blocked: Blocked, again_s: float) -> None:
-        self._left_room()
-        self._feed(NoServerFound(blocked, again_s))
+    def _on_selection_expired(self, reason: NoServerReason, retry_after_s: float) -> None:
+        self._stop_waiting()
+        self._feed(NoServerFound(reason, retry_after_s))
 
-    def _left_room(self) -> None:
-        if self._waiting is None:
+    def _stop_waiting(self) -> None:
+        if self._pending is None:
             return
-        blocked, self._waiting = self._waiting.blocked, None
-        self._context.note_waiting(self._pool, self._facts.prompt, blocked, -1)
+        reason, self._pending = self._pending.reason, None
+        self._context.record_waiting(self._pool, self._facts.prompt, reason, -1)
 
-    def _stop_finding(self) -> None:
-        if self._waiting is not None:
-            self._context.room.leave(self._waiting)
-            self._left_room()
+    def _cancel_selection(self) -> None:
+        if self._pending is not None:
+            self._context.pending.remove(self._pending)
+            self._stop_waiting()
 
-    def _take_place(self, chosen: Chosen) -> None:
+    def _reserve(self, chosen: ServerChoice) -> None:
         now = self._context.clock()
         server = chosen.server
         server.outstanding += 1
         server.outstanding_tokens += chosen.tokens
-        if server.is_cold(now):
-            server.cold_allowance.note_sent(now)
+        if server.is_in_slow_start(now):
+            server.slow_start_limiter.record_sent(now)
         if self._facts.prompt is not None:
-            server.remember_parts(self._facts.prompt)
-        self._context.note_sent(self._pool, self._facts.prompt, server.server)
-        self._chosen = chosen
+            server.record_cached_parts(self._facts.prompt)
+        self._context.record_sent(self._pool, self._facts.prompt, server.server)
+        self._choice = chosen
 
-    def _send(self, effect: Send) -> None:
-        assert self._chosen is not None
-        row = self._chosen.server.row
+    def _send(self, effect: SendRequest) -> None:
+        assert self._choice is not None
+        row = self._choice.server.row
         now = self._context.clock()
         self._sent_at = now
         self._head = None
-        urgency = min(MOST_URGENCY, self._route.priority * URGENCY_STEP + 1)
-        added = self._context.dialect.sent_headers(
-            SendFacts(
+        urgency = min(MAX_URGENCY, self._route.priority * URGENCY_STEP + 1)
+        added = self._context.dialect.attempt_headers(
+            AttemptFacts(
                 row.incarnation, max(0.0, self._deadline_at - now), urgency, effect.last_event_id
             )
         )
@@ -293,37 +295,37 @@
 
     def _is_own_response(self, status: int, headers: Any) -> bool:
         """Whether an answer is this request's; a success must name it, a refusal may be silent."""
-        named = self._context.dialect.answer_facts(status, headers).request_id
+        named = self._context.dialect.response_facts(status, headers).request_id
         if not named and status >= 300:
             return True
         return bool(named == self._facts.request_id)
 
-    def _drop_exchange(self) -> None:
+    def _cancel_exchange(self) -> None:
         if self._exchange is not None:
             self._exchange.cancel()
             self._exchange = None
 
-    def _release(self, effect: Release) -> None:
-        if self._chosen is None:
+    def _release(self, effect: ReleaseServer) -> None:
+        if self._choice is None:
             return
         now = self._context.clock()
-        chosen, self._chosen = self._chosen, None
+        chosen, self._choice = self._choice, None
         server: ServerState = chosen.server
         server.outstanding -= 1
         server.outstanding_tokens -= chosen.tokens
         if effect.unreachable:
-            server.note_unreachable(now)
-            self._context.note_unreachable(server.server)
+            server.on_unreachable(now)
+            self._context.on_unreachable(server.server)
         if effect.refused:
-            server.note_refused(now)
+            server.on_refused(now)
         if effect.absent and self._facts.prompt is not None:
-            server.note_absent(self._facts.prompt, now)
-        self._context.note_ended(self._pool, self._facts.prompt, server.server)
+            server.mark_absent(self._facts.prompt, now)
+        self._context.record_end(self._pool, self._facts.prompt, server.server)
         if self._send_span is not None:
             if effect.unreachable:
                 self._send_span.error("broken")
             self._send_span.end()
-        self._context.pump_soon()
+        self._context.schedule_dispatch()
 
     def _relay_head(self) -> None:
         assert self._head is not None
@@ -334,31 +336,33 @@
         self._sink.write(content)
         if self._exchange is not None and self._sink.unsent_bytes > MAX_UNSENT_BYTES:
             self._exchange.pause()
-            self._look_at_pressure()
+            self._check_backpressure()
 
-    def _look_at_pressure(self) -> None:
+    def _check_backpressure(self) -> None:
         if self._exchange is None:
             return
         if self._sink.unsent_bytes <= MAX_UNSENT_BYTES // 2:
             self._exchange.resume()
             return
-        asyncio.get_running_loop().call_later(PRESSURE_LOOK_S, self._look_at_pressure)
+        asyncio.get_running_loop().call_later(
+            BACKPRESSURE_POLL_INTERVAL_S, self._check_backpressure
+        )
 
-    def _answer(self, effect: OwnAnswer) -> None:
+    def _reply(self, effect: LocalReply) -> None:
         headers = [("Content-Type", "application/json")]
         if effect.retry_after_s is not None:
             headers.append(("Retry-After", f"{effect.retry_after_s:.2f}"))
         body = orjson.dumps({"problem": effect.reason, "request_id": self._facts.request_id})
-        self._sink.answer(effect.status, headers, body)
+        self._sink.respond(effect.status, headers, body)
 
-    def _finish(self, effect: Finish) -> None:
+    def _finish(self, effect: FinishRequest) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._span.set("outcome", effect.kind.value)
-        if effect.kind in (FinalKind.UNKNOWN, FinalKind.INTERRUPTED):
+        if effect.kind in (RequestOutcome.UNKNOWN, RequestOutcome.INTERRUPTED):
             self._span.error(effect.reason)
         elif effect.reason:
             self._span.set("reason", effect.reason)
         self._span.end()
         self._context.counts[effect.kind] += 1
-        self._context.under_way.discard(self)
+        self._context.active.discard(self)
--- a/src/zincvale/dataplane/forwarding/header_rewrite.py
+++ b/src/zincvale/dataplane/forwarding/header_rewrite.py
@@ -22,7 +22,7 @@
 REQUEST_FRAMING = frozenset({"content-length", "expect"})
 
 
-def passed_on(headers: Iterable[tuple[str, str]], dropped: frozenset[str]) -> HeaderList:
+def end_to_end_headers(headers: Iterable[tuple[str, str]], dropped: frozenset[str]) -> HeaderList:
     """Return the headers without those of one connection and those in `dropped`."""
     kept = list(headers)
     named = {
@@ -38,9 +38,9 @@
 def to_server(headers: Iterable[tuple[str, str]], added: Mapping[str, str]) -> HeaderList:
     """Return a caller's headers for a server; `added` replaces those of the same names."""
     replaced = REQUEST_FRAMING | {name.lower() for name in added}
-    return [*passed_on(headers, replaced), *added.items()]
+    return [*end_to_end_headers(headers, replaced), *added.items()]
 
 
 def to_caller(headers: Iterable[tuple[str, str]], is_stream: bool) -> HeaderList:
     """Return a server's headers for the caller; a stream is framed anew."""
-    return passed_on(headers, frozenset({"content-length"}) if is_stream else frozenset())
+    return end_to_end_headers(headers, frozenset({"content-length"}) if is_stream else frozenset())
--- a/src/zincvale/dataplane/forwarding/native_dialect.py
+++ b/src/zincvale/dataplane/forwarding/native_dialect.py
@@ -5,11 +5,11 @@
 from collections.abc import Mapping
 
 from zincvale.dataplane.forwarding.dialect import (
-    AnswerFacts,
+    AttemptFacts,
     CallerFacts,
     Prompt,
     PromptPart,
-    SendFacts,
+    ResponseFacts,
 )
 
 REQUEST_ID = "x-request-id"
@@ -38,7 +38,7 @@
             last_event_id=headers.get(LAST_EVENT_ID, ""),
         )
 
-    def sent_headers(self, facts: SendFacts) -> dict[str, str]:
+    def attempt_headers(self, facts: AttemptFacts) -> dict[str, str]:
         """Return the headers added for a server."""
         headers = {
             DEADLINE_MS: str(max(1, int(facts.deadline_s * MS_PER_S))),
@@ -49,10 +49,10 @@
             headers[LAST_EVENT_ID] = facts.last_event_id
         return headers
 
-    def answer_facts(self, status: int, headers: Mapping[str, str]) -> AnswerFacts:
+    def response_facts(self, status: int, headers: Mapping[str, str]) -> ResponseFacts:
         """Read a server's head."""
         misdirected = status == MISDIRECTED_STATUS
-        return AnswerFacts(
+        return ResponseFacts(
             request_id=headers.get(REQUEST_ID, ""),
             never_ran=misdirected or NEVER_RAN in headers,
             misdirected=misdirected,
--- a/src/zincvale/dataplane/forwarding/node_context.py
+++ b/src/zincvale/dataplane/forwarding/node_context.py
@@ -10,10 +10,19 @@
 
 from zincvale.dataplane.demand import DemandKey, DemandTable
 from zincvale.dataplane.forwarding.dialect import ForwardingDialect, Prompt
-from zincvale.dataplane.forwarding.pending_requests import WAITS_FOR_LOAD, WaitingRoom, Wanted
-from zincvale.dataplane.forwarding.policies import Blocked, Chosen, PolicyChain, Query
-from zincvale.dataplane.forwarding.request_events import FinalKind
-from zincvale.dataplane.forwarding.routing_state import ForwardingWorld
+from zincvale.dataplane.forwarding.pending_requests import (
+    LOAD_REASONS,
+    PendingRequestQueue,
+    ServerRequirements,
+)
+from zincvale.dataplane.forwarding.policies import (
+    NoServerReason,
+    PolicyChain,
+    RoutingQuery,
+    ServerChoice,
+)
+from zincvale.dataplane.forwarding.request_events import RequestOutcome
+from zincvale.dataplane.forwarding.routing_state import RoutingState
 from zincvale.dataplane.forwarding.servers import adapter_name
 from zincvale.dataplane.inference.dependencies import Spans
 from zincvale.model.forwarding import ForwardRoute
@@ -33,7 +42,7 @@
 
     def __init__(
         self,
-        world: ForwardingWorld,
+        routing: RoutingState,
         chain: PolicyChain,
         client: ServerClient,
         dialect: ForwardingDialect,
@@ -42,20 +51,20 @@
         clock: Callable[[], float],
         on_urgent: OnUrgent,
     ) -> None:
-        self.world = world
+        self.routing = routing
         self.client = client
         self.dialect = dialect
         self.spans = spans
         self.clock = clock
-        self.room = WaitingRoom(world.pool)
+        self.pending = PendingRequestQueue(routing.pool)
         self.demand = DemandTable()
-        self.under_way: set[Any] = set()
-        self.counts: Counter[FinalKind] = Counter()
+        self.active: set[Any] = set()
+        self.counts: Counter[RequestOutcome] = Counter()
         self._unreachable: set[ServerId] = set()
         self._chain = chain
         self._random = random
         self._on_urgent = on_urgent
-        self._pump_timer: asyncio.TimerHandle | None = None
+        self._dispatch_timer: asyncio.TimerHandle | None = None
 
     def pool_for(self, route: ForwardRoute) -> str:
         """Draw the pool of one request by the route's weights."""
@@ -64,63 +73,65 @@
         weights = [share.weight for share in route.split]
         return self._random.choices(route.split, weights)[0].pool
 
-    def choose(self, wanted: Wanted) -> Chosen | Blocked:
+    def choose(self, requirements: ServerRequirements) -> ServerChoice | NoServerReason:
         """Return the server for a request now, or why there is none."""
         return self._chain.choose(
-            Query(
-                wanted.route,
-                wanted.pool,
-                wanted.prompt,
-                self.world,
-                wanted.excluded,
+            RoutingQuery(
+                requirements.route,
+                requirements.pool,
+                requirements.prompt,
+                self.routing,
+                requirements.excluded,
                 self.clock(),
             )
         )
 
     def may_repeat(self, pool: str, now: float) -> bool:
         """Spend one second send of the pool's budget, if one is left."""
-        return self.world.retry_budget(pool).take(self.world.node_count, now)
+        return self.routing.retry_budget(pool).take(self.routing.node_count, now)
 
     # --- waiting --------------------------------------------------------------------------
 
-    def pump(self) -> None:
+    def dispatch_pending(self) -> None:
         """Look again at every request that waits, and at the next end of a wait."""
-        if self._pump_timer is not None:
-            self._pump_timer.cancel()
-            self._pump_timer = None
-        if not len(self.room):
+        if self._dispatch_timer is not None:
+            self._dispatch_timer.cancel()
+            self._dispatch_timer = None
+        if not len(self.pending):
             return
         now = self.clock()
-        self.room.pump(self.choose, now)
-        next_end = self.room.next_end()
-        if next_end is not None:
-            self._pump_after(min(max(0.0, next_end - now), COLD_LOOK_S))
+        self.pending.dispatch_pending(self.choose, now)
+        next_expiry = self.pending.next_expiry()
+        if next_expiry is not None:
+            self._dispatch_after(min(max(0.0, next_expiry - now), PENDING_POLL_INTERVAL_S))
 
-    def pump_soon(self) -> None:
+    def schedule_dispatch(self) -> None:
         """Look at what waits in a later turn of the loop."""
-        if len(self.room):
-            self._pump_after(0.0)
+        if len(self.pending):
+            self._dispatch_after(0.0)
 
-    def _pump_after(self, delay_s: float) -> None:
+    def _dispatch_after(self, delay_s: float) -> None:
         loop = asyncio.get_running_loop()
-        if self._pump_timer is not None:
-            if self._pump_timer.when() <= loop.time() + delay_s:
+        if self._dispatch_timer is not None:
+            if self._dispatch_timer.when() <= loop.time() + delay_s:
                 return
-            self._pump_timer.cancel()
-        self._pump_timer = loop.call_later(delay_s, self.pump)
+            self._dispatch_timer.cancel()
+        self._dispatch_timer = loop.call_later(delay_s, self.dispatch_pending)
 
     # --- demand ---------------------------------------------------------------------------
 
-    def note_request(self, pool: str, prompt: Prompt | None) -> None:
+    def record_request(self, pool: str, prompt: Prompt | None) -> None:
         """Count a request for placement."""
         if prompt is not None:
             self.demand.on_request(_key(pool, prompt))
 
-    def note_waiting(self, pool: str, prompt: Prompt | None, blocked: Blocked, change: int) -> None:
+    def record_waiting(
+        self, pool: str, prompt: Prompt | None, reason: NoServerReason, change: int
+    ) -> None:
         """Count a request that begins or stops waiting for a load."""
         if change > 0:
-            self.pump_soon()
-        if prompt is None or blocked not in WAITS_FOR_LOAD:
+            self.schedule_dispatch()
+        if prompt is None or reason not in LOAD_REASONS:
             return
         key = _key(pool, prompt)
         self.demand.on_waiting(key, change)
@@ -128,7 +139,7 @@
             # A wait that is over matters as much: copies are added for those that wait.
             self._on_urgent()
 
-    def note_unreachable(self, server: ServerId) -> None:
+    def on_unreachable(self, server: ServerId) -> None:
         """Remember a server that failed, and tell the placement leader at once."""
         if server not in self._unreachable:
             self._unreachable.add(server)
@@ -139,18 +150,18 @@
         failed, self._unreachable = self._unreachable, set()
         return sorted(failed)
 
-    def note_sent(self, pool: str, prompt: Prompt | None, server: ServerId) -> None:
+    def record_sent(self, pool: str, prompt: Prompt | None, server: ServerId) -> None:
         """Count a request that runs at a server."""
         if prompt is not None:
             self.demand.on_dispatched(_key(pool, prompt), server)
 
-    def note_ended(self, pool: str, prompt: Prompt | None, server: ServerId) -> None:
+    def record_end(self, pool: str, prompt: Prompt | None, server: ServerId) -> None:
         """Count a request that no longer runs at a server."""
         if prompt is not None:
             self.demand.on_ended(_key(pool, prompt), server, prompt.output_tokens)
 
 
-COLD_LOOK_S = 0.1
+PENDING_POLL_INTERVAL_S = 0.1
 """How often waiting requests are looked at for what changes with time alone."""
 
 
--- a/src/zincvale/dataplane/forwarding/policies.py
+++ b/src/zincvale/dataplane/forwarding/policies.py
@@ -14,8 +14,8 @@
 
 from zincvale.dataplane.forwarding.dialect import Prompt
 from zincvale.dataplane.forwarding.fleet_budgets import rendezvous_weight
-from zincvale.dataplane.forwarding.routing_state import ForwardingWorld
-from zincvale.dataplane.forwarding.servers import ServerState, wanted_names
+from zincvale.dataplane.forwarding.routing_state import RoutingState
+from zincvale.dataplane.forwarding.servers import ServerState, required_names
 from zincvale.model.forwarding import ForwardRoute
 
 TOKENS_PER_S = 19_000.0
@@ -23,10 +23,10 @@
 OTHER_ZONE_COST = 60.0
 QUEUED_REQUEST_COST = 250.0
 """Work that a request of this node adds to a server for the ones that come after it."""
-LATENCY_COST_PART = 0.5
+LATENCY_COST_FACTOR = 0.5
 
 
-class Blocked(enum.Enum):
+class NoServerReason(enum.Enum):
     """Why no server is left, which tells what to wait for."""
 
     NO_SERVER = "no-server"
@@ -38,13 +38,13 @@
 
 
 @attrs.frozen
-class Query:
+class RoutingQuery:
     """One routing decision."""
 
     route: ForwardRoute
     pool: str
     prompt: Prompt | None
-    world: ForwardingWorld
+    routing: RoutingState
     excluded: frozenset[str]
     now: float
 
@@ -60,16 +60,16 @@
     """
 
     name: ClassVar[str] = ""
-    blocked: ClassVar[Blocked] = Blocked.NO_SERVER
+    reason: ClassVar[NoServerReason] = NoServerReason.NO_SERVER
     soft: ClassVar[bool] = False
 
-    def keeps(self, query: Query, server: ServerState) -> bool:
+    def accepts(self, query: RoutingQuery, server: ServerState) -> bool:
         """Whether the request may go to the server."""
         raise NotImplementedError
 
-    def why_none(self, query: Query, servers: list[ServerState]) -> Blocked:
+    def reason_for_none(self, query: RoutingQuery, servers: list[ServerState]) -> NoServerReason:
         """Return what it means that none of `servers` is kept."""
-        return self.blocked
+        return self.reason
 
 
 class Scorer:
@@ -77,18 +77,18 @@
 
     name: ClassVar[str] = ""
 
-    def costs(self, query: Query, servers: list[ServerState]) -> list[float]:
+    def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
         """Return the cost of each server."""
         raise NotImplementedError
 
 
-class NotTried(Filter):
+class NotAttempted(Filter):
     """Servers that already refused or failed this request."""
 
     name = "not-tried"
-    blocked = Blocked.BUSY
+    reason = NoServerReason.BUSY
 
-    def keeps(self, query: Query, server: ServerState) -> bool:
+    def accepts(self, query: RoutingQuery, server: ServerState) -> bool:
         """Whether the server was not tried."""
         return server.row.incarnation not in query.excluded
 
@@ -97,42 +97,44 @@
     """Servers that hold the model and adapter."""
 
     name = "resident"
-    blocked = Blocked.NOT_RESIDENT
+    reason = NoServerReason.NOT_RESIDENT
 
-    def keeps(self, query: Query, server: ServerState) -> bool:
+    def accepts(self, query: RoutingQuery, server: ServerState) -> bool:
         """Whether what the request asks for is there."""
-        return query.prompt is None or server.holds(query.prompt, query.now)
+        return query.prompt is None or server.has_resident(query.prompt, query.now)
 
-    def why_none(self, query: Query, servers: list[ServerState]) -> Blocked:
+    def reason_for_none(self, query: RoutingQuery, servers: list[ServerState]) -> NoServerReason:
         """Tell a missing adapter from a missing model."""
         prompt = query.prompt
         if prompt is None or not prompt.adapter:
-            return self.blocked
-        has_model = any(server.holds_model(prompt, query.now) for server in servers)
-        return Blocked.NO_ADAPTER if has_model else self.blocked
+            return self.reason
+        has_model = any(server.has_resident_model(prompt, query.now) for server in servers)
+        return NoServerReason.NO_ADAPTER if has_model else self.reason
 
 
-class NotPaused(Filter):
+class NotBackingOff(Filter):
     """Servers that did not fail or refuse a moment ago."""
 
     name = "not-paused"
-    blocked = Blocked.BUSY
+    reason = NoServerReason.BUSY
     soft = True
 
-    def keeps(self, query: Query, server: ServerState) -> bool:
+    def accepts(self, query: RoutingQuery, server: ServerState) -> bool:
         """Whether the server is not left alone."""
-        return not server.is_paused(query.now)
+        return not server.is_backing_off(query.now)
 
 
-class WithinColdAllowance(Filter):
+class WithinSlowStartLimit(Filter):
     """Cold servers only within this node's share of what they bear."""
 
     name = "cold"
-    blocked = Blocked.BUSY
+    reason = NoServerReason.BUSY
 
-    def keeps(self, query: Query, server: ServerState) -> bool:
+    def accepts(self, query: RoutingQuery, server: ServerState) -> bool:
         """Whether the server is warm, or takes one more request."""
-        return not server.is_cold(query.now) or query.world.may_send_cold(server, query.now)
+        return not server.is_in_slow_start(query.now) or query.routing.may_send_in_slow_start(
+            server, query.now
+        )
 
 
 class PromptAffinity(Scorer):
@@ -147,7 +149,7 @@
 
     name = "prompt-affinity"
 
-    def costs(self, query: Query, servers: list[ServerState]) -> list[float]:
+    def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
         """Return the tokens to read at each server."""
         prompt = query.prompt
         if prompt is None:
@@ -155,28 +157,30 @@
         total = prompt.input_tokens or sum(part.tokens for part in prompt.parts)
         shared = sum(part.tokens for part in prompt.parts[:-1])
         if 2 * shared > total:
-            home = _common_home(prompt, servers)
+            home = _shared_preferred_server(prompt, servers)
         else:
-            home = _own_home(prompt, servers, query.world.node_index)
+            home = _node_preferred_server(prompt, servers, query.routing.node_index)
         return [
             float(total - (shared if server is home else server.cached_tokens(prompt)))
             for server in servers
         ]
 
 
-def _common_home(prompt: Prompt, servers: list[ServerState]) -> ServerState | None:
+def _shared_preferred_server(prompt: Prompt, servers: list[ServerState]) -> ServerState | None:
     """Return the server at which all nodes expect the prompt's shared parts."""
     if len(prompt.parts) < 2:
         return None
-    key = "/".join((*wanted_names(prompt), prompt.parts[-2].part_id))
+    key = "/".join((*required_names(prompt), prompt.parts[-2].part_id))
     return max(servers, key=lambda server: rendezvous_weight(server.row.incarnation, key))
 
 
-def _own_home(prompt: Prompt, servers: list[ServerState], node_index: int) -> ServerState | None:
+def _node_preferred_server(
+    prompt: Prompt, servers: list[ServerState], node_index: int
+) -> ServerState | None:
     """Return the copy that this node uses first; as many nodes use each copy first."""
     if len(prompt.parts) < 2:
         return None
-    key = "/".join(wanted_names(prompt))
+    key = "/".join(required_names(prompt))
     ranked = sorted(
         servers, key=lambda server: rendezvous_weight(server.row.incarnation, key), reverse=True
     )
@@ -191,7 +195,7 @@
 
     name = "local-load"
 
-    def costs(self, query: Query, servers: list[ServerState]) -> list[float]:
+    def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
         """Return the work of this node's requests at each server."""
         return [
             server.outstanding * QUEUED_REQUEST_COST + server.outstanding_tokens
@@ -204,12 +208,12 @@
 
     name = "measured-latency"
 
-    def costs(self, query: Query, servers: list[ServerState]) -> list[float]:
+    def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
         """Return the extra time of each server as work."""
         known = [server.latency_s for server in servers if server.latency_s > 0.0]
         least = min(known, default=0.0)
         return [
-            max(0.0, server.latency_s - least) * TOKENS_PER_S * LATENCY_COST_PART
+            max(0.0, server.latency_s - least) * TOKENS_PER_S * LATENCY_COST_FACTOR
             for server in servers
         ]
 
@@ -219,21 +223,21 @@
 
     name = "zone-distance"
 
-    def costs(self, query: Query, servers: list[ServerState]) -> list[float]:
+    def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
         """Return the cost of leaving this node's zone."""
-        own = query.world.zone
+        own = query.routing.zone
         return [0.0 if server.row.zone == own else OTHER_ZONE_COST for server in servers]
 
 
-class ColdServers(Scorer):
+class SlowStartCost(Scorer):
     """Cold servers only when the others are much busier."""
 
     name = "cold-cost"
     COST = 4_000.0
 
-    def costs(self, query: Query, servers: list[ServerState]) -> list[float]:
+    def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
         """Return the cost of a slow start."""
-        return [self.COST if server.is_cold(query.now) else 0.0 for server in servers]
+        return [self.COST if server.is_in_slow_start(query.now) else 0.0 for server in servers]
 
 
 class RoundRobin(Scorer):
@@ -242,11 +246,11 @@
     name = "round-robin"
 
     def __init__(self) -> None:
-        self._turns = itertools.count()
+        self._turn_counter = itertools.count()
 
-    def costs(self, query: Query, servers: list[ServerState]) -> list[float]:
+    def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
         """Return 0 for the server whose turn it is."""
-        turn = next(self._turns) % max(1, len(servers))
+        turn = next(self._turn_counter) % max(1, len(servers))
         return [0.0 if place == turn else 1.0 for place in range(len(servers))]
 
 
@@ -255,18 +259,23 @@
 
     name = "least-outstanding"
 
-    def costs(self, query: Query, servers: list[ServerState]) -> list[float]:
+    def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
         """Return the requests of this node at each server."""
         return [float(server.outstanding) for server in servers]
 
 
-DEFAULT_FILTERS: tuple[type[Filter], ...] = (NotTried, Resident, NotPaused, WithinColdAllowance)
+DEFAULT_FILTERS: tuple[type[Filter], ...] = (
+    NotAttempted,
+    Resident,
+    NotBackingOff,
+    WithinSlowStartLimit,
+)
 DEFAULT_SCORERS: tuple[type[Scorer], ...] = (
     PromptAffinity,
     LocalLoad,
     MeasuredLatency,
     ZoneDistance,
-    ColdServers,
+    SlowStartCost,
 )
 BASELINE_SCORERS: tuple[type[Scorer], ...] = (RoundRobin, LeastOutstanding)
 
@@ -280,7 +289,7 @@
 
 
 @attrs.frozen
-class Chosen:
+class ServerChoice:
     """The server that a request goes to, and what it is expected to read."""
 
     server: ServerState
@@ -294,28 +303,30 @@
         self._filters = [policy() for policy in DEFAULT_FILTERS]
         self._scorers = scorers
 
-    def choose(self, query: Query) -> Chosen | Blocked:
+    def choose(self, query: RoutingQuery) -> ServerChoice | NoServerReason:
         """Return the server to send to, or why there is none."""
-        servers = list(query.world.in_service((query.pool,)))
+        servers = list(query.routing.in_service((query.pool,)))
         if not servers:
-            return Blocked.NO_SERVER
+            return NoServerReason.NO_SERVER
         for policy in self._filters:
-            kept = [server for server in servers if policy.keeps(query, server)]
+            kept = [server for server in servers if policy.accepts(query, server)]
             if not kept and policy.soft:
                 continue
             if not kept:
-                return policy.why_none(query, servers)
+                return policy.reason_for_none(query, servers)
             servers = kept
         return self._cheapest(query, servers)
 
-    def _cheapest(self, query: Query, servers: list[ServerState]) -> Chosen:
+    def _cheapest(self, query: RoutingQuery, servers: list[ServerState]) -> ServerChoice:
         totals = [0.0] * len(servers)
         for scorer in self._scorers:
             for place, cost in enumerate(scorer.costs(query, servers)):
                 totals[place] += cost
-        tie = [rendezvous_weight(query.world.member, server.row.incarnation) for server in servers]
+        tie = [
+            rendezvous_weight(query.routing.member, server.row.incarnation) for server in servers
+        ]
         best = min(range(len(servers)), key=lambda place: (totals[place], tie[place]))
-        return Chosen(servers[best], _tokens_to_read(query.prompt, servers[best]))
+        return ServerChoice(servers[best], _tokens_to_read(query.prompt, servers[best]))
 
 
 def _tokens_to_read(prompt: Prompt | None, server: ServerState) -> int:
--- a/src/zincvale/dataplane/forwarding/request_events.py
+++ b/src/zincvale/dataplane/forwarding/request_events.py
@@ -6,11 +6,11 @@
 
 import attrs
 
-from zincvale.dataplane.forwarding.dialect import AnswerFacts
-from zincvale.dataplane.forwarding.policies import Blocked
+from zincvale.dataplane.forwarding.dialect import ResponseFacts
+from zincvale.dataplane.forwarding.policies import NoServerReason
 
 
-class FinalKind(enum.Enum):
+class RequestOutcome(enum.Enum):
     """How a request ended for its caller."""
 
     ANSWERED = "answered"
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class ServerFound:
-    """Answers `FindServer`: a server's place is taken for this request."""
+    """Answers `SelectServer`: a server's place is taken for this request."""
 
     server: str
     """The server's incarnation."""
@@ -37,9 +37,9 @@
 
 @attrs.frozen
 class NoServerFound:
-    """Answers `FindServer`: nothing is worth waiting for any longer."""
+    """Answers `SelectServer`: nothing is worth waiting for any longer."""
 
-    blocked: Blocked
+    reason: NoServerReason
     retry_after_s: float
 
 
@@ -55,7 +55,7 @@
     """The head of this request's answer."""
 
     status: int
-    facts: AnswerFacts
+    facts: ResponseFacts
     is_event_stream: bool
 
 
@@ -68,24 +68,24 @@
 
 
 @attrs.frozen
-class AnswerEnded:
+class ResponseCompleted:
     """The answer is whole."""
 
 
 @attrs.frozen
-class AnswerBroken:
+class ResponseBroken:
     """The exchange broke after the request had begun to leave."""
 
     reason: str
 
 
 @attrs.frozen
-class TimeOver:
+class DeadlineExpired:
     """The route's time-out or the caller's deadline has come."""
 
 
 @attrs.frozen
-class CallerLeft:
+class CallerDisconnected:
     """The caller closed its connection."""
 
 
@@ -95,30 +95,30 @@
     | NotSent
     | HeadReceived
     | ContentReceived
-    | AnswerEnded
-    | AnswerBroken
-    | TimeOver
-    | CallerLeft
+    | ResponseCompleted
+    | ResponseBroken
+    | DeadlineExpired
+    | CallerDisconnected
 )
 
 # effects
 
 
 @attrs.frozen
-class FindServer:
+class SelectServer:
     """Find a server, or wait for one; `is_repeat` spends the retry budget."""
 
     excluded: frozenset[str]
-    is_repeat: bool
+    is_retry: bool
 
 
 @attrs.frozen
-class StopFinding:
+class CancelSelection:
     """Stop waiting for a server."""
 
 
 @attrs.frozen
-class Send:
+class SendRequest:
     """Send the request; a stream goes on after `last_event_id`."""
 
     server: str
@@ -126,12 +126,12 @@
 
 
 @attrs.frozen
-class DropExchange:
+class CancelExchange:
     """Close the connection of the exchange under way."""
 
 
 @attrs.frozen
-class Release:
+class ReleaseServer:
     """Give the server's place back.
 
     Attributes
@@ -159,17 +159,17 @@
 
 
 @attrs.frozen
-class EndAnswer:
+class EndResponse:
     """Close the answer whole."""
 
 
 @attrs.frozen
-class CutAnswer:
+class AbortResponse:
     """Break the caller's connection, so that the answer does not look whole."""
 
 
 @attrs.frozen
-class OwnAnswer:
+class LocalReply:
     """Answer the caller from this node."""
 
     status: int
@@ -178,23 +178,23 @@
 
 
 @attrs.frozen
-class Finish:
+class FinishRequest:
     """Nothing follows."""
 
-    kind: FinalKind
+    kind: RequestOutcome
     reason: str = ""
 
 
 Effect = (
-    FindServer
-    | StopFinding
-    | Send
-    | DropExchange
-    | Release
+    SelectServer
+    | CancelSelection
+    | SendRequest
+    | CancelExchange
+    | ReleaseServer
     | RelayHead
     | RelayContent
-    | EndAnswer
-    | CutAnswer
-    | OwnAnswer
-    | Finish
+    | EndResponse
+    | AbortResponse
+    | LocalReply
+    | FinishRequest
 )
--- a/src/zincvale/dataplane/forwarding/request_machine.py
+++ b/src/zincvale/dataplane/forwarding/request_machine.py
@@ -9,39 +9,39 @@
 
 import enum
 
-from zincvale.dataplane.forwarding.policies import Blocked
+from zincvale.dataplane.forwarding.policies import NoServerReason
 from zincvale.dataplane.forwarding.request_events import (
-    AnswerBroken,
-    AnswerEnded,
-    CallerLeft,
+    AbortResponse,
+    CallerDisconnected,
+    CancelExchange,
+    CancelSelection,
     ContentReceived,
-    CutAnswer,
-    DropExchange,
+    DeadlineExpired,
     Effect,
-    EndAnswer,
-    FinalKind,
-    FindServer,
-    Finish,
+    EndResponse,
+    FinishRequest,
     HeadReceived,
     Input,
+    LocalReply,
     NoServerFound,
     NotSent,
-    OwnAnswer,
     RelayContent,
     RelayHead,
-    Release,
-    Send,
+    ReleaseServer,
+    RequestOutcome,
+    ResponseBroken,
+    ResponseCompleted,
+    SelectServer,
+    SendRequest,
     ServerFound,
-    StopFinding,
-    TimeOver,
 )
 from zincvale.model.forwarding import ForwardRoute
 
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
-LEAST_SERVER_ERROR = 500
-PROMISING_STATUSES = frozenset({408, 421, 429, 503})
+MIN_SERVER_ERROR = 500
+RETRYABLE_STATUSES = frozenset({408, 421, 429, 503})
 """Callers take these as a promise that the request did not run and never will."""
 REFUSED_RETRY_AFTER_S = 0.1
 MAX_UNCOUNTED_SENDS = 3
@@ -53,10 +53,10 @@
     """How far the request is."""
 
     NEW = "new"
-    FINDING = "finding"
+    SELECTING = "finding"
     SENT = "sent"
     """At a server; no head of it was received."""
-    ANSWERING = "answering"
+    RESPONDING = "answering"
     DONE = "done"
 
 
@@ -69,19 +69,19 @@
     resumes_after : the event after which the caller wants its stream to go on.
     """
 
-    def __init__(self, route: ForwardRoute, resumes_after: str = "") -> None:
+    def __init__(self, route: ForwardRoute, resume_after: str = "") -> None:
         self.phase = Phase.NEW
         self.attempts = 0
         self._route = route
-        self._last_event_id = resumes_after
+        self._last_event_id = resume_after
         self._server = ""
         self._excluded: set[str] = set()
-        self._uncounted = 0
+        self._uncounted_sends = 0
         self._arrivals = 0
         """Sends that reached a server, whatever it said: what follows them spends the budget."""
         self._may_have_run = False
-        self._head_relayed = False
-        self._answers_stream = False
+        self._is_head_relayed = False
+        self._is_event_stream = False
 
     @property
     def may_repeat(self) -> bool:
@@ -95,8 +95,8 @@
 
     def begin(self) -> list[Effect]:
         """Start."""
-        self.phase = Phase.FINDING
-        return [FindServer(frozenset(), is_repeat=False)]
+        self.phase = Phase.SELECTING
+        return [SelectServer(frozenset(), is_retry=False)]
 
     def handle(self, event: Input) -> list[Effect]:
         """Apply one input and return what to do."""
@@ -105,8 +105,8 @@
         match event:
             case ServerFound(server):
                 return self._send(server)
-            case NoServerFound(blocked, retry_after_s):
-                return self._no_server(blocked, retry_after_s)
+            case NoServerFound(reason, retry_after_s):
+                return self._no_server(reason, retry_after_s)
             case NotSent(reason):
                 return self._not_sent(reason)
             case HeadReceived():
@@ -115,15 +115,15 @@
                 if last_event_id:
                     self._last_event_id = last_event_id
                 return [RelayContent(content)]
-            case AnswerEnded():
+            case ResponseCompleted():
                 self.phase = Phase.DONE
-                return [Release(), EndAnswer(), Finish(FinalKind.ANSWERED)]
-            case AnswerBroken(reason):
+                return [ReleaseServer(), EndResponse(), FinishRequest(RequestOutcome.ANSWERED)]
+            case ResponseBroken(reason):
                 return self._broken(reason)
-            case TimeOver():
-                return self._time_over()
-            case CallerLeft():
-                return self._end(FinalKind.ABANDONED, "the caller left")
+            case DeadlineExpired():
+                return self._deadline_expired()
+            case CallerDisconnected():
+                return self._end(RequestOutcome.ABANDONED, "the caller left")
         return []
 
     # --- finding and sending --------------------------------------------------------------
@@ -133,31 +133,31 @@
         self._server = server
         self.attempts += 1
         self._arrivals += 1
-        return [Send(server, self._last_event_id)]
+        return [SendRequest(server, self._last_event_id)]
 
-    def _find_again(self) -> list[Effect]:
-        self.phase = Phase.FINDING
-        return [FindServer(frozenset(self._excluded), is_repeat=self._arrivals > 0)]
+    def _select_again(self) -> list[Effect]:
+        self.phase = Phase.SELECTING
+        return [SelectServer(frozenset(self._excluded), is_retry=self._arrivals > 0)]
 
-    def _no_server(self, blocked: Blocked, retry_after_s: float) -> list[Effect]:
-        if self._head_relayed:
-            return self._cut(f"no server to go on at: {blocked.value}")
+    def _no_server(self, reason: NoServerReason, retry_after_s: float) -> list[Effect]:
+        if self._is_head_relayed:
+            return self._abort(f"no server to go on at: {reason.value}")
         if self._may_have_run:
-            return self._answer(BAD_GATEWAY, FinalKind.UNKNOWN, blocked.value)
-        return self._refuse(blocked.value, retry_after_s)
+            return self._reply(BAD_GATEWAY, RequestOutcome.UNKNOWN, reason.value)
+        return self._refuse(reason.value, retry_after_s)
 
     def _not_sent(self, reason: str) -> list[Effect]:
         self.attempts -= 1
         self._arrivals -= 1
         self._excluded.add(self._server)
-        self._uncounted += 1
-        released: list[Effect] = [Release(unreachable=True)]
-        if self._uncounted <= MAX_UNCOUNTED_SENDS:
-            return released + self._find_again()
-        if self._head_relayed:
-            return released + self._cut(reason)
+        self._uncounted_sends += 1
+        released: list[Effect] = [ReleaseServer(unreachable=True)]
+        if self._uncounted_sends <= MAX_UNCOUNTED_SENDS:
+            return released + self._select_again()
+        if self._is_head_relayed:
+            return released + self._abort(reason)
         if self._may_have_run:
-            return released + self._answer(BAD_GATEWAY, FinalKind.UNKNOWN, reason)
+            return released + self._reply(BAD_GATEWAY, RequestOutcome.UNKNOWN, reason)
         return released + self._refuse(reason, REFUSED_RETRY_AFTER_S)
 
     # --- answers --------------------------------------------------------------------------
@@ -165,66 +165,68 @@
     def _head(self, head: HeadReceived) -> list[Effect]:
         if head.facts.never_ran:
             return self._refused_by_server(head)
-        if head.status >= LEAST_SERVER_ERROR and self._may_go_on():
+        if head.status >= MIN_SERVER_ERROR and self._may_continue():
             self._may_have_run = True
             self._excluded.add(self._server)
-            return [DropExchange(), Release(), *self._find_again()]
-        if self._head_relayed:
+            return [CancelExchange(), ReleaseServer(), *self._select_again()]
+        if self._is_head_relayed:
             return self._second_head(head)
-        if head.status in PROMISING_STATUSES and not self.may_repeat:
+        if head.status in RETRYABLE_STATUSES and not self.may_repeat:
             # The status would promise what the server did not say.
             self._may_have_run = True
-            dropped: list[Effect] = [DropExchange(), Release()]
-            return dropped + self._answer(BAD_GATEWAY, FinalKind.UNKNOWN, "the server failed")
-        self.phase = Phase.ANSWERING
-        self._head_relayed = True
-        self._answers_stream = head.is_event_stream
+            dropped: list[Effect] = [CancelExchange(), ReleaseServer()]
+            return dropped + self._reply(BAD_GATEWAY, RequestOutcome.UNKNOWN, "the server failed")
+        self.phase = Phase.RESPONDING
+        self._is_head_relayed = True
+        self._is_event_stream = head.is_event_stream
         self._may_have_run = True
         return [RelayHead()]
 
     def _second_head(self, head: HeadReceived) -> list[Effect]:
         """Go on within the answer whose head was relayed."""
         if head.status >= 300 or not head.is_event_stream:
-            dropped: list[Effect] = [DropExchange(), Release()]
-            return dropped + self._cut(f"the stream cannot go on: status {head.status}")
-        self.phase = Phase.ANSWERING
+            dropped: list[Effect] = [CancelExchange(), ReleaseServer()]
+            return dropped + self._abort(f"the stream cannot go on: status {head.status}")
+        self.phase = Phase.RESPONDING
         return []
 
     def _refused_by_server(self, head: HeadReceived) -> list[Effect]:
         misdirected = head.facts.misdirected
         released: list[Effect] = [
-            DropExchange(),
-            Release(refused=not misdirected, absent=misdirected),
+            CancelExchange(),
+            ReleaseServer(refused=not misdirected, absent=misdirected),
         ]
         self._excluded.add(self._server)
-        if misdirected and self._uncounted < MAX_UNCOUNTED_SENDS:
-            self._uncounted += 1
+        if misdirected and self._uncounted_sends < MAX_UNCOUNTED_SENDS:
+            self._uncounted_sends += 1
             self.attempts -= 1
-            return released + self._find_again()
+            return released + self._select_again()
         if self._attempts_left():
-            return released + self._find_again()
-        if self._head_relayed:
-            return released + self._cut("no server takes the rest of the stream")
+            return released + self._select_again()
+        if self._is_head_relayed:
+            return released + self._abort("no server takes the rest of the stream")
         if self._may_have_run:
-            return released + self._answer(BAD_GATEWAY, FinalKind.UNKNOWN, "refused after a run")
+            return released + self._reply(
+                BAD_GATEWAY, RequestOutcome.UNKNOWN, "refused after a run"
+            )
         return released + self._refuse("the server refused it", REFUSED_RETRY_AFTER_S)
 
     def _broken(self, reason: str) -> list[Effect]:
         self._may_have_run = True
         self._excluded.add(self._server)
-        released: list[Effect] = [Release(unreachable=True)]
-        if self._may_go_on():
-            return released + self._find_again()
-        if self._head_relayed:
-            return released + self._cut(reason)
-        return released + self._answer(BAD_GATEWAY, FinalKind.UNKNOWN, reason)
-
-    def _may_go_on(self) -> bool:
+        released: list[Effect] = [ReleaseServer(unreachable=True)]
+        if self._may_continue():
+            return released + self._select_again()
+        if self._is_head_relayed:
+            return released + self._abort(reason)
+        return released + self._reply(BAD_GATEWAY, RequestOutcome.UNKNOWN, reason)
+
+    def _may_continue(self) -> bool:
         """Whether another server may take over what may have run."""
         if not self._attempts_left():
             return False
-        if self._head_relayed:
-            return self._route.resumable and self._answers_stream
+        if self._is_head_relayed:
+            return self._route.resumable and self._is_event_stream
         return self.may_repeat
 
     def _attempts_left(self) -> bool:
@@ -232,36 +234,39 @@
 
     # --- ends -----------------------------------------------------------------------------
 
-    def _time_over(self) -> list[Effect]:
-        if self.phase is Phase.FINDING:
-            stopped: list[Effect] = [StopFinding()]
-            if self._head_relayed:
-                return stopped + self._cut("the time is over")
+    def _deadline_expired(self) -> list[Effect]:
+        if self.phase is Phase.SELECTING:
+            stopped: list[Effect] = [CancelSelection()]
+            if self._is_head_relayed:
+                return stopped + self._abort("the time is over")
             if self._may_have_run:
-                return stopped + self._answer(
-                    GATEWAY_TIMEOUT, FinalKind.UNKNOWN, "the time is over"
+                return stopped + self._reply(
+                    GATEWAY_TIMEOUT, RequestOutcome.UNKNOWN, "the time is over"
                 )
             return stopped + self._refuse("the time is over", REFUSED_RETRY_AFTER_S)
-        dropped: list[Effect] = [DropExchange(), Release()]
-        if self._head_relayed:
-            return dropped + self._cut("the time is over")
-        return dropped + self._answer(GATEWAY_TIMEOUT, FinalKind.UNKNOWN, "the time is over")
+        dropped: list[Effect] = [CancelExchange(), ReleaseServer()]
+        if self._is_head_relayed:
+            return dropped + self._abort("the time is over")
+        return dropped + self._reply(GATEWAY_TIMEOUT, RequestOutcome.UNKNOWN, "the time is over")
 
-    def _end(self, kind: FinalKind, reason: str) -> list[Effect]:
+    def _end(self, kind: RequestOutcome, reason: str) -> list[Effect]:
         was = self.phase
         self.phase = Phase.DONE
-        if was is Phase.FINDING:
-            return [StopFinding(), Finish(kind, reason)]
-        return [DropExchange(), Release(), Finish(kind, reason)]
+        if was is Phase.SELECTING:
+            return [CancelSelection(), FinishRequest(kind, reason)]
+        return [CancelExchange(), ReleaseServer(), FinishRequest(kind, reason)]
 
     def _refuse(self, reason: str, retry_after_s: float) -> list[Effect]:
         self.phase = Phase.DONE
-        return [OwnAnswer(UNAVAILABLE, reason, retry_after_s), Finish(FinalKind.REFUSED, reason)]
+        return [
+            LocalReply(UNAVAILABLE, reason, retry_after_s),
+            FinishRequest(RequestOutcome.REFUSED, reason),
+        ]
 
-    def _answer(self, status: int, kind: FinalKind, reason: str) -> list[Effect]:
+    def _reply(self, status: int, kind: RequestOutcome, reason: str) -> list[Effect]:
         self.phase = Phase.DONE
-        return [OwnAnswer(status, reason), Finish(kind, reason)]
+        return [LocalReply(status, reason), FinishRequest(kind, reason)]
 
-    def _cut(self, reason: str) -> list[Effect]:
+    def _abort(self, reason: str) -> list[Effect]:
         self.phase = Phase.DONE
-        return [CutAnswer(), Finish(FinalKind.INTERRUPTED, reason)]
+        return [AbortResponse(), FinishRequest(RequestOutcome.INTERRUPTED, reason)]
--- a/src/zincvale/dataplane/forwarding/routing_state.py
+++ b/src/zincvale/dataplane/forwarding/routing_state.py
@@ -8,9 +8,9 @@
 import attrs
 
 from zincvale.dataplane.forwarding.fleet_budgets import (
-    ColdTerms,
     RetryBudget,
-    RetryTerms,
+    RetryConfig,
+    SlowStartConfig,
     rendezvous_rank,
 )
 from zincvale.dataplane.forwarding.route_table import RouteTable
@@ -19,29 +19,29 @@
 from zincvale.model.identifiers import MemberId, PoolName, ServerId, ZoneName
 from zincvale.model.view import Directory, Members, Role, ServerRow
 
-COLD_AFTER_EVACUATION_S = 1.5
+SLOW_START_AFTER_EVACUATION_S = 1.5
 """How long a zone's servers count as cold after it was opened again, before the list tells."""
 
 
 @attrs.frozen
-class ForwardingTerms:
+class FleetLimits:
     """What a deployment allows, beside the document."""
 
-    retry: RetryTerms = RetryTerms()
-    cold: ColdTerms = ColdTerms()
+    retry: RetryConfig = RetryConfig()
+    slow_start: SlowStartConfig = SlowStartConfig()
 
 
 @attrs.define
-class ForwardingWorld:
+class RoutingState:
     """All tables of one node."""
 
     zone: ZoneName
     member: MemberId
-    terms: ForwardingTerms = ForwardingTerms()
+    fleet_limits: FleetLimits = FleetLimits()
     document: ForwardingDocument = ForwardingDocument()
     routes: RouteTable = attrs.field(factory=RouteTable)
     servers: dict[ServerId, ServerState] = attrs.field(factory=dict)
-    by_pool: dict[str, list[ServerState]] = attrs.field(factory=dict)
+    servers_by_pool: dict[str, list[ServerState]] = attrs.field(factory=dict)
     node_count: int = 1
     node_index: int = 0
     """This node's place among the nodes, in the order of their names."""
@@ -65,7 +65,9 @@
         self.document = document
         for state in self.servers.values():
             if state.row.zone in opened:
-                state.cold_until = max(state.cold_until, now + self._cold_start_s(state.row))
+                state.slow_start_until = max(
+                    state.slow_start_until, now + self._slow_start_s(state.row)
+                )
         return True
 
     def apply_directory(self, directory: Directory, now: float) -> None:
@@ -76,9 +78,9 @@
             server: self._state(before.get(server), row, now)
             for server, row in directory.servers.items()
         }
-        self.by_pool = {}
+        self.servers_by_pool = {}
         for state in self.servers.values():
-            self.by_pool.setdefault(state.row.pool, []).append(state)
+            self.servers_by_pool.setdefault(state.row.pool, []).append(state)
 
     def apply_residencies(self, residencies: Mapping[ServerId, Residency]) -> None:
         """Take what the placement leader knows of the servers' memory."""
@@ -107,23 +109,23 @@
         """Return this node's share of a pool's second sends."""
         budget = self._budgets.get(pool)
         if budget is None:
-            budget = self._budgets[pool] = RetryBudget(self.terms.retry)
+            budget = self._budgets[pool] = RetryBudget(self.fleet_limits.retry)
         return budget
 
-    def may_send_cold(self, state: ServerState, now: float) -> bool:
+    def may_send_in_slow_start(self, state: ServerState, now: float) -> bool:
         """Whether a cold server may get one more request of this node now."""
         pool = self.pool(state.row.pool)
         if pool is None or pool.cold_per_s <= 0:
             return True
-        cold = self.terms.cold
+        slow_start = self.fleet_limits.slow_start
         rank = rendezvous_rank(self.member, self._nodes, state.row.server)
-        allowed = pool.cold_per_s * cold.factor + cold.slack
-        return state.cold_allowance.may_send(allowed, rank, self.node_count, now)
+        allowed = pool.cold_per_s * slow_start.factor + slow_start.slack
+        return state.slow_start_limiter.may_send(allowed, rank, self.node_count, now)
 
     def in_service(self, pools: Iterable[str]) -> Iterable[ServerState]:
         """Return the servers of `pools` that may receive requests at all."""
         for name in pools:
-            for state in self.by_pool.get(name, ()):
+            for state in self.servers_by_pool.get(name, ()):
                 if not state.row.draining and state.row.zone not in self.document.evacuated:
                     yield state
 
@@ -131,10 +133,10 @@
         if known is None or known.row.incarnation != row.incarnation:
             state = ServerState(row, self._residency_of(row))
             if row.cold_remaining_s > 0:
-                state.cold_until = now + row.cold_remaining_s
+                state.slow_start_until = now + row.cold_remaining_s
             return state
         if row.cold_remaining_s != known.row.cold_remaining_s:
-            known.cold_until = now + row.cold_remaining_s
+            known.slow_start_until = now + row.cold_remaining_s
         if (row.models, row.adapters) != (known.row.models, known.row.adapters):
             known.forget_absent()
         known.row = row
@@ -147,6 +149,6 @@
             return told
         return Residency(row.incarnation, frozenset(row.models), frozenset(row.adapters))
 
-    def _cold_start_s(self, row: ServerRow) -> float:
+    def _slow_start_s(self, row: ServerRow) -> float:
         pool = self.pool(PoolName(row.pool))
-        return COLD_AFTER_EVACUATION_S + (pool.cold_start_s if pool is not None else 0.0)
+        return SLOW_START_AFTER_EVACUATION_S + (pool.cold_start_s if pool is not None else 0.0)
--- a/src/zincvale/dataplane/forwarding/servers.py
+++ b/src/zincvale/dataplane/forwarding/servers.py
@@ -8,17 +8,17 @@
 import attrs
 
 from zincvale.dataplane.forwarding.dialect import Prompt
-from zincvale.dataplane.forwarding.fleet_budgets import ColdAllowance
+from zincvale.dataplane.forwarding.fleet_budgets import SlowStartLimiter
 from zincvale.model.identifiers import ServerId
 from zincvale.model.view import ServerRow
 
-FIRST_PAUSE_S = 0.25
-LONGEST_PAUSE_S = 2.0
-REFUSED_PAUSE_S = 0.05
-ABSENT_MEMORY_S = 0.3
+INITIAL_BACKOFF_S = 0.25
+MAX_BACKOFF_S = 2.0
+REFUSED_BACKOFF_S = 0.05
+ABSENT_TTL_S = 0.3
 """How long a server's own word that it lacks something counts against what is published."""
 LATENCY_WEIGHT = 0.2
-REMEMBERED_PARTS = 512
+MAX_CACHED_PARTS = 512
 
 
 @attrs.frozen
@@ -30,7 +30,7 @@
     adapters: frozenset[str]
     """Each as `MODEL/ADAPTER`."""
 
-    def holds(self, prompt: Prompt) -> bool:
+    def has_resident(self, prompt: Prompt) -> bool:
         """Whether the prompt's model and adapter are there."""
         if prompt.model not in self.models:
             return False
@@ -42,7 +42,7 @@
     return f"{model}/{adapter}"
 
 
-def wanted_names(prompt: Prompt) -> tuple[str, ...]:
+def required_names(prompt: Prompt) -> tuple[str, ...]:
     """Return the names that must be resident for a prompt."""
     if not prompt.adapter:
         return (prompt.model,)
@@ -68,11 +68,11 @@
     residency: Residency
     outstanding: int = 0
     outstanding_tokens: int = 0
-    cold_until: float = -math.inf
-    paused_until: float = -math.inf
+    slow_start_until: float = -math.inf
+    backoff_until: float = -math.inf
     failures: int = 0
     latency_s: float = 0.0
-    cold_allowance: ColdAllowance = attrs.field(factory=ColdAllowance)
+    slow_start_limiter: SlowStartLimiter = attrs.field(factory=SlowStartLimiter)
     _absent_until: dict[str, float] = attrs.field(factory=dict)
     _parts: OrderedDict[tuple[str, str], None] = attrs.field(factory=OrderedDict)
 
@@ -81,66 +81,68 @@
         """The server's identifier in the directory."""
         return self.row.server
 
-    def holds(self, prompt: Prompt, now: float) -> bool:
+    def has_resident(self, prompt: Prompt, now: float) -> bool:
         """Whether the prompt can run here, as far as known."""
-        if not self.residency.holds(prompt):
+        if not self.residency.has_resident(prompt):
             return False
-        return all(now >= self._absent_until.get(name, -math.inf) for name in wanted_names(prompt))
+        return all(
+            now >= self._absent_until.get(name, -math.inf) for name in required_names(prompt)
+        )
 
-    def holds_model(self, prompt: Prompt, now: float) -> bool:
+    def has_resident_model(self, prompt: Prompt, now: float) -> bool:
         """Whether the prompt's model is here, whatever adapter it names."""
         if prompt.model not in self.residency.models:
             return False
         return now >= self._absent_until.get(prompt.model, -math.inf)
 
-    def note_absent(self, prompt: Prompt, now: float) -> None:
+    def mark_absent(self, prompt: Prompt, now: float) -> None:
         """Remember the server's own word that it lacks what the prompt asks for."""
-        self._absent_until[wanted_names(prompt)[-1]] = now + ABSENT_MEMORY_S
+        self._absent_until[required_names(prompt)[-1]] = now + ABSENT_TTL_S
 
     def forget_absent(self) -> None:
         """Believe what is published: it is newer."""
         self._absent_until.clear()
 
-    def is_cold(self, now: float) -> bool:
+    def is_in_slow_start(self, now: float) -> bool:
         """Whether the server bears only a few requests now."""
-        return now < self.cold_until
+        return now < self.slow_start_until
 
-    def is_paused(self, now: float) -> bool:
+    def is_backing_off(self, now: float) -> bool:
         """Whether the server is left alone after failures."""
-        return now < self.paused_until
+        return now < self.backoff_until
 
-    def note_unreachable(self, now: float) -> None:
+    def on_unreachable(self, now: float) -> None:
         """Leave the server alone for a time that grows with failures in a row."""
-        pause_s = min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2.0**self.failures)
+        pause_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**self.failures)
         self.failures += 1
-        self.paused_until = now + pause_s
+        self.backoff_until = now + pause_s
 
-    def note_refused(self, now: float) -> None:
+    def on_refused(self, now: float) -> None:
         """The server is full: leave it alone for a moment."""
-        self.paused_until = max(self.paused_until, now + REFUSED_PAUSE_S)
+        self.backoff_until = max(self.backoff_until, now + REFUSED_BACKOFF_S)
 
-    def note_answer(self, latency_s: float) -> None:
+    def on_response(self, latency_s: float) -> None:
         """A first answer came."""
         self.failures = 0
-        self.paused_until = -math.inf
+        self.backoff_until = -math.inf
         if self.latency_s == 0.0:
             self.latency_s = latency_s
         else:
             self.latency_s += LATENCY_WEIGHT * (latency_s - self.latency_s)
 
-    def remember_parts(self, prompt: Prompt) -> None:
+    def record_cached_parts(self, prompt: Prompt) -> None:
         """The prompt's shared parts are cached here from now on, as far as known."""
-        owner = "/".join(wanted_names(prompt))
+        owner = "/".join(required_names(prompt))
         for part in prompt.parts[:-1]:
             key = (owner, part.part_id)
             self._parts[key] = None
             self._parts.move_to_end(key)
-        while len(self._parts) > REMEMBERED_PARTS:
+        while len(self._parts) > MAX_CACHED_PARTS:
             self._parts.popitem(last=False)
 
     def cached_tokens(self, prompt: Prompt) -> int:
         """Return the tokens at the prompt's beginning that this node sent here lately."""
-        owner = "/".join(wanted_names(prompt))
+        owner = "/".join(required_names(prompt))
         total = 0
         for part in prompt.parts[:-1]:
             if (owner, part.part_id) not in self._parts:
--- a/src/zincvale/dataplane/forwarding/service.py
+++ b/src/zincvale/dataplane/forwarding/service.py
@@ -15,7 +15,7 @@
 from zincvale.dataplane.forwarding.forwarded_request import ForwardedRequest
 from zincvale.dataplane.forwarding.node_context import ForwardingContext
 from zincvale.dataplane.forwarding.policies import PolicyChain, Scorer, scorers_named
-from zincvale.dataplane.forwarding.routing_state import ForwardingTerms, ForwardingWorld
+from zincvale.dataplane.forwarding.routing_state import FleetLimits, RoutingState
 from zincvale.dataplane.forwarding.servers import Residency
 from zincvale.dataplane.inference.dependencies import Spans
 from zincvale.dataplane.messages import DemandReport
@@ -29,10 +29,10 @@
 UNAVAILABLE = 503
 NO_DOCUMENT_RETRY_AFTER_S = 0.5
 STOPPING_RETRY_AFTER_S = 0.1
-LATE_STREAMS_S = 3.0
+NEW_STREAMS_ALLOWED_S = 3.0
 """How long after it was asked to stop a node begins streams."""
-LATE_REQUESTS_S = 5.5
-UNKNOWN_PATIENCE_S = 1.5
+NEW_REQUESTS_ALLOWED_S = 5.5
+CONFIGURATION_WAIT_S = 1.5
 """A started node that knows no configuration holds a request for so long."""
 
 
@@ -50,7 +50,7 @@
         self,
         member: MemberId,
         zone: ZoneName,
-        terms: ForwardingTerms,
+        fleet_limits: FleetLimits,
         dialect: ForwardingDialect,
         spans: Spans,
         random: Random,
@@ -61,12 +61,12 @@
     ) -> None:
         self._member = member
         self._clock = clock
-        self.is_closing = False
-        self._closing_since = 0.0
-        self._held: list[_HeldRequest] = []
+        self.is_draining = False
+        self._draining_since = 0.0
+        self._deferred: list[_DeferredRequest] = []
         scorers: list[Scorer] = scorers_named(policies or [])
         self.context = ForwardingContext(
-            ForwardingWorld(zone, member, terms),
+            RoutingState(zone, member, fleet_limits),
             PolicyChain(scorers),
             ServerClient(clock, address_map),
             dialect,
@@ -77,14 +77,14 @@
         )
 
     @property
-    def world(self) -> ForwardingWorld:
+    def routing(self) -> RoutingState:
         """The node's tables."""
-        return self.context.world
+        return self.context.routing
 
     @property
     def active_requests(self) -> int:
         """Requests under way."""
-        return len(self.context.under_way)
+        return len(self.context.active)
 
     def callers(self) -> CallerServer:
         """Return what an HTTP server hands callers' requests to."""
@@ -96,37 +96,38 @@
 
     def take(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle | None:
         """Begin a request, or answer it at once."""
-        if self.world.document.number == 0 or not self.world.has_directory:
-            return self._hold_until_known(incoming, sink)
-        return self._take_known(incoming, sink)
+        if self.routing.document.number == 0 or not self.routing.has_directory:
+            return self._defer(incoming, sink)
+        return self.begin_request(incoming, sink)
 
-    def _hold_until_known(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle:
+    def _defer(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle:
         """Keep a request for the short time in which a started node learns what is in force."""
-        held = _HeldRequest(self, incoming, sink)
-        self._held.append(held)
-        asyncio.get_running_loop().call_later(UNKNOWN_PATIENCE_S, held.give_up)
+        held = _DeferredRequest(self, incoming, sink)
+        self._deferred.append(held)
+        asyncio.get_running_loop().call_later(CONFIGURATION_WAIT_S, held.give_up)
         return held
 
-    def _release_held(self) -> None:
-        if self.world.document.number == 0 or not self.world.has_directory:
+    def _begin_deferred(self) -> None:
+        if self.routing.document.number == 0 or not self.routing.has_directory:
             return
-        held, self._held = self._held, []
+        held, self._deferred = self._deferred, []
         for each in held:
             each.release()
 
-    def _take_known(self, incoming: IncomingRequest, sink: CallerSink) -> ForwardedRequest | None:
-        document = self.world.document
+    def begin_request(self, incoming: IncomingRequest, sink: CallerSink) -> ForwardedRequest | None:
+        """Begin a request by the document in force, or respond to it at once."""
+        document = self.routing.document
         headers = {name.lower(): value for name, value in incoming.headers}
         path = incoming.target.partition("?")[0]
-        route = self.world.routes.find(headers.get("host", ""), path)
+        route = self.routing.routes.find(headers.get("host", ""), path)
         if route is None:
-            _answer(sink, NOT_FOUND, "no route takes this host and path")
+            _reply(sink, NOT_FOUND, "no route takes this host and path")
             return None
         if incoming.body is not None and len(incoming.body) > document.limits.max_body_bytes:
-            _answer(sink, TOO_LARGE, "the body is larger than the limit")
+            _reply(sink, TOO_LARGE, "the body is larger than the limit")
             return None
-        if self._is_too_late_for(route):
-            _answer(sink, UNAVAILABLE, "this node is about to stop", STOPPING_RETRY_AFTER_S)
+        if self._is_too_late(route):
+            _reply(sink, UNAVAILABLE, "this node is about to stop", STOPPING_RETRY_AFTER_S)
             return None
         facts = self.context.dialect.caller_facts(headers)
         request = ForwardedRequest(self.context, route, facts, incoming, sink)
@@ -135,51 +136,51 @@
 
     # --- stopping -------------------------------------------------------------------------
 
-    def start_closing(self) -> None:
+    def start_draining(self) -> None:
         """Turn unready; requests are taken on while they can be answered before the end."""
-        self.is_closing = True
-        self._closing_since = self._clock()
+        self.is_draining = True
+        self._draining_since = self._clock()
 
-    def refuse_waiting(self) -> None:
+    def reject_pending(self) -> None:
         """Tell every caller whose request never left to come back, elsewhere."""
-        for held in list(self._held):
+        for held in list(self._deferred):
             held.give_up()
-        for waiting in self.context.room.take_all():
-            waiting.on_given_up(waiting.blocked, STOPPING_RETRY_AFTER_S)
+        for pending in self.context.pending.remove_all():
+            pending.on_expired(pending.reason, STOPPING_RETRY_AFTER_S)
 
-    def _is_too_late_for(self, route: ForwardRoute) -> bool:
+    def _is_too_late(self, route: ForwardRoute) -> bool:
         """Whether an answer might not be over before the process ends."""
-        if not self.is_closing:
+        if not self.is_draining:
             return False
-        allowed_s = LATE_STREAMS_S if route.streaming else LATE_REQUESTS_S
-        return self._clock() - self._closing_since >= allowed_s
+        allowed_s = NEW_STREAMS_ALLOWED_S if route.streaming else NEW_REQUESTS_ALLOWED_S
+        return self._clock() - self._draining_since >= allowed_s
 
     # --- news from control ----------------------------------------------------------------
 
     def apply_document(self, document: ForwardingDocument) -> None:
         """Take a newer document into force: nothing is sent against it from here on."""
-        if self.world.apply_document(document, self._clock()):
-            self.context.pump()
-            self._release_held()
+        if self.routing.apply_document(document, self._clock()):
+            self.context.dispatch_pending()
+            self._begin_deferred()
 
     def apply_directory(self, directory: Directory) -> None:
         """Take a newer directory."""
-        self.world.apply_directory(directory, self._clock())
-        rows = self.world.servers.values()
+        self.routing.apply_directory(directory, self._clock())
+        rows = self.routing.servers.values()
         self.context.client.keep_only(
             {(state.row.address, state.row.incarnation) for state in rows}
         )
-        self.context.pump()
-        self._release_held()
+        self.context.dispatch_pending()
+        self._begin_deferred()
 
     def apply_residencies(self, residencies: Mapping[ServerId, Residency]) -> None:
         """Take what the placement leader knows of the servers' memory."""
-        self.world.apply_residencies(residencies)
-        self.context.pump()
+        self.routing.apply_residencies(residencies)
+        self.context.dispatch_pending()
 
     def apply_members(self, members: Members) -> None:
         """Take a newer member table."""
-        self.world.apply_members(members)
+        self.routing.apply_members(members)
 
     def demand_report(self) -> DemandReport:
         """Return the demand this node saw, for the placement leader."""
@@ -191,16 +192,14 @@
         self.context.client.close()
 
 
-def _answer(
-    sink: CallerSink, status: int, problem: str, retry_after_s: float | None = None
-) -> None:
+def _reply(sink: CallerSink, status: int, problem: str, retry_after_s: float | None = None) -> None:
     headers = [("Content-Type", "application/json")]
     if retry_after_s is not None:
         headers.append(("Retry-After", f"{retry_after_s:.2f}"))
-    sink.answer(status, headers, orjson.dumps({"problem": problem}))
+    sink.respond(status, headers, orjson.dumps({"problem": problem}))
 
 
-class _HeldRequest:
+class _DeferredRequest:
     """A request that came before this node knew what is in force."""
 
     def __init__(
@@ -216,17 +215,17 @@
         """Begin the request: what it needs is known now."""
         if self._is_waiting:
             self._is_waiting = False
-            self._begun = self._service._take_known(self._incoming, self._sink)
+            self._begun = self._service.begin_request(self._incoming, self._sink)
 
     def give_up(self) -> None:
         """Tell the caller to come back."""
         if self._is_waiting:
             self._is_waiting = False
             problem = "no configuration is known yet"
-            _answer(self._sink, UNAVAILABLE, problem, NO_DOCUMENT_RETRY_AFTER_S)
+            _reply(self._sink, UNAVAILABLE, problem, NO_DOCUMENT_RETRY_AFTER_S)
 
-    def caller_left(self) -> None:
+    def on_caller_disconnected(self) -> None:
         """The caller closed its connection."""
         self._is_waiting = False
         if self._begun is not None:
-            self._begun.caller_left()
+            self._begun.on_caller_disconnected()
--- a/src/zincvale/platform/callers.py
+++ b/src/zincvale/platform/callers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from zincvale.dataplane.forwarding.dialect import AnswerFacts, CallerFacts, SendFacts
+from zincvale.dataplane.forwarding.dialect import AttemptFacts, CallerFacts, ResponseFacts
 from zincvale.dataplane.forwarding.native_dialect import prompt_of
 
 MS_PER_S = 1000.0
@@ -28,7 +28,7 @@
             last_event_id=headers.get("last-event-id", ""),
         )
 
-    def sent_headers(self, facts: SendFacts) -> dict[str, str]:
+    def attempt_headers(self, facts: AttemptFacts) -> dict[str, str]:
         """Return the headers added for a server."""
         headers = {
             "Deadline-Ms": str(max(1, int(facts.deadline_s * MS_PER_S))),
@@ -39,10 +39,10 @@
             headers["Last-Event-Id"] = facts.last_event_id
         return headers
 
-    def answer_facts(self, status: int, headers: Mapping[str, str]) -> AnswerFacts:
+    def response_facts(self, status: int, headers: Mapping[str, str]) -> ResponseFacts:
         """Read a server's head."""
         misdirected = status == MISDIRECTED
-        return AnswerFacts(
+        return ResponseFacts(
             request_id=headers.get("request-id", ""),
             never_ran=misdirected or "not-executed" in headers,
             misdirected=misdirected,
--- a/src/zincvale/simulator/forwarding/checks.py
+++ b/src/zincvale/simulator/forwarding/checks.py
@@ -5,7 +5,7 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterable, Iterator
 
-from zincvale.dataplane.forwarding.fleet_budgets import ColdTerms, RetryTerms
+from zincvale.dataplane.forwarding.fleet_budgets import RetryConfig, SlowStartConfig
 from zincvale.simulator.forwarding.journal import CallerRecord, Ending, ForwardingJournal, Run
 from zincvale.simulator.forwarding.servers import STREAM_EVENTS
 
@@ -105,7 +105,7 @@
             yield f"{arrival.request_id} went to {arrival.server}"
 
 
-def retries_within(terms: RetryTerms) -> Check:
+def retries_within(terms: RetryConfig) -> Check:
     """Return the check of second arrivals over all nodes, in windows that slide.
 
     Every arrival beyond a request's first counts, also one that its server turned away.
@@ -131,7 +131,7 @@
     return check
 
 
-def cold_within(terms: ColdTerms, per_s: float) -> Check:
+def cold_within(terms: SlowStartConfig, per_s: float) -> Check:
     """Return the check of what a cold server gets from all nodes, in any second."""
 
     def check(journal: ForwardingJournal) -> Iterator[str]:
--- a/src/zincvale/simulator/forwarding/model.py
+++ b/src/zincvale/simulator/forwarding/model.py
@@ -14,9 +14,9 @@
 import attrs
 
 from zincvale.dataplane.forwarding.caller_sink import IncomingRequest
-from zincvale.dataplane.forwarding.fleet_budgets import ColdTerms, RetryTerms
+from zincvale.dataplane.forwarding.fleet_budgets import RetryConfig, SlowStartConfig
 from zincvale.dataplane.forwarding.native_dialect import NativeDialect
-from zincvale.dataplane.forwarding.routing_state import ForwardingTerms
+from zincvale.dataplane.forwarding.routing_state import FleetLimits
 from zincvale.dataplane.forwarding.service import ForwardingService
 from zincvale.model.forwarding import (
     ForwardingDocument,
@@ -53,8 +53,8 @@
 NEWS_DELAY_S = (0.05, 1.5)
 COLD_PER_S = 3.0
 COLD_S = 3.0
-RETRIES = RetryTerms(ratio=0.2, slack=8.0, window_s=5.0)
-COLD = ColdTerms(factor=1.5, slack=2.0)
+RETRIES = RetryConfig(ratio=0.2, slack=8.0, window_s=5.0)
+COLD = SlowStartConfig(factor=1.5, slack=2.0)
 LEAVING_PART = 0.03
 
 
@@ -139,21 +139,21 @@
         service = ForwardingService(
             MemberId(name),
             ZoneName(ZONES[place % len(ZONES)]),
-            ForwardingTerms(RETRIES, COLD),
+            FleetLimits(RETRIES, COLD),
             NativeDialect(),
             NoSpans(),
             self._random,
             self._loop.time,
             lambda: None,
         )
-        world = service.world
+        routing = service.routing
 
         def knows_draining(server: ModelServer) -> bool:
-            state = world.servers.get(ServerId(server.name))
+            state = routing.servers.get(ServerId(server.name))
             return state is None or state.row.draining
 
         def knows_evacuated(server: ModelServer) -> bool:
-            return server.zone in world.document.evacuated
+            return server.zone in routing.document.evacuated
 
         client: Any = ModelClient(
             name,
@@ -306,11 +306,11 @@
         """The answer is whole."""
         self._close(Ending.WHOLE)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """The connection broke."""
         self._close(Ending.CUT)
 
-    def answer(self, status: int, headers: HeaderList, body: bytes) -> None:
+    def respond(self, status: int, headers: HeaderList, body: bytes) -> None:
         """Take a whole answer of the node."""
         self.open(status, "", headers)
         self.write(body)
@@ -320,7 +320,7 @@
         """The caller goes away, unless it has its answer."""
         if self._record.ending is Ending.OPEN:
             self._close(Ending.LEFT)
-            handle.caller_left()
+            handle.on_caller_disconnected()
 
     def _close(self, ending: Ending) -> None:
         if self._record.ending is Ending.OPEN:
--- a/tests/dataplane/forwarding/builders.py
+++ b/tests/dataplane/forwarding/builders.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from zincvale.dataplane.forwarding.dialect import Prompt, PromptPart
-from zincvale.dataplane.forwarding.routing_state import ForwardingTerms, ForwardingWorld
+from zincvale.dataplane.forwarding.routing_state import FleetLimits, RoutingState
 from zincvale.model.forwarding import (
     Engine,
     EngineModel,
@@ -81,12 +81,12 @@
     )
 
 
-def make_world(*rows, routes=None, pools=None, nodes=("n1",), terms=None):
-    world = ForwardingWorld(ZoneName("z1"), MemberId("n1"), terms or ForwardingTerms())
-    world.apply_document(make_document(1, routes or [make_route()], pools or [make_pool()]), 0.0)
-    world.apply_members(make_members(*nodes))
-    world.apply_directory(make_directory(*rows), 0.0)
-    return world
+def make_routing(*rows, routes=None, pools=None, nodes=("n1",), fleet_limits=None):
+    routing = RoutingState(ZoneName("z1"), MemberId("n1"), fleet_limits or FleetLimits())
+    routing.apply_document(make_document(1, routes or [make_route()], pools or [make_pool()]), 0.0)
+    routing.apply_members(make_members(*nodes))
+    routing.apply_directory(make_directory(*rows), 0.0)
+    return routing
 
 
 def make_directory(*rows, version=1):
--- a/tests/dataplane/forwarding/test_parts.py
+++ b/tests/dataplane/forwarding/test_parts.py
@@ -7,18 +7,22 @@
 import testtools
 
 from tests.dataplane.forwarding.builders import make_pool, make_prompt, make_route
-from zincvale.dataplane.forwarding.dialect import SendFacts
-from zincvale.dataplane.forwarding.event_splitter import EventSplitter, WholeEvents
+from zincvale.dataplane.forwarding.dialect import AttemptFacts
+from zincvale.dataplane.forwarding.event_splitter import CompleteEvents, EventSplitter
 from zincvale.dataplane.forwarding.fleet_budgets import (
-    ColdAllowance,
     RetryBudget,
-    RetryTerms,
+    RetryConfig,
+    SlowStartLimiter,
     rendezvous_rank,
 )
 from zincvale.dataplane.forwarding.header_rewrite import to_caller, to_server
 from zincvale.dataplane.forwarding.native_dialect import NativeDialect
-from zincvale.dataplane.forwarding.pending_requests import LoadWaits, WaitingRoom, Wanted
-from zincvale.dataplane.forwarding.policies import Blocked, Chosen
+from zincvale.dataplane.forwarding.pending_requests import (
+    LoadWaitEstimator,
+    PendingRequestQueue,
+    ServerRequirements,
+)
+from zincvale.dataplane.forwarding.policies import NoServerReason, ServerChoice
 from zincvale.dataplane.forwarding.route_table import RouteTable
 
 
@@ -62,11 +66,11 @@
                 if whole is not None:
                     out += whole.content
                     self.assertTrue(whole.content.endswith(b"\n\n"))
-            self.assertEqual(stream, out + splitter.take_rest())
+            self.assertEqual(stream, out + splitter.take_remainder())
 
     def test_the_last_id_is_told(self):
         whole = EventSplitter().feed(b"id: 1\r\n\r\nid:2\ndata: id: 9\n\ndata")
-        self.assertEqual(WholeEvents(b"id: 1\r\n\r\nid:2\ndata: id: 9\n\n", "2"), whole)
+        self.assertEqual(CompleteEvents(b"id: 1\r\n\r\nid:2\ndata: id: 9\n\n", "2"), whole)
 
 
 class HeadsTest(testtools.TestCase):
@@ -106,10 +110,10 @@
 
     def test_only_its_word_proves_that_a_server_did_not_run_it(self):
         dialect = NativeDialect()
-        self.assertFalse(dialect.answer_facts(503, {}).never_ran)
-        self.assertTrue(dialect.answer_facts(503, {"x-zincvale-never-ran": "1"}).never_ran)
-        self.assertTrue(dialect.answer_facts(421, {}).misdirected)
-        sent = dialect.sent_headers(SendFacts("i1", 0.25, 3, "7"))
+        self.assertFalse(dialect.response_facts(503, {}).never_ran)
+        self.assertTrue(dialect.response_facts(503, {"x-zincvale-never-ran": "1"}).never_ran)
+        self.assertTrue(dialect.response_facts(421, {}).misdirected)
+        sent = dialect.attempt_headers(AttemptFacts("i1", 0.25, 3, "7"))
         self.assertEqual(("250", "7"), (sent["x-deadline-ms"], sent["last-event-id"]))
 
 
@@ -119,19 +123,19 @@
 
 class BudgetTest(testtools.TestCase):
     def test_all_nodes_together_stay_within_the_terms(self):
-        terms = RetryTerms(ratio=0.2, slack=200.0, window_s=10.0)
+        fleet_limits = RetryConfig(ratio=0.2, slack=200.0, window_s=10.0)
         for nodes in (1, 3, 11, 80):
-            budgets = [RetryBudget(terms) for _ in range(nodes)]
+            budgets = [RetryBudget(fleet_limits) for _ in range(nodes)]
             requests = repeats = 0
             for number in range(400):
                 budget = budgets[number % nodes]
-                budget.note_request(5.0)
+                budget.record_request(5.0)
                 requests += 1
                 repeats += budget.take(nodes, 5.0)
             self.assertTrue(0 < repeats <= 0.2 * requests + 200.0, (nodes, repeats))
 
     def test_what_lies_before_the_window_is_forgotten(self):
-        budget = RetryBudget(RetryTerms(ratio=0.0, slack=2.0, window_s=10.0))
+        budget = RetryBudget(RetryConfig(ratio=0.0, slack=2.0, window_s=10.0))
         self.assertTrue(budget.take(1, 0.0))
         self.assertFalse(budget.take(1, 9.0))
         self.assertTrue(budget.take(1, 10.5))
@@ -142,12 +146,12 @@
         names = [f"n{number}" for number in range(nodes)]
         total = 0
         for name in names:
-            allowance = ColdAllowance()
+            allowance = SlowStartLimiter()
             rank = rendezvous_rank(name, names, "s1")
             for step in range(100):
                 now = step * second_s / 100
                 if allowance.may_send(allowed, rank, nodes, now):
-                    allowance.note_sent(now)
+                    allowance.record_sent(now)
                     total += 1
         return total
 
@@ -161,80 +165,94 @@
 
 
 class WaitingRoomTest(testtools.TestCase):
-    def wanted(self, model="m", priority=0, deadline_at=4.0):
+    def requirements(self, model="m", priority=0, deadline_at=4.0):
         prompt = make_prompt(model)
         route = make_route(priority=priority)
-        return Wanted(route, "p", prompt, frozenset(), deadline_at)
+        return ServerRequirements(route, "p", prompt, frozenset(), deadline_at)
 
-    def room(self):
-        return WaitingRoom(lambda name: make_pool(name))
+    def pending(self):
+        return PendingRequestQueue(lambda name: make_pool(name))
 
-    def enter(self, room, wanted, blocked=Blocked.NOT_RESIDENT):
+    def add(self, pending, requirements, reason=NoServerReason.NOT_RESIDENT):
         log = []
-        waiting = room.enter(
-            wanted, blocked, lambda chosen: log.append("found"), lambda *why: log.append(why), 0.0
+        waiting = pending.add(
+            requirements,
+            reason,
+            lambda chosen: log.append("found"),
+            lambda *why: log.append(why),
+            0.0,
         )
         return waiting, log
 
     def test_a_hopeless_wait_is_not_begun(self):
-        self.assertIsNone(self.enter(self.room(), self.wanted(deadline_at=1.0))[0])
-        self.assertIsNone(self.enter(self.room(), self.wanted(model="unknown"))[0])
+        self.assertIsNone(self.add(self.pending(), self.requirements(deadline_at=1.0))[0])
+        self.assertIsNone(self.add(self.pending(), self.requirements(model="unknown"))[0])
 
     def test_the_most_urgent_go_first(self):
-        room, order = self.room(), []
+        pending, order = self.pending(), []
         for priority in (2, 0, 1):
-            room.enter(
-                self.wanted(priority=priority),
-                Blocked.NOT_RESIDENT,
+            pending.add(
+                self.requirements(priority=priority),
+                NoServerReason.NOT_RESIDENT,
                 lambda chosen, priority=priority: order.append(priority),
                 lambda *why: None,
                 0.0,
             )
-        room.pump(lambda wanted: Chosen(None, 0), 0.1)
+        pending.dispatch_pending(lambda requirements: ServerChoice(None, 0), 0.1)
         self.assertEqual([0, 1, 2], order)
-        self.assertEqual(0, len(room))
+        self.assertEqual(0, len(pending))
 
     def test_patience_ends_long_before_the_deadline_with_a_time_to_come_back(self):
-        room = self.room()
-        waiting, log = self.enter(room, self.wanted())
-        self.assertTrue(waiting.give_up_at < 2.4)
-        room.pump(lambda wanted: Blocked.NOT_RESIDENT, waiting.give_up_at)
-        self.assertEqual(Blocked.NOT_RESIDENT, log[0][0])
+        pending = self.pending()
+        waiting, log = self.add(pending, self.requirements())
+        self.assertTrue(waiting.expires_at < 2.4)
+        pending.dispatch_pending(
+            lambda requirements: NoServerReason.NOT_RESIDENT, waiting.expires_at
+        )
+        self.assertEqual(NoServerReason.NOT_RESIDENT, log[0][0])
         self.assertTrue(log[0][1] > 0.1)
 
     def test_a_wait_for_an_adapter_is_short_and_is_not_taken_for_one_for_a_model(self):
-        soon = self.wanted(deadline_at=1.0)
-        self.assertIsNone(self.enter(self.room(), soon)[0])
-        waiting, _ = self.enter(self.room(), soon, Blocked.NO_ADAPTER)
-        self.assertEqual(0.6, waiting.give_up_at)
-        self.assertLess(self.room().retry_after_s(Blocked.NO_ADAPTER, soon), 0.5)
+        soon = self.requirements(deadline_at=1.0)
+        self.assertIsNone(self.add(self.pending(), soon)[0])
+        waiting, _ = self.add(self.pending(), soon, NoServerReason.NO_ADAPTER)
+        self.assertEqual(0.6, waiting.expires_at)
+        self.assertLess(self.pending().retry_after_s(NoServerReason.NO_ADAPTER, soon), 0.5)
 
     def test_waits_that_ended_soon_make_others_worth_it(self):
-        room = self.room()
-        hopeless = self.wanted(deadline_at=1.0)
-        self.assertIsNone(self.enter(room, hopeless)[0])
-        self.enter(room, self.wanted())
-        room.pump(lambda wanted: Chosen(None, 0), 0.3)
-        self.assertIsNotNone(self.enter(room, hopeless)[0])
-        self.assertAlmostEqual(0.3, room.retry_after_s(Blocked.NOT_RESIDENT, hopeless))
+        pending = self.pending()
+        hopeless = self.requirements(deadline_at=1.0)
+        self.assertIsNone(self.add(pending, hopeless)[0])
+        self.add(pending, self.requirements())
+        pending.dispatch_pending(lambda requirements: ServerChoice(None, 0), 0.3)
+        self.assertIsNotNone(self.add(pending, hopeless)[0])
+        self.assertAlmostEqual(0.3, pending.retry_after_s(NoServerReason.NOT_RESIDENT, hopeless))
 
     def test_only_the_first_that_waits_tells_how_long_a_load_takes(self):
-        room = self.room()
-        self.enter(room, self.wanted())
-        room.enter(self.wanted(), Blocked.NOT_RESIDENT, lambda chosen: None, lambda *_: None, 0.29)
-        room.pump(lambda wanted: Chosen(None, 0), 0.3)
-        self.assertAlmostEqual(0.3, room.retry_after_s(Blocked.NOT_RESIDENT, self.wanted()))
+        pending = self.pending()
+        self.add(pending, self.requirements())
+        pending.add(
+            self.requirements(),
+            NoServerReason.NOT_RESIDENT,
+            lambda chosen: None,
+            lambda *_: None,
+            0.29,
+        )
+        pending.dispatch_pending(lambda requirements: ServerChoice(None, 0), 0.3)
+        self.assertAlmostEqual(
+            0.3, pending.retry_after_s(NoServerReason.NOT_RESIDENT, self.requirements())
+        )
 
     def test_shorter_waits_are_learned_faster_than_longer_ones(self):
-        waits = LoadWaits()
+        waits = LoadWaitEstimator()
         for waited_s in (6.0, 1.0, 6.0, 1.0, 6.0):
-            waits.note("p", Blocked.NOT_RESIDENT, waited_s)
-        self.assertLess(waits.soonest_s("p", Blocked.NOT_RESIDENT, 9.0), 4.0)
-        self.assertEqual(0.5, waits.soonest_s("p", Blocked.NOT_RESIDENT, 0.5))
-        self.assertEqual(9.0, waits.soonest_s("q", Blocked.NOT_RESIDENT, 9.0))
+            waits.record("p", NoServerReason.NOT_RESIDENT, waited_s)
+        self.assertLess(waits.estimate_s("p", NoServerReason.NOT_RESIDENT, 9.0), 4.0)
+        self.assertEqual(0.5, waits.estimate_s("p", NoServerReason.NOT_RESIDENT, 0.5))
+        self.assertEqual(9.0, waits.estimate_s("q", NoServerReason.NOT_RESIDENT, 9.0))
 
     def test_a_stopping_node_empties_the_room(self):
-        room = self.room()
-        self.enter(room, self.wanted())
-        self.assertEqual(1, len(room.take_all()))
-        self.assertIsNone(room.next_end())
+        pending = self.pending()
+        self.add(pending, self.requirements())
+        self.assertEqual(1, len(pending.remove_all()))
+        self.assertIsNone(pending.next_expiry())
--- a/tests/dataplane/forwarding/test_service.py
+++ b/tests/dataplane/forwarding/test_service.py
@@ -17,9 +17,13 @@
 )
 from zincvale.dataplane.forwarding.caller_sink import IncomingRequest
 from zincvale.dataplane.forwarding.native_dialect import NativeDialect
-from zincvale.dataplane.forwarding.request_events import FinalKind
-from zincvale.dataplane.forwarding.routing_state import ForwardingTerms
-from zincvale.dataplane.forwarding.service import LATE_REQUESTS_S, LATE_STREAMS_S, ForwardingService
+from zincvale.dataplane.forwarding.request_events import RequestOutcome
+from zincvale.dataplane.forwarding.routing_state import FleetLimits
+from zincvale.dataplane.forwarding.service import (
+    NEW_REQUESTS_ALLOWED_S,
+    NEW_STREAMS_ALLOWED_S,
+    ForwardingService,
+)
 from zincvale.model.forwarding import CallerLimits
 from zincvale.model.identifiers import MemberId, ZoneName
 from zincvale.transport.server_exchange import ResponseHead
@@ -85,10 +89,10 @@
     def end(self):
         self.log.append("end")
 
-    def cut(self):
+    def abort(self):
         self.log.append("cut")
 
-    def answer(self, status, headers, body):
+    def respond(self, status, headers, body):
         self.log.append((status, dict(headers).get("Retry-After")))
 
 
@@ -100,7 +104,7 @@
         self.service = ForwardingService(
             MemberId("n1"),
             ZoneName("z1"),
-            ForwardingTerms(),
+            FleetLimits(),
             NativeDialect(),
             Spans(),
             random.Random(1),
@@ -150,7 +154,7 @@
             listener.on_complete()
             self.assertEqual([("open", 200), ("write", b"answer"), "end"], sink.log)
             self.assertEqual(0, node.service.active_requests)
-            self.assertEqual(0, node.service.world.servers["s1"].outstanding)
+            self.assertEqual(0, node.service.routing.servers["s1"].outstanding)
 
         run(scenario)
 
@@ -181,10 +185,10 @@
         async def scenario():
             node = Node()
             handle, sink = node.ask()
-            handle.caller_left()
+            handle.on_caller_disconnected()
             self.assertTrue(node.client.sent[0][3].cancelled)
             self.assertEqual([], sink.log)
-            self.assertEqual(1, node.service.context.counts[FinalKind.ABANDONED])
+            self.assertEqual(1, node.service.context.counts[RequestOutcome.ABANDONED])
 
         run(scenario)
 
@@ -192,9 +196,9 @@
         async def scenario():
             node = Node()
             self.assertEqual([(404, None)], node.ask("/other/")[1].log)
-            document = node.service.world.document
+            document = node.service.routing.document
             limits = CallerLimits(max_body_bytes=3)
-            node.service.world.document = type(document)(
+            node.service.routing.document = type(document)(
                 2, 2, document.routes, document.pools, limits
             )
             self.assertEqual([(413, None)], node.ask(body=b"1234")[1].log)
@@ -228,7 +232,7 @@
         async def scenario():
             node = Node(known=False)
             handle, _ = node.ask()
-            handle.caller_left()
+            handle.on_caller_disconnected()
             node.learn()
             self.assertEqual([], node.client.sent)
 
@@ -239,12 +243,12 @@
     def test_a_stopping_node_begins_nothing_it_cannot_end(self):
         async def scenario():
             node = Node()
-            node.service.start_closing()
+            node.service.start_draining()
             node.ask("/stream/x")
-            node.now += LATE_STREAMS_S
+            node.now += NEW_STREAMS_ALLOWED_S
             self.assertEqual(503, node.ask("/stream/x")[1].log[0][0])
             node.ask("/r/x")
-            node.now = 100.0 + LATE_REQUESTS_S
+            node.now = 100.0 + NEW_REQUESTS_ALLOWED_S
             refused = node.ask("/r/x")[1].log[0]
             self.assertEqual(503, refused[0])
             self.assertIsNotNone(refused[1])
@@ -256,7 +260,7 @@
         async def scenario():
             node = Node(known=False)
             _, sink = node.ask()
-            node.service.refuse_waiting()
+            node.service.reject_pending()
             self.assertEqual(503, sink.log[0][0])
 
         run(scenario)
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -14,7 +14,7 @@
 from zincvale.coordination.registers.change_messages import ChangeResult
 from zincvale.daemons.http_fetch import FetchResult
 from zincvale.daemons.server_orders import OrderReply
-from zincvale.dataplane.forwarding.dialect import SendFacts
+from zincvale.dataplane.forwarding.dialect import AttemptFacts
 from zincvale.model.errors import InvalidInputError, MalformedBodyError, NotFoundError
 from zincvale.model.identifiers import Address, PoolName, ServerId, StoreName, ZoneName
 from zincvale.model.resources import PoolKind
@@ -196,15 +196,17 @@
         self.assertEqual([800, 410, 250], [part.tokens for part in facts.prompt.parts])
         self.assertEqual(
             {"Deadline-Ms": "250", "Expect-Instance": "i-1", "Request-Urgency": "3"},
-            dialect.sent_headers(SendFacts("i-1", 0.25, 3, "")),
+            dialect.attempt_headers(AttemptFacts("i-1", 0.25, 3, "")),
+        )
+        self.assertEqual(
+            "9", dialect.attempt_headers(AttemptFacts("i", 1, 1, "9"))["Last-Event-Id"]
         )
-        self.assertEqual("9", dialect.sent_headers(SendFacts("i", 1, 1, "9"))["Last-Event-Id"])
 
     def test_proofs(self):
         dialect = PlatformForwarding()
-        self.assertFalse(dialect.answer_facts(503, {"request-id": "q1"}).never_ran)
-        self.assertTrue(dialect.answer_facts(503, {"not-executed": "1"}).never_ran)
-        facts = dialect.answer_facts(421, {})
+        self.assertFalse(dialect.response_facts(503, {"request-id": "q1"}).never_ran)
+        self.assertTrue(dialect.response_facts(503, {"not-executed": "1"}).never_ran)
+        facts = dialect.response_facts(421, {})
         self.assertEqual((True, True), (facts.never_ran, facts.misdirected))
 
     def test_a_deadline_that_cannot_be_read_is_absent(self):
--- a/tests/simulator/test_forwarding_model.py
+++ b/tests/simulator/test_forwarding_model.py
@@ -8,11 +8,15 @@
 
 import testtools
 
-from zincvale.dataplane.forwarding.fleet_budgets import ColdAllowance, RetryBudget
+from zincvale.dataplane.forwarding.fleet_budgets import RetryBudget, SlowStartLimiter
 from zincvale.dataplane.forwarding.forwarded_request import ForwardedRequest
-from zincvale.dataplane.forwarding.request_events import ContentReceived, Finish, Release
+from zincvale.dataplane.forwarding.request_events import (
+    ContentReceived,
+    FinishRequest,
+    ReleaseServer,
+)
 from zincvale.dataplane.forwarding.request_machine import Phase, RequestMachine
-from zincvale.dataplane.forwarding.routing_state import ForwardingWorld
+from zincvale.dataplane.forwarding.routing_state import RoutingState
 from zincvale.simulator.forwarding.model import run_forwarding
 
 SEEDS = range(1, 201)
@@ -57,29 +61,29 @@
 
 
 def _cold_servers_by_each_node_alone():
-    real = ColdAllowance.may_send
+    real = SlowStartLimiter.may_send
 
     def may_send(self, allowed, rank, node_count, now):
         return real(self, allowed, 0, 1, now)
 
-    return mock.patch.object(ColdAllowance, "may_send", may_send)
+    return mock.patch.object(SlowStartLimiter, "may_send", may_send)
 
 
 def _sends_to_draining_servers():
     def in_service(self, pools):
-        return [state for name in pools for state in self.by_pool.get(name, ())]
+        return [state for name in pools for state in self.servers_by_pool.get(name, ())]
 
-    return mock.patch.object(ForwardingWorld, "in_service", in_service)
+    return mock.patch.object(RoutingState, "in_service", in_service)
 
 
 def _forgets_the_time():
-    return mock.patch.object(RequestMachine, "_time_over", lambda self: [])
+    return mock.patch.object(RequestMachine, "_deadline_expired", lambda self: [])
 
 
 def _lets_runs_go_on_for_nobody():
     def end(self, kind, reason):
         self.phase = Phase.DONE
-        return [Release(), Finish(kind, reason)]
+        return [ReleaseServer(), FinishRequest(kind, reason)]
 
     return mock.patch.object(RequestMachine, "_end", end)
 
