--- a/src/zincvale/daemons/forwarding_node.py
+++ b/src/zincvale/daemons/forwarding_node.py
@@ -20,7 +20,7 @@
 from zincvale.dataplane.forwarding.dialect import ForwardingDialect
 from zincvale.dataplane.forwarding.fleet_budgets import RetryConfig, SlowStartConfig
 from zincvale.dataplane.forwarding.routing_state import FleetLimits
-from zincvale.dataplane.forwarding.service import ForwardingService
+from zincvale.dataplane.forwarding.service import ForwardingConfig, ForwardingService
 from zincvale.model.errors import ZincvaleError
 from zincvale.model.identifiers import MemberId, ZoneName
 from zincvale.model.view import Role
@@ -140,21 +140,23 @@
             log,
         )
         self._service = ForwardingService(
-            self._member,
-            ZoneName(settings.zone),
-            FleetLimits(
-                RetryConfig(
-                    forwarding.retry_ratio, forwarding.retry_slack, forwarding.retry_window_s
+            ForwardingConfig(
+                member=self._member,
+                zone=self._zone,
+                fleet_limits=FleetLimits(
+                    RetryConfig(
+                        forwarding.retry_ratio, forwarding.retry_slack, forwarding.retry_window_s
+                    ),
+                    SlowStartConfig(forwarding.cold_factor, forwarding.cold_slack),
                 ),
-                SlowStartConfig(forwarding.cold_factor, forwarding.cold_slack),
+                policies=forwarding.policies,
+                address_map=settings.address_map,
             ),
             dialect,
-            self._tracing.recorder,
-            self._random,
-            self._clock,
-            self._report_soon,
-            settings.address_map,
-            forwarding.policies,
+            spans=self._tracing.recorder,
+            random=self._random,
+            clock=self._clock,
+            on_urgent=self._report_soon,
         )
         self.process.router.add_service("tracing", self._tracing.handle_message)
 
@@ -168,9 +170,8 @@
         if self._service.is_draining:
             return False
         if not self._was_ready:
-            routing = self._service.routing
-            has_all = routing.document.number > 0 and routing.has_directory
-            self._was_ready = has_all and self.machine.ready(self._clock())
+            is_configured = self._service.routing.is_configured
+            self._was_ready = is_configured and self.machine.ready(self._clock())
         return self._was_ready
 
     # --- news from control ----------------------------------------------------------------
--- a/src/zincvale/dataplane/forwarding/caller_server.py
+++ b/src/zincvale/dataplane/forwarding/caller_server.py
@@ -1,10 +1,16 @@
-"""The callers' side over tornado's HTTP server, one level below its request handlers."""
+"""The caller side of forwarding over tornado's HTTP server, one level below its request handlers.
+
+The native request path has a binding of its own (`inference.caller_connection`). They are not
+merged: this one forwards the headers of callers and servers in their order and spelling and writes
+any framing, the other speaks the product's own protocol and knows its outcomes."""
 
 from __future__ import annotations
 
 import http.client
+from collections.abc import Callable
 from typing import Any, Protocol
 
+from tornado.concurrent import Future
 from tornado.httputil import (
     HTTPHeaders,
     HTTPMessageDelegate,
@@ -19,24 +25,24 @@
 
 
 class RequestHandler(Protocol):
-    """Takes whole requests; `dataplane.forwarding.service` is one."""
+    """Handles complete requests; `forwarding.service.ForwardingService` is one."""
 
     @property
     def is_draining(self) -> bool:
-        """Whether callers are asked to close their connections."""
+        """Whether responses ask callers to close their connections."""
         ...
 
     def now(self) -> float:
         """The node's clock, in seconds."""
         ...
 
-    def take(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle | None:
-        """Begin a request, or answer it at once."""
+    def handle_request(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle | None:
+        """Begin a request, or respond to it at once; None when nothing is pending."""
         ...
 
 
 class CallerHandle(Protocol):
-    """A request under way."""
+    """A request in flight."""
 
     def on_caller_disconnected(self) -> None:
         """The caller closed its connection."""
@@ -44,7 +50,7 @@
 
 
 class CallerServer(HTTPServerConnectionDelegate):
-    """Takes every request of every path."""
+    """Accepts every request of every path."""
 
     def __init__(self, handler: RequestHandler) -> None:
         self._handler = handler
@@ -55,7 +61,7 @@
 
 
 class _CallerMessage(HTTPMessageDelegate):
-    """Receives one request and hands it over when it is whole."""
+    """Receives one request and passes it to the handler when it is complete."""
 
     def __init__(self, handler: RequestHandler, connection: Any) -> None:
         self._handler = handler
@@ -66,18 +72,18 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Keep the head."""
+        """Store the head."""
         assert isinstance(start_line, RequestStartLine)
         self._start_line = start_line
         self._headers = headers
         self._read_at = self._handler.now()
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a part of the body; the server bounds its size."""
+        """Store a part of the body; the server bounds its size."""
         self._body.append(chunk)
 
     def finish(self) -> None:
-        """Hand the request over."""
+        """Handle the complete request."""
         has_body = "Content-Length" in self._headers or "Transfer-Encoding" in self._headers
         incoming = IncomingRequest(
             self._start_line.method,
@@ -87,12 +93,12 @@
             self._read_at,
         )
         self._connection.set_close_callback(self._caller_left)
-        self._handle = self._handler.take(
+        self._handle = self._handler.handle_request(
             incoming, _ConnectionSink(self._connection, self._handler)
         )
 
     def on_connection_close(self) -> None:
-        """Forget a request that did not arrive whole."""
+        """Notify the request, if one began, that its connection closed."""
         self._caller_left()
 
     def _caller_left(self) -> None:
@@ -115,7 +121,7 @@
         return self._unsent_bytes
 
     def open(self, status: int, reason: str, headers: HeaderList) -> None:
-        """Send the head of a server's answer."""
+        """Send the head of a server's response."""
         head = HTTPHeaders()
         for name, value in headers:
             head.add(name, value)
@@ -131,31 +137,31 @@
         if future is None:
             self._unsent_bytes -= len(data)
             return
-        future.add_done_callback(lambda done: self._sent(len(data), done))
+        future.add_done_callback(lambda done: self._on_written(len(data), done))
 
     def end(self) -> None:
-        """Close the answer whole."""
+        """End the complete response."""
         if self._is_open:
             self._guard(self._connection.finish)
         self._is_open = False
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Close the connection without ending the response."""
         self._is_open = False
         self._connection.close()
 
     def respond(self, status: int, headers: HeaderList, body: bytes) -> None:
-        """Send a whole answer of this node."""
+        """Send a complete response of this node."""
         self.open(status, _reason(status), [*headers, ("Content-Length", str(len(body)))])
         self.write(body)
         self.end()
 
-    def _sent(self, size: int, future: Any) -> None:
+    def _on_written(self, size: int, future: Future[None]) -> None:
         self._unsent_bytes -= size
         future.exception()
 
-    def _guard(self, action: Any) -> Any:
-        """Run `action` unless the caller is gone; returns its future, if it has one."""
+    def _guard(self, action: Callable[[], Future[None] | None]) -> Future[None] | None:
+        """Run `action` unless the caller disconnected; returns its future, if it has one."""
         if not self._is_open:
             return None
         try:
--- a/src/zincvale/dataplane/forwarding/caller_sink.py
+++ b/src/zincvale/dataplane/forwarding/caller_sink.py
@@ -1,4 +1,4 @@
-"""The caller's side of one forwarded request, as the runner sees it."""
+"""The caller side of one forwarded request: where it came from and where its response goes."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class CallerSink(Protocol):
-    """Where an answer goes; every method may be called after the caller left."""
+    """Where a response goes; every method may be called after the caller disconnected."""
 
     def open(self, status: int, reason: str, headers: HeaderList) -> None:
-        """Send the head of a server's answer."""
+        """Send the head of a server's response."""
         ...
 
     def write(self, data: bytes) -> None:
@@ -21,15 +21,15 @@
         ...
 
     def end(self) -> None:
-        """Close the answer whole."""
+        """End the complete response."""
         ...
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Close the connection without ending the response, so that it does not look complete."""
         ...
 
     def respond(self, status: int, headers: HeaderList, body: bytes) -> None:
-        """Send a whole answer of this node."""
+        """Send a complete response of this node."""
         ...
 
     @property
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class IncomingRequest:
-    """A caller's request as it was read.
+    """A caller's complete request.
 
     Attributes
     ----------
--- a/src/zincvale/dataplane/forwarding/dialect.py
+++ b/src/zincvale/dataplane/forwarding/dialect.py
@@ -1,7 +1,7 @@
-"""How callers and servers speak: the seam between forwarding and the names on the wire.
+"""The interface between forwarding and the header names that callers and servers use.
 
 Forwarding decides on typed facts only. A dialect reads them from heads and writes them into heads;
-it decides nothing. `native_dialect` is the product's own.
+it decides nothing. `native_dialect` is the product's own; `platform.callers` has another.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class Prompt:
-    """What a request asks of a language-model engine.
+    """What a request needs of a language-model engine.
 
     Attributes
     ----------
@@ -40,13 +40,13 @@
 
 @attrs.frozen
 class CallerFacts:
-    """What a caller's head says.
+    """What the head of a caller's request states.
 
     Attributes
     ----------
-    request_id : empty when the caller named none.
-    deadline_s : how long the caller will wait; None when it did not say.
-    last_event_id : the event after which a stream is to go on; empty from its beginning.
+    request_id : empty when the caller stated none.
+    deadline_s : how long the caller will wait; None when it is not stated.
+    last_event_id : the event after which a stream is to be resumed; empty: from its beginning.
     """
 
     request_id: str
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class AttemptFacts:
-    """What forwarding says to a server beyond what the caller said."""
+    """What forwarding adds to the caller's headers for one attempt."""
 
     incarnation: str
     deadline_s: float
@@ -67,11 +67,11 @@
 
 @attrs.frozen
 class ResponseFacts:
-    """What a server's head says.
+    """What the head of a server's response states.
 
     Attributes
     ----------
-    request_id : the request that the answer belongs to; empty when it is not said.
+    request_id : the request that the response belongs to; empty when it is not stated.
     never_ran : proof that the request did not run and never will.
     misdirected : the server is another one than expected, or lacks what was asked for.
     """
@@ -85,7 +85,7 @@
     """Names and formats of callers and servers."""
 
     def caller_facts(self, headers: Mapping[str, str]) -> CallerFacts:
-        """Read a caller's head (names in lower case); what cannot be read counts as not said."""
+        """Read a caller's head (names in lower case); what is unreadable counts as absent."""
         ...
 
     def attempt_headers(self, facts: AttemptFacts) -> dict[str, str]:
--- a/src/zincvale/dataplane/forwarding/event_splitter.py
+++ b/src/zincvale/dataplane/forwarding/event_splitter.py
@@ -1,4 +1,8 @@
-"""Splits an event stream into whole events and reads their ids."""
+"""Splits an event stream into complete events, byte for byte, and reads their ids.
+
+`dataplane.http.event_reader` parses events instead. They are not merged: forwarding relays the
+server's bytes unchanged, whatever their line ends and fields, and passes on an event that is too
+large; the native path needs the parsed fields and rejects it."""
 
 from __future__ import annotations
 
@@ -9,19 +13,19 @@
 EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 ID_LINE = re.compile(rb"^id:[ ]?([^\r\n]*)", re.MULTILINE)
 MAX_EVENT_BYTES = 1024 * 1024
-"""What does not end by then is passed on as it is."""
+"""An event that does not end by then is relayed in parts: it bounds the memory of a request."""
 
 
 @attrs.frozen
 class CompleteEvents:
-    """Bytes of one or more whole events, and the id of the last one that has an id."""
+    """Bytes of one or more complete events, and the id of the last one that has an id."""
 
     content: bytes
     last_id: str
 
 
 class EventSplitter:
-    """Keeps what has arrived of an event until the event is whole."""
+    """Buffers the bytes of an event until the event is complete."""
 
     def __init__(self) -> None:
         self._partial = b""
@@ -36,13 +40,13 @@
             end = len(self._partial)
         if end == 0:
             return None
-        whole, self._partial = self._partial[:end], self._partial[end:]
-        return CompleteEvents(whole, _last_id(whole))
+        complete, self._partial = self._partial[:end], self._partial[end:]
+        return CompleteEvents(complete, _last_id(complete))
 
     def take_remainder(self) -> bytes:
-        """Return and forget what has arrived of an unfinished event."""
-        rest, self._partial = self._partial, b""
-        return rest
+        """Return and forget the bytes of an incomplete event."""
+        remainder, self._partial = self._partial, b""
+        return remainder
 
 
 def _last_id(content: bytes) -> str:
--- a/src/zincvale/dataplane/forwarding/fleet_budgets.py
+++ b/src/zincvale/dataplane/forwarding/fleet_budgets.py
@@ -1,4 +1,4 @@
-"""Limits that all nodes keep together: each node spends a share that it works out by itself.
+"""Limits over all nodes: each node uses a share that it computes by itself.
 
 A share depends only on the number of nodes and this node's rank among them, so no message is
 exchanged for a request. Times are seconds on the daemon's clock.
@@ -15,12 +15,12 @@
 
 @attrs.frozen
 class RetryConfig:
-    """What a deployment allows of second sends, over all nodes.
+    """How many retries a deployment allows, over all nodes.
 
     Attributes
     ----------
-    ratio : second sends for each request, in a window.
-    slack : second sends beyond that in a window.
+    ratio : retries for each request, in a window.
+    slack : retries beyond that in a window.
     """
 
     ratio: float = 0.2
@@ -29,10 +29,14 @@
 
 
 class RetryBudget:
-    """Second sends of one node to one pool.
+    """The retries of one node to one pool.
+
+    The native request path has `resilience.limits.RetryBudget`. They are not merged: that one
+    bounds one node by a balance of tokens, this one keeps all nodes together within a bound in any
+    sliding window.
 
     The node's share is `ratio` of the requests it saw itself, plus its part of the slack. Only
-    `SAFETY` of either is used, since windows of the terms slide.
+    `SAFETY` of either is used: the bound holds in every window, wherever it starts.
     """
 
     SAFETY = 0.7
@@ -48,7 +52,7 @@
         self._forget(now)
 
     def take(self, node_count: int, now: float) -> bool:
-        """Count a second send, if one is left."""
+        """Spend one retry; False when the budget is spent."""
         self._forget(now)
         config = self._config
         allowed = config.ratio * len(self._requests) + config.slack / max(1, node_count)
@@ -66,9 +70,9 @@
 
 @attrs.frozen
 class SlowStartConfig:
-    """What a deployment allows towards a cold server, over all nodes.
+    """How fast all nodes together may send to a server in slow start.
 
-    `factor` times the pool's rate plus `slack` may arrive in one second.
+    `factor` times the pool's `cold_per_s` plus `slack` may arrive in one second.
     """
 
     factor: float = 1.0
@@ -76,26 +80,26 @@
 
 
 SLOW_START_SAFETY_FACTOR = 0.6
-"""Nodes that are cut off count by an old number of nodes; the rest is left for that."""
+"""Partitioned nodes compute their shares from an old number of nodes; the rest is left for them."""
 
 
 class SlowStartLimiter:
-    """When this node may send to one cold server.
+    """When this node may send to one server in slow start.
 
-    The allowance of a second goes to as many nodes as it has requests, by rendezvous hash, one
-    request each; fewer nodes than requests share it evenly.
+    The requests allowed in a second go to as many nodes, by rendezvous hash, one request each;
+    fewer nodes than requests share them evenly.
     """
 
     def __init__(self) -> None:
         self._sent: deque[float] = deque()
 
     def may_send(self, allowed: float, rank: int, node_count: int, now: float) -> bool:
-        """Whether one more request may leave at `now`.
+        """Whether one more request may be sent at `now`.
 
         Parameters
         ----------
         allowed : requests a second that all nodes may send together.
-        rank : this node's place for the server, 0 is first.
+        rank : this node's rendezvous rank for the server; 0 is first.
         """
         usable = math.floor(allowed * SLOW_START_SAFETY_FACTOR)
         share = max(usable // max(1, node_count), 1 if rank < usable else 0)
@@ -104,7 +108,7 @@
         return len(self._sent) < share
 
     def record_sent(self, now: float) -> None:
-        """Count a request that leaves."""
+        """Count a request that is sent."""
         self._sent.append(now)
 
 
--- a/src/zincvale/dataplane/forwarding/forwarded_request.py
+++ b/src/zincvale/dataplane/forwarding/forwarded_request.py
@@ -1,9 +1,10 @@
-"""Carries out the effects of one request machine: the thin part that knows the event loop."""
+"""Runs one request machine on the event loop: feeds its inputs and carries out its effects."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import deque
+from collections.abc import Mapping
 from typing import Any
 
 import attrs
@@ -23,6 +24,7 @@
     CancelSelection,
     ContentReceived,
     DeadlineExpired,
+    Effect,
     EndResponse,
     FinishRequest,
     HeadReceived,
@@ -48,16 +50,21 @@
 
 EVENT_STREAM = "text/event-stream"
 MAX_UNSENT_BYTES = 262_144
+"""Bytes that a slow caller has not read before its server is paused; bounds the node's memory."""
 BACKPRESSURE_POLL_INTERVAL_S = 0.02
+"""How often a paused response checks whether its caller has read enough."""
 URGENCY_STEP = 2
 MAX_URGENCY = 9
 RETRY_BUDGET_RETRY_AFTER_S = 0.2
+"""What callers are told when the retry budget is spent."""
+MIN_NON_SUCCESS_STATUS = 300
 
 
 class ForwardedRequest:
-    """One request under way; also the listener of its exchange.
+    """One request in flight; also the listener of its exchange.
 
-    Inputs are applied one after the other: what an effect brings about at once waits its turn.
+    Inputs are applied one after the other: an input that an effect causes is queued until all
+    effects before it are carried out.
     """
 
     def __init__(
@@ -89,7 +96,7 @@
         self._first_event_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
         self._span: Any = None
-        self._send_span: Any = None
+        self._attempt_span: Any = None
 
     def begin(self) -> None:
         """Start."""
@@ -102,8 +109,8 @@
         context.routing.retry_budget(self._pool).record_request(context.clock())
         context.record_request(self._pool, self._facts.prompt)
         loop = asyncio.get_running_loop()
-        left_s = max(0.0, self._deadline_at - context.clock())
-        self._timer = loop.call_later(left_s, self._feed, DeadlineExpired())
+        remaining_s = max(0.0, self._deadline_at - context.clock())
+        self._timer = loop.call_later(remaining_s, self._feed, DeadlineExpired())
         self._run(self._machine.begin())
 
     def on_caller_disconnected(self) -> None:
@@ -117,7 +124,7 @@
         self._feed(NotSent(reason))
 
     def on_head(self, head: ResponseHead) -> None:
-        """The head of the answer."""
+        """The head of the response."""
         now = self._context.clock()
         lowered = head.lowered()
         self._head = head
@@ -126,7 +133,7 @@
         facts = self._context.dialect.response_facts(head.status, lowered)
         if self._choice is not None and not facts.never_ran and not is_stream:
             self._choice.server.on_response(now - self._sent_at)
-        self._send_span.event("head", status=head.status)
+        self._attempt_span.event("head", status=head.status)
         self._first_event_at = 0.0
         self._feed(HeadReceived(head.status, facts, is_stream))
 
@@ -135,19 +142,19 @@
         if self._splitter is None:
             self._feed(ContentReceived(data))
             return
-        whole = self._splitter.feed(data)
-        if whole is None:
+        events = self._splitter.feed(data)
+        if events is None:
             return
         if not self._first_event_at:
             self._on_first_event()
-        self._feed(ContentReceived(whole.content, whole.last_id))
+        self._feed(ContentReceived(events.content, events.last_id))
 
     def on_complete(self) -> None:
-        """The answer is whole."""
+        """The response is complete."""
         self._exchange = None
-        rest = self._splitter.take_remainder() if self._splitter is not None else b""
-        if rest:
-            self._feed(ContentReceived(rest))
+        remainder = self._splitter.take_remainder() if self._splitter is not None else b""
+        if remainder:
+            self._feed(ContentReceived(remainder))
         self._feed(ResponseCompleted())
 
     def on_broken(self, reason: str) -> None:
@@ -157,7 +164,7 @@
 
     def _on_first_event(self) -> None:
         self._first_event_at = self._context.clock()
-        self._send_span.event("first-event")
+        self._attempt_span.event("first-event")
         if self._choice is not None:
             self._choice.server.on_response(self._first_event_at - self._sent_at)
             self._choice.server.outstanding_tokens -= self._choice.tokens
@@ -170,8 +177,8 @@
         if not self._running:
             self._run([])
 
-    def _run(self, effects: list[Any]) -> None:
-        """Carry out `effects`, then apply every input that waits, in order."""
+    def _run(self, effects: list[Effect]) -> None:
+        """Carry out `effects`, then apply every queued input, in order."""
         self._running = True
         try:
             for effect in effects:
@@ -182,8 +189,10 @@
         finally:
             self._running = False
 
-    def _carry_out(self, effect: Any) -> None:
+    def _carry_out(self, effect: Effect) -> None:
         match effect:
+            case RelayHead() | RelayContent() | EndResponse() | AbortResponse() | LocalReply():
+                self._carry_out_for_caller(effect)
             case SelectServer():
                 self._select(effect)
             case CancelSelection():
@@ -194,6 +203,13 @@
                 self._cancel_exchange()
             case ReleaseServer():
                 self._release(effect)
+            case FinishRequest():
+                self._finish(effect)
+
+    def _carry_out_for_caller(
+        self, effect: RelayHead | RelayContent | EndResponse | AbortResponse | LocalReply
+    ) -> None:
+        match effect:
             case RelayHead():
                 self._relay_head()
             case RelayContent(content):
@@ -204,8 +220,6 @@
                 self._sink.abort()
             case LocalReply():
                 self._reply(effect)
-            case FinishRequest():
-                self._finish(effect)
 
     def _select(self, effect: SelectServer) -> None:
         context = self._context
@@ -217,7 +231,7 @@
             effect.excluded,
             self._deadline_at,
         )
-        if effect.is_retry and not context.may_repeat(self._pool, now):
+        if effect.is_retry and not context.try_spend_retry(self._pool, now):
             self._inputs.append(NoServerFound(NoServerReason.BUSY, RETRY_BUDGET_RETRY_AFTER_S))
             return
         choice = context.choose(requirements)
@@ -286,19 +300,19 @@
             self._is_own_response,
             self._machine.may_repeat,
         )
-        self._send_span = self._context.spans.start(
+        self._attempt_span = self._context.spans.start(
             "send",
             self._span.context,
             attributes={"server": row.server, "zone": row.zone, "attempt": self._machine.attempts},
         )
         self._exchange = self._context.client.start(row.address, row.incarnation, request, self)
 
-    def _is_own_response(self, status: int, headers: Any) -> bool:
-        """Whether an answer is this request's; a success must name it, a refusal may be silent."""
+    def _is_own_response(self, status: int, headers: Mapping[str, str]) -> bool:
+        """Whether a response is this request's; only a success must name the request."""
         named = self._context.dialect.response_facts(status, headers).request_id
-        if not named and status >= 300:
+        if not named and status >= MIN_NON_SUCCESS_STATUS:
             return True
-        return bool(named == self._facts.request_id)
+        return named == self._facts.request_id
 
     def _cancel_exchange(self) -> None:
         if self._exchange is not None:
@@ -321,15 +335,15 @@
         if effect.absent and self._facts.prompt is not None:
             server.mark_absent(self._facts.prompt, now)
         self._context.record_end(self._pool, self._facts.prompt, server.server)
-        if self._send_span is not None:
+        if self._attempt_span is not None:
             if effect.unreachable:
-                self._send_span.error("broken")
-            self._send_span.end()
+                self._attempt_span.error("broken")
+            self._attempt_span.end()
         self._context.schedule_dispatch()
 
     def _relay_head(self) -> None:
         assert self._head is not None
-        headers = to_caller(self._head.headers, self._splitter is not None)
+        headers = to_caller(self._head.headers, is_stream=self._splitter is not None)
         self._sink.open(self._head.status, self._head.reason, headers)
 
     def _relay(self, content: bytes) -> None:
--- a/src/zincvale/dataplane/forwarding/header_rewrite.py
+++ b/src/zincvale/dataplane/forwarding/header_rewrite.py
@@ -1,4 +1,4 @@
-"""Headers on their way through: what concerns only one connection stays behind."""
+"""Headers of forwarded requests and responses: hop-by-hop headers are removed (RFC 9110, 7.6.1)."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 
 def end_to_end_headers(headers: Iterable[tuple[str, str]], dropped: frozenset[str]) -> HeaderList:
-    """Return the headers without those of one connection and those in `dropped`."""
-    kept = list(headers)
+    """Return the headers without the hop-by-hop ones and those in `dropped`."""
+    received = list(headers)
     named = {
         name.strip().lower()
-        for header, value in kept
+        for header, value in received
         if header.lower() == "connection"
         for name in value.split(",")
     }
-    left_out = CONNECTION_HEADERS | dropped | named
-    return [(name, value) for name, value in kept if name.lower() not in left_out]
+    removed = CONNECTION_HEADERS | dropped | named
+    return [(name, value) for name, value in received if name.lower() not in removed]
 
 
 def to_server(headers: Iterable[tuple[str, str]], added: Mapping[str, str]) -> HeaderList:
@@ -41,6 +41,6 @@
     return [*end_to_end_headers(headers, replaced), *added.items()]
 
 
-def to_caller(headers: Iterable[tuple[str, str]], is_stream: bool) -> HeaderList:
-    """Return a server's headers for the caller; a stream is framed anew."""
+def to_caller(headers: Iterable[tuple[str, str]], *, is_stream: bool) -> HeaderList:
+    """Return a server's headers for the caller; a stream gets new framing: it may be resumed."""
     return end_to_end_headers(headers, frozenset({"content-length"}) if is_stream else frozenset())
--- a/src/zincvale/dataplane/forwarding/native_dialect.py
+++ b/src/zincvale/dataplane/forwarding/native_dialect.py
@@ -1,4 +1,4 @@
-"""The product's own names of forwarding: the first implementation of the dialect."""
+"""The product's own header names for forwarding; implements `dialect.ForwardingDialect`."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         )
 
     def attempt_headers(self, facts: AttemptFacts) -> dict[str, str]:
-        """Return the headers added for a server."""
+        """Return the headers that are added for one attempt."""
         headers = {
             DEADLINE_MS: str(max(1, int(facts.deadline_s * MS_PER_S))),
             INCARNATION: facts.incarnation,
@@ -68,7 +68,7 @@
 
 
 def prompt_of(model: str, adapter: str, tokens: str, parts: str) -> Prompt:
-    """Return a prompt from `IN,OUT` and `ID:TOKENS,...`; what cannot be read counts as absent."""
+    """Return a prompt from `IN,OUT` and `ID:TOKENS,...`; what cannot be parsed counts as absent."""
     counts = [_number(text) or 0.0 for text in tokens.split(",")]
     output_tokens = int(counts[1]) if len(counts) > 1 else 0
     return Prompt(model, adapter, int(counts[0]), output_tokens, _parts(parts))
--- a/src/zincvale/dataplane/forwarding/node_context.py
+++ b/src/zincvale/dataplane/forwarding/node_context.py
@@ -1,4 +1,4 @@
-"""What the requests of one forwarding node share."""
+"""The state that all requests of one forwarding node share."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 from collections import Counter
 from collections.abc import Callable
 from random import Random
-from typing import Any
 
 from zincvale.dataplane.demand import DemandKey, DemandTable
 from zincvale.dataplane.forwarding.dialect import ForwardingDialect, Prompt
@@ -33,15 +32,17 @@
 
 
 class ForwardingContext:
-    """Tables, policies, connections and counts of one node.
+    """Tables, policies, pending requests, connections and counts of one node.
 
     Parameters
     ----------
-    on_urgent : called when a request begins to wait for something that nobody waited for yet.
+    on_urgent : called when demand should be reported at once: a request waits for a load that no
+        other request waits for, such a wait ended, or a server became unreachable.
     """
 
     def __init__(
         self,
+        *,
         routing: RoutingState,
         chain: PolicyChain,
         client: ServerClient,
@@ -58,7 +59,7 @@
         self.clock = clock
         self.pending = PendingRequestQueue(routing.pool)
         self.demand = DemandTable()
-        self.active: set[Any] = set()
+        self.active: set[object] = set()
         self.counts: Counter[RequestOutcome] = Counter()
         self._unreachable: set[ServerId] = set()
         self._chain = chain
@@ -86,27 +87,27 @@
             )
         )
 
-    def may_repeat(self, pool: str, now: float) -> bool:
-        """Spend one second send of the pool's budget, if one is left."""
+    def try_spend_retry(self, pool: str, now: float) -> bool:
+        """Spend one retry of the pool's budget; False when the budget is spent."""
         return self.routing.retry_budget(pool).take(self.routing.node_count, now)
 
     # --- waiting --------------------------------------------------------------------------
 
     def dispatch_pending(self) -> None:
-        """Look again at every request that waits, and at the next end of a wait."""
+        """Try every pending request again, and schedule the next try."""
         if self._dispatch_timer is not None:
             self._dispatch_timer.cancel()
             self._dispatch_timer = None
         if not len(self.pending):
             return
         now = self.clock()
-        self.pending.dispatch_pending(self.choose, now)
+        self.pending.dispatch(self.choose, now)
         next_expiry = self.pending.next_expiry()
         if next_expiry is not None:
             self._dispatch_after(min(max(0.0, next_expiry - now), PENDING_POLL_INTERVAL_S))
 
     def schedule_dispatch(self) -> None:
-        """Look at what waits in a later turn of the loop."""
+        """Try the pending requests again in the next turn of the event loop."""
         if len(self.pending):
             self._dispatch_after(0.0)
 
@@ -136,11 +137,11 @@
         key = _key(pool, prompt)
         self.demand.on_waiting(key, change)
         if self.demand.urgent or (change < 0 and not self.demand.waiting(key)):
-            # A wait that is over matters as much: copies are added for those that wait.
+            # The end of a wait matters as much: replicas are added for pending requests.
             self._on_urgent()
 
     def on_unreachable(self, server: ServerId) -> None:
-        """Remember a server that failed, and tell the placement leader at once."""
+        """Record a server that failed, for a report to the placement leader at once."""
         if server not in self._unreachable:
             self._unreachable.add(server)
             self._on_urgent()
@@ -162,7 +163,8 @@
 
 
 PENDING_POLL_INTERVAL_S = 0.1
-"""How often waiting requests are looked at for what changes with time alone."""
+"""How often pending requests are tried again while no event arrives: back-off and slow start end by
+time alone."""
 
 
 def _key(pool: str, prompt: Prompt) -> DemandKey:
--- a/src/zincvale/dataplane/forwarding/pending_requests.py
+++ b/src/zincvale/dataplane/forwarding/pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a server: who waits for what, for how long, and who goes first."""
+"""Requests that are pending because no server can take them: for how long, and in which order."""
 
 from __future__ import annotations
 
@@ -12,29 +12,32 @@
 from zincvale.model.forwarding import ForwardPool, ForwardRoute
 
 LOAD_OVERHEAD_S = 0.5
-"""What a load takes beyond its own time: the order, and word of its end."""
+"""What a load takes beyond its own time: the order, and the report of its end."""
 LOAD_WAIT_FACTOR = 1.6
-"""A load may take this much longer than expected before waiting for it is given up."""
+"""A load may take this much longer than expected before a request stops waiting for it."""
 ADAPTER_LOAD_S = 0.3
-"""An adapter's load and what it takes beyond, until one was waited for."""
+"""An adapter's load with its overhead, until one was measured."""
 ADAPTER_WAIT_FACTOR = 4.0
-"""An adapter may wait behind a load of weights at its server."""
+"""An adapter's load may queue behind a load of weights at its server."""
 SHORTER_WAIT_WEIGHT = 0.3
 LONGER_WAIT_WEIGHT = 0.05
-"""How fast the quick end of the observed waits is learned from shorter and from longer ones."""
+"""Weights of shorter and of longer waits in the moving minimum of the observed waits."""
 BUSY_WAIT_FRACTION = 0.25
-"""Part of the objective that a request waits for a free place."""
+"""Part of the latency objective for which a request waits for a free slot."""
 MAX_WAIT_FRACTION = 0.6
-"""Part of the time left beyond which a wait is hopeless: the rest is needed for the answer."""
+"""Part of the remaining time that a request may wait: the rest is needed for the response."""
 MIN_WAIT_S = 0.05
+"""A request that may wait for less is rejected at once: no load or response ends so soon."""
 NO_SERVER_WAIT_S = 0.5
+"""Bridges a restart of the only server between two versions of the directory."""
 MIN_RETRY_AFTER_S = 0.1
+"""Callers that come back sooner meet the same state and add load."""
 LOAD_REASONS = frozenset({NoServerReason.NOT_RESIDENT, NoServerReason.NO_ADAPTER})
 
 
 @attrs.frozen
 class ServerRequirements:
-    """What one request looks for.
+    """What a server must satisfy to take one request.
 
     Attributes
     ----------
@@ -48,71 +51,75 @@
     deadline_at: float
 
 
-OnFound = Callable[[ServerChoice], None]
-OnGivenUp = Callable[[NoServerReason, float], None]
+OnServerFound = Callable[[ServerChoice], None]
+OnExpired = Callable[[NoServerReason, float], None]
 
 
 @attrs.define(eq=False)
 class PendingRequest:
-    """One request in the room.
+    """One request in the queue.
 
     Attributes
     ----------
-    is_first : no other request waited for the same when this one came: its wait shows how long a
-        load takes.
+    is_first : no other pending request needed the same load when this one came: its wait shows how
+        long a load takes.
     """
 
     requirements: ServerRequirements
     reason: NoServerReason
     expires_at: float
-    on_server_found: OnFound
-    on_expired: OnGivenUp
+    on_server_found: OnServerFound
+    on_expired: OnExpired
     order: tuple[int, int]
-    since: float
+    pending_since: float
     is_first: bool
 
 
 @attrs.define
 class LoadWaitEstimator:
-    """How soon what requests waited for was there, learned by pool and kind of wait.
+    """Estimates how soon a wait for a load ends, learned by pool and reason.
 
-    The quick end of the waits is kept: weights that a server has on its own disk come much sooner
-    than declared, and a wait that may end so is not hopeless.
+    It follows the short waits: weights that a server has on its own disk are loaded much sooner
+    than declared, and a request that may be served so should wait.
     """
 
-    _quick_s: dict[tuple[str, NoServerReason], float] = attrs.field(factory=dict)
+    _short_wait_s: dict[tuple[str, NoServerReason], float] = attrs.field(factory=dict)
 
     def record(self, pool: str, reason: NoServerReason, waited_s: float) -> None:
-        """A wait ended with a server."""
-        known = self._quick_s.get((pool, reason))
+        """Record a wait that ended with a server."""
+        known = self._short_wait_s.get((pool, reason))
         if known is None:
-            self._quick_s[pool, reason] = waited_s
+            self._short_wait_s[pool, reason] = waited_s
             return
         weight = SHORTER_WAIT_WEIGHT if waited_s < known else LONGER_WAIT_WEIGHT
-        self._quick_s[pool, reason] = known + weight * (waited_s - known)
+        self._short_wait_s[pool, reason] = known + weight * (waited_s - known)
 
     def estimate_s(self, pool: str, reason: NoServerReason, expected_s: float) -> float:
-        """Return how soon a wait may end: as learned, at most as expected."""
-        return min(expected_s, self._quick_s.get((pool, reason), expected_s))
+        """Return how soon a wait may end: as learned, at most `expected_s`."""
+        return min(expected_s, self._short_wait_s.get((pool, reason), expected_s))
 
 
 def max_wait_s(
     requirements: ServerRequirements,
     reason: NoServerReason,
     pool: ForwardPool | None,
-    waits: LoadWaitEstimator,
+    load_waits: LoadWaitEstimator,
     now: float,
 ) -> float | None:
-    """Return how long waiting is worth it, None when it is hopeless from the start."""
-    left_s = requirements.deadline_at - now
-    longest_s = left_s * MAX_WAIT_FRACTION
+    """Return how long a request may wait; None when it cannot be served before its deadline."""
+    remaining_s = requirements.deadline_at - now
+    longest_s = remaining_s * MAX_WAIT_FRACTION
     match reason:
         case NoServerReason.NOT_RESIDENT | NoServerReason.NO_ADAPTER:
             load_s = expected_load_s(requirements.prompt, pool, reason)
-            if load_s is None or waits.estimate_s(requirements.pool, reason, load_s) > longest_s:
+            if (
+                load_s is None
+                or load_waits.estimate_s(requirements.pool, reason, load_s) > longest_s
+            ):
                 return None
-            slack = ADAPTER_WAIT_FACTOR if reason is NoServerReason.NO_ADAPTER else LOAD_WAIT_FACTOR
-            return min(longest_s, load_s * slack)
+            is_adapter = reason is NoServerReason.NO_ADAPTER
+            factor = ADAPTER_WAIT_FACTOR if is_adapter else LOAD_WAIT_FACTOR
+            return min(longest_s, load_s * factor)
         case NoServerReason.BUSY:
             return min(longest_s, requirements.route.objective_s * BUSY_WAIT_FRACTION)
         case NoServerReason.NO_SERVER:
@@ -135,17 +142,17 @@
     reason: NoServerReason,
     requirements: ServerRequirements,
     pool: ForwardPool | None,
-    waits: LoadWaitEstimator,
+    load_waits: LoadWaitEstimator,
 ) -> float:
-    """Return when the caller should come back."""
+    """Return after how many seconds the caller should retry."""
     if reason in LOAD_REASONS:
         expected_s = expected_load_s(requirements.prompt, pool, reason) or MIN_RETRY_AFTER_S
-        return max(MIN_RETRY_AFTER_S, waits.estimate_s(requirements.pool, reason, expected_s))
+        return max(MIN_RETRY_AFTER_S, load_waits.estimate_s(requirements.pool, reason, expected_s))
     return max(MIN_RETRY_AFTER_S, requirements.route.objective_s * BUSY_WAIT_FRACTION)
 
 
 class PendingRequestQueue:
-    """The requests that wait, most urgent first, then in the order they came.
+    """The pending requests by priority (0 first), then in the order of arrival.
 
     Parameters
     ----------
@@ -154,25 +161,25 @@
 
     def __init__(self, pool_of: Callable[[str], ForwardPool | None]) -> None:
         self._pool_of = pool_of
-        self._numbers = itertools.count()
+        self._arrival_numbers = itertools.count()
         self._pending: list[PendingRequest] = []
-        self.waits = LoadWaitEstimator()
+        self.load_waits = LoadWaitEstimator()
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return how many requests are pending."""
         return len(self._pending)
 
     def add(
         self,
         requirements: ServerRequirements,
         reason: NoServerReason,
-        on_server_found: OnFound,
-        on_expired: OnGivenUp,
+        on_server_found: OnServerFound,
+        on_expired: OnExpired,
         now: float,
     ) -> PendingRequest | None:
-        """Let a request wait; None when waiting is hopeless and it must be given up at once."""
+        """Queue a request; None when waiting cannot help and it must be rejected at once."""
         max_wait = max_wait_s(
-            requirements, reason, self._pool_of(requirements.pool), self.waits, now
+            requirements, reason, self._pool_of(requirements.pool), self.load_waits, now
         )
         if max_wait is None or max_wait < MIN_WAIT_S:
             return None
@@ -182,7 +189,7 @@
             now + max_wait,
             on_server_found,
             on_expired,
-            (requirements.route.priority, next(self._numbers)),
+            (requirements.route.priority, next(self._arrival_numbers)),
             now,
             not any(_need_same_load(each.requirements, requirements) for each in self._pending),
         )
@@ -191,27 +198,31 @@
         return request
 
     def retry_after_s(self, reason: NoServerReason, requirements: ServerRequirements) -> float:
-        """Return when the caller of a request that is refused should come back."""
-        return retry_after_s(reason, requirements, self._pool_of(requirements.pool), self.waits)
+        """Return when the caller of a rejected request should retry."""
+        return retry_after_s(
+            reason, requirements, self._pool_of(requirements.pool), self.load_waits
+        )
 
     def remove(self, request: PendingRequest) -> None:
-        """Forget a request that no longer waits."""
+        """Remove a request, if it is still pending."""
         if request in self._pending:
             self._pending.remove(request)
 
     def remove_all(self) -> list[PendingRequest]:
-        """Return and forget every request that waits."""
-        taken, self._pending = self._pending, []
-        return taken
+        """Remove and return every pending request."""
+        removed, self._pending = self._pending, []
+        return removed
 
     def next_expiry(self) -> float | None:
-        """Return when the next wait is given up."""
+        """Return when the next request expires."""
         return min((each.expires_at for each in self._pending), default=None)
 
-    def dispatch_pending(
+    def dispatch(
         self, choose: Callable[[ServerRequirements], ServerChoice | NoServerReason], now: float
     ) -> None:
-        """Give servers to those that have one now, and give up those whose patience is over."""
+        """Assign servers to the requests that have one now, and expire those that waited too long.
+
+        Callbacks may remove other pending requests, which are then skipped."""
         for request in list(self._pending):
             if request not in self._pending:
                 continue
@@ -219,8 +230,8 @@
             if isinstance(choice, ServerChoice):
                 self.remove(request)
                 if request.is_first and request.reason in LOAD_REASONS:
-                    self.waits.record(
-                        request.requirements.pool, request.reason, now - request.since
+                    self.load_waits.record(
+                        request.requirements.pool, request.reason, now - request.pending_since
                     )
                 request.on_server_found(choice)
             elif now >= request.expires_at:
--- a/src/zincvale/dataplane/forwarding/policies.py
+++ b/src/zincvale/dataplane/forwarding/policies.py
@@ -1,13 +1,19 @@
-"""Routing policies: plug-ins behind one interface that leave servers out and price them.
+"""Routing policies of forwarding: filters that exclude servers, and scorers that price them.
 
 A `Filter` says which servers a request must not go to, a `Scorer` what sending it there costs, in
-tokens of work. Policies are pure; the time comes with the query.
+tokens of work. Policies are pure; the time is part of the query.
+
+The native request path has an interface of its own (`dataplane.policies.base`), which is public to
+third parties. They are not merged: there a filter gives a text for traces and a scorer prices one
+server of a sample and may nominate one; here scorers price all servers of a pool at once, a missing
+adapter is told from a missing model, and the tables of forwarding have other fields.
 """
 
 from __future__ import annotations
 
 import enum
 import itertools
+from collections.abc import Sequence
 from typing import ClassVar
 
 import attrs
@@ -19,27 +25,33 @@
 from zincvale.model.forwarding import ForwardRoute
 
 TOKENS_PER_S = 19_000.0
-"""Prompt tokens that a server reads in a second; turns times into tokens of work."""
+"""Prompt tokens that a server processes in a second; converts times to tokens of work."""
 OTHER_ZONE_COST = 60.0
+"""Tokens of work that a server in this node's zone may have more before another zone is used."""
 QUEUED_REQUEST_COST = 250.0
-"""Work that a request of this node adds to a server for the ones that come after it."""
+"""Tokens of work that each request of this node at a server adds for later ones."""
 LATENCY_COST_FACTOR = 0.5
+"""At 1 nodes would all move to the fastest server and back."""
+MIN_PARTS_TO_SHARE = 2
+"""The last part of a prompt is the request's own, so one part alone is never shared."""
 
 
 class NoServerReason(enum.Enum):
-    """Why no server is left, which tells what to wait for."""
+    """Why no server is left, which decides how long a request waits; callers see the value."""
 
     NO_SERVER = "no-server"
+    """The pool has no server in service."""
     NOT_RESIDENT = "not-resident"
-    """No server holds the model."""
+    """No server has the model resident."""
     NO_ADAPTER = "no-adapter"
-    """Servers hold the model, and none the adapter, which is loaded within moments."""
+    """Servers have the model, and none the adapter, which loads much sooner than a model."""
     BUSY = "busy"
+    """Every server is excluded, backing off or at its slow start limit."""
 
 
 @attrs.frozen
 class RoutingQuery:
-    """One routing decision."""
+    """The input of one routing decision."""
 
     route: ForwardRoute
     pool: str
@@ -50,11 +62,11 @@
 
 
 class Filter:
-    """Leaves servers out.
+    """Excludes servers.
 
     Attributes
     ----------
-    blocked : what it means for the request when this filter removes the last server.
+    reason : what it means for the request when this filter removes the last server.
     soft : skipped when it would remove every server: evidence that may be wrong never empties a
         pool.
     """
@@ -68,7 +80,7 @@
         raise NotImplementedError
 
     def reason_for_none(self, query: RoutingQuery, servers: list[ServerState]) -> NoServerReason:
-        """Return what it means that none of `servers` is kept."""
+        """Return why none of `servers` is accepted."""
         return self.reason
 
 
@@ -83,28 +95,28 @@
 
 
 class NotAttempted(Filter):
-    """Servers that already refused or failed this request."""
+    """Excludes servers that already refused or failed this request."""
 
     name = "not-tried"
     reason = NoServerReason.BUSY
 
     def accepts(self, query: RoutingQuery, server: ServerState) -> bool:
-        """Whether the server was not tried."""
+        """Whether this request was not sent to the server."""
         return server.row.incarnation not in query.excluded
 
 
 class Resident(Filter):
-    """Servers that hold the model and adapter."""
+    """Accepts servers that have the model and adapter resident."""
 
     name = "resident"
     reason = NoServerReason.NOT_RESIDENT
 
     def accepts(self, query: RoutingQuery, server: ServerState) -> bool:
-        """Whether what the request asks for is there."""
+        """Whether model and adapter of the prompt are resident."""
         return query.prompt is None or server.has_resident(query.prompt, query.now)
 
     def reason_for_none(self, query: RoutingQuery, servers: list[ServerState]) -> NoServerReason:
-        """Tell a missing adapter from a missing model."""
+        """Distinguish a missing adapter from a missing model."""
         prompt = query.prompt
         if prompt is None or not prompt.adapter:
             return self.reason
@@ -113,62 +125,62 @@
 
 
 class NotBackingOff(Filter):
-    """Servers that did not fail or refuse a moment ago."""
+    """Excludes servers that failed or refused a moment ago."""
 
     name = "not-paused"
     reason = NoServerReason.BUSY
     soft = True
 
     def accepts(self, query: RoutingQuery, server: ServerState) -> bool:
-        """Whether the server is not left alone."""
+        """Whether the server is not backing off."""
         return not server.is_backing_off(query.now)
 
 
 class WithinSlowStartLimit(Filter):
-    """Cold servers only within this node's share of what they bear."""
+    """Accepts servers in slow start only within this node's share of their limit."""
 
     name = "cold"
     reason = NoServerReason.BUSY
 
     def accepts(self, query: RoutingQuery, server: ServerState) -> bool:
-        """Whether the server is warm, or takes one more request."""
+        """Whether the server is out of slow start, or this node may send one more request."""
         return not server.is_in_slow_start(query.now) or query.routing.may_send_in_slow_start(
             server, query.now
         )
 
 
 class PromptAffinity(Scorer):
-    """The tokens that the server must read: those that no cache is expected to hold.
+    """Prices the prompt tokens that the server must process: those that are probably not cached.
 
-    Nodes choose a home for the shared parts without talking, and expect them to be there; what this
-    node sent lately is remembered as well. Where the shared parts are most of the prompt, all nodes
-    choose the server that a rendezvous hash of the last shared part names. Else reading them once
-    at each copy costs less than a queue at one of them, and the nodes spread evenly over the
-    copies.
+    All nodes agree on a preferred server for the shared parts without messages, and expect them to
+    be cached there; the parts that this node sent lately count as well. Where the shared parts are
+    most of the prompt, the preferred server is the one that a rendezvous hash of the last shared
+    part names. Else processing them once at each replica costs less than a queue at one of them,
+    and the nodes spread evenly over the replicas.
     """
 
     name = "prompt-affinity"
 
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
-        """Return the tokens to read at each server."""
+        """Return the tokens to process at each server."""
         prompt = query.prompt
         if prompt is None:
             return [0.0] * len(servers)
         total = prompt.input_tokens or sum(part.tokens for part in prompt.parts)
         shared = sum(part.tokens for part in prompt.parts[:-1])
         if 2 * shared > total:
-            home = _shared_preferred_server(prompt, servers)
+            preferred = _shared_preferred_server(prompt, servers)
         else:
-            home = _node_preferred_server(prompt, servers, query.routing.node_index)
+            preferred = _node_preferred_server(prompt, servers, query.routing.node_index)
         return [
-            float(total - (shared if server is home else server.cached_tokens(prompt)))
+            float(total - (shared if server is preferred else server.cached_tokens(prompt)))
             for server in servers
         ]
 
 
 def _shared_preferred_server(prompt: Prompt, servers: list[ServerState]) -> ServerState | None:
-    """Return the server at which all nodes expect the prompt's shared parts."""
-    if len(prompt.parts) < 2:
+    """Return the server at which all nodes expect the prompt's shared parts to be cached."""
+    if len(prompt.parts) < MIN_PARTS_TO_SHARE:
         return None
     key = "/".join((*required_names(prompt), prompt.parts[-2].part_id))
     return max(servers, key=lambda server: rendezvous_weight(server.row.incarnation, key))
@@ -177,8 +189,8 @@
 def _node_preferred_server(
     prompt: Prompt, servers: list[ServerState], node_index: int
 ) -> ServerState | None:
-    """Return the copy that this node uses first; as many nodes use each copy first."""
-    if len(prompt.parts) < 2:
+    """Return the replica that this node uses first; equally many nodes prefer each replica."""
+    if len(prompt.parts) < MIN_PARTS_TO_SHARE:
         return None
     key = "/".join(required_names(prompt))
     ranked = sorted(
@@ -188,7 +200,7 @@
 
 
 class LocalLoad(Scorer):
-    """Requests of this node that are at the server, and what they still have to read.
+    """Prices this node's outstanding requests at the server, and the tokens they have to process.
 
     Other nodes are assumed to load the servers as this one does.
     """
@@ -204,36 +216,37 @@
 
 
 class MeasuredLatency(Scorer):
-    """How much slower than the fastest server this one answered lately."""
+    """Prices how much slower than the fastest server this one responded lately."""
 
     name = "measured-latency"
 
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
         """Return the extra time of each server as work."""
-        known = [server.latency_s for server in servers if server.latency_s > 0.0]
-        least = min(known, default=0.0)
+        measured = [server.latency_s for server in servers if server.latency_s > 0.0]
+        fastest = min(measured, default=0.0)
         return [
-            max(0.0, server.latency_s - least) * TOKENS_PER_S * LATENCY_COST_FACTOR
+            max(0.0, server.latency_s - fastest) * TOKENS_PER_S * LATENCY_COST_FACTOR
             for server in servers
         ]
 
 
 class ZoneDistance(Scorer):
-    """Servers of other zones cost bytes between zones."""
+    """Prices traffic between zones."""
 
     name = "zone-distance"
 
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
-        """Return the cost of leaving this node's zone."""
+        """Return the cost of another zone than this node's."""
         own = query.routing.zone
         return [0.0 if server.row.zone == own else OTHER_ZONE_COST for server in servers]
 
 
 class SlowStartCost(Scorer):
-    """Cold servers only when the others are much busier."""
+    """Prices a slow start: such servers are used when the others are much busier."""
 
     name = "cold-cost"
     COST = 4_000.0
+    """Tokens of work that other servers may have more."""
 
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
         """Return the cost of a slow start."""
@@ -241,7 +254,7 @@
 
 
 class RoundRobin(Scorer):
-    """Baseline: one server after the other."""
+    """Baseline: each server in turn."""
 
     name = "round-robin"
 
@@ -251,7 +264,7 @@
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
         """Return 0 for the server whose turn it is."""
         turn = next(self._turn_counter) % max(1, len(servers))
-        return [0.0 if place == turn else 1.0 for place in range(len(servers))]
+        return [0.0 if index == turn else 1.0 for index in range(len(servers))]
 
 
 class LeastOutstanding(Scorer):
@@ -280,8 +293,8 @@
 BASELINE_SCORERS: tuple[type[Scorer], ...] = (RoundRobin, LeastOutstanding)
 
 
-def scorers_named(names: list[str]) -> list[Scorer]:
-    """Return the scorers of a setting; none named means the default chain."""
+def make_scorers(names: Sequence[str]) -> list[Scorer]:
+    """Return the scorers that a setting names; without names the default chain."""
     if not names:
         return [scorer() for scorer in DEFAULT_SCORERS]
     known = {scorer.name: scorer for scorer in (*DEFAULT_SCORERS, *BASELINE_SCORERS)}
@@ -290,14 +303,14 @@
 
 @attrs.frozen
 class ServerChoice:
-    """The server that a request goes to, and what it is expected to read."""
+    """The server that a request goes to, and the prompt tokens it is expected to process."""
 
     server: ServerState
     tokens: int
 
 
 class PolicyChain:
-    """Applies every filter, then takes the cheapest server."""
+    """Applies every filter in order, then chooses the cheapest server."""
 
     def __init__(self, scorers: list[Scorer]) -> None:
         self._filters = [policy() for policy in DEFAULT_FILTERS]
@@ -309,27 +322,27 @@
         if not servers:
             return NoServerReason.NO_SERVER
         for policy in self._filters:
-            kept = [server for server in servers if policy.accepts(query, server)]
-            if not kept and policy.soft:
+            accepted = [server for server in servers if policy.accepts(query, server)]
+            if not accepted and policy.soft:
                 continue
-            if not kept:
+            if not accepted:
                 return policy.reason_for_none(query, servers)
-            servers = kept
+            servers = accepted
         return self._cheapest(query, servers)
 
     def _cheapest(self, query: RoutingQuery, servers: list[ServerState]) -> ServerChoice:
         totals = [0.0] * len(servers)
         for scorer in self._scorers:
-            for place, cost in enumerate(scorer.costs(query, servers)):
-                totals[place] += cost
-        tie = [
+            for index, cost in enumerate(scorer.costs(query, servers)):
+                totals[index] += cost
+        tie_breaks = [
             rendezvous_weight(query.routing.member, server.row.incarnation) for server in servers
         ]
-        best = min(range(len(servers)), key=lambda place: (totals[place], tie[place]))
-        return ServerChoice(servers[best], _tokens_to_read(query.prompt, servers[best]))
+        best = min(range(len(servers)), key=lambda index: (totals[index], tie_breaks[index]))
+        return ServerChoice(servers[best], _uncached_tokens(query.prompt, servers[best]))
 
 
-def _tokens_to_read(prompt: Prompt | None, server: ServerState) -> int:
+def _uncached_tokens(prompt: Prompt | None, server: ServerState) -> int:
     if prompt is None:
         return 0
     return max(0, prompt.input_tokens - server.cached_tokens(prompt))
--- a/src/zincvale/dataplane/forwarding/request_events.py
+++ b/src/zincvale/dataplane/forwarding/request_events.py
@@ -1,4 +1,7 @@
-"""Inputs and effects of the forwarding request machine."""
+"""Inputs and effects of the forwarding request machine.
+
+Inputs say what happened; effects are carried out by `forwarded_request` in order.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +18,13 @@
 
     ANSWERED = "answered"
     REFUSED = "refused"
-    """It did not run and never will."""
+    """It did not run and never will: the caller may safely send it again."""
     UNKNOWN = "unknown"
-    """It may have run; nothing is promised."""
+    """It may have run; the caller cannot conclude anything."""
     INTERRUPTED = "interrupted"
-    """The answer broke off; the connection was cut so that it does not look whole."""
+    """The response broke off; the connection was closed so that it does not look complete."""
     ABANDONED = "abandoned"
-    """The caller left."""
+    """The caller disconnected."""
 
 
 # inputs
@@ -29,7 +32,7 @@
 
 @attrs.frozen
 class ServerFound:
-    """Answers `SelectServer`: a server's place is taken for this request."""
+    """Result of `SelectServer`: a server is reserved for this request."""
 
     server: str
     """The server's incarnation."""
@@ -37,7 +40,7 @@
 
 @attrs.frozen
 class NoServerFound:
-    """Answers `SelectServer`: nothing is worth waiting for any longer."""
+    """Result of `SelectServer`: none was found, or none in time."""
 
     reason: NoServerReason
     retry_after_s: float
@@ -45,14 +48,14 @@
 
 @attrs.frozen
 class NotSent:
-    """No connection came up, so nothing of the request left."""
+    """No connection came up, so nothing of the request was sent."""
 
     reason: str
 
 
 @attrs.frozen
 class HeadReceived:
-    """The head of this request's answer."""
+    """The head of this request's response."""
 
     status: int
     facts: ResponseFacts
@@ -61,7 +64,7 @@
 
 @attrs.frozen
 class ContentReceived:
-    """A part of the answer; of an event stream, whole events."""
+    """A part of the response; of an event stream, complete events."""
 
     content: bytes
     last_event_id: str = ""
@@ -69,12 +72,12 @@
 
 @attrs.frozen
 class ResponseCompleted:
-    """The answer is whole."""
+    """The response is complete."""
 
 
 @attrs.frozen
 class ResponseBroken:
-    """The exchange broke after the request had begun to leave."""
+    """The exchange broke after a part of the request may have been sent."""
 
     reason: str
 
@@ -106,7 +109,7 @@
 
 @attrs.frozen
 class SelectServer:
-    """Find a server, or wait for one; `is_repeat` spends the retry budget."""
+    """Find a server, or wait for one; `is_retry` spends the retry budget."""
 
     excluded: frozenset[str]
     is_retry: bool
@@ -119,7 +122,7 @@
 
 @attrs.frozen
 class SendRequest:
-    """Send the request; a stream goes on after `last_event_id`."""
+    """Send the request; a stream is resumed after `last_event_id`."""
 
     server: str
     last_event_id: str
@@ -127,18 +130,18 @@
 
 @attrs.frozen
 class CancelExchange:
-    """Close the connection of the exchange under way."""
+    """Close the connection of the exchange in flight."""
 
 
 @attrs.frozen
 class ReleaseServer:
-    """Give the server's place back.
+    """Release the reserved server and record what it showed.
 
     Attributes
     ----------
     unreachable : it could not be reached, or broke off.
-    refused : it said that it takes no more.
-    absent : it said that it lacks what was asked for.
+    refused : it stated that it takes no more.
+    absent : it stated that the model or adapter is not resident.
     """
 
     unreachable: bool = False
@@ -148,29 +151,29 @@
 
 @attrs.frozen
 class RelayHead:
-    """Pass the head on that was received last."""
+    """Relay the head that was received last."""
 
 
 @attrs.frozen
 class RelayContent:
-    """Pass content on."""
+    """Relay content."""
 
     content: bytes
 
 
 @attrs.frozen
 class EndResponse:
-    """Close the answer whole."""
+    """End the complete response."""
 
 
 @attrs.frozen
 class AbortResponse:
-    """Break the caller's connection, so that the answer does not look whole."""
+    """Close the caller's connection, so that the response does not look complete."""
 
 
 @attrs.frozen
 class LocalReply:
-    """Answer the caller from this node."""
+    """Respond to the caller from this node."""
 
     status: int
     reason: str
@@ -179,7 +182,7 @@
 
 @attrs.frozen
 class FinishRequest:
-    """Nothing follows."""
+    """The request is over."""
 
     kind: RequestOutcome
     reason: str = ""
--- a/src/zincvale/dataplane/forwarding/request_machine.py
+++ b/src/zincvale/dataplane/forwarding/request_machine.py
@@ -1,8 +1,9 @@
 """One forwarded request as a pure state machine.
 
-What may be repeated is decided here alone. After the first byte of a request left, only the
-server's own word proves that it did not run; without that word a request that may not be repeated
-ends as unknown. A refusal is given only while nothing ran and nothing is under way.
+What may be retried is decided here alone. After the first byte of a request was sent, only the
+server's statement (`ResponseFacts.never_ran`) proves that it did not run; without it a request that
+may not be repeated ends as unknown. A request is refused only while nothing ran and nothing is in
+flight.
 """
 
 from __future__ import annotations
@@ -40,33 +41,38 @@
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
+MIN_NON_SUCCESS_STATUS = 300
 MIN_SERVER_ERROR = 500
 RETRYABLE_STATUSES = frozenset({408, 421, 429, 503})
-"""Callers take these as a promise that the request did not run and never will."""
+"""Callers take these to mean that the request did not run and never will."""
 REFUSED_RETRY_AFTER_S = 0.1
+"""Callers that retry sooner meet the same servers."""
 MAX_UNCOUNTED_SENDS = 3
-"""Connections that failed and misdirected sends reach no server of the pool; they are not attempts,
-but there is an end to them."""
+"""Failed connections and misdirected sends are not attempts of the route; this bounds them."""
 
 
 class Phase(enum.Enum):
-    """How far the request is."""
+    """The state of a request.
+
+    Legal transitions: NEW to SELECTING; SELECTING to SENT or DONE; SENT to RESPONDING, SELECTING
+    (a retry) or DONE; RESPONDING to SELECTING (a stream that is resumed) or DONE.
+    """
 
     NEW = "new"
     SELECTING = "finding"
     SENT = "sent"
-    """At a server; no head of it was received."""
+    """At a server; no head of its response was received."""
     RESPONDING = "answering"
     DONE = "done"
 
 
 class RequestMachine:
-    """Decides what becomes of one request.
+    """Decides the sends, the retries and the response of one request.
 
     Parameters
     ----------
     route : the route in force when the request came.
-    resumes_after : the event after which the caller wants its stream to go on.
+    resume_after : the event after which the caller wants its stream to be resumed.
     """
 
     def __init__(self, route: ForwardRoute, resume_after: str = "") -> None:
@@ -78,19 +84,19 @@
         self._excluded: set[str] = set()
         self._uncounted_sends = 0
         self._arrivals = 0
-        """Sends that reached a server, whatever it said: what follows them spends the budget."""
+        """Sends that reached a server, whatever it said: any send after them is a retry."""
         self._may_have_run = False
         self._is_head_relayed = False
         self._is_event_stream = False
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a run that may have happened allows another one."""
+        """Whether the request may run again after it may have run."""
         return self._route.repeatable or self._route.resumable
 
     @property
     def is_over(self) -> bool:
-        """Whether the caller has its final answer."""
+        """Whether the caller has its final response."""
         return self.phase is Phase.DONE
 
     def begin(self) -> list[Effect]:
@@ -99,7 +105,7 @@
         return [SelectServer(frozenset(), is_retry=False)]
 
     def handle(self, event: Input) -> list[Effect]:
-        """Apply one input and return what to do."""
+        """Apply one input and return its effects."""
         if self.phase is Phase.DONE:
             return []
         match event:
@@ -112,21 +118,17 @@
             case HeadReceived():
                 return self._head(event)
             case ContentReceived(content, last_event_id):
-                if last_event_id:
-                    self._last_event_id = last_event_id
-                return [RelayContent(content)]
+                return self._content(content, last_event_id)
             case ResponseCompleted():
-                self.phase = Phase.DONE
-                return [ReleaseServer(), EndResponse(), FinishRequest(RequestOutcome.ANSWERED)]
+                return self._completed()
             case ResponseBroken(reason):
                 return self._broken(reason)
             case DeadlineExpired():
                 return self._deadline_expired()
             case CallerDisconnected():
                 return self._end(RequestOutcome.ABANDONED, "the caller left")
-        return []
 
-    # --- finding and sending --------------------------------------------------------------
+    # --- selecting and sending ------------------------------------------------------------
 
     def _send(self, server: str) -> list[Effect]:
         self.phase = Phase.SENT
@@ -160,7 +162,7 @@
             return released + self._reply(BAD_GATEWAY, RequestOutcome.UNKNOWN, reason)
         return released + self._refuse(reason, REFUSED_RETRY_AFTER_S)
 
-    # --- answers --------------------------------------------------------------------------
+    # --- responses ------------------------------------------------------------------------
 
     def _head(self, head: HeadReceived) -> list[Effect]:
         if head.facts.never_ran:
@@ -172,7 +174,7 @@
         if self._is_head_relayed:
             return self._second_head(head)
         if head.status in RETRYABLE_STATUSES and not self.may_repeat:
-            # The status would promise what the server did not say.
+            # The status would tell the caller that it never ran, which the server did not state.
             self._may_have_run = True
             dropped: list[Effect] = [CancelExchange(), ReleaseServer()]
             return dropped + self._reply(BAD_GATEWAY, RequestOutcome.UNKNOWN, "the server failed")
@@ -183,8 +185,8 @@
         return [RelayHead()]
 
     def _second_head(self, head: HeadReceived) -> list[Effect]:
-        """Go on within the answer whose head was relayed."""
-        if head.status >= 300 or not head.is_event_stream:
+        """Resume the response whose head was relayed."""
+        if head.status >= MIN_NON_SUCCESS_STATUS or not head.is_event_stream:
             dropped: list[Effect] = [CancelExchange(), ReleaseServer()]
             return dropped + self._abort(f"the stream cannot go on: status {head.status}")
         self.phase = Phase.RESPONDING
@@ -211,6 +213,15 @@
             )
         return released + self._refuse("the server refused it", REFUSED_RETRY_AFTER_S)
 
+    def _content(self, content: bytes, last_event_id: str) -> list[Effect]:
+        if last_event_id:
+            self._last_event_id = last_event_id
+        return [RelayContent(content)]
+
+    def _completed(self) -> list[Effect]:
+        self.phase = Phase.DONE
+        return [ReleaseServer(), EndResponse(), FinishRequest(RequestOutcome.ANSWERED)]
+
     def _broken(self, reason: str) -> list[Effect]:
         self._may_have_run = True
         self._excluded.add(self._server)
@@ -222,7 +233,7 @@
         return released + self._reply(BAD_GATEWAY, RequestOutcome.UNKNOWN, reason)
 
     def _may_continue(self) -> bool:
-        """Whether another server may take over what may have run."""
+        """Whether another server may continue what may have run."""
         if not self._attempts_left():
             return False
         if self._is_head_relayed:
@@ -250,9 +261,9 @@
         return dropped + self._reply(GATEWAY_TIMEOUT, RequestOutcome.UNKNOWN, "the time is over")
 
     def _end(self, kind: RequestOutcome, reason: str) -> list[Effect]:
-        was = self.phase
+        phase = self.phase
         self.phase = Phase.DONE
-        if was is Phase.SELECTING:
+        if phase is Phase.SELECTING:
             return [CancelSelection(), FinishRequest(kind, reason)]
         return [CancelExchange(), ReleaseServer(), FinishRequest(kind, reason)]
 
--- a/src/zincvale/dataplane/forwarding/route_table.py
+++ b/src/zincvale/dataplane/forwarding/route_table.py
@@ -8,9 +8,9 @@
 
 
 class RouteTable:
-    """Finds the route of a request, in as many steps as its path has segments.
+    """Finds the route of a request in as many steps as its path has segments.
 
-    A prefix ends with a slash, so only the path up to each of its slashes can be one.
+    Most prefixes end with a slash, so only the path up to each of its slashes can be one.
     """
 
     def __init__(self, routes: Iterable[ForwardRoute] = ()) -> None:
@@ -23,8 +23,8 @@
                 self._by_host.setdefault(host, {})[route.path_prefix] = route
             else:
                 self._non_folder_routes.setdefault(host, []).append(route)
-        for of_host in self._non_folder_routes.values():
-            of_host.sort(key=lambda route: len(route.path_prefix), reverse=True)
+        for routes_of_host in self._non_folder_routes.values():
+            routes_of_host.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def find(self, host: str, path: str) -> ForwardRoute | None:
         """Return the route whose prefix is the longest that begins `path`, if any."""
--- a/src/zincvale/dataplane/forwarding/routing_state.py
+++ b/src/zincvale/dataplane/forwarding/routing_state.py
@@ -1,4 +1,7 @@
-"""The tables of one forwarding node: the document, the servers and the nodes."""
+"""The tables of one forwarding node: the document, the servers and the nodes.
+
+The native request path has its own routing state (`inference.routing_state`): its documents, limits
+and measurements of servers are others."""
 
 from __future__ import annotations
 
@@ -20,12 +23,12 @@
 from zincvale.model.view import Directory, Members, Role, ServerRow
 
 SLOW_START_AFTER_EVACUATION_S = 1.5
-"""How long a zone's servers count as cold after it was opened again, before the list tells."""
+"""How long a zone's servers are in slow start after its evacuation, until the directory says so."""
 
 
 @attrs.frozen
 class FleetLimits:
-    """What a deployment allows, beside the document."""
+    """Limits over all nodes that a deployment sets beside the document."""
 
     retry: RetryConfig = RetryConfig()
     slow_start: SlowStartConfig = SlowStartConfig()
@@ -33,7 +36,10 @@
 
 @attrs.define
 class RoutingState:
-    """All tables of one node."""
+    """All tables of one node.
+
+    The event loop owns it: tables change between the steps of requests, never within one.
+    """
 
     zone: ZoneName
     member: MemberId
@@ -44,19 +50,19 @@
     servers_by_pool: dict[str, list[ServerState]] = attrs.field(factory=dict)
     node_count: int = 1
     node_index: int = 0
-    """This node's place among the nodes, in the order of their names."""
+    """This node's index among the nodes, in the order of their names."""
     _nodes: list[str] = attrs.field(factory=list)
     _budgets: dict[str, RetryBudget] = attrs.field(factory=dict)
     _residencies: dict[ServerId, Residency] = attrs.field(factory=dict)
     _has_directory: bool = False
 
     @property
-    def has_directory(self) -> bool:
-        """Whether a list of servers was ever taken."""
-        return self._has_directory
+    def is_configured(self) -> bool:
+        """Whether a document and a directory were ever applied."""
+        return self.document.number > 0 and self._has_directory
 
     def apply_document(self, document: ForwardingDocument, now: float) -> bool:
-        """Take a newer document into force at once; False when it is not newer."""
+        """Apply a newer document; False when it is not newer."""
         if document.version <= self.document.version:
             return False
         opened = self.document.evacuated - document.evacuated
@@ -71,7 +77,7 @@
         return True
 
     def apply_directory(self, directory: Directory, now: float) -> None:
-        """Take a newer directory; evidence is kept for each incarnation of a server."""
+        """Apply a newer directory; measurements are retained for each incarnation of a server."""
         self._has_directory = True
         before = self.servers
         self.servers = {
@@ -83,7 +89,7 @@
             self.servers_by_pool.setdefault(state.row.pool, []).append(state)
 
     def apply_residencies(self, residencies: Mapping[ServerId, Residency]) -> None:
-        """Take what the placement leader knows of the servers' memory."""
+        """Apply the residencies that the placement leader published."""
         changed = {
             server
             for server in self.servers
@@ -96,7 +102,7 @@
             state.forget_absent()
 
     def apply_members(self, members: Members) -> None:
-        """Take a newer member table: the number of nodes sets this node's shares."""
+        """Apply a newer member table: the number of nodes sets this node's shares."""
         self._nodes = sorted(row.member for row in members.rows.values() if row.role is Role.NODE)
         self.node_count = max(1, len(self._nodes))
         self.node_index = bisect_left(self._nodes, self.member)
@@ -106,14 +112,14 @@
         return self.document.pools.get(name)
 
     def retry_budget(self, pool: str) -> RetryBudget:
-        """Return this node's share of a pool's second sends."""
+        """Return this node's share of a pool's retries."""
         budget = self._budgets.get(pool)
         if budget is None:
             budget = self._budgets[pool] = RetryBudget(self.fleet_limits.retry)
         return budget
 
     def may_send_in_slow_start(self, state: ServerState, now: float) -> bool:
-        """Whether a cold server may get one more request of this node now."""
+        """Whether this node may send one more request to a server in slow start."""
         pool = self.pool(state.row.pool)
         if pool is None or pool.cold_per_s <= 0:
             return True
@@ -144,9 +150,9 @@
         return known
 
     def _residency_of(self, row: ServerRow) -> Residency:
-        told = self._residencies.get(row.server)
-        if told is not None and told.incarnation == row.incarnation:
-            return told
+        published = self._residencies.get(row.server)
+        if published is not None and published.incarnation == row.incarnation:
+            return published
         return Residency(row.incarnation, frozenset(row.models), frozenset(row.adapters))
 
     def _slow_start_s(self, row: ServerRow) -> float:
--- a/src/zincvale/dataplane/forwarding/servers.py
+++ b/src/zincvale/dataplane/forwarding/servers.py
@@ -1,4 +1,4 @@
-"""What a node knows of each server: the published row, its residency, and its own evidence."""
+"""What a node knows of each server: the published row, its residency, and its own measurements."""
 
 from __future__ import annotations
 
@@ -13,17 +13,23 @@
 from zincvale.model.view import ServerRow
 
 INITIAL_BACKOFF_S = 0.25
+"""After the first failure; doubles with each failure in a row."""
 MAX_BACKOFF_S = 2.0
+"""Longer keeps a server without traffic after its restart."""
 REFUSED_BACKOFF_S = 0.05
+"""A full server frees a slot soon; longer leaves slots unused."""
 ABSENT_TTL_S = 0.3
-"""How long a server's own word that it lacks something counts against what is published."""
+"""How long a server's statement that a model is not resident overrides what is published; a newer
+publication ends it sooner."""
 LATENCY_WEIGHT = 0.2
+"""Weight of the newest sample in the moving average."""
 MAX_CACHED_PARTS = 512
+"""Prompt parts remembered for each server; bounds the node's memory."""
 
 
 @attrs.frozen
 class Residency:
-    """What one incarnation of a server holds."""
+    """The models and adapters that are resident at one incarnation of a server."""
 
     incarnation: str
     models: frozenset[str]
@@ -31,14 +37,14 @@
     """Each as `MODEL/ADAPTER`."""
 
     def has_resident(self, prompt: Prompt) -> bool:
-        """Whether the prompt's model and adapter are there."""
+        """Whether the prompt's model and adapter are resident."""
         if prompt.model not in self.models:
             return False
         return not prompt.adapter or adapter_name(prompt.model, prompt.adapter) in self.adapters
 
 
 def adapter_name(model: str, adapter: str) -> str:
-    """Return the name of an adapter among those of all models."""
+    """Return the name of an adapter, unique among those of all models."""
     return f"{model}/{adapter}"
 
 
@@ -53,15 +59,20 @@
 class ServerState:
     """One incarnation of a server, as this node sees it.
 
+    The native request path has a `ServerState` of its own (`inference.routing_state`) with learned
+    concurrency and rate limits and `resilience.outlier_detection`. They are not merged: forwarding
+    has no limits of its own, and its back-off after a failure ends by time, without a probe.
+
     Attributes
     ----------
-    residency : what it holds and will not unload next, by the newest word of the placement leader
-        or of the list.
-    outstanding : requests of this node that are there now.
-    outstanding_tokens : tokens of these that had to be read when they were sent.
-    cold_until : until when it bears only a few requests.
-    paused_until : left alone after failures.
-    latency_s : moving average from sending to the first answer; 0 when never measured.
+    residency : what is resident and will not be unloaded next, as last published by the placement
+        leader or in the directory.
+    outstanding : requests of this node that are in flight at the server.
+    outstanding_tokens : prompt tokens that it had to process for them when they were sent.
+    slow_start_until : until when it gets only a few requests.
+    backoff_until : until when it gets none, after failures or a refusal.
+    latency_s : moving average from sending to the head of the response, of a stream to its first
+        event; 0 when never measured.
     """
 
     row: ServerRow
@@ -82,7 +93,7 @@
         return self.row.server
 
     def has_resident(self, prompt: Prompt, now: float) -> bool:
-        """Whether the prompt can run here, as far as known."""
+        """Whether the prompt can run here, by what was published and what the server stated."""
         if not self.residency.has_resident(prompt):
             return False
         return all(
@@ -90,39 +101,39 @@
         )
 
     def has_resident_model(self, prompt: Prompt, now: float) -> bool:
-        """Whether the prompt's model is here, whatever adapter it names."""
+        """Whether the prompt's model is resident, whatever adapter it names."""
         if prompt.model not in self.residency.models:
             return False
         return now >= self._absent_until.get(prompt.model, -math.inf)
 
     def mark_absent(self, prompt: Prompt, now: float) -> None:
-        """Remember the server's own word that it lacks what the prompt asks for."""
+        """Record the server's statement that the prompt's model or adapter is not resident."""
         self._absent_until[required_names(prompt)[-1]] = now + ABSENT_TTL_S
 
     def forget_absent(self) -> None:
-        """Believe what is published: it is newer."""
+        """Forget these statements: what is published is newer."""
         self._absent_until.clear()
 
     def is_in_slow_start(self, now: float) -> bool:
-        """Whether the server bears only a few requests now."""
+        """Whether the server gets only a few requests now."""
         return now < self.slow_start_until
 
     def is_backing_off(self, now: float) -> bool:
-        """Whether the server is left alone after failures."""
+        """Whether the server gets no requests now, after failures or a refusal."""
         return now < self.backoff_until
 
     def on_unreachable(self, now: float) -> None:
-        """Leave the server alone for a time that grows with failures in a row."""
-        pause_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**self.failures)
+        """Back off for a time that doubles with failures in a row."""
+        backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**self.failures)
         self.failures += 1
-        self.backoff_until = now + pause_s
+        self.backoff_until = now + backoff_s
 
     def on_refused(self, now: float) -> None:
-        """The server is full: leave it alone for a moment."""
+        """Back off for a moment: the server is full."""
         self.backoff_until = max(self.backoff_until, now + REFUSED_BACKOFF_S)
 
     def on_response(self, latency_s: float) -> None:
-        """A first answer came."""
+        """Record a response: the server is well."""
         self.failures = 0
         self.backoff_until = -math.inf
         if self.latency_s == 0.0:
@@ -131,7 +142,7 @@
             self.latency_s += LATENCY_WEIGHT * (latency_s - self.latency_s)
 
     def record_cached_parts(self, prompt: Prompt) -> None:
-        """The prompt's shared parts are cached here from now on, as far as known."""
+        """Record the prompt's shared parts, which the server caches from now on."""
         owner = "/".join(required_names(prompt))
         for part in prompt.parts[:-1]:
             key = (owner, part.part_id)
@@ -141,7 +152,7 @@
             self._parts.popitem(last=False)
 
     def cached_tokens(self, prompt: Prompt) -> int:
-        """Return the tokens at the prompt's beginning that this node sent here lately."""
+        """Return the tokens of the prompt's leading parts that this node sent here lately."""
         owner = "/".join(required_names(prompt))
         total = 0
         for part in prompt.parts[:-1]:
--- a/src/zincvale/dataplane/forwarding/service.py
+++ b/src/zincvale/dataplane/forwarding/service.py
@@ -1,9 +1,9 @@
-"""Facade of forwarding: what the program assembles and drives."""
+"""The facade of forwarding: the interface that a daemon assembles and drives."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from random import Random
 
 import attrs
@@ -14,7 +14,7 @@
 from zincvale.dataplane.forwarding.dialect import ForwardingDialect
 from zincvale.dataplane.forwarding.forwarded_request import ForwardedRequest
 from zincvale.dataplane.forwarding.node_context import ForwardingContext
-from zincvale.dataplane.forwarding.policies import PolicyChain, Scorer, scorers_named
+from zincvale.dataplane.forwarding.policies import PolicyChain, make_scorers
 from zincvale.dataplane.forwarding.routing_state import FleetLimits, RoutingState
 from zincvale.dataplane.forwarding.servers import Residency
 from zincvale.dataplane.inference.dependencies import Spans
@@ -30,10 +30,28 @@
 NO_DOCUMENT_RETRY_AFTER_S = 0.5
 STOPPING_RETRY_AFTER_S = 0.1
 NEW_STREAMS_ALLOWED_S = 3.0
-"""How long after it was asked to stop a node begins streams."""
+"""How long a draining node still begins streams: later ones might outlive the process."""
 NEW_REQUESTS_ALLOWED_S = 5.5
+"""How long a draining node still begins other requests."""
 CONFIGURATION_WAIT_S = 1.5
-"""A started node that knows no configuration holds a request for so long."""
+"""How long a started node that has no configuration yet defers a request."""
+
+
+@attrs.frozen
+class ForwardingConfig:
+    """What a node's settings say of forwarding.
+
+    Attributes
+    ----------
+    policies : names of scorers; without names the default chain.
+    address_map : advertised address to the address that is dialled instead.
+    """
+
+    member: MemberId
+    zone: ZoneName
+    fleet_limits: FleetLimits = FleetLimits()
+    policies: Sequence[str] = ()
+    address_map: Mapping[str, str] | None = None
 
 
 class ForwardingService:
@@ -41,39 +59,35 @@
 
     Parameters
     ----------
-    dialect : names on the wire of callers and servers.
+    dialect : header names of callers and servers.
+    clock : seconds.
     on_urgent : called when demand should be reported at once.
-    policies : names of scorers; none means the default chain.
     """
 
     def __init__(
         self,
-        member: MemberId,
-        zone: ZoneName,
-        fleet_limits: FleetLimits,
+        config: ForwardingConfig,
         dialect: ForwardingDialect,
+        *,
         spans: Spans,
         random: Random,
         clock: Callable[[], float],
         on_urgent: Callable[[], None],
-        address_map: Mapping[str, str] | None = None,
-        policies: list[str] | None = None,
     ) -> None:
-        self._member = member
+        self._member = config.member
         self._clock = clock
         self.is_draining = False
         self._draining_since = 0.0
         self._deferred: list[_DeferredRequest] = []
-        scorers: list[Scorer] = scorers_named(policies or [])
         self.context = ForwardingContext(
-            RoutingState(zone, member, fleet_limits),
-            PolicyChain(scorers),
-            ServerClient(clock, address_map),
-            dialect,
-            spans,
-            random,
-            clock,
-            on_urgent,
+            routing=RoutingState(config.zone, config.member, config.fleet_limits),
+            chain=PolicyChain(make_scorers(config.policies)),
+            client=ServerClient(clock, config.address_map),
+            dialect=dialect,
+            spans=spans,
+            random=random,
+            clock=clock,
+            on_urgent=on_urgent,
         )
 
     @property
@@ -83,36 +97,36 @@
 
     @property
     def active_requests(self) -> int:
-        """Requests under way."""
+        """How many requests are in flight."""
         return len(self.context.active)
 
     def callers(self) -> CallerServer:
-        """Return what an HTTP server hands callers' requests to."""
+        """Return the HTTP server's delegate for callers' requests."""
         return CallerServer(self)
 
     def now(self) -> float:
         """The node's clock, in seconds."""
         return self._clock()
 
-    def take(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle | None:
-        """Begin a request, or answer it at once."""
-        if self.routing.document.number == 0 or not self.routing.has_directory:
+    def handle_request(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle | None:
+        """Begin a request, or respond to it at once; None when nothing is pending."""
+        if not self.routing.is_configured:
             return self._defer(incoming, sink)
         return self.begin_request(incoming, sink)
 
     def _defer(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle:
-        """Keep a request for the short time in which a started node learns what is in force."""
-        held = _DeferredRequest(self, incoming, sink)
-        self._deferred.append(held)
-        asyncio.get_running_loop().call_later(CONFIGURATION_WAIT_S, held.give_up)
-        return held
+        """Defer a request for the short time in which a started node receives its configuration."""
+        deferred = _DeferredRequest(self, incoming, sink)
+        self._deferred.append(deferred)
+        asyncio.get_running_loop().call_later(CONFIGURATION_WAIT_S, deferred.give_up)
+        return deferred
 
     def _begin_deferred(self) -> None:
-        if self.routing.document.number == 0 or not self.routing.has_directory:
+        if not self.routing.is_configured:
             return
-        held, self._deferred = self._deferred, []
-        for each in held:
-            each.release()
+        deferred, self._deferred = self._deferred, []
+        for each in deferred:
+            each.begin()
 
     def begin_request(self, incoming: IncomingRequest, sink: CallerSink) -> ForwardedRequest | None:
         """Begin a request by the document in force, or respond to it at once."""
@@ -137,34 +151,34 @@
     # --- stopping -------------------------------------------------------------------------
 
     def start_draining(self) -> None:
-        """Turn unready; requests are taken on while they can be answered before the end."""
+        """Become unready; requests are accepted while they can end before the process does."""
         self.is_draining = True
         self._draining_since = self._clock()
 
     def reject_pending(self) -> None:
-        """Tell every caller whose request never left to come back, elsewhere."""
-        for held in list(self._deferred):
-            held.give_up()
+        """Refuse every request that was not sent: its caller may retry at another node."""
+        for deferred in list(self._deferred):
+            deferred.give_up()
         for pending in self.context.pending.remove_all():
             pending.on_expired(pending.reason, STOPPING_RETRY_AFTER_S)
 
     def _is_too_late(self, route: ForwardRoute) -> bool:
-        """Whether an answer might not be over before the process ends."""
+        """Whether a response might not end before the process does."""
         if not self.is_draining:
             return False
         allowed_s = NEW_STREAMS_ALLOWED_S if route.streaming else NEW_REQUESTS_ALLOWED_S
         return self._clock() - self._draining_since >= allowed_s
 
-    # --- news from control ----------------------------------------------------------------
+    # --- updates from the control plane -----------------------------------------------------
 
     def apply_document(self, document: ForwardingDocument) -> None:
-        """Take a newer document into force: nothing is sent against it from here on."""
+        """Apply a newer document: requests that are sent later follow it."""
         if self.routing.apply_document(document, self._clock()):
             self.context.dispatch_pending()
             self._begin_deferred()
 
     def apply_directory(self, directory: Directory) -> None:
-        """Take a newer directory."""
+        """Apply a newer directory."""
         self.routing.apply_directory(directory, self._clock())
         rows = self.routing.servers.values()
         self.context.client.keep_only(
@@ -174,12 +188,12 @@
         self._begin_deferred()
 
     def apply_residencies(self, residencies: Mapping[ServerId, Residency]) -> None:
-        """Take what the placement leader knows of the servers' memory."""
+        """Apply the residencies that the placement leader published."""
         self.routing.apply_residencies(residencies)
         self.context.dispatch_pending()
 
     def apply_members(self, members: Members) -> None:
-        """Take a newer member table."""
+        """Apply a newer member table."""
         self.routing.apply_members(members)
 
     def demand_report(self) -> DemandReport:
@@ -200,7 +214,7 @@
 
 
 class _DeferredRequest:
-    """A request that came before this node knew what is in force."""
+    """A request that came before this node had its configuration."""
 
     def __init__(
         self, service: ForwardingService, incoming: IncomingRequest, sink: CallerSink
@@ -208,24 +222,24 @@
         self._service = service
         self._incoming = incoming
         self._sink = sink
-        self._is_waiting = True
+        self._is_pending = True
         self._begun: ForwardedRequest | None = None
 
-    def release(self) -> None:
-        """Begin the request: what it needs is known now."""
-        if self._is_waiting:
-            self._is_waiting = False
+    def begin(self) -> None:
+        """Begin the request: the configuration is known now."""
+        if self._is_pending:
+            self._is_pending = False
             self._begun = self._service.begin_request(self._incoming, self._sink)
 
     def give_up(self) -> None:
-        """Tell the caller to come back."""
-        if self._is_waiting:
-            self._is_waiting = False
+        """Refuse the request: the caller may retry."""
+        if self._is_pending:
+            self._is_pending = False
             problem = "no configuration is known yet"
             _reply(self._sink, UNAVAILABLE, problem, NO_DOCUMENT_RETRY_AFTER_S)
 
     def on_caller_disconnected(self) -> None:
         """The caller closed its connection."""
-        self._is_waiting = False
+        self._is_pending = False
         if self._begun is not None:
             self._begun.on_caller_disconnected()
--- a/src/zincvale/simulator/forwarding/model.py
+++ b/src/zincvale/simulator/forwarding/model.py
@@ -17,7 +17,7 @@
 from zincvale.dataplane.forwarding.fleet_budgets import RetryConfig, SlowStartConfig
 from zincvale.dataplane.forwarding.native_dialect import NativeDialect
 from zincvale.dataplane.forwarding.routing_state import FleetLimits
-from zincvale.dataplane.forwarding.service import ForwardingService
+from zincvale.dataplane.forwarding.service import ForwardingConfig, ForwardingService
 from zincvale.model.forwarding import (
     ForwardingDocument,
     ForwardPool,
@@ -137,14 +137,16 @@
     def _node(self, place: int) -> ForwardingService:
         name = f"n{place}"
         service = ForwardingService(
-            MemberId(name),
-            ZoneName(ZONES[place % len(ZONES)]),
-            FleetLimits(RETRIES, COLD),
+            ForwardingConfig(
+                MemberId(name),
+                ZoneName(ZONES[place % len(ZONES)]),
+                FleetLimits(RETRIES, COLD),
+            ),
             NativeDialect(),
-            NoSpans(),
-            self._random,
-            self._loop.time,
-            lambda: None,
+            spans=NoSpans(),
+            random=self._random,
+            clock=self._loop.time,
+            on_urgent=lambda: None,
         )
         routing = service.routing
 
@@ -234,7 +236,7 @@
         ]
         target = f"{route.path_prefix}x"
         sink = _Sink(record, self._loop)
-        handle = node.take(IncomingRequest("POST", target, headers, b"", now), sink)
+        handle = node.handle_request(IncomingRequest("POST", target, headers, b"", now), sink)
         if handle is not None and self._random.random() < LEAVING_PART:
             self._loop.call_later(0.1, sink.leave, handle)
 
--- a/tests/dataplane/forwarding/test_choice.py
+++ b/tests/dataplane/forwarding/test_choice.py
@@ -20,7 +20,7 @@
     PolicyChain,
     RoutingQuery,
     ServerChoice,
-    scorers_named,
+    make_scorers,
 )
 from zincvale.dataplane.forwarding.routing_state import FleetLimits
 from zincvale.dataplane.forwarding.servers import Residency
@@ -28,7 +28,7 @@
 
 
 def choose(routing, prompt=None, excluded=(), now=1.0, chain=None):
-    chain = chain or PolicyChain(scorers_named([]))
+    chain = chain or PolicyChain(make_scorers([]))
     query = RoutingQuery(make_route(), "p", prompt, routing, frozenset(excluded), now)
     return chain.choose(query)
 
@@ -131,11 +131,11 @@
 
     def test_baselines_are_named_in_the_settings(self):
         routing = make_routing(make_row("s1"), make_row("s2"))
-        chain = PolicyChain(scorers_named(["round-robin"]))
+        chain = PolicyChain(make_scorers(["round-robin"]))
         turns = [server_of(choose(routing, chain=chain)) for _ in range(4)]
         self.assertEqual([turns[0], turns[1]] * 2, turns)
         routing.servers[ServerId("s1")].outstanding = 1
-        chain = PolicyChain(scorers_named(["least-outstanding"]))
+        chain = PolicyChain(make_scorers(["least-outstanding"]))
         self.assertEqual("s2", server_of(choose(routing, chain=chain)))
 
 
--- a/tests/dataplane/forwarding/test_parts.py
+++ b/tests/dataplane/forwarding/test_parts.py
@@ -1,4 +1,4 @@
-"""Routes, events, heads, budgets and the waiting room."""
+"""Routes, events, heads, budgets and the queue of pending requests."""
 
 from __future__ import annotations
 
@@ -164,7 +164,7 @@
         self.assertTrue(2 * self.arrivals(6, 17.0) <= 21)
 
 
-class WaitingRoomTest(testtools.TestCase):
+class PendingRequestQueueTest(testtools.TestCase):
     def requirements(self, model="m", priority=0, deadline_at=4.0):
         prompt = make_prompt(model)
         route = make_route(priority=priority)
@@ -198,7 +198,7 @@
                 lambda *why: None,
                 0.0,
             )
-        pending.dispatch_pending(lambda requirements: ServerChoice(None, 0), 0.1)
+        pending.dispatch(lambda requirements: ServerChoice(None, 0), 0.1)
         self.assertEqual([0, 1, 2], order)
         self.assertEqual(0, len(pending))
 
@@ -206,9 +206,7 @@
         pending = self.pending()
         waiting, log = self.add(pending, self.requirements())
         self.assertTrue(waiting.expires_at < 2.4)
-        pending.dispatch_pending(
-            lambda requirements: NoServerReason.NOT_RESIDENT, waiting.expires_at
-        )
+        pending.dispatch(lambda requirements: NoServerReason.NOT_RESIDENT, waiting.expires_at)
         self.assertEqual(NoServerReason.NOT_RESIDENT, log[0][0])
         self.assertTrue(log[0][1] > 0.1)
 
@@ -224,7 +222,7 @@
         hopeless = self.requirements(deadline_at=1.0)
         self.assertIsNone(self.add(pending, hopeless)[0])
         self.add(pending, self.requirements())
-        pending.dispatch_pending(lambda requirements: ServerChoice(None, 0), 0.3)
+        pending.dispatch(lambda requirements: ServerChoice(None, 0), 0.3)
         self.assertIsNotNone(self.add(pending, hopeless)[0])
         self.assertAlmostEqual(0.3, pending.retry_after_s(NoServerReason.NOT_RESIDENT, hopeless))
 
@@ -238,7 +236,7 @@
             lambda *_: None,
             0.29,
         )
-        pending.dispatch_pending(lambda requirements: ServerChoice(None, 0), 0.3)
+        pending.dispatch(lambda requirements: ServerChoice(None, 0), 0.3)
         self.assertAlmostEqual(
             0.3, pending.retry_after_s(NoServerReason.NOT_RESIDENT, self.requirements())
         )
--- a/tests/dataplane/forwarding/test_service.py
+++ b/tests/dataplane/forwarding/test_service.py
@@ -18,10 +18,10 @@
 from zincvale.dataplane.forwarding.caller_sink import IncomingRequest
 from zincvale.dataplane.forwarding.native_dialect import NativeDialect
 from zincvale.dataplane.forwarding.request_events import RequestOutcome
-from zincvale.dataplane.forwarding.routing_state import FleetLimits
 from zincvale.dataplane.forwarding.service import (
     NEW_REQUESTS_ALLOWED_S,
     NEW_STREAMS_ALLOWED_S,
+    ForwardingConfig,
     ForwardingService,
 )
 from zincvale.model.forwarding import CallerLimits
@@ -102,14 +102,12 @@
     def __init__(self, known=True):
         self.now = 100.0
         self.service = ForwardingService(
-            MemberId("n1"),
-            ZoneName("z1"),
-            FleetLimits(),
+            ForwardingConfig(MemberId("n1"), ZoneName("z1")),
             NativeDialect(),
-            Spans(),
-            random.Random(1),
-            lambda: self.now,
-            lambda: None,
+            spans=Spans(),
+            random=random.Random(1),
+            clock=lambda: self.now,
+            on_urgent=lambda: None,
         )
         self.client = self.service.context.client = Client()
         if known:
@@ -125,7 +123,7 @@
         sink = Sink()
         head = [("Host", "a.example"), ("X-Request-Id", "q1"), *headers]
         incoming = IncomingRequest("POST", target, head, body, self.now)
-        return self.service.take(incoming, sink), sink
+        return self.service.handle_request(incoming, sink), sink
 
 
 def run(scenario):
