--- a/tests/dataplane/forwarding/builders.py
+++ b/tests/dataplane/forwarding/builders.py
@@ -1,4 +1,4 @@
-"""Routes, servers and worlds for tests of forwarding."""
+"""Routes, servers and routing states for tests of forwarding."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/forwarding/test_choice.py
+++ b/tests/dataplane/forwarding/test_choice.py
@@ -46,7 +46,7 @@
         routing.apply_document(document, 0.0)
         self.assertIs(NoServerReason.NO_SERVER, choose(routing, make_prompt()))
 
-    def test_what_is_not_resident_is_waited_for(self):
+    def test_a_missing_model_or_adapter_is_the_reason(self):
         routing = make_routing(make_row("s1", models=("other",)))
         self.assertIs(NoServerReason.NOT_RESIDENT, choose(routing, make_prompt()))
         routing = make_routing(make_row("s1"))
@@ -56,36 +56,36 @@
         routing = make_routing(make_row("s1", adapters=("m/a1",)))
         self.assertEqual("s1", server_of(choose(routing, make_prompt(adapter="a1"))))
 
-    def test_the_leaders_word_counts_for_the_incarnation_it_speaks_of(self):
+    def test_a_published_residency_counts_for_its_incarnation(self):
         routing = make_routing(make_row("s1", models=()))
-        told = {ServerId("s1"): Residency("s1", frozenset({"m"}), frozenset())}
-        routing.apply_residencies(told)
+        published = {ServerId("s1"): Residency("s1", frozenset({"m"}), frozenset())}
+        routing.apply_residencies(published)
         self.assertEqual("s1", server_of(choose(routing, make_prompt())))
         routing.apply_directory(make_directory(make_row("s1", models=(), incarnation="s1b")), 1.0)
         self.assertIs(NoServerReason.NOT_RESIDENT, choose(routing, make_prompt()))
 
-    def test_what_is_closing_or_was_denied_gets_nothing(self):
+    def test_a_server_that_unloads_or_denied_the_model_gets_nothing(self):
         routing = make_routing(make_row("s1"), make_row("s2"))
-        left = {ServerId("s1"): Residency("s1", frozenset(), frozenset())}
-        routing.apply_residencies(left)
+        unloading = {ServerId("s1"): Residency("s1", frozenset(), frozenset())}
+        routing.apply_residencies(unloading)
         self.assertEqual("s2", server_of(choose(routing, make_prompt())))
         routing.servers[ServerId("s2")].mark_absent(make_prompt(), 1.0)
         self.assertIs(NoServerReason.NOT_RESIDENT, choose(routing, make_prompt(), now=1.1))
         self.assertEqual("s2", server_of(choose(routing, make_prompt(), now=2.0)))
 
-    def test_evidence_of_failures_never_empties_a_pool(self):
+    def test_back_off_never_empties_a_pool(self):
         routing = make_routing(make_row("s1"), make_row("s2"))
         routing.servers[ServerId("s1")].on_unreachable(1.0)
         self.assertEqual("s2", server_of(choose(routing, make_prompt(), now=1.1)))
         routing.servers[ServerId("s2")].on_unreachable(1.0)
         self.assertIsInstance(choose(routing, make_prompt(), now=1.1), ServerChoice)
 
-    def test_servers_that_were_tried_are_left_out(self):
+    def test_servers_that_were_attempted_are_excluded(self):
         routing = make_routing(make_row("s1"), make_row("s2"))
         self.assertEqual("s2", server_of(choose(routing, make_prompt(), excluded=["s1"])))
         self.assertIs(NoServerReason.BUSY, choose(routing, make_prompt(), excluded=["s1", "s2"]))
 
-    def test_a_cold_server_gets_this_nodes_share(self):
+    def test_a_server_in_slow_start_gets_this_nodes_share(self):
         pool = make_pool(cold_per_s=4.0, cold_start_s=3.0)
         routing = make_routing(
             make_row("s1", cold_remaining_s=3.0),
@@ -100,7 +100,7 @@
         self.assertEqual(1, sent)
         self.assertIsInstance(choose(routing, make_prompt(), now=4.0), ServerChoice)
 
-    def test_a_zone_that_is_opened_again_counts_as_cold(self):
+    def test_a_zone_is_in_slow_start_after_its_evacuation(self):
         pool = make_pool(cold_per_s=4.0, cold_start_s=3.0)
         routing = make_routing(make_row("s1"), pools=[pool])
         routing.apply_document(make_document(2, [make_route()], [pool], ["z1"]), 10.0)
@@ -110,7 +110,7 @@
 
 
 class ScorerTest(testtools.TestCase):
-    def test_nodes_choose_alike_for_a_shared_prompt_part(self):
+    def test_nodes_agree_on_a_server_for_a_shared_prompt_part(self):
         rows = [make_row(f"s{number}") for number in range(1, 6)]
         chosen = set()
         for node in ("n1", "n2", "n3"):
@@ -119,13 +119,13 @@
             chosen.add(server_of(choose(routing, make_prompt())))
         self.assertEqual(1, len(chosen))
 
-    def test_a_crowded_home_is_left(self):
+    def test_a_busy_preferred_server_is_avoided(self):
         routing = make_routing(make_row("s1"), make_row("s2"))
-        home = choose(routing, make_prompt()).server
-        home.outstanding = 5
-        self.assertNotEqual(home.server, server_of(choose(routing, make_prompt())))
+        preferred = choose(routing, make_prompt()).server
+        preferred.outstanding = 5
+        self.assertNotEqual(preferred.server, server_of(choose(routing, make_prompt())))
 
-    def test_the_own_zone_is_preferred_where_nothing_else_speaks(self):
+    def test_the_own_zone_is_preferred_among_equal_servers(self):
         routing = make_routing(make_row("s1", zone="z2"), make_row("s2", zone="z1"))
         self.assertEqual("s2", server_of(choose(routing)))
 
@@ -140,7 +140,7 @@
 
 
 class RoutingStateTest(testtools.TestCase):
-    def test_evidence_stays_with_the_incarnation(self):
+    def test_measurements_are_retained_for_an_incarnation(self):
         routing = make_routing(make_row("s1"))
         routing.servers[ServerId("s1")].outstanding = 3
         routing.apply_directory(make_directory(make_row("s1", draining=True)), 1.0)
@@ -148,7 +148,7 @@
         routing.apply_directory(make_directory(make_row("s1", incarnation="new")), 1.0)
         self.assertEqual(0, routing.servers[ServerId("s1")].outstanding)
 
-    def test_an_older_document_is_not_taken(self):
+    def test_an_older_document_is_not_applied(self):
         routing = make_routing(make_row("s1"))
         newer = attrs.evolve(make_document(5, [make_route("new")], [make_pool()]))
         self.assertTrue(routing.apply_document(newer, 0.0))
--- a/tests/dataplane/forwarding/test_parts.py
+++ b/tests/dataplane/forwarding/test_parts.py
@@ -1,4 +1,4 @@
-"""Routes, events, heads, budgets and the queue of pending requests."""
+"""Routes, events, headers, budgets and the queue of pending requests."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         self.assertEqual("short", table.find("a.example", "/a/x").name)
         self.assertIsNone(table.find("b.example", "/a/x"))
 
-    def test_it_finds_what_a_look_at_every_route_finds(self):
+    def test_it_finds_what_a_scan_of_every_route_finds(self):
         draw = random.Random(5)
         prefixes = [
             "/",
@@ -53,7 +53,7 @@
 
 
 class EventSplitterTest(testtools.TestCase):
-    def test_only_whole_events_leave_whatever_the_cuts(self):
+    def test_only_complete_events_are_returned_for_any_chunks(self):
         stream = b"".join(b"id: %d\ndata: x\n\n" % number for number in range(30))
         for seed in range(20):
             source = random.Random(seed)
@@ -61,20 +61,20 @@
             out, place = b"", 0
             while place < len(stream):
                 size = source.randint(1, 25)
-                whole = splitter.feed(stream[place : place + size])
+                complete = splitter.feed(stream[place : place + size])
                 place += size
-                if whole is not None:
-                    out += whole.content
-                    self.assertTrue(whole.content.endswith(b"\n\n"))
+                if complete is not None:
+                    out += complete.content
+                    self.assertTrue(complete.content.endswith(b"\n\n"))
             self.assertEqual(stream, out + splitter.take_remainder())
 
-    def test_the_last_id_is_told(self):
-        whole = EventSplitter().feed(b"id: 1\r\n\r\nid:2\ndata: id: 9\n\ndata")
-        self.assertEqual(CompleteEvents(b"id: 1\r\n\r\nid:2\ndata: id: 9\n\n", "2"), whole)
+    def test_the_last_id_is_returned(self):
+        complete = EventSplitter().feed(b"id: 1\r\n\r\nid:2\ndata: id: 9\n\ndata")
+        self.assertEqual(CompleteEvents(b"id: 1\r\n\r\nid:2\ndata: id: 9\n\n", "2"), complete)
 
 
-class HeadsTest(testtools.TestCase):
-    def test_what_concerns_one_connection_stays_behind(self):
+class HeaderRewriteTest(testtools.TestCase):
+    def test_hop_by_hop_headers_are_removed(self):
         headers = [
             ("Connection", "close, X-Hop"),
             ("X-Hop", "1"),
@@ -92,7 +92,7 @@
 
 
 class NativeDialectTest(testtools.TestCase):
-    def test_a_head_is_read_and_what_cannot_be_read_is_absent(self):
+    def test_a_head_is_parsed_and_what_is_unreadable_is_absent(self):
         facts = NativeDialect().caller_facts(
             {
                 "x-request-id": "q1",
@@ -108,7 +108,7 @@
         nothing = NativeDialect().caller_facts({"x-deadline-ms": "soon"})
         self.assertEqual((None, None), (nothing.deadline_s, nothing.prompt))
 
-    def test_only_its_word_proves_that_a_server_did_not_run_it(self):
+    def test_only_the_servers_statement_proves_that_it_did_not_run(self):
         dialect = NativeDialect()
         self.assertFalse(dialect.response_facts(503, {}).never_ran)
         self.assertTrue(dialect.response_facts(503, {"x-zincvale-never-ran": "1"}).never_ran)
@@ -122,17 +122,17 @@
 
 
 class BudgetTest(testtools.TestCase):
-    def test_all_nodes_together_stay_within_the_terms(self):
-        fleet_limits = RetryConfig(ratio=0.2, slack=200.0, window_s=10.0)
+    def test_all_nodes_together_stay_within_the_bound(self):
+        config = RetryConfig(ratio=0.2, slack=200.0, window_s=10.0)
         for nodes in (1, 3, 11, 80):
-            budgets = [RetryBudget(fleet_limits) for _ in range(nodes)]
-            requests = repeats = 0
+            budgets = [RetryBudget(config) for _ in range(nodes)]
+            requests = retries = 0
             for number in range(400):
                 budget = budgets[number % nodes]
                 budget.record_request(5.0)
                 requests += 1
-                repeats += budget.take(nodes, 5.0)
-            self.assertTrue(0 < repeats <= 0.2 * requests + 200.0, (nodes, repeats))
+                retries += budget.take(nodes, 5.0)
+            self.assertTrue(0 < retries <= 0.2 * requests + 200.0, (nodes, retries))
 
     def test_what_lies_before_the_window_is_forgotten(self):
         budget = RetryBudget(RetryConfig(ratio=0.0, slack=2.0, window_s=10.0))
@@ -141,26 +141,26 @@
         self.assertTrue(budget.take(1, 10.5))
 
 
-class ColdAllowanceTest(testtools.TestCase):
+class SlowStartLimiterTest(testtools.TestCase):
     def arrivals(self, nodes, allowed, second_s=1.0):
         names = [f"n{number}" for number in range(nodes)]
         total = 0
         for name in names:
-            allowance = SlowStartLimiter()
+            limiter = SlowStartLimiter()
             rank = rendezvous_rank(name, names, "s1")
             for step in range(100):
                 now = step * second_s / 100
-                if allowance.may_send(allowed, rank, nodes, now):
-                    allowance.record_sent(now)
+                if limiter.may_send(allowed, rank, nodes, now):
+                    limiter.record_sent(now)
                     total += 1
         return total
 
-    def test_a_second_of_all_nodes_stays_within_what_a_server_bears(self):
+    def test_all_nodes_together_stay_within_the_rate_of_a_server(self):
         for nodes in (1, 2, 3, 11, 83, 300):
             total = self.arrivals(nodes, 17.0)
             self.assertTrue(0 < total <= 17, (nodes, total))
 
-    def test_nodes_that_miss_half_of_the_others_stay_within_it_too(self):
+    def test_nodes_that_know_half_of_the_others_stay_within_it_too(self):
         self.assertTrue(2 * self.arrivals(6, 17.0) <= 21)
 
 
@@ -175,16 +175,16 @@
 
     def add(self, pending, requirements, reason=NoServerReason.NOT_RESIDENT):
         log = []
-        waiting = pending.add(
+        request = pending.add(
             requirements,
             reason,
             lambda chosen: log.append("found"),
             lambda *why: log.append(why),
             0.0,
         )
-        return waiting, log
+        return request, log
 
-    def test_a_hopeless_wait_is_not_begun(self):
+    def test_a_request_that_cannot_be_served_in_time_is_not_queued(self):
         self.assertIsNone(self.add(self.pending(), self.requirements(deadline_at=1.0))[0])
         self.assertIsNone(self.add(self.pending(), self.requirements(model="unknown"))[0])
 
@@ -202,31 +202,31 @@
         self.assertEqual([0, 1, 2], order)
         self.assertEqual(0, len(pending))
 
-    def test_patience_ends_long_before_the_deadline_with_a_time_to_come_back(self):
+    def test_a_request_expires_long_before_its_deadline_with_a_retry_time(self):
         pending = self.pending()
-        waiting, log = self.add(pending, self.requirements())
-        self.assertTrue(waiting.expires_at < 2.4)
-        pending.dispatch(lambda requirements: NoServerReason.NOT_RESIDENT, waiting.expires_at)
+        request, log = self.add(pending, self.requirements())
+        self.assertTrue(request.expires_at < 2.4)
+        pending.dispatch(lambda requirements: NoServerReason.NOT_RESIDENT, request.expires_at)
         self.assertEqual(NoServerReason.NOT_RESIDENT, log[0][0])
         self.assertTrue(log[0][1] > 0.1)
 
-    def test_a_wait_for_an_adapter_is_short_and_is_not_taken_for_one_for_a_model(self):
+    def test_a_wait_for_an_adapter_is_short_and_differs_from_one_for_a_model(self):
         soon = self.requirements(deadline_at=1.0)
         self.assertIsNone(self.add(self.pending(), soon)[0])
-        waiting, _ = self.add(self.pending(), soon, NoServerReason.NO_ADAPTER)
-        self.assertEqual(0.6, waiting.expires_at)
+        request, _ = self.add(self.pending(), soon, NoServerReason.NO_ADAPTER)
+        self.assertEqual(0.6, request.expires_at)
         self.assertLess(self.pending().retry_after_s(NoServerReason.NO_ADAPTER, soon), 0.5)
 
-    def test_waits_that_ended_soon_make_others_worth_it(self):
+    def test_waits_that_ended_soon_let_others_wait(self):
         pending = self.pending()
-        hopeless = self.requirements(deadline_at=1.0)
-        self.assertIsNone(self.add(pending, hopeless)[0])
+        urgent = self.requirements(deadline_at=1.0)
+        self.assertIsNone(self.add(pending, urgent)[0])
         self.add(pending, self.requirements())
         pending.dispatch(lambda requirements: ServerChoice(None, 0), 0.3)
-        self.assertIsNotNone(self.add(pending, hopeless)[0])
-        self.assertAlmostEqual(0.3, pending.retry_after_s(NoServerReason.NOT_RESIDENT, hopeless))
+        self.assertIsNotNone(self.add(pending, urgent)[0])
+        self.assertAlmostEqual(0.3, pending.retry_after_s(NoServerReason.NOT_RESIDENT, urgent))
 
-    def test_only_the_first_that_waits_tells_how_long_a_load_takes(self):
+    def test_only_the_first_pending_request_measures_a_load(self):
         pending = self.pending()
         self.add(pending, self.requirements())
         pending.add(
@@ -249,7 +249,7 @@
         self.assertEqual(0.5, waits.estimate_s("p", NoServerReason.NOT_RESIDENT, 0.5))
         self.assertEqual(9.0, waits.estimate_s("q", NoServerReason.NOT_RESIDENT, 9.0))
 
-    def test_a_stopping_node_empties_the_room(self):
+    def test_a_draining_node_empties_the_queue(self):
         pending = self.pending()
         self.add(pending, self.requirements())
         self.assertEqual(1, len(pending.remove_all()))
--- a/tests/dataplane/forwarding/test_request_machine.py
+++ b/tests/dataplane/forwarding/test_request_machine.py
@@ -1,4 +1,4 @@
-"""What may be repeated, refused or cut, whatever servers do."""
+"""What may be retried, refused or aborted, whatever servers do."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 class OrdinaryTest(testtools.TestCase):
-    def test_an_answer_is_passed_on_and_closed_whole(self):
+    def test_a_response_is_relayed_and_ends_complete(self):
         machine = sent()
         self.assertEqual([RelayHead()], machine.handle(HeadReceived(200, OK, False)))
         self.assertEqual([RelayContent(b"x")], machine.handle(ContentReceived(b"x")))
@@ -68,10 +68,10 @@
         )
         self.assertEqual([], machine.handle(DeadlineExpired()))
 
-    def test_a_failure_of_the_servers_own_is_passed_on(self):
+    def test_a_failure_of_the_servers_own_is_relayed(self):
         self.assertEqual([RelayHead()], sent().handle(HeadReceived(500, OK, False)))
 
-    def test_nothing_follows_a_caller_that_left(self):
+    def test_nothing_follows_a_caller_that_disconnected(self):
         machine = sent()
         effects = machine.handle(CallerDisconnected())
         self.assertEqual([CancelExchange(), ReleaseServer()], effects[:2])
@@ -84,7 +84,7 @@
         effects = sent(attempts=3).handle(ResponseBroken("reset"))
         self.assertEqual(([502], [RequestOutcome.UNKNOWN]), (statuses(effects), kinds(effects)))
 
-    def test_a_promising_status_without_proof_is_not_passed_on(self):
+    def test_a_retryable_status_without_proof_is_not_relayed(self):
         for status in (408, 421, 429, 503):
             effects = sent(attempts=3).handle(HeadReceived(status, OK, False))
             self.assertEqual(([502], [RequestOutcome.UNKNOWN]), (statuses(effects), kinds(effects)))
@@ -96,13 +96,13 @@
         self.assertEqual(SelectServer(frozenset({"s1"}), True), effects[-1])
         self.assertIn(ReleaseServer(refused=True), effects)
 
-    def test_the_last_attempt_that_was_refused_is_a_refusal_with_a_time(self):
+    def test_the_last_attempt_that_was_refused_is_a_refusal_with_a_retry_time(self):
         effects = sent(attempts=1).handle(HeadReceived(503, NEVER_RAN, False))
         self.assertEqual(([503], [RequestOutcome.REFUSED]), (statuses(effects), kinds(effects)))
-        answer = next(each for each in effects if isinstance(each, LocalReply))
-        self.assertIsNotNone(answer.retry_after_s)
+        reply = next(each for each in effects if isinstance(each, LocalReply))
+        self.assertIsNotNone(reply.retry_after_s)
 
-    def test_a_misdirected_send_is_no_attempt_but_there_is_an_end(self):
+    def test_a_misdirected_send_is_no_attempt_but_they_are_bounded(self):
         machine = sent(attempts=1)
         for _ in range(MAX_UNCOUNTED_SENDS):
             effects = machine.handle(HeadReceived(421, MISDIRECTED, False))
@@ -124,16 +124,16 @@
             [ReleaseServer(unreachable=True), SelectServer(frozenset({"s1"}), False)], effects
         )
 
-    def test_the_time_over_while_it_runs_is_unknown(self):
+    def test_a_deadline_while_it_runs_is_unknown(self):
         effects = sent().handle(DeadlineExpired())
         self.assertEqual(([504], [RequestOutcome.UNKNOWN]), (statuses(effects), kinds(effects)))
 
-    def test_the_time_over_before_it_left_is_a_refusal(self):
+    def test_a_deadline_before_it_was_sent_is_a_refusal(self):
         effects = begun().handle(DeadlineExpired())
         self.assertEqual(CancelSelection(), effects[0])
         self.assertEqual(([503], [RequestOutcome.REFUSED]), (statuses(effects), kinds(effects)))
 
-    def test_a_refusal_carries_the_time_to_come_back(self):
+    def test_a_refusal_carries_the_retry_time(self):
         effects = begun().handle(NoServerFound(NoServerReason.NOT_RESIDENT, 1.2))
         self.assertEqual(LocalReply(503, "not-resident", 1.2), effects[0])
 
@@ -165,13 +165,13 @@
         machine.handle(ContentReceived(b"id: 3\n\n", "3"))
         return machine
 
-    def test_a_broken_stream_is_cut(self):
+    def test_a_broken_stream_is_aborted(self):
         effects = self.streaming(attempts=2).handle(ResponseBroken("reset"))
         self.assertIn(AbortResponse(), effects)
         self.assertNotIn(EndResponse(), effects)
         self.assertEqual([RequestOutcome.INTERRUPTED], kinds(effects))
 
-    def test_a_resumable_stream_goes_on_after_its_last_event(self):
+    def test_a_resumable_stream_is_resumed_after_its_last_event(self):
         machine = self.streaming(resumable=True, attempts=2)
         machine.handle(ResponseBroken("reset"))
         self.assertEqual([SendRequest("s2", "3")], machine.handle(ServerFound("s2")))
@@ -180,7 +180,7 @@
             [RelayContent(b"id: 4\n\n")], machine.handle(ContentReceived(b"id: 4\n\n", "4"))
         )
 
-    def test_a_stream_that_cannot_go_on_is_cut(self):
+    def test_a_stream_that_cannot_be_resumed_is_aborted(self):
         machine = self.streaming(resumable=True, attempts=2)
         machine.handle(ResponseBroken("reset"))
         for effects in (
--- a/tests/dataplane/forwarding/test_service.py
+++ b/tests/dataplane/forwarding/test_service.py
@@ -1,4 +1,4 @@
-"""A node's forwarding service: held requests, answers of its own, stopping."""
+"""A node's forwarding service: deferred requests, local replies, draining."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 class Client:
-    """Takes what leaves for servers; the test plays the server."""
+    """Records what is sent to servers; the test plays the server."""
 
     def __init__(self):
         self.sent = []
@@ -156,7 +156,7 @@
 
         run(scenario)
 
-    def test_a_stream_goes_on_at_another_server_by_whole_events(self):
+    def test_a_stream_is_resumed_at_another_server_by_complete_events(self):
         async def scenario():
             node = Node()
             _, sink = node.ask("/stream/x")
@@ -179,7 +179,7 @@
 
         run(scenario)
 
-    def test_a_caller_that_leaves_ends_the_exchange(self):
+    def test_a_caller_that_disconnects_ends_the_exchange(self):
         async def scenario():
             node = Node()
             handle, sink = node.ask()
@@ -205,7 +205,7 @@
 
 
 class UnknownTest(testtools.TestCase):
-    def test_a_started_node_holds_requests_until_it_knows_what_is_in_force(self):
+    def test_a_started_node_defers_requests_until_it_is_configured(self):
         async def scenario():
             node = Node(known=False)
             _, sink = node.ask()
@@ -215,7 +215,7 @@
 
         run(scenario)
 
-    def test_a_held_request_that_is_given_up_never_runs(self):
+    def test_a_deferred_request_that_is_given_up_never_runs(self):
         async def scenario():
             node = Node(known=False)
             handle, sink = node.ask()
@@ -226,7 +226,7 @@
 
         run(scenario)
 
-    def test_a_held_caller_that_left_is_forgotten(self):
+    def test_a_deferred_caller_that_disconnected_is_forgotten(self):
         async def scenario():
             node = Node(known=False)
             handle, _ = node.ask()
@@ -238,7 +238,7 @@
 
 
 class StoppingTest(testtools.TestCase):
-    def test_a_stopping_node_begins_nothing_it_cannot_end(self):
+    def test_a_draining_node_begins_nothing_it_cannot_end(self):
         async def scenario():
             node = Node()
             node.service.start_draining()
@@ -254,7 +254,7 @@
 
         run(scenario)
 
-    def test_what_waits_at_the_end_is_refused(self):
+    def test_pending_requests_are_refused_at_the_end(self):
         async def scenario():
             node = Node(known=False)
             _, sink = node.ask()
