--- a/src/zincvale/dataplane/inference/routing_state.py
+++ b/src/zincvale/dataplane/inference/routing_state.py
@@ -10,7 +10,7 @@
 import xxhash
 
 from zincvale.dataplane.resilience.limits import AdaptiveConcurrency, AdaptiveRate, RetryBudget
-from zincvale.dataplane.resilience.outlier_detection import FailureDetector, slow_start_part
+from zincvale.dataplane.resilience.outlier_detection import OutlierDetector, slow_start_factor
 from zincvale.dataplane.resilience.throughput import ThroughputMeter
 from zincvale.model.identifiers import MemberId, PoolName, RouteName, ServerId, ZoneName
 from zincvale.model.resources import PoolSpec, RouteSpec
@@ -57,7 +57,7 @@
     row: ServerRow
     concurrency: AdaptiveConcurrency
     rate: AdaptiveRate
-    failures: FailureDetector = attrs.field(factory=FailureDetector)
+    failures: OutlierDetector = attrs.field(factory=OutlierDetector)
     outstanding: int = 0
     outstanding_tokens: int = 0
     latency_s: float = 0.0
@@ -113,7 +113,7 @@
         limit = self.concurrency.limit
         if self.ready_since == UNKNOWN_READY_SINCE:
             return limit
-        part = slow_start_part(now - self.ready_since)
+        part = slow_start_factor(now - self.ready_since)
         if self.row.health is ServerHealth.COLD and self.row.max_running:
             # What a cold server says it takes follows its ramp already.
             part = 1.0
@@ -209,7 +209,7 @@
         came_back = row.incarnation != state.row.incarnation
         recovered = state.row.health is ServerHealth.DOWN and row.health is not ServerHealth.DOWN
         if came_back or recovered:
-            state.failures = FailureDetector()
+            state.failures = OutlierDetector()
             state.ready_since = now
             state.paused_until = -math.inf
         elif row.health is ServerHealth.COLD and not state.row.models:
--- a/src/zincvale/dataplane/inference/scheduler.py
+++ b/src/zincvale/dataplane/inference/scheduler.py
@@ -22,8 +22,8 @@
     ExchangeEnd,
     ExchangeReport,
     HealthChange,
-    note_dispatch,
-    note_end,
+    record_dispatch,
+    record_exchange_end,
 )
 from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import PoolName, RouteName
@@ -127,7 +127,7 @@
         self, request: CallerRequest, server: ServerState, report: ExchangeReport
     ) -> tuple[HealthChange, list[Verdict]]:
         """Free the server's place; returns its change and the verdicts of those who waited."""
-        change = note_end(server, report)
+        change = record_exchange_end(server, report)
         if report.end is ExchangeEnd.ANSWERED:
             self.rules.learn_service(request.route, report.deadline_covers_s)
         question = request.question
@@ -185,7 +185,7 @@
     def _placed(
         self, waiting: WaitingRequest, pool: PoolState, choice: Choice, now: float
     ) -> Placed:
-        note_dispatch(choice.server, work_tokens(waiting.request, pool.spec.kind), now)
+        record_dispatch(choice.server, work_tokens(waiting.request, pool.spec.kind), now)
         if pool.spec.kind is PoolKind.LANGUAGE_MODEL:
             server = choice.server.row.server
             self.demand.on_dispatched(_demand_key(waiting.request, pool), server)
--- a/src/zincvale/dataplane/inference/server_side.py
+++ b/src/zincvale/dataplane/inference/server_side.py
@@ -170,7 +170,7 @@
     def _note_mismatch(self) -> None:
         self.context.metrics.mismatches.inc()
         self.context.log(
-            log_events.ANSWER_MISMATCHED,
+            log_events.RESPONSE_MISMATCHED,
             server="" if self.server is None else self.server.row.server,
             request_id=self.machine.request.request_id,
         )
--- a/src/zincvale/dataplane/policies/filters.py
+++ b/src/zincvale/dataplane/policies/filters.py
@@ -9,9 +9,9 @@
 from zincvale.model.resources import Stake
 from zincvale.model.view import ServerHealth
 
-HIGH_STAKE_MEMORY_S = 30.0
+HIGH_STAKE_RESERVATION_S = 30.0
 """Room is kept for high-stakes work for so long after it was last seen in the pool."""
-PART_BY_STAKE = {Stake.LOW: 0.7, Stake.NORMAL: 0.9, Stake.HIGH: 1.0}
+LIMIT_FRACTION_BY_STAKE = {Stake.LOW: 0.7, Stake.NORMAL: 0.9, Stake.HIGH: 1.0}
 
 
 class ZoneFilter(Filter):
@@ -104,8 +104,8 @@
         if query.now < server.backing_off_until and query.route.stake is not Stake.HIGH:
             return "backing off after a refusal"
         limit = server.concurrency_limit(query.now)
-        if query.now - query.pool.high_stake_seen_at < HIGH_STAKE_MEMORY_S:
-            limit = math.ceil(limit * PART_BY_STAKE[query.route.stake])
+        if query.now - query.pool.high_stake_seen_at < HIGH_STAKE_RESERVATION_S:
+            limit = math.ceil(limit * LIMIT_FRACTION_BY_STAKE[query.route.stake])
         if server.outstanding + 1 > limit:
             return "concurrency limit"
         if server.rate.wait_s(query.now) > 0.0:
--- a/src/zincvale/dataplane/policies/prefix_affinity.py
+++ b/src/zincvale/dataplane/policies/prefix_affinity.py
@@ -19,7 +19,7 @@
 
 BLOCK_CHARACTERS = 256
 MAX_BLOCKS = 64
-REMEMBERED_BLOCKS = 50_000
+MAX_REMEMBERED_BLOCKS = 50_000
 LOAD_BOUND = 1.25
 LOAD_ALLOWANCE_TOKENS = 512.0
 """Bounded load: a nominee may have this factor times the average work, plus this allowance."""
@@ -45,7 +45,7 @@
             server = by_name.get(self._server_by_block.get(key, ServerId("")))
             if server is not None and server.outstanding_tokens <= bound:
                 return server
-        return self._home(keys[0], servers, bound)
+        return self._rendezvous_server(keys[0], servers, bound)
 
     def cost(self, query: Query, server: ServerState) -> float:
         """Return minus the tokens of the longest prefix remembered for this server."""
@@ -62,10 +62,12 @@
         for key in self._keys(query.question):
             table[key] = server.row.server
             table.move_to_end(key)
-        while len(table) > REMEMBERED_BLOCKS:
+        while len(table) > MAX_REMEMBERED_BLOCKS:
             table.popitem(last=False)
 
-    def _home(self, key: int, servers: list[ServerState], bound: float) -> ServerState | None:
+    def _rendezvous_server(
+        self, key: int, servers: list[ServerState], bound: float
+    ) -> ServerState | None:
         best: ServerState | None = None
         best_weight = -1
         for server in servers:
--- a/src/zincvale/dataplane/policies/registry.py
+++ b/src/zincvale/dataplane/policies/registry.py
@@ -75,13 +75,13 @@
 
 def policy_names_of(kind: PoolKind, declared: list[str]) -> list[str]:
     """Return the whole chain of a pool: mandatory filters around the declared or default ones."""
-    wanted = list(declared) or list(DEFAULT_SCORERS[kind])
-    first = [name for name in ALWAYS_FIRST if name != "residency" or _holds_models(kind)]
-    middle = [name for name in wanted if name not in ALWAYS_FIRST and name not in ALWAYS_LAST]
+    names = list(declared) or list(DEFAULT_SCORERS[kind])
+    first = [name for name in ALWAYS_FIRST if name != "residency" or _has_models(kind)]
+    middle = [name for name in names if name not in ALWAYS_FIRST and name not in ALWAYS_LAST]
     return [*first, *middle, *ALWAYS_LAST]
 
 
-def _holds_models(kind: PoolKind) -> bool:
+def _has_models(kind: PoolKind) -> bool:
     return kind is PoolKind.LANGUAGE_MODEL
 
 
--- a/src/zincvale/dataplane/policies/scorers.py
+++ b/src/zincvale/dataplane/policies/scorers.py
@@ -4,7 +4,7 @@
 
 from zincvale.dataplane.inference.routing_state import UNKNOWN_READY_SINCE, ServerState
 from zincvale.dataplane.policies.base import Query, Scorer
-from zincvale.dataplane.resilience.outlier_detection import slow_start_part
+from zincvale.dataplane.resilience.outlier_detection import slow_start_factor
 
 OTHER_ZONE_COST_TOKENS = 32.0
 """Going to another zone is worth this much waiting work."""
@@ -44,8 +44,8 @@
         """Return the outstanding work scaled up by the part of warm-up still missing."""
         if server.ready_since == UNKNOWN_READY_SINCE:
             return 0.0
-        part = slow_start_part(query.now - server.ready_since)
-        if part >= 1.0:
+        factor = slow_start_factor(query.now - server.ready_since)
+        if factor >= 1.0:
             return 0.0
         work = server.outstanding_tokens + QUEUED_REQUEST_TOKENS
-        return work * (1.0 / part - 1.0)
+        return work * (1.0 / factor - 1.0)
--- a/src/zincvale/dataplane/resilience/exchange_evidence.py
+++ b/src/zincvale/dataplane/resilience/exchange_evidence.py
@@ -9,7 +9,7 @@
 from zincvale.dataplane.inference.routing_state import ServerState
 
 AMPLE_TIME_FACTOR = 3.0
-LEAST_AMPLE_S = 0.5
+MIN_AMPLE_S = 0.5
 """A timeout counts as a failure when the server had this factor times its usual latency."""
 
 
@@ -70,7 +70,7 @@
     READMITTED = "readmitted"
 
 
-def note_dispatch(server: ServerState, work_tokens: int, now: float) -> None:
+def record_dispatch(server: ServerState, work_tokens: int, now: float) -> None:
     """Count a request that leaves for `server` now."""
     server.outstanding += 1
     server.outstanding_tokens += work_tokens
@@ -78,7 +78,7 @@
     server.failures.on_dispatched(now)
 
 
-def note_end(server: ServerState, report: ExchangeReport) -> HealthChange:
+def record_exchange_end(server: ServerState, report: ExchangeReport) -> HealthChange:
     """Take back the outstanding work and learn from how the exchange ended."""
     outstanding = server.outstanding
     server.outstanding = max(0, outstanding - 1)
@@ -97,7 +97,7 @@
         case ExchangeEnd.FAILED:
             return _failed(server, now)
         case ExchangeEnd.TIMED_OUT:
-            if report.duration_s > AMPLE_TIME_FACTOR * max(LEAST_AMPLE_S, server.latency_s):
+            if report.duration_s > AMPLE_TIME_FACTOR * max(MIN_AMPLE_S, server.latency_s):
                 return _failed(server, now)
             server.failures.on_abandoned()
             return HealthChange.NONE
--- a/src/zincvale/dataplane/resilience/limits.py
+++ b/src/zincvale/dataplane/resilience/limits.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-LOWEST_CONCURRENCY = 1.0
+MIN_CONCURRENCY = 1.0
 OVERLOAD_DECREASE = 0.8
 LATENCY_DECREASE = 0.95
 DECREASE_INTERVAL_S = 0.2
@@ -43,11 +43,11 @@
 
     def __attrs_post_init__(self) -> None:
         if self.limit <= 0.0:
-            self.limit = max(LOWEST_CONCURRENCY, self.ceiling / 2)
+            self.limit = max(MIN_CONCURRENCY, self.ceiling / 2)
 
     def set_ceiling(self, ceiling: float) -> None:
         """Apply a changed configuration."""
-        self.ceiling = max(LOWEST_CONCURRENCY, ceiling)
+        self.ceiling = max(MIN_CONCURRENCY, ceiling)
         self.limit = min(self.limit, self.ceiling)
 
     def on_answered(self, unit_latency_s: float, outstanding: int, now: float) -> None:
@@ -77,15 +77,15 @@
         if now - self._decreased_at < DECREASE_INTERVAL_S:
             return
         self._decreased_at = now
-        self.limit = max(LOWEST_CONCURRENCY, self.limit * factor)
+        self.limit = max(MIN_CONCURRENCY, self.limit * factor)
 
 
 RATE_DECREASE = 0.8
-RATE_INCREASE_PART = 0.2
+RATE_INCREASE_FRACTION = 0.2
 """Part of the ceiling that an answer adds: nodes are not equally busy, and a refusal costs little,
 so a node only keeps to its share while the server really refuses."""
 BURST_REQUESTS = 2.0
-LOWEST_RATE_PER_S = 0.2
+MIN_RATE_PER_S = 0.2
 RATE_WINDOW_WEIGHT = 0.2
 
 
@@ -141,7 +141,7 @@
     def on_answered(self) -> None:
         """Grow after an answer."""
         if not math.isinf(self.rate_per_s):
-            step = RATE_INCREASE_PART * self._growth_base()
+            step = RATE_INCREASE_FRACTION * self._growth_base()
             self.rate_per_s = min(self.ceiling_per_s, self.rate_per_s + step)
 
     def on_refused(self, now: float) -> None:
@@ -152,7 +152,7 @@
         if math.isinf(self.rate_per_s):
             self.rate_per_s = 1.0 / max(self._interval_s, 1e-4)
             self._refilled_at = now
-        lowest = max(LOWEST_RATE_PER_S, self._lowest_share())
+        lowest = max(MIN_RATE_PER_S, self._min_share())
         self.rate_per_s = max(lowest, self.rate_per_s * RATE_DECREASE)
         self._tokens = min(self._tokens, 0.0)
 
@@ -162,7 +162,7 @@
     def _fair_share(self) -> float:
         return self.ceiling_per_s / self.nodes
 
-    def _lowest_share(self) -> float:
+    def _min_share(self) -> float:
         return 0.0 if math.isinf(self.ceiling_per_s) else self._fair_share() / 2
 
     def _refill(self, now: float) -> None:
@@ -171,7 +171,7 @@
         self._refilled_at = now
 
 
-RETRY_PART = 0.2
+RETRY_RATIO = 0.2
 RETRY_RESERVE = 10.0
 
 
@@ -179,13 +179,13 @@
 class RetryBudget:
     """Retries are a bounded part of the requests, with a small reserve for quiet times."""
 
-    part: float = RETRY_PART
+    ratio: float = RETRY_RATIO
     reserve: float = RETRY_RESERVE
     _balance: float = RETRY_RESERVE
 
     def on_request(self) -> None:
         """Earn a part of a retry."""
-        self._balance = min(self.reserve, self._balance + self.part)
+        self._balance = min(self.reserve, self._balance + self.ratio)
 
     def take(self) -> bool:
         """Spend one retry; False when the budget is used up."""
--- a/src/zincvale/dataplane/resilience/outlier_detection.py
+++ b/src/zincvale/dataplane/resilience/outlier_detection.py
@@ -7,15 +7,15 @@
 import attrs
 
 CONSECUTIVE_FAILURES_TO_EJECT = 3
-FIRST_EJECTION_S = 1.0
-LONGEST_EJECTION_S = 20.0
+INITIAL_EJECTION_S = 1.0
+MAX_EJECTION_S = 20.0
 SLOW_START_S = 8.0
-SLOW_START_FLOOR = 0.1
+MIN_SLOW_START_FACTOR = 0.1
 FORGET_FAILURES_AFTER_S = 30.0
 
 
 @attrs.define
-class FailureDetector:
+class OutlierDetector:
     """Consecutive failures eject a server for a doubling time; one success readmits it.
 
     When the ejection has run out, a single request probes the server (half-open); a failure of
@@ -64,12 +64,12 @@
             return False
         if not was_probe and now < self.ejected_until:
             return False
-        duration_s = min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2**self.ejections)
+        duration_s = min(MAX_EJECTION_S, INITIAL_EJECTION_S * 2**self.ejections)
         self.ejections += 1
         self.ejected_until = now + duration_s
         return True
 
 
-def slow_start_part(ready_for_s: float) -> float:
+def slow_start_factor(ready_for_s: float) -> float:
     """Return the part of its limit that a server gets after being ready for so long."""
-    return min(1.0, max(SLOW_START_FLOOR, ready_for_s / SLOW_START_S))
+    return min(1.0, max(MIN_SLOW_START_FACTOR, ready_for_s / SLOW_START_S))
--- a/src/zincvale/dataplane/resilience/throughput.py
+++ b/src/zincvale/dataplane/resilience/throughput.py
@@ -8,7 +8,7 @@
 
 BUCKET_S = 0.25
 BUCKETS = 32
-LEAST_BACKLOG_S = 1.0
+MIN_BACKLOG_S = 1.0
 BACKLOG_SERVICE_TIMES = 2.0
 """A measurement counts once requests have waited this long, and this many times the usual service
 time, without a pause."""
@@ -42,7 +42,7 @@
     def bound(self, rate_per_s: float, service_s: float, now: float) -> float:
         """Return the smaller of an estimated rate and the measured one, where that counts."""
         backlogged_s = now - self.backlogged_since
-        if backlogged_s < max(LEAST_BACKLOG_S, service_s * BACKLOG_SERVICE_TIMES):
+        if backlogged_s < max(MIN_BACKLOG_S, service_s * BACKLOG_SERVICE_TIMES):
             return rate_per_s
         self._advance(now)
         window_s = min(BUCKETS * BUCKET_S, backlogged_s)
--- a/tests/dataplane/test_limits.py
+++ b/tests/dataplane/test_limits.py
@@ -12,10 +12,10 @@
     ExchangeEnd,
     ExchangeReport,
     HealthChange,
-    note_end,
+    record_exchange_end,
 )
 from zincvale.dataplane.resilience.limits import AdaptiveConcurrency, AdaptiveRate, RetryBudget
-from zincvale.dataplane.resilience.outlier_detection import FailureDetector
+from zincvale.dataplane.resilience.outlier_detection import OutlierDetector
 from zincvale.dataplane.resilience.throughput import ThroughputMeter
 from zincvale.model.identifiers import MemberId, ZoneName
 from zincvale.model.view import MemberRow, Members, Role
@@ -127,7 +127,7 @@
 
 class FailureDetectorTest(testtools.TestCase):
     def test_three_failures_eject_for_a_doubling_time_with_one_probe_in_between(self):
-        detector = FailureDetector()
+        detector = OutlierDetector()
         self.assertEqual([False, False, True], [detector.on_failure(0.0) for _ in range(3)])
         self.assertTrue(detector.is_ejected(0.9))
         self.assertFalse(detector.is_ejected(1.0))
@@ -145,7 +145,7 @@
         state = made.servers["s1"]
         for duration, counted in ((0.4, 0), (1.6, 1)):
             report = ExchangeReport(ExchangeEnd.TIMED_OUT, 0.0, duration, 8)
-            self.assertIs(HealthChange.NONE, note_end(state, report))
+            self.assertIs(HealthChange.NONE, record_exchange_end(state, report))
             self.assertEqual(counted, state.failures.consecutive)
 
 
@@ -209,7 +209,7 @@
     def test_a_server_that_says_it_is_cold_is_left_alone_and_ramps_up_again(self):
         made = world(server_row("s1"))
         state = made.servers["s1"]
-        note_end(state, ExchangeReport(ExchangeEnd.COLD, 0.0, 5.0, 8))
+        record_exchange_end(state, ExchangeReport(ExchangeEnd.COLD, 0.0, 5.0, 8))
         self.assertEqual((6.0, 1.0), (state.paused_until, state.concurrency_limit(5.0)))
 
     def test_a_server_that_was_down_ramps_up_too(self):
