--- a/src/zincvale/dataplane/demand.py
+++ b/src/zincvale/dataplane/demand.py
@@ -1,4 +1,4 @@
-"""Demand per model and adapter: what placement decides by."""
+"""Demand for each model and adapter, the input of placement."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class DemandKey:
-    """What is wanted."""
+    """A model, or an adapter of it, in a pool."""
 
     pool: PoolName
     model: ModelName
@@ -21,11 +21,11 @@
 
 @attrs.define
 class DemandTable:
-    """Requests and tokens since the last report, and what waits and runs now.
+    """Requests and tokens since the last report, and how many requests wait and run now.
 
     Attributes
     ----------
-    urgent : a request began to wait for a load that nobody waited for at the last report.
+    urgent : a request began to wait for a load that no request waited for at the last report.
     """
 
     urgent: bool = False
@@ -51,7 +51,7 @@
         _add(self._running, (server, key), 1)
 
     def on_ended(self, key: DemandKey, server: ServerId, tokens: int) -> None:
-        """Count a request that stopped running, and what it generated."""
+        """Count a request that stopped running, and the tokens it generated."""
         _add(self._running, (server, key), -1)
         self._tokens[key] += tokens
 
@@ -60,7 +60,7 @@
         return self._waiting[key]
 
     def report(self, node: MemberId, now: float) -> DemandReport:
-        """Return the demand since the last report, most wanted first, and begin anew."""
+        """Return the demand since the last report, most requested first, and start a new window."""
         keys = {*self._requests, *self._waiting, *self._tokens}
         ordered = sorted(keys, key=lambda key: (-self._requests[key], key.model, key.adapter or ""))
         rows = [
@@ -93,7 +93,7 @@
 
 
 def _add(counter: Counter, key: object, change: int) -> None:
-    """Change a count; keys that reach zero are forgotten."""
+    """Change a count; keys that reach zero are removed."""
     counter[key] += change
     if counter[key] <= 0:
         del counter[key]
--- a/src/zincvale/dataplane/http/event_reader.py
+++ b/src/zincvale/dataplane/http/event_reader.py
@@ -1,10 +1,13 @@
-"""Incremental reader of server-sent event streams (`text/event-stream`)."""
+"""Incremental parser of server-sent event streams (`text/event-stream`, WHATWG HTML 9.2).
+
+`forwarding.event_splitter` splits such streams without parsing them, where the reason is given."""
 
 from __future__ import annotations
 
 import attrs
 
 MAX_EVENT_BYTES = 1024 * 1024
+"""Bounds the memory of a stream whose server never ends an event."""
 
 
 class EventTooLargeError(Exception):
@@ -13,7 +16,7 @@
 
 @attrs.frozen
 class ServerSentEvent:
-    """One event; `name` is empty for plain pieces, `number` None without an id."""
+    """One event; `name` is empty for plain chunks, `number` None without a numeric id."""
 
     name: str
     number: int | None
@@ -22,17 +25,17 @@
 
 @attrs.define
 class EventReader:
-    """Turns bytes into events; an event counts only with its closing empty line."""
+    """Parses bytes into events; an event is complete with its closing empty line."""
 
-    _rest: bytes = b""
+    _partial: bytes = b""
 
     def feed(self, data: bytes) -> list[ServerSentEvent]:
-        """Return the events completed by `data`."""
-        text = self._rest + data if self._rest else data
+        """Return the events completed by `data`; raises `EventTooLargeError`."""
+        text = self._partial + data if self._partial else data
         if b"\r" in text:
             text = text.replace(b"\r\n", b"\n")
-        *blocks, self._rest = text.split(b"\n\n")
-        if len(self._rest) > MAX_EVENT_BYTES:
+        *blocks, self._partial = text.split(b"\n\n")
+        if len(self._partial) > MAX_EVENT_BYTES:
             raise EventTooLargeError
         return [_read_block(block) for block in blocks if block]
 
--- a/src/zincvale/dataplane/http/handlers.py
+++ b/src/zincvale/dataplane/http/handlers.py
@@ -1,4 +1,4 @@
-"""What the platform and operators ask of a node's `api_address` besides callers' requests."""
+"""Handlers of readiness, health and metrics on a node's `api_address`."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ReadyHandler(tornado.web.RequestHandler):
-    """`GET /ready`: whether the platform may hand callers to this node."""
+    """`GET /ready`: whether the platform may send callers to this node."""
 
     def initialize(self, entry: RequestEntry) -> None:
-        """Take what the node's requests share."""
+        """Set the node's ingress, which knows its readiness and metrics."""
         self._entry = entry
 
     def get(self) -> None:
-        """Answer 200 or 503 with the reason."""
+        """Respond with 200, or with 503 and the reason."""
         problem = self._entry.unready_reason()
         if problem:
             self.set_status(SERVICE_UNAVAILABLE)
@@ -29,7 +29,7 @@
     """`GET /healthz`: the process is alive."""
 
     def get(self) -> None:
-        """Answer 200."""
+        """Respond with 200."""
         self.finish({"alive": True})
 
 
@@ -37,10 +37,10 @@
     """`GET /metrics`: Prometheus exposition."""
 
     def initialize(self, entry: RequestEntry) -> None:
-        """Take what the node's requests share."""
+        """Set the node's ingress, which knows its readiness and metrics."""
         self._entry = entry
 
     def get(self) -> None:
-        """Answer the exposition text."""
+        """Respond with the exposition text."""
         self.set_header("Content-Type", METRICS_TYPE)
         self.finish(self._entry.exposition())
--- a/src/zincvale/dataplane/messages.py
+++ b/src/zincvale/dataplane/messages.py
@@ -9,9 +9,10 @@
 
 @attrs.frozen
 class ModelDemand:
-    """What callers wanted of one model (and adapter, empty for none) since the last report.
+    """Requests for one model (and adapter, empty for none) since the last report.
 
-    `waiting` counts requests that are held now because no server holds it; `tokens` were generated.
+    `waiting` counts requests that are pending now because it is resident nowhere; `tokens` were
+    generated. The order and types of fields are the wire format.
     """
 
     pool: str
@@ -35,11 +36,11 @@
 @peer_message("dataplane.demand")
 @attrs.frozen
 class DemandReport:
-    """Demand that one node saw in `window_s`, for the placement leader."""
+    """Demand that one node measured in `window_s`, for the placement leader."""
 
     node: str
     window_s: float
     rows: list[ModelDemand]
     use: list[ModelUse]
     unreachable: list[str] = attrs.field(factory=list)
-    """Servers that this node could not reach, or that broke off, since its last report."""
+    """Servers that this node could not reach, or whose exchanges broke, since its last report."""
--- a/src/zincvale/dataplane/metrics.py
+++ b/src/zincvale/dataplane/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of the request path."""
+"""Prometheus metrics of the native request path. Names and help texts are public."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 class Metrics:
     """All metrics of one node, in a registry of their own.
 
-    Children of labelled metrics are kept: looking them up costs more than counting.
+    Children of labelled metrics are cached: looking them up costs more than counting.
     """
 
     def __init__(self) -> None:
@@ -70,11 +70,11 @@
         latency.observe(seconds)
 
     def first_piece(self, route: RouteName, seconds: float) -> None:
-        """Observe the time to a stream's first piece."""
+        """Observe the time to a stream's first chunk."""
         self._first_piece.labels(route).observe(seconds)
 
     def retry(self, route: RouteName) -> None:
-        """Count a request that is sent again."""
+        """Count a retry."""
         self._retries.labels(route).inc()
 
     def ejected(self, server: str) -> None:
--- a/src/zincvale/dataplane/policies/base.py
+++ b/src/zincvale/dataplane/policies/base.py
@@ -1,4 +1,9 @@
-"""The one interface of routing policies.
+"""The public interface of routing policies (docs/write-a-policy.md).
+
+This module and its names are used by third parties and do not change. `forwarding.policies` has an
+interface of its own; they are not merged, since a filter here gives a text for traces and a scorer
+prices one server of a sample and may nominate one, while forwarding prices all servers at once and
+reads other tables.
 
 A `Filter` says which servers a request must not go to, a `Scorer` what sending it there costs.
 Costs of all scorers are added up; the unit is tokens of work, so that a scorer states how much
@@ -19,14 +24,14 @@
 
 
 class Blocked(enum.Enum):
-    """Why no server is left: what a request that finds none should do."""
+    """Why no server is left: what a request without a server does."""
 
     NO_SERVER = "no-server"
-    """None is in service; wait a moment for one."""
+    """No server is in service; the request waits a moment for one."""
     NOT_RESIDENT = "not-resident"
-    """None holds the model or adapter; wait until it is loaded."""
+    """No server has the model or adapter resident; the request waits for its load."""
     BUSY = "busy"
-    """All that could are at their limits; wait in the queue."""
+    """All suitable servers are at their limits; the request waits in the queue."""
 
 
 @attrs.frozen
@@ -43,12 +48,12 @@
 
     @property
     def question(self) -> Question:
-        """What the request asks."""
+        """The inference request."""
         return self.request.question
 
     @property
     def stake(self) -> Stake:
-        """The stake of the route."""
+        """The declared priority (stake) of the route."""
         return self.route.stake
 
 
@@ -59,7 +64,7 @@
 
 
 class Filter(Policy):
-    """Leaves servers out.
+    """Excludes servers.
 
     Attributes
     ----------
@@ -72,7 +77,7 @@
     soft: ClassVar[bool] = False
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Return why the server is left out, None to keep it."""
+        """Return why the server is excluded, None to accept it."""
         raise NotImplementedError
 
 
@@ -92,4 +97,4 @@
         raise NotImplementedError
 
     def on_chosen(self, query: Query, server: ServerState) -> None:
-        """Note that the request goes to this server."""
+        """Update the scorer's state: the request is sent to this server."""
--- a/src/zincvale/dataplane/policies/baselines.py
+++ b/src/zincvale/dataplane/policies/baselines.py
@@ -1,6 +1,6 @@
-"""Plain balancing policies, to compare with: round robin, random and least connections.
+"""Baseline policies to compare with: round robin, random and least connections.
 
-Each decides alone: it nominates one server and makes every other dearer.
+Each decides alone: it nominates one server and gives every other a prohibitive cost.
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 from zincvale.dataplane.policies.base import Query, Scorer
 
 NOT_NOMINATED_COST_TOKENS = 1e9
+"""Must exceed the sum of all other scorers' costs."""
 
 
 class NominatingScorer(Scorer):
@@ -18,7 +19,7 @@
         self._nominee: ServerState | None = None
 
     def nominate(self, query: Query, servers: list[ServerState]) -> ServerState | None:
-        """Return the one server that this policy wants."""
+        """Return the one server that this policy chooses."""
         self._nominee = self.pick(query, servers)
         return self._nominee
 
@@ -32,7 +33,7 @@
 
 
 class RoundRobinScorer(NominatingScorer):
-    """Takes the servers in turn."""
+    """Chooses the servers in turn."""
 
     name = "round-robin"
 
@@ -48,7 +49,7 @@
 
 
 class LeastConnectionsScorer(NominatingScorer):
-    """Takes the server with the fewest requests of this node."""
+    """Chooses the server with the fewest requests of this node."""
 
     name = "least-connections"
 
@@ -65,7 +66,7 @@
 
 
 class RandomScorer(Scorer):
-    """Takes any server: all of the two that were drawn cost the same."""
+    """Chooses at random: the two sampled servers cost the same."""
 
     name = "random"
 
--- a/src/zincvale/dataplane/policies/filters.py
+++ b/src/zincvale/dataplane/policies/filters.py
@@ -1,4 +1,4 @@
-"""Built-in filters."""
+"""Built-in filters. The texts of `reject` appear in traces."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from zincvale.model.view import ServerHealth
 
 HIGH_STAKE_RESERVATION_S = 30.0
-"""Room is kept for high-stakes work for so long after it was last seen in the pool."""
+"""Capacity is reserved for high-stakes requests for so long after one was last seen in the pool."""
 LIMIT_FRACTION_BY_STAKE = {Stake.LOW: 0.7, Stake.NORMAL: 0.9, Stake.HIGH: 1.0}
 
 
 class ZoneFilter(Filter):
-    """Leaves out servers in evacuated zones."""
+    """Excludes servers in evacuated zones."""
 
     name = "zone"
 
@@ -25,47 +25,47 @@
 
 
 class DrainFilter(Filter):
-    """Leaves out servers that are declared drained."""
+    """Excludes servers that are declared drained."""
 
     name = "drain"
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Say so when the server drains."""
+        """Return a text when the server drains."""
         return "drained" if server.drained else None
 
 
 class HealthFilter(Filter):
-    """Leaves out servers that probes call down."""
+    """Excludes servers that probes report as down."""
 
     name = "health"
     soft = True
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Say so when the server is down."""
+        """Return a text when the server is down."""
         return "down" if server.row.health is ServerHealth.DOWN else None
 
 
 class EjectionFilter(Filter):
-    """Leaves out servers that failed this node's own requests."""
+    """Excludes servers that outlier detection ejected on this node."""
 
     name = "ejection"
     soft = True
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Say so while the server is ejected."""
+        """Return a text while the server is ejected."""
         if server.failures.ejections and server.failures.is_ejected(query.now):
             return "ejected after failures"
         return None
 
 
 class ResidencyFilter(Filter):
-    """Keeps servers that hold the model and the adapter."""
+    """Accepts servers that have the model and the adapter resident."""
 
     name = "residency"
     blocked = Blocked.NOT_RESIDENT
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Name what is missing."""
+        """Return what is not resident."""
         question = query.request.question
         if not server.holds(question.model, query.now):
             return "model is not resident"
@@ -75,30 +75,30 @@
 
 
 class ExcludedFilter(Filter):
-    """Leaves out servers that already failed or refused this very request.
+    """Excludes servers that already failed or refused this very request.
 
-    When only such servers are left the request queues, and tries them again a little later.
+    When only such servers are left the request is queued, and tries them again a little later.
     """
 
     name = "excluded"
     blocked = Blocked.BUSY
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Say so when the server was tried."""
+        """Return a text when the server was tried."""
         return "tried before" if server.row.server in query.excluded else None
 
 
 class CapacityFilter(Filter):
-    """Leaves out servers that are at this node's share of their concurrency or rate.
+    """Excludes servers that are at this node's share of their concurrency or rate.
 
-    While high-stakes work is about, lower stakes leave the last part of each limit free for it.
+    While high-stakes requests are present, lower stakes leave the last fraction of each limit free.
     """
 
     name = "capacity"
     blocked = Blocked.BUSY
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Name the limit that is reached."""
+        """Return which limit is reached."""
         if query.now < server.paused_until:
             return "cold or not reached a moment ago"
         if query.now < server.backing_off_until and query.route.stake is not Stake.HIGH:
--- a/src/zincvale/dataplane/policies/prefix_affinity.py
+++ b/src/zincvale/dataplane/policies/prefix_affinity.py
@@ -1,9 +1,9 @@
 """KV prefix affinity: requests that share a prompt prefix go where it is cached.
 
-Two sources tell where that is. What this node sent lately is remembered block by block. For a
-prefix it has not seen, the server is taken by rendezvous hash of the model, adapter and first
-block, so that all nodes choose alike without talking. Either is followed only while the server is
-not much busier than the average (bounded load).
+Two sources say where that is. What this node sent lately is remembered block by block. For a
+prefix it has not seen, the server follows from a rendezvous hash of the model, adapter and first
+block, so that all nodes agree without messages. Either is used only while the server is not much
+busier than the average (consistent hashing with bounded loads).
 """
 
 from __future__ import annotations
@@ -18,8 +18,11 @@
 from zincvale.model.identifiers import ServerId
 
 BLOCK_CHARACTERS = 256
+"""Granularity of shared prefixes; part of the hash input, so all nodes need the same value."""
 MAX_BLOCKS = 64
+"""Longer prompts are compared by their first blocks only; bounds the hashing per request."""
 MAX_REMEMBERED_BLOCKS = 50_000
+"""Bounds the memory of each pool's scorer; the oldest blocks are forgotten."""
 LOAD_BOUND = 1.25
 LOAD_ALLOWANCE_TOKENS = 512.0
 """Bounded load: a nominee may have this factor times the average work, plus this allowance."""
@@ -35,7 +38,7 @@
         self._keys_for: tuple[Question | None, list[int]] = (None, [])
 
     def nominate(self, query: Query, servers: list[ServerState]) -> ServerState | None:
-        """Return the server with the longest remembered prefix, else the prefix's home."""
+        """Return the server with the longest remembered prefix, else the rendezvous server."""
         keys = self._keys(query.question)
         if not keys:
             return None
@@ -88,7 +91,7 @@
 
 
 def prefix_keys(question: Question) -> list[int]:
-    """Return one chained hash for each whole block of the prompt, of model and adapter too."""
+    """Return one chained hash for each complete block of the prompt, of model and adapter too."""
     prompt = question.prompt.encode()
     count = min(MAX_BLOCKS, len(prompt) // BLOCK_CHARACTERS)
     owner = f"{question.model}\0{question.adapter or ''}"
--- a/src/zincvale/dataplane/policies/registry.py
+++ b/src/zincvale/dataplane/policies/registry.py
@@ -1,4 +1,4 @@
-"""Policies by name. `module:Class` names one of a third party."""
+"""Policies by name; `module:Class` names one of a third party."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 }
 
 ALWAYS_FIRST = ("zone", "drain", "health", "residency", "ejection", "excluded")
-"""Filters that every pool has: what operators declared is not for a pool to leave out."""
+"""Filters of every pool: a pool cannot override what operators declared."""
 ALWAYS_LAST = ("capacity",)
 DEFAULT_SCORERS = {
     PoolKind.LANGUAGE_MODEL: (
@@ -74,7 +74,7 @@
 
 
 def policy_names_of(kind: PoolKind, declared: list[str]) -> list[str]:
-    """Return the whole chain of a pool: mandatory filters around the declared or default ones."""
+    """Return the chain of a pool: mandatory filters around the declared or default policies."""
     names = list(declared) or list(DEFAULT_SCORERS[kind])
     first = [name for name in ALWAYS_FIRST if name != "residency" or _has_models(kind)]
     middle = [name for name in names if name not in ALWAYS_FIRST and name not in ALWAYS_LAST]
--- a/src/zincvale/dataplane/policies/scorers.py
+++ b/src/zincvale/dataplane/policies/scorers.py
@@ -7,15 +7,15 @@
 from zincvale.dataplane.resilience.outlier_detection import slow_start_factor
 
 OTHER_ZONE_COST_TOKENS = 32.0
-"""Going to another zone is worth this much waiting work."""
+"""Another zone is used when it saves this much queued work."""
 LOOKUP_WORK_TOKENS = 16
-"""Work that one lookup stands for."""
+"""Work that one lookup counts as."""
 QUEUED_REQUEST_TOKENS = 64.0
-"""Work assumed for each request that the server's own report counts beyond ours."""
+"""Work assumed for each request of other nodes, by the server's own report."""
 
 
 class LeastOutstandingScorer(Scorer):
-    """Prefers the server with the least work under way."""
+    """Prefers the server with the least outstanding work."""
 
     name = "least-outstanding"
 
@@ -36,12 +36,12 @@
 
 
 class SlowStartScorer(Scorer):
-    """Makes servers that have just become ready look busier, less so as they warm up."""
+    """Prices servers in slow start as busier, less so as they ramp up."""
 
     name = "slow-start"
 
     def cost(self, query: Query, server: ServerState) -> float:
-        """Return the outstanding work scaled up by the part of warm-up still missing."""
+        """Return the outstanding work scaled up by the inverse of the slow start factor."""
         if server.ready_since == UNKNOWN_READY_SINCE:
             return 0.0
         factor = slow_start_factor(query.now - server.ready_since)
--- a/src/zincvale/dataplane/resilience/exchange_evidence.py
+++ b/src/zincvale/dataplane/resilience/exchange_evidence.py
@@ -1,4 +1,4 @@
-"""What the end of an exchange tells about its server, applied to the server's local state."""
+"""Applies the end of an exchange to what this node knows of its server."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 AMPLE_TIME_FACTOR = 3.0
 MIN_AMPLE_S = 0.5
-"""A timeout counts as a failure when the server had this factor times its usual latency."""
+"""A timeout counts as a failure when the server had AMPLE_TIME_FACTOR times the larger of its usual
+latency and this. Lower values eject slow but healthy servers."""
 
 
 class ExchangeEnd(enum.Enum):
@@ -23,12 +24,12 @@
     NOT_RESIDENT = "not-resident"
     REFUSED = "refused"
     NOT_CONNECTED = "not-connected"
-    """Nothing was sent: no connection, or none that could be used."""
+    """Nothing was sent: no usable connection."""
     FAILED = "failed"
     TIMED_OUT = "timed-out"
     """The deadline passed; a failure only when the server had ample time."""
     ABANDONED = "abandoned"
-    """The caller ended it; nothing is known of the server."""
+    """The caller ended it; it says nothing about the server."""
 
 
 @attrs.frozen
@@ -39,8 +40,8 @@
     ----------
     work_tokens : the estimated work that was counted as outstanding.
     units : work really done (tokens, or 1 for a lookup); 0 when unknown.
-    missing : the model or adapter a server said it does not hold.
-    first_piece_s : how long a stream's first piece took; 0 for a whole answer.
+    missing : the model or adapter that the server stated is not resident.
+    first_piece_s : how long a stream's first chunk took; 0 for a complete response.
     """
 
     end: ExchangeEnd
@@ -63,7 +64,7 @@
 
 
 class HealthChange(enum.Enum):
-    """What an exchange changed about a server's standing."""
+    """Whether an exchange ejected or readmitted its server."""
 
     NONE = "none"
     EJECTED = "ejected"
@@ -71,7 +72,7 @@
 
 
 def record_dispatch(server: ServerState, work_tokens: int, now: float) -> None:
-    """Count a request that leaves for `server` now."""
+    """Count a request that is sent to `server` now."""
     server.outstanding += 1
     server.outstanding_tokens += work_tokens
     server.rate.take(now)
@@ -79,28 +80,46 @@
 
 
 def record_exchange_end(server: ServerState, report: ExchangeReport) -> HealthChange:
-    """Take back the outstanding work and learn from how the exchange ended."""
+    """Subtract the outstanding work and learn from how the exchange ended."""
     outstanding = server.outstanding
     server.outstanding = max(0, outstanding - 1)
     server.outstanding_tokens = max(0, server.outstanding_tokens - report.work_tokens)
     now = report.ended_at
     match report.end:
         case ExchangeEnd.ANSWERED:
-            server.on_latency(report.duration_s)
-            server.rate.on_answered()
-            unit_latency_s = report.duration_s / max(1, report.units)
-            server.concurrency.on_answered(unit_latency_s, outstanding, now)
-            return _succeeded(server)
+            _learn_from_response(server, report, outstanding)
         case ExchangeEnd.NOT_CONNECTED:
             server.on_not_connected(now)
             return _failed(server, now)
         case ExchangeEnd.FAILED:
             return _failed(server, now)
         case ExchangeEnd.TIMED_OUT:
-            if report.duration_s > AMPLE_TIME_FACTOR * max(MIN_AMPLE_S, server.latency_s):
+            if _had_ample_time(server, report):
                 return _failed(server, now)
-            server.failures.on_abandoned()
-            return HealthChange.NONE
+            return _inconclusive(server)
+        case ExchangeEnd.ABANDONED:
+            return _inconclusive(server)
+        case (
+            ExchangeEnd.OVERLOADED
+            | ExchangeEnd.COLD
+            | ExchangeEnd.RATE_LIMITED
+            | ExchangeEnd.NOT_RESIDENT
+            | ExchangeEnd.REFUSED
+        ):
+            _learn_from_refusal(server, report)
+    return _succeeded(server)
+
+
+def _learn_from_response(server: ServerState, report: ExchangeReport, outstanding: int) -> None:
+    server.on_latency(report.duration_s)
+    server.rate.on_answered()
+    unit_latency_s = report.duration_s / max(1, report.units)
+    server.concurrency.on_answered(unit_latency_s, outstanding, report.ended_at)
+
+
+def _learn_from_refusal(server: ServerState, report: ExchangeReport) -> None:
+    now = report.ended_at
+    match report.end:
         case ExchangeEnd.OVERLOADED:
             server.concurrency.on_overloaded(now)
             server.back_off(now)
@@ -111,12 +130,15 @@
         case ExchangeEnd.NOT_RESIDENT:
             for name in report.missing:
                 server.note_absent(name, now)
-        case ExchangeEnd.ABANDONED:
-            server.failures.on_abandoned()
-            return HealthChange.NONE
-        case ExchangeEnd.REFUSED:
-            pass
-    return _succeeded(server)
+
+
+def _had_ample_time(server: ServerState, report: ExchangeReport) -> bool:
+    return report.duration_s > AMPLE_TIME_FACTOR * max(MIN_AMPLE_S, server.latency_s)
+
+
+def _inconclusive(server: ServerState) -> HealthChange:
+    server.failures.on_abandoned()
+    return HealthChange.NONE
 
 
 def _failed(server: ServerState, now: float) -> HealthChange:
--- a/src/zincvale/dataplane/resilience/limits.py
+++ b/src/zincvale/dataplane/resilience/limits.py
@@ -1,7 +1,7 @@
-"""Limits that learn: concurrency and rate per server, and a budget for retries.
+"""Adaptive limits of concurrency and rate for each server, and a budget for retries.
 
-All are pure; the time is passed in. Several nodes share the servers, so each node holds only its
-own share and finds its size from latency and from the servers' refusals (additive increase,
+All are pure; the time is passed in. Several nodes share the servers, so each node learns the size
+of its own share from latency and from the servers' refusals (AIMD: additive increase,
 multiplicative decrease).
 """
 
@@ -12,22 +12,27 @@
 import attrs
 
 MIN_CONCURRENCY = 1.0
+"""Below 1 nothing is sent, and nothing would ever raise the limit again."""
 OVERLOAD_DECREASE = 0.8
+"""Factor on the limit after a refusal; lower values leave capacity unused."""
 LATENCY_DECREASE = 0.95
+"""Factor on the limit while responses are slow: milder, since the work itself may be longer."""
 DECREASE_INTERVAL_S = 0.2
-"""One burst of refusals or slow answers counts once."""
+"""One burst of refusals or slow responses counts once."""
 LATENCY_TOLERANCE = 2.5
 """Recent latency over its baseline that counts as queueing at the server."""
 RECENT_WEIGHT = 0.1
+"""Weight of the newest sample in the recent latency."""
 BASELINE_RISE_WEIGHT = 0.002
 BASELINE_FALL_WEIGHT = 0.2
+"""The baseline falls fast and rises slowly, so that queueing does not become the baseline."""
 UTILISED = 0.8
-"""A limit is only learned from while at least this part of it is in use."""
+"""A limit is only changed while at least this fraction of it is in use."""
 
 
 @attrs.define
 class AdaptiveConcurrency:
-    """How many requests this node keeps at one server.
+    """How many requests this node may have in flight at one server.
 
     Attributes
     ----------
@@ -51,7 +56,7 @@
         self.limit = min(self.limit, self.ceiling)
 
     def on_answered(self, unit_latency_s: float, outstanding: int, now: float) -> None:
-        """Learn from an answer; `unit_latency_s` is the latency per unit of work."""
+        """Learn from a response; `unit_latency_s` is the latency per unit of work."""
         self._observe(unit_latency_s)
         if outstanding < self.limit * UTILISED:
             return
@@ -82,11 +87,16 @@
 
 RATE_DECREASE = 0.8
 RATE_INCREASE_FRACTION = 0.2
-"""Part of the ceiling that an answer adds: nodes are not equally busy, and a refusal costs little,
-so a node only keeps to its share while the server really refuses."""
+"""Fraction of the ceiling that a response adds: nodes are not equally busy, and a refusal costs
+little, so a node is limited to its share only while the server really refuses."""
 BURST_REQUESTS = 2.0
+"""Size of the token bucket: requests that may be sent at once after a pause."""
 MIN_RATE_PER_S = 0.2
+"""Below this a recovered server would be found too late."""
 RATE_WINDOW_WEIGHT = 0.2
+"""Weight of the newest gap between two requests in the measured interval."""
+MIN_GAP_S = 1e-4
+"""Requests that are sent at the same time count as this far apart."""
 
 
 @attrs.define
@@ -112,7 +122,7 @@
         self.rate_per_s = self.ceiling_per_s
 
     def configure(self, ceiling_per_s: float, nodes: int) -> None:
-        """Apply a changed rate or number of nodes and learn anew."""
+        """Apply a changed rate or number of nodes and start learning again."""
         if ceiling_per_s == self.ceiling_per_s and nodes == self.nodes:
             return
         self.ceiling_per_s = ceiling_per_s
@@ -120,7 +130,7 @@
         self.rate_per_s = ceiling_per_s
 
     def wait_s(self, now: float) -> float:
-        """Return how long until a request may leave; 0 when it may now."""
+        """Return how long until a request may be sent; 0 when it may now."""
         if math.isinf(self.rate_per_s):
             return 0.0
         self._refill(now)
@@ -129,31 +139,31 @@
         return (1.0 - self._tokens) / self.rate_per_s
 
     def take(self, now: float) -> None:
-        """Count a request that leaves now."""
+        """Count a request that is sent now."""
         if not math.isinf(self.rate_per_s):
             self._refill(now)
             self._tokens -= 1.0
         if not math.isinf(self._taken_at):
-            gap_s = max(1e-4, now - self._taken_at)
+            gap_s = max(MIN_GAP_S, now - self._taken_at)
             self._interval_s += RATE_WINDOW_WEIGHT * (gap_s - self._interval_s)
         self._taken_at = now
 
     def on_answered(self) -> None:
-        """Grow after an answer."""
+        """Raise the rate after a response."""
         if not math.isinf(self.rate_per_s):
             step = RATE_INCREASE_FRACTION * self._growth_base()
             self.rate_per_s = min(self.ceiling_per_s, self.rate_per_s + step)
 
     def on_refused(self, now: float) -> None:
-        """Shrink after a refusal for rate; without a configured rate, start from the measured."""
+        """Lower the rate after a refusal; without a configured rate, from the measured one."""
         if now - self._decreased_at < DECREASE_INTERVAL_S:
             return
         self._decreased_at = now
         if math.isinf(self.rate_per_s):
-            self.rate_per_s = 1.0 / max(self._interval_s, 1e-4)
+            self.rate_per_s = 1.0 / max(self._interval_s, MIN_GAP_S)
             self._refilled_at = now
-        lowest = max(MIN_RATE_PER_S, self._min_share())
-        self.rate_per_s = max(lowest, self.rate_per_s * RATE_DECREASE)
+        minimum = max(MIN_RATE_PER_S, self._min_share())
+        self.rate_per_s = max(minimum, self.rate_per_s * RATE_DECREASE)
         self._tokens = min(self._tokens, 0.0)
 
     def _growth_base(self) -> float:
@@ -172,19 +182,24 @@
 
 
 RETRY_RATIO = 0.2
+"""Retries for each request; higher values multiply the load of failing servers."""
 RETRY_RESERVE = 10.0
+"""Retries that a node may do at once after a quiet time."""
 
 
 @attrs.define
 class RetryBudget:
-    """Retries are a bounded part of the requests, with a small reserve for quiet times."""
+    """Bounds retries to a fraction of the requests, with a small reserve for quiet times.
+
+    Forwarding has `forwarding.fleet_budgets.RetryBudget`. They are not merged: that one keeps all
+    nodes together within a bound in any sliding window, this one bounds one node by a balance."""
 
     ratio: float = RETRY_RATIO
     reserve: float = RETRY_RESERVE
     _balance: float = RETRY_RESERVE
 
     def on_request(self) -> None:
-        """Earn a part of a retry."""
+        """Earn a fraction of a retry."""
         self._balance = min(self.reserve, self._balance + self.ratio)
 
     def take(self) -> bool:
--- a/src/zincvale/dataplane/resilience/outlier_detection.py
+++ b/src/zincvale/dataplane/resilience/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Passive failure detection of one server: what this node saw of it, and for how long it is out."""
+"""Passive outlier detection of one server, by this node's own exchanges, and slow start."""
 
 from __future__ import annotations
 
@@ -7,17 +7,28 @@
 import attrs
 
 CONSECUTIVE_FAILURES_TO_EJECT = 3
+"""Fewer eject a server for a lost connection; more send more requests into a failed one."""
 INITIAL_EJECTION_S = 1.0
+"""Doubles with each ejection in a row."""
 MAX_EJECTION_S = 20.0
+"""The longest time for which a recovered server may stay unused."""
 SLOW_START_S = 8.0
+"""How long a server that became ready ramps up to its full limit."""
 MIN_SLOW_START_FACTOR = 0.1
+"""At 0 a ready server would get no first request."""
 FORGET_FAILURES_AFTER_S = 30.0
+"""Failures further apart than this are not consecutive."""
 
 
 @attrs.define
 class OutlierDetector:
     """Consecutive failures eject a server for a doubling time; one success readmits it.
 
+    Legal transitions: in service to ejected (`on_failure`); ejected to probing (`on_dispatched`
+    after the ejection); probing to in service (`on_success`), to ejected for longer (`on_failure`)
+    or back to ejected with its time over (`on_abandoned`); ejected to in service (a late
+    `on_success`).
+
     When the ejection has run out, a single request probes the server (half-open); a failure of
     the probe ejects it again for longer.
     """
@@ -29,13 +40,13 @@
     probing: bool = False
 
     def is_ejected(self, now: float) -> bool:
-        """Whether the server is left out at `now`, or its one probe is already under way."""
+        """Whether the server is excluded at `now`, or its one probe is in flight."""
         if self.ejections == 0:
             return False
         return now < self.ejected_until or self.probing
 
     def on_dispatched(self, now: float) -> None:
-        """Note a request; the first one after an ejection is the probe."""
+        """Record a request; the first one after an ejection is the probe."""
         if self.ejections and now >= self.ejected_until:
             self.probing = True
 
@@ -49,7 +60,7 @@
         return readmitted
 
     def on_abandoned(self) -> None:
-        """Note that a request ended without telling anything about the server."""
+        """Record a request that ended without a result for the server."""
         self.probing = False
 
     def on_failure(self, now: float) -> bool:
@@ -71,5 +82,5 @@
 
 
 def slow_start_factor(ready_for_s: float) -> float:
-    """Return the part of its limit that a server gets after being ready for so long."""
+    """Return the factor on the limit of a server that has been ready for `ready_for_s` seconds."""
     return min(1.0, max(MIN_SLOW_START_FACTOR, ready_for_s / SLOW_START_S))
--- a/src/zincvale/dataplane/resilience/throughput.py
+++ b/src/zincvale/dataplane/resilience/throughput.py
@@ -8,19 +8,21 @@
 
 BUCKET_S = 0.25
 BUCKETS = 32
+"""Together a window of 8 s; a longer one follows changes of the servers more slowly."""
 MIN_BACKLOG_S = 1.0
 BACKLOG_SERVICE_TIMES = 2.0
-"""A measurement counts once requests have waited this long, and this many times the usual service
-time, without a pause."""
+"""A measurement counts once requests have waited, without interruption, for MIN_BACKLOG_S and for
+this many times the usual service time."""
 MEASURED_TOLERANCE = 1.2
+"""At 1 a node could never find out that its servers became faster."""
 
 
 @attrs.define
 class ThroughputMeter:
     """Completions in a sliding window of fixed buckets.
 
-    What a node gets of servers that it shares is not known from their limits, only from what it
-    got while it always had more to send.
+    The throughput that a node gets from shared servers does not follow from their limits; it is
+    measured while the node always has more to send.
     """
 
     backlogged_since: float = math.inf
@@ -33,7 +35,7 @@
         self._counts[self._index % BUCKETS] += 1
 
     def on_backlog(self, waiting: int, now: float) -> None:
-        """Note whether requests wait for a busy server."""
+        """Record how many requests wait for a busy server."""
         if not waiting:
             self.backlogged_since = math.inf
         elif math.isinf(self.backlogged_since):
@@ -53,8 +55,8 @@
 
     def _advance(self, now: float) -> None:
         index = int(now / BUCKET_S)
-        for passed in range(self._index + 1, min(index, self._index + BUCKETS) + 1):
-            self._counts[passed % BUCKETS] = 0
+        for elapsed in range(self._index + 1, min(index, self._index + BUCKETS) + 1):
+            self._counts[elapsed % BUCKETS] = 0
         if index > self._index + BUCKETS:
             self._counts = [0] * BUCKETS
         self._index = max(self._index, index)
