--- a/tests/dataplane/test_curl_client.py
+++ b/tests/transport/test_curl_client.py
@@ -36,7 +36,7 @@
 
 @attrs.define(eq=False)
 class ScriptedServer:
-    """Answers by path; counts connections and requests."""
+    """Responds by path; counts connections and requests."""
 
     requests: list = attrs.field(factory=list)
     connections: int = 0
@@ -161,7 +161,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_request_is_never_sent_twice_when_a_kept_connection_turns_out_closed(self):
+    def test_a_request_is_never_sent_twice_when_a_reused_connection_turns_out_closed(self):
         async def scenario(client, script):
             for body in (b"{}", None):
                 await self.fetch(client, "/a", body)
@@ -171,7 +171,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_kept_connection_that_closed_or_is_out_of_step_is_not_used(self):
+    def test_a_pooled_connection_that_closed_or_has_unread_bytes_is_not_used(self):
         async def scenario(client, script):
             for path in ("/answer-and-close", "/answer-twice"):
                 for _ in range(4):
@@ -181,7 +181,7 @@
 
         self.run_scenario(scenario)
 
-    def test_half_an_answer_is_a_failure(self):
+    def test_half_a_response_is_a_failure(self):
         async def scenario(client, script):
             for path in ("/short", "/cut-chunks"):
                 failure = await self.fetch(client, path)
@@ -189,7 +189,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_request_that_may_not_leave_any_more_is_not_sent(self):
+    def test_a_request_that_may_not_be_sent_any_more_is_not_sent(self):
         async def scenario(client, script):
             for may_send in (True, False):
                 request = attrs.evolve(request_to("/a"), may_send=lambda may=may_send: may)
@@ -213,7 +213,7 @@
 
         self.run_scenario(scenario)
 
-    def test_cancelling_closes_the_connection_and_says_nothing_more(self):
+    def test_cancelling_closes_the_connection_and_ends_the_events(self):
         async def scenario(client, script):
             listener = Listener()
             exchange = client.start(request_to("/hang"), listener)
@@ -228,7 +228,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_connection_closed_after_a_whole_answer_is_not_used_again(self):
+    def test_a_connection_closed_after_a_complete_response_is_not_used_again(self):
         async def scenario(client, script):
             listener = Listener()
             listener.close_when_done = True
@@ -258,7 +258,7 @@
 
         self.run_scenario(scenario)
 
-    def test_what_came_before_a_pause_is_handed_over_before_the_end(self):
+    def test_body_from_before_a_pause_is_delivered_before_the_end(self):
         async def scenario(client, script):
             listener = Listener()
             request = request_to("/a", None, streaming=True)
