--- a/tests/controlplane/api_driver.py
+++ b/tests/controlplane/api/api_driver.py
@@ -7,8 +7,10 @@
 import orjson
 
 from tests.controlplane.fake_view import FakeView
+from tests.controlplane.samples import apply_change, change, resource
 from zincvale.controlplane.api.dispatch import ControlApi
 from zincvale.controlplane.api.messages import ApiEffect, ApiRequest, ApiResponse, CallCore
+from zincvale.coordination.changes import KeyView
 
 
 class ApiDriver:
@@ -66,6 +68,12 @@
         return "\n".join(self.lines)
 
 
+def set_resource(driver: ApiDriver, row: str, spec: dict[str, object]) -> None:
+    """Bring the next version of the intent into the core's view."""
+    rows = apply_change(driver.view.rows.rows, change("merge", resource(row, spec)))
+    driver.view.rows = KeyView(driver.view.rows.version + 1, rows)
+
+
 def _shown(effect: ApiEffect) -> str:
     if isinstance(effect, CallCore):
         return f"call core {effect.token} {effect.message}"
--- a/tests/controlplane/test_api_transcripts.py
+++ b/tests/controlplane/api/test_dispatch.py
@@ -2,35 +2,26 @@
 
 from __future__ import annotations
 
-import attrs
 import testtools
 
-from tests.controlplane.api_driver import ApiDriver
+from tests.controlplane.api.api_driver import ApiDriver
 from tests.controlplane.approval import verify
-from tests.controlplane.fake_view import FakeView, directory, move_row, server
-from tests.controlplane.samples import apply_change, change, resource
+from tests.controlplane.fake_view import FakeView, move_row
 from zincvale.controlplane.api.dispatch import MAX_PENDING_CHANGES
 from zincvale.controlplane.api.pending_watches import MAX_PENDING_WATCHES
 from zincvale.controlplane.intent import change_body
 from zincvale.coordination.changes import KeyView
 from zincvale.coordination.registers.change_messages import ChangeResult
 from zincvale.model.identifiers import MemberId
-from zincvale.model.view import ServerHealth
 
 NODE_1 = MemberId("node-1")
 NODE_2 = MemberId("node-2")
 EVACUATE = {"resources": [{"kind": "Zone", "name": "zone-a", "spec": {"evacuated": True}}]}
 
 
-def set_resource(driver: ApiDriver, row: str, spec: dict[str, object]) -> None:
-    """Bring the next version of the intent into the core's view."""
-    rows = apply_change(driver.view.rows.rows, change("merge", resource(row, spec)))
-    driver.view.rows = KeyView(driver.view.rows.version + 1, rows)
-
-
 class ApiTranscriptTest(testtools.TestCase):
     def test_reads(self) -> None:
-        driver = ApiDriver(FakeView(held={NODE_1: 7, NODE_2: 7}))
+        driver = ApiDriver(FakeView(applied={NODE_1: 7, NODE_2: 7}))
         driver.view.calendar = {"m-1": move_row("m-1")}
         for path in (
             "/v1/intent",
@@ -52,7 +43,7 @@
         verify(self, "reads", driver.transcript())
 
     def test_a_core_that_may_be_behind_shows_nothing(self) -> None:
-        driver = ApiDriver(FakeView(held={NODE_1: 7}, current=False))
+        driver = ApiDriver(FakeView(applied={NODE_1: 7}, current=False))
         for path in ("/v1/intent", "/v1/zones", "/v1/zones/zone-a", "/v1/watch", "/v1/members"):
             driver.send("GET", path)
         verify(self, "may_be_behind", driver.transcript())
@@ -136,51 +127,6 @@
         driver.tick(30.0)
         verify(self, "watch", driver.transcript())
 
-    def test_drain(self) -> None:
-        driver = ApiDriver(FakeView(held={NODE_1: 7, NODE_2: 7}))
-        busy = server("s1", running=3)
-        driver.view.observed = directory(busy, server("s2", "zone-b"))
-        driver.note("a drain is declared; one node does not hold it yet")
-        set_resource(driver, "Server/s1", {"drained": True})
-        driver.view.held[NODE_1] = 8
-        driver.tick(0.1)
-        driver.send("GET", "/v1/servers/s1")
-        driver.note("all nodes hold it; three requests still run")
-        driver.view.held[NODE_2] = 8
-        driver.tick(0.1)
-        driver.send("GET", "/v1/servers/s1")
-        driver.note("idle by its last probe, which may be older than the drain")
-        driver.view.observed = directory(attrs.evolve(busy, running=0), server("s2", "zone-b"))
-        driver.tick(0.1)
-        driver.send("GET", "/v1/servers/s1")
-        driver.note("idle for longer than probes are apart; a later change does not undo it")
-        set_resource(driver, "Pool/chat", {"max_queue": 7})
-        driver.tick(2.5)
-        driver.send("GET", "/v1/servers/s1")
-        driver.note("back in service")
-        set_resource(driver, "Server/s1", {"drained": False})
-        driver.tick(0.1)
-        driver.send("GET", "/v1/servers/s1")
-        verify(self, "drain", driver.transcript())
-
-    def test_evacuation(self) -> None:
-        driver = ApiDriver(FakeView(held={NODE_1: 8, NODE_2: 8}))
-        set_resource(driver, "Zone/zone-a", {"evacuated": True})
-        driver.view.observed = directory(server("s1"), server("s4", running=1))
-        driver.note("two servers in the zone, one runs a request")
-        driver.tick(0.1)
-        driver.tick(2.5)
-        driver.send("GET", "/v1/zones/zone-a")
-        driver.send("GET", "/v1/servers/s4")
-        driver.note("it died")
-        down = server("s4", running=1, health=ServerHealth.DOWN)
-        driver.view.observed = directory(server("s1"), down)
-        driver.tick(0.1)
-        driver.tick(2.5)
-        driver.send("GET", "/v1/zones/zone-a")
-        driver.send("GET", "/v1/pools/chat")
-        verify(self, "evacuation", driver.transcript())
-
     def test_a_burst_beyond_the_limits_is_refused_at_once(self) -> None:
         driver = ApiDriver()
         for number in range(MAX_PENDING_CHANGES):
--- a/tests/controlplane/approval.py
+++ b/tests/controlplane/approval.py
@@ -1,16 +1,16 @@
-"""The approved transcripts of the control plane."""
+"""The approved transcripts of the control plane, beside the tests that compare with them."""
 
 from __future__ import annotations
 
+import inspect
 from pathlib import Path
 
 import testtools
 
 from tests import approval
 
-APPROVED_FOLDER = Path(__file__).parent / "approved"
-
 
 def verify(case: testtools.TestCase, name: str, transcript: str) -> None:
-    """Compare `transcript` with the approved one called `name`."""
-    approval.verify(case, APPROVED_FOLDER, name, transcript)
+    """Compare `transcript` with `approved/NAME.txt` in the folder of the case's module."""
+    folder = Path(inspect.getfile(type(case))).parent / "approved"
+    approval.verify(case, folder, name, transcript)
--- a/tests/controlplane/directory_driver.py
+++ b/tests/controlplane/directory/directory_driver.py
@@ -70,6 +70,27 @@
     )
 
 
+def status_body(name: str, running: int = 0) -> bytes:
+    """Return the body of a server's `GET /status`."""
+    return orjson.dumps(
+        {
+            "server": name,
+            "incarnation": "i1",
+            "state": "ready",
+            "memory_bytes": 1_000,
+            "used_bytes": 10,
+            "kv_bytes_used": 0,
+            "running": running,
+            "queued": 0,
+            "max_running": 4,
+            "models": [{"name": "base-1", "bytes": 5, "state": "loaded"}],
+            "adapters": [
+                {"name": "tone-1", "base_model": "base-1", "bytes": 1, "state": "loading"}
+            ],
+        }
+    )
+
+
 class DirectoryDriver:
     """One publisher of the directory, its exchange as text."""
 
--- a/tests/controlplane/test_backend_status.py
+++ b/tests/controlplane/directory/test_backend_status.py
@@ -7,7 +7,7 @@
 import orjson
 import testtools
 
-from tests.controlplane.test_server_prober import status_body
+from tests.controlplane.directory.directory_driver import status_body
 from zincvale.controlplane.directory.backend_status import (
     MAX_STATUS_BYTES,
     read_platform_list,
--- a/tests/controlplane/test_directory.py
+++ b/tests/controlplane/directory/test_machine.py
@@ -6,7 +6,7 @@
 import testtools
 
 from tests.controlplane.approval import verify
-from tests.controlplane.directory_driver import DirectoryDriver, listed, status
+from tests.controlplane.directory.directory_driver import DirectoryDriver, listed, status
 from zincvale.controlplane.directory.events import (
     DirectoryRoleLost,
     DrainingMarked,
--- a/tests/controlplane/test_listed_servers.py
+++ b/tests/controlplane/directory/test_server_discovery.py
@@ -58,7 +58,7 @@
                 seen += self.machine.on_published(self.topics.view("listed-servers"), now)
         return seen
 
-    def held(self):
+    def published(self):
         return set(self.topics.view("listed-servers").rows)
 
 
@@ -95,9 +95,9 @@
         _, deltas = one.read([listed()], 2.0)
         other.take(deltas, 2.0)
         _, deltas = other.read([listed(), listed("s2")], 5.0)
-        self.assertEqual({"s1", "s2"}, other.held())
+        self.assertEqual({"s1", "s2"}, other.published())
         one.take(deltas, 6.0)
-        self.assertEqual({"s1", "s2"}, one.held())
+        self.assertEqual({"s1", "s2"}, one.published())
         self.assertFalse(one.machine.is_reader)
 
     def test_after_a_restart_of_all_cores_publications_are_newer_than_what_nodes_hold(self):
@@ -131,7 +131,7 @@
         core.read([listed()], 1.0)
         for turn in range(1, EMPTY_READS_UNTIL_ACCEPTED + 1):
             core.read([], 1.0 + turn)
-            self.assertEqual(turn == EMPTY_READS_UNTIL_ACCEPTED, not core.held())
+            self.assertEqual(turn == EMPTY_READS_UNTIL_ACCEPTED, not core.published())
 
     def test_a_cold_spell_is_published_once_and_its_end(self):
         core = Core("a")
@@ -142,7 +142,7 @@
         _, again = core.read([listed(cold_remaining_s=3.0)], 5.3)
         self.assertEqual(1, len(again))
 
-    def test_departures_and_drains_are_told(self):
+    def test_departures_and_drains_are_reported(self):
         core = Core("a")
         core.read([listed(), listed("s2")], 1.0)
         effects, deltas = core.read([attrs.evolve(listed("s2"), draining=True)], 1.8)
@@ -156,11 +156,11 @@
         core = Core("a")
         core.read([listed()], 1.0)
         core.machine.on_list_failed("status 429", 1.8, is_throttled=True)
-        self.assertEqual({"s1"}, core.held())
+        self.assertEqual({"s1"}, core.published())
         self.assertEqual([], core.machine.tick(0, 2.5))
         self.assertEqual([FetchList()], core.machine.tick(0, 2.9))
 
-    def test_an_older_publication_is_not_taken(self):
+    def test_an_older_publication_is_dropped(self):
         core = Core("a")
         core.read([listed()], 1.0)
         self.assertEqual([], core.machine.on_published(TopicView(1, 9, {}), 2.0))
--- a/tests/controlplane/test_server_prober.py
+++ b/tests/controlplane/directory/test_server_prober.py
@@ -4,10 +4,14 @@
 
 import random
 
-import orjson
 import testtools
 
-from tests.controlplane.directory_driver import TICK_S, DirectoryDriver, listed
+from tests.controlplane.directory.directory_driver import (
+    TICK_S,
+    DirectoryDriver,
+    listed,
+    status_body,
+)
 from tests.controlplane.fake_view import directory, server
 from zincvale.controlplane.directory.backend_status import read_server_status
 from zincvale.controlplane.directory.events import (
@@ -33,27 +37,6 @@
 SERVERS = [ServerId(f"s{number}") for number in range(60)]
 
 
-def status_body(name: str, running: int = 0) -> bytes:
-    """Return the body of a server's `GET /status`."""
-    return orjson.dumps(
-        {
-            "server": name,
-            "incarnation": "i1",
-            "state": "ready",
-            "memory_bytes": 1_000,
-            "used_bytes": 10,
-            "kv_bytes_used": 0,
-            "running": running,
-            "queued": 0,
-            "max_running": 4,
-            "models": [{"name": "base-1", "bytes": 5, "state": "loaded"}],
-            "adapters": [
-                {"name": "tone-1", "base_model": "base-1", "bytes": 1, "state": "loading"}
-            ],
-        }
-    )
-
-
 def prober(member: MemberId) -> ServerProber:
     """Return a prober that knows the servers and the other probers."""
     machine = ServerProber(member, random.Random(3))
--- a/tests/controlplane/fake_view.py
+++ b/tests/controlplane/fake_view.py
@@ -84,7 +84,7 @@
     """Implements `CoreView` with tables that a test sets."""
 
     rows: KeyView = attrs.field(factory=lambda: KeyView(7, small_rows()))
-    held: dict[MemberId, int] = attrs.field(factory=dict)
+    applied: dict[MemberId, int] = attrs.field(factory=dict)
     observed: Directory = attrs.field(
         factory=lambda: directory(
             server("s1", models=frozenset({ModelName("base-1")}), running=3),
@@ -106,12 +106,12 @@
         return self._decoder.update(self.rows.version, self.rows.rows)
 
     def members(self) -> Members:
-        rows = {MemberId(name): member(name) for name in self.held}
+        rows = {MemberId(name): member(name) for name in self.applied}
         rows[MemberId("core-1")] = member("core-1", Role.CORE)
         return Members(3, rows)
 
     def applied_versions(self) -> Mapping[MemberId, int]:
-        return self.held
+        return self.applied
 
     def directory(self) -> Directory:
         return self.observed
--- a/tests/controlplane/test_operator_commands.py
+++ b/tests/controlplane/test_operator_commands.py
@@ -56,7 +56,7 @@
 class OperatorCase(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.cores = FakeCores(view=FakeView(held={MemberId("node-1"): 7}))
+        self.cores = FakeCores(view=FakeView(applied={MemberId("node-1"): 7}))
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
@@ -296,7 +296,7 @@
 
     def test_wait_ends_when_the_condition_holds_or_the_time_is_over(self) -> None:
         self.cores.view.observed = directory(server("s1", running=1))
-        self.cores.view.held = {}
+        self.cores.view.applied = {}
         code = self.run_command("drain", "s1", "--wait", "--order-id=o-1", "--limit-s", "5", CORES)
         self.assertEqual(5, code)
         self.cores.view.observed = directory(server("s1"))
