--- a/src/zincvale/controlplane/api/dispatch.py
+++ b/src/zincvale/controlplane/api/dispatch.py
@@ -181,7 +181,7 @@
         return {}
 
     def _read(self, read_body: Callable[[CoreView], bytes]) -> Handler:
-        def handler(request: ApiRequest, now: float) -> list[ApiEffect]:
+        def handler(request: ApiRequest, _now: float) -> list[ApiEffect]:
             _check_query(request.query, ())
             return [json_response(request.token, 200, read_body(self._view))]
 
@@ -195,7 +195,7 @@
                 "ask another core, or again once this one hears a majority of the cores",
             )
 
-    def _read_intent(self, request: ApiRequest, now: float) -> list[ApiEffect]:
+    def _read_intent(self, request: ApiRequest, _now: float) -> list[ApiEffect]:
         _check_query(request.query, ())
         self._check_current()
         body = self._intent_bodies.body_of(self._view.intent_rows())
--- a/src/zincvale/controlplane/api/intent_changes.py
+++ b/src/zincvale/controlplane/api/intent_changes.py
@@ -123,6 +123,10 @@
 
 
 def _refuse_unknown_fields(data: Mapping[str, Any]) -> None:
+    """Raise `InvalidInputError` for a field that is not of the request.
+
+    `intent.change_body` has its own check: a change that reaches the reducer has no base version.
+    """
     for name in data:
         if name not in _BODY_FIELDS:
             raise InvalidInputError(
--- a/src/zincvale/controlplane/api/reads.py
+++ b/src/zincvale/controlplane/api/reads.py
@@ -169,6 +169,11 @@
 
 
 def _server(row: ServerRow) -> dict[str, Any]:
+    """Return a server as the API shows it.
+
+    Written out beside `directory.row_codec`, whose fields are the stored form: a field added there
+    must not appear in the API by itself.
+    """
     return {
         "address": row.address,
         "pool": row.pool,
--- a/src/zincvale/controlplane/directory/events.py
+++ b/src/zincvale/controlplane/directory/events.py
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class StatusObserved:
-    """Input: a server answered its probe.
+    """Input: a server responded to its probe.
 
     Attributes
     ----------
@@ -98,14 +98,14 @@
 
 @attrs.frozen
 class Published:
-    """Input: the core took the last publication, or refused its epoch."""
+    """Input: the core accepted the last publication, or refused its epoch."""
 
     accepted: bool
 
 
 @attrs.frozen
 class PublishFailed:
-    """Input: whether the last publication was taken is not known."""
+    """Input: it is unknown whether the last publication was accepted."""
 
     why: str
 
@@ -137,7 +137,7 @@
 
 @attrs.frozen
 class ProbeServer:
-    """Effect: ask a server for its status; `StatusObserved` or `StatusFailed` follows."""
+    """Effect: request a server's status; `StatusObserved` or `StatusFailed` follows."""
 
     server: ServerId
     address: Address
@@ -156,7 +156,7 @@
 
 @attrs.frozen
 class ServerReported:
-    """Effect: tell the placement controller of one observation.
+    """Effect: report one observation to the placement controller.
 
     Attributes
     ----------
@@ -171,7 +171,7 @@
 
 @attrs.frozen
 class ServerRemoved:
-    """Effect: tell the placement controller that a server is gone."""
+    """Effect: report to the placement controller that a server was removed."""
 
     server: ServerId
 
--- a/src/zincvale/controlplane/directory/machine.py
+++ b/src/zincvale/controlplane/directory/machine.py
@@ -56,7 +56,7 @@
 
 
 class DirectoryMachine:
-    """Keeps and publishes the directory while this process holds the role.
+    """Keeps and publishes the directory while this process leads the role `directory`.
 
     Parameters
     ----------
@@ -103,26 +103,18 @@
     def _handle_active(
         self, event: DirectoryInput, publication: DirectoryPublication, now: float
     ) -> list[DirectoryEffect]:
+        change = self._observe(event, now)
+        if change is not None:
+            return self._apply_change(change, publication, now)
         match event:
             case DirectoryRoleLost():
                 return self._stop_publishing()
-            case PlatformListed(rows):
-                self._has_list = True
-                change = self._table.apply_platform_list(rows, now)
-                self._table.assign(self._probers, now)
-                return self._apply_change(change, publication, now)
             case PlatformListFailed(why):
                 return [Log(log_events.PLATFORM_LIST_FAILED, {"why": why})]
-            case StatusObserved():
-                return self._apply_change(self._table.apply_status(event, now), publication, now)
-            case StatusFailed():
-                return self._apply_change(self._table.apply_failure(event, now), publication, now)
-            case DrainingMarked():
-                return self._apply_change(self._table.mark_draining(event), publication, now)
             case PassiveFailureObserved(server):
                 self._table.probe_soon(server, now)
             case Published(accepted):
-                return self._on_published(accepted, publication, now)
+                return self._on_published(publication, now, accepted=accepted)
             case PublishFailed(why):
                 return self._on_publish_failed(why, publication, now)
             case ClockJumped():
@@ -131,6 +123,22 @@
                 return self._tick(publication, now)
         return []
 
+    def _observe(self, event: DirectoryInput, now: float) -> TableChange | None:
+        """Apply an observation of servers to the table; return None for any other input."""
+        match event:
+            case PlatformListed(rows):
+                self._has_list = True
+                change = self._table.apply_platform_list(rows, now)
+                self._table.assign(self._probers, now)
+                return change
+            case StatusObserved():
+                return self._table.apply_status(event, now)
+            case StatusFailed():
+                return self._table.apply_failure(event, now)
+            case DrainingMarked():
+                return self._table.mark_draining(event)
+        return None
+
     # --- role ---------------------------------------------------------------------------------
 
     def _start_publishing(
@@ -197,7 +205,7 @@
         return False
 
     def _on_published(
-        self, accepted: bool, publication: DirectoryPublication, now: float
+        self, publication: DirectoryPublication, now: float, *, accepted: bool
     ) -> list[DirectoryEffect]:
         if accepted:
             publication.on_accepted()
--- a/src/zincvale/controlplane/directory/publication.py
+++ b/src/zincvale/controlplane/directory/publication.py
@@ -73,7 +73,7 @@
         return self._is_full_due or bool(self._touched) or now >= self._delayed_until
 
     def on_accepted(self) -> None:
-        """The core accepted the publication in flight."""
+        """Note that the core accepted the publication in flight."""
         self._in_flight_since = None
 
     def on_failed(self, now: float) -> None:
--- a/src/zincvale/controlplane/directory/server_prober.py
+++ b/src/zincvale/controlplane/directory/server_prober.py
@@ -118,5 +118,5 @@
 def _observation(result: ProbeSucceeded | ProbeFailed, now: float) -> ServerObservation:
     age_s = now - result.requested_at
     if isinstance(result, ProbeSucceeded):
-        return ServerObservation(result.server, result.body, "", False, age_s)
+        return ServerObservation(result.server, result.body, why="", refused=False, age_s=age_s)
     return ServerObservation(result.server, b"", result.why, result.refused, age_s)
--- a/src/zincvale/controlplane/directory/server_table.py
+++ b/src/zincvale/controlplane/directory/server_table.py
@@ -84,6 +84,7 @@
         self._draining_epoch = 0
 
     def __len__(self) -> int:
+        """Return the number of servers."""
         return len(self._servers)
 
     def rows(self) -> dict[ServerId, ServerRow]:
--- a/src/zincvale/controlplane/directory/tracked_servers.py
+++ b/src/zincvale/controlplane/directory/tracked_servers.py
@@ -55,7 +55,7 @@
 def apply_listing(server: TrackedServer, listed: PlatformServer, now: float) -> bool:
     """Apply the platform's row; return whether the server moved to another address.
 
-    A server at a new address is another process: nothing observed of the old one holds.
+    A server at a new address is another process: nothing observed of the old one is valid.
     """
     server.delisted_at = None
     moved = server.row.address != listed.address
--- a/src/zincvale/controlplane/documents/api.py
+++ b/src/zincvale/controlplane/documents/api.py
@@ -79,6 +79,8 @@
 
 @attrs.define
 class _PendingCall:
+    """An operator's call whose response is pending."""
+
     command: Command
     deadline: float
     needed_version: int | None = None
--- a/src/zincvale/controlplane/documents/changes.py
+++ b/src/zincvale/controlplane/documents/changes.py
@@ -111,5 +111,5 @@
     return xxhash.xxh3_128_hexdigest(change)
 
 
-def _declared(spec: dict[str, Any], source: Any) -> dict[str, Any]:
+def _declared(spec: dict[str, Any], source: object) -> dict[str, Any]:
     return {"spec": spec, "source": source}
--- a/src/zincvale/controlplane/documents/derived_intent.py
+++ b/src/zincvale/controlplane/documents/derived_intent.py
@@ -127,8 +127,10 @@
 
 
 def _adapter_store(pool: str) -> str:
-    """Return the name of the store that a pool's adapters come from: they take milliseconds, and
-    the weights' store does not count them."""
+    """Return the name of the store that a pool's adapters come from.
+
+    Adapters load in milliseconds, and the weights' store does not count them.
+    """
     return f"{pool}/adapters"
 
 
--- a/src/zincvale/controlplane/documents/rows.py
+++ b/src/zincvale/controlplane/documents/rows.py
@@ -8,11 +8,12 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, TypeVar
 
 import attrs
 import orjson
 
+from zincvale.model.checked import Checked
 from zincvale.model.errors import InvalidInputError
 from zincvale.model.forwarding import (
     CallerLimits,
@@ -21,6 +22,8 @@
     ForwardRoute,
 )
 
+Spec = TypeVar("Spec", bound=Checked)
+
 NUMBER_ROW = "number"
 LAST_CHANGE_ROW = "last-change"
 LIMITS_ROW = "limits"
@@ -37,7 +40,7 @@
     return int(rows.get(NUMBER_ROW, b"0"))
 
 
-def encode_item(order: int, spec: Mapping[str, Any], source: Any) -> bytes:
+def encode_item(order: int, spec: Mapping[str, Any], source: object) -> bytes:
     """Return the row of a route, a pool or the limits; `order` is its position in the document.
 
     Copied to its own size, as `intent.row_codec.encode_spec` does and for its reason.
@@ -110,8 +113,12 @@
         return self._document
 
     def _decode_items(
-        self, rows: Mapping[str, bytes], prefix: str, known: dict[str, Any], kind: Any
-    ) -> dict[str, Any]:
+        self,
+        rows: Mapping[str, bytes],
+        prefix: str,
+        known: Mapping[str, Spec],
+        spec_type: type[Spec],
+    ) -> dict[str, Spec]:
         items = {}
         for row, content in rows.items():
             if not row.startswith(prefix):
@@ -119,7 +126,7 @@
             name = row[len(prefix) :]
             item = known.get(name)
             if item is None or self._rows.get(row) != content:
-                item = _decode_spec(row, content, kind)
+                item = _decode_spec(row, content, spec_type)
             items[name] = item
         return items
 
@@ -127,13 +134,12 @@
 def _decode_limits(content: bytes | None) -> CallerLimits:
     if content is None:
         return CallerLimits()
-    limits: CallerLimits = _decode_spec(LIMITS_ROW, content, CallerLimits)
-    return limits
+    return _decode_spec(LIMITS_ROW, content, CallerLimits)
 
 
-def _decode_spec(row: str, content: bytes, kind: Any) -> Any:
+def _decode_spec(row: str, content: bytes, spec_type: type[Spec]) -> Spec:
     try:
-        return kind.from_dict(orjson.loads(content)["spec"])
+        return spec_type.from_dict(orjson.loads(content)["spec"])
     except Exception as error:
         # The decoder raises many types; whichever it is, this release cannot read the row.
         raise InvalidInputError(
--- a/src/zincvale/controlplane/intent/change_body.py
+++ b/src/zincvale/controlplane/intent/change_body.py
@@ -94,6 +94,10 @@
 
 
 def _refuse_unknown_fields(data: Mapping[str, Any]) -> None:
+    """Raise `InvalidInputError` for a field that is not of a change.
+
+    `api.intent_changes` has its own check: a request has a base version as well.
+    """
     for name in data:
         if name not in _CHANGE_FIELDS:
             raise InvalidInputError(
--- a/src/zincvale/controlplane/intent/proposed_rows.py
+++ b/src/zincvale/controlplane/intent/proposed_rows.py
@@ -41,6 +41,7 @@
         self.changed = changed
 
     def __contains__(self, row: str) -> bool:
+        """Whether the row exists after the change."""
         changed = self.changed.get(row)
         if changed is not None:
             return changed.fields is not None
--- a/src/zincvale/controlplane/status/conditions.py
+++ b/src/zincvale/controlplane/status/conditions.py
@@ -9,7 +9,7 @@
 
 
 class ConditionStatus(enum.Enum):
-    """Whether a condition holds; any status may follow any other."""
+    """Whether a condition is true; any status may follow any other."""
 
     TRUE = "True"
     FALSE = "False"
@@ -23,7 +23,7 @@
     Attributes
     ----------
     type : the fact, for example `InForce`.
-    status : whether it holds.
+    status : whether it is true.
     reason : one word for programs.
     message : one sentence for people.
     """
