--- a/src/zincvale/controlplane/__init__.py
+++ b/src/zincvale/controlplane/__init__.py
@@ -7,5 +7,6 @@
 Packages, in reading order: `intent` (declared resources and the rules of a change), `documents`
 (the same for the forwarding mode), `directory` (observed servers), `status` (conditions of
 resources), `api` (the operators' HTTP API) and `placement` (moves of models between servers).
-`addresses` checks `ip:port`, `log_events` declares the log lines of all but placement.
+`core_view` is what `status` and `api` read of the core they run in, `addresses` checks `ip:port`,
+`log_events` declares the log lines of all but placement.
 """
--- a/src/zincvale/controlplane/api/__init__.py
+++ b/src/zincvale/controlplane/api/__init__.py
@@ -4,11 +4,10 @@
 core's result, watches for a newer intent). It decides nothing about the control state: changes go
 to the local core as proposals, reads show what `CoreView` gives.
 
-May import `controlplane.intent`, `controlplane.status`, `controlplane.placement` (the codec of
-moves), `coordination` and `model`; never the runtime, a clock or an HTTP library. The core daemon
-feeds it and carries out its effects. The paths are documented in docs/PROTOCOLS.md.
+May import `controlplane.core_view`, `intent`, `status` and `placement` (the codec of moves),
+`coordination` and `model`; never the runtime, a clock or an HTTP library. The core daemon feeds it
+and carries out its effects. The paths are documented in docs/PROTOCOLS.md.
 
-Reading order: `messages` (requests, effects, error responses), `core_view` (what is read of the
-core), `dispatch` (the machine), `reads` (bodies), `intent_changes` and `replica_changes` (changes),
-`pending_watches` (long polls).
+Reading order: `messages` (requests, effects, error responses), `dispatch` (the machine), `reads`
+(bodies), `intent_changes` and `replica_changes` (changes), `pending_watches` (long polls).
 """
--- a/src/zincvale/controlplane/api/dispatch.py
+++ b/src/zincvale/controlplane/api/dispatch.py
@@ -1,7 +1,7 @@
 """The control API as a pure state machine: one dispatch on method and path segments.
 
 The HTTP server hands in requests and carries out the effects; the core's response to a `CallCore`
-comes back as `core_replied`. Nothing here waits, reads a clock or opens a connection.
+comes back as `on_core_response`. Nothing here waits, reads a clock or opens a connection.
 """
 
 from __future__ import annotations
@@ -12,7 +12,6 @@
 
 import attrs
 
-from zincvale.controlplane.api.core_view import CoreView
 from zincvale.controlplane.api.intent_changes import (
     CHANGE_TIMEOUT_S,
     PendingChange,
@@ -42,6 +41,7 @@
     roles_body,
 )
 from zincvale.controlplane.api.replica_changes import read_replacement
+from zincvale.controlplane.core_view import CoreView
 from zincvale.controlplane.intent.row_codec import KIND_BY_TABLE
 from zincvale.controlplane.status.cluster_snapshot import ClusterSnapshot, lagging_nodes, observe
 from zincvale.controlplane.status.drain_progress import DrainProgress
@@ -84,7 +84,7 @@
         except ZincvaleError as error:
             return [_with_allow(error_response(request.token, error), error)]
 
-    def core_replied(self, token: str, message: object) -> list[ApiEffect]:
+    def on_core_response(self, token: str, message: object) -> list[ApiEffect]:
         """Take the core's response to `CallCore(token, ...)`."""
         pending = self._pending.pop(token, None)
         if pending is None:
@@ -95,17 +95,17 @@
         # only survives a defect there: the operator learns that nothing is promised.
         return [not_confirmed_response(pending, f"the core answered {type(message).__name__}")]
 
-    def core_failed(self, token: str, reason: str) -> list[ApiEffect]:
+    def on_core_failure(self, token: str, reason: str) -> list[ApiEffect]:
         """Take notice that `CallCore(token, ...)` gets no response."""
         pending = self._pending.pop(token, None)
         return [] if pending is None else [not_confirmed_response(pending, reason)]
 
-    def abandoned(self, token: str) -> None:
-        """Forget a request whose client went away; its change goes on."""
+    def abandon(self, token: str) -> None:
+        """Forget a request whose client disconnected; its change goes on."""
         self._pending.pop(token, None)
         self._watches.abandon(token)
 
-    def intent_changed(self, now: float) -> list[ApiEffect]:
+    def on_intent_changed(self, now: float) -> list[ApiEffect]:
         """Complete the watches that the newest intent is an update for."""
         self._update_drains(now)
         return list(self._watches.complete(self._view.intent_rows(), now))
--- a/src/zincvale/controlplane/api/messages.py
+++ b/src/zincvale/controlplane/api/messages.py
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class CallCore:
-    """Effect: hand `message` to the local core; `core_replied(token, ...)` follows."""
+    """Effect: hand `message` to the local core; `on_core_response(token, ...)` follows."""
 
     token: str
     message: ProposeChange | ReplaceReplica
--- a/src/zincvale/controlplane/api/reads.py
+++ b/src/zincvale/controlplane/api/reads.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from zincvale.controlplane.api.core_view import CoreView
+from zincvale.controlplane.core_view import CoreView
 from zincvale.controlplane.intent.row_codec import KIND_BY_TABLE, row_id
 from zincvale.controlplane.placement.move_row_codec import (
     decode_move,
--- a/src/zincvale/controlplane/documents/api.py
+++ b/src/zincvale/controlplane/documents/api.py
@@ -114,7 +114,7 @@
         self._pending[request.token] = _PendingCall(command, now + CALL_TIMEOUT_S)
         return [CallCore(request.token, self._proposal(command))]
 
-    def core_replied(self, token: str, message: object) -> list[ApiEffect]:
+    def on_core_response(self, token: str, message: object) -> list[ApiEffect]:
         """Take the core's response to `CallCore(token, ...)`."""
         pending = self._pending.get(token)
         if pending is None:
@@ -129,15 +129,15 @@
         pending.needed_version = message.current_version
         return self._complete_reads()
 
-    def core_failed(self, token: str, reason: str) -> list[ApiEffect]:
+    def on_core_failure(self, token: str, reason: str) -> list[ApiEffect]:
         """Take notice that `CallCore(token, ...)` gets no response."""
         return self._fail(token, reason) if token in self._pending else []
 
-    def abandoned(self, token: str) -> None:
-        """Forget a request whose client went away; its change goes on."""
+    def abandon(self, token: str) -> None:
+        """Forget a request whose client disconnected; its change goes on."""
         self._pending.pop(token, None)
 
-    def intent_changed(self, now: float) -> list[ApiEffect]:
+    def on_intent_changed(self, now: float) -> list[ApiEffect]:
         """Complete the reads that waited for the version that has just arrived."""
         return self._complete_reads()
 
--- a/src/zincvale/controlplane/status/cluster_snapshot.py
+++ b/src/zincvale/controlplane/status/cluster_snapshot.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from zincvale.controlplane.api.core_view import CoreView
+from zincvale.controlplane.core_view import CoreView
 from zincvale.controlplane.status.drain_progress import DrainProgress
 from zincvale.model.identifiers import MemberId, PoolName, ServerId
 from zincvale.model.resources import ServerSpec, ZoneSpec
--- a/src/zincvale/daemons/control_api_handler.py
+++ b/src/zincvale/daemons/control_api_handler.py
@@ -21,19 +21,19 @@
         """Take one request; the answer is among the effects now or later."""
         ...
 
-    def core_replied(self, token: str, message: object) -> list[ApiEffect]:
+    def on_core_response(self, token: str, message: object) -> list[ApiEffect]:
         """Take the core's response to `CallCore(token, ...)`."""
         ...
 
-    def core_failed(self, token: str, reason: str) -> list[ApiEffect]:
+    def on_core_failure(self, token: str, reason: str) -> list[ApiEffect]:
         """Take notice that `CallCore(token, ...)` gets no response."""
         ...
 
-    def abandoned(self, token: str) -> None:
-        """Forget a request whose client went away."""
+    def abandon(self, token: str) -> None:
+        """Forget a request whose client disconnected."""
         ...
 
-    def intent_changed(self, now: float) -> list[ApiEffect]:
+    def on_intent_changed(self, now: float) -> list[ApiEffect]:
         """Answer what waited for the newest intent."""
         ...
 
@@ -70,11 +70,11 @@
     def abandon(self, token: str) -> None:
         """Forget a request whose client went away."""
         if self._waiting.pop(token, None) is not None:
-            self._api.abandoned(token)
+            self._api.abandon(token)
 
     def intent_changed(self) -> None:
         """Answer the polls that wait for a newer intent."""
-        self._carry_out(self._api.intent_changed(self._clock()))
+        self._carry_out(self._api.on_intent_changed(self._clock()))
 
     def tick(self, now: float) -> None:
         """Answer what has waited for its time."""
@@ -96,9 +96,9 @@
     async def _call_core(self, effect: CallCore) -> None:
         reply = await self._driver.call_local(effect.message)
         if reply is None:
-            self._carry_out(self._api.core_failed(effect.token, "the core gave no answer"))
+            self._carry_out(self._api.on_core_failure(effect.token, "the core gave no answer"))
             return
-        self._carry_out(self._api.core_replied(effect.token, reply))
+        self._carry_out(self._api.on_core_response(effect.token, reply))
 
 
 class HealthHandler(RequestHandler):
--- a/src/zincvale/daemons/core_view.py
+++ b/src/zincvale/daemons/core_view.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
-from zincvale.controlplane.api.core_view import ReplicaRow, RoleRow
+from zincvale.controlplane.core_view import ReplicaRow, RoleRow
 from zincvale.controlplane.directory.row_codec import DIRECTORY_TOPIC, DirectoryDecoder
 from zincvale.controlplane.intent.row_codec import IntentDecoder
 from zincvale.controlplane.placement.draining_row_codec import MOVES_TOPIC
--- a/tests/controlplane/api/api_driver.py
+++ b/tests/controlplane/api/api_driver.py
@@ -45,7 +45,7 @@
     def reply(self, token: str, message: Any) -> list[ApiEffect]:
         """Give the core's answer."""
         self.lines.append(f"core -> {token} {message}")
-        return self.record(self.api.core_replied(token, message))
+        return self.record(self.api.on_core_response(token, message))
 
     def tick(self, seconds: float) -> list[ApiEffect]:
         """Let time pass."""
--- a/tests/controlplane/api/test_dispatch.py
+++ b/tests/controlplane/api/test_dispatch.py
@@ -8,6 +8,7 @@
 from tests.controlplane.approval import verify
 from tests.controlplane.fake_view import FakeView, move_row
 from zincvale.controlplane.api.dispatch import MAX_PENDING_CHANGES
+from zincvale.controlplane.api.messages import ApiResponse
 from zincvale.controlplane.api.pending_watches import MAX_PENDING_WATCHES
 from zincvale.controlplane.intent import change_body
 from zincvale.coordination.changes import KeyView
@@ -117,13 +118,13 @@
         driver.send("GET", "/v1/watch", query={"after": "7", "timeout_s": "20"})
         driver.send("GET", "/v1/watch", query={"after": "8", "timeout_s": "20"})
         driver.view.rows = KeyView(8, {"Zone/zone-a": b'{"evacuated":true}'})
-        driver.record(driver.api.intent_changed(driver.now))
+        driver.record(driver.api.on_intent_changed(driver.now))
         driver.note("held to the end")
         driver.tick(19.0)
         driver.tick(1.0)
         driver.note("gone before the end")
         driver.send("GET", "/v1/watch", query={"after": "8", "timeout_s": "20"})
-        driver.api.abandoned("t4")
+        driver.api.abandon("t4")
         driver.tick(30.0)
         verify(self, "watch", driver.transcript())
 
@@ -141,6 +142,15 @@
         driver.reply("t1", ChangeResult("in-force", version=8))
         self.assertEqual(1, len(driver.send("POST", "/v1/intent", EVACUATE)))
 
+    def test_a_response_that_is_no_result_promises_nothing(self) -> None:
+        driver = ApiDriver()
+        driver.send("POST", "/v1/intent", EVACUATE, {"Idempotency-Key": "op-1"})
+        effects = driver.api.on_core_response("t1", object())
+        assert isinstance(effects[0], ApiResponse)
+        self.assertEqual(503, effects[0].status)
+        self.assertIn(b"the core answered object", effects[0].body)
+        self.assertIn(b'"order_id":"op-1"', effects[0].body)
+
     def test_replacement_of_a_core(self) -> None:
         driver = ApiDriver()
         driver.send("POST", "/v1/replicas", {"remove": "core-2", "add": "core-4"})
@@ -148,7 +158,7 @@
         driver.send("POST", "/v1/replicas", {"remove": "core-2", "add": "core-5"})
         driver.reply("t2", ChangeResult("invalid", 0, 3, "core-2 is no replica", "see replicas"))
         driver.send("POST", "/v1/replicas", {"remove": "core-2", "add": "core-5"})
-        driver.record(driver.api.core_failed("t3", "the core stops"))
+        driver.record(driver.api.on_core_failure("t3", "the core stops"))
         driver.send("POST", "/v1/replicas", {"remove": "", "add": ""})
         driver.send("POST", "/v1/replicas", {"remove": "core-2"})
         driver.send("POST", "/v1/replicas", {"remove": "core-2", "add": 4})
--- a/tests/controlplane/documents/test_documents.py
+++ b/tests/controlplane/documents/test_documents.py
@@ -255,24 +255,24 @@
     def test_a_read_waits_for_the_version_that_a_quorum_proved(self):
         self.assertEqual(NO_VERSION, self.proposal(self.call("GET")).base_version)
         proved = ChangeResult(CONFLICT, current_version=3)
-        self.assertEqual([], self.api.core_replied("t1", proved))
+        self.assertEqual([], self.api.on_core_response("t1", proved))
         document = Document().accept(complete_document(0, 5, route("a")))
         self.view.view = KeyView(2, document.rows)
-        self.assertEqual([], self.api.intent_changed(0.2))
+        self.assertEqual([], self.api.on_intent_changed(0.2))
         self.view.view = KeyView(3, document.rows)
-        response = self.api.intent_changed(0.3)[0]
+        response = self.api.on_intent_changed(0.3)[0]
         self.assertEqual({"number": 5}, orjson.loads(response.body))
 
     def test_a_read_without_a_quorum_has_no_clear_answer(self):
         self.call("GET")
-        response = self.api.core_replied("t1", ChangeResult("not-confirmed"))[0]
+        response = self.api.on_core_response("t1", ChangeResult("not-confirmed"))[0]
         self.assertEqual(503, response.status)
 
     def test_a_change_is_answered_once(self):
         self.call("PUT")
-        response = self.api.core_replied("t1", ChangeResult(IN_FORCE, 1))
+        response = self.api.on_core_response("t1", ChangeResult(IN_FORCE, 1))
         self.assertIsInstance(response[0], ApiResponse)
-        self.assertEqual([], self.api.core_replied("t1", ChangeResult(IN_FORCE, 1)))
+        self.assertEqual([], self.api.on_core_response("t1", ChangeResult(IN_FORCE, 1)))
 
     def test_what_takes_too_long_has_no_clear_answer(self):
         self.call("PUT")
--- a/tests/controlplane/fake_view.py
+++ b/tests/controlplane/fake_view.py
@@ -7,7 +7,7 @@
 import attrs
 
 from tests.controlplane.samples import small_rows
-from zincvale.controlplane.api.core_view import ReplicaRow, RoleRow
+from zincvale.controlplane.core_view import ReplicaRow, RoleRow
 from zincvale.controlplane.intent.row_codec import IntentDecoder
 from zincvale.controlplane.placement.move_row_codec import encode_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveReason, MoveState
