--- a/src/zincvale/coordination/changes.py
+++ b/src/zincvale/coordination/changes.py
@@ -1,4 +1,4 @@
-"""Changes of a key's value: what reducers return and what readers see.
+"""Changes of a key's value: what reducers return, and the views that readers get.
 
 The value of a key is a table of rows `dict[str, bytes]` with one version.
 """
@@ -25,7 +25,7 @@
 class ChangeRefused:
     """Why a change cannot be applied; nothing was changed.
 
-    `is_conflict` tells that another change won on the value this one was built on.
+    `is_conflict` is true when another change won on the version that this one was built on.
     """
 
     problem: str
@@ -34,7 +34,8 @@
 
 
 Reducer = Callable[[Rows, bytes], Result[list[RowChange], ChangeRefused]]
-"""Turns a change into row changes against the current rows; deterministic."""
+"""Turns a change into row changes against the current rows. It must be deterministic: a new owner
+evaluates resent changes again."""
 
 
 @attrs.frozen
@@ -47,7 +48,7 @@
 
 @attrs.frozen
 class TopicView:
-    """A soft topic as last published."""
+    """An ephemeral topic as last published, by the leader of `epoch`."""
 
     epoch: int = 0
     version: int = 0
@@ -65,7 +66,7 @@
 
 @attrs.define
 class ChangeNotifications:
-    """What changed since a reader last asked."""
+    """What changed since the reader last took its notifications."""
 
     keys: set[str] = attrs.field(factory=set)
     topics: set[str] = attrs.field(factory=set)
@@ -73,14 +74,14 @@
     members: bool = False
 
     def take(self) -> ChangeNotifications:
-        """Return the notes and start new ones."""
+        """Return the notifications and clear them."""
         taken = ChangeNotifications(self.keys, self.topics, self.roles, self.members)
         self.keys, self.topics, self.roles, self.members = set(), set(), set(), False
         return taken
 
 
 def apply_changes(rows: Rows, changes: Iterable[RowChange]) -> Rows:
-    """Return `rows` with the changes; the argument stays as it is."""
+    """Return `rows` with the changes; the argument is not modified."""
     result = dict(rows)
     for change in changes:
         if change.value is None:
--- a/src/zincvale/coordination/core/context.py
+++ b/src/zincvale/coordination/core/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a core machine share: configuration, tables and readers' notes."""
+"""What the components of a core machine share: configuration, tables and notifications."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @attrs.define
 class CoreContext:
-    """Shared state of the parts of one core machine."""
+    """Shared state of the components of one core machine."""
 
     config: CoreConfig
     random_source: random.Random
@@ -97,7 +97,7 @@
             self.cores.note_core(row.info)
 
     def is_voting(self) -> bool:
-        """Whether the replica answers: it is a voter and its disk takes writes."""
+        """Whether the replica responds: it is a voter and its disk takes writes."""
         return self.is_voter() and not self.replica.failure
 
     def chosen_version(self, key: str) -> int:
--- a/src/zincvale/coordination/core/machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -1,7 +1,7 @@
 """The core's state machine: control state, leases, singleton roles and delivery.
 
-Inputs go to the parts (`core_inputs`), ticks run the systems in order (`core_systems`), and what
-they bring about is handed on after each input.
+Inputs go to the components (`dispatch`), a tick runs their steps in order (`tick`), and after each
+input their outcomes are drained into effects (`tick.drain_effects`).
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
     recovered : what its data folder held.
     reducers : the embedder's keys and how their changes are applied.
     random : the only source of randomness.
-    now : the time, in seconds.
+    now : the time, in seconds, on the clock of every later input.
     """
 
     def __init__(
@@ -119,14 +119,14 @@
                 parts.creation.follow_accepted_replica_sets()
                 return effects
             case ShutdownRequested():
-                return self._leave(now)
+                return self._shut_down(now)
             case ClockJumped(gap_s):
                 dropped = Log(log_events.CLOCK_JUMPED, {"gap_s": round(gap_s, 3)})
                 return [dropped, *parts.roles.drop_all(now)]
         return []
 
-    def _leave(self, now: float) -> list[Effect]:
-        """Hand over what this process owns and leads, and say so at once."""
+    def _shut_down(self, now: float) -> list[Effect]:
+        """Resign every key and role of this process, and send a heartbeat that says so at once."""
         self._context.leaving = True
         self._parts.ownership.resign()
         effects = self._parts.roles.release_all(now)
@@ -152,11 +152,11 @@
         return self._parts.leases.caught_up and not self._parts.is_isolated(now)
 
     def topic(self, name: str) -> TopicView:
-        """Return a soft topic as last published."""
+        """Return an ephemeral topic as last published."""
         return self._context.topics.view(name)
 
     def topic_epoch_seen(self, name: str) -> int:
-        """Return the newest epoch of a soft topic that a node was seen to hold."""
+        """Return the newest epoch of an ephemeral topic that a node reported."""
         return self._parts.delivery.topic_epochs_seen.get(name, 0)
 
     def role(self, role_name: str, now: float) -> LeadershipState:
@@ -167,19 +167,19 @@
         """Return the peer address of a member, if known."""
         return self._context.cores.address_of(member)
 
-    def may_go(self, now: float) -> bool:
-        """Whether no vote of this process is waited for: a stand-in has it, or there is none."""
+    def may_stop(self, now: float) -> bool:
+        """Whether this process may stop: it has no vote, or no learner could take its vote over."""
         if not self._context.is_voter():
             return True
         live = self._context.cores.live(now).values()
         return not any(status.can_learn for status in live)
 
     def live_cores(self, now: float) -> list[MemberId]:
-        """Return the other cores that were heard lately."""
+        """Return the other cores with a recent heartbeat."""
         return list(self._context.cores.live(now))
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other peer addresses for first contact."""
+        """Replace the peer addresses for first contact."""
         addresses = tuple(Address(seed) for seed in seeds)
         self._context.config = attrs.evolve(self._context.config, seeds=addresses)
 
@@ -187,8 +187,8 @@
         """Return what changed since the last call."""
         return self._context.notes.take()
 
-    def held_versions(self, key: str) -> dict[MemberId, int]:
-        """Return the version of `key` that each live node last said it holds."""
+    def applied_versions(self, key: str) -> dict[MemberId, int]:
+        """Return the version of `key` that each live node last reported as applied."""
         rows = self._parts.leases.grantor.rows
         return {MemberId(member): row.held.get(key, 0) for member, row in rows.items()}
 
@@ -205,8 +205,8 @@
         return replica_statuses(self._context, now)
 
     def state(self, now: float) -> CoreState:
-        """Return what operators ask about this core."""
+        """Return the state of this core for operators."""
         parts = self._parts
         trackers = parts.leases.reports.trackers
         keys = key_states(self._context, parts.owners, parts.ownership, trackers, now)
-        return core_state(self._context, parts.leases.caught_up, keys, now)
+        return core_state(self._context, caught_up=parts.leases.caught_up, keys=keys, now=now)
--- a/src/zincvale/coordination/core/messages.py
+++ b/src/zincvale/coordination/core/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the cores among each other: statuses, creation, what nodes hold."""
+"""Messages between cores: heartbeats, creation of the cluster, versions that nodes applied."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class TopicPosition:
-    """The epoch and version of a soft topic that a poller holds."""
+    """The epoch and version of an ephemeral topic that a poller stores."""
 
     epoch: int
     version: int
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class KeyStatus:
-    """Where a core stands with one key."""
+    """The state of one key at a core."""
 
     key: str
     promised: Epoch
@@ -36,27 +36,28 @@
 @peer_message("core.status")
 @attrs.frozen
 class Heartbeat:
-    """What a core tells the others several times a second."""
+    """Sent by a core to the others several times a second; without one it counts as failed."""
 
     info: MemberInfo
     disk: str
     """Random identity of the data folder."""
     cluster_incarnation: str
-    """Identity of the cluster's creation; empty on a disk that holds no records."""
+    """Identity of the cluster's creation; empty on a disk without records."""
     bootstrapping: bool
     voting: bool
     can_learn: bool
     """The sender has no vote and its disk takes writes."""
     keys: list[KeyStatus]
     heard: dict[str, str]
-    """Incarnations of the cores the sender heard: proves that it spoke after they started."""
+    """Incarnations of the cores whose heartbeats the sender received: proves that this one was sent
+    after they started."""
     topics: dict[str, TopicPosition]
     leaving: bool = False
     """The sender was asked to stop: it owns nothing, leads nothing, and may be replaced."""
     held_roles: list[str] = attrs.field(factory=list)
     """Roles for which the sender's grant to some holder is live."""
     number: int = 0
-    """Counts the statuses of one process that differ in more than their topics."""
+    """Counts the heartbeats of one process that differ in more than their topics."""
 
 
 @peer_message("core.unchanged")
@@ -72,13 +73,13 @@
 @peer_message("core.ask-status")
 @attrs.frozen
 class RequestHeartbeat:
-    """The sender lacks the status for which an `UnchangedHeartbeat` stands: send it whole."""
+    """The sender lacks the heartbeat that an `UnchangedHeartbeat` stands for: send it complete."""
 
 
 @peer_message("core.ask")
 @attrs.frozen
 class RequestCores:
-    """Ask a process which cores it knows; it answers with `LeaseRedirect`."""
+    """Request the cores that a process knows; the response is a `LeaseRedirect`."""
 
 
 @peer_message("core.create")
@@ -93,9 +94,9 @@
 @peer_message("held.report")
 @attrs.frozen
 class AppliedVersionsReport:
-    """Every node with a live lease at the sender holds `version` of `key`.
+    """Every node with a live lease at the sender has applied `version` of `key`.
 
-    `nodes` are those that confirmed and gave no evidence of being cut off lately; `chosen` are the
+    `nodes` are those that confirmed and gave no recent evidence of a partition; `chosen` are the
     sender's newest versions of the delivered keys, `config_version` that of its replica sets.
     """
 
--- a/src/zincvale/coordination/core/queries.py
+++ b/src/zincvale/coordination/core/queries.py
@@ -1,4 +1,4 @@
-"""Read-only queries over the parts of a core, for operators."""
+"""Read-only queries over the components of a core, for operators."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def core_state(
-    context: CoreContext, caught_up: bool, keys: list[KeyState], now: float
+    context: CoreContext, *, caught_up: bool, keys: list[KeyState], now: float
 ) -> CoreState:
     """Return one core as its operators see it."""
     return CoreState(
--- a/src/zincvale/coordination/core/standby_machine.py
+++ b/src/zincvale/coordination/core/standby_machine.py
@@ -1,8 +1,8 @@
 """The state machine of a core process that has no disk.
 
 Without a disk it can promise nothing, so it never votes, owns no key, holds no role and shows no
-control state. It knows where the cores are, and tells whoever asks it for first contact: operators,
-and daemons whose seeds name it. One small exchange every few seconds keeps that knowledge.
+control state. It knows where the cores are and redirects first contact to them: operators, and
+daemons whose seeds name it. One small exchange every few seconds refreshes that knowledge.
 """
 
 from __future__ import annotations
@@ -18,20 +18,21 @@
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.model.machine import Effect, Input, Log, MessageReceived, Send, Tick
 
-ASK_INTERVAL_S = 2.0
-"""How often a core that answers is asked again."""
-ASK_AGAIN_S = 0.5
-"""How often every core known and every seed is asked while none answers."""
-ANSWERS_WITHIN_S = 2.5
-"""A core that was not heard for longer is not named to operators while another one was."""
-FORGET_S = 60.0
-"""A core that no answer names for so long, while others are named, has left the cluster."""
-REASON = "this process has no disk and no vote"
+REFRESH_INTERVAL_S = 2.0
+"""Between two requests to a responsive core."""
+DISCOVERY_INTERVAL_S = 0.5
+"""Between two requests to every known core and seed, while none responds."""
+RESPONSIVE_WITHIN_S = 2.5
+"""A core unheard for longer is not named to operators while another one is responsive. It must be
+longer than REFRESH_INTERVAL_S, or the core in use counts as unresponsive between two requests."""
+REMOVE_CORE_AFTER_S = 60.0
+"""A core that no response names for so long, while others are named, has left the cluster."""
+REDIRECT_REASON = "this process has no disk and no vote"
 
 
 @attrs.frozen
 class StandbyConfig:
-    """What a standby is told at its start."""
+    """Startup configuration of a standby."""
 
     member: MemberId
     zone: ZoneName
@@ -42,8 +43,8 @@
 @attrs.define
 class _KnownCore:
     info: MemberInfo
-    named_at: float
-    heard_at: float = float("-inf")
+    last_named_at: float
+    last_heard_at: float = float("-inf")
 
 
 class StandbyMachine:
@@ -59,7 +60,7 @@
         self._config = config
         self._random = random_source
         self._cores: dict[MemberId, _KnownCore] = {}
-        self._ask_at = float("-inf")
+        self._next_request_at = float("-inf")
         self._has_started = False
 
     # --- inputs ---------------------------------------------------------------------------
@@ -70,10 +71,10 @@
             case Tick():
                 return self._tick(now)
             case MessageReceived(sender, LeaseRedirect(cores)):
-                self._learn(sender, cores, now)
+                self._record_cores(sender, cores, now)
             case MessageReceived(sender, Heartbeat(info) as status):
                 is_of_cluster = bool(status.cluster_incarnation)
-                self._learn(sender, [info] if is_of_cluster or not self._cores else [], now)
+                self._record_cores(sender, [info] if is_of_cluster or not self._cores else [], now)
                 return self._redirect(sender)
             case MessageReceived(sender, RenewLease() | RequestCores() | UnchangedHeartbeat()):
                 return self._redirect(sender)
@@ -84,45 +85,45 @@
         if not self._has_started:
             self._has_started = True
             effects.append(Log(log_events.CORE_STANDS_BY, {"zone": str(self._config.zone)}))
-        if now < self._ask_at:
+        if now < self._next_request_at:
             return effects
-        self._forget(now)
-        answering = self._answering(now)
-        if answering:
-            self._ask_at = now + ASK_INTERVAL_S
-            targets = [self._nearest(answering)]
+        self._remove_departed_cores(now)
+        responsive = self._responsive_cores(now)
+        if responsive:
+            self._next_request_at = now + REFRESH_INTERVAL_S
+            targets = [self._nearest(responsive)]
         else:
-            self._ask_at = now + ASK_AGAIN_S
+            self._next_request_at = now + DISCOVERY_INTERVAL_S
             targets = [*self._cores, *(MemberId(f"@{seed}") for seed in self._config.seeds)]
         return [*effects, *(Send(target, RequestCores()) for target in targets)]
 
-    def _learn(self, sender: MemberId, infos: list[MemberInfo], now: float) -> None:
-        """Remember the cores that a process named; a core that answers was heard."""
+    def _record_cores(self, sender: MemberId, infos: list[MemberInfo], now: float) -> None:
+        """Record the cores that a process named; a core that responds was heard."""
         for info in infos:
             member = MemberId(info.member)
             before = self._cores.get(member)
-            heard_at = before.heard_at if before is not None else float("-inf")
-            self._cores[member] = _KnownCore(info, now, heard_at)
+            last_heard_at = before.last_heard_at if before is not None else float("-inf")
+            self._cores[member] = _KnownCore(info, now, last_heard_at)
         if sender in self._cores:
-            self._cores[sender].heard_at = now
+            self._cores[sender].last_heard_at = now
 
     def _redirect(self, sender: MemberId) -> list[Effect]:
         if not self._cores:
             return []
         infos = [core.info for core in self._cores.values()]
-        return [Send(sender, LeaseRedirect(infos, REASON))]
+        return [Send(sender, LeaseRedirect(infos, REDIRECT_REASON))]
 
-    def _forget(self, now: float) -> None:
-        newest = max((core.named_at for core in self._cores.values()), default=now)
+    def _remove_departed_cores(self, now: float) -> None:
+        newest = max((core.last_named_at for core in self._cores.values()), default=now)
         for member, core in list(self._cores.items()):
-            if newest - core.named_at > FORGET_S:
+            if newest - core.last_named_at > REMOVE_CORE_AFTER_S:
                 del self._cores[member]
 
-    def _answering(self, now: float) -> list[MemberId]:
+    def _responsive_cores(self, now: float) -> list[MemberId]:
         return [
             member
             for member, core in self._cores.items()
-            if now - core.heard_at <= ANSWERS_WITHIN_S
+            if now - core.last_heard_at <= RESPONSIVE_WITHIN_S
         ]
 
     def _nearest(self, members: list[MemberId]) -> MemberId:
@@ -134,8 +135,8 @@
     # --- queries --------------------------------------------------------------------------
 
     def core_for_operators(self, now: float) -> Address | None:
-        """Return where operators reach a core: one heard lately, else any that is known."""
-        members = self._answering(now) or list(self._cores)
+        """Return where operators reach a core: a responsive one, else any that is known."""
+        members = self._responsive_cores(now) or list(self._cores)
         if not members:
             return None
         return Address(self._cores[self._nearest(members)].info.api_address)
@@ -146,6 +147,6 @@
         return Address(core.info.peer_address) if core is not None else None
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other peer addresses for first contact."""
+        """Replace the peer addresses for first contact."""
         addresses = tuple(Address(seed) for seed in seeds)
         self._config = attrs.evolve(self._config, seeds=addresses)
--- a/src/zincvale/coordination/core/status.py
+++ b/src/zincvale/coordination/core/status.py
@@ -1,4 +1,4 @@
-"""What operators see of a core."""
+"""Read-only rows about a core and its cluster, for operators."""
 
 from __future__ import annotations
 
@@ -9,7 +9,15 @@
 
 @attrs.frozen
 class KeyState:
-    """One key at one core."""
+    """One key at one core.
+
+    Attributes
+    ----------
+    owner : member id of the live core believed to own the key; empty when none is known.
+    epoch : number of the highest epoch that the core's replica promised.
+    chosen_version : newest version known to be chosen.
+    in_force_version : newest version known to be applied everywhere.
+    """
 
     key: str
     owner: str
@@ -20,7 +28,15 @@
 
 @attrs.frozen
 class CoreState:
-    """One core as its operators see it."""
+    """One core as it sees itself.
+
+    Attributes
+    ----------
+    voting : its disk is a declared replica and takes writes.
+    caught_up : it knows enough since its start to grant leases.
+    disk_failure : why the disk takes no writes; empty when it does.
+    quarantined : keys whose files were unreadable at the start, and why.
+    """
 
     member: str
     disk: str
--- a/src/zincvale/coordination/registers/cluster_creation.py
+++ b/src/zincvale/coordination/registers/cluster_creation.py
@@ -116,7 +116,7 @@
                 rows.append(CoreRow(context.info(), context.disk))
                 continue
             status = context.cores.status(initial.member)
-            if status is None or not _is_waiting(status):
+            if status is None or not _awaits_creation(status):
                 return []
             rows.append(CoreRow(status.info, status.disk))
         self._retry_at = now + CREATION_RETRY_S
@@ -151,5 +151,5 @@
         return [Log(log_events.CREATION_REFUSED, fields)]
 
 
-def _is_waiting(status: Heartbeat) -> bool:
+def _awaits_creation(status: Heartbeat) -> bool:
     return status.bootstrapping and not status.cluster_incarnation
--- a/src/zincvale/daemons/core_view.py
+++ b/src/zincvale/daemons/core_view.py
@@ -45,7 +45,7 @@
 
     def applied_versions(self) -> Mapping[MemberId, int]:
         """Return the intent version that each live node last reported as applied."""
-        return self._machine.held_versions(INTENT_KEY)
+        return self._machine.applied_versions(INTENT_KEY)
 
     def directory(self) -> Directory:
         """Return the observed servers."""
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -145,7 +145,7 @@
 
     def _may_go(self) -> bool:
         now = self._clock()
-        return now - self._leaving_since >= HAND_OVER_S and self.machine.may_go(now)
+        return now - self._leaving_since >= HAND_OVER_S and self.machine.may_stop(now)
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take seeds that changed while the process runs."""
--- a/tests/coordination/core/test_standby_machine.py
+++ b/tests/coordination/core/test_standby_machine.py
@@ -10,10 +10,10 @@
 from zincvale.coordination import log_events
 from zincvale.coordination.core.messages import RequestCores
 from zincvale.coordination.core.standby_machine import (
-    ANSWERS_WITHIN_S,
-    ASK_AGAIN_S,
-    ASK_INTERVAL_S,
-    FORGET_S,
+    DISCOVERY_INTERVAL_S,
+    REFRESH_INTERVAL_S,
+    REMOVE_CORE_AFTER_S,
+    RESPONSIVE_WITHIN_S,
     StandbyConfig,
     StandbyMachine,
 )
@@ -51,16 +51,16 @@
 
     def test_it_asks_its_seeds_until_a_core_answers(self) -> None:
         self.assertEqual(["@seed:1"], self.asked(0.0))
-        self.assertEqual([], self.asked(ASK_AGAIN_S / 2))
-        self.assertEqual(["@seed:1"], self.asked(ASK_AGAIN_S))
+        self.assertEqual([], self.asked(DISCOVERY_INTERVAL_S / 2))
+        self.assertEqual(["@seed:1"], self.asked(DISCOVERY_INTERVAL_S))
 
     def test_then_it_asks_one_core_seldom_the_one_of_its_zone(self) -> None:
         self.asked(0.0)
         near, far = core("near", "z1"), core("far")
         self.told("near", near, far, now=0.1)
         self.told("far", near, far, now=0.1)
-        self.assertEqual(["near"], self.asked(ASK_AGAIN_S))
-        self.assertEqual([], self.asked(ASK_AGAIN_S + ASK_INTERVAL_S / 2))
+        self.assertEqual(["near"], self.asked(DISCOVERY_INTERVAL_S))
+        self.assertEqual([], self.asked(DISCOVERY_INTERVAL_S + REFRESH_INTERVAL_S / 2))
 
     def test_what_it_was_told_is_all_that_it_tells(self) -> None:
         ask = MessageReceived(MemberId("node-1"), RequestCores())
@@ -74,8 +74,8 @@
         self.assertIsNone(self.machine.core_for_operators(0.0))
         self.told("a", core("a"), core("b"), now=0.0)
         self.assertEqual("a:api", self.machine.core_for_operators(1.0))
-        self.told("b", core("a"), core("b"), now=ANSWERS_WITHIN_S + 0.1)
-        self.assertEqual("b:api", self.machine.core_for_operators(ANSWERS_WITHIN_S + 0.2))
+        self.told("b", core("a"), core("b"), now=RESPONSIVE_WITHIN_S + 0.1)
+        self.assertEqual("b:api", self.machine.core_for_operators(RESPONSIVE_WITHIN_S + 0.2))
 
     def test_when_none_answers_operators_are_sent_to_any(self) -> None:
         self.told("a", core("a"), now=0.0)
@@ -87,14 +87,14 @@
 
     def test_a_core_that_left_is_forgotten(self) -> None:
         self.told("a", core("a"), core("gone"), now=0.0)
-        self.told("a", core("a"), now=FORGET_S + 1.0)
-        self.asked(FORGET_S + 2.0)
+        self.told("a", core("a"), now=REMOVE_CORE_AFTER_S + 1.0)
+        self.asked(REMOVE_CORE_AFTER_S + 2.0)
         self.assertIsNone(self.machine.address_of(MemberId("gone")))
         self.assertEqual("a:peer", self.machine.address_of(MemberId("a")))
 
     def test_cut_off_for_long_it_forgets_nobody(self) -> None:
         self.told("a", core("a"), core("b"), now=0.0)
-        self.asked(10 * FORGET_S)
+        self.asked(10 * REMOVE_CORE_AFTER_S)
         self.assertEqual("b:peer", self.machine.address_of(MemberId("b")))
 
     def test_exchanged_seeds_are_asked(self) -> None:
--- a/tests/coordination/test_hand_over.py
+++ b/tests/coordination/test_hand_over.py
@@ -51,7 +51,7 @@
         cluster.start_core("core-4")
         cluster.run(1.0)
         cluster._feed(cluster.processes["core-2"], ShutdownRequested())
-        self.assertFalse(cluster.core("core-2").may_go(cluster.now))
+        self.assertFalse(cluster.core("core-2").may_stop(cluster.now))
 
         def moved() -> bool:
             replicas = cluster.core("core-1").state(cluster.now).replicas
@@ -59,7 +59,9 @@
             return members == {"core-1", "core-3", "core-4"}
 
         self.assertTrue(cluster.run_until(moved, 6.0))
-        self.assertTrue(cluster.run_until(lambda: cluster.core("core-2").may_go(cluster.now), 2.0))
+        self.assertTrue(
+            cluster.run_until(lambda: cluster.core("core-2").may_stop(cluster.now), 2.0)
+        )
 
 
 class CandidateTest(testtools.TestCase):
