--- a/src/zincvale/coordination/registers/owner.py
+++ b/src/zincvale/coordination/registers/owner.py
@@ -82,7 +82,14 @@
 
 
 @attrs.define
-class _InFlight:
+class _InFlightWrite:
+    """A record that the replicas were sent and no quorum acknowledged yet.
+
+    `update` leads to `record` from the chosen one, or is complete; `quorum` is the configuration
+    whose majorities choose it, not the one in `record` when that leaves a joint configuration;
+    `acknowledged` are the replicas with the record on their disks.
+    """
+
     record: Record
     update: RecordUpdate
     accepted: list[AcceptedProposal]
@@ -99,6 +106,13 @@
     key : the key.
     owner : `member/incarnation` of this process.
     reducer : turns a change into row changes.
+    timings : durations.
+
+    Attributes
+    ----------
+    epoch : the newest epoch that this process took of the key.
+    retry_at : earliest time of the next `start`; set by who decides to take the key.
+    outcomes : what the caller must act on, in order; the caller takes and clears them.
     """
 
     def __init__(self, key: str, owner: str, reducer: Reducer, timings: Timings) -> None:
@@ -120,7 +134,7 @@
         self._replicas_with_record: set[str] = set()
         self._straggler_push_at = 0.0
         self._config_move_at = 0.0
-        self._in_flight: _InFlight | None = None
+        self._in_flight: _InFlightWrite | None = None
         self._queue: deque[tuple[str, ProposeChange]] = deque()
         self._proof = OwnershipProof(key, timings.resend_interval_s)
         self._is_restoring = False
@@ -195,7 +209,7 @@
         position = Position(self.epoch, version)
         record = attrs.evolve(self._record, position=position, rows=dict(rows))
         self._is_restoring = True
-        return self._begin_write(record, record.to_update(), [], record.config, now)
+        return self._begin_write(_InFlightWrite(record, record.to_update(), [], record.config, now))
 
     def handle(self, sender: MemberId, message: object, now: float) -> list[Effect]:
         """Apply a replica's response."""
@@ -269,7 +283,7 @@
         self.phase = OwnerPhase.REPROPOSING
         record = newest_promised.moved_to(self.epoch, self._next_config(newest_promised))
         quorum = newest_promised.config if newest_promised.config.previous else record.config
-        return self._begin_write(record, record.to_update(), [], quorum, now)
+        return self._begin_write(_InFlightWrite(record, record.to_update(), [], quorum, now))
 
     def _next_config(self, newest_promised: Record) -> ReplicaConfig:
         """Return the configuration to write the newest promised record again with.
@@ -342,20 +356,15 @@
                 self.outcomes.append(NewlyChosen(self._record, batch.accepted))
             return effects
         record, update = batch.finish(self.epoch)
-        return effects + self._begin_write(record, update, batch.accepted, record.config, now)
-
-    def _begin_write(
-        self,
-        record: Record,
-        update: RecordUpdate,
-        accepted: list[AcceptedProposal],
-        quorum: ReplicaConfig,
-        now: float,
-    ) -> list[Effect]:
-        self._in_flight = _InFlight(record, update, accepted, quorum, now)
-        return self._send_accepts(self._in_flight)
+        return effects + self._begin_write(
+            _InFlightWrite(record, update, batch.accepted, record.config, now)
+        )
+
+    def _begin_write(self, write: _InFlightWrite) -> list[Effect]:
+        self._in_flight = write
+        return self._send_accepts(write)
 
-    def _send_accepts(self, in_flight: _InFlight) -> list[Effect]:
+    def _send_accepts(self, in_flight: _InFlightWrite) -> list[Effect]:
         missing = [
             each for each in in_flight.quorum.all_replicas() if each not in in_flight.acknowledged
         ]
