--- a/src/zincvale/coordination/core/components.py
+++ b/src/zincvale/coordination/core/components.py
@@ -1,14 +1,14 @@
-"""The parts of a core machine, wired together.
+"""The components of a core machine, wired together.
 
-- `register_replica`, `register_owner`, `ownership`: the durable registers, one owner per key;
-- `creation`, `catch_up_tracker`, `repair`: the first record, what a started core must learn, what
-  nodes give back;
-- `proposals`: changes on their way to an owner and back;
-- `chosen_values`, `core_topics`, `delivery`: what long polls are answered from;
-- `core_leases`, `home_renewals`: member leases, and what their holders hold;
+- `context.replica`, `owners`, `ownership`: the durable registers, one owner per key;
+- `cluster_creation`, `catch_up_tracker`, `value_repair`: the first record, what a started core must
+  learn, values that nodes still store and disks lost;
+- `proposal_router`: changes to an owner and their results back;
+- `chosen_values`, `core_topics`, `long_poll_server`: tables, and the polls that they answer;
+- `member_leases`, `renewal_batcher`: leases of members, and the versions that they applied;
 - `replica_set_reconciler`: replacement of replicas;
-- `core_roles`: singleton roles;
-- `core_statuses`: what the cores tell each other.
+- `leader_election`: singleton roles;
+- `heartbeats`: heartbeats between the cores.
 """
 
 from __future__ import annotations
@@ -45,7 +45,10 @@
 
 
 class CoreComponents:
-    """Every part of one core, and the results they hand each other."""
+    """Every component of one core, and the callbacks between them.
+
+    The order of construction follows what each needs of the others.
+    """
 
     def __init__(self, context: CoreContext, reducers: dict[str, Reducer]) -> None:
         timings = context.config.timings
@@ -56,20 +59,26 @@
         }
         for key, owner in self.owners.items():
             owner.observe_epoch(context.replica.state(key).promised)
-        self.values = ChosenValues(context, self._on_chosen)
-        self.creation = ClusterCreation(context, list(self.owners))
-        self.creation.follow_accepted_replica_sets()
-        self.leases = MemberLeases(context)
-        self.home = LeaseRenewalBatcher(context)
-        self.manager = ReplicaSetReconciler(context, self.owners)
+        self.chosen_values = ChosenValues(context, self._on_chosen)
+        self.cluster_creation = ClusterCreation(context, list(self.owners))
+        self.cluster_creation.follow_accepted_replica_sets()
+        self.member_leases = MemberLeases(context)
+        self.renewal_batcher = LeaseRenewalBatcher(context)
+        self.replica_set_reconciler = ReplicaSetReconciler(context, self.owners)
         self.catch_up_tracker = CatchUpTracker(context, self.owners)
         self.ownership = Ownership(context, self.owners)
-        self.proposals = ProposalRouter(context, self.owners, self.ownership, self._on_internal)
-        self.repair = ValueRepair(context, self.owners)
-        self.roles = LeaderElection(context, self.ownership.owner_of, self.repair.may_take_role)
-        self.delivery = LongPollServer(timings, context.values, context.members, context.topics)
-        self.topics = CoreTopics(context, self.delivery)
-        self.statuses = HeartbeatExchange(context, self.owners, self.roles.granted_here)
+        self.proposal_router = ProposalRouter(
+            context, self.owners, self.ownership, self._on_internal
+        )
+        self.value_repair = ValueRepair(context, self.owners)
+        self.leader_election = LeaderElection(
+            context, self.ownership.owner_of, self.value_repair.may_take_role
+        )
+        self.long_poll_server = LongPollServer(
+            timings, context.values, context.members, context.topics
+        )
+        self.core_topics = CoreTopics(context, self.long_poll_server)
+        self.heartbeats = HeartbeatExchange(context, self.owners, self.leader_election.granted_here)
 
     def is_isolated(self, now: float) -> bool:
         """Whether this core does not hear a majority of the cores, itself included."""
@@ -78,14 +87,16 @@
 
     def _on_chosen(self, key: str, version: int, now: float) -> None:
         if key in DELIVERED_KEYS:
-            self.leases.grantor.note_chosen(key, version, now)
+            self.member_leases.grantor.note_chosen(key, version, now)
         if key in (REGISTRY_KEY, REPLICA_SETS_KEY):
-            self.leases.reports.note_rules_changed()
-        self.delivery.note_news(now)
+            self.member_leases.reports.note_rules_changed()
+        self.long_poll_server.note_news(now)
 
     def _on_internal(self, name: str, result: ChangeResult, now: float) -> list[Effect]:
         if name.startswith(ROLE_PROPOSAL_PREFIX):
-            return self.roles.handle_epoch(name.removeprefix(ROLE_PROPOSAL_PREFIX), result, now)
+            return self.leader_election.handle_epoch(
+                name.removeprefix(ROLE_PROPOSAL_PREFIX), result, now
+            )
         return []
 
 
--- a/src/zincvale/coordination/core/dispatch.py
+++ b/src/zincvale/coordination/core/dispatch.py
@@ -1,4 +1,4 @@
-"""Which part of a core takes which message or call."""
+"""Which component of a core handles which message or call."""
 
 from __future__ import annotations
 
@@ -52,167 +52,193 @@
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Reply, Send
 
-ReplicaAnswer = Promise | Accepted | BaseVersionMissing | Refused | EpochConfirmed
+ReplicaResponse = Promise | Accepted | BaseVersionMissing | Refused | EpochConfirmed
 
 
-def handle_call(parts: CoreComponents, token: str, message: object, now: float) -> list[Effect]:
-    """Apply a call; its reply follows now or later."""
+def handle_call(
+    components: CoreComponents, token: str, message: object, now: float
+) -> list[Effect]:
+    """Apply a call; its reply is among the effects, or follows with a later input."""
     match message:
         case ProposeChange():
-            return parts.proposals.propose(token, message, now)
+            return components.proposal_router.propose(token, message, now)
         case ForwardChange():
-            return parts.proposals.handle_forwarded(token, message, now)
+            return components.proposal_router.handle_forwarded(token, message, now)
         case Poll():
-            return parts.delivery.poll(token, message, now)
+            return components.long_poll_server.poll(token, message, now)
         case PublishTopic():
-            return parts.topics.publish(token, message, now)
+            return components.core_topics.publish(token, message, now)
         case RenewLease():
-            return _renew_for_home(parts, token, message, now)
+            return _renew_for_batch(components, token, message, now)
         case ReplaceReplica():
-            return _replace(parts, token, message, now)
+            return _propose_replacement(components, token, message, now)
     return []
 
 
 def handle_message(
-    parts: CoreComponents, sender: MemberId, message: object, now: float
+    components: CoreComponents, sender: MemberId, message: object, now: float
 ) -> list[Effect]:
     """Apply a one-way message."""
     match message:
         case Accept():
-            parts.values.handle_accept(message, now)
-            return parts.context.replica.handle(sender, message, message.key)
+            components.chosen_values.handle_accept(message, now)
+            return components.context.replica.handle(sender, message, message.key)
         case Prepare():
-            return parts.context.replica.handle(sender, message, message.key)
+            return components.context.replica.handle(sender, message, message.key)
         case ConfirmEpoch():
-            return parts.context.replica.confirm(sender, message)
+            return components.context.replica.confirm(sender, message)
         case Promise() | Accepted() | BaseVersionMissing() | Refused() | EpochConfirmed():
-            return _handle_replica_answer(parts, sender, message, now)
+            return _handle_replica_response(components, sender, message, now)
         case Chosen():
-            return parts.values.handle_chosen(sender, message, now)
+            return components.chosen_values.handle_chosen(sender, message, now)
         case FetchValue():
-            return parts.values.handle_fetch(sender, message)
+            return components.chosen_values.handle_fetch(sender, message)
         case ChosenValue():
-            parts.values.handle_value(message, now)
+            components.chosen_values.handle_value(message, now)
             return []
-    return _handle_cluster_message(parts, sender, message, now)
+    return _handle_cluster_message(components, sender, message, now)
 
 
 def _handle_cluster_message(
-    parts: CoreComponents, sender: MemberId, message: object, now: float
+    components: CoreComponents, sender: MemberId, message: object, now: float
 ) -> list[Effect]:
+    """Apply a message about the cores themselves, else pass it on."""
     match message:
         case Heartbeat():
-            return _handle_status(parts, sender, message, now)
+            return _handle_heartbeat(components, sender, message, now)
         case UnchangedHeartbeat():
-            return _handle_unchanged(parts, sender, message, now)
+            return _handle_unchanged_heartbeat(components, sender, message, now)
         case RequestHeartbeat():
-            parts.statuses.send_whole_to(sender, now)
+            components.heartbeats.send_whole_to(sender, now)
         case CreateCluster():
-            return parts.creation.handle(sender, message, now)
+            return components.cluster_creation.handle(sender, message, now)
         case RequestCores():
-            return [Send(sender, LeaseRedirect(parts.leases.core_infos(), "asked"))]
+            return [Send(sender, LeaseRedirect(components.member_leases.core_infos(), "asked"))]
         case LeaseRedirect(cores, _):
             for info in cores:
-                parts.context.cores.note_core(info)
+                components.context.cores.note_core(info)
         case AppliedVersionsReport():
-            parts.leases.reports.handle(sender, message)
+            components.member_leases.reports.handle(sender, message)
+        case _:
+            return _handle_lease_message(components, sender, message, now)
+    return []
+
+
+def _handle_lease_message(
+    components: CoreComponents, sender: MemberId, message: object, now: float
+) -> list[Effect]:
+    """Apply a message of the member leases, else pass it on."""
+    match message:
         case RenewLease():
-            answer = _renew(parts, message, now)
-            return [Send(sender, answer), *parts.leases.report_if_complete(now)]
+            response = _renew(components, message, now)
+            return [Send(sender, response), *components.member_leases.report_if_complete(now)]
         case RelayedRenewal(renewal):
-            return _handle_relayed(parts, sender, renewal, now)
+            return _handle_relayed_renewal(components, sender, renewal, now)
         case RelayedRenewals():
-            return _handle_batch(parts, sender, message, now)
+            return _handle_renewal_batch(components, sender, message, now)
         case RelayedGrants():
-            return parts.home.handle_grants(sender, message)
+            return components.renewal_batcher.handle_grants(sender, message)
+    return _handle_leader_or_topic_message(components, sender, message, now)
+
+
+def _handle_leader_or_topic_message(
+    components: CoreComponents, sender: MemberId, message: object, now: float
+) -> list[Effect]:
+    """Apply a message of the singleton roles or of the ephemeral topics; ignore any other."""
+    match message:
         case RequestRole() | RoleGranted() | RoleRefused() | RoleReleased():
-            return parts.roles.handle(sender, message, now)
+            return components.leader_election.handle(sender, message, now)
         case TopicUpdate():
-            return parts.topics.handle_update(sender, message, now)
+            return components.core_topics.handle_update(sender, message, now)
         case FetchTopic():
-            return parts.topics.handle_fetch(sender, message)
+            return components.core_topics.handle_fetch(sender, message)
     return []
 
 
-def _handle_replica_answer(
-    parts: CoreComponents, sender: MemberId, message: ReplicaAnswer, now: float
+def _handle_replica_response(
+    components: CoreComponents, sender: MemberId, message: ReplicaResponse, now: float
 ) -> list[Effect]:
-    owner = parts.owners.get(message.key)
+    owner = components.owners.get(message.key)
     return owner.handle(sender, message, now) if owner is not None else []
 
 
-def _handle_unchanged(
-    parts: CoreComponents, sender: MemberId, message: UnchangedHeartbeat, now: float
+def _handle_unchanged_heartbeat(
+    components: CoreComponents, sender: MemberId, message: UnchangedHeartbeat, now: float
 ) -> list[Effect]:
-    """Take the status that the message stands for; ask for it when it is not known here."""
-    last = parts.context.cores.status(sender)
+    """Apply the heartbeat that the message stands for; request it when it is not known here."""
+    last = components.context.cores.status(sender)
     stands_for = (message.incarnation, message.number)
     if last is None or (last.info.incarnation, last.number) != stands_for:
         return [Send(sender, RequestHeartbeat())]
-    status = attrs.evolve(last, topics=message.topics)
-    return _handle_status(parts, sender, status, now)
+    heartbeat = attrs.evolve(last, topics=message.topics)
+    return _handle_heartbeat(components, sender, heartbeat, now)
 
 
-def _handle_status(
-    parts: CoreComponents, sender: MemberId, status: Heartbeat, now: float
+def _handle_heartbeat(
+    components: CoreComponents, sender: MemberId, heartbeat: Heartbeat, now: float
 ) -> list[Effect]:
-    known = parts.context.cores.live(now).get(sender)
-    is_new = known is None or known.info.incarnation != status.info.incarnation
+    known = components.context.cores.live(now).get(sender)
+    is_new = known is None or known.info.incarnation != heartbeat.info.incarnation
     if is_new:
-        parts.statuses.send_whole_to(sender, now)
-    parts.context.cores.note(sender, status, now)
-    if is_new or status.heard.get(parts.context.own_id) != parts.context.config.incarnation:
+        components.heartbeats.send_whole_to(sender, now)
+    components.context.cores.note(sender, heartbeat, now)
+    if (
+        is_new
+        or heartbeat.heard.get(components.context.own_id) != components.context.config.incarnation
+    ):
         # The sender does not know this process yet, or not that it was heard: keys are taken and
-        # roles granted by what all say of each other, so it need not wait for the next status.
-        parts.statuses.send_soon(now)
-    parts.creation.record_existing_cluster(status.cluster_incarnation)
-    effects = parts.ownership.handle_heartbeat(sender, status, now)
-    effects.extend(parts.values.handle_heartbeat(sender, status, now))
-    effects.extend(parts.topics.handle_status(sender, status))
+        # roles granted by what all say of each other, so it need not wait for the next heartbeat.
+        components.heartbeats.send_soon(now)
+    components.cluster_creation.record_existing_cluster(heartbeat.cluster_incarnation)
+    effects = components.ownership.handle_heartbeat(sender, heartbeat, now)
+    effects.extend(components.chosen_values.handle_heartbeat(sender, heartbeat, now))
+    effects.extend(components.core_topics.handle_status(sender, heartbeat))
     return effects
 
 
-def _renew(parts: CoreComponents, renewal: RenewLease, now: float) -> LeaseGranted | LeaseRedirect:
-    parts.creation.record_existing_cluster(renewal.cluster_incarnation)
-    parts.repair.record_renewal(MemberId(renewal.info.member), renewal)
-    return parts.leases.handle_renew(renewal, parts.repair.required(), now)
+def _renew(
+    components: CoreComponents, renewal: RenewLease, now: float
+) -> LeaseGranted | LeaseRedirect:
+    components.cluster_creation.record_existing_cluster(renewal.cluster_incarnation)
+    components.value_repair.record_renewal(MemberId(renewal.info.member), renewal)
+    return components.member_leases.handle_renew(renewal, components.value_repair.required(), now)
 
 
-def _renew_for_home(
-    parts: CoreComponents, token: str, renewal: RenewLease, now: float
+def _renew_for_batch(
+    components: CoreComponents, token: str, renewal: RenewLease, now: float
 ) -> list[Effect]:
-    answer = _renew(parts, renewal, now)
-    if not isinstance(answer, LeaseGranted):
-        return [Reply(token, answer)]
-    effects = parts.home.take(token, renewal, answer, now)
-    return [*effects, *parts.leases.report_if_complete(now)]
+    response = _renew(components, renewal, now)
+    if not isinstance(response, LeaseGranted):
+        return [Reply(token, response)]
+    effects = components.renewal_batcher.take(token, renewal, response, now)
+    return [*effects, *components.member_leases.report_if_complete(now)]
 
 
-def _handle_batch(
-    parts: CoreComponents, sender: MemberId, batch: RelayedRenewals, now: float
+def _handle_renewal_batch(
+    components: CoreComponents, sender: MemberId, batch: RelayedRenewals, now: float
 ) -> list[Effect]:
     grants = []
     for renewal in batch.renewals:
-        answer = _renew(parts, renewal, now)
-        if isinstance(answer, LeaseGranted):
-            grants.append(NodeGrant(renewal.info.member, answer))
-    return [Send(sender, RelayedGrants(grants)), *parts.leases.report_if_complete(now)]
+        response = _renew(components, renewal, now)
+        if isinstance(response, LeaseGranted):
+            grants.append(NodeGrant(renewal.info.member, response))
+    return [Send(sender, RelayedGrants(grants)), *components.member_leases.report_if_complete(now)]
 
 
-def _handle_relayed(
-    parts: CoreComponents, sender: MemberId, renewal: RenewLease, now: float
+def _handle_relayed_renewal(
+    components: CoreComponents, sender: MemberId, renewal: RenewLease, now: float
 ) -> list[Effect]:
-    answer = _renew(parts, renewal, now)
-    if not isinstance(answer, LeaseGranted):
+    response = _renew(components, renewal, now)
+    if not isinstance(response, LeaseGranted):
         return []
-    grant = RelayedGrant(renewal.info.member, parts.context.own_id, answer)
-    return [Send(sender, grant), *parts.leases.report_if_complete(now)]
+    grant = RelayedGrant(renewal.info.member, components.context.own_id, response)
+    return [Send(sender, grant), *components.member_leases.report_if_complete(now)]
 
 
-def _replace(
-    parts: CoreComponents, token: str, request: ReplaceReplica, now: float
+def _propose_replacement(
+    components: CoreComponents, token: str, request: ReplaceReplica, now: float
 ) -> list[Effect]:
-    change = parts.manager.operator_change(request.remove, request.add)
-    idempotency_key = f"replace:{request.remove}:{request.add}:{parts.context.sets.version}"
+    change = components.replica_set_reconciler.operator_change(request.remove, request.add)
+    idempotency_key = f"replace:{request.remove}:{request.add}:{components.context.sets.version}"
     proposal = ProposeChange(REPLICA_SETS_KEY, idempotency_key, None, change)
-    return parts.proposals.propose(token, proposal, now)
+    return components.proposal_router.propose(token, proposal, now)
--- a/src/zincvale/coordination/core/machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -80,7 +80,7 @@
             replica=RegisterReplica(recovered, config.timings),
             cores=PeerTable(config),
         )
-        self._parts = CoreComponents(self._context, reducers)
+        self._components = CoreComponents(self._context, reducers)
         self._members = MemberTableDecoder()
         if recovered.keys:
             self._context.grants_blocked_until = now + config.timings.lease_ttl_s
@@ -92,7 +92,9 @@
         effects: list[Effect] = []
         inputs: deque[Input] = deque([event])
         while inputs:
-            for effect in self._handle_one(inputs.popleft(), now) + drain_effects(self._parts, now):
+            for effect in self._handle_one(inputs.popleft(), now) + drain_effects(
+                self._components, now
+            ):
                 if isinstance(effect, Send) and effect.to == self._context.own_id:
                     inputs.append(MessageReceived(effect.to, effect.message))
                 else:
@@ -100,38 +102,38 @@
         return effects
 
     def _handle_one(self, event: Input, now: float) -> list[Effect]:
-        parts = self._parts
+        components = self._components
         match event:
             case Tick():
-                return run_tick(parts, now)
+                return run_tick(components, now)
             case MessageReceived(sender, message):
-                return handle_message(parts, sender, message, now)
+                return handle_message(components, sender, message, now)
             case CallReceived(_, token, message):
-                return handle_call(parts, token, message, now)
+                return handle_call(components, token, message, now)
             case CallAbandoned(token):
-                parts.delivery.abandon(token)
+                components.long_poll_server.abandon(token)
             case CallReplied(token, message) if token.startswith(FORWARD_PREFIX):
-                return parts.proposals.handle_forward_reply(token, message, now)
+                return components.proposal_router.handle_forward_reply(token, message, now)
             case CallFailed(token, _) if token.startswith(FORWARD_PREFIX):
-                return parts.proposals.handle_forward_reply(token, None, now)
+                return components.proposal_router.handle_forward_reply(token, None, now)
             case WriteCompleted(token, error):
                 effects = self._context.replica.handle_written(token, error, now)
-                parts.creation.follow_accepted_replica_sets()
+                components.cluster_creation.follow_accepted_replica_sets()
                 return effects
             case ShutdownRequested():
                 return self._shut_down(now)
             case ClockJumped(gap_s):
                 dropped = Log(log_events.CLOCK_JUMPED, {"gap_s": round(gap_s, 3)})
-                return [dropped, *parts.roles.drop_all(now)]
+                return [dropped, *components.leader_election.drop_all(now)]
         return []
 
     def _shut_down(self, now: float) -> list[Effect]:
         """Resign every key and role of this process, and send a heartbeat that says so at once."""
         self._context.leaving = True
-        self._parts.ownership.resign()
-        effects = self._parts.roles.release_all(now)
-        self._parts.statuses.send_now()
-        return [*effects, *self._parts.statuses.tick(now)]
+        self._components.ownership.resign()
+        effects = self._components.leader_election.release_all(now)
+        self._components.heartbeats.send_now()
+        return [*effects, *self._components.heartbeats.tick(now)]
 
     # --- queries --------------------------------------------------------------------------
 
@@ -149,7 +151,7 @@
 
         It is not before a started core caught up, nor while it hears no majority of the cores.
         """
-        return self._parts.leases.caught_up and not self._parts.is_isolated(now)
+        return self._components.member_leases.caught_up and not self._components.is_isolated(now)
 
     def topic(self, name: str) -> TopicView:
         """Return an ephemeral topic as last published."""
@@ -157,11 +159,11 @@
 
     def topic_epoch_seen(self, name: str) -> int:
         """Return the newest epoch of an ephemeral topic that a node reported."""
-        return self._parts.delivery.topic_epochs_seen.get(name, 0)
+        return self._components.long_poll_server.topic_epochs_seen.get(name, 0)
 
     def role(self, role_name: str, now: float) -> LeadershipState:
         """Return whether this process holds a role now."""
-        return self._parts.roles.state(role_name, now)
+        return self._components.leader_election.state(role_name, now)
 
     def address_of(self, member: MemberId) -> Address | None:
         """Return the peer address of a member, if known."""
@@ -189,12 +191,12 @@
 
     def applied_versions(self, key: str) -> dict[MemberId, int]:
         """Return the version of `key` that each live node last reported as applied."""
-        rows = self._parts.leases.grantor.rows
+        rows = self._components.member_leases.grantor.rows
         return {MemberId(member): row.held.get(key, 0) for member, row in rows.items()}
 
     def role_holders(self, now: float) -> dict[str, tuple[MemberId | None, int]]:
         """Return holder and epoch of each singleton role, as last granted here."""
-        return self._parts.roles.last_granted(now)
+        return self._components.leader_election.last_granted(now)
 
     def replica_sets(self) -> ReplicaSets:
         """Return the declared cores and replicas, as this core follows them."""
@@ -206,7 +208,9 @@
 
     def state(self, now: float) -> CoreState:
         """Return the state of this core for operators."""
-        parts = self._parts
-        trackers = parts.leases.reports.trackers
-        keys = key_states(self._context, parts.owners, parts.ownership, trackers, now)
-        return core_state(self._context, caught_up=parts.leases.caught_up, keys=keys, now=now)
+        components = self._components
+        trackers = components.member_leases.reports.trackers
+        keys = key_states(self._context, components.owners, components.ownership, trackers, now)
+        return core_state(
+            self._context, caught_up=components.member_leases.caught_up, keys=keys, now=now
+        )
--- a/src/zincvale/coordination/core/tick.py
+++ b/src/zincvale/coordination/core/tick.py
@@ -1,4 +1,8 @@
-"""What a core does on each tick, in a fixed order, and after each input."""
+"""What a core does on each tick, in a fixed order, and after each input.
+
+The order counts: a step sees what the steps before it decided at the same time, as leases see the
+keys taken, and heartbeats, which are last, report all of it.
+"""
 
 from __future__ import annotations
 
@@ -18,169 +22,175 @@
 )
 from zincvale.model.machine import Effect
 
-System = Callable[[CoreComponents, float], list[Effect]]
+TickStep = Callable[[CoreComponents, float], list[Effect]]
 
 
-def run_tick(parts: CoreComponents, now: float) -> list[Effect]:
-    """Run every system once, in order."""
+def run_tick(components: CoreComponents, now: float) -> list[Effect]:
+    """Run every step once, in order."""
     effects: list[Effect] = []
-    for system in SYSTEMS:
-        effects.extend(system(parts, now))
+    for step in TICK_STEPS:
+        effects.extend(step(components, now))
     return effects
 
 
-def drain_effects(parts: CoreComponents, now: float) -> list[Effect]:
-    """Hand on what the last input brought about: chosen records, answers, news."""
+def drain_effects(components: CoreComponents, now: float) -> list[Effect]:
+    """Turn the outcomes of the last input into effects: results, responses, updates."""
     effects: list[Effect] = []
-    for key, owner in parts.owners.items():
+    for key, owner in components.owners.items():
         if owner.outcomes:
-            effects.extend(_carry_outcomes(parts, key, owner, now))
+            effects.extend(_drain_outcomes(components, key, owner, now))
         if owner.phase is OwnerPhase.FOLLOWING:
             tokens = owner.take_abandoned_tokens()
             if tokens:
-                effects.extend(parts.proposals.reroute(tokens, now))
-    effects.extend(parts.delivery.answer_if_due(now))
-    effects.extend(parts.home.pass_on_if_due(now))
+                effects.extend(components.proposal_router.reroute(tokens, now))
+    effects.extend(components.long_poll_server.answer_if_due(now))
+    effects.extend(components.renewal_batcher.pass_on_if_due(now))
     for key in DELIVERED_KEYS:
-        for waiter in parts.leases.reports.satisfied(key):
-            chosen_version = parts.context.chosen_version(key)
+        for waiter in components.member_leases.reports.satisfied(key):
+            chosen_version = components.context.chosen_version(key)
             result = ChangeResult(IN_FORCE, waiter.version, chosen_version)
-            effects.extend(parts.proposals.finish(waiter.token, result, now))
+            effects.extend(components.proposal_router.finish(waiter.token, result, now))
     return effects
 
 
-def _carry_outcomes(
-    parts: CoreComponents, key: str, owner: RegisterOwner, now: float
+def _drain_outcomes(
+    components: CoreComponents, key: str, owner: RegisterOwner, now: float
 ) -> list[Effect]:
     effects: list[Effect] = []
     outcomes, owner.outcomes = owner.outcomes, []
     for outcome in outcomes:
         match outcome:
             case RejectedProposal(token, result):
-                effects.extend(parts.proposals.finish(token, result, now))
+                effects.extend(components.proposal_router.finish(token, result, now))
             case NewlyChosen():
-                effects.extend(_carry_chosen(parts, key, outcome, now))
+                effects.extend(_apply_chosen(components, key, outcome, now))
     return effects
 
 
-def _carry_chosen(parts: CoreComponents, key: str, chosen: NewlyChosen, now: float) -> list[Effect]:
+def _apply_chosen(
+    components: CoreComponents, key: str, chosen: NewlyChosen, now: float
+) -> list[Effect]:
     position = chosen.record.position
-    if not parts.leases.caught_up:
-        # The others wait for this core's word that it owns the key before they grant leases.
-        parts.statuses.send_soon(now)
-    parts.values.choose(key, position.version, chosen.record.rows, now)
-    effects = parts.context.to_other_cores(Chosen(key, position))
+    if not components.member_leases.caught_up:
+        # The others grant leases only after this core's heartbeat that it owns the key.
+        components.heartbeats.send_soon(now)
+    components.chosen_values.choose(key, position.version, chosen.record.rows, now)
+    effects = components.context.to_other_cores(Chosen(key, position))
     for proposal in chosen.accepted:
         if key in DELIVERED_KEYS:
-            parts.leases.reports.trackers[key].wait(Waiter(proposal.token, proposal.version))
+            components.member_leases.reports.trackers[key].wait(
+                Waiter(proposal.token, proposal.version)
+            )
             continue
         result = ChangeResult(IN_FORCE, proposal.version, position.version)
-        effects.extend(parts.proposals.finish(proposal.token, result, now))
+        effects.extend(components.proposal_router.finish(proposal.token, result, now))
     return effects
 
 
-def _retry_disk(parts: CoreComponents, now: float) -> list[Effect]:
-    return parts.context.replica.tick(now)
+def _retry_disk(components: CoreComponents, now: float) -> list[Effect]:
+    return components.context.replica.tick(now)
 
 
-def _create_cluster(parts: CoreComponents, now: float) -> list[Effect]:
-    return parts.creation.tick(now)
+def _create_cluster(components: CoreComponents, now: float) -> list[Effect]:
+    return components.cluster_creation.tick(now)
 
 
-def _take_keys(parts: CoreComponents, now: float) -> list[Effect]:
-    return parts.ownership.tick(now)
+def _take_unowned_keys(components: CoreComponents, now: float) -> list[Effect]:
+    return components.ownership.tick(now)
 
 
-def _write_registers(parts: CoreComponents, now: float) -> list[Effect]:
+def _tick_owners(components: CoreComponents, now: float) -> list[Effect]:
     effects: list[Effect] = []
-    for key, owner in parts.owners.items():
-        effects.extend(owner.tick(parts.context.sets.group_of(key).replicas, now))
+    for key, owner in components.owners.items():
+        effects.extend(owner.tick(components.context.sets.group_of(key).replicas, now))
     return effects
 
 
-def _route_proposals(parts: CoreComponents, now: float) -> list[Effect]:
-    return parts.proposals.tick(now)
+def _route_proposals(components: CoreComponents, now: float) -> list[Effect]:
+    return components.proposal_router.tick(now)
 
 
-def _repair(parts: CoreComponents, now: float) -> list[Effect]:
-    parts.repair.end_grant_block_if_complete(now)
-    return parts.repair.tick(now)
+def _repair_values(components: CoreComponents, now: float) -> list[Effect]:
+    components.value_repair.end_grant_block_if_complete(now)
+    return components.value_repair.tick(now)
 
 
-def _catch_up(parts: CoreComponents, now: float) -> list[Effect]:
-    leases, delivery = parts.leases, parts.delivery
-    if not leases.caught_up and parts.context.is_voter():
-        leases.caught_up = parts.catch_up_tracker.is_caught_up(now)
-    delivery.isolated = parts.is_isolated(now)
-    delivery.members_source = parts.context.owner_name if leases.caught_up else ""
+def _update_catch_up(components: CoreComponents, now: float) -> list[Effect]:
+    leases, server = components.member_leases, components.long_poll_server
+    if not leases.caught_up and components.context.is_voter():
+        leases.caught_up = components.catch_up_tracker.is_caught_up(now)
+    server.isolated = components.is_isolated(now)
+    server.members_source = components.context.owner_name if leases.caught_up else ""
     return []
 
 
-def _keep_leases(parts: CoreComponents, now: float) -> list[Effect]:
-    effects = parts.leases.tick(now)
-    if parts.leases.members.refresh(now):
-        parts.delivery.note_soft_news(now)
+def _tick_leases(components: CoreComponents, now: float) -> list[Effect]:
+    effects = components.member_leases.tick(now)
+    if components.member_leases.members.refresh(now):
+        components.long_poll_server.note_soft_news(now)
     return effects
 
 
-def _answer_renewals(parts: CoreComponents, now: float) -> list[Effect]:
-    return parts.home.tick(now)
+def _send_renewal_batches(components: CoreComponents, now: float) -> list[Effect]:
+    return components.renewal_batcher.tick(now)
 
 
-def _keep_registry(parts: CoreComponents, now: float) -> list[Effect]:
-    if not parts.owners[REGISTRY_KEY].is_serving():
+def _reconcile_registry(components: CoreComponents, now: float) -> list[Effect]:
+    if not components.owners[REGISTRY_KEY].is_serving():
         return []
-    change = parts.leases.registry_change(now)
-    return _propose_own(parts, REGISTRY_KEY, change, now)
+    change = components.member_leases.registry_change(now)
+    return _propose_internal(components, REGISTRY_KEY, change, now)
 
 
-def _keep_replicas(parts: CoreComponents, now: float) -> list[Effect]:
-    if not parts.owners[REPLICA_SETS_KEY].is_serving():
+def _reconcile_replica_sets(components: CoreComponents, now: float) -> list[Effect]:
+    if not components.owners[REPLICA_SETS_KEY].is_serving():
         return []
-    change = parts.manager.next_change(now)
-    return _propose_own(parts, REPLICA_SETS_KEY, change, now)
+    change = components.replica_set_reconciler.next_change(now)
+    return _propose_internal(components, REPLICA_SETS_KEY, change, now)
 
 
-def _propose_own(parts: CoreComponents, key: str, change: bytes | None, now: float) -> list[Effect]:
+def _propose_internal(
+    components: CoreComponents, key: str, change: bytes | None, now: float
+) -> list[Effect]:
     if change is None:
         return []
-    return parts.proposals.propose_internal(key, key, change, now)
+    return components.proposal_router.propose_internal(key, key, change, now)
 
 
-def _keep_roles(parts: CoreComponents, now: float) -> list[Effect]:
-    effects, wanted = parts.roles.tick(now)
-    change = parts.context.owner_name.encode()
-    for role in wanted:
+def _tick_leader_election(components: CoreComponents, now: float) -> list[Effect]:
+    effects, requested_roles = components.leader_election.tick(now)
+    change = components.context.owner_name.encode()
+    for role in requested_roles:
         name = f"{ROLE_PROPOSAL_PREFIX}{role}"
         key = f"{ROLE_KEY_PREFIX}{role}"
         # Of two candidates that saw the role free one gets the epoch; otherwise each would end the
         # other's lease by a newer epoch.
-        base = parts.context.chosen_version(key)
-        effects.extend(parts.proposals.propose_internal(name, key, change, now, base))
+        base = components.context.chosen_version(key)
+        effects.extend(components.proposal_router.propose_internal(name, key, change, now, base))
     return effects
 
 
-def _answer_polls(parts: CoreComponents, now: float) -> list[Effect]:
-    return parts.delivery.tick(now)
+def _tick_long_polls(components: CoreComponents, now: float) -> list[Effect]:
+    return components.long_poll_server.tick(now)
 
 
-def _tell_status(parts: CoreComponents, now: float) -> list[Effect]:
-    return parts.statuses.tick(now)
+def _send_heartbeats(components: CoreComponents, now: float) -> list[Effect]:
+    return components.heartbeats.tick(now)
 
 
-SYSTEMS: tuple[System, ...] = (
+TICK_STEPS: tuple[TickStep, ...] = (
     _retry_disk,
     _create_cluster,
-    _take_keys,
-    _write_registers,
+    _take_unowned_keys,
+    _tick_owners,
     _route_proposals,
-    _repair,
-    _catch_up,
-    _keep_leases,
-    _answer_renewals,
-    _keep_registry,
-    _keep_replicas,
-    _keep_roles,
-    _answer_polls,
-    _tell_status,
+    _repair_values,
+    _update_catch_up,
+    _tick_leases,
+    _send_renewal_batches,
+    _reconcile_registry,
+    _reconcile_replica_sets,
+    _tick_leader_election,
+    _tick_long_polls,
+    _send_heartbeats,
 )
