--- a/src/zincvale/dataplane/demand.py
+++ b/src/zincvale/dataplane/demand.py
@@ -3,12 +3,15 @@
 from __future__ import annotations
 
 from collections import Counter
+from typing import TypeVar
 
 import attrs
 
 from zincvale.dataplane.messages import DemandReport, ModelDemand, ModelUse
 from zincvale.model.identifiers import AdapterName, MemberId, ModelName, PoolName, ServerId
 
+Key = TypeVar("Key")
+
 
 @attrs.frozen
 class DemandKey:
@@ -92,7 +95,7 @@
         self.urgent = False
 
 
-def _add(counter: Counter, key: object, change: int) -> None:
+def _add(counter: Counter[Key], key: Key, change: int) -> None:
     """Change a count; keys that reach zero are removed."""
     counter[key] += change
     if counter[key] <= 0:
--- a/src/zincvale/dataplane/forwarding/request_machine.py
+++ b/src/zincvale/dataplane/forwarding/request_machine.py
@@ -115,14 +115,8 @@
                 return self._no_server(reason, retry_after_s)
             case NotSent(reason):
                 return self._not_sent(reason)
-            case HeadReceived():
-                return self._head(event)
-            case ContentReceived(content, last_event_id):
-                return self._content(content, last_event_id)
-            case ResponseCompleted():
-                return self._completed()
-            case ResponseBroken(reason):
-                return self._broken(reason)
+            case HeadReceived() | ContentReceived() | ResponseCompleted() | ResponseBroken():
+                return self._handle_response(event)
             case DeadlineExpired():
                 return self._deadline_expired()
             case CallerDisconnected():
@@ -164,6 +158,19 @@
 
     # --- responses ------------------------------------------------------------------------
 
+    def _handle_response(
+        self, event: HeadReceived | ContentReceived | ResponseCompleted | ResponseBroken
+    ) -> list[Effect]:
+        match event:
+            case HeadReceived():
+                return self._head(event)
+            case ContentReceived(content, last_event_id):
+                return self._content(content, last_event_id)
+            case ResponseCompleted():
+                return self._completed()
+            case ResponseBroken(reason):
+                return self._broken(reason)
+
     def _head(self, head: HeadReceived) -> list[Effect]:
         if head.facts.never_ran:
             return self._refused_by_server(head)
--- a/src/zincvale/dataplane/http/handlers.py
+++ b/src/zincvale/dataplane/http/handlers.py
@@ -13,13 +13,13 @@
 class ReadyHandler(tornado.web.RequestHandler):
     """`GET /ready`: whether the platform may send callers to this node."""
 
-    def initialize(self, entry: RequestEntry) -> None:
+    def initialize(self, ingress: RequestEntry) -> None:
         """Set the node's ingress, which knows its readiness and metrics."""
-        self._entry = entry
+        self._ingress = ingress
 
     def get(self) -> None:
         """Respond with 200, or with 503 and the reason."""
-        problem = self._entry.unready_reason()
+        problem = self._ingress.unready_reason()
         if problem:
             self.set_status(SERVICE_UNAVAILABLE)
         self.finish({"ready": not problem, "reason": problem})
@@ -36,11 +36,11 @@
 class MetricsHandler(tornado.web.RequestHandler):
     """`GET /metrics`: Prometheus exposition."""
 
-    def initialize(self, entry: RequestEntry) -> None:
+    def initialize(self, ingress: RequestEntry) -> None:
         """Set the node's ingress, which knows its readiness and metrics."""
-        self._entry = entry
+        self._ingress = ingress
 
     def get(self) -> None:
         """Respond with the exposition text."""
         self.set_header("Content-Type", METRICS_TYPE)
-        self.finish(self._entry.exposition())
+        self.finish(self._ingress.exposition())
--- a/src/zincvale/dataplane/inference/node_service.py
+++ b/src/zincvale/dataplane/inference/node_service.py
@@ -111,7 +111,7 @@
 
         The last one takes every path; put rules with paths of their own before it.
         """
-        shared = {"entry": self.entry}
+        shared = {"ingress": self.entry}
         return [
             (r"/ready", ReadyHandler, shared),
             (r"/healthz", HealthHandler, {}),
--- a/src/zincvale/transport/curl_handle.py
+++ b/src/zincvale/transport/curl_handle.py
@@ -18,6 +18,12 @@
 """A streaming exchange stops reading its socket while this much is undelivered."""
 FIRST_FINAL_STATUS = 200
 
+# Results of callbacks; pycurl declares no types for its constants.
+_ABORT_REQUEST: int = pycurl.PREREQFUNC_ABORT
+_SEND_REQUEST: int = pycurl.PREREQFUNC_OK
+_SOCKET_ACCEPTED: int = pycurl.SOCKOPT_OK
+_PAUSE_BODY: int = pycurl.WRITEFUNC_PAUSE
+
 _CONSTANT_HEADERS = ("Expect:", "Accept:", "User-Agent: zincvale")
 
 
@@ -77,7 +83,7 @@
 
     def _on_new_socket(self, descriptor: int, _purpose: int) -> int:
         self._new_descriptor = descriptor
-        return pycurl.SOCKOPT_OK
+        return _SOCKET_ACCEPTED
 
     def _before_request(
         self, _remote_host: str, local_host: str, _remote_port: int, local_port: int
@@ -90,19 +96,19 @@
         """
         exchange = self.exchange
         if exchange is None or exchange.sent:
-            return pycurl.PREREQFUNC_ABORT
+            return _ABORT_REQUEST
         endpoint = (local_host, local_port)
         if self._new_descriptor != NO_DESCRIPTOR:
             self._sockets.add(endpoint, self._new_descriptor)
         elif not self._sockets.is_quiet(endpoint):
             exchange.stale_connection = True
-            return pycurl.PREREQFUNC_ABORT
+            return _ABORT_REQUEST
         may_send = exchange.request.may_send
         if may_send is not None and not may_send():
-            return pycurl.PREREQFUNC_ABORT
+            return _ABORT_REQUEST
         exchange.sent = True
         self._touch(exchange)
-        return pycurl.PREREQFUNC_OK
+        return _SEND_REQUEST
 
     def _on_header(self, line: bytes) -> None:
         exchange = self.exchange
@@ -138,4 +144,4 @@
         if not exchange.request.streaming:
             return 0
         exchange.paused_by_curl = True
-        return pycurl.WRITEFUNC_PAUSE
+        return _PAUSE_BODY
