--- a/src/zincvale/dataplane/forwarding/caller_server.py
+++ b/src/zincvale/dataplane/forwarding/caller_server.py
@@ -2,7 +2,8 @@
 
 The native request path has a binding of its own (`inference.caller_connection`). They are not
 merged: this one forwards the headers of callers and servers in their order and spelling and writes
-any framing, the other speaks the product's own protocol and knows its outcomes."""
+any framing, the other speaks the product's own protocol and knows its outcomes.
+"""
 
 from __future__ import annotations
 
--- a/src/zincvale/transport/curl_client.py
+++ b/src/zincvale/transport/curl_client.py
@@ -1,8 +1,8 @@
 """HTTP/1.1 client on libcurl's multi interface, driven by the daemon's event loop.
 
-Unlike tornado's curl client it tells a request that was provably not sent from one that may have
-run, pauses the server of a slow reader, and never sends a request twice: libcurl itself repeats a
-request when a pooled connection turns out to be closed, which `CurlHandle` forbids.
+Unlike tornado's curl client it distinguishes a request that was provably not sent from one that may
+have run, pauses the server of a slow reader, and never sends a request twice: libcurl itself
+repeats a request when a pooled connection turns out to be closed, which `CurlHandle` forbids.
 
 Listeners are called outside of libcurl's callbacks, so they may start, pause and cancel exchanges.
 """
--- a/tests/dataplane/test_routing.py
+++ b/tests/dataplane/test_routing.py
@@ -87,13 +87,13 @@
         found = chain.choose(self.query(tables), Random(1))
         self.assertEqual(NoChoice(Blocked.NO_SERVER, found.notes), found)
 
-    def test_an_ejected_server_is_left_out_while_others_stand(self):
+    def test_an_ejected_server_is_excluded_while_others_are_in_service(self):
         tables, chain = self.made(server_row("s1"), server_row("s2"))
         for _ in range(3):
             tables.servers["s1"].failures.on_failure(100.0)
         self.assertEqual({"s2": 200}, dict(self.count(tables, chain)))
 
-    def test_a_server_that_refused_is_not_asked_again_at_once(self):
+    def test_a_server_that_refused_is_not_retried_at_once(self):
         tables, chain = self.made(server_row("s1"))
         found = chain.choose(self.query(tables, excluded=frozenset({"s1"})), Random(1))
         self.assertIs(Blocked.BUSY, found.blocked)
@@ -121,17 +121,17 @@
     def test_a_shared_prefix_stays_at_one_server_until_its_load_is_bounded(self):
         tables, chain = self.made(*[server_row(f"s{n}") for n in range(5)])
         asked = question(prompt=SHARED + "tail")
-        (home,) = self.count(tables, chain, asked)
-        tables.servers[home].outstanding_tokens = 10_000
-        self.assertNotIn(home, self.count(tables, chain, asked))
+        (chosen,) = self.count(tables, chain, asked)
+        tables.servers[chosen].outstanding_tokens = 10_000
+        self.assertNotIn(chosen, self.count(tables, chain, asked))
 
-    def test_all_nodes_find_the_same_home_without_talking(self):
+    def test_all_nodes_choose_the_same_server_without_messages(self):
         asked = question(prompt=SHARED)
-        homes = set()
+        servers = set()
         for _ in range(4):
             tables, chain = self.made(*[server_row(f"s{n}") for n in range(5)])
-            homes |= set(self.count(tables, chain, asked, times=1))
-        self.assertEqual(1, len(homes))
+            servers |= set(self.count(tables, chain, asked, times=1))
+        self.assertEqual(1, len(servers))
 
     def test_prefix_keys_differ_by_model_and_adapter_and_share_the_common_blocks(self):
         one = prefix_keys(question(prompt=SHARED + "x" * 600))
