--- a/src/zincvale/transport/codec.py
+++ b/src/zincvale/transport/codec.py
@@ -81,7 +81,7 @@
     schema = _schema_of(message_class)
     try:
         plain = fastavro.schemaless_reader(io.BytesIO(body), schema, None)
-    except Exception as error:
+    except Exception as error:  # fastavro raises errors of many types for malformed bytes
         raise MalformedBodyError(
             f"message {name} cannot be read: {error}", "run the same release on every machine"
         ) from error
@@ -112,7 +112,7 @@
     """Return the batch in `body`; raises `MalformedBodyError`."""
     try:
         plain: Any = fastavro.schemaless_reader(io.BytesIO(body), BATCH_SCHEMA, None)
-    except Exception as error:
+    except Exception as error:  # fastavro raises errors of many types for malformed bytes
         raise MalformedBodyError(
             f"batch cannot be read: {error}", "run the same release on every machine"
         ) from error
--- a/src/zincvale/transport/peer_client.py
+++ b/src/zincvale/transport/peer_client.py
@@ -24,7 +24,7 @@
 )
 from zincvale.transport.peer import PeerCallError, PeerUnreachableError
 from zincvale.transport.server_client import ServerClient
-from zincvale.transport.server_exchange import HeaderList, OutgoingRequest
+from zincvale.transport.server_exchange import OutgoingRequest
 
 MIN_FAILURE_STATUS = 300
 SEND_TIMEOUT_S = 0.8
@@ -167,6 +167,19 @@
         address = self._address_of(member)
         if address is None:
             raise PeerUnreachableError(f"the address of {member} is not known")
+        request = self._build_request(address, path, messages)
+        self.traffic.exchanges += 1
+        self.traffic.sent_bytes += len(request.body or b"")
+        response = await self._fetch(member, address, request, timeout_s)
+        self.traffic.received_bytes += len(response.body)
+        if not response.body:
+            return []
+        try:
+            return decode_batch(_decoded_body(response)).messages
+        except (MalformedBodyError, DecompressionError) as error:
+            raise PeerCallError(f"{member}: {error}") from error
+
+    def _build_request(self, address: str, path: str, messages: list[Any]) -> OutgoingRequest:
         body = encode_batch(
             Batch(
                 self._identity.cluster_id,
@@ -183,29 +196,11 @@
         if len(body) >= MIN_COMPRESSED_BYTES:
             body = compressed(body)
             headers.append(("Content-Encoding", GZIP))
-        self.traffic.exchanges += 1
-        self.traffic.sent_bytes += len(body)
-        response = await self._fetch(member, address, path, headers, body, timeout_s)
-        self.traffic.received_bytes += len(response.body)
-        if not response.body:
-            return []
-        try:
-            return decode_batch(_decoded_body(response)).messages
-        except (MalformedBodyError, DecompressionError) as error:
-            raise PeerCallError(f"{member}: {error}") from error
+        return OutgoingRequest("POST", path, headers, body, _accept_any_response, may_repeat=True)
 
     async def _fetch(
-        self,
-        member: MemberId,
-        address: str,
-        path: str,
-        headers: HeaderList,
-        body: bytes,
-        timeout_s: float,
+        self, member: MemberId, address: str, request: OutgoingRequest, timeout_s: float
     ) -> CompleteResponse:
-        request = OutgoingRequest(
-            "POST", path, headers, body, _accept_any_response, may_repeat=True
-        )
         try:
             response = await self._fetch_with_retry(address, request, timeout_s)
         except NoResponseError as error:
