--- a/src/zincvale/dataplane/claims/claimant.py
+++ b/src/zincvale/dataplane/claims/claimant.py
@@ -5,9 +5,9 @@
     claiming --no majority in time--> refused
     waiting  --outcome recorded--> that outcome
     waiting  --the other attempts are closed--> claiming, as a new attempt
-    waiting  --their owners are gone--> barring
-    barring  --a majority never voted for them--> claiming, as a new attempt
-    barring  --they may have run--> pending
+    waiting  --their owners are gone--> blocking
+    blocking --a majority never voted for them--> claiming, as a new attempt
+    blocking --they may have run--> pending
 
 An attempt that leaves `claiming` without a grant is closed for ever before anything else happens,
 so that its late votes count for nothing.
@@ -16,28 +16,28 @@
 from __future__ import annotations
 
 import enum
-from collections.abc import Callable
 from random import Random
 
 import attrs
 
-from zincvale.dataplane.claims.competing_attempts import Bars, RivalOwners
-from zincvale.dataplane.claims.effects import (
-    Ask,
+from zincvale.dataplane.claims.claimant_effects import (
     ClaimantEffect,
     FetchViews,
     Finished,
     Grant,
-    Tell,
+    Notify,
+    Request,
 )
+from zincvale.dataplane.claims.competing_attempts import BlockProof, CompetingOwners
 from zincvale.dataplane.claims.messages import (
-    BarCall,
+    BlockCall,
     ClaimCall,
     ClaimReply,
     ClaimStatus,
     CloseCall,
-    LookCall,
+    QueryCall,
 )
+from zincvale.dataplane.claims.own_attempts import OwnAttempts
 from zincvale.dataplane.claims.records import Attempt, ClaimRow, RecordedClaim
 from zincvale.dataplane.claims.timings import ClaimTimings
 from zincvale.dataplane.claims.view import ClaimView
@@ -54,215 +54,233 @@
 from zincvale.model.outcomes import Outcome
 
 POLL_GROWTH = 1.5
+"""Factor between two pauses of polling; smaller ones load the voters of a long request more."""
 RETRY_GROWTH = 2.0
+"""Factor between two pauses of claiming; with 1 split votes may repeat in step."""
 
 
 class Phase(enum.Enum):
-    """Where a request is on its way."""
+    """Where a request is on its way.
+
+    Legal transitions (the module's docstring says on what): CLAIMING to CLAIMING, WAITING and
+    FINISHED; WAITING to CLAIMING, BLOCKING and FINISHED; BLOCKING to CLAIMING, WAITING and
+    FINISHED; FINISHED is final. A decision, `abandon` or the deadline leads to FINISHED.
+    """
 
     CLAIMING = "claiming"
     WAITING = "waiting"
-    BARRING = "barring"
+    BLOCKING = "blocking"
     FINISHED = "finished"
 
 
+@attrs.frozen
+class ClaimTask:
+    """What a claimant has to decide.
+
+    Attributes
+    ----------
+    started_at : when the claim was requested; the rows of its attempts live from then.
+    deadline_at : the decision is made by then.
+    renewed : the granted attempt to be confirmed again, which is not closed on failure.
+    """
+
+    request_id: RequestId
+    digest: str
+    started_at: float
+    deadline_at: float
+    renewed: Attempt | None = None
+
+
 class Claimant:
     """Decides one claim call.
 
     Parameters
     ----------
-    deadline_at : the decision is made by then.
     view : the newest registered nodes.
-    next_attempt : mints this node's next attempt and opens it in the node's own table.
-    close_own : marks one of this node's attempts as closed in its own table.
-    renewed : the granted attempt to be confirmed again, which is not closed on failure.
+    random : jitter of the pauses between rounds.
     """
 
     def __init__(
         self,
-        request_id: RequestId,
-        digest: str,
-        deadline_at: float,
+        task: ClaimTask,
+        own_attempts: OwnAttempts,
         view: ClaimView,
         random: Random,
         timings: ClaimTimings,
-        next_attempt: Callable[[], Attempt],
-        close_own: Callable[[Attempt], None],
-        renewed: Attempt | None = None,
     ) -> None:
-        self.request_id = request_id
+        self.request_id = task.request_id
         self.phase = Phase.CLAIMING
         self.wake_at = 0.0
-        self._digest = digest
-        self._deadline_at = deadline_at
+        self._task = task
+        self._own_attempts = own_attempts
         self._view = view
         self._random = random
         self._timings = timings
-        self._next_attempt = next_attempt
-        self._close_own = close_own
-        self._is_renewal = renewed is not None
-        self._attempt = renewed
-        self._known = ClaimRow(request_id)
-        self._patience_at = 0.0
+        self._is_renewal = task.renewed is not None
+        self._attempt = task.renewed
+        self._known = ClaimRow(task.request_id)
+        self._claim_until = 0.0
         self._round_number = 0
         self._is_between_rounds = False
-        self._unanswered: set[MemberId] = set()
-        self._asked_for_votes: set[MemberId] = set()
+        self._awaited: set[MemberId] = set()
+        self._requested_voters: set[MemberId] = set()
         self._votes = Votes(view, timings.dispatch_window_s)
-        self._owners = RivalOwners()
-        self._poll_s = timings.poll_s
-        self._retry_s = timings.retry_s
-        self._bars = Bars(view, [], 0.0, timings.dispatch_window_s)
-        self._next_bar_at = 0.0
+        self._owners = CompetingOwners()
+        self._poll_interval_s = timings.poll_interval_s
+        self._retry_backoff_s = timings.retry_backoff_s
+        self._block_proof = BlockProof(view, [], 0.0, timings.dispatch_window_s)
+        self._next_block_at = 0.0
 
     def begin(self, now: float) -> list[ClaimantEffect]:
         """Start claiming."""
         return self._start_claiming(now)
 
-    def view_changed(self, view: ClaimView, now: float) -> list[ClaimantEffect]:
-        """Go on with other holders: votes of the older view count no more."""
+    def on_view_changed(self, view: ClaimView, now: float) -> list[ClaimantEffect]:
+        """Go on with other voters: votes of the older view count no more."""
         if self.phase is Phase.FINISHED or view.version <= self._view.version:
             return []
         self._view = view
         if self.phase is Phase.CLAIMING:
             self._votes = Votes(view, self._timings.dispatch_window_s)
-            return self._ask_for_votes(now)
+            return self._request_votes(now)
         return self._poll(now)
 
-    def abandon(self, now: float) -> list[ClaimantEffect]:
+    def abandon(self) -> list[ClaimantEffect]:
         """Give up, since nobody waits for the decision."""
         if self.phase is Phase.FINISHED:
             return []
         self.phase = Phase.FINISHED
         return self._close_attempt()
 
-    def woken(self, now: float) -> list[ClaimantEffect]:
+    def on_wake(self, now: float) -> list[ClaimantEffect]:
         """Act on the time passed; does nothing before `wake_at`."""
         if self.phase is Phase.FINISHED or now < self.wake_at:
             return []
-        if now >= self._deadline_at:
+        if now >= self._task.deadline_at:
             return self._finish_undecided()
         match self.phase:
             case Phase.CLAIMING if self._is_between_rounds:
-                return self._ask_for_votes(now)
+                return self._request_votes(now)
             case Phase.CLAIMING:
-                return self._judge_votes(now)
-            case Phase.BARRING:
-                return self._judge_bars(now)
+                return self._evaluate_votes(now)
+            case Phase.BLOCKING:
+                return self._evaluate_blocks(now)
             case _:
                 return self._poll(now)
 
-    def replied(self, ask: Ask, reply: ClaimReply, now: float) -> list[ClaimantEffect]:
-        """Apply one answer."""
+    def on_reply(self, request: Request, reply: ClaimReply, now: float) -> list[ClaimantEffect]:
+        """Apply one response."""
         if self.phase is Phase.FINISHED:
             return []
-        effects = self._learn(ask, reply)
+        effects = self._merge_reply(request, reply)
         if self._known.recorded is not None and not self._is_renewal:
             return effects + self._finish_recorded(self._known.recorded)
-        if ask.round_number == self._round_number:
-            self._unanswered.discard(ask.member)
-        match ask.message:
+        if request.round_number == self._round_number:
+            self._awaited.discard(request.member)
+        match request.message:
             case ClaimCall():
-                return effects + self._vote_received(ask, ask.message, reply, now)
-            case LookCall():
-                return effects + self._look_received(ask, reply, now)
-            case BarCall():
-                return effects + self._bar_received(ask, reply, now)
-
-    def failed(self, ask: Ask, now: float) -> list[ClaimantEffect]:
-        """Note that a call was not answered."""
+                return effects + self._on_vote_reply(request, request.message, reply, now)
+            case QueryCall():
+                return effects + self._on_query_reply(request, reply, now)
+            case BlockCall():
+                return effects + self._on_block_reply(request, reply, now)
+
+    def on_failure(self, request: Request, now: float) -> list[ClaimantEffect]:
+        """Handle a call that got no response."""
         if self.phase is Phase.FINISHED:
             return []
-        if isinstance(ask.message, LookCall):
-            self._owners.was_silent(self._rivals(), ask.member, ask.asked_at)
-        if ask.round_number == self._round_number:
-            self._unanswered.discard(ask.member)
+        if isinstance(request.message, QueryCall):
+            self._owners.on_timeout(
+                self._competing_attempts(), request.member, request.requested_at
+            )
+        if request.round_number == self._round_number:
+            self._awaited.discard(request.member)
         match self.phase:
             case Phase.WAITING:
-                return self._judge_rivals(now)
+                return self._evaluate_competing(now)
             case Phase.CLAIMING if self._round_is_over():
-                return self._judge_votes(now)
-            case Phase.BARRING if self._round_is_over():
-                return self._judge_bars(now)
+                return self._evaluate_votes(now)
+            case Phase.BLOCKING if self._round_is_over():
+                return self._evaluate_blocks(now)
         return []
 
-    def _learn(self, ask: Ask, reply: ClaimReply) -> list[ClaimantEffect]:
-        """Merge the answer, and tell holders that still count on attempts known to be closed."""
-        self._known.merge(attrs.evolve(reply.state, barred=[]))
+    def _merge_reply(self, request: Request, reply: ClaimReply) -> list[ClaimantEffect]:
+        """Merge the response, and notify voters that still count on attempts known to be closed."""
+        self._known.merge(attrs.evolve(reply.state, blocked=[]))
         stale = [claim.attempt for claim in reply.state.open if claim.attempt in self._known.closed]
         effects: list[ClaimantEffect] = []
         if stale:
-            effects.append(Tell((ask.member,), CloseCall(self.request_id, stale)))
+            effects.append(Notify((request.member,), CloseCall(self.request_id, stale)))
         if reply.view > self._view.version:
-            effects.append(FetchViews(ask.member))
+            effects.append(FetchViews(request.member))
         return effects
 
-    def _rivals(self) -> list[Attempt]:
+    def _competing_attempts(self) -> list[Attempt]:
         """Return the other open attempts, the preferred one first."""
         return self._known.others(self._attempt)
 
-    def _ask_all(
-        self, members: list[MemberId], message: ClaimCall | LookCall | BarCall, now: float
+    def _request_from_all(
+        self, members: list[MemberId], message: ClaimCall | QueryCall | BlockCall, now: float
     ) -> list[ClaimantEffect]:
         self._round_number += 1
         self._is_between_rounds = False
-        self._unanswered = set(members)
-        self._wake_by(now + self._timings.round_s)
-        return [Ask(member, message, now, self._round_number) for member in members]
+        self._awaited = set(members)
+        self._wake_by(now + self._timings.round_timeout_s)
+        return [Request(member, message, now, self._round_number) for member in members]
 
     def _round_is_over(self) -> bool:
-        return not self._is_between_rounds and not self._unanswered
+        return not self._is_between_rounds and not self._awaited
 
     # Claiming
 
     def _start_claiming(self, now: float) -> list[ClaimantEffect]:
         self.phase = Phase.CLAIMING
-        self._patience_at = now + self._timings.patience_s
-        self._retry_s = self._timings.retry_s
+        self._claim_until = now + self._timings.max_claiming_s
+        self._retry_backoff_s = self._timings.retry_backoff_s
         if not self._is_renewal:
-            self._attempt = self._next_attempt()
+            self._attempt = self._open_attempt()
         self._votes = Votes(self._view, self._timings.dispatch_window_s)
-        return self._ask_for_votes(now)
+        return self._request_votes(now)
 
-    def _ask_for_votes(self, now: float) -> list[ClaimantEffect]:
+    def _request_votes(self, now: float) -> list[ClaimantEffect]:
         assert self._attempt is not None
-        call = ClaimCall(self._view.version, self.request_id, self._digest, self._attempt)
-        holders = self._votes.to_ask(self._view.holders(self.request_id), now)
-        self._asked_for_votes.update(holders)
-        return self._ask_all(holders, call, now)
+        call = ClaimCall(self._view.version, self.request_id, self._task.digest, self._attempt)
+        voters = self._votes.voters_to_request(self._view.voters(self.request_id), now)
+        self._requested_voters.update(voters)
+        return self._request_from_all(voters, call, now)
 
-    def _vote_received(
-        self, ask: Ask, call: ClaimCall, reply: ClaimReply, now: float
+    def _on_vote_reply(
+        self, request: Request, call: ClaimCall, reply: ClaimReply, now: float
     ) -> list[ClaimantEffect]:
         is_current = call.attempt == self._attempt and call.view == self._view.version
         if self.phase is not Phase.CLAIMING or not is_current:
             return []
-        if reply.status == ClaimStatus.BARRED and not self._is_renewal:
-            return self._start_again(now)
-        self._votes.note(ask.member, reply, ask.asked_at)
+        if reply.status == ClaimStatus.BLOCKED and not self._is_renewal:
+            return self._restart_as_new_attempt(now)
+        self._votes.record(request.member, reply, request.requested_at)
         dispatch_by = self._votes.dispatch_by()
         if dispatch_by is not None and now < dispatch_by:
-            return self._finish(ClaimGranted(), Grant(call.attempt, self._digest, dispatch_by))
+            return self._finish(ClaimGranted(), Grant(call.attempt, self._task.digest, dispatch_by))
         if self._round_is_over() or self._votes.is_lost():
-            return self._judge_votes(now)
+            return self._evaluate_votes(now)
         return []
 
-    def _start_again(self, now: float) -> list[ClaimantEffect]:
-        """Go on as a new attempt after a pause, since this one was barred."""
+    def _restart_as_new_attempt(self, now: float) -> list[ClaimantEffect]:
+        """Go on as a new attempt after a pause, since this one was blocked."""
         effects = self._close_attempt()
-        self._attempt = self._next_attempt()
+        self._attempt = self._open_attempt()
         self._votes = Votes(self._view, self._timings.dispatch_window_s)
         self._pause_claiming(now)
         return effects
 
-    def _judge_votes(self, now: float) -> list[ClaimantEffect]:
+    def _evaluate_votes(self, now: float) -> list[ClaimantEffect]:
         """Yield, give up or try again after a round without a majority."""
-        rivals = self._rivals()
-        is_late = now >= min(self._patience_at, self._deadline_at)
-        if rivals and not self._is_renewal:
+        competing = self._competing_attempts()
+        is_late = now >= min(self._claim_until, self._task.deadline_at)
+        if competing and not self._is_renewal:
             assert self._attempt is not None
-            if is_late or rivals[0] < self._attempt or self._votes.is_lost():
-                return self._yield_to(rivals, now)
+            if is_late or competing[0] < self._attempt or self._votes.is_lost():
+                return self._yield_to(competing, now)
         if is_late:
             return self._finish_undecided()
         self._pause_claiming(now)
@@ -270,90 +288,102 @@
 
     def _pause_claiming(self, now: float) -> None:
         self._is_between_rounds = True
-        self._wake_by(now + self._retry_s * (1 + self._random.random()))
-        self._retry_s = min(self._retry_s * RETRY_GROWTH, self._timings.retry_max_s)
+        self._wake_by(now + self._retry_backoff_s * (1 + self._random.random()))
+        self._retry_backoff_s = min(
+            self._retry_backoff_s * RETRY_GROWTH, self._timings.max_retry_backoff_s
+        )
 
-    def _yield_to(self, rivals: list[Attempt], now: float) -> list[ClaimantEffect]:
+    def _yield_to(self, competing: list[Attempt], now: float) -> list[ClaimantEffect]:
         effects = self._close_attempt()
-        if any(self._known.open[rival] != self._digest for rival in rivals):
+        if any(self._known.open[competitor] != self._task.digest for competitor in competing):
             return effects + self._finish(ClaimRefused(ClaimRefusal.OTHER_REQUEST))
-        self._poll_s = self._timings.poll_s
+        self._poll_interval_s = self._timings.poll_interval_s
         return effects + self._poll(now)
 
+    def _open_attempt(self) -> Attempt:
+        task = self._task
+        return self._own_attempts.open(task.request_id, task.digest, task.started_at)
+
     def _close_attempt(self) -> list[ClaimantEffect]:
         """Close the own attempt for ever and take its votes back."""
         attempt = self._attempt
         if attempt is None or self._is_renewal:
             return []
         self._attempt = None
-        self._close_own(attempt)
+        self._own_attempts.close(self.request_id, attempt, self._task.started_at)
         self._known.close(attempt)
-        members = tuple(sorted(self._asked_for_votes))
-        return [Tell(members, CloseCall(self.request_id, [attempt]))]
+        members = tuple(sorted(self._requested_voters))
+        return [Notify(members, CloseCall(self.request_id, [attempt]))]
 
     # Waiting
 
     def _poll(self, now: float) -> list[ClaimantEffect]:
         self.phase = Phase.WAITING
-        members = {rival.owner for rival in self._rivals()}
-        members.update(self._view.holders(self.request_id))
-        call = LookCall(self._view.version, self.request_id)
-        effects = self._ask_all(sorted(members), call, now)
-        self._wake_by(now + self._poll_s)
-        self._poll_s = min(self._poll_s * POLL_GROWTH, self._timings.poll_max_s)
+        members = {competitor.owner for competitor in self._competing_attempts()}
+        members.update(self._view.voters(self.request_id))
+        call = QueryCall(self._view.version, self.request_id)
+        effects = self._request_from_all(sorted(members), call, now)
+        self._wake_by(now + self._poll_interval_s)
+        self._poll_interval_s = min(
+            self._poll_interval_s * POLL_GROWTH, self._timings.max_poll_interval_s
+        )
         return effects
 
-    def _look_received(self, ask: Ask, reply: ClaimReply, now: float) -> list[ClaimantEffect]:
+    def _on_query_reply(
+        self, request: Request, reply: ClaimReply, now: float
+    ) -> list[ClaimantEffect]:
         if self.phase is not Phase.WAITING:
             return []
-        self._owners.answered(self._rivals(), ask.member, reply)
-        return self._judge_rivals(now)
+        self._owners.on_reply(self._competing_attempts(), request.member, reply)
+        return self._evaluate_competing(now)
 
-    def _judge_rivals(self, now: float) -> list[ClaimantEffect]:
-        rivals = self._rivals()
-        if not rivals:
+    def _evaluate_competing(self, now: float) -> list[ClaimantEffect]:
+        competing = self._competing_attempts()
+        if not competing:
             return self._start_claiming(now)
-        is_due = now >= self._next_bar_at
-        if is_due and self._owners.all_silent(rivals, self._timings.suspect_s, now):
-            return self._ask_to_bar(rivals, now)
+        is_due = now >= self._next_block_at
+        if is_due and self._owners.all_unresponsive(competing, self._timings.suspect_after_s, now):
+            return self._request_blocks(competing, now)
         return []
 
-    # Barring
+    # Blocking
 
-    def _ask_to_bar(self, rivals: list[Attempt], now: float) -> list[ClaimantEffect]:
-        self.phase = Phase.BARRING
-        self._next_bar_at = now + self._timings.suspect_s
-        self._bars = Bars(self._view, rivals, now, self._timings.dispatch_window_s)
-        call = BarCall(self._view.version, self.request_id, rivals)
-        return self._ask_all(list(self._view.holders(self.request_id)), call, now)
+    def _request_blocks(self, competing: list[Attempt], now: float) -> list[ClaimantEffect]:
+        self.phase = Phase.BLOCKING
+        self._next_block_at = now + self._timings.suspect_after_s
+        self._block_proof = BlockProof(self._view, competing, now, self._timings.dispatch_window_s)
+        call = BlockCall(self._view.version, self.request_id, competing)
+        return self._request_from_all(list(self._view.voters(self.request_id)), call, now)
 
-    def _bar_received(self, ask: Ask, reply: ClaimReply, now: float) -> list[ClaimantEffect]:
-        if self.phase is not Phase.BARRING or ask.round_number != self._round_number:
+    def _on_block_reply(
+        self, request: Request, reply: ClaimReply, now: float
+    ) -> list[ClaimantEffect]:
+        if self.phase is not Phase.BLOCKING or request.round_number != self._round_number:
             return []
-        self._bars.note(ask.member, reply)
-        if self._bars.prove_never_ran(now) or self._round_is_over():
-            return self._judge_bars(now)
+        self._block_proof.record(request.member, reply)
+        if self._block_proof.proves_never_ran(now) or self._round_is_over():
+            return self._evaluate_blocks(now)
         return []
 
-    def _judge_bars(self, now: float) -> list[ClaimantEffect]:
-        rivals = self._bars.rivals
-        if self._bars.prove_never_ran(now):
-            for rival in rivals:
-                self._known.close(rival)
-            members = self._view.holders(self.request_id)
-            effects: list[ClaimantEffect] = [Tell(members, CloseCall(self.request_id, rivals))]
+    def _evaluate_blocks(self, now: float) -> list[ClaimantEffect]:
+        competing = self._block_proof.competing
+        if self._block_proof.proves_never_ran(now):
+            for competitor in competing:
+                self._known.close(competitor)
+            members = self._view.voters(self.request_id)
+            effects: list[ClaimantEffect] = [Notify(members, CloseCall(self.request_id, competing))]
             return effects + self._start_claiming(now)
-        if self._owners.all_silent(rivals, self._timings.give_up_s, now):
+        if self._owners.all_unresponsive(competing, self._timings.owner_timeout_s, now):
             return self._finish(OutcomePending())
         self.phase = Phase.WAITING
-        self._wake_by(now + self._poll_s)
+        self._wake_by(now + self._poll_interval_s)
         return []
 
     # Decisions
 
     def _finish_recorded(self, recorded: RecordedClaim) -> list[ClaimantEffect]:
         effects = self._close_attempt()
-        if recorded.digest != self._digest:
+        if recorded.digest != self._task.digest:
             return effects + self._finish(ClaimRefused(ClaimRefusal.OTHER_REQUEST))
         if not recorded.has_body:
             return effects + self._finish(OutcomePending())
@@ -363,11 +393,11 @@
         return effects + self._finish(decision)
 
     def _finish_undecided(self) -> list[ClaimantEffect]:
-        has_rivals = bool(self._rivals())
+        has_competitors = bool(self._competing_attempts())
         effects = self._close_attempt()
-        if has_rivals or self.phase is not Phase.CLAIMING:
+        if has_competitors or self.phase is not Phase.CLAIMING:
             return effects + self._finish(OutcomePending())
-        never_ran = self._votes.prove_fresh()
+        never_ran = self._votes.proves_fresh()
         return effects + self._finish(ClaimRefused(ClaimRefusal.UNAVAILABLE, never_ran=never_ran))
 
     def _finish(self, decision: ClaimDecision, grant: Grant | None = None) -> list[ClaimantEffect]:
@@ -375,4 +405,4 @@
         return [Finished(decision, grant)]
 
     def _wake_by(self, at: float) -> None:
-        self.wake_at = min(at, self._deadline_at)
+        self.wake_at = min(at, self._task.deadline_at)
--- a/src/zincvale/dataplane/claims/effects.py
+++ b/src/zincvale/dataplane/claims/claimant_effects.py
@@ -1,14 +1,14 @@
-"""Effects of a claimant, carried out by `claim_requests`."""
+"""Effects of a claimant, carried out by `ClaimRequests`."""
 
 from __future__ import annotations
 
 import attrs
 
 from zincvale.dataplane.claims.messages import (
-    BarCall,
+    BlockCall,
     ClaimCall,
     CloseCall,
-    LookCall,
+    QueryCall,
     RecordCall,
 )
 from zincvale.dataplane.claims.records import Attempt
@@ -17,18 +17,18 @@
 
 
 @attrs.frozen
-class Ask:
-    """Effect: call `member`; `replied` or `failed` follows with this object."""
+class Request:
+    """Effect: call `member`; `on_reply` or `on_failure` follows with this object."""
 
     member: MemberId
-    message: ClaimCall | LookCall | BarCall
-    asked_at: float
+    message: ClaimCall | QueryCall | BlockCall
+    requested_at: float
     round_number: int
 
 
 @attrs.frozen
-class Tell:
-    """Effect: bring `message` to the members, sent again until confirmed or too late."""
+class Notify:
+    """Effect: deliver `message` to the members, resent until confirmed or too late."""
 
     members: tuple[MemberId, ...]
     message: CloseCall | RecordCall
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class FetchViews:
-    """Effect: ask `member` for the newer versions of the registered nodes."""
+    """Effect: request from `member` the newer versions of the registered nodes."""
 
     member: MemberId
 
@@ -58,4 +58,4 @@
     grant: Grant | None = None
 
 
-ClaimantEffect = Ask | Tell | FetchViews | Finished
+ClaimantEffect = Request | Notify | FetchViews | Finished
--- a/src/zincvale/dataplane/claims/competing_attempts.py
+++ b/src/zincvale/dataplane/claims/competing_attempts.py
@@ -14,76 +14,78 @@
 class _Owner:
     """What is known of an attempt's owner."""
 
-    silent_since: float | None = None
-    is_gone: bool = False
+    unresponsive_since: float | None = None
+    has_departed: bool = False
 
 
-class RivalOwners:
-    """Owners of other attempts, as they answer or do not answer."""
+class CompetingOwners:
+    """Owners of competing attempts: which respond, and which have lost their attempt."""
 
     def __init__(self) -> None:
         self._owners: dict[Attempt, _Owner] = {}
 
-    def answered(self, rivals: list[Attempt], member: MemberId, reply: ClaimReply) -> None:
-        """Note an owner's answer: its attempt is gone if the process does not know it."""
+    def on_reply(self, competing: list[Attempt], member: MemberId, reply: ClaimReply) -> None:
+        """Apply an owner's response: its attempt is gone if the process does not know it."""
         open_attempts = {claim.attempt for claim in reply.state.open}
-        for rival in rivals:
-            if rival.owner != member:
+        for competitor in competing:
+            if competitor.owner != member:
                 continue
-            is_known = rival.incarnation == reply.incarnation and rival in open_attempts
-            self._owners[rival] = _Owner(is_gone=not is_known)
+            is_known = competitor.incarnation == reply.incarnation and competitor in open_attempts
+            self._owners[competitor] = _Owner(has_departed=not is_known)
 
-    def was_silent(self, rivals: list[Attempt], member: MemberId, asked_at: float) -> None:
-        """Note that an owner did not answer."""
-        for rival in rivals:
-            if rival.owner != member:
+    def on_timeout(self, competing: list[Attempt], member: MemberId, requested_at: float) -> None:
+        """Count a request to which an owner did not respond."""
+        for competitor in competing:
+            if competitor.owner != member:
                 continue
-            owner = self._owners.setdefault(rival, _Owner())
-            if owner.silent_since is None:
-                owner.silent_since = asked_at
+            owner = self._owners.setdefault(competitor, _Owner())
+            if owner.unresponsive_since is None:
+                owner.unresponsive_since = requested_at
 
-    def all_silent(self, rivals: list[Attempt], for_s: float, now: float) -> bool:
-        """Whether each rival's owner is gone, or has not answered for so long."""
-        return all(self._is_silent(rival, for_s, now) for rival in rivals)
+    def all_unresponsive(self, competing: list[Attempt], for_s: float, now: float) -> bool:
+        """Whether each competitor's owner is gone, or has not responded for so long."""
+        return all(self._is_unresponsive(competitor, for_s, now) for competitor in competing)
 
-    def _is_silent(self, rival: Attempt, for_s: float, now: float) -> bool:
-        owner = self._owners.get(rival)
+    def _is_unresponsive(self, competitor: Attempt, for_s: float, now: float) -> bool:
+        owner = self._owners.get(competitor)
         if owner is None:
             return False
-        if owner.is_gone:
+        if owner.has_departed:
             return True
-        return owner.silent_since is not None and now >= owner.silent_since + for_s
+        return owner.unresponsive_since is not None and now >= owner.unresponsive_since + for_s
 
 
 @attrs.define
-class Bars:
-    """Answers of the holders to one bar.
+class BlockProof:
+    """Responses of the voters to one `BlockCall`, and what they prove.
 
     Attributes
     ----------
-    asked_at : when the holders were asked.
-    window_s : the answers prove something this long: a holder that restarted meanwhile, and
-        forgot its bar, has then read it from another one.
+    requested_at : when the voters were called.
+    window_s : the responses prove something this long: a voter that restarted meanwhile, and
+        forgot its block, has then read it from another one.
     """
 
     view: ClaimView
-    rivals: list[Attempt]
-    asked_at: float
+    competing: list[Attempt]
+    requested_at: float
     window_s: float
     _without_vote: dict[Attempt, set[MemberId]] = attrs.field(factory=dict)
 
-    def note(self, holder: MemberId, reply: ClaimReply) -> None:
-        """Count one answer."""
-        if reply.status != ClaimStatus.BARRED:
+    def record(self, voter: MemberId, reply: ClaimReply) -> None:
+        """Count one response."""
+        if reply.status != ClaimStatus.BLOCKED:
             return
         voted = {claim.attempt for claim in reply.state.open}
-        for rival in self.rivals:
-            if rival not in voted:
-                self._without_vote.setdefault(rival, set()).add(holder)
+        for competitor in self.competing:
+            if competitor not in voted:
+                self._without_vote.setdefault(competitor, set()).add(voter)
 
-    def prove_never_ran(self, now: float) -> bool:
-        """Whether no majority voted, or ever will, for any of the rivals."""
-        if now >= self.asked_at + self.window_s:
+    def proves_never_ran(self, now: float) -> bool:
+        """Whether no majority voted, or ever will, for any of the competing."""
+        if now >= self.requested_at + self.window_s:
             return False
-        enough = self.view.holder_count - self.view.majority + 1
-        return all(len(self._without_vote.get(rival, ())) >= enough for rival in self.rivals)
+        enough = self.view.voter_count - self.view.majority + 1
+        return all(
+            len(self._without_vote.get(competitor, ())) >= enough for competitor in self.competing
+        )
--- a/src/zincvale/dataplane/claims/events.py
+++ b/src/zincvale/dataplane/claims/events.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen
-class ClaimWanted:
+class ClaimRequested:
     """Input: a request wants to run; `Decided(token, ...)` follows by `deadline_at`."""
 
     token: str
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class RenewalWanted:
+class RenewalRequested:
     """Input: a granted claim grew too old to dispatch; `Confirmed(token, ...)` follows."""
 
     token: str
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class ReleaseWanted:
+class ReleaseRequested:
     """Input: the request provably never ran; `Confirmed(token, ...)` follows."""
 
     token: str
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen
-class ViewsLearnt:
+class ViewsReceived:
     """Input: versions of the registered nodes, from the control plane or a peer."""
 
     views: list[ViewList]
@@ -80,7 +80,7 @@
 
 @attrs.frozen
 class Confirmed:
-    """Effect: whether a majority keeps what `token` asked for."""
+    """Effect: whether a majority confirmed what `token` requested."""
 
     token: str
     is_confirmed: bool
--- a/src/zincvale/dataplane/claims/messages.py
+++ b/src/zincvale/dataplane/claims/messages.py
@@ -11,22 +11,22 @@
 
 
 class ClaimStatus(enum.StrEnum):
-    """What a holder answered, as `ClaimReply.status`."""
+    """What a voter responded, as `ClaimReply.status`."""
 
     GRANTED = "granted"
-    """The attempt has this holder's vote."""
-    HELD = "held"
-    """Another attempt is open; `state` names it."""
+    """The attempt has this voter's vote."""
+    CONTENDED = "held"
+    """Another attempt is open; `state` names it. The text on the wire is older than the name."""
     RECORDED = "recorded"
     """The request has an outcome, in `state`."""
-    BARRED = "barred"
-    """To a claim: the attempt gets no vote here. To a bar: it is noted; `state` names the votes."""
+    BLOCKED = "barred"
+    """To a claim: no vote for the attempt here. To a block: done; `state` names votes given."""
     FREE = "free"
-    """To a look: no attempt is open."""
+    """To a query: no attempt is open."""
     FULL = "full"
     """Nothing is known of the request, and there is no room for another claim."""
     NOT_READY = "not-ready"
-    """The holder restarted or learnt a new view, and does not vote yet."""
+    """The voter restarted or learnt a new view, and does not vote yet."""
     STALE_VIEW = "stale-view"
     """The caller's view is older than `view`."""
 
@@ -44,8 +44,8 @@
 
 @peer_message("claims.look")
 @attrs.frozen
-class LookCall:
-    """Tell what is known of `request_id`."""
+class QueryCall:
+    """Return what is known of `request_id`."""
 
     view: int
     request_id: str
@@ -53,7 +53,7 @@
 
 @peer_message("claims.bar")
 @attrs.frozen
-class BarCall:
+class BlockCall:
     """Never vote for `attempts` from now on, unless the vote was given already."""
 
     view: int
@@ -73,7 +73,7 @@
 @peer_message("claims.record")
 @attrs.frozen
 class RecordCall:
-    """Keep the outcome of the attempt that ran."""
+    """Store the outcome of the attempt that ran."""
 
     request_id: str
     recorded: RecordedClaim
@@ -82,13 +82,13 @@
 @peer_message("claims.reply")
 @attrs.frozen
 class ClaimReply:
-    """Answer to `ClaimCall`, `LookCall` and `BarCall`.
+    """Response to `ClaimCall`, `QueryCall` and `BlockCall`.
 
     Attributes
     ----------
     status : a `ClaimStatus`.
-    view : the newest view version that the answering node heard of.
-    incarnation : of the answering node.
+    view : the newest view version that the responding node has seen.
+    incarnation : of the responding node.
     """
 
     status: str
@@ -99,13 +99,13 @@
 
 @peer_message("claims.done")
 @attrs.frozen
-class ClaimDone:
-    """Answer to `CloseCall`, `RecordCall` and `AnnounceCall`: it is kept."""
+class ClaimAck:
+    """Response to `CloseCall`, `RecordCall` and `AnnounceCall`: it is stored."""
 
 
 @attrs.frozen
 class CopiedClaim:
-    """One row on its way to another holder; `remaining_s` is the rest of its life."""
+    """One row on its way to another voter; `remaining_s` is the rest of its life."""
 
     request_id: str
     state: ClaimState
@@ -115,7 +115,7 @@
 @peer_message("claims.announce")
 @attrs.frozen
 class AnnounceCall:
-    """An entry node's own claims, for holders that may have lost them."""
+    """An ingress node's own claims, for voters that may have lost them."""
 
     claims: list[CopiedClaim]
 
@@ -131,7 +131,7 @@
 @peer_message("claims.views")
 @attrs.frozen
 class ViewsCall:
-    """Tell the versions of the registered nodes that are known from `newer_than` on."""
+    """Return the versions of the registered nodes that are known from `newer_than` on."""
 
     newer_than: int
 
@@ -139,7 +139,7 @@
 @peer_message("claims.views_reply")
 @attrs.frozen
 class ViewsReply:
-    """Answer to `ViewsCall`, the oldest version first."""
+    """Response to `ViewsCall`, the oldest version first."""
 
     views: list[ViewList]
 
@@ -147,16 +147,17 @@
 @peer_message("claims.pull")
 @attrs.frozen
 class PullCall:
-    """Stop voting in views older than `view`, and copy out the claims that the sender holds in it.
+    """Stop voting in views older than `view`, and copy out what the sender votes on.
 
     Attributes
     ----------
-    own : whether to read the claims that the source entered itself, rather than those it holds.
+    own_claims : whether to read the claims of requests that the source received itself, rather than
+        those it votes on.
     cursor : return changes after this sequence number.
     """
 
     view: int
-    own: bool
+    own_claims: bool
     cursor: int
 
 
@@ -167,20 +168,21 @@
 
     Attributes
     ----------
-    view : the newest view the source heard of; pages are only filled when it is the asked one.
-    usable : the source knows the view's nodes, and no newer one.
-    completed : the views in which the source votes or voted since its process started.
+    view : the newest view the source has seen; pages are filled only when it is the requested
+        one.
+    is_usable : the source knows the view's nodes, and no newer one.
+    completed_views : the views in which the source votes or voted since its process started.
     cursor : where the next page starts.
-    done : the table has no more pages.
+    is_done : the table has no more pages.
     views : versions of the registered nodes that the source knows.
     """
 
     view: int
-    usable: bool
-    completed: list[int]
+    is_usable: bool
+    completed_views: list[int]
     claims: list[CopiedClaim]
     cursor: int
-    done: bool
+    is_done: bool
     views: list[ViewList]
 
 
@@ -195,7 +197,7 @@
 @peer_message("claims.batch")
 @attrs.frozen
 class BatchCall:
-    """Several calls to one node, each answered as if it came alone."""
+    """Several calls to one node, each handled as if it came alone."""
 
     calls: list[NamedMessage]
 
@@ -203,6 +205,6 @@
 @peer_message("claims.batch_reply")
 @attrs.frozen
 class BatchReply:
-    """Answers in the order of the calls."""
+    """Responses in the order of the calls."""
 
     replies: list[NamedMessage]
--- a/src/zincvale/dataplane/claims/node_machine.py
+++ b/src/zincvale/dataplane/claims/node_machine.py
@@ -1,4 +1,4 @@
-"""The claim service of one node as a state machine: holder, entry node and repair together."""
+"""The claim service of one node as a state machine: voter, ingress node and repair together."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 from zincvale.dataplane.claims.events import (
     ClaimAbandoned,
-    ClaimWanted,
+    ClaimRequested,
     LiveMembersChanged,
     OutcomeReached,
-    ReleaseWanted,
-    RenewalWanted,
-    ViewsLearnt,
+    ReleaseRequested,
+    RenewalRequested,
+    ViewsReceived,
 )
 from zincvale.dataplane.claims.messages import (
     AnnounceCall,
-    BarCall,
+    BlockCall,
+    ClaimAck,
     ClaimCall,
-    ClaimDone,
     ClaimReply,
     CloseCall,
-    LookCall,
     PullCall,
     PullReply,
+    QueryCall,
     RecordCall,
     ViewsCall,
     ViewsReply,
@@ -32,17 +32,18 @@
     ClaimsEffect,
     Pending,
     PendingAnnounce,
-    PendingAsk,
     PendingDelivery,
     PendingPull,
+    PendingRequest,
     PendingViews,
 )
-from zincvale.dataplane.claims.readiness import HolderReadiness
+from zincvale.dataplane.claims.own_attempts import OwnAttempts
+from zincvale.dataplane.claims.readiness import VoterReadiness
 from zincvale.dataplane.claims.repair import ClaimRepair
 from zincvale.dataplane.claims.requests import ClaimRequests
 from zincvale.dataplane.claims.table import ClaimTable, TableLimits
 from zincvale.dataplane.claims.timings import ClaimTimings
-from zincvale.dataplane.claims.voter import ClaimHolder
+from zincvale.dataplane.claims.voter import ClaimVoter
 from zincvale.model.identifiers import MemberId, RequestId
 from zincvale.model.machine import (
     CallFailed,
@@ -53,12 +54,12 @@
 )
 
 ClaimsInput = (
-    ClaimWanted
-    | RenewalWanted
+    ClaimRequested
+    | RenewalRequested
     | ClaimAbandoned
     | OutcomeReached
-    | ReleaseWanted
-    | ViewsLearnt
+    | ReleaseRequested
+    | ViewsReceived
     | LiveMembersChanged
     | CallReceived
     | CallReplied
@@ -66,12 +67,12 @@
     | Tick
 )
 
-FREEZE_S = 1.0
+FREEZE_GAP_S = 1.0
 """A longer pause between two inputs is taken for a freeze; there is a tick every 50 ms."""
 
 
 class ClaimsNode:
-    """Takes inputs and returns effects; see `claim_events` for both.
+    """Takes inputs and returns effects; see `events` for both.
 
     Parameters
     ----------
@@ -88,38 +89,37 @@
         started_at: float,
     ) -> None:
         self._handled_at = started_at
-        self.readiness = HolderReadiness(member_id, timings, started_at)
-        held = ClaimTable(_limits(timings, timings.ttl_s))
-        own = ClaimTable(_limits(timings, timings.own_ttl_s))
-        self.holder = ClaimHolder(member_id, incarnation, held, own, self.readiness)
+        self.readiness = VoterReadiness(member_id, timings, started_at)
+        votes = ClaimTable(_limits(timings, timings.ttl_s))
+        own_claims = ClaimTable(_limits(timings, timings.own_claim_ttl_s))
+        self.voter = ClaimVoter(member_id, incarnation, votes, own_claims, self.readiness)
         self._outbox = ClaimOutbox(timings.call_timeout_s)
-        self._repair = ClaimRepair(self.holder, timings, self._outbox, started_at)
-        self._requests = ClaimRequests(
-            member_id, incarnation, random, timings, own, self._repair, self._outbox
-        )
+        self._repair = ClaimRepair(self.voter, timings, self._outbox, started_at)
+        own_attempts = OwnAttempts(member_id, incarnation, own_claims, self._outbox.next_number)
+        self._requests = ClaimRequests(own_attempts, random, timings, self._repair, self._outbox)
 
     def handle(self, event: ClaimsInput, now: float) -> list[ClaimsEffect]:
         """Apply one input and return what to do, in order."""
-        if now > self._handled_at + FREEZE_S:
-            self.readiness.woke_up(now)
+        if now > self._handled_at + FREEZE_GAP_S:
+            self.readiness.restart_reading(now)
         self._handled_at = now
         match event:
             case CallReceived(sender, token, message):
-                self._outbox.add(Reply(token, self._answer(sender, message, now)))
+                self._outbox.add(Reply(token, self._reply_to(sender, message, now)))
             case CallReplied(token, message):
                 self._handle_reply(self._outbox.take(token), message, now)
             case CallFailed(token):
                 self._handle_failure(self._outbox.take(token), now)
-            case ViewsLearnt(views):
-                if self._repair.learn_views(views, now):
-                    self._view_changed(now)
+            case ViewsReceived(views):
+                if self._repair.update_views(views, now):
+                    self._on_view_changed(now)
             case LiveMembersChanged(incarnations):
-                self._repair.live_members_changed(incarnations, self._requests.granted, now)
+                self._repair.on_live_members_changed(incarnations, self._requests.granted, now)
             case Tick():
                 self._handle_tick(now)
             case _:
                 self._handle_request(event, now)
-        self._repair.judge(now)
+        self._repair.try_to_complete(now)
         return self._outbox.drain()
 
     def may_dispatch(self, request_id: RequestId, now: float) -> bool:
@@ -129,78 +129,78 @@
 
     def _handle_request(self, event: ClaimsInput, now: float) -> None:
         match event:
-            case ClaimWanted():
+            case ClaimRequested():
                 self._requests.claim(event, now)
-            case RenewalWanted():
+            case RenewalRequested():
                 self._requests.renew(event, now)
             case ClaimAbandoned(token):
                 self._requests.abandon(token, now)
             case OutcomeReached():
                 self._requests.record(event, now)
-            case ReleaseWanted(token, request_id):
+            case ReleaseRequested(token, request_id):
                 self._requests.release(token, request_id, now)
 
-    def _answer(self, sender: MemberId, message: object, now: float) -> object:
+    def _reply_to(self, sender: MemberId, message: object, now: float) -> object:
         match message:
-            case ClaimCall() | LookCall() | BarCall() | PullCall():
-                self._repair.hear_of(sender, message.view)
+            case ClaimCall() | QueryCall() | BlockCall() | PullCall():
+                self._repair.observe_version(sender, message.view)
         match message:
             case ClaimCall():
-                return self.holder.claim(message, now)
-            case LookCall():
-                return self.holder.look(message, now)
-            case BarCall():
-                return self.holder.bar(message, now)
+                return self.voter.claim(message, now)
+            case QueryCall():
+                return self.voter.query(message, now)
+            case BlockCall():
+                return self.voter.block(message, now)
             case PullCall():
-                return self.holder.pull(sender, message, now)
+                return self.voter.pull(sender, message, now)
             case ViewsCall(newer_than):
-                return ViewsReply(self.readiness.lists(newer_than))
+                return ViewsReply(self.readiness.view_lists(newer_than))
             case CloseCall():
-                self.holder.close(message, now)
+                self.voter.close(message, now)
             case RecordCall():
-                self.holder.record(message, now)
+                self.voter.record(message, now)
             case AnnounceCall(claims):
-                self.holder.keep(claims, now)
-        return ClaimDone()
+                self.voter.merge_copies(claims, now)
+        return ClaimAck()
 
     def _handle_reply(self, pending: Pending | None, message: object, now: float) -> None:
         match pending, message:
-            case PendingAsk(), ClaimReply():
-                self._requests.replied(pending, message, now)
-            case PendingDelivery(), ClaimDone():
+            case PendingRequest(), ClaimReply():
+                self._requests.on_reply(pending, message, now)
+            case PendingDelivery(), ClaimAck():
                 self._requests.deliveries.confirmed(pending)
             case PendingPull(), PullReply():
-                if self._repair.page_received(pending, message, now):
-                    self._view_changed(now)
+                if self._repair.on_page(pending, message, now):
+                    self._on_view_changed(now)
             case PendingViews(), ViewsReply():
-                if self._repair.views_received(pending, message, now):
-                    self._view_changed(now)
-            case PendingAnnounce(), ClaimDone():
+                if self._repair.on_views(pending, message, now):
+                    self._on_view_changed(now)
+            case PendingAnnounce(), ClaimAck():
                 pass
             case _:
                 self._handle_failure(pending, now)
 
     def _handle_failure(self, pending: Pending | None, now: float) -> None:
         match pending:
-            case PendingAsk():
-                self._requests.failed(pending, now)
+            case PendingRequest():
+                self._requests.on_failure(pending, now)
             case PendingDelivery():
-                self._requests.deliveries.failed(pending)
+                self._requests.deliveries.on_failure(pending)
             case PendingPull():
-                self._repair.page_failed(pending, now)
+                self._repair.on_page_failure(pending, now)
             case PendingViews():
-                self._repair.fetch_failed(pending)
+                self._repair.on_fetch_failure(pending)
 
-    def _view_changed(self, now: float) -> None:
+    def _on_view_changed(self, now: float) -> None:
         view = self.readiness.view
         assert view is not None
-        self._requests.view_changed(view, now)
+        self._requests.on_view_changed(view, now)
 
     def _handle_tick(self, now: float) -> None:
         self._requests.tick(now)
         self._repair.tick(self._requests.granted, now)
-        self.holder.held.sweep(now)
-        self.holder.own.sweep(now)
+        self.voter.votes.sweep(now)
+        self.voter.own_claims.sweep(now)
 
 
 def _limits(timings: ClaimTimings, ttl_s: float) -> TableLimits:
--- a/src/zincvale/dataplane/claims/outbox.py
+++ b/src/zincvale/dataplane/claims/outbox.py
@@ -1,4 +1,4 @@
-"""Effects on their way out of the claim service, and what each call under way was made for."""
+"""Effects on their way out of the claim service, and what each call in flight was made for."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import attrs
 
-from zincvale.dataplane.claims.effects import Ask
+from zincvale.dataplane.claims.claimant_effects import Request
 from zincvale.dataplane.claims.events import Confirmed, Decided, WakeAt
 from zincvale.dataplane.claims.messages import PullCall
 from zincvale.model.identifiers import MemberId
@@ -16,11 +16,11 @@
 
 
 @attrs.frozen
-class PendingAsk:
+class PendingRequest:
     """A claimant's call; `token` names the claimant."""
 
     token: str
-    ask: Ask
+    request: Request
 
 
 @attrs.frozen
@@ -41,19 +41,19 @@
 
 @attrs.frozen
 class PendingViews:
-    """Versions of the registered nodes that are asked of `member`."""
+    """Versions of the registered nodes that are requested from `member`."""
 
     member: MemberId
 
 
 @attrs.frozen
 class PendingAnnounce:
-    """Own claims on their way to `member`; nothing depends on the answer."""
+    """Own claims on their way to `member`; nothing depends on the response."""
 
     member: MemberId
 
 
-Pending = PendingAsk | PendingDelivery | PendingPull | PendingViews | PendingAnnounce
+Pending = PendingRequest | PendingDelivery | PendingPull | PendingViews | PendingAnnounce
 
 
 class ClaimOutbox:
--- a/src/zincvale/dataplane/claims/peer_call_queues.py
+++ b/src/zincvale/dataplane/claims/peer_call_queues.py
@@ -1,7 +1,7 @@
-"""Calls to other nodes' claim services: a few at a time to each, the rest waits and goes together.
+"""Calls to other nodes' claim services: a few in flight to each, the rest queued and batched.
 
-At low rates every call leaves at once and alone. Under load, and while a node does not answer,
-what has gathered for it leaves as one call.
+At low rates every call leaves at once and alone. Under load, and while a node does not respond,
+the calls queued for it leave as one batch.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from zincvale.transport.codec import decode_message, encode_message
 from zincvale.transport.peer import PeerCaller
 
-MAX_CALLS_UNDER_WAY = 3
+MAX_CALLS_IN_FLIGHT = 3
 MAX_MESSAGES_IN_BATCH = 64
 
 OnReply = Callable[[str, Any], None]
@@ -27,14 +27,14 @@
 
 
 @attrs.define
-class _Lane:
+class _PeerQueue:
     """The calls to one node."""
 
-    waiting: deque[tuple[Call, float]] = attrs.field(factory=deque)
-    under_way: int = 0
+    pending: deque[tuple[Call, float]] = attrs.field(factory=deque)
+    in_flight: int = 0
 
 
-class PeerLanes:
+class PeerCallQueues:
     """Carries out `Call` effects.
 
     Parameters
@@ -46,27 +46,27 @@
         self._peers = peers
         self._clock = clock
         self._on_reply = on_reply
-        self._lanes: dict[MemberId, _Lane] = {}
+        self._queues: dict[MemberId, _PeerQueue] = {}
         self._tasks: set[asyncio.Future] = set()
 
     def call(self, call: Call) -> None:
-        """Make a call now, or together with others when enough are under way."""
-        lane = self._lanes.setdefault(call.to, _Lane())
-        if lane.under_way >= MAX_CALLS_UNDER_WAY:
-            lane.waiting.append((call, self._clock()))
+        """Make a call now, or together with others when enough are in flight."""
+        queue = self._queues.setdefault(call.to, _PeerQueue())
+        if queue.in_flight >= MAX_CALLS_IN_FLIGHT:
+            queue.pending.append((call, self._clock()))
             return
-        self._start(lane, [call])
+        self._start(queue, [call])
 
-    def _start(self, lane: _Lane, calls: list[Call]) -> None:
-        lane.under_way += 1
-        task = asyncio.ensure_future(self._run(lane, calls))
+    def _start(self, queue: _PeerQueue, calls: list[Call]) -> None:
+        queue.in_flight += 1
+        task = asyncio.ensure_future(self._run(queue, calls))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _run(self, lane: _Lane, calls: list[Call]) -> None:
+    async def _run(self, queue: _PeerQueue, calls: list[Call]) -> None:
         replies = await self._exchange(calls)
-        lane.under_way -= 1
-        self._start_waiting(lane)
+        queue.in_flight -= 1
+        self._start_pending(queue)
         for call, reply in zip(calls, replies, strict=True):
             self._on_reply(call.token, reply)
 
@@ -81,17 +81,17 @@
             return nothing
         return replies if len(replies) == len(calls) else nothing
 
-    def _start_waiting(self, lane: _Lane) -> None:
+    def _start_pending(self, queue: _PeerQueue) -> None:
         now = self._clock()
         batch: list[Call] = []
-        while lane.waiting and len(batch) < MAX_MESSAGES_IN_BATCH:
-            call, since = lane.waiting.popleft()
+        while queue.pending and len(batch) < MAX_MESSAGES_IN_BATCH:
+            call, since = queue.pending.popleft()
             if now < since + call.timeout_s:
                 batch.append(call)
             else:
                 self._on_reply(call.token, None)
         if batch:
-            self._start(lane, batch)
+            self._start(queue, batch)
 
 
 def pack_calls(calls: list[Call]) -> BatchCall:
--- a/src/zincvale/dataplane/claims/readiness.py
+++ b/src/zincvale/dataplane/claims/readiness.py
@@ -1,6 +1,6 @@
-"""When a holder may vote: after a restart or a new view it first reads what it must know.
+"""When a voter may vote: after a restart or a new view it first reads what it must know.
 
-A holder is complete in a view when it knows every claim that a majority granted before, as far as
+A voter is complete in a view when it knows every claim that a majority granted before, as far as
 its own vote matters. The design note proves the rules; in short:
 
 - restarted, view unchanged: it waits until grants of its former self are too old to count, then
@@ -23,7 +23,7 @@
 from zincvale.dataplane.claims.view import ClaimView
 from zincvale.model.identifiers import MemberId, ZoneName
 
-MAX_VIEWS_KEPT = 16
+MAX_RETAINED_VIEWS = 16
 
 
 @attrs.define
@@ -32,19 +32,20 @@
 
     Attributes
     ----------
-    own : whether the claims the source entered itself are being read (the second table).
-    completed : the views in which the source was complete when the first page was read.
+    own_claims : whether the second table is being read, the claims of requests that the source
+        itself received.
+    completed_views : the views in which the source was complete when the first page was read.
     """
 
     cursor: int = 0
-    own: bool = False
-    done: bool = False
-    completed: frozenset[int] = frozenset()
-    in_flight: bool = False
+    own_claims: bool = False
+    is_done: bool = False
+    completed_views: frozenset[int] = frozenset()
+    is_in_flight: bool = False
     retry_at: float = 0.0
 
 
-class HolderReadiness:
+class VoterReadiness:
     """Tracks views, and what was read to become complete in the newest one.
 
     Parameters
@@ -61,9 +62,9 @@
         """Members with live leases; empty means not known, since this node has one as well."""
         self._sources: dict[MemberId, SourceRead] = {}
         self._pending_since = started_at
-        self.heard_view = 0
-        """The newest version heard of; nothing is granted in older ones."""
-        self.completed: set[int] = set()
+        self.newest_seen_view = 0
+        """The newest version seen; nothing is granted in older ones."""
+        self.completed_views: set[int] = set()
         """The views in which this process was complete."""
         self.used_quarantine = False
 
@@ -81,16 +82,16 @@
 
     @property
     def complete_view(self) -> int:
-        """The newest view in which this holder is complete; 0 for none."""
-        return max(self.completed, default=0)
+        """The newest view in which this voter is complete; 0 for none."""
+        return max(self.completed_views, default=0)
 
     @property
     def may_vote(self) -> bool:
         """Whether claims may be granted, in the newest view."""
         version = self.view_version
-        return 0 < version == self.complete_view and version == self.heard_view
+        return 0 < version == self.complete_view and version == self.newest_seen_view
 
-    def lists(self, newer_than: int = 0) -> list[ViewList]:
+    def view_lists(self, newer_than: int = 0) -> list[ViewList]:
         """Return the known versions, the oldest first."""
         return [
             ViewList(version, {str(node): str(zone) for node, zone in view.nodes.items()})
@@ -98,33 +99,33 @@
             if version >= newer_than
         ]
 
-    def learn_views(self, lists: Iterable[ViewList], now: float) -> bool:
-        """Keep versions; returns whether the newest changed."""
+    def update_views(self, view_lists: Iterable[ViewList], now: float) -> bool:
+        """Add versions; returns whether the newest changed."""
         before = self.view_version
-        for item in lists:
+        for item in view_lists:
             if item.version in self._views or item.version <= 0:
                 continue
             nodes = {MemberId(node): ZoneName(zone) for node, zone in item.nodes.items()}
             self._views[item.version] = ClaimView(item.version, nodes)
-        for version in sorted(self._views)[:-MAX_VIEWS_KEPT]:
+        for version in sorted(self._views)[:-MAX_RETAINED_VIEWS]:
             del self._views[version]
         if self.view_version == before:
             return False
-        self.heard_view = max(self.heard_view, self.view_version)
+        self.newest_seen_view = max(self.newest_seen_view, self.view_version)
         self._sources = {}
-        if self.completed:
+        if self.completed_views:
             self._pending_since = now
         return True
 
-    def hear_of(self, version: int) -> None:
+    def observe_version(self, version: int) -> None:
         """Stop voting in views older than `version`."""
-        self.heard_view = max(self.heard_view, version)
+        self.newest_seen_view = max(self.newest_seen_view, version)
 
-    def learn_live(self, live: frozenset[MemberId]) -> None:
-        """Note the members with live leases."""
+    def update_live_members(self, live: frozenset[MemberId]) -> None:
+        """Replace the set of members with live leases."""
         self._live = live
 
-    def woke_up(self, now: float) -> None:
+    def restart_reading(self, now: float) -> None:
         """Read everything again after a freeze: who has a lease may have changed meanwhile."""
         if self.may_vote:
             return
@@ -137,44 +138,44 @@
         view = self.view
         if self.may_vote or view is None or self._member_id not in view.nodes:
             return
-        if now < self._reads_from():
+        if now < self._reading_starts_at():
             return
-        for node in self._wanted_sources():
+        for node in self._sources_to_read():
             source = self._sources.setdefault(node, SourceRead())
-            if not source.done and not source.in_flight and source.retry_at <= now:
+            if not source.is_done and not source.is_in_flight and source.retry_at <= now:
                 yield node, source
 
-    def page_read(self, node: MemberId, version: int, reply: PullReply, now: float) -> bool:
-        """Note one page from `node`; returns whether its claims are to be kept."""
+    def on_page(self, node: MemberId, version: int, reply: PullReply, now: float) -> bool:
+        """Account for one page from `node`; returns whether its claims are to be merged."""
         source = self._sources.get(node)
         if source is None or version != self.view_version:
             return False
-        source.in_flight = False
-        if not reply.usable:
-            source.retry_at = now + self._timings.pull_behind_s
+        source.is_in_flight = False
+        if not reply.is_usable:
+            source.retry_at = now + self._timings.pull_behind_retry_s
             return False
-        if source.cursor == 0 and not source.own:
-            source.completed = frozenset(reply.completed)
+        if source.cursor == 0 and not source.own_claims:
+            source.completed_views = frozenset(reply.completed_views)
         source.cursor = reply.cursor
-        if reply.done and source.own:
-            source.done = True
-        elif reply.done:
-            source.own = True
+        if reply.is_done and source.own_claims:
+            source.is_done = True
+        elif reply.is_done:
+            source.own_claims = True
             source.cursor = 0
         return True
 
-    def page_failed(self, node: MemberId, version: int, now: float) -> None:
-        """Note that `node` did not answer."""
+    def on_page_failure(self, node: MemberId, version: int, now: float) -> None:
+        """Schedule another request to `node`, which did not respond."""
         source = self._sources.get(node)
         if source is None or version != self.view_version:
             return
-        source.in_flight = False
+        source.is_in_flight = False
         source.retry_at = now + self._timings.pull_retry_s
 
-    def judge(self, now: float) -> bool:
+    def try_to_complete(self, now: float) -> bool:
         """Become complete if enough was read; returns whether that happened now."""
         view = self.view
-        if self.may_vote or view is None or self.heard_view != view.version:
+        if self.may_vote or view is None or self.newest_seen_view != view.version:
             return False
         if self._member_id not in view.nodes:
             return False
@@ -184,15 +185,15 @@
             self.used_quarantine = True
         else:
             return False
-        self.completed.add(view.version)
+        self.completed_views.add(view.version)
         return True
 
-    def _reads_from(self) -> float:
-        if self.completed:
+    def _reading_starts_at(self) -> float:
+        if self.completed_views:
             return self._pending_since
         return self._started_at + self._timings.settle_s
 
-    def _wanted_sources(self) -> list[MemberId]:
+    def _sources_to_read(self) -> list[MemberId]:
         nodes: set[MemberId] = set()
         for version, view in self._views.items():
             if version >= self.complete_view:
@@ -202,11 +203,11 @@
 
     def _completed_by_node(self) -> dict[MemberId, frozenset[int]]:
         """Return the views each node read, and this one, was complete in."""
-        completed = {
-            node: source.completed for node, source in self._sources.items() if source.done
+        completed_views = {
+            node: source.completed_views for node, source in self._sources.items() if source.is_done
         }
-        completed[self._member_id] = frozenset(self.completed)
-        return completed
+        completed_views[self._member_id] = frozenset(self.completed_views)
+        return completed_views
 
     def _read_this_view(self, view: ClaimView) -> bool:
         """Whether enough nodes that vote in `view` were read.
@@ -217,13 +218,13 @@
         """
         complete = {
             node
-            for node, completed in self._completed_by_node().items()
-            if view.version in completed
+            for node, completed_views in self._completed_by_node().items()
+            if view.version in completed_views
         }
         missing = set(view.nodes) - complete - {self._member_id}
         most_missing = view.most_in_one_group(missing, beside=self._member_id)
-        if self.completed:
-            return most_missing <= view.holder_count - 2
+        if self.completed_views:
+            return most_missing <= view.voter_count - 2
         return most_missing <= view.majority - 2
 
     def _read_older_views(self, view: ClaimView) -> bool:
@@ -231,17 +232,20 @@
 
         A version between that is not known here was never voted in: to become complete in it, a
         node must have read a majority of the older view, one of which was read here as well and
-        would have told the version's nodes.
+        would have returned the version's nodes.
         """
         completed_by_node = self._completed_by_node()
         older = sorted((known for known in self._views if known < view.version), reverse=True)
         for position, version in enumerate(older):
             complete = {
-                node for node, completed in completed_by_node.items() if version in completed
+                node
+                for node, completed_views in completed_by_node.items()
+                if version in completed_views
             }
             newer = older[:position]
             if self._covers(version, complete) and all(
-                self._covers(between, _faithful(completed_by_node, between)) for between in newer
+                self._covers(between, _remembering_nodes(completed_by_node, between))
+                for between in newer
             ):
                 return True
         return False
@@ -250,7 +254,7 @@
         """Whether of each group of a view a majority is among `nodes`."""
         view = self._views[version]
         missing = set(view.nodes) - nodes
-        return view.most_in_one_group(missing) <= view.holder_count - view.majority
+        return view.most_in_one_group(missing) <= view.voter_count - view.majority
 
     def _quarantine_passed(self, view: ClaimView, now: float) -> bool:
         if now < self._pending_since + self._timings.quarantine_s:
@@ -261,10 +265,12 @@
         return expected <= self._completed_by_node().keys()
 
 
-def _faithful(completed_by_node: dict[MemberId, frozenset[int]], version: int) -> set[MemberId]:
+def _remembering_nodes(
+    completed_by_node: dict[MemberId, frozenset[int]], version: int
+) -> set[MemberId]:
     """Return the nodes that remember each vote they gave in a view, if they gave any."""
     return {
         node
-        for node, completed in completed_by_node.items()
-        if completed and min(completed) <= version
+        for node, completed_views in completed_by_node.items()
+        if completed_views and min(completed_views) <= version
     }
--- a/src/zincvale/dataplane/claims/repair.py
+++ b/src/zincvale/dataplane/claims/repair.py
@@ -1,4 +1,4 @@
-"""Repair of claims: learning views, reading from other holders, announcing running claims."""
+"""Repair of claims: learning views, reading from other voters, announcing running claims."""
 
 from __future__ import annotations
 
@@ -23,60 +23,60 @@
 from zincvale.dataplane.claims.table import copy_of
 from zincvale.dataplane.claims.timings import ClaimTimings
 from zincvale.dataplane.claims.view import ClaimView
-from zincvale.dataplane.claims.voter import PAGE_ROWS, ClaimHolder
+from zincvale.dataplane.claims.voter import PAGE_ROWS, ClaimVoter
 from zincvale.model.identifiers import MemberId, RequestId
 from zincvale.model.machine import Log
 
 
 class ClaimRepair:
-    """Keeps the holder complete, and the node's running claims known to their holders."""
+    """Keeps the voter complete, and the node's running claims known to their voters."""
 
     def __init__(
         self,
-        holder: ClaimHolder,
+        voter: ClaimVoter,
         timings: ClaimTimings,
         outbox: ClaimOutbox,
         started_at: float,
     ) -> None:
-        self._holder = holder
-        self._readiness = holder.readiness
+        self._voter = voter
+        self._readiness = voter.readiness
         self._timings = timings
         self._outbox = outbox
         self._fetching_from: set[MemberId] = set()
         self._incarnations: dict[MemberId, str] = {}
-        self._announce_at = started_at + timings.announce_s
+        self._announce_at = started_at + timings.announce_interval_s
 
     @property
     def view(self) -> ClaimView | None:
         """The newest view whose nodes are known."""
         return self._readiness.view
 
-    def hear_of(self, member: MemberId, version: int) -> None:
-        """Stop voting in older views than `member` knows, and ask it for the newer ones."""
+    def observe_version(self, member: MemberId, version: int) -> None:
+        """Stop voting in older views than `member` knows, and request the newer ones from it."""
         if version > self._readiness.view_version:
-            self._readiness.hear_of(version)
+            self._readiness.observe_version(version)
             self.fetch_views(member)
 
     def fetch_views(self, member: MemberId) -> None:
-        """Ask a member for the versions it knows."""
-        if member in self._fetching_from or member == self._holder.member_id:
+        """Request the versions that a member knows."""
+        if member in self._fetching_from or member == self._voter.member_id:
             return
         self._fetching_from.add(member)
         call = ViewsCall(self._readiness.view_version)
         self._outbox.call(member, call, PendingViews(member))
 
-    def views_received(self, pending: PendingViews, reply: ViewsReply, now: float) -> bool:
+    def on_views(self, pending: PendingViews, reply: ViewsReply, now: float) -> bool:
         """Learn the versions; returns whether the newest changed."""
         self._fetching_from.discard(pending.member)
-        return self.learn_views(reply.views, now)
+        return self.update_views(reply.views, now)
 
-    def fetch_failed(self, pending: PendingViews) -> None:
-        """Note that a member did not tell its versions."""
+    def on_fetch_failure(self, pending: PendingViews) -> None:
+        """Allow another request to a member that did not return its versions."""
         self._fetching_from.discard(pending.member)
 
-    def learn_views(self, views: Iterable[ViewList], now: float) -> bool:
+    def update_views(self, views: Iterable[ViewList], now: float) -> bool:
         """Learn versions of the registered nodes; returns whether the newest changed."""
-        if not self._readiness.learn_views(views, now):
+        if not self._readiness.update_views(views, now):
             return False
         view = self._readiness.view
         assert view is not None
@@ -85,45 +85,45 @@
         self.pull_due(now)
         return True
 
-    def page_received(self, pending: PendingPull, reply: PullReply, now: float) -> bool:
-        """Keep a page; returns whether it told a newer view."""
-        self.hear_of(pending.member, reply.view)
-        is_newer = self.learn_views(reply.views, now)
-        if self._readiness.page_read(pending.member, pending.call.view, reply, now):
-            self._holder.keep(reply.claims, now)
+    def on_page(self, pending: PendingPull, reply: PullReply, now: float) -> bool:
+        """Merge a page; returns whether it carried a newer view."""
+        self.observe_version(pending.member, reply.view)
+        is_newer = self.update_views(reply.views, now)
+        if self._readiness.on_page(pending.member, pending.call.view, reply, now):
+            self._voter.merge_copies(reply.claims, now)
         self.pull_due(now)
         return is_newer
 
-    def page_failed(self, pending: PendingPull, now: float) -> None:
-        """Note that a source did not answer."""
-        self._readiness.page_failed(pending.member, pending.call.view, now)
+    def on_page_failure(self, pending: PendingPull, now: float) -> None:
+        """Schedule another request to a source that did not respond."""
+        self._readiness.on_page_failure(pending.member, pending.call.view, now)
 
     def pull_due(self, now: float) -> None:
         """Read a page from each source that is due."""
         for member, source in list(self._readiness.due_pulls(now)):
-            source.in_flight = True
-            call = PullCall(self._readiness.view_version, source.own, source.cursor)
+            source.is_in_flight = True
+            call = PullCall(self._readiness.view_version, source.own_claims, source.cursor)
             self._outbox.call(member, call, PendingPull(member, call))
 
-    def judge(self, now: float) -> None:
+    def try_to_complete(self, now: float) -> None:
         """Start voting once enough was read."""
-        if not self._readiness.judge(now):
+        if not self._readiness.try_to_complete(now):
             return
         number = log_events.CLAIMS_COMPLETE
         if self._readiness.used_quarantine:
             number = log_events.CLAIMS_QUARANTINED
         self._outbox.add(Log(number, {"view": self._readiness.complete_view}))
 
-    def live_members_changed(
+    def on_live_members_changed(
         self,
         incarnations: dict[MemberId, str],
         running: Collection[RequestId],
         now: float,
     ) -> None:
-        """Learn who has a lease, and announce running claims to holders that restarted."""
+        """Learn who has a lease, and announce running claims to voters that restarted."""
         before = self._incarnations
         self._incarnations = dict(incarnations)
-        self._readiness.learn_live(frozenset(incarnations))
+        self._readiness.update_live_members(frozenset(incarnations))
         restarted = {
             member
             for member, incarnation in incarnations.items()
@@ -136,7 +136,7 @@
         """Read what is due; announce running claims now and then, so that they do not expire."""
         self.pull_due(now)
         if now >= self._announce_at:
-            self._announce_at = now + self._timings.announce_s
+            self._announce_at = now + self._timings.announce_interval_s
             self._announce(running, None, now)
 
     def _announce(
@@ -147,8 +147,8 @@
             return
         claims_by_member: dict[MemberId, list[CopiedClaim]] = {}
         for request_id in running:
-            row = self._holder.own.touch(request_id, now)
-            for member in view.holders(request_id):
+            row = self._voter.own_claims.touch(request_id, now)
+            for member in view.voters(request_id):
                 if only is None or member in only:
                     claims_by_member.setdefault(member, []).append(copy_of(row, now))
         for member, claims in claims_by_member.items():
--- a/src/zincvale/dataplane/claims/requests.py
+++ b/src/zincvale/dataplane/claims/requests.py
@@ -1,4 +1,4 @@
-"""Entry node's side of the claim service: claimants at work, granted claims, their outcomes."""
+"""Ingress node's side of the claim service: running claimants, granted claims, their outcomes."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 import attrs
 
-from zincvale.dataplane.claims.claimant import Claimant
-from zincvale.dataplane.claims.delivery import Deliveries, Delivery
-from zincvale.dataplane.claims.effects import (
-    Ask,
+from zincvale.dataplane.claims.claimant import Claimant, ClaimTask
+from zincvale.dataplane.claims.claimant_effects import (
     ClaimantEffect,
     FetchViews,
     Finished,
     Grant,
-    Tell,
+    Notify,
+    Request,
 )
+from zincvale.dataplane.claims.delivery import Deliveries, Delivery
 from zincvale.dataplane.claims.events import (
-    ClaimWanted,
+    ClaimRequested,
     Confirmed,
     Decided,
     OutcomeReached,
-    RenewalWanted,
+    RenewalRequested,
     WakeAt,
 )
 from zincvale.dataplane.claims.messages import ClaimCall, ClaimReply, CloseCall, RecordCall
-from zincvale.dataplane.claims.outbox import ClaimOutbox, PendingAsk
-from zincvale.dataplane.claims.records import Attempt, ClaimState, OpenClaim, RecordedClaim
+from zincvale.dataplane.claims.outbox import ClaimOutbox, PendingRequest
+from zincvale.dataplane.claims.own_attempts import OwnAttempts
+from zincvale.dataplane.claims.records import ClaimState, RecordedClaim
 from zincvale.dataplane.claims.repair import ClaimRepair
-from zincvale.dataplane.claims.table import ClaimTable
 from zincvale.dataplane.claims.timings import ClaimTimings
 from zincvale.dataplane.claims.view import ClaimView
 from zincvale.dataplane.inference.dependencies import ClaimGranted, ClaimRefusal, ClaimRefused
@@ -39,7 +39,7 @@
 
 @attrs.define
 class _Running:
-    """A claimant at work; `is_renewal` says which effect ends it."""
+    """A running claimant; `is_renewal` says which effect ends it."""
 
     claimant: Claimant
     is_renewal: bool
@@ -51,78 +51,56 @@
 
     Parameters
     ----------
-    own : the node's table of its own attempts.
+    own_attempts : opens and closes this node's attempts.
+    random : jitter of the claimants' pauses.
     repair : knows the newest view, and fetches newer ones.
     """
 
     def __init__(
         self,
-        member_id: MemberId,
-        incarnation: str,
+        own_attempts: OwnAttempts,
         random: Random,
         timings: ClaimTimings,
-        own: ClaimTable,
         repair: ClaimRepair,
         outbox: ClaimOutbox,
     ) -> None:
-        self._member_id = member_id
-        self._incarnation = incarnation
+        self._own_attempts = own_attempts
         self._random = random
         self._timings = timings
-        self._own = own
         self._repair = repair
         self._outbox = outbox
         self._running: dict[str, _Running] = {}
         self._deliveries = Deliveries(outbox)
         self.granted: dict[RequestId, Grant] = {}
 
-    def claim(self, event: ClaimWanted, now: float) -> None:
+    def claim(self, event: ClaimRequested, now: float) -> None:
         """Start a claimant."""
         view = self._repair.view
-        if view is None or not view.majority or not self._own.has_room(None):
+        if view is None or not view.majority or not self._own_attempts.table.has_room(None):
             refusal = ClaimRefused(ClaimRefusal.UNAVAILABLE)
             self._outbox.add(Decided(event.token, refusal))
             return
-        claimant = Claimant(
-            event.request_id,
-            event.digest,
-            event.deadline_at,
-            view,
-            self._random,
-            self._timings,
-            lambda: self._open(event.request_id, event.digest, now),
-            lambda attempt: self._close(event.request_id, attempt, now),
-        )
-        self._start(event.token, _Running(claimant, is_renewal=False), now)
+        task = ClaimTask(event.request_id, event.digest, now, event.deadline_at)
+        self._start(event.token, task, view, now)
 
-    def renew(self, event: RenewalWanted, now: float) -> None:
+    def renew(self, event: RenewalRequested, now: float) -> None:
         """Start a claimant that confirms a granted claim."""
         view = self._repair.view
         grant = self.granted.get(event.request_id)
         if view is None or grant is None:
             self._outbox.add(Confirmed(event.token, False))
             return
-        claimant = Claimant(
-            event.request_id,
-            grant.digest,
-            event.deadline_at,
-            view,
-            self._random,
-            self._timings,
-            lambda: grant.attempt,
-            lambda attempt: None,
-            renewed=grant.attempt,
-        )
-        self._start(event.token, _Running(claimant, is_renewal=True), now)
+        task = ClaimTask(event.request_id, grant.digest, now, event.deadline_at, grant.attempt)
+        self._start(event.token, task, view, now)
 
     def abandon(self, token: str, now: float) -> None:
         """Stop a claimant that nobody waits for."""
         running = self._running.pop(token, None)
         if running is not None:
-            self._carry_out(token, running.claimant.abandon(now), now)
+            self._carry_out(token, running.claimant.abandon(), now)
 
     def record(self, event: OutcomeReached, now: float) -> None:
-        """Bring a granted claim's outcome to its holders."""
+        """Deliver a granted claim's outcome to its voters."""
         if event.outcome is Outcome.REFUSED:
             self.release(event.token, event.request_id, now)
             return
@@ -140,76 +118,69 @@
         )
         if len(event.body) > self._timings.max_body_bytes:
             recorded = recorded.without_body()
-        self._own.merge(event.request_id, ClaimState(recorded=recorded), now)
-        self._bring_to_holders(event.token, RecordCall(event.request_id, recorded), now)
+        self._own_attempts.table.merge(event.request_id, ClaimState(recorded=recorded), now)
+        self._deliver_to_voters(event.token, RecordCall(event.request_id, recorded), now)
 
     def release(self, token: str, request_id: RequestId, now: float) -> None:
-        """Close a granted claim; it is closed here before any other node hears of it."""
+        """Close a granted claim; it is closed here before any other node learns of it."""
         grant = self.granted.pop(request_id, None)
         if grant is None:
             self._outbox.add(Confirmed(token, False))
             return
-        self._close(request_id, grant.attempt, now)
-        self._bring_to_holders(token, CloseCall(request_id, [grant.attempt]), now)
+        self._own_attempts.close(request_id, grant.attempt, now)
+        self._deliver_to_voters(token, CloseCall(request_id, [grant.attempt]), now)
 
-    def view_changed(self, view: ClaimView, now: float) -> None:
-        """Let the claimants go on with the holders of a new view."""
+    def on_view_changed(self, view: ClaimView, now: float) -> None:
+        """Let the claimants go on with the voters of a new view."""
         for token, running in list(self._running.items()):
-            self._carry_out(token, running.claimant.view_changed(view, now), now)
+            self._carry_out(token, running.claimant.on_view_changed(view, now), now)
 
-    def replied(self, pending: PendingAsk, reply: ClaimReply, now: float) -> None:
-        """Hand a holder's answer to its claimant."""
+    def on_reply(self, pending: PendingRequest, reply: ClaimReply, now: float) -> None:
+        """Hand a voter's response to its claimant."""
         running = self._running.get(pending.token)
         if running is None:
-            self._return_late_vote(pending.ask, reply, now)
+            self._return_late_vote(pending.request, reply, now)
             return
-        self._carry_out(pending.token, running.claimant.replied(pending.ask, reply, now), now)
+        self._carry_out(pending.token, running.claimant.on_reply(pending.request, reply, now), now)
 
-    def failed(self, pending: PendingAsk, now: float) -> None:
-        """Tell a claimant that its call was not answered."""
+    def on_failure(self, pending: PendingRequest, now: float) -> None:
+        """Tell a claimant that its call failed."""
         running = self._running.get(pending.token)
         if running is not None:
-            self._carry_out(pending.token, running.claimant.failed(pending.ask, now), now)
+            self._carry_out(pending.token, running.claimant.on_failure(pending.request, now), now)
 
     @property
     def deliveries(self) -> Deliveries:
-        """Records and releases under way."""
+        """Records and releases not yet confirmed."""
         return self._deliveries
 
     def tick(self, now: float) -> None:
         """Wake claimants that are due."""
         for token, running in list(self._running.items()):
             if now >= running.claimant.wake_at:
-                self._carry_out(token, running.claimant.woken(now), now)
+                self._carry_out(token, running.claimant.on_wake(now), now)
         self._deliveries.tick(now)
         self._forget_abandoned(now)
 
     def _forget_abandoned(self, now: float) -> None:
-        """Stop announcing claims whose outcome never came; they expire at their holders."""
+        """Stop announcing claims whose outcome never came; they expire at their voters."""
         for request_id, grant in list(self.granted.items()):
             if now < grant.dispatch_by + self._timings.max_run_s:
                 return
             del self.granted[request_id]
 
-    def _start(self, token: str, running: _Running, now: float) -> None:
-        self._running[token] = running
-        self._carry_out(token, running.claimant.begin(now), now)
-
-    def _open(self, request_id: RequestId, digest: str, now: float) -> Attempt:
-        attempt = Attempt(self._member_id, self._incarnation, self._outbox.next_number())
-        self._own.merge(request_id, ClaimState(open=[OpenClaim(attempt, digest)]), now)
-        return attempt
-
-    def _close(self, request_id: RequestId, attempt: Attempt, now: float) -> None:
-        self._own.merge(request_id, ClaimState(closed=[attempt]), now)
+    def _start(self, token: str, task: ClaimTask, view: ClaimView, now: float) -> None:
+        claimant = Claimant(task, self._own_attempts, view, self._random, self._timings)
+        self._running[token] = _Running(claimant, is_renewal=task.renewed is not None)
+        self._carry_out(token, claimant.begin(now), now)
 
     def _carry_out(self, token: str, effects: Iterable[ClaimantEffect], now: float) -> None:
         for effect in effects:
             match effect:
-                case Ask(member, message):
-                    self._outbox.call(member, message, PendingAsk(token, effect))
-                case Tell(members, message):
-                    self._tell(members, message, now)
+                case Request(member, message):
+                    self._outbox.call(member, message, PendingRequest(token, effect))
+                case Notify(members, message):
+                    self._notify(members, message, now)
                 case FetchViews(member):
                     self._repair.fetch_views(member)
                 case Finished():
@@ -234,26 +205,26 @@
             self.granted[request_id] = finished.grant
         self._outbox.add(Confirmed(token, is_granted))
 
-    def _tell(
+    def _notify(
         self, members: tuple[MemberId, ...], message: CloseCall | RecordCall, now: float
     ) -> None:
-        ends_at = now + self._timings.delivery_s
+        ends_at = now + self._timings.delivery_timeout_s
         self._deliveries.add(Delivery(message, 0, "", ends_at, set(members)), now)
 
-    def _bring_to_holders(self, token: str, message: CloseCall | RecordCall, now: float) -> None:
+    def _deliver_to_voters(self, token: str, message: CloseCall | RecordCall, now: float) -> None:
         view = self._repair.view
         assert view is not None
-        ends_at = now + self._timings.delivery_s
-        holders = set(view.holders(message.request_id))
-        self._deliveries.add(Delivery(message, view.majority, token, ends_at, holders), now)
+        ends_at = now + self._timings.delivery_timeout_s
+        voters = set(view.voters(message.request_id))
+        self._deliveries.add(Delivery(message, view.majority, token, ends_at, voters), now)
 
-    def _return_late_vote(self, ask: Ask, reply: ClaimReply, now: float) -> None:
+    def _return_late_vote(self, request: Request, reply: ClaimReply, now: float) -> None:
         """Take back a vote that arrived after its attempt was closed."""
-        if not isinstance(ask.message, ClaimCall):
+        if not isinstance(request.message, ClaimCall):
             return
-        row = self._own.find(RequestId(ask.message.request_id), now)
-        attempt = ask.message.attempt
+        row = self._own_attempts.table.find(RequestId(request.message.request_id), now)
+        attempt = request.message.attempt
         if row is None or attempt not in row.closed:
             return
         if attempt in {claim.attempt for claim in reply.state.open}:
-            self._tell((ask.member,), CloseCall(ask.message.request_id, [attempt]), now)
+            self._notify((request.member,), CloseCall(request.message.request_id, [attempt]), now)
--- a/src/zincvale/dataplane/claims/service.py
+++ b/src/zincvale/dataplane/claims/service.py
@@ -13,19 +13,19 @@
 
 from zincvale.dataplane.claims.events import (
     ClaimAbandoned,
-    ClaimWanted,
+    ClaimRequested,
     Confirmed,
     Decided,
     LiveMembersChanged,
     OutcomeReached,
-    ReleaseWanted,
-    RenewalWanted,
-    ViewsLearnt,
+    ReleaseRequested,
+    RenewalRequested,
+    ViewsReceived,
     WakeAt,
 )
 from zincvale.dataplane.claims.messages import BatchCall, BatchReply, ViewList
 from zincvale.dataplane.claims.node_machine import ClaimsInput, ClaimsNode
-from zincvale.dataplane.claims.peer_call_queues import PeerLanes, pack_message, unpack_message
+from zincvale.dataplane.claims.peer_call_queues import PeerCallQueues, pack_message, unpack_message
 from zincvale.dataplane.claims.timings import ClaimTimings
 from zincvale.dataplane.inference.dependencies import ClaimDecision, ClaimGranted
 from zincvale.model.identifiers import MemberId, RequestId, RouteName, ZoneName
@@ -42,7 +42,7 @@
 
 
 class ClaimService:
-    """Implements `interfaces.Claims`.
+    """Implements `inference.dependencies.Claims`.
 
     Parameters
     ----------
@@ -73,7 +73,7 @@
         self._tokens = itertools.count(1)
         self._waiting: dict[str, Future[Any]] = {}
         self._replies: dict[str, Any] = {}
-        self._lanes = PeerLanes(peers, clock, self._call_ended)
+        self._call_queues = PeerCallQueues(peers, clock, self._call_ended)
 
     @property
     def is_ready(self) -> bool:
@@ -92,7 +92,7 @@
         token, future = self._open()
         full_digest = f"{route}:{digest}"
         try:
-            self._submit(ClaimWanted(token, request_id, full_digest, deadline_at))
+            self._submit(ClaimRequested(token, request_id, full_digest, deadline_at))
             return await future
         except asyncio.CancelledError:
             self._withdraw(token, request_id, future)
@@ -101,10 +101,10 @@
             self._waiting.pop(token, None)
 
     async def renew(self, request_id: RequestId, deadline_at: float) -> bool:
-        """Ask a majority again for this node's granted claim, so that it may be dispatched."""
+        """Request a majority's votes again for a granted claim, so that it may be dispatched."""
         token, future = self._open()
         try:
-            self._submit(RenewalWanted(token, request_id, deadline_at))
+            self._submit(RenewalRequested(token, request_id, deadline_at))
             return await future
         except asyncio.CancelledError:
             self._submit(ClaimAbandoned(token))
@@ -138,7 +138,7 @@
         """Give the claim back: the request provably never ran, so that a resend may run."""
         token, future = self._open()
         try:
-            self._submit(ReleaseWanted(token, request_id))
+            self._submit(ReleaseRequested(token, request_id))
             return await future
         finally:
             self._waiting.pop(token, None)
@@ -154,7 +154,7 @@
     def apply_registry(self, view_version: int, nodes: Mapping[MemberId, ZoneName]) -> None:
         """Learn one version of the registered nodes; call for each known version, in order."""
         plain = {str(node): str(zone) for node, zone in nodes.items()}
-        self._submit(ViewsLearnt([ViewList(view_version, plain)]))
+        self._submit(ViewsReceived([ViewList(view_version, plain)]))
 
     def apply_members(self, members: Members) -> None:
         """Learn the members with live leases."""
@@ -177,7 +177,7 @@
             future.done() and not future.cancelled() and isinstance(future.result(), ClaimGranted)
         )
         if was_granted:
-            self._submit(ReleaseWanted(token, request_id))
+            self._submit(ReleaseRequested(token, request_id))
         else:
             self._submit(ClaimAbandoned(token))
 
@@ -214,7 +214,7 @@
             reply = self.handle_message(self._member_id, call.message)
             self._submit(CallReplied(call.token, reply))
             return
-        self._lanes.call(call)
+        self._call_queues.call(call)
 
     def _call_ended(self, token: str, reply: Any) -> None:
         if reply is None:
--- a/src/zincvale/dataplane/claims/table.py
+++ b/src/zincvale/dataplane/claims/table.py
@@ -17,6 +17,7 @@
 from zincvale.model.identifiers import RequestId
 
 MAX_EXPIRIES_PER_SWEEP = 1_000
+"""Bounds the time of one sweep; a tick every 50 ms expires up to 20,000 rows a second."""
 
 
 @attrs.frozen
@@ -26,8 +27,8 @@
     Attributes
     ----------
     rows : new requests beyond are refused by `has_room`; merges of known claims are not.
-    body_bytes : largest body that is kept.
-    total_body_bytes : bodies beyond this sum are not kept; the outcome is.
+    body_bytes : largest body that is stored.
+    total_body_bytes : bodies beyond this sum are not stored; the outcome is.
     ttl_s : a row lives this long after its last change or announcement.
     """
 
@@ -67,7 +68,7 @@
         """Whether a new attempt fits, into `row` or as a row of its own."""
         if row is None:
             return len(self._rows) < self._limits.rows
-        return len(row.closed) + len(row.barred) < MAX_ENDED_ATTEMPTS
+        return len(row.closed) + len(row.blocked) < MAX_ENDED_ATTEMPTS
 
     def touch(self, request_id: RequestId, now: float, life_s: float | None = None) -> ClaimRow:
         """Return the row, made if absent, as the last changed, alive for `life_s` at least."""
@@ -114,11 +115,11 @@
             dropped += 1
         return dropped
 
-    def _bounded(self, recorded: RecordedClaim, kept_bytes: int) -> RecordedClaim:
+    def _bounded(self, recorded: RecordedClaim, stored_bytes: int) -> RecordedClaim:
         size = len(recorded.body)
         if size > self._limits.body_bytes:
             return recorded.without_body()
-        if self.total_body_bytes - kept_bytes + size > self._limits.total_body_bytes:
+        if self.total_body_bytes - stored_bytes + size > self._limits.total_body_bytes:
             return recorded.without_body()
         return recorded
 
@@ -129,5 +130,5 @@
 
 
 def copy_of(row: ClaimRow, now: float) -> CopiedClaim:
-    """Return `row` as sent to another holder."""
+    """Return `row` as sent to another voter."""
     return CopiedClaim(row.request_id, row.state(), row.expires_at - now)
--- a/src/zincvale/dataplane/claims/view.py
+++ b/src/zincvale/dataplane/claims/view.py
@@ -1,7 +1,7 @@
 """Which registered nodes hold the claim of a request: rendezvous hashing, spread over zones.
 
 A view is one version of the durable list of registered nodes. Liveness plays no part: all nodes
-with the same view agree on the holders of a request whatever they see of each other.
+with the same view agree on the voters of a request whatever they see of each other.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from zincvale.model.identifiers import MemberId, ZoneName
 
-MAX_HOLDERS = 5
+MAX_VOTERS = 5
 _SHIFT_1 = numpy.uint64(30)
 _SHIFT_2 = numpy.uint64(27)
 _SHIFT_3 = numpy.uint64(31)
@@ -23,7 +23,7 @@
 
 
 class ClaimView:
-    """One version of the registered nodes, and the holder groups it gives.
+    """One version of the registered nodes, and the voter groups it gives.
 
     Parameters
     ----------
@@ -34,17 +34,17 @@
     def __init__(self, version: int, nodes: Mapping[MemberId, ZoneName]) -> None:
         self.version = version
         self.nodes = dict(nodes)
-        self.holder_count = _largest_odd(min(MAX_HOLDERS, len(nodes)))
-        self.majority = self.holder_count // 2 + 1
+        self.voter_count = _largest_odd(min(MAX_VOTERS, len(nodes)))
+        self.majority = self.voter_count // 2 + 1
         self._names = sorted(self.nodes)
         self._seeds = numpy.array(
             [xxhash.xxh64_intdigest(name.encode()) for name in self._names], dtype=numpy.uint64
         )
         sizes = Counter(self.nodes.values())
-        self.zone_cap = _smallest_sufficient_cap(sizes, self.holder_count)
+        self.zone_cap = _smallest_sufficient_cap(sizes, self.voter_count)
 
-    def holders(self, request_id: str) -> tuple[MemberId, ...]:
-        """Return the holders of a request, the highest score first.
+    def voters(self, request_id: str) -> tuple[MemberId, ...]:
+        """Return the voters of a request, the highest score first.
 
         No zone has more than `zone_cap` of them, the smallest cap that fills the group.
         """
@@ -57,7 +57,7 @@
                 continue
             per_zone[zone] += 1
             chosen.append(node)
-            if len(chosen) == self.holder_count:
+            if len(chosen) == self.voter_count:
                 break
         return tuple(chosen)
 
@@ -87,8 +87,8 @@
     return count - (count % 2 == 0)
 
 
-def _smallest_sufficient_cap(sizes: Counter[ZoneName], holder_count: int) -> int:
+def _smallest_sufficient_cap(sizes: Counter[ZoneName], voter_count: int) -> int:
     cap = 0
-    while sum(min(cap, size) for size in sizes.values()) < holder_count:
+    while sum(min(cap, size) for size in sizes.values()) < voter_count:
         cap += 1
     return cap
--- a/src/zincvale/dataplane/claims_log_events.py
+++ b/src/zincvale/dataplane/claims_log_events.py
@@ -5,12 +5,12 @@
 from zincvale.model.log_events import declare
 
 CLAIMS_COMPLETE = declare(
-    7001, "claims.complete", "This claim holder votes in the named view of registered nodes."
+    7001, "claims.complete", "This claim voter votes in the named view of registered nodes."
 )
 CLAIMS_QUARANTINED = declare(
     7002,
     "claims.quarantined",
-    "This claim holder votes although too few others could be read: claims from before the loss "
+    "This claim voter votes although too few others could be read: claims from before the loss "
     "may be forgotten, and a resend of such a request may run again.",
 )
 CLAIMS_VIEW_LEARNT = declare(
--- a/src/zincvale/dataplane/inference/dependencies.py
+++ b/src/zincvale/dataplane/inference/dependencies.py
@@ -21,7 +21,7 @@
     """Why a claim was not granted although no other attempt holds it."""
 
     UNAVAILABLE = "unavailable"
-    """No majority of the claim holders answered in time; nothing ran, nothing is held."""
+    """No majority of the claim voters answered in time; nothing ran, nothing is held."""
     OTHER_REQUEST = "other-request"
     """The identifier was used before for a request with another digest."""
 
@@ -38,7 +38,7 @@
     reason: ClaimRefusal
     retry_after_s: float = 1.0
     never_ran: bool = False
-    """A majority of the claim holders proved the identifier fresh: no earlier attempt exists."""
+    """A majority of the claim voters proved the identifier fresh: no earlier attempt exists."""
 
 
 @attrs.frozen
--- a/src/zincvale/dataplane/inference/events.py
+++ b/src/zincvale/dataplane/inference/events.py
@@ -172,7 +172,7 @@
 
 @attrs.frozen
 class NoteMayHaveRun:
-    """Tell the claim holders that the request may have run, so that no resend is refused.
+    """Tell the claim voters that the request may have run, so that no resend is refused.
 
     Used on routes that are not at-most-once, whose requests are not claimed before they run.
     """
--- a/src/zincvale/dataplane/inference/request_machine.py
+++ b/src/zincvale/dataplane/inference/request_machine.py
@@ -152,7 +152,7 @@
         if self.pending_refusal is not None:
             return self._give_up(self.pending_refusal)
         if self.request.resume_after:
-            # The caller saw events of a run that no claim holder knows any more.
+            # The caller saw events of a run that no claim voter knows any more.
             reason = "the stream is not known any more"
             return [*self._record_unknown(reason), *self._interrupt(False, reason)]
         return self._choose()
--- a/src/zincvale/dataplane/inference/request_state.py
+++ b/src/zincvale/dataplane/inference/request_state.py
@@ -69,7 +69,7 @@
     excluded: frozenset[str] = frozenset()
     pending_refusal: Refusal | None = None
     proof_asked: bool = False
-    """The claim holders were asked whether a request that is to be refused is fresh."""
+    """The claim voters were asked whether a request that is to be refused is fresh."""
     epoch: int = FIRST_STREAM_EPOCH
 
     def __attrs_post_init__(self) -> None:
--- a/src/zincvale/dataplane/stream_journal/service.py
+++ b/src/zincvale/dataplane/stream_journal/service.py
@@ -41,7 +41,7 @@
 
 
 class StreamJournalService:
-    """Implements `interfaces.StreamJournal`.
+    """Implements `inference.dependencies.StreamJournal`.
 
     Parameters
     ----------
--- a/src/zincvale/simulator/claims/callers.py
+++ b/src/zincvale/simulator/claims/callers.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from zincvale.dataplane.claims.events import (
-    ClaimWanted,
+    ClaimRequested,
     Confirmed,
     Decided,
     OutcomeReached,
-    ReleaseWanted,
-    RenewalWanted,
+    ReleaseRequested,
+    RenewalRequested,
 )
 from zincvale.dataplane.inference.dependencies import ClaimGranted, RecordedOutcome
 from zincvale.model.identifiers import RequestId
@@ -110,7 +110,7 @@
                 case RecordedOutcome(Outcome.ANSWERED, _, _, body):
                     self._check_answer(request, bytes(body))
 
-        self._ask(process, ClaimWanted(self._token(), request, "digest", deadline_at), decided)
+        self._ask(process, ClaimRequested(self._token(), request, "digest", deadline_at), decided)
 
     def _dispatch_later(self, process: Process, request: RequestId, deadline_at: float) -> None:
         is_late = self._random.random() < LATE_DISPATCHES
@@ -150,10 +150,10 @@
                 self._release(process, request)
 
         until = max(deadline_at, process.local(self._world.now) + 1.0)
-        self._ask(process, RenewalWanted(self._token(), request, until), renewed)
+        self._ask(process, RenewalRequested(self._token(), request, until), renewed)
 
     def _release(self, process: Process, request: RequestId) -> None:
-        self._ask(process, ReleaseWanted(self._token(), request), lambda result: None)
+        self._ask(process, ReleaseRequested(self._token(), request), lambda result: None)
 
     def _ended(self, process: Process, request: RequestId) -> None:
         is_unknown = self._random.random() < UNKNOWN_OUTCOMES
--- a/src/zincvale/simulator/claims/machine.py
+++ b/src/zincvale/simulator/claims/machine.py
@@ -10,14 +10,14 @@
 from zincvale.coordination.replication.replica_sets import REGISTRY_KEY
 from zincvale.daemons.registry_rows import registered_zones
 from zincvale.dataplane.claims.events import (
-    ClaimWanted,
+    ClaimRequested,
     Confirmed,
     Decided,
     LiveMembersChanged,
     OutcomeReached,
-    ReleaseWanted,
-    RenewalWanted,
-    ViewsLearnt,
+    ReleaseRequested,
+    RenewalRequested,
+    ViewsReceived,
     WakeAt,
 )
 from zincvale.dataplane.claims.messages import ViewList
@@ -39,7 +39,7 @@
 CLAIMS_TOKEN = "claims|"
 """Marks the tokens of calls that the claim service made."""
 
-LocalInput = ClaimWanted | RenewalWanted | OutcomeReached | ReleaseWanted
+LocalInput = ClaimRequested | RenewalRequested | OutcomeReached | ReleaseRequested
 Result = Decided | Confirmed
 
 
@@ -62,7 +62,7 @@
     def handle(self, event: Input | LocalInput, now: float) -> list[Effect]:
         """Apply one input to the part it is for, or to both."""
         match event:
-            case ClaimWanted() | RenewalWanted() | OutcomeReached() | ReleaseWanted():
+            case ClaimRequested() | RenewalRequested() | OutcomeReached() | ReleaseRequested():
                 return self._feed_claims(event, now)
             case CallReceived(_, _, message) if _is_of_claims(message):
                 return self._feed_claims(event, now)
@@ -88,7 +88,7 @@
         if REGISTRY_KEY in changes.keys:
             view = self.value(REGISTRY_KEY)
             zones = {str(node): str(zone) for node, zone in registered_zones(view.rows).items()}
-            effects.extend(self._feed_claims(ViewsLearnt([ViewList(view.version, zones)]), now))
+            effects.extend(self._feed_claims(ViewsReceived([ViewList(view.version, zones)]), now))
         return effects
 
     def _feed_claims(self, event: Any, now: float) -> list[Effect]:
--- a/src/zincvale/simulator/claims/run.py
+++ b/src/zincvale/simulator/claims/run.py
@@ -1,6 +1,6 @@
 """At-most-once claims over the real control state: seeds, faults they survive, checks.
 
-What a claim's holders remember lives in memory. The faults drawn here keep to what the claims are
+What a claim's voters remember lives in memory. The faults drawn here keep to what the claims are
 made for: nodes die one at a time, with time to read back what they knew; freezes, cuts, losses and
 everything that happens to cores are free.
 """
@@ -31,10 +31,10 @@
 ATTEMPTS = 5
 SPREADS_S = (0.003, 0.3, 3.0)
 NODE_DEATHS_S = (3.0, 14.0)
-"""When nodes die; a holder that restarted reads back for up to 8 s before it votes."""
+"""When nodes die; a voter that restarted reads back for up to 8 s before it votes."""
 MISSED_S = 2.0
 LONGEST_CUT_S = 5.0
-"""Shorter than the time after which a holder without sources votes again."""
+"""Shorter than the time after which a voter without sources votes again."""
 RECOVERY_LIMIT_S = 12.0
 
 
@@ -135,7 +135,7 @@
         return steps
 
     def _death(self, at_s: float) -> list[Step]:
-        """Kill a holder; often between two cuts that leave a majority on either side of it.
+        """Kill a voter; often between two cuts that leave a majority on either side of it.
 
         Two others miss what it votes for, it dies and forgets, and then meets those two only.
         """
--- a/tests/dataplane/test_claims_world.py
+++ b/tests/dataplane/claims/claims_cluster.py
@@ -14,14 +14,14 @@
 import attrs
 
 from zincvale.dataplane.claims.events import (
-    ClaimWanted,
+    ClaimRequested,
     Confirmed,
     Decided,
     LiveMembersChanged,
     OutcomeReached,
-    ReleaseWanted,
-    RenewalWanted,
-    ViewsLearnt,
+    ReleaseRequested,
+    RenewalRequested,
+    ViewsReceived,
     WakeAt,
 )
 from zincvale.dataplane.claims.messages import ViewList
@@ -118,7 +118,7 @@
     backlog: list[Callable[[], None]] = attrs.field(factory=list)
 
 
-class World:
+class SimulatedCluster:
     """Runs one seed."""
 
     releases_unknown = False
@@ -240,7 +240,7 @@
                 other.name: other.incarnation for other in self.nodes.values() if self.leases(other)
             }
             self.feed(node, LiveMembersChanged(live))
-            self.feed(node, ViewsLearnt(self.views[-4:]))
+            self.feed(node, ViewsReceived(self.views[-4:]))
         self.at(0.2 + self.random.random() * 0.6, lambda: self._poll_core(node, incarnation))
 
     def leases(self, node: Node) -> bool:
@@ -461,7 +461,7 @@
                 self._dispatch_later(node, incarnation, request_id, deadline_at)
 
         self._on_token[token] = decided
-        self.feed(node, ClaimWanted(token, request_id, "digest", deadline_at))
+        self.feed(node, ClaimRequested(token, request_id, "digest", deadline_at))
 
     def _dispatch_later(
         self, node: Node, incarnation: str, request_id: RequestId, deadline_at: float
@@ -505,7 +505,7 @@
                 self._refused(node, request_id)
 
         self._on_token[token] = renewed
-        self.feed(node, RenewalWanted(token, request_id, max(deadline_at, self.now + 1)))
+        self.feed(node, RenewalRequested(token, request_id, max(deadline_at, self.now + 1)))
 
     def _after(self, node: Node, incarnation: str, action: Callable[[], None]) -> None:
         delay_s = self.random.random() * (2.0 if self.random.random() < 0.1 else 0.05)
@@ -514,7 +514,7 @@
     def _refused(self, node: Node, request_id: RequestId) -> None:
         token = f"release-{next(self._tokens)}"
         self._on_token[token] = lambda confirmed: None
-        self.feed(node, ReleaseWanted(token, request_id))
+        self.feed(node, ReleaseRequested(token, request_id))
 
     def _ended(self, node: Node, request_id: RequestId, outcome: Outcome, body: bytes) -> None:
         if outcome is Outcome.UNKNOWN and self.releases_unknown:
--- a/tests/dataplane/test_claims_service.py
+++ b/tests/dataplane/claims/test_service.py
@@ -9,8 +9,8 @@
 
 import testtools
 
-from zincvale.dataplane.claims.messages import BatchCall, BatchReply, LookCall, ViewsCall
-from zincvale.dataplane.claims.peer_call_queues import MAX_CALLS_UNDER_WAY, PeerLanes
+from zincvale.dataplane.claims.messages import BatchCall, BatchReply, QueryCall, ViewsCall
+from zincvale.dataplane.claims.peer_call_queues import MAX_CALLS_IN_FLIGHT, PeerCallQueues
 from zincvale.dataplane.claims.service import ClaimService
 from zincvale.dataplane.claims.timings import ClaimTimings
 from zincvale.dataplane.inference.dependencies import (
@@ -154,9 +154,9 @@
             await cluster.serve()
             peers = RecordingPeers(cluster)
             replies: dict[str, Any] = {}
-            lanes = PeerLanes(peers, lambda: cluster.now, replies.__setitem__)
+            lanes = PeerCallQueues(peers, lambda: cluster.now, replies.__setitem__)
             for number in range(10):
-                message = ViewsCall(1) if number % 2 else LookCall(1, f"r{number}")
+                message = ViewsCall(1) if number % 2 else QueryCall(1, f"r{number}")
                 lanes.call(Call(MemberId("node-1"), f"t{number}", message, 1.0))
             for _ in range(10):
                 await asyncio.sleep(0)
@@ -166,7 +166,7 @@
             }
             self.assertEqual(expected, kinds)
             batches = [message for message in peers.messages if isinstance(message, BatchCall)]
-            self.assertEqual([10 - MAX_CALLS_UNDER_WAY], [len(batch.calls) for batch in batches])
+            self.assertEqual([10 - MAX_CALLS_IN_FLIGHT], [len(batch.calls) for batch in batches])
 
         self._run(scenario())
 
@@ -175,13 +175,15 @@
             cluster = Cluster()
             cluster.lost = {MemberId("node-1")}
             replies: dict[str, Any] = {}
-            lanes = PeerLanes(RecordingPeers(cluster), lambda: cluster.now, replies.__setitem__)
-            for number in range(MAX_CALLS_UNDER_WAY + 1):
+            lanes = PeerCallQueues(
+                RecordingPeers(cluster), lambda: cluster.now, replies.__setitem__
+            )
+            for number in range(MAX_CALLS_IN_FLIGHT + 1):
                 lanes.call(Call(MemberId("node-1"), f"t{number}", ViewsCall(1), 1.0))
             cluster.now += 1.0
             for _ in range(10):
                 await asyncio.sleep(0)
-            self.assertEqual([None] * (MAX_CALLS_UNDER_WAY + 1), list(replies.values()))
+            self.assertEqual([None] * (MAX_CALLS_IN_FLIGHT + 1), list(replies.values()))
 
         self._run(scenario())
 
--- a/tests/dataplane/test_claims_table.py
+++ b/tests/dataplane/claims/test_table.py
@@ -41,16 +41,16 @@
     def test_no_zone_holds_a_majority(self) -> None:
         claims = view(3, 3, 2)
         for number in range(200):
-            holders = claims.holders(f"request-{number}")
-            zones = Counter(claims.nodes[holder] for holder in holders)
-            self.assertEqual(5, len(set(holders)))
+            voters = claims.voters(f"request-{number}")
+            zones = Counter(claims.nodes[voter] for voter in voters)
+            self.assertEqual(5, len(set(voters)))
             self.assertTrue(max(zones.values()) <= 2, zones)
 
-    def test_holders_are_spread_evenly(self) -> None:
+    def test_voters_are_spread_evenly(self) -> None:
         claims = view(3, 3, 3)
         counts: Counter[MemberId] = Counter()
         for number in range(2_000):
-            counts.update(claims.holders(f"request-{number}"))
+            counts.update(claims.voters(f"request-{number}"))
         self.assertTrue(max(counts.values()) < 1.15 * min(counts.values()), counts)
 
     def test_a_lost_node_moves_few_claims(self) -> None:
@@ -59,12 +59,12 @@
         fewer = ClaimView(2, rest)
         moved = 0
         for number in range(500):
-            before = set(claims.holders(f"request-{number}")) - {MemberId("node-0-0")}
-            moved += len(before - set(fewer.holders(f"request-{number}")))
+            before = set(claims.voters(f"request-{number}")) - {MemberId("node-0-0")}
+            moved += len(before - set(fewer.voters(f"request-{number}")))
         self.assertTrue(moved < 250, moved)
 
-    def test_small_clusters_have_an_odd_number_of_holders(self) -> None:
-        counts = [len(view(*sizes).holders("r")) for sizes in ((), (1,), (1, 1), (2, 2), (4, 1))]
+    def test_small_clusters_have_an_odd_number_of_voters(self) -> None:
+        counts = [len(view(*sizes).voters("r")) for sizes in ((), (1,), (1, 1), (2, 2), (4, 1))]
         self.assertEqual([0, 1, 1, 3, 5], counts)
 
     def test_the_most_of_one_group_follows_the_zones(self) -> None:
@@ -82,7 +82,7 @@
         states = [
             ClaimState(open=[OpenClaim(FIRST, "d"), OpenClaim(SECOND, "d")]),
             ClaimState(closed=[SECOND]),
-            ClaimState(barred=[SECOND]),
+            ClaimState(blocked=[SECOND]),
             ClaimState(recorded=recorded(b"", outcome="unknown")),
             ClaimState(recorded=recorded(b"42")),
         ]
--- a/tests/dataplane/test_stream_journal_mutations.py
+++ b/tests/dataplane/test_stream_journal_mutations.py
@@ -7,7 +7,7 @@
 import attrs
 import testtools
 
-from tests.dataplane.test_claims_mutations import Patch, mutated
+from tests.dataplane.claims.test_mutations import Patch, mutated
 from tests.dataplane.test_stream_journal_world import StreamWorld
 from zincvale.dataplane.stream_journal.failover import StreamTakeOver
 from zincvale.dataplane.stream_journal.messages import FenceCall, StreamFence
--- a/tests/simulator/test_simulated_claims.py
+++ b/tests/simulator/test_simulated_claims.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from zincvale.dataplane.claims.readiness import HolderReadiness
+from zincvale.dataplane.claims.readiness import VoterReadiness
 from zincvale.dataplane.claims.view import ClaimView
 from zincvale.simulator.claims.run import run_claims
 
@@ -23,12 +23,12 @@
             self.assertGreater(outcome.ran, 50)
             self.assertGreater(outcome.recorded, 50)
 
-    def test_a_holder_that_votes_without_reading_back_is_noticed(self) -> None:
-        def judge(readiness: HolderReadiness, now: float) -> bool:
-            readiness.completed.add(readiness.view_version)
+    def test_a_voter_that_votes_without_reading_back_is_noticed(self) -> None:
+        def try_to_complete(readiness: VoterReadiness, now: float) -> bool:
+            readiness.completed_views.add(readiness.view_version)
             return False
 
-        with mock.patch.object(HolderReadiness, "judge", judge):
+        with mock.patch.object(VoterReadiness, "try_to_complete", try_to_complete):
             noticed = any(run_claims(seed).invariant == "ran-twice" for seed in MUTATED_SEEDS)
         self.assertTrue(noticed)
 
