--- a/src/zincvale/dataplane/claims_log_events.py
+++ b/src/zincvale/dataplane/claims/log_events.py
@@ -1,4 +1,4 @@
-"""Log events of claims and the stream journal (7xxx)."""
+"""Log events of claims (700x)."""
 
 from __future__ import annotations
 
@@ -13,18 +13,11 @@
     "This claim voter votes although too few others could be read: claims from before the loss "
     "may be forgotten, and a resend of such a request may run again.",
 )
-CLAIMS_VIEW_LEARNT = declare(
-    7003, "claims.view-learnt", "A new version of the registered nodes decides who holds claims."
+CLAIMS_VIEW_UPDATED = declare(
+    7003,
+    "claims.view-updated",
+    "A new version of the registered nodes decides who votes on claims.",
 )
 CLAIMS_FULL = declare(
     7004, "claims.full", "The table of claims has no room; at-most-once requests are not taken."
 )
-STREAM_JOURNAL_MOVED = declare(
-    7011, "streams.journal-moved", "A journal peer failed; its streams are journalled elsewhere."
-)
-STREAM_TAKEN_OVER = declare(
-    7012, "streams.taken-over", "A stream was resumed on another node; this node stops it."
-)
-STREAM_NOT_KEPT = declare(
-    7013, "streams.not-kept", "No peer keeps a stream's pieces; its loss could not be resumed."
-)
--- a/src/zincvale/dataplane/claims/repair.py
+++ b/src/zincvale/dataplane/claims/repair.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection, Iterable
 
-from zincvale.dataplane import claims_log_events as log_events
+from zincvale.dataplane.claims import log_events
 from zincvale.dataplane.claims.messages import (
     AnnounceCall,
     CopiedClaim,
@@ -81,7 +81,7 @@
         view = self._readiness.view
         assert view is not None
         fields = {"view": view.version, "nodes": len(view.nodes)}
-        self._outbox.add(Log(log_events.CLAIMS_VIEW_LEARNT, fields))
+        self._outbox.add(Log(log_events.CLAIMS_VIEW_UPDATED, fields))
         self.pull_due(now)
         return True
 
--- a/src/zincvale/dataplane/stream_journal/node_machine.py
+++ b/src/zincvale/dataplane/stream_journal/node_machine.py
@@ -7,13 +7,13 @@
 
 import attrs
 
-from zincvale.dataplane import claims_log_events as log_events
 from zincvale.dataplane.inference.dependencies import (
     FIRST_STREAM_EPOCH,
     NEWEST_STREAM_EPOCH,
     JournalAppend,
     JournalState,
 )
+from zincvale.dataplane.stream_journal import log_events
 from zincvale.dataplane.stream_journal.events import (
     AppendSettled,
     AppendWanted,
@@ -257,7 +257,7 @@
         own, effects = self._writers.fence(call)
         if effects:
             fields = {"request_id": call.request_id}
-            self._effects.append(Log(log_events.STREAM_TAKEN_OVER, fields))
+            self._effects.append(Log(log_events.STREAM_FENCED, fields))
         self._carry_out(effects, now)
         if own is None:
             return held
