--- a/src/zincvale/dataplane/inference/dependencies.py
+++ b/src/zincvale/dataplane/inference/dependencies.py
@@ -111,12 +111,12 @@
 class JournalAppend(enum.Enum):
     """What became of an append."""
 
-    KEPT = "kept"
-    """A peer holds the pieces."""
-    NOT_KEPT = "not-kept"
+    REPLICATED = "kept"
+    """A peer stores the chunks."""
+    UNREPLICATED = "not-kept"
     """No peer confirmed in a bounded time; the stream goes on without."""
-    TAKEN_OVER = "taken-over"
-    """Another entry node resumed the stream: deliver nothing of this append or later."""
+    FENCED = "taken-over"
+    """Another ingress node resumed the stream: deliver nothing of this append or later."""
 
 
 NEWEST_STREAM_EPOCH = 0
@@ -126,29 +126,29 @@
 
 @attrs.frozen
 class JournalState:
-    """What the journal holds of one stream."""
+    """What the journal stores of one stream."""
 
     digest: str
-    pieces: tuple[str, ...]
-    """The stream's pieces from event number 1."""
+    chunks: tuple[str, ...]
+    """The stream's chunks from event number 1."""
     complete: bool = False
-    """The stream ended whole after these pieces."""
+    """The stream ended complete after these chunks."""
     epoch: int = NEWEST_STREAM_EPOCH
     """What the node that resumed the stream appends with; earlier nodes are fenced by it."""
 
 
 class StreamJournal(Protocol):
-    """Pieces of streams, kept at a peer in another zone before the caller gets them."""
+    """Chunks of streams, replicated to a peer in another zone before the caller gets them."""
 
     async def append(
         self,
         request_id: RequestId,
         digest: str,
         first_index: int,
-        pieces: list[str],
+        chunks: list[str],
         epoch: int = FIRST_STREAM_EPOCH,
     ) -> JournalAppend:
-        """Keep `pieces`, whose first has event number `first_index` (from 1).
+        """Replicate `chunks`, whose first has event number `first_index` (from 1).
 
         Never raises. Appends of one stream are made one after the other.
         """
@@ -157,17 +157,17 @@
     async def close(
         self, request_id: RequestId, count: int, epoch: int = FIRST_STREAM_EPOCH
     ) -> None:
-        """Note that the stream ended whole after `count` pieces. Never raises."""
+        """Record that the stream ended complete after `count` chunks. Never raises."""
         ...
 
     def forget(self, request_id: RequestId) -> None:
-        """Drop this node's memory of a stream whose caller is gone; the peer's copy ages out."""
+        """Drop this node's memory of a stream whose caller has left; the peer's copy expires."""
         ...
 
     async def resume(self, request_id: RequestId, after: int) -> JournalState | None:
-        """Return what any reachable peer holds of the stream, at least `after` pieces of it.
+        """Return what any reachable peer stores of the stream, at least `after` chunks of it.
 
-        This takes the stream over: every node that relayed it before is fenced off.
+        This is a failover: every node that relayed the stream before is fenced.
         """
         ...
 
--- a/src/zincvale/dataplane/inference/request_machine.py
+++ b/src/zincvale/dataplane/inference/request_machine.py
@@ -212,16 +212,16 @@
             problem = "this X-Request-Id was used for another request"
             remedy = "resume with the body and path that the stream was started with"
             return self._refuse(Refusal(RefusalReason.INVALID, problem, remedy))
-        if state is None or len(state.pieces) < after:
+        if state is None or len(state.chunks) < after:
             if after == 0:
                 self.epoch = NEWEST_STREAM_EPOCH
                 return self._choose()
             return self._interrupt(resumable=False, reason="the stream is not known any more")
-        self.pieces = list(state.pieces)
+        self.pieces = list(state.chunks)
         self.epoch = state.epoch
         effects: list[Effect] = [OpenStream()]
         self.opened = True
-        if len(state.pieces) > after:
+        if len(state.chunks) > after:
             effects.append(RelayPieces(after + 1, self.pieces[after:], journal=False))
         if state.complete:
             effects.append(EndStream(len(self.pieces)))
--- a/src/zincvale/dataplane/inference/request_record.py
+++ b/src/zincvale/dataplane/inference/request_record.py
@@ -90,7 +90,7 @@
             case ServerFailed(reason, sent):
                 self._failed_attempt(f"{reason} ({'sent' if sent else 'not sent'})", error=True)
             case StreamFound(state):
-                pieces = -1 if state is None else len(state.pieces)
+                pieces = -1 if state is None else len(state.chunks)
                 self.root.event("journal", pieces=pieces)
             case StreamEnded(count):
                 self.root.event("last-event", number=count)
--- a/src/zincvale/dataplane/inference/stream_relay.py
+++ b/src/zincvale/dataplane/inference/stream_relay.py
@@ -151,7 +151,7 @@
         appended = await self.journal.append(
             self.request_id, self.digest, batch.first_index, batch.pieces, self.epoch
         )
-        if appended is not JournalAppend.TAKEN_OVER:
+        if appended is not JournalAppend.FENCED:
             return True
         # Whoever resumed the stream sends these pieces; sending them here too would repeat them.
         self._stopped = True
--- a/src/zincvale/dataplane/stream_journal/events.py
+++ b/src/zincvale/dataplane/stream_journal/events.py
@@ -9,26 +9,26 @@
 
 
 @attrs.frozen
-class AppendWanted:
-    """Input: pieces to keep; `AppendSettled(token, ...)` follows in a bounded time.
+class AppendRequested:
+    """Input: chunks to replicate; `AppendCompleted(token, ...)` follows in a bounded time.
 
     Attributes
     ----------
-    first_index : event number of the first piece, from 1.
-    epoch : of the entry node's right to the stream, or `NEWEST_STREAM_EPOCH`.
+    first_index : event number of the first chunk, from 1.
+    epoch : of the ingress node's right to the stream, or `NEWEST_STREAM_EPOCH`.
     """
 
     token: str
     request_id: str
     digest: str
     first_index: int
-    pieces: list[str]
+    chunks: list[str]
     epoch: int
 
 
 @attrs.frozen
-class EndWanted:
-    """Input: the stream ended whole after `count` pieces; `AppendSettled(token, ...)` follows."""
+class EndRequested:
+    """Input: the stream ended after `count` chunks; `AppendCompleted(token, ...)` follows."""
 
     token: str
     request_id: str
@@ -37,8 +37,8 @@
 
 
 @attrs.frozen
-class ResumeWanted:
-    """Input: take a stream over whose caller has `after` pieces; `Resumed(token, ...)` follows."""
+class ResumeRequested:
+    """Input: take a stream over whose caller has `after` chunks; `Resumed(token, ...)` follows."""
 
     token: str
     request_id: str
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class StreamForgotten:
-    """Input: the caller of a stream is gone."""
+    """Input: the caller of a stream has left."""
 
     request_id: str
 
@@ -66,8 +66,8 @@
 
 
 @attrs.frozen
-class AppendSettled:
-    """Effect: the answer to an append or end."""
+class AppendCompleted:
+    """Effect: the response to an append or end."""
 
     token: str
     result: JournalAppend
@@ -75,7 +75,7 @@
 
 @attrs.frozen
 class Resumed:
-    """Effect: the newest copy of a stream that was taken over, None when none has enough."""
+    """Effect: the newest copy of a stream that was resumed, None when none has enough."""
 
     token: str
     state: JournalState | None
--- a/src/zincvale/dataplane/stream_journal/failover.py
+++ b/src/zincvale/dataplane/stream_journal/failover.py
@@ -1,9 +1,9 @@
-"""Taking a stream over: find its newest copy, and fence every earlier entry node off.
+"""Failover of a stream: find its newest copy, and fence every earlier ingress node.
 
 Two rounds of calls to the same nodes. The first learns the newest fence, the second raises it
-everywhere and brings the pieces, which no one appends to any more. Pieces of the newest writer
+everywhere and brings the chunks, which no one appends to any more. Chunks of the newest writer
 win; among copies of one writer, which are prefixes of each other, the longest. While no copy is
-long enough and some node did not answer, the rounds are repeated for a while.
+long enough and some node did not respond, the rounds are repeated for a while.
 """
 
 from __future__ import annotations
@@ -25,11 +25,12 @@
 from zincvale.model.identifiers import MemberId
 
 MAX_FENCE_ROUNDS = 4
+"""Failovers of one stream that outbid each other end after so many rounds instead of never."""
 
 
 @attrs.frozen
-class AskJournal:
-    """Effect: call `member`; `replied` or `failed` follows with `round_number`."""
+class JournalRequest:
+    """Effect: call `member`; `on_reply` or `on_failure` follows with `round_number`."""
 
     member: MemberId
     message: ReadCall | FenceCall
@@ -37,37 +38,42 @@
 
 
 @attrs.frozen
-class TakenOver:
-    """Effect: the take-over is done.
+class FailoverCompleted:
+    """Effect: the failover is done.
 
     Attributes
     ----------
     fence : this node's right to write the stream from now on.
-    content : the newest copy, or None when none was found with enough pieces.
+    content : the newest copy, or None when none was found with enough chunks.
     """
 
     fence: StreamFence
     content: StreamContent | None
 
 
-TakeOverEffect = AskJournal | TakenOver
+FailoverEffect = JournalRequest | FailoverCompleted
 
 
 class _Phase(enum.Enum):
+    """Legal transitions: READING to FENCING; FENCING to FENCING (outbid), PAUSING and DONE.
+
+    PAUSING leads to READING; DONE is final.
+    """
+
     READING = "reading"
     FENCING = "fencing"
     PAUSING = "pausing"
     DONE = "done"
 
 
-class StreamTakeOver:
-    """One take-over.
+class StreamFailover:
+    """One failover.
 
     Parameters
     ----------
     owner : this node's process.
-    after : number of pieces the caller has; a shorter copy is of no use.
-    members : the nodes to ask, this one among them.
+    after : number of chunks the caller has; a shorter copy is of no use.
+    members : the nodes to call, this one among them.
     """
 
     def __init__(
@@ -88,26 +94,26 @@
         self._round_number = 0
         self._round_began_at = 0.0
         self._search_until = 0.0
-        self._unanswered: set[MemberId] = set()
-        self._silent: set[MemberId] = set()
+        self._awaited: set[MemberId] = set()
+        self._unresponsive: set[MemberId] = set()
         self._found: dict[MemberId, ReadReply] = {}
         self._contents: list[StreamContent] = []
         self._fence = StreamFence(1, owner)
         self._fence_rounds = 0
         self._newest = StreamFence(FIRST_STREAM_EPOCH, "")
 
-    def begin(self, now: float) -> list[TakeOverEffect]:
-        """Ask who holds the stream.
+    def begin(self, now: float) -> list[FailoverEffect]:
+        """Request from each member how much it stores of the stream.
 
-        Even if nobody does, the first entry node may be about to write under the first epoch.
+        Even if nobody does, the first ingress node may be about to write under the first epoch.
         """
-        self._search_until = now + (self._timings.search_s if self._after else 0.0)
-        return self._ask(ReadCall(self._request_id), now)
+        self._search_until = now + (self._timings.search_timeout_s if self._after else 0.0)
+        return self._request_from_all(ReadCall(self._request_id), now)
 
-    def replied(
+    def on_reply(
         self, member: MemberId, round_number: int, reply: ReadReply | FenceReply, now: float
-    ) -> list[TakeOverEffect]:
-        """Apply one answer."""
+    ) -> list[FailoverEffect]:
+        """Apply one response."""
         match reply:
             case ReadReply(fence) if fence is not None:
                 self._found[member] = reply
@@ -116,41 +122,41 @@
                 self._newest = max(self._newest, fence)
                 if content is not None:
                     self._contents.append(content)
-        return self._answered(member, round_number, now)
+        return self._on_response(member, round_number, now)
 
-    def failed(self, member: MemberId, round_number: int, now: float) -> list[TakeOverEffect]:
-        """Note that a member did not answer."""
+    def on_failure(self, member: MemberId, round_number: int, now: float) -> list[FailoverEffect]:
+        """Record that a member did not respond."""
         if round_number == self._round_number:
-            self._silent.add(member)
-        return self._answered(member, round_number, now)
+            self._unresponsive.add(member)
+        return self._on_response(member, round_number, now)
 
-    def woken(self, now: float) -> list[TakeOverEffect]:
-        """Go on without the members that have not answered."""
+    def on_wake(self, now: float) -> list[FailoverEffect]:
+        """Go on without the members that have not responded."""
         if self._phase is _Phase.DONE or now < self.wake_at:
             return []
         if self._phase is _Phase.PAUSING:
             self._phase = _Phase.READING
-            return self._ask(ReadCall(self._request_id), now)
-        if self._has_enough() or now >= self._round_began_at + self._timings.read_max_s:
+            return self._request_from_all(ReadCall(self._request_id), now)
+        if self._has_enough() or now >= self._round_began_at + self._timings.max_read_timeout_s:
             return self._end_round(now)
-        self.wake_at = self._round_began_at + self._timings.read_max_s
+        self.wake_at = self._round_began_at + self._timings.max_read_timeout_s
         return []
 
-    def _ask(self, message: ReadCall | FenceCall, now: float) -> list[TakeOverEffect]:
+    def _request_from_all(self, message: ReadCall | FenceCall, now: float) -> list[FailoverEffect]:
         self._round_number += 1
         self._round_began_at = now
-        self._unanswered = set(self._members)
-        self._silent = set()
-        self.wake_at = now + self._timings.read_s
-        return [AskJournal(member, message, self._round_number) for member in self._members]
+        self._awaited = set(self._members)
+        self._unresponsive = set()
+        self.wake_at = now + self._timings.read_timeout_s
+        return [JournalRequest(member, message, self._round_number) for member in self._members]
 
-    def _answered(self, member: MemberId, round_number: int, now: float) -> list[TakeOverEffect]:
+    def _on_response(self, member: MemberId, round_number: int, now: float) -> list[FailoverEffect]:
         if self._phase in (_Phase.DONE, _Phase.PAUSING) or round_number != self._round_number:
             return []
-        self._unanswered.discard(member)
-        if not self._unanswered:
+        self._awaited.discard(member)
+        if not self._awaited:
             return self._end_round(now)
-        if now >= self._round_began_at + self._timings.read_s and self._has_enough():
+        if now >= self._round_began_at + self._timings.read_timeout_s and self._has_enough():
             return self._end_round(now)
         return []
 
@@ -158,34 +164,34 @@
         if self._phase is _Phase.READING:
             return any(reply.length >= self._after for reply in self._found.values())
         best = self._best()
-        return best is not None and len(best.pieces) >= self._after
+        return best is not None and len(best.chunks) >= self._after
 
-    def _end_round(self, now: float) -> list[TakeOverEffect]:
+    def _end_round(self, now: float) -> list[FailoverEffect]:
         if self._phase is _Phase.READING:
-            return self._ask_to_fence(now)
+            return self._request_fences(now)
         was_outbid = self._newest > self._fence
         if was_outbid and self._fence_rounds < MAX_FENCE_ROUNDS:
-            return self._ask_to_fence(now)
+            return self._request_fences(now)
         if not was_outbid and self._has_enough():
             return self._finish(self._best())
-        if now < self._search_until and (self._silent or self._unanswered):
+        if now < self._search_until and (self._unresponsive or self._awaited):
             self._phase = _Phase.PAUSING
             self.wake_at = now + self._timings.search_pause_s
             return []
         return self._finish(None)
 
-    def _finish(self, content: StreamContent | None) -> list[TakeOverEffect]:
+    def _finish(self, content: StreamContent | None) -> list[FailoverEffect]:
         self._phase = _Phase.DONE
-        return [TakenOver(self._fence, content)]
+        return [FailoverCompleted(self._fence, content)]
 
-    def _ask_to_fence(self, now: float) -> list[TakeOverEffect]:
+    def _request_fences(self, now: float) -> list[FailoverEffect]:
         self._phase = _Phase.FENCING
         self._fence_rounds += 1
         self._fence = StreamFence(self._newest.epoch + 1, self._owner)
         self._newest = self._fence
-        return self._ask(FenceCall(self._request_id, self._fence), now)
+        return self._request_from_all(FenceCall(self._request_id, self._fence), now)
 
     def _best(self) -> StreamContent | None:
         if not self._contents:
             return None
-        return max(self._contents, key=lambda content: (content.writer, len(content.pieces)))
+        return max(self._contents, key=lambda content: (content.writer, len(content.chunks)))
--- a/src/zincvale/dataplane/stream_journal/messages.py
+++ b/src/zincvale/dataplane/stream_journal/messages.py
@@ -12,14 +12,14 @@
 class WriteStatus(enum.StrEnum):
     """What a journal did with one write, as `WriteResult.status`."""
 
-    KEPT = "kept"
-    """The pieces are held."""
+    STORED = "kept"
+    """The chunks are stored."""
     FENCED = "fenced"
-    """Another entry node took the stream over."""
+    """Another ingress node resumed the stream."""
     GAP = "gap"
-    """Pieces before these are not held: send the stream from its first piece."""
+    """Chunks before these are not stored: send the stream from its first chunk."""
     FULL = "full"
-    """There is no room; nothing of this write is held."""
+    """There is no room; nothing of this write is stored."""
 
 
 @attrs.frozen(order=True)
@@ -28,8 +28,8 @@
 
     Attributes
     ----------
-    epoch : 1 for the node that began the stream, one more for each take-over.
-    owner : the entry node's process (`member/incarnation`); decides between two at once.
+    epoch : 1 for the node that began the stream, one more for each failover.
+    owner : the ingress node's process (`member/incarnation`); decides between two at once.
     """
 
     epoch: int
@@ -38,13 +38,13 @@
 
 @attrs.frozen
 class StreamWrite:
-    """Pieces of one stream.
+    """Chunks of one stream.
 
     Attributes
     ----------
     number : counts the writes of one writer; an older one that arrives late is ignored.
-    first_index : event number of the first piece, from 1; 1 replaces what was held before.
-    end_count : number of pieces of the whole stream when it ended, else 0.
+    first_index : event number of the first chunk, from 1; 1 replaces what was stored before.
+    end_count : number of chunks of the whole stream when it ended, else 0.
     """
 
     request_id: str
@@ -52,7 +52,7 @@
     fence: StreamFence
     number: int
     first_index: int
-    pieces: list[str]
+    chunks: list[str]
     end_count: int
 
 
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class WriteResult:
-    """Answer to one write."""
+    """Response to one write."""
 
     request_id: str
     number: int
@@ -76,7 +76,7 @@
 @peer_message("streams.append_reply")
 @attrs.frozen
 class AppendReply:
-    """Answers in the order of the writes."""
+    """Responses in the order of the writes."""
 
     results: list[WriteResult]
 
@@ -87,20 +87,20 @@
 
     Attributes
     ----------
-    writer : who wrote these pieces.
-    end_count : number of pieces of the whole stream when it ended, else 0.
+    writer : who wrote these chunks.
+    end_count : number of chunks of the whole stream when it ended, else 0.
     """
 
     digest: str
     writer: StreamFence
-    pieces: list[str]
+    chunks: list[str]
     end_count: int
 
 
 @peer_message("streams.read")
 @attrs.frozen
 class ReadCall:
-    """Tell how much is held of a stream."""
+    """Return how much is stored of a stream."""
 
     request_id: str
 
@@ -108,12 +108,12 @@
 @peer_message("streams.read_reply")
 @attrs.frozen
 class ReadReply:
-    """Answer to `ReadCall`.
+    """Response to `ReadCall`.
 
     Attributes
     ----------
-    fence : the newest take-over known here; None when nothing is known of the stream.
-    length : number of pieces held.
+    fence : the newest failover known here; None when nothing is known of the stream.
+    length : number of chunks stored.
     """
 
     fence: StreamFence | None
@@ -132,12 +132,12 @@
 @peer_message("streams.fence_reply")
 @attrs.frozen
 class FenceReply:
-    """Answer to `FenceCall`.
+    """Response to `FenceCall`.
 
     Attributes
     ----------
-    fence : the newest take-over known here; another one than asked for has won.
-    content : what is held, which no one appends to any more; None when nothing is.
+    fence : the newest failover known here; another one than requested has won.
+    content : what is stored, which no one appends to any more; None when nothing is.
     """
 
     fence: StreamFence
--- a/src/zincvale/dataplane/stream_journal/node_machine.py
+++ b/src/zincvale/dataplane/stream_journal/node_machine.py
@@ -1,4 +1,4 @@
-"""The stream journal of one node as a state machine: writers, store and take-overs together."""
+"""The stream journal of one node as a state machine: writers, store and failovers together."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 )
 from zincvale.dataplane.stream_journal import log_events
 from zincvale.dataplane.stream_journal.events import (
-    AppendSettled,
-    AppendWanted,
+    AppendCompleted,
+    AppendRequested,
     BatchDue,
-    EndWanted,
+    EndRequested,
     FlushAt,
     NodesChanged,
     Resumed,
-    ResumeWanted,
+    ResumeRequested,
     StreamForgotten,
 )
 from zincvale.dataplane.stream_journal.failover import (
-    AskJournal,
-    StreamTakeOver,
-    TakenOver,
-    TakeOverEffect,
+    FailoverCompleted,
+    FailoverEffect,
+    JournalRequest,
+    StreamFailover,
 )
 from zincvale.dataplane.stream_journal.messages import (
     AppendCall,
@@ -41,19 +41,19 @@
     StreamFence,
 )
 from zincvale.dataplane.stream_journal.peer_choice import (
+    failover_candidates,
     journal_peers,
     owner_name,
     rendezvous_order,
-    take_over_candidates,
 )
-from zincvale.dataplane.stream_journal.replica_store import JournalStore
+from zincvale.dataplane.stream_journal.replica_store import ReplicaStore
 from zincvale.dataplane.stream_journal.timings import JournalTimings
 from zincvale.dataplane.stream_journal.writer import (
-    JournalWriters,
+    AppendResult,
     PeerReplaced,
     SendBatch,
-    Settled,
     StreamWriter,
+    StreamWriters,
     WriterEffect,
 )
 from zincvale.model.identifiers import MemberId, ZoneName
@@ -61,9 +61,9 @@
 from zincvale.model.machine import Tick as TimePassed
 
 JournalInput = (
-    AppendWanted
-    | EndWanted
-    | ResumeWanted
+    AppendRequested
+    | EndRequested
+    | ResumeRequested
     | StreamForgotten
     | NodesChanged
     | BatchDue
@@ -72,7 +72,7 @@
     | CallFailed
     | TimePassed
 )
-JournalEffect = Effect | AppendSettled | Resumed | FlushAt
+JournalEffect = Effect | AppendCompleted | Resumed | FlushAt
 
 
 @attrs.frozen
@@ -86,20 +86,20 @@
 
 
 @attrs.frozen
-class _PendingAsk:
+class _PendingRequest:
     token: str
-    ask: AskJournal
+    request: JournalRequest
 
 
 @attrs.define
 class _Running:
     request_id: str
     after: int
-    take_over: StreamTakeOver
+    failover: StreamFailover
 
 
 class StreamJournalNode:
-    """Takes inputs and returns effects; see `stream_journal_events` for both."""
+    """Takes inputs and returns effects; see `events` for both."""
 
     def __init__(
         self, member_id: MemberId, incarnation: str, zone: ZoneName, timings: JournalTimings
@@ -112,11 +112,11 @@
         self._zones: dict[MemberId, ZoneName] = {}
         self._live_owners: set[str] = set()
         self._copy_at = 0.0
-        self._held_resumes: dict[str, tuple[ResumeWanted, float]] = {}
-        self._store = JournalStore(timings)
-        self._writers = JournalWriters(timings)
-        self._take_overs: dict[str, _Running] = {}
-        self._pending: dict[str, _PendingBatch | _PendingCopy | _PendingAsk] = {}
+        self._pending_resumes: dict[str, tuple[ResumeRequested, float]] = {}
+        self._store = ReplicaStore(timings)
+        self._writers = StreamWriters(timings)
+        self._failovers: dict[str, _Running] = {}
+        self._pending: dict[str, _PendingBatch | _PendingCopy | _PendingRequest] = {}
         self._numbers = itertools.count(1)
         self._flush_at = float("inf")
         self._effects: list[JournalEffect] = []
@@ -124,11 +124,11 @@
     def handle(self, event: JournalInput, now: float) -> list[JournalEffect]:
         """Apply one input and return what to do, in order."""
         match event:
-            case AppendWanted():
+            case AppendRequested():
                 self._handle_append(event, now)
-            case EndWanted():
+            case EndRequested():
                 self._handle_end(event, now)
-            case ResumeWanted():
+            case ResumeRequested():
                 self._handle_resume(event, now)
             case StreamForgotten(request_id):
                 self._writers.forget(request_id)
@@ -138,7 +138,7 @@
                 self._flush_at = float("inf")
                 self._carry_out(self._writers.flush_due(now), now)
             case CallReceived(_, token, message):
-                self._effects.append(Reply(token, self._answer(message, now)))
+                self._effects.append(Reply(token, self._reply_to(message, now)))
             case CallReplied(token, message):
                 self._handle_reply(token, message, now)
             case CallFailed(token):
@@ -149,45 +149,45 @@
         return effects
 
     def writer(self, request_id: str) -> StreamWriter | None:
-        """Return the stream that this node entered, if it remembers it."""
+        """Return the stream whose requests this node received, if it remembers it."""
         return self._writers.find(request_id)
 
     # Requests of this node's relays
 
-    def _handle_append(self, event: AppendWanted, now: float) -> None:
+    def _handle_append(self, event: AppendRequested, now: float) -> None:
         writer = self._writers.find(event.request_id)
         if writer is None:
             fence = StreamFence(FIRST_STREAM_EPOCH, self._owner)
             writer = StreamWriter(event.request_id, event.digest, fence)
             self._writers.begin(writer, now)
         if event.epoch not in (NEWEST_STREAM_EPOCH, writer.fence.epoch):
-            self._effects.append(AppendSettled(event.token, JournalAppend.TAKEN_OVER))
+            self._effects.append(AppendCompleted(event.token, JournalAppend.FENCED))
             return
         writer.digest = writer.digest or event.digest
-        effects = self._writers.append(event.token, writer, event.first_index, event.pieces, now)
+        effects = self._writers.append(event.token, writer, event.first_index, event.chunks, now)
         self._carry_out(effects, now)
 
-    def _handle_end(self, event: EndWanted, now: float) -> None:
+    def _handle_end(self, event: EndRequested, now: float) -> None:
         writer = self._writers.find(event.request_id)
         if writer is None or event.epoch not in (NEWEST_STREAM_EPOCH, writer.fence.epoch):
-            self._effects.append(AppendSettled(event.token, JournalAppend.NOT_KEPT))
+            self._effects.append(AppendCompleted(event.token, JournalAppend.UNREPLICATED))
             return
         self._carry_out(self._writers.end(event.token, writer, event.count, now), now)
 
-    def _handle_resume(self, event: ResumeWanted, now: float) -> None:
-        """Start a take-over; one that comes before the nodes are known waits for them."""
+    def _handle_resume(self, event: ResumeRequested, now: float) -> None:
+        """Start a failover; one that comes before the nodes are known waits for them."""
         if not self._nodes:
-            self._held_resumes[event.token] = (event, now + self._timings.search_s)
+            self._pending_resumes[event.token] = (event, now + self._timings.search_timeout_s)
             return
         limit = self._timings.max_candidates
-        members = take_over_candidates(event.request_id, self._nodes, limit)
+        members = failover_candidates(event.request_id, self._nodes, limit)
         if self._member_id not in members:
             members.append(self._member_id)
-        take_over = StreamTakeOver(
+        failover = StreamFailover(
             event.request_id, self._owner, event.after, members, self._timings
         )
-        self._take_overs[event.token] = _Running(event.request_id, event.after, take_over)
-        self._carry_out_take_over(event.token, take_over.begin(now), now)
+        self._failovers[event.token] = _Running(event.request_id, event.after, failover)
+        self._carry_out_failover(event.token, failover.begin(now), now)
 
     def _handle_nodes(self, event: NodesChanged, now: float) -> None:
         self._nodes = sorted({*event.zones, self._member_id})
@@ -197,30 +197,30 @@
         }
         peers = journal_peers(self._member_id, self._zone, event.zones)
         self._carry_out(self._writers.set_peers(peers, now), now)
-        held, self._held_resumes = self._held_resumes, {}
-        for wanted, _ in held.values():
-            self._handle_resume(wanted, now)
+        pending, self._pending_resumes = self._pending_resumes, {}
+        for resume, _ in pending.values():
+            self._handle_resume(resume, now)
 
     def _handle_tick(self, now: float) -> None:
         self._carry_out(self._writers.tick(now), now)
         self._store.sweep(now)
-        self._copy_orphans(now)
-        for token, (_, give_up_at) in list(self._held_resumes.items()):
-            if give_up_at <= now:
-                del self._held_resumes[token]
+        self._copy_orphaned_streams(now)
+        for token, (_, times_out_at) in list(self._pending_resumes.items()):
+            if times_out_at <= now:
+                del self._pending_resumes[token]
                 self._effects.append(Resumed(token, None))
-        for token, running in list(self._take_overs.items()):
-            self._carry_out_take_over(token, running.take_over.woken(now), now)
+        for token, running in list(self._failovers.items()):
+            self._carry_out_failover(token, running.failover.on_wake(now), now)
 
-    def _copy_orphans(self, now: float) -> None:
-        """Give streams whose entry node is lost to a second node, until their callers come back.
+    def _copy_orphaned_streams(self, now: float) -> None:
+        """Give streams whose ingress node is lost to a second node, until their callers come back.
 
         Without it the loss of this node as well would end them.
         """
         if now < self._copy_at or not self._live_owners:
             return
-        self._copy_at = now + self._timings.copy_s
-        for write in self._store.orphans(self._live_owners):
+        self._copy_at = now + self._timings.copy_interval_s
+        for write in self._store.orphaned_streams(self._live_owners):
             others = {
                 member: zone for member, zone in self._zones.items() if member != self._member_id
             }
@@ -233,7 +233,7 @@
 
     # Calls of peers
 
-    def _answer(self, message: object, now: float) -> object:
+    def _reply_to(self, message: object, now: float) -> object:
         match message:
             case AppendCall(writes):
                 return AppendReply([self._store.write(write, now) for write in writes])
@@ -244,28 +244,28 @@
         return None
 
     def _read(self, request_id: str) -> ReadReply:
-        held = self._store.read(request_id)
+        stored = self._store.read(request_id)
         own = self._writers.read(request_id)
         if own is None:
-            return held
-        if held.fence is None or own.fence is None:
+            return stored
+        if stored.fence is None or own.fence is None:
             return own
-        return max(own, held, key=lambda reply: (reply.fence, reply.length))
+        return max(own, stored, key=lambda reply: (reply.fence, reply.length))
 
     def _fence(self, call: FenceCall, now: float) -> FenceReply:
-        held = self._store.fence(call, now)
+        stored = self._store.fence(call, now)
         own, effects = self._writers.fence(call)
         if effects:
             fields = {"request_id": call.request_id}
             self._effects.append(Log(log_events.STREAM_FENCED, fields))
         self._carry_out(effects, now)
         if own is None:
-            return held
-        contents = [reply.content for reply in (own, held) if reply.content is not None]
-        best = max(contents, key=lambda content: (content.writer, len(content.pieces)))
-        return FenceReply(max(own.fence, held.fence), best)
+            return stored
+        contents = [reply.content for reply in (own, stored) if reply.content is not None]
+        best = max(contents, key=lambda content: (content.writer, len(content.chunks)))
+        return FenceReply(max(own.fence, stored.fence), best)
 
-    # Answers of peers
+    # Responses of peers
 
     def _call(self, member: MemberId, message: object, timeout_s: float, pending: object) -> None:
         token = f"streams-{next(self._numbers)}"
@@ -273,37 +273,37 @@
         self._effects.append(Call(member, token, message, timeout_s))
 
     def _handle_reply(self, token: str, message: object, now: float) -> None:
-        """Apply an answer, or None for a call that failed."""
+        """Apply a response, or None for a call that failed."""
         pending = self._pending.pop(token, None)
         match pending, message:
             case _PendingBatch(peer), AppendReply():
-                self._carry_out(self._writers.batch_replied(peer, message, now), now)
+                self._carry_out(self._writers.on_batch_reply(peer, message, now), now)
             case _PendingBatch(peer), _:
-                self._carry_out(self._writers.batch_failed(peer, now), now)
+                self._carry_out(self._writers.on_batch_failure(peer, now), now)
             case _PendingCopy(request_id), AppendReply():
-                self._store.copied(request_id)
-            case _PendingAsk(), _:
-                self._handle_take_over_reply(pending, message, now)
+                self._store.mark_copied(request_id)
+            case _PendingRequest(), _:
+                self._handle_failover_reply(pending, message, now)
 
-    def _handle_take_over_reply(self, pending: _PendingAsk, message: object, now: float) -> None:
-        running = self._take_overs.get(pending.token)
+    def _handle_failover_reply(self, pending: _PendingRequest, message: object, now: float) -> None:
+        running = self._failovers.get(pending.token)
         if running is None:
             return
-        member, number = pending.ask.member, pending.ask.round_number
+        member, number = pending.request.member, pending.request.round_number
         match message:
             case ReadReply() | FenceReply():
-                effects = running.take_over.replied(member, number, message, now)
+                effects = running.failover.on_reply(member, number, message, now)
             case _:
-                effects = running.take_over.failed(member, number, now)
-        self._carry_out_take_over(pending.token, effects, now)
+                effects = running.failover.on_failure(member, number, now)
+        self._carry_out_failover(pending.token, effects, now)
 
     # Effects of the parts
 
     def _carry_out(self, effects: Iterable[WriterEffect], now: float) -> None:
         for effect in effects:
             match effect:
-                case Settled(token, result):
-                    self._effects.append(AppendSettled(token, result))
+                case AppendResult(token, result):
+                    self._effects.append(AppendCompleted(token, result))
                 case SendBatch(peer, call):
                     timeout_s = self._timings.call_timeout_s
                     self._call(peer, call, timeout_s, _PendingBatch(peer))
@@ -314,26 +314,26 @@
             self._flush_at = self._writers.wake_at
             self._effects.append(FlushAt(self._flush_at))
 
-    def _carry_out_take_over(
-        self, token: str, effects: Iterable[TakeOverEffect], now: float
+    def _carry_out_failover(
+        self, token: str, effects: Iterable[FailoverEffect], now: float
     ) -> None:
         for effect in effects:
             match effect:
-                case AskJournal(member, message) if member == self._member_id:
-                    pending = _PendingAsk(token, effect)
-                    self._handle_take_over_reply(pending, self._answer(message, now), now)
-                case AskJournal(member, message):
-                    timeout_s = self._timings.read_max_s
-                    self._call(member, message, timeout_s, _PendingAsk(token, effect))
-                case TakenOver():
-                    self._finish_take_over(token, effect, now)
-
-    def _finish_take_over(self, token: str, result: TakenOver, now: float) -> None:
-        running = self._take_overs.pop(token)
+                case JournalRequest(member, message) if member == self._member_id:
+                    pending = _PendingRequest(token, effect)
+                    self._handle_failover_reply(pending, self._reply_to(message, now), now)
+                case JournalRequest(member, message):
+                    timeout_s = self._timings.max_read_timeout_s
+                    self._call(member, message, timeout_s, _PendingRequest(token, effect))
+                case FailoverCompleted():
+                    self._finish_failover(token, effect, now)
+
+    def _finish_failover(self, token: str, result: FailoverCompleted, now: float) -> None:
+        running = self._failovers.pop(token)
         content = result.content
         if content is not None:
             writer = StreamWriter(
-                running.request_id, content.digest, result.fence, list(content.pieces)
+                running.request_id, content.digest, result.fence, list(content.chunks)
             )
             writer.end_count = content.end_count
             writer.is_over = content.end_count > 0
@@ -347,5 +347,5 @@
 
 def _state_of(writer: StreamWriter) -> JournalState:
     return JournalState(
-        writer.digest, tuple(writer.pieces), writer.end_count > 0, writer.fence.epoch
+        writer.digest, tuple(writer.chunks), writer.end_count > 0, writer.fence.epoch
     )
--- a/src/zincvale/dataplane/stream_journal/peer_choice.py
+++ b/src/zincvale/dataplane/stream_journal/peer_choice.py
@@ -1,8 +1,8 @@
-"""Which peer keeps the streams that a node enters, and whom a take-over asks.
+"""Which peer stores the streams whose requests a node receives, and whom a failover calls.
 
-All streams of one entry node go to the same peer, so that one call carries the pieces of many
-streams. The peer is the first of another zone in the entry node's own rendezvous order, which
-spreads the entry nodes over the peers.
+All streams of one ingress node go to the same peer, so that one call carries the chunks of many
+streams. The peer is the first of another zone in the ingress node's own rendezvous order, which
+spreads the ingress nodes over the peers.
 """
 
 from __future__ import annotations
@@ -25,17 +25,15 @@
 
 
 def journal_peers(
-    entry_node: MemberId, zone: ZoneName, zone_by_member: Mapping[MemberId, ZoneName]
+    ingress_node: MemberId, zone: ZoneName, zone_by_member: Mapping[MemberId, ZoneName]
 ) -> list[MemberId]:
-    """Return the peers for an entry node's streams: other zones first, its own zone last."""
+    """Return the peers for an ingress node's streams: other zones first, its own zone last."""
     order = rendezvous_order(
-        entry_node, (member for member in zone_by_member if member != entry_node)
+        ingress_node, (member for member in zone_by_member if member != ingress_node)
     )
     return sorted(order, key=lambda member: zone_by_member[member] == zone)
 
 
-def take_over_candidates(
-    request_id: str, members: Iterable[MemberId], limit: int
-) -> list[MemberId]:
-    """Return the members that are asked for a stream, all of them in a small cluster."""
+def failover_candidates(request_id: str, members: Iterable[MemberId], limit: int) -> list[MemberId]:
+    """Return the members that a failover of a stream calls, all of them in a small cluster."""
     return rendezvous_order(request_id, members)[:limit]
--- a/src/zincvale/dataplane/stream_journal/service.py
+++ b/src/zincvale/dataplane/stream_journal/service.py
@@ -16,14 +16,14 @@
     JournalState,
 )
 from zincvale.dataplane.stream_journal.events import (
-    AppendSettled,
-    AppendWanted,
+    AppendCompleted,
+    AppendRequested,
     BatchDue,
-    EndWanted,
+    EndRequested,
     FlushAt,
     NodesChanged,
     Resumed,
-    ResumeWanted,
+    ResumeRequested,
     StreamForgotten,
 )
 from zincvale.dataplane.stream_journal.node_machine import JournalInput, StreamJournalNode
@@ -74,33 +74,33 @@
         request_id: RequestId,
         digest: str,
         first_index: int,
-        pieces: list[str],
+        chunks: list[str],
         epoch: int = FIRST_STREAM_EPOCH,
     ) -> JournalAppend:
-        """Keep `pieces`, whose first has event number `first_index`, at a peer.
+        """Store `chunks`, whose first has event number `first_index`, at a peer.
 
         `epoch` is that of the `JournalState` with which the stream was resumed, or
         `NEWEST_STREAM_EPOCH` for whichever this node has.
         """
         token = self._next_token()
-        event = AppendWanted(token, request_id, digest, first_index, list(pieces), epoch)
-        return await self._ask(token, event)
+        event = AppendRequested(token, request_id, digest, first_index, list(chunks), epoch)
+        return await self._request(token, event)
 
     async def close(
         self, request_id: RequestId, count: int, epoch: int = FIRST_STREAM_EPOCH
     ) -> None:
-        """Note that the stream ended whole after `count` pieces."""
+        """Record that the stream ended complete after `count` chunks."""
         token = self._next_token()
-        await self._ask(token, EndWanted(token, request_id, count, epoch))
+        await self._request(token, EndRequested(token, request_id, count, epoch))
 
     def forget(self, request_id: RequestId) -> None:
-        """Let go of a stream whose caller is gone, though it may come back at any node."""
+        """Let a stream expire whose caller has left, though it may come back at any node."""
         self._submit(StreamForgotten(request_id))
 
     async def resume(self, request_id: RequestId, after: int) -> JournalState | None:
-        """Take the stream over and return its newest copy, if it has `after` pieces."""
+        """Take the stream over and return its newest copy, if it has `after` chunks."""
         token = self._next_token()
-        return await self._ask(token, ResumeWanted(token, request_id, after))
+        return await self._request(token, ResumeRequested(token, request_id, after))
 
     def handle_message(self, sender: MemberId, message: Any) -> Any:
         """Return the reply to a peer's call."""
@@ -122,7 +122,7 @@
     def _next_token(self) -> str:
         return f"local-{next(self._tokens)}"
 
-    async def _ask(self, token: str, event: JournalInput) -> Any:
+    async def _request(self, token: str, event: JournalInput) -> Any:
         future: Future[Any] = Future()
         self._waiting[token] = future
         try:
@@ -137,7 +137,7 @@
     def _carry_out(self, effects: list) -> None:
         for effect in effects:
             match effect:
-                case AppendSettled(token, result) | Resumed(token, result):
+                case AppendCompleted(token, result) | Resumed(token, result):
                     self._resolve(token, result)
                 case Call():
                     self._start_call(effect)
--- a/tests/dataplane/claims/test_service.py
+++ b/tests/dataplane/claims/test_service.py
@@ -85,7 +85,7 @@
         service = cluster.services[MemberId(f"node-{number}")]
         return await service.claim(REQUEST, digest, ROUTE, cluster.now + 5.0)
 
-    def test_a_resend_gets_the_recorded_answer(self) -> None:
+    def test_a_resend_gets_the_recorded_response(self) -> None:
         async def scenario() -> None:
             cluster = Cluster()
             await cluster.serve()
@@ -148,16 +148,16 @@
 
         self._run(scenario())
 
-    def test_a_batch_is_answered_call_by_call(self) -> None:
+    def test_each_call_of_a_batch_gets_its_reply(self) -> None:
         async def scenario() -> None:
             cluster = Cluster()
             await cluster.serve()
             peers = RecordingPeers(cluster)
             replies: dict[str, Any] = {}
-            lanes = PeerCallQueues(peers, lambda: cluster.now, replies.__setitem__)
+            queues = PeerCallQueues(peers, lambda: cluster.now, replies.__setitem__)
             for number in range(10):
                 message = ViewsCall(1) if number % 2 else QueryCall(1, f"r{number}")
-                lanes.call(Call(MemberId("node-1"), f"t{number}", message, 1.0))
+                queues.call(Call(MemberId("node-1"), f"t{number}", message, 1.0))
             for _ in range(10):
                 await asyncio.sleep(0)
             kinds = {token: type(reply).__name__ for token, reply in replies.items()}
@@ -175,11 +175,11 @@
             cluster = Cluster()
             cluster.lost = {MemberId("node-1")}
             replies: dict[str, Any] = {}
-            lanes = PeerCallQueues(
+            queues = PeerCallQueues(
                 RecordingPeers(cluster), lambda: cluster.now, replies.__setitem__
             )
             for number in range(MAX_CALLS_IN_FLIGHT + 1):
-                lanes.call(Call(MemberId("node-1"), f"t{number}", ViewsCall(1), 1.0))
+                queues.call(Call(MemberId("node-1"), f"t{number}", ViewsCall(1), 1.0))
             cluster.now += 1.0
             for _ in range(10):
                 await asyncio.sleep(0)
--- a/tests/dataplane/node_harness.py
+++ b/tests/dataplane/node_harness.py
@@ -131,7 +131,7 @@
 class FakeJournal:
     def __init__(self, harness):
         self.harness = harness
-        self.verdict = JournalAppend.KEPT
+        self.verdict = JournalAppend.REPLICATED
         self.state = None
 
     async def append(self, request_id, digest, first_index, pieces, epoch=1):
--- a/tests/dataplane/test_stream_journal_world.py
+++ b/tests/dataplane/stream_journal/journal_cluster.py
@@ -1,6 +1,6 @@
-"""Seeded world for the stream journal: entry nodes, a faulty network, and callers that resume.
+"""Seeded cluster for the stream journal: ingress nodes, a faulty network, and callers that resume.
 
-Back ends are played without determinism: each generation marks its pieces, so that a stream that
+Back ends are played without determinism: each generation marks its chunks, so that a stream that
 was spliced from two generations is seen.
 """
 
@@ -16,14 +16,14 @@
 
 from zincvale.dataplane.inference.dependencies import JournalAppend, JournalState
 from zincvale.dataplane.stream_journal.events import (
-    AppendSettled,
-    AppendWanted,
+    AppendCompleted,
+    AppendRequested,
     BatchDue,
-    EndWanted,
+    EndRequested,
     FlushAt,
     NodesChanged,
     Resumed,
-    ResumeWanted,
+    ResumeRequested,
 )
 from zincvale.dataplane.stream_journal.node_machine import StreamJournalNode
 from zincvale.dataplane.stream_journal.timings import JournalTimings
@@ -31,9 +31,9 @@
 from zincvale.model.machine import Call, CallFailed, CallReceived, CallReplied, Reply, Tick
 
 TICK_S = 0.05
-PIECE_S = 0.03
+CHUNK_INTERVAL_S = 0.03
 LEASE_S = 2.0
-CALLER_PATIENCE_S = 1.0
+CALLER_TIMEOUT_S = 1.0
 CRASH_PAUSE_S = 2.5
 """Between two crashes: the caller comes back, and its stream has two copies again."""
 ZONES = ("zone-a", "zone-b", "zone-c")
@@ -41,7 +41,7 @@
 
 @attrs.define
 class StreamProfile:
-    """How bad the world is."""
+    """How bad the network and the machines are."""
 
     loss: float = 0.0
     fault_every_s: float = 0.3
@@ -66,7 +66,7 @@
 
 @attrs.define
 class Generation:
-    """One back-end run: it continues `prefix` with pieces of its own."""
+    """One back-end run: it continues `prefix` with chunks of its own."""
 
     name: str
     prefix: tuple[str, ...]
@@ -78,7 +78,7 @@
 
     request_id: str
     length: int
-    pieces: list[str] = attrs.field(factory=list)
+    chunks: list[str] = attrs.field(factory=list)
     connection: int = 0
     heard_at: float = 0.0
     is_complete: bool = False
@@ -86,7 +86,7 @@
     resumes: int = 0
 
 
-class StreamWorld:
+class SimulatedStreams:
     """Runs one seed."""
 
     def __init__(self, seed: int, profile: StreamProfile | None = None, nodes: int = 8) -> None:
@@ -159,7 +159,7 @@
         incarnation = node.incarnation
         for effect in node.machine.handle(event, self.now):  # type: ignore[arg-type]
             match effect:
-                case AppendSettled(token, result) | Resumed(token, result):
+                case AppendCompleted(token, result) | Resumed(token, result):
                     self._on_token.pop(token)(result)
                 case FlushAt(at):
                     self.at(
@@ -173,7 +173,7 @@
                 case Reply(token, message):
                     self._on_token.pop(token)(message)
 
-    def ask(self, node: Node, event: Callable[[str], object], then: Callable) -> None:
+    def request(self, node: Node, event: Callable[[str], object], then: Callable) -> None:
         token = f"t{next(self._tokens)}"
         self._on_token[token] = then
         self.feed(node, event(token))
@@ -209,7 +209,7 @@
                 is_answered[0] = True
                 self.on_node(node, incarnation, lambda: self.feed(node, event))
 
-        def answered(message: object) -> None:
+        def on_reply(message: object) -> None:
             self._carry(other, node, lambda: finish(CallReplied(call.token, message)))
 
         def arrive() -> None:
@@ -219,8 +219,8 @@
             self.on_node(
                 other,
                 other.incarnation,
-                lambda: self.ask(
-                    other, lambda token: CallReceived(node.name, token, call.message), answered
+                lambda: self.request(
+                    other, lambda token: CallReceived(node.name, token, call.message), on_reply
                 ),
             )
 
@@ -257,7 +257,7 @@
     # Callers and relays
 
     def call_in(self, caller: Caller) -> None:
-        """Connect to some node, afresh or after the pieces that the caller holds."""
+        """Connect to some node, afresh or after the chunks that the caller holds."""
         up = [node for node in self.nodes.values() if node.is_up and node.frozen_until <= self.now]
         node = self.random.choice(up)
         caller.connection += 1
@@ -266,29 +266,29 @@
         if caller.connection == 1:
             self._relay(caller, connection, node, (), 1)
             return
-        after = len(caller.pieces)
+        after = len(caller.chunks)
 
         def resumed(state: JournalState | None) -> None:
             if caller.connection == connection:
                 self._resumed(caller, connection, node, state)
 
-        self.ask(node, lambda token: ResumeWanted(token, caller.request_id, after), resumed)
+        self.request(node, lambda token: ResumeRequested(token, caller.request_id, after), resumed)
 
     def _resumed(
         self, caller: Caller, connection: int, node: Node, state: JournalState | None
     ) -> None:
         if state is None:
-            caller.is_lost = bool(caller.pieces)
+            caller.is_lost = bool(caller.chunks)
             if not caller.is_lost:
                 self._relay(caller, connection, node, (), 0)
             return
         caller.resumes += 1
-        after = len(caller.pieces)
-        self._deliver(caller, connection, after + 1, list(state.pieces[after:]))
+        after = len(caller.chunks)
+        self._deliver(caller, connection, after + 1, list(state.chunks[after:]))
         if state.complete:
             caller.is_complete = True
             return
-        self._relay(caller, connection, node, state.pieces, state.epoch)
+        self._relay(caller, connection, node, state.chunks, state.epoch)
 
     def _relay(
         self,
@@ -298,36 +298,38 @@
         prefix: tuple[str, ...],
         epoch: int,
     ) -> None:
-        """Generate one piece after the other, and pass each on once the journal answered."""
+        """Generate one chunk after the other, and pass each on once the journal answered."""
         generation = Generation(f"g{next(self._tokens)}", prefix)
         self.generations[generation.name] = generation
         incarnation = node.incarnation
         request_id = caller.request_id
 
         def generate(index: int) -> None:
-            piece = f"{generation.name}/{index}"
-            self.ask(
+            chunk = f"{generation.name}/{index}"
+            self.request(
                 node,
-                lambda token: AppendWanted(token, request_id, "d", index, [piece], epoch),
-                lambda result: settled(index, piece, result),
+                lambda token: AppendRequested(token, request_id, "d", index, [chunk], epoch),
+                lambda result: on_appended(index, chunk, result),
             )
 
-        def settled(index: int, piece: str, result: JournalAppend) -> None:
+        def on_appended(index: int, chunk: str, result: JournalAppend) -> None:
             self.results[result] += 1
-            if result is JournalAppend.TAKEN_OVER:
+            if result is JournalAppend.FENCED:
                 return
-            self._deliver(caller, connection, index, [piece])
+            self._deliver(caller, connection, index, [chunk])
             if index < caller.length:
                 later(index + 1)
                 return
-            self.ask(
+            self.request(
                 node,
-                lambda token: EndWanted(token, request_id, caller.length, epoch),
+                lambda token: EndRequested(token, request_id, caller.length, epoch),
                 lambda ended: self._end(caller, connection),
             )
 
         def later(index: int) -> None:
-            self.at(PIECE_S, lambda: self.on_node(node, incarnation, lambda: generate(index)))
+            self.at(
+                CHUNK_INTERVAL_S, lambda: self.on_node(node, incarnation, lambda: generate(index))
+            )
 
         if len(prefix) >= caller.length:
             self._end(caller, connection)
@@ -335,26 +337,26 @@
         later(len(prefix) + 1)
 
     def _deliver(
-        self, caller: Caller, connection: int, first_index: int, pieces: list[str]
+        self, caller: Caller, connection: int, first_index: int, chunks: list[str]
     ) -> None:
-        """Bring pieces to the caller, unless it has left this connection."""
+        """Bring chunks to the caller, unless it has left this connection."""
         if caller.connection != connection:
             return
         caller.heard_at = self.now
-        for offset, piece in enumerate(pieces):
-            self._receive(caller, first_index + offset, piece)
+        for offset, chunk in enumerate(chunks):
+            self._receive(caller, first_index + offset, chunk)
 
-    def _receive(self, caller: Caller, index: int, piece: str) -> None:
-        if index != len(caller.pieces) + 1:
-            self.problems.append(f"{caller.request_id}: {piece} came as {index}")
+    def _receive(self, caller: Caller, index: int, chunk: str) -> None:
+        if index != len(caller.chunks) + 1:
+            self.problems.append(f"{caller.request_id}: {chunk} came as {index}")
             return
-        generation = self.generations[piece.split("/")[0]]
+        generation = self.generations[chunk.split("/")[0]]
         begins = index == len(generation.prefix) + 1
-        if begins and tuple(caller.pieces) != generation.prefix:
-            self.problems.append(f"{caller.request_id}: {piece} was spliced on")
-        if not begins and caller.pieces[-1].split("/")[0] != generation.name:
-            self.problems.append(f"{caller.request_id}: {piece} follows {caller.pieces[-1]}")
-        caller.pieces.append(piece)
+        if begins and tuple(caller.chunks) != generation.prefix:
+            self.problems.append(f"{caller.request_id}: {chunk} was spliced on")
+        if not begins and caller.chunks[-1].split("/")[0] != generation.name:
+            self.problems.append(f"{caller.request_id}: {chunk} follows {caller.chunks[-1]}")
+        caller.chunks.append(chunk)
 
     def _end(self, caller: Caller, connection: int) -> None:
         if caller.connection == connection:
@@ -368,7 +370,7 @@
         """Come back when nothing was heard for a while."""
         if caller.is_complete or caller.is_lost:
             return
-        if self.now > caller.heard_at + CALLER_PATIENCE_S:
+        if self.now > caller.heard_at + CALLER_TIMEOUT_S:
             self.call_in(caller)
         self.at(0.2, lambda: self._watch(caller))
 
@@ -389,8 +391,8 @@
         self.call_in(caller)
         self._watch(caller)
 
-    def holders_of(self, request_id: str) -> list[MemberId]:
-        """Return the entry node of a running stream, and the peer that keeps its pieces."""
+    def nodes_storing(self, request_id: str) -> list[MemberId]:
+        """Return the ingress node of a running stream, and the peer that stores its chunks."""
         for node in self.nodes.values():
             writer = node.machine.writer(request_id) if node.is_up else None
             if writer is not None and writer.peer is not None:
--- a/tests/dataplane/test_stream_journal_mutations.py
+++ b/tests/dataplane/stream_journal/test_mutations.py
@@ -8,40 +8,40 @@
 import testtools
 
 from tests.dataplane.claims.test_mutations import Patch, mutated
-from tests.dataplane.test_stream_journal_world import StreamWorld
-from zincvale.dataplane.stream_journal.failover import StreamTakeOver
+from tests.dataplane.stream_journal.journal_cluster import SimulatedStreams
+from zincvale.dataplane.stream_journal.failover import StreamFailover
 from zincvale.dataplane.stream_journal.messages import FenceCall, StreamFence
-from zincvale.dataplane.stream_journal.replica_store import JournalStore
+from zincvale.dataplane.stream_journal.replica_store import ReplicaStore
 from zincvale.dataplane.stream_journal.writer import StreamWriter
 
 SEEDS = (1, 5, 13)
 
 
-def take_over_keeps_the_epoch(patch: Patch) -> None:
-    """A take-over fences nobody off."""
+def failover_keeps_the_epoch(patch: Patch) -> None:
+    """A failover fences nobody off."""
 
-    def ask_to_fence(self: StreamTakeOver, now: float) -> list:
+    def request_fences(self: StreamFailover, now: float) -> list:
         effects = original(self, now)
         self._fence = StreamFence(1, self._owner)
         call = FenceCall(self._request_id, self._fence)
         return [attrs.evolve(effect, message=call) for effect in effects]
 
-    original = StreamTakeOver._ask_to_fence
-    patch(StreamTakeOver, "_ask_to_fence", ask_to_fence)
+    original = StreamFailover._request_fences
+    patch(StreamFailover, "_request_fences", request_fences)
 
 
 def new_peer_gets_no_prefix(patch: Patch) -> None:
-    """A stream that moves to another peer goes on there without its earlier pieces."""
+    """A stream that moves to another peer goes on there without its earlier chunks."""
 
     def move_to(self: StreamWriter, peer: object) -> None:
         self.peer = peer  # type: ignore[assignment]
 
     patch(StreamWriter, "move_to", move_to)
-    patch(JournalStore, "_continues", lambda self, entry, write: True)
+    patch(ReplicaStore, "_continues", lambda self, entry, write: True)
 
 
 MUTATIONS: tuple[Callable[[Patch], None], ...] = (
-    take_over_keeps_the_epoch,
+    failover_keeps_the_epoch,
     new_peer_gets_no_prefix,
 )
 
@@ -54,6 +54,6 @@
             self.assertTrue(caught, mutation.__name__)
 
     def _breaks(self, seed: int) -> bool:
-        world = StreamWorld(seed)
-        world.play()
-        return bool(world.problems or world.unfinished())
+        cluster = SimulatedStreams(seed)
+        cluster.play()
+        return bool(cluster.problems or cluster.unfinished())
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -407,7 +407,7 @@
         async def scenario(harness):
             harness.post("/v1/chat", CHAT, X_Request_Id="q1")
             harness.exchanges[0].begin_stream()
-            harness.journal.verdict = JournalAppend.TAKEN_OVER
+            harness.journal.verdict = JournalAppend.FENCED
             harness.exchanges[0].events(piece(1, "a"))
             await harness.settle()
             del harness.notes[0]
