--- a/src/zincvale/bench/relay_process.py
+++ b/src/zincvale/bench/relay_process.py
@@ -143,7 +143,7 @@
     peers = NoPeers()
     clock = suspend_aware_now
     tracing = TracingService(member, source, clock, wall_now, peers.send)
-    claims = ClaimService(member, "1", zone, source, clock, peers)
+    claims = ClaimService(member, "1", source, clock, peers)
     journal = StreamJournalService(member, "1", zone, clock, peers)
     service = NodeService(
         settings, source, clock, peers, claims, journal, tracing.recorder, lambda: True
--- a/src/zincvale/daemons/node_daemon.py
+++ b/src/zincvale/daemons/node_daemon.py
@@ -93,7 +93,6 @@
         self._claims = ClaimService(
             self._member,
             incarnation,
-            zone,
             self._random,
             self._clock,
             peers,
--- a/src/zincvale/dataplane/claims/peer_call_queues.py
+++ b/src/zincvale/dataplane/claims/peer_call_queues.py
@@ -47,7 +47,7 @@
         self._clock = clock
         self._on_reply = on_reply
         self._queues: dict[MemberId, _PeerQueue] = {}
-        self._tasks: set[asyncio.Future] = set()
+        self._tasks: set[asyncio.Future[None]] = set()
 
     def call(self, call: Call) -> None:
         """Make a call now, or together with others when enough are in flight."""
--- a/tests/dataplane/claims/test_service.py
+++ b/tests/dataplane/claims/test_service.py
@@ -37,9 +37,9 @@
         self.now = 100.0
         self.lost: set[MemberId] = set()
         self.services: dict[MemberId, ClaimService] = {}
-        for number, (member, zone) in enumerate(NODES.items()):
+        for number, member in enumerate(NODES):
             self.services[member] = ClaimService(
-                member, "i", zone, Random(number), lambda: self.now, Peers(self, member)
+                member, "i", Random(number), lambda: self.now, Peers(self, member)
             )
         rows = {
             member: MemberRow(member, Role.NODE, zone, Address(""), Address(""), "i")
