--- a/src/zincvale/controlplane/placement/apply_demand.py
+++ b/src/zincvale/controlplane/placement/apply_demand.py
@@ -53,9 +53,9 @@
             first = item.demand.profile is None
             item.demand.add(row.requests, now, placement.config)
             record_request(placement, item, now)
-            if not item.serving:
+            if not item.ready:
                 item.missed.add(row.requests, now)
-            if first or (item.wanted and not item.holders):
+            if first or (item.desired and not item.holders):
                 placement.queue_review(key)
         if row.waiting:
             waiting[key] = waiting.get(key, 0) + row.waiting
--- a/src/zincvale/controlplane/placement/apply_intent.py
+++ b/src/zincvale/controlplane/placement/apply_intent.py
@@ -175,7 +175,7 @@
 
 
 def _adopt_holders(placement: PlacementState, item: ItemRow) -> None:
-    """Link copies that were reported before the item was declared, and count its size."""
+    """Link replicas that were reported before the item was declared, and count its size."""
     item.holders.update(dict.fromkeys(placement.undeclared.pop(item.key, {})))
     for server_id in item.holders:
         server = placement.servers[server_id]
@@ -186,7 +186,7 @@
 
 
 def _remove_item(placement: PlacementState, key: ItemKey, now: float) -> None:
-    """Drop a deleted item; its copies stay counted and are unloaded after a grace."""
+    """Drop a deleted item; its replicas stay counted and are unloaded after a grace."""
     item = placement.items.pop(key, None)
     if item is None:
         return
--- a/src/zincvale/controlplane/placement/apply_status.py
+++ b/src/zincvale/controlplane/placement/apply_status.py
@@ -210,7 +210,7 @@
 def _add_reported(
     placement: PlacementState, server: ServerState, key: ItemKey, state: ReplicaState, now: float
 ) -> None:
-    """Count a copy that the tables did not have."""
+    """Count a replica that the tables did not have."""
     item = placement.items.get(key)
     if item is None:
         placement.add_undeclared(key, server.server, now)
@@ -272,7 +272,7 @@
 def _apply_unreported(
     placement: PlacementState, server: ServerState, key: ItemKey, requested_at: float, now: float
 ) -> None:
-    """Handle a copy that the tables have and the status does not show."""
+    """Handle a replica that the tables have and the status does not show."""
     replica = server.replicas[key]
     move = _move_in_flight(placement, replica)
     if move is None:
--- a/src/zincvale/controlplane/placement/choose_server.py
+++ b/src/zincvale/controlplane/placement/choose_server.py
@@ -36,9 +36,9 @@
 def choose_server(
     placement: PlacementState, space: Space, spread_first: bool, now: float
 ) -> Choice | None:
-    """Return the best server for one more copy of an item, or None when none can hold it.
+    """Return the best server for one more replica of an item, or None when none can hold it.
 
-    Servers with room come first, and among them other zones than those of present copies, servers
+    Servers with room come first, and among them other zones than those of present replicas, servers
     that are not loading, and those whose models are asked for least. With `spread_first` another
     zone comes before room. Raises `AllServersBusyError` when servers could take it, but not soon.
     """
@@ -98,7 +98,7 @@
     now: float,
 ) -> Choice | None:
     item = space.item
-    zones = _zones_of_copies(placement, item)
+    zones = _zones_of_replicas(placement, item)
     roomy = [server for server in candidates if space.fits(placement, server)]
     if roomy and not spread_first:
         return Choice(_least(placement, roomy, zones, now), NO_EVICTION)
@@ -161,14 +161,14 @@
 def _preference(
     placement: PlacementState, server: ServerState, zones: dict[ZoneName, int], now: float
 ) -> tuple[float, ...]:
-    zone_copies, busy, tie = _rough_preference(placement, server, zones)
+    zone_replicas, busy, tie = _rough_preference(placement, server, zones)
     asked_for = _asked_for(placement, server, now)
     free_bytes = float(server.free_planned_bytes(placement.config, 0))
-    return (zone_copies, busy, asked_for, -free_bytes, tie)
+    return (zone_replicas, busy, asked_for, -free_bytes, tie)
 
 
 def _asked_for(placement: PlacementState, server: ServerState, now: float) -> float:
-    """Return the request rate of the server's models, shared among their copies."""
+    """Return the request rate of the server's models, shared among their replicas."""
     total = 0.0
     for key in server.replicas:
         item = placement.items.get(key)
@@ -218,7 +218,7 @@
 
 
 def _may_take(placement: PlacementState, item: ItemRow, server: ServerState, now: float) -> bool:
-    if not server.serving or server.confirmed_epoch != placement.leadership.epoch:
+    if not server.is_serving or server.confirmed_epoch != placement.leadership.epoch:
         return False
     if server.server in item.planned or item.key in server.replicas:
         return False
@@ -230,10 +230,10 @@
     return server.memory_bytes > 0
 
 
-def _zones_of_copies(placement: PlacementState, item: ItemRow) -> dict[ZoneName, int]:
+def _zones_of_replicas(placement: PlacementState, item: ItemRow) -> dict[ZoneName, int]:
     zones: dict[ZoneName, int] = {}
     for server_id in (*item.holders, *item.planned):
         server = placement.servers[server_id]
-        if server.serving:
+        if server.is_serving:
             zones[server.zone] = zones.get(server.zone, 0) + 1
     return zones
--- a/src/zincvale/controlplane/placement/config.py
+++ b/src/zincvale/controlplane/placement/config.py
@@ -29,14 +29,14 @@
     cold_ramp_s : a server counts as cold for this long after its incarnation appeared.
     kv_headroom_fraction : part of a server's memory kept for KV caches.
     kv_tokens_per_model : tokens of KV cache kept for each resident model at least.
-    min_residency_s : a copy is not evicted within this time after its load.
+    min_residency_s : a replica is not evicted within this time after its load.
     fast_half_life_s, slow_half_life_s : decay of the two demand averages.
     day_s, day_buckets : length of the repeating day and its parts, for the daily profile.
     lookahead_s : how early a predicted change is acted on, besides the expected load time.
-    concurrency_time_s : time constant of the running requests that copies are counted by.
+    concurrency_time_s : time constant of the running requests that replicas are counted by.
     target_utilization, release_utilization : running requests per server slot above which a
-        copy is added, and below which the last copy counts as surplus.
-    swap_gain : a copy displaces others without waiting requests only if worth this much more.
+        replica is added, and below which the last replica counts as surplus.
+    swap_gain : a replica displaces others without waiting requests only if worth this much more.
     foreseen_gain : as `swap_gain`, for loads before a daily change, by what earlier days show.
     companion_share : room for adapters that is made together with a model, as a share of its size.
     urgent_horizon_s : how far the cost of an eviction for waiting requests is looked at.
@@ -55,15 +55,15 @@
     status_interval_s : time between two status requests to a server that is not confirmed, or whose
         order has no response.
     shortest_status_interval_s : as above, near the end of a load.
-    undeclared_grace_s : a copy that no resource declares is unloaded after this long.
+    undeclared_grace_s : a replica that no resource declares is unloaded after this long.
     one_status_confirms : orders carry the number of orders that the server's status showed, so that
         one status is enough to order on.
     servers_guard_unloads : servers themselves refuse requests for what they unload and let running
         ones end, so that an unload needs no word of the nodes.
-    adapters_add_copies : a model gets more copies when its adapters in demand do not fit beside
+    adapters_add_replicas : a model gets more replicas when its adapters in demand do not fit beside
         the present ones.
-    crowds_count_as_waiting : requests that crowd a model's copies count like those that wait, and
-        nothing else adds copies at once; what nobody waits for is loaded while the store is idle.
+    crowds_count_as_waiting : requests that crowd a model's replicas count like those that wait, and
+        nothing else adds replicas at once; what nobody waits for is loaded while the store is idle.
     serial_orders : a server carries out one order at a time; the next waits for its end.
     servers_keep_weights : a server keeps on its own disk what it held, and loads it from there in
         another time than from the store.
@@ -117,7 +117,7 @@
     undeclared_grace_s: float = 30.0
     one_status_confirms: bool = False
     servers_guard_unloads: bool = False
-    adapters_add_copies: bool = False
+    adapters_add_replicas: bool = False
     crowds_count_as_waiting: bool = False
     serial_orders: bool = False
     servers_keep_weights: bool = False
--- a/src/zincvale/controlplane/placement/desired_replicas.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -1,4 +1,4 @@
-"""System: how many copies each changed item wants, and which are missing."""
+"""System: how many replicas each changed item wants, and which are missing."""
 
 from __future__ import annotations
 
@@ -65,58 +65,58 @@
 
 
 def _review(placement: PlacementState, item: ItemRow, now: float) -> None:
-    serving = item.serving
-    coming = placement.coming_copies(item)
+    ready = item.ready
+    pending = placement.pending_replicas(item)
     if item.kind is ItemKind.MODEL:
-        item.wanted = _wanted_models(placement, item, serving, coming, now)
+        item.desired = _desired_models(placement, item, ready, pending, now)
     else:
-        item.wanted = _wanted_adapters(placement, item, now)
-    if serving + coming < item.wanted:
-        _queue_shortage(placement, item, serving, coming, now)
-    _plan_next_review(placement, item, serving, now)
+        item.desired = _desired_adapters(placement, item, now)
+    if ready + pending < item.desired:
+        _queue_shortage(placement, item, ready, pending, now)
+    _plan_next_review(placement, item, ready, now)
 
 
-def _plan_next_review(placement: PlacementState, item: ItemRow, serving: int, now: float) -> None:
+def _plan_next_review(placement: PlacementState, item: ItemRow, ready: int, now: float) -> None:
     if item.waiting:
         placement.review_later(item, now + URGENT_REVIEW_S)
-    elif item.wanted or serving:
+    elif item.desired or ready:
         placement.review_later(item, now + placement.config.review_interval_s)
 
 
-def _wanted_models(
-    placement: PlacementState, item: ItemRow, serving: int, coming: int, now: float
+def _desired_models(
+    placement: PlacementState, item: ItemRow, ready: int, pending: int, now: float
 ) -> int:
-    pressure = _pressure(placement, item, serving)
-    # A crowd that waits for the first copy says little about how many it will keep busy.
-    present = item.running + (pressure if serving else 0)
+    pressure = _pressure(placement, item, ready)
+    # A crowd that waits for the first replica says little about how many it will keep busy.
+    present = item.running + (pressure if ready else 0)
     _follow_concurrency(placement, item, present, now)
-    slots = _slots_per_copy(placement, item)
+    slots = _slots_per_replica(placement, item)
     config = placement.config
     by_load = math.ceil(item.concurrency / (slots * config.target_utilization))
-    if by_load < item.wanted:
-        # Hysteresis: the last copy goes only when the others would stay well below the target.
+    if by_load < item.desired:
+        # Hysteresis: the last replica goes only when the others would stay well below the target.
         keep = math.ceil(item.concurrency / (slots * config.release_utilization))
-        by_load = min(item.wanted, max(keep, by_load))
+        by_load = min(item.desired, max(keep, by_load))
     pressed = pressure > 0 and now - item.waiting_since > PRESSURE_PATIENCE_S
-    if pressed and coming == 0 and not config.crowds_count_as_waiting:
-        by_load = max(by_load, serving + 1)
-    wanted = max(
+    if pressed and pending == 0 and not config.crowds_count_as_waiting:
+        by_load = max(by_load, ready + 1)
+    desired = max(
         item.min_replicas,
         by_load,
-        _single_copy(placement, item),
+        _single_replica(placement, item),
         _for_adapters(placement, item, now),
     )
     servers = len(placement.servers_by_pool.get(item.pool, ()))
-    if wanted > servers:
+    if desired > servers:
         # Looked at again when servers of the pool appear.
         placement.unplaced[item.key] = None
-    return min(wanted, servers)
+    return min(desired, servers)
 
 
 def _for_adapters(placement: PlacementState, item: ItemRow, now: float) -> int:
-    """Return the copies that have room for the adapters asked for lately."""
+    """Return the replicas that have room for the adapters asked for lately."""
     pool = placement.intent.pools.get(item.pool)
-    if not placement.config.adapters_add_copies or pool is None or not pool.adapter_slots:
+    if not placement.config.adapters_add_replicas or pool is None or not pool.adapter_slots:
         return 0
     asked_for = sum(1 for key in item.adapters if _is_asked_for(placement.items[key], now))
     return math.ceil(asked_for / pool.adapter_slots)
@@ -127,37 +127,37 @@
     return bool(adapter.waiting or adapter.running or adapter.demand.is_recent(now))
 
 
-def _wanted_adapters(placement: PlacementState, item: ItemRow, now: float) -> int:
+def _desired_adapters(placement: PlacementState, item: ItemRow, now: float) -> int:
     base = placement.items.get(item.base) if item.base is not None else None
     if base is None:
         return 0
-    base_copies = base.serving + placement.coming_copies(base)
-    if base_copies == 0:
+    base_replicas = base.ready + placement.pending_replicas(base)
+    if base_replicas == 0:
         return 0
     _follow_concurrency(placement, item, item.running + item.waiting, now)
-    slots = _slots_per_copy(placement, base)
-    wanted = math.ceil(item.concurrency / (slots * placement.config.target_utilization))
+    slots = _slots_per_replica(placement, base)
+    desired = math.ceil(item.concurrency / (slots * placement.config.target_utilization))
     if item.demand.slow_rate(now) >= BUSY_ADAPTER_RATE_PER_S:
-        wanted = max(wanted, base.min_replicas)
-    wanted = max(wanted, _single_copy(placement, item))
-    return min(wanted, base_copies)
+        desired = max(desired, base.min_replicas)
+    desired = max(desired, _single_replica(placement, item))
+    return min(desired, base_replicas)
 
 
-def _single_copy(placement: PlacementState, item: ItemRow) -> int:
-    """Return 1 when one copy is worth having as far as memory allows."""
+def _single_replica(placement: PlacementState, item: ItemRow) -> int:
+    """Return 1 when one replica is worth having as far as memory allows."""
     if item.waiting or item.demand.profile is not None:
         return 1
     return 1 if placement.config.fill_free_memory and item.kind is ItemKind.MODEL else 0
 
 
-def _pressure(placement: PlacementState, item: ItemRow, serving: int) -> int:
-    """Return waiting requests that more copies of the model would help."""
-    if serving == 0:
+def _pressure(placement: PlacementState, item: ItemRow, ready: int) -> int:
+    """Return waiting requests that more replicas of the model would help."""
+    if ready == 0:
         return item.waiting
     waiting_for_adapters = 0
     for key in item.adapters:
         adapter = placement.items[key]
-        if adapter.waiting and adapter.serving == 0:
+        if adapter.waiting and adapter.ready == 0:
             waiting_for_adapters += adapter.waiting
     return max(item.waiting - waiting_for_adapters, 0)
 
@@ -169,7 +169,7 @@
     item.concurrency_at = now
 
 
-def _slots_per_copy(placement: PlacementState, item: ItemRow) -> int:
+def _slots_per_replica(placement: PlacementState, item: ItemRow) -> int:
     pool = placement.intent.pools.get(item.pool)
     if pool is not None and pool.max_concurrent_per_server > 0:
         return pool.max_concurrent_per_server
@@ -177,14 +177,14 @@
 
 
 def _queue_shortage(
-    placement: PlacementState, item: ItemRow, serving: int, coming: int, now: float
+    placement: PlacementState, item: ItemRow, ready: int, pending: int, now: float
 ) -> None:
     if item.retry_at > now:
         placement.review_later(item, item.retry_at)
         return
     if not placement.leadership.held:
         return
-    reason = _reason(placement, item, serving, coming, now)
+    reason = _reason(placement, item, ready, pending, now)
     if now < item.place_after and reason is not MoveReason.WAITING_REQUESTS:
         return
     urgency = URGENCY_BY_REASON[reason]
@@ -204,18 +204,18 @@
 
 
 def _reason(
-    placement: PlacementState, item: ItemRow, serving: int, coming: int, now: float
+    placement: PlacementState, item: ItemRow, ready: int, pending: int, now: float
 ) -> MoveReason:
-    copies = serving + coming
-    if is_missed(placement, item, now) and (copies == 0 or serving > 0):
+    replicas = ready + pending
+    if is_missed(placement, item, now) and (replicas == 0 or ready > 0):
         return MoveReason.WAITING_REQUESTS
-    if copies < item.min_replicas:
+    if replicas < item.min_replicas:
         return MoveReason.MIN_REPLICAS
-    if copies == 0 and item.kind is ItemKind.ADAPTER:
+    if replicas == 0 and item.kind is ItemKind.ADAPTER:
         return MoveReason.BESIDE_BASE
-    if copies == 0 and _lost_copies(placement, item):
+    if replicas == 0 and _has_lost_replicas(placement, item):
         return MoveReason.REPLACEMENT
-    if copies > 0:
+    if replicas > 0:
         return MoveReason.MORE_LOAD
     config = placement.config
     predicted = item.demand.predicted_rate(now + config.lookahead_s, now, config)
@@ -226,5 +226,5 @@
     return MoveReason.HIGHER_VALUE
 
 
-def _lost_copies(placement: PlacementState, item: ItemRow) -> bool:
-    return any(not placement.servers[server].serving for server in item.holders)
+def _has_lost_replicas(placement: PlacementState, item: ItemRow) -> bool:
+    return any(not placement.servers[server].is_serving for server in item.holders)
--- a/src/zincvale/controlplane/placement/dispatch.py
+++ b/src/zincvale/controlplane/placement/dispatch.py
@@ -73,9 +73,9 @@
 
 
 def _why_keep(placement: PlacementState, move: Move, server: ServerState, now: float) -> str:
-    """Return why a closing copy should stay after all; empty when it should go."""
+    """Return why a closing replica should stay after all; empty when it should go."""
     key = move_item_key(move)
-    if not server.serving:
+    if not server.is_serving:
         return "the server went out of service"
     if (
         placement.running_on(server, key) > 0
@@ -88,10 +88,10 @@
     if load is None:
         return "its space is not needed any more"
     item = placement.items.get(key)
-    if item is None or item.waiting == 0 or item.serving > 0:
+    if item is None or item.waiting == 0 or item.ready > 0:
         return ""
-    wanted = placement.items.get(move_item_key(load))
-    if wanted is None or wanted.waiting < item.waiting:
+    replacement = placement.items.get(move_item_key(load))
+    if replacement is None or replacement.waiting < item.waiting:
         return "more requests wait for it than for what would replace it"
     return ""
 
@@ -147,7 +147,7 @@
 ) -> str:
     if item is None:
         return "no resource declares it any more"
-    if not server.serving:
+    if not server.is_serving:
         return "the server went out of service"
     if item.key in server.replicas:
         return "the server holds it already"
@@ -186,7 +186,7 @@
     placement: PlacementState, move: Move, item: ItemRow, server: ServerState, now: float
 ) -> None:
     store = placement.stores[move.store]
-    # Asked before the copy counts as held.
+    # Asked before the replica counts as held.
     from_disk = placement.loads_from_disk(item, server)
     expected_s = placement.expected_load_s(item, server)
     store.order(item.weight_bytes, now, placement.config)
--- a/src/zincvale/controlplane/placement/draining_row_codec.py
+++ b/src/zincvale/controlplane/placement/draining_row_codec.py
@@ -1,4 +1,4 @@
-"""What nodes read of the topic `moves`: copies that are about to be unloaded."""
+"""What nodes read of the topic `moves`: replicas that are about to be unloaded."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 MOVES_TOPIC = "moves"
 UNLOAD = "unload"
 CLOSING_STATE_NAMES = frozenset({"closing", "ordered", "running", "unknown"})
-"""A copy is closing from the announcement of its unload until that move is finished."""
+"""A replica is closing from the announcement of its unload until that move is finished."""
 
 
 class DrainingReplicasDecoder:
--- a/src/zincvale/controlplane/placement/drains.py
+++ b/src/zincvale/controlplane/placement/drains.py
@@ -46,7 +46,7 @@
         if item is None or item.kind is not ItemKind.MODEL:
             continue
         least = max(item.min_replicas, 1 if item.waiting or item.planned else 0)
-        if item.serving < least:
+        if item.ready < least:
             missing.append(item)
     return missing
 
--- a/src/zincvale/controlplane/placement/events.py
+++ b/src/zincvale/controlplane/placement/events.py
@@ -65,7 +65,7 @@
     ----------
     requests : requests that arrived.
     tokens : tokens generated.
-    waiting : requests held at the node now because no copy can take them.
+    waiting : requests held at the node now because no replica can take them.
     """
 
     model: ModelName
--- a/src/zincvale/controlplane/placement/eviction.py
+++ b/src/zincvale/controlplane/placement/eviction.py
@@ -1,7 +1,7 @@
 """Choice of what leaves a server to make room: the least worth a byte.
 
-What is in use is not chosen, unless requests have waited for long: then a copy may be closed while
-requests still run on it, and is unloaded when they have ended.
+What is in use is not chosen, unless requests have waited for long: then a replica may be closed
+while requests still run on it, and is unloaded when they have ended.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import attrs
 
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow, is_adapter_key
-from zincvale.controlplane.placement.replica_value import copy_value
+from zincvale.controlplane.placement.replica_value import replica_value
 from zincvale.controlplane.placement.servers import Replica, ReplicaState, ServerState
 from zincvale.controlplane.placement.state import PlacementState
 
@@ -21,7 +21,7 @@
     Attributes
     ----------
     keys : adapters first, their model last.
-    cost : what the copies are worth, see `value.copy_value`.
+    cost : what the replicas are worth, see `replica_value.replica_value`.
     """
 
     keys: tuple[ItemKey, ...]
@@ -48,7 +48,7 @@
     Attributes
     ----------
     needed_bytes : the item's size and what should fit beside it.
-    may_drain : copies on which requests run may be chosen too.
+    may_drain : replicas on which requests run may be chosen too.
     """
 
     item: ItemRow
@@ -159,7 +159,7 @@
         replica = server.replicas[key]
         if not _may_leave(placement, item, replica, now):
             return None
-        item_cost = copy_value(placement, item, now)
+        item_cost = replica_value(placement, item, now)
         if _is_used_here_only(placement, server, item):
             if not may_drain:
                 return None
@@ -170,14 +170,14 @@
 
 
 def _may_leave(placement: PlacementState, item: ItemRow, replica: Replica, now: float) -> bool:
-    """Whether a copy is neither pinned, nor moving, nor just loaded, nor waited for."""
+    """Whether a replica is neither pinned, nor moving, nor just loaded, nor waited for."""
     if replica.state is not ReplicaState.LOADED or replica.closing or replica.move is not None:
         return False
     if now - replica.since < placement.config.min_residency_s:
         return False
-    others = item.serving - 1
+    others = item.ready - 1
     return others >= item.min_replicas and (others >= 1 or item.waiting == 0)
 
 
 def _is_used_here_only(placement: PlacementState, server: ServerState, item: ItemRow) -> bool:
-    return item.serving <= 1 and placement.running_on(server, item.key) > 0
+    return item.ready <= 1 and placement.running_on(server, item.key) > 0
--- a/src/zincvale/controlplane/placement/items.py
+++ b/src/zincvale/controlplane/placement/items.py
@@ -52,14 +52,14 @@
     base : the adapter's base model.
     adapters : the model's declared adapters.
     holders : servers where it occupies memory, in any state.
-    serving, loading : how many of the holders serve it, or load it, on servers in service; kept
+    ready, loading : how many of the holders serve it, or load it, on servers in service; kept
         true by `PlacementState.recount`.
     planned : servers for which a load is planned but not ordered.
-    missed : requests that came while no copy served.
+    missed : requests that came while no replica served.
     waiting : requests that wait for it at the nodes now.
     waiting_since : when `waiting` last left 0.
     running : requests that run on it now.
-    wanted : copies wanted at the last review.
+    desired : replicas desired at the last review.
     review_at : time of the pending review, infinity when none is pending.
     shortage_stamp : the valid entry of this item in its store's shortage queue, 0 for none.
     shortage_urgency : urgency of that entry.
@@ -67,7 +67,7 @@
     place_after : as `retry_at`, after no server was found; does not hold for waiting requests.
     unplaced_logged_at : when it was last logged that nothing fits.
     failures : failed loads in a row.
-    rate, rate_at : requests per second last expected, and when; see `value.expected_rate`.
+    rate, rate_at : requests per second last expected, and when; see `replica_value.expected_rate`.
     """
 
     key: ItemKey
@@ -84,7 +84,7 @@
     stake: Stake = Stake.NORMAL
     adapters: dict[ItemKey, None] = attrs.field(factory=dict)
     holders: dict[ServerId, None] = attrs.field(factory=dict)
-    serving: int = 0
+    ready: int = 0
     loading: int = 0
     planned: dict[ServerId, None] = attrs.field(factory=dict)
     missed: DecayedCount = attrs.field(factory=lambda: DecayedCount(MISSED_HALF_LIFE_S))
@@ -93,7 +93,7 @@
     running: int = 0
     concurrency: float = 0.0
     concurrency_at: float = 0.0
-    wanted: int = 0
+    desired: int = 0
     review_at: float = float("inf")
     shortage_stamp: int = 0
     shortage_urgency: int = 0
--- a/src/zincvale/controlplane/placement/load_candidates.py
+++ b/src/zincvale/controlplane/placement/load_candidates.py
@@ -16,7 +16,7 @@
 from zincvale.controlplane.placement.state import PlacementState
 
 DRAIN_PATIENCE_S = 2.0
-"""Requests that waited this long may close a copy on which others still run."""
+"""Requests that waited this long may close a replica on which others still run."""
 EXPECTED_DRAIN_S = 5.0
 
 
@@ -50,7 +50,7 @@
     total = 0
     for key in item.adapters:
         adapter = placement.items[key]
-        if adapter.demand.profile is not None and adapter.serving == 0:
+        if adapter.demand.profile is not None and adapter.ready == 0:
             total += adapter.weight_bytes
     return min(total, limit)
 
@@ -81,7 +81,7 @@
 def _waits_caused(placement: PlacementState, choice: Choice, now: float) -> float:
     """Return requests expected to wait; those of an adapter are among those of its model.
 
-    While a copy drains, requests for it wait already.
+    While a replica drains, requests for it wait already.
     """
     total = 0.0
     for key in choice.eviction.keys:
--- a/src/zincvale/controlplane/placement/move_row_codec.py
+++ b/src/zincvale/controlplane/placement/move_row_codec.py
@@ -97,7 +97,7 @@
 def closing_by_server(moves: Iterable[Move]) -> dict[ServerId, frozenset[str]]:
     """Return what nodes must send nothing new to, from the rows of the topic.
 
-    A copy is closing from the announcement of its unload until that move is finished; it is the
+    A replica is closing from the announcement of its unload until that move is finished; it is the
     value of `ServerRow.closing`.
     """
     names: dict[ServerId, set[str]] = {}
--- a/src/zincvale/controlplane/placement/order_confirmation.py
+++ b/src/zincvale/controlplane/placement/order_confirmation.py
@@ -98,7 +98,7 @@
     placement: PlacementState, server: ServerState | None, now: float
 ) -> None:
     """Give store slots of a server that was unresponsive for very long to other loads."""
-    if server is None or server.serving or server.loads_in_flight == 0:
+    if server is None or server.is_serving or server.loads_in_flight == 0:
         return
     if server.down_since + placement.config.unresponsive_release_s > now or server.down_since < 0.0:
         return
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -148,7 +148,7 @@
 
 
 def _still_short(placement: PlacementState, item: ItemRow) -> bool:
-    return item.serving + placement.coming_copies(item) < item.wanted
+    return item.ready + placement.pending_replicas(item) < item.desired
 
 
 def _plan(placement: PlacementState, item: ItemRow, reason: MoveReason, now: float) -> Planning:
@@ -173,7 +173,7 @@
 def _log_unplaced(
     placement: PlacementState, item: ItemRow, reason: MoveReason, choice: Choice | None, now: float
 ) -> None:
-    """Tell why a wanted copy has no place; once in a while for each item."""
+    """Tell why a desired replica has no place; once in a while for each item."""
     if now < item.unplaced_logged_at + UNPLACED_LOG_INTERVAL_S:
         return
     item.unplaced_logged_at = now
@@ -286,9 +286,8 @@
 def _detail(
     placement: PlacementState, item: ItemRow, reason: MoveReason, choice: Choice, now: float
 ) -> str:
-    copies = item.serving
     per_minute = expected_rate(placement, item, now) * 60.0
-    facts = f"{copies} of {item.wanted} copies serve, {per_minute:.2f} requests/min expected"
+    facts = f"{item.ready} of {item.desired} copies serve, {per_minute:.2f} requests/min expected"
     if reason is MoveReason.WAITING_REQUESTS:
         facts += _why_missed(item, now)
     if reason is MoveReason.MORE_LOAD:
--- a/src/zincvale/controlplane/placement/plan_unloads.py
+++ b/src/zincvale/controlplane/placement/plan_unloads.py
@@ -1,4 +1,4 @@
-"""Closes copies that are to be unloaded, and plans the unload of what no resource declares."""
+"""Closes replicas that are to be unloaded, and plans the unload of what no resource declares."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     after: tuple[MoveId, ...],
     now: float,
 ) -> MoveId:
-    """Close a copy and put its unload on the calendar; return the move."""
+    """Close a replica and put its unload on the calendar; return the move."""
     replica = server.replicas[key]
     kind, _, name = key.partition("/")
     start_at = now + placement.config.closing_wait_s
@@ -67,7 +67,7 @@
 
 
 def unload_undeclared(placement: PlacementState, now: float) -> None:
-    """System: unload copies of models and adapters that were deleted from the intent.
+    """System: unload replicas of models and adapters that were deleted from the intent.
 
     A process that has no intent yet knows nothing of what is declared, and unloads nothing.
     """
@@ -80,15 +80,17 @@
         if found_at is None:
             continue
         if found_at + placement.config.undeclared_grace_s <= now and placement.leadership.held:
-            _unload_copy(placement, placement.servers[server_id], key, now)
+            _unload_undeclared_replica(placement, placement.servers[server_id], key, now)
         # Looked at again until it is gone: the unload may fail, or not be possible yet.
         due.append((now + placement.config.undeclared_grace_s, server_id, key))
 
 
-def _unload_copy(placement: PlacementState, server: ServerState, key: ItemKey, now: float) -> None:
+def _unload_undeclared_replica(
+    placement: PlacementState, server: ServerState, key: ItemKey, now: float
+) -> None:
     replica = server.replicas.get(key)
     if replica is None or replica.move is not None or replica.state is not ReplicaState.LOADED:
         return
-    if not server.serving or server.confirmed_epoch != placement.leadership.epoch:
+    if not server.is_serving or server.confirmed_epoch != placement.leadership.epoch:
         return
     plan_unload(placement, server, key, MoveReason.NOT_DECLARED, "no resource declares it", (), now)
--- a/src/zincvale/controlplane/placement/prefetch.py
+++ b/src/zincvale/controlplane/placement/prefetch.py
@@ -4,9 +4,9 @@
 from the store, the first request for a model that no disk has is the expensive one; so models that
 no server ever held are loaded once, in one place of each idle server, and leave again for the next.
 
-Whether disks are faster is tried first, by unloading and loading again a copy that is not needed.
-While nobody asks for anything every idle server takes part. Else most of a pool's servers are kept
-idle for what requests need: a load from the store occupies its server for its whole time.
+Whether disks are faster is tried first, by unloading and loading again a replica that is not
+needed. While nobody asks for anything every idle server takes part. Else most of a pool's servers
+are kept idle for what requests need: a load from the store occupies its server for its whole time.
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
 
 def _is_idle(placement: PlacementState, server_id: ServerId) -> bool:
     server = placement.servers[server_id]
-    if not server.serving or server.confirmed_epoch != placement.leadership.epoch:
+    if not server.is_serving or server.confirmed_epoch != placement.leadership.epoch:
         return False
     return not placement.moves_by_server.get(server_id) and not server.planned_models
 
@@ -107,7 +107,7 @@
     if any(_is_prefetch(move) for move in placement.moves.values()):
         return
     for server in idle:
-        key = _spare_copy(placement, server, now)
+        key = _spare_replica(placement, server, now)
         if key is not None:
             detail = "loaded again at once, to learn how long that takes from the server's disk"
             state.trial = plan_unload(placement, server, key, MoveReason.PREFETCH, detail, (), now)
@@ -115,14 +115,14 @@
             return
 
 
-def _spare_copy(placement: PlacementState, server: ServerState, now: float) -> ItemKey | None:
-    """Return a model on the server whose other copies are enough."""
+def _spare_replica(placement: PlacementState, server: ServerState, now: float) -> ItemKey | None:
+    """Return a model on the server whose other replicas are enough."""
     for key, replica in server.replicas.items():
         item = placement.items.get(key)
         if item is None or item.kind is not ItemKind.MODEL:
             continue
         is_free = replica.state is ReplicaState.LOADED and replica.move is None
-        if is_free and item.serving > max(item.wanted, item.min_replicas, 1) and not item.running:
+        if is_free and item.ready > max(item.desired, item.min_replicas, 1) and not item.running:
             return key
     return None
 
@@ -176,7 +176,7 @@
 
 
 def _on_no_disk(placement: PlacementState, pool: PoolName) -> list[ItemRow]:
-    """Return the models that no server in the directory has on disk, the least wanted first."""
+    """Return the models that no server in the directory has on disk, the least desired first."""
     missing = [
         item
         for item in placement.items.values()
@@ -211,9 +211,10 @@
 def _rank_of_leaving(
     placement: PlacementState, server: ServerState, key: ItemKey, replica: Replica
 ) -> int | None:
-    """Return which copies leave first, 0 before 1; None for those that stay.
+    """Return which replicas leave first, 0 before 1; None for those that stay.
 
-    Several copies of a model that nobody asked for yet were put there by somebody who expects that.
+    Several replicas of a model that nobody asked for yet were put there by somebody who expects
+    that.
     """
     item = placement.items.get(key)
     if item is None or item.kind is not ItemKind.MODEL or item.waiting or item.min_replicas:
@@ -222,8 +223,8 @@
     if not is_free or placement.running_on(server, key):
         return None
     if item.demand.profile is not None:
-        return 2 if item.serving > max(item.wanted, 1) else None
-    if item.serving > 1:
+        return 2 if item.ready > max(item.desired, 1) else None
+    if item.ready > 1:
         return None
     return 0 if replica.fetched_ahead else 1
 
--- a/src/zincvale/controlplane/placement/prefetch_state.py
+++ b/src/zincvale/controlplane/placement/prefetch_state.py
@@ -16,8 +16,8 @@
     ----------
     requested_at : when a request for the pool last arrived.
     looked_at : when fetching was last considered.
-    trial : the unload of a copy that is loaded again to learn how long that takes.
-    trial_key, trial_server : that copy.
+    trial : the unload of a replica that is loaded again to learn how long that takes.
+    trial_key, trial_server : that replica.
     """
 
     requested_at: float = float("-inf")
--- a/src/zincvale/controlplane/placement/replica_value.py
+++ b/src/zincvale/controlplane/placement/replica_value.py
@@ -1,4 +1,4 @@
-"""What a copy is worth, in requests a second that would otherwise wait for a load."""
+"""What a replica is worth, in requests a second that would otherwise wait for a load."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 """Of what earlier days show for the time ahead, beside what is measured now."""
 SURPLUS_WEIGHT = 0.05
 LEAST_OVERLOAD = 2.0
-"""Requests beyond what the copies should run at once that count as if they waited."""
+"""Requests beyond what the replicas should run at once that count as if they waited."""
 LEAST_NEED = 0.5
 """Below this an item is not missed now, only worth having."""
 WEIGHT_BY_STAKE = {Stake.LOW: 0.5, Stake.NORMAL: 1.0, Stake.HIGH: 4.0}
@@ -36,9 +36,9 @@
 
 
 def item_value(placement: PlacementState, item: ItemRow, now: float) -> float:
-    """Return waits per second that one copy avoids while there is no other.
+    """Return waits per second that one replica avoids while there is no other.
 
-    Without a copy each request starts a load, and those that arrive during it wait as well.
+    Without a replica each request starts a load, and those that arrive during it wait as well.
     """
     rate = expected_rate(placement, item, now)
     waits = rate * (1.0 + rate * placement.expected_return_s(item))
@@ -46,11 +46,11 @@
 
 
 def need(placement: PlacementState, item: ItemRow, now: float) -> float:
-    """Return how much a copy of an item is missed now, in requests.
+    """Return how much a replica of an item is missed now, in requests.
 
-    Requests that wait or crowd the present copies count, and those that came lately while there was
-    none, which may have been refused. What operators pinned counts as if one request waited. The
-    longer something waits, the more it counts.
+    Requests that wait or crowd the present replicas count, and those that came lately while there
+    was none, which may have been refused. What operators pinned counts as if one request waited.
+    The longer something waits, the more it counts.
     """
     requests = item.waiting + item.missed.present(now) + overload(placement, item)
     if item.min_replicas:
@@ -62,20 +62,20 @@
 
 
 def overload(placement: PlacementState, item: ItemRow) -> float:
-    """Return the requests that run on a model beyond what its copies should run at once.
+    """Return the requests that run on a model beyond what its replicas should run at once.
 
-    Only where copies are added for crowds as urgently as for waiting requests.
+    Only where replicas are added for crowds as urgently as for waiting requests.
     """
     pool = placement.intent.pools.get(item.pool)
-    if not placement.config.crowds_count_as_waiting or not item.serving or pool is None:
+    if not placement.config.crowds_count_as_waiting or not item.ready or pool is None:
         return 0.0
-    crowd = item.running - (item.serving + item.loading) * pool.max_concurrent_per_server
+    crowd = item.running - (item.ready + item.loading) * pool.max_concurrent_per_server
     return float(crowd) if crowd >= LEAST_OVERLOAD and item.base is None else 0.0
 
 
 def is_missed(placement: PlacementState, item: ItemRow, now: float) -> bool:
-    """Whether requests ask now for an item that no copy serves, or too few do."""
-    if item.serving:
+    """Whether requests ask now for an item that no replica serves, or too few do."""
+    if item.ready:
         return overload(placement, item) > 0.0
     return item.waiting > 0 or need(placement, item, now) >= LEAST_NEED
 
@@ -90,22 +90,22 @@
     return waits * WEIGHT_BY_STAKE[item.stake]
 
 
-def copy_value(placement: PlacementState, item: ItemRow, now: float) -> float:
-    """Return what one of the item's copies is worth, less when there are more than wanted."""
+def replica_value(placement: PlacementState, item: ItemRow, now: float) -> float:
+    """Return what one of the item's replicas is worth, less when there are more than desired."""
     value = item_value(placement, item, now)
-    copies = item.serving
-    if copies > max(item.wanted, 1):
+    replicas = item.ready
+    if replicas > max(item.desired, 1):
         return value * SURPLUS_WEIGHT
-    if copies > 1:
-        return value / copies
+    if replicas > 1:
+        return value / replicas
     return value
 
 
 def eviction_cost(placement: PlacementState, item: ItemRow, now: float) -> float:
-    """Return requests expected to wait if a copy goes for the sake of waiting ones."""
+    """Return requests expected to wait if a replica goes for the sake of waiting ones."""
     rate = expected_rate(placement, item, now)
     asked_again = 1.0 - math.exp(-rate * placement.config.urgent_horizon_s)
     cost = asked_again * (1.0 + rate * placement.expected_return_s(item))
-    if item.serving > 1:
+    if item.ready > 1:
         cost *= SURPLUS_WEIGHT
     return cost * WEIGHT_BY_STAKE[item.stake]
--- a/src/zincvale/controlplane/placement/servers.py
+++ b/src/zincvale/controlplane/placement/servers.py
@@ -18,7 +18,7 @@
     """How a holding is counted in its item's row."""
 
     NOTHING = "nothing"
-    SERVING = "serving"
+    READY = "ready"
     LOADING = "loading"
 
 
@@ -122,8 +122,8 @@
         return not self.drained and not self.zone_evacuated
 
     @property
-    def serving(self) -> bool:
-        """Whether its copies can serve requests."""
+    def is_serving(self) -> bool:
+        """Whether its replicas can serve requests."""
         return self.in_service and self.health is not ServerHealth.DOWN
 
     def headroom_bytes(self, config: PlacementConfig, kv_bytes: int) -> int:
--- a/src/zincvale/controlplane/placement/state.py
+++ b/src/zincvale/controlplane/placement/state.py
@@ -80,12 +80,12 @@
     server_by_address : servers in the directory.
     prefetches : what is known of fetching ahead, by pool.
     watched : servers whose next status matters (orders in flight, or not confirmed).
-    undeclared : copies that no resource declares, with the time they were found.
-    unplaced : wanted items for which no server was found; looked at again when
+    undeclared : replicas that no resource declares, with the time they were found.
+    unplaced : desired items for which no server was found; looked at again when
         `capacity_appeared`.
     dependents : the load that waits for an unload.
     draining : servers out of service, with the time of their next check.
-    undeclared_due : the same copies in the order in which their grace ends.
+    undeclared_due : the same replicas in the order in which their grace ends.
     changed_moves : moves whose rows are to be published.
     """
 
@@ -160,9 +160,9 @@
             item.review_at = at
             heapq.heappush(self.review_timers, (at, item.key))
 
-    # Copies
+    # Replicas
 
-    def coming_copies(self, item: ItemRow) -> int:
+    def pending_replicas(self, item: ItemRow) -> int:
         """Return loads that are planned or in flight on servers in service."""
         return item.loading + len(item.planned)
 
@@ -174,9 +174,7 @@
         item = self.items.get(key)
         if item is None:
             return
-        item.serving += (counted_as is CountedAs.SERVING) - (
-            replica.counted_as is CountedAs.SERVING
-        )
+        item.ready += (counted_as is CountedAs.READY) - (replica.counted_as is CountedAs.READY)
         item.loading += (counted_as is CountedAs.LOADING) - (
             replica.counted_as is CountedAs.LOADING
         )
@@ -234,7 +232,7 @@
         return store.bytes_per_second if store else 1
 
     def running_on(self, server: ServerState, key: ItemKey) -> int:
-        """Return requests that nodes reported as running on a copy."""
+        """Return requests that nodes reported as running on a replica."""
         return self.running.get((server.server, key), 0)
 
     # Holdings
@@ -268,7 +266,7 @@
         item = self.items.get(key)
         if item is not None:
             item.holders.pop(server.server, None)
-            item.serving -= replica.counted_as is CountedAs.SERVING
+            item.ready -= replica.counted_as is CountedAs.READY
             item.loading -= replica.counted_as is CountedAs.LOADING
         self.remove_undeclared(key, server.server)
         self.index_free(server)
@@ -277,7 +275,7 @@
             self.queue_adapters(item)
 
     def resize_replica(self, server: ServerState, replica: Replica, item: ItemRow) -> None:
-        """Count a copy with the sizes that are declared now."""
+        """Count a replica with the sizes that are declared now."""
         server.held_bytes += item.weight_bytes - replica.item_bytes
         server.held_kv_bytes += item.kv_bytes - replica.kv_bytes
         replica.item_bytes = item.weight_bytes
@@ -285,23 +283,23 @@
         self.index_free(server)
 
     def add_undeclared(self, key: ItemKey, server_id: ServerId, now: float) -> None:
-        """Note a copy that no resource declares; it is unloaded after a grace."""
+        """Note a replica that no resource declares; it is unloaded after a grace."""
         self.undeclared.setdefault(key, {})[server_id] = now
         self.undeclared_due.append((now + self.config.undeclared_grace_s, server_id, key))
 
     def remove_undeclared(self, key: ItemKey, server_id: ServerId) -> None:
-        """Take a copy off the list of undeclared ones."""
-        copies = self.undeclared.get(key)
-        if copies is None:
+        """Take a replica off the list of undeclared ones."""
+        replicas = self.undeclared.get(key)
+        if replicas is None:
             return
-        copies.pop(server_id, None)
-        if not copies:
+        replicas.pop(server_id, None)
+        if not replicas:
             del self.undeclared[key]
 
     def set_closing(
         self, server: ServerState, key: ItemKey, replica: Replica, closing: bool
     ) -> None:
-        """Have nodes send nothing new to a copy, or send again."""
+        """Have nodes send nothing new to a replica, or send again."""
         if replica.closing != closing:
             replica.closing = closing
             self.recount(server, key, replica)
@@ -366,10 +364,10 @@
 
 
 def _counted_as(server: ServerState, replica: Replica) -> CountedAs:
-    if not server.serving:
+    if not server.is_serving:
         return CountedAs.NOTHING
     if replica.state is ReplicaState.LOADING:
         return CountedAs.LOADING
     if replica.state is ReplicaState.LOADED and not replica.closing:
-        return CountedAs.SERVING
+        return CountedAs.READY
     return CountedAs.NOTHING
--- a/src/zincvale/daemons/forwarding_placement.py
+++ b/src/zincvale/daemons/forwarding_placement.py
@@ -29,7 +29,7 @@
         closing_wait_s=0.0,
         min_residency_s=0.5,
         servers_guard_unloads=True,
-        adapters_add_copies=True,
+        adapters_add_replicas=True,
         crowds_count_as_waiting=True,
         fill_free_memory=False,
         urgent_horizon_s=20.0,
--- a/tests/controlplane/placement/test_options.py
+++ b/tests/controlplane/placement/test_options.py
@@ -90,8 +90,8 @@
 class AdapterSlotsTest(testtools.TestCase):
     ADAPTERS = ("a1", "a2", "a3")
 
-    def copies(self, adapters_add_copies: bool) -> int:
-        config = attrs.evolve(SHORT_DAY, adapters_add_copies=adapters_add_copies)
+    def copies(self, adapters_add_replicas: bool) -> int:
+        config = attrs.evolve(SHORT_DAY, adapters_add_replicas=adapters_add_replicas)
         adapters = dict.fromkeys(self.ADAPTERS, "base")
         driver = driver_of(config, {"base": 8}, servers=3, adapters=adapters)
         pools = {"chat": PoolSpec(max_concurrent_per_server=16, adapter_slots=2)}
@@ -105,10 +105,10 @@
         return sum("base" in row.models for row in driver.rows.values())
 
     def test_adapters_that_do_not_fit_bring_another_copy(self):
-        self.assertEqual(2, self.copies(adapters_add_copies=True))
+        self.assertEqual(2, self.copies(adapters_add_replicas=True))
 
     def test_without_the_option_one_copy_stays(self):
-        self.assertEqual(1, self.copies(adapters_add_copies=False))
+        self.assertEqual(1, self.copies(adapters_add_replicas=False))
 
 
 class SerialOrdersTest(testtools.TestCase):
