--- a/src/zincvale/bench/tracing_bench.py
+++ b/src/zincvale/bench/tracing_bench.py
@@ -156,7 +156,7 @@
         print(
             f"  really allocated {measured / 1e6:.1f} MB, budget {budget / 1e6:.1f} MB (two nodes)"
         )
-        print(f"  dropped at the senders: {dict(service.sender.counts.dropped)}")
+        print(f"  dropped at the senders: {dict(service.sender.stats.dropped)}")
         print(f"  counted overhead of a chunk: {ROW_OVERHEAD_BYTES} bytes")
 
     def crash(self, seeds: int = 10, nodes: int = 8, per_second: int = 80) -> None:
@@ -226,7 +226,7 @@
     if crashed:
         fleet.at(begin + 30.0 + draw.random(), lambda: fleet.crash(fleet.pick().member_id))
     fleet.run_until(begin + 200.0)
-    return sum(fleet.kept_anywhere(trace_id) for trace_id in failed), len(failed)
+    return sum(fleet.is_retained_anywhere(trace_id) for trace_id in failed), len(failed)
 
 
 def _spread(values: list[float]) -> str:
--- a/src/zincvale/bench/tracing_fleet.py
+++ b/src/zincvale/bench/tracing_fleet.py
@@ -98,7 +98,7 @@
         """Return a service that takes requests, drawn from the seed."""
         return self.services[self._random.choice(sorted(set(self.services) - self.leaving))]
 
-    def kept_anywhere(self, trace_id: TraceId) -> bool:
+    def is_retained_anywhere(self, trace_id: TraceId) -> bool:
         """Whether a live member keeps the trace."""
         return any(service.store.get(trace_id) for service in self.services.values())
 
--- a/src/zincvale/bench/tracing_node.py
+++ b/src/zincvale/bench/tracing_node.py
@@ -52,7 +52,7 @@
     def apply_members(self, members: Any) -> None:
         """Take the members, and the share of the target that a fleet leaves to one node."""
         TracingService.apply_members(self, members)
-        self.recorder.share_target(FLEET_NODES)
+        self.recorder.divide_target(FLEET_NODES)
 
 
 @attrs.define(eq=False)
--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -204,4 +204,4 @@
 
 
 def _ignore_request(handler: Any) -> None:
-    """Write no access log: the record is kept by traces."""
+    """Write no access log: traces record each request."""
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -346,4 +346,4 @@
 
 
 def _ignore_request(handler: Any) -> None:
-    """Write no access log: the record is kept by traces."""
+    """Write no access log: traces record each request."""
--- a/src/zincvale/daemons/forwarding_node.py
+++ b/src/zincvale/daemons/forwarding_node.py
@@ -31,6 +31,7 @@
 from zincvale.runtime.listening import listen
 from zincvale.runtime.logs import log
 from zincvale.runtime.settings import DaemonSettings
+from zincvale.tracing.api.http import trace_api_routes
 from zincvale.tracing.config import TracingConfig
 from zincvale.tracing.service import TracingService
 
@@ -126,7 +127,7 @@
 
     def _own_routes(self) -> list[Any]:
         ready = (self._forwarding.ready_path, _ReadyHandler, {"node": self})
-        return [ready, *self._tracing.http_routes()]
+        return [ready, *trace_api_routes(self._tracing)]
 
     def _build_services(self, dialect: ForwardingDialect) -> None:
         settings, forwarding = self._settings, self._forwarding
@@ -255,4 +256,4 @@
 
 
 def _ignore_request(handler: Any) -> None:
-    """Write no access log: the record is kept by traces."""
+    """Write no access log: traces record each request."""
--- a/src/zincvale/daemons/node_daemon.py
+++ b/src/zincvale/daemons/node_daemon.py
@@ -28,6 +28,7 @@
 from zincvale.runtime.incarnation import new_incarnation
 from zincvale.runtime.logs import log
 from zincvale.runtime.settings import DaemonSettings
+from zincvale.tracing.api.http import trace_api_routes
 from zincvale.tracing.metrics import register_metrics
 from zincvale.tracing.service import TracingService
 
@@ -76,7 +77,7 @@
 
     def run(self) -> None:
         """Serve until told to stop; then drain."""
-        routes = [*self._tracing.http_routes(), *self._service.http_routes()]
+        routes = [*trace_api_routes(self._tracing), *self._service.http_routes()]
         self.process.listen(Application(routes, log_function=_ignore_request))
         self._ticker.start()
         self.process.run(Drain(self._start_draining, self._is_drained, DRAIN_LIMIT_S))
@@ -214,4 +215,4 @@
 
 
 def _ignore_request(handler: Any) -> None:
-    """Write no access log: the record is kept by traces."""
+    """Write no access log: traces record each request."""
--- a/src/zincvale/tracing/api/estimates.py
+++ b/src/zincvale/tracing/api/estimates.py
@@ -1,8 +1,8 @@
-"""Statistics of all traces, drawn from the kept ones by their weights.
+"""Statistics of all traces, drawn from the retained ones by their weights.
 
-A kept trace stands for `weight` traces: the inverse of its probability of being kept
-(Horvitz-Thompson). Unweighted figures of kept traces say nothing of the whole: errors and slow
-traces are kept far more often than others.
+A retained trace stands for `weight` traces: the inverse of its probability of being retained
+(Horvitz-Thompson). Unweighted figures of retained traces say nothing of all: errors and slow
+traces are retained far more often than others.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 @attrs.frozen
 class Estimate:
-    """What the kept traces say of all traces.
+    """What the retained traces say of all traces.
 
     Attributes
     ----------
-    kept : kept traces that carry a weight.
+    kept : retained traces that carry a weight; the field names are JSON keys of the trace API.
     total : estimated number of all traces.
     errors : estimated number of those with an ERROR.
     mean_ms : estimated mean duration of the roots; 0.0 without any.
@@ -36,7 +36,7 @@
 
 
 def estimate(summaries: Iterable[Mapping[str, Any]]) -> Estimate:
-    """Return the estimate from `KeptTrace.summary` rows; rows without a weight are left out."""
+    """Return the estimate from `RetainedTrace.summary` rows; rows without a weight are left out."""
     kept = 0
     total = errors = timed = weighted_ms = 0.0
     for row in summaries:
--- a/src/zincvale/tracing/api/explain.py
+++ b/src/zincvale/tracing/api/explain.py
@@ -1,4 +1,4 @@
-"""Why a request landed where it did, in plain words, from its trace."""
+"""Why a request was routed where it was, in plain sentences, from its trace."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 WALL_CLOCK_DIGITS = 5
 """Seconds since the epoch are exact to a few tenths of a microsecond."""
 FIRST = 0
-"""What ends stands before what it brings about, when both have the same time."""
+"""An end is listed before what it causes, when both have the same time."""
 LAST = 1
 
 _CLAIM_MEANING = {
@@ -33,7 +33,7 @@
 
 
 def explain(trace: dict[str, Any]) -> str:
-    """Return what became of a request and why, as the trace API's `trace` tells it."""
+    """Return what became of a request and why, from a trace as the trace API returns it."""
     spans = sorted(trace["spans"], key=lambda span: float(span["start"]))
     lines = [_arrival(trace, spans)]
     for moment, sentence in _story(spans):
@@ -59,8 +59,10 @@
     attributes = root["attributes"]
     if root["name"] == ORDER_SPAN:
         return _order(request, root)
-    wanted = [f"{name} {attributes[name]}" for name in ("model", "adapter") if attributes.get(name)]
-    asking = f", asking for {' and '.join(wanted)}" if wanted else ""
+    targets = [
+        f"{name} {attributes[name]}" for name in ("model", "adapter") if attributes.get(name)
+    ]
+    asking = f", asking for {' and '.join(targets)}" if targets else ""
     return (
         f"Request {request} came to {root['member']}{route} at {wall_time(root['start'])}{asking}."
     )
@@ -82,30 +84,32 @@
     if not spans:
         return []
     begin = spans[0]["start"]
-    told: list[tuple[float, int, str]] = []
+    entries: list[tuple[float, int, str]] = []
     for span in spans:
         since_begin = span["start"] - begin
-        told += [(since_begin + offset, order, text) for offset, order, text in _span_story(span)]
-    told.sort(key=lambda entry: (round(entry[0], WALL_CLOCK_DIGITS), entry[1]))
-    return [(f"+{at * MS_PER_S:,.1f} ms", sentence) for at, _, sentence in told]
+        entries += [
+            (since_begin + offset, order, text) for offset, order, text in _span_story(span)
+        ]
+    entries.sort(key=lambda entry: (round(entry[0], WALL_CLOCK_DIGITS), entry[1]))
+    return [(f"+{at * MS_PER_S:,.1f} ms", sentence) for at, _, sentence in entries]
 
 
 def _span_story(span: dict[str, Any]) -> list[tuple[float, int, str]]:
     """Return (time since the span's start, order at equal times, sentence)."""
-    told = [(event["offset_s"], LAST, _event_sentence(event)) for event in span["events"]]
+    entries = [(event["offset_s"], LAST, _event_sentence(event)) for event in span["events"]]
     duration_s = span["duration_ms"] / MS_PER_S
     end = FIRST if duration_s > 0.0 else LAST
     attributes = span["attributes"]
     if span["name"] == DISPATCH_SPAN:
         server = attributes.get("server", "a server")
         attempt = attributes.get("attempt", 1)
-        told.append((0.0, LAST, f"Attempt {attempt} was sent to {server}."))
-        told.append((duration_s, end, f"Attempt {attempt} at {server} {_end_of(span)}."))
+        entries.append((0.0, LAST, f"Attempt {attempt} was sent to {server}."))
+        entries.append((duration_s, end, f"Attempt {attempt} at {server} {_end_of(span)}."))
     elif span["name"] == HOLD_SPAN:
-        told.append((duration_s, end, f"It was held for {milliseconds(span['duration_ms'])}."))
+        entries.append((duration_s, end, f"It was held for {milliseconds(span['duration_ms'])}."))
     elif span["parent_id"]:
-        told.append((duration_s, end, f"{span['name']} on {span['member']} {_end_of(span)}."))
-    return told
+        entries.append((duration_s, end, f"{span['name']} on {span['member']} {_end_of(span)}."))
+    return entries
 
 
 def _end_of(span: dict[str, Any]) -> str:
@@ -116,9 +120,9 @@
 
 
 def _event_sentence(event: dict[str, Any]) -> str:
-    tell = _SENTENCE_BY_EVENT.get(event["name"])
-    if tell is not None:
-        return tell(event["attributes"])
+    to_sentence = _SENTENCE_BY_EVENT.get(event["name"])
+    if to_sentence is not None:
+        return to_sentence(event["attributes"])
     details = ", ".join(f"{name} {value}" for name, value in sorted(event["attributes"].items()))
     return f"{event['name']}: {details}." if details else f"{event['name']}."
 
@@ -162,10 +166,10 @@
 
 
 def _journal(attributes: dict[str, Any]) -> str:
-    pieces = int(attributes.get("pieces", -1))
-    if pieces < 0:
+    chunk_count = int(attributes.get("pieces", -1))
+    if chunk_count < 0:
         return "No journal of an earlier part of the stream was found."
-    return f"The journal held {pieces} pieces of the stream."
+    return f"The journal held {chunk_count} pieces of the stream."
 
 
 def _first_event(attributes: dict[str, Any]) -> str:
@@ -201,11 +205,11 @@
     server = f" by {attributes['server']}" if attributes.get("server") else ""
     reason = f" ({attributes['reason']})" if attributes.get("reason") else ""
     held_ms = attributes.get("held_ms")
-    held = f", of which {milliseconds(float(held_ms))} on hold" if held_ms else ""
+    on_hold = f", of which {milliseconds(float(held_ms))} on hold" if held_ms else ""
     retries = attributes.get("retries")
     tries = f", retries: {retries}" if retries else ""
     duration = milliseconds(root["duration_ms"])
-    return f"Outcome: {outcome}{server}{reason} after {duration}{held}{tries}."
+    return f"Outcome: {outcome}{server}{reason} after {duration}{on_hold}{tries}."
 
 
 def _keeping(trace: dict[str, Any]) -> str:
--- a/src/zincvale/tracing/api/http.py
+++ b/src/zincvale/tracing/api/http.py
@@ -20,13 +20,13 @@
     """Base of the handlers: JSON out, typed errors out."""
 
     def initialize(self, service: TracingService) -> None:
-        """Take the service to answer from."""
+        """Set the service to respond from."""
         self.service = service
 
-    def respond(self, answer: Callable[[], dict[str, Any]]) -> None:
-        """Write what `answer` returns, or the error it raises."""
+    def respond(self, body_of: Callable[[], dict[str, Any]]) -> None:
+        """Write what `body_of` returns, or the error it raises."""
         try:
-            body = answer()
+            body = body_of()
         except ZincvaleError as error:
             self.set_status(error.http_status)
             body = error.to_json()
@@ -38,7 +38,7 @@
     """`GET /v1/traces?route=&server=&outcome=&policy=&since=&limit=`."""
 
     def get(self) -> None:
-        """Answer with the matching kept traces of this member."""
+        """Respond with the matching retained traces of this member."""
         arguments = {name: self.get_query_argument(name) for name in self.request.query_arguments}
         self.respond(lambda: find_traces(self.service, read_query(arguments)))
 
@@ -47,7 +47,7 @@
     """`GET /v1/traces/ID`."""
 
     def get(self, trace_id: str) -> None:
-        """Answer with one trace."""
+        """Respond with one trace."""
         self.respond(lambda: get_trace(self.service, TraceId(trace_id)))
 
 
@@ -55,11 +55,11 @@
     """`GET /v1/requests/ID/trace`."""
 
     def get(self, request_id: str) -> None:
-        """Answer with the traces of one request."""
+        """Respond with the traces of one request."""
         self.respond(lambda: traces_of_request(self.service, request_id))
 
 
-def http_routes(service: TracingService) -> list[Route]:
+def trace_api_routes(service: TracingService) -> list[Route]:
     """Return the tornado routes of the trace API."""
     arguments = {"service": service}
     return [
--- a/src/zincvale/tracing/api/query.py
+++ b/src/zincvale/tracing/api/query.py
@@ -1,4 +1,4 @@
-"""Answers of the trace API, from what this member keeps and collects."""
+"""Responses of the trace API, from what this member retains and collects."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from zincvale.model.errors import InvalidInputError, NotFoundError
 from zincvale.model.identifiers import TraceId
 from zincvale.tracing.api.estimates import estimate
-from zincvale.tracing.collector.collected_trace import CollectedTrace
+from zincvale.tracing.collector.pending_trace import PendingTrace
 from zincvale.tracing.collector.verdict_cache import DROPPED
 from zincvale.tracing.recorder.spans import decode_spans, subject_of
 from zincvale.tracing.retention.retained_store import TraceQuery
@@ -17,7 +17,7 @@
 MAX_LIMIT = 1000
 TEXT_ARGUMENTS = 5
 """So many of the known arguments, from the first on, are text."""
-KEPT_STATE = "kept"
+RETAINED_STATE = "kept"
 PENDING_STATE = "pending"
 """The trace still waits for its verdict."""
 
@@ -37,11 +37,11 @@
 
 
 def find_traces(service: TracingService, query: TraceQuery) -> dict[str, Any]:
-    """Return the kept traces that match, newest first, and the estimate over all of them.
+    """Return the retained traces that match, newest first, and the estimate over all of them.
 
-    The estimate leaves copies out, so that the members' estimates can be added up.
+    The estimate leaves replicas out, so that the members' estimates can be added up.
     """
-    own = (trace for trace in service.store.rows() if trace.holder == service.member_id)
+    own = (trace for trace in service.store.rows() if trace.primary == service.member_id)
     matching = (trace.summary() for trace in own if query.matches(trace))
     return {
         "member": service.member_id,
@@ -53,14 +53,14 @@
 
 
 def get_trace(service: TracingService, trace_id: TraceId) -> dict[str, Any]:
-    """Return one whole trace, kept or still undecided; raises `NotFoundError`."""
-    kept = service.store.get(trace_id)
-    if kept is not None:
-        return {"state": KEPT_STATE, **kept.to_json()}
+    """Return one complete trace, retained or still undecided; raises `NotFoundError`."""
+    retained = service.store.get(trace_id)
+    if retained is not None:
+        return {"state": RETAINED_STATE, **retained.to_json()}
     row = service.collector.pending(trace_id)
     if row is not None:
         return _pending_json(trace_id, row)
-    if service.collector.verdict_holder(trace_id) == DROPPED:
+    if service.collector.primary_of(trace_id) == DROPPED:
         raise NotFoundError(
             f"trace {trace_id} was not kept: no policy asked for it",
             "only errors, slow requests and a share of the others are kept",
@@ -71,7 +71,8 @@
 def traces_of_request(service: TracingService, request_id: str) -> dict[str, Any]:
     """Return the traces of a request's attempts, newest first; raises `NotFoundError`."""
     traces = [
-        {"state": KEPT_STATE, **trace.to_json()} for trace in service.store.by_request(request_id)
+        {"state": RETAINED_STATE, **trace.to_json()}
+        for trace in service.store.by_request(request_id)
     ]
     pending = service.collector.pending_of_request(request_id)
     traces += [_pending_json(row.trace_id, row) for row in pending]
@@ -82,7 +83,7 @@
     return {"member": service.member_id, "traces": traces}
 
 
-def _pending_json(trace_id: TraceId, row: CollectedTrace) -> dict[str, Any]:
+def _pending_json(trace_id: TraceId, row: PendingTrace) -> dict[str, Any]:
     spans = [span for chunk in row.chunks for span in decode_spans(chunk.body)]
     spans.sort(key=lambda span: span.start_wall_s)
     root = next((span for span in spans if span.is_root), None)
--- a/src/zincvale/tracing/chunks.py
+++ b/src/zincvale/tracing/chunks.py
@@ -32,8 +32,8 @@
     error : whether a span in the body has status ERROR.
     root_ms : duration of the root span if it is in the body, else `NO_ROOT_MS`.
     root_open : the root runs on at `origin` while this chunk leaves: wait for more.
-    waited_s : how long a collector already held the chunk before it handed it over.
-    hops : members that passed the chunk on because it belonged to another collector.
+    waited_s : how long a collector already had the chunk before it transferred it.
+    hops : members that forwarded the chunk because it belonged to another collector.
     """
 
     trace_id: TraceId
--- a/src/zincvale/tracing/collector/collector.py
+++ b/src/zincvale/tracing/collector/collector.py
@@ -3,7 +3,8 @@
 Each trace waits a bounded time from its first span, then the policy chain decides on what came.
 Source: "Trace sampling: head, tail, adaptive". Added: open-root markers extend the wait within a
 bound, a verdict cache serves late spans, a late ERROR upgrades a verdict, a full table decides its
-oldest traces early (an ERROR among them is kept), and undecided traces move with the membership.
+oldest traces early (an ERROR among them is retained), and undecided traces move when the members
+change.
 """
 
 from __future__ import annotations
@@ -17,9 +18,13 @@
 from zincvale.model.identifiers import MemberId, TraceId
 from zincvale.model.machine import Log, Send
 from zincvale.tracing.chunks import TraceChunk, encode_chunks
-from zincvale.tracing.collector.backups import BackupTable
-from zincvale.tracing.collector.collected_trace import CollectedTrace, CollectorCounts
-from zincvale.tracing.collector.effects import CollectorEffect, Keep, PassOn, Settle
+from zincvale.tracing.collector.backups import BackupStore
+from zincvale.tracing.collector.effects import (
+    AcknowledgeChunks,
+    CollectorEffect,
+    ForwardChunk,
+    RetainTrace,
+)
 from zincvale.tracing.collector.inputs import (
     BatchReceived,
     DecisionDue,
@@ -27,13 +32,14 @@
     MembersChanged,
     VerdictsReceived,
 )
+from zincvale.tracing.collector.pending_trace import CollectorStats, PendingTrace
 from zincvale.tracing.collector.policies import (
     NO_POLICY,
     Evidence,
-    KeepPolicy,
+    SamplingPolicy,
     Verdict,
     default_chain,
-    judge,
+    evaluate,
 )
 from zincvale.tracing.collector.verdict_cache import DROPPED, VerdictCache
 from zincvale.tracing.config import TracingConfig
@@ -43,14 +49,14 @@
 from zincvale.tracing.recorder.spans import MS_PER_S
 
 OPEN_ROOT_TIMEOUT_S = 16.0
-"""Three open-root markers may be lost before the root counts as gone."""
+"""Three open-root markers may be lost before the root counts as lost."""
 RECHECK_S = 5.0
-"""How often a trace that waits for its root is looked at."""
+"""How often a trace that waits for its root is checked."""
 LATE_WAIT_S = 2.0
-"""Wait of a trace that is judged afresh for a late ERROR."""
+"""Wait of a trace that is evaluated afresh for a late ERROR."""
 MAX_HOPS = 1
-"""A chunk that was passed on is taken where it arrives: two members that disagree on its owner
-(one of them leaves) would pass it to and fro. The next change of members moves it."""
+"""A chunk that was forwarded is accepted where it arrives: two members that disagree on its owner
+(one of them drains) would forward it in a loop. The next change of members moves it."""
 CREDIT_SHARE = 0.9
 """Above this share of the byte budget no more credit is given."""
 BACKUP_SHARE = 0.25
@@ -67,37 +73,39 @@
     member_id: MemberId
     config: TracingConfig
     collectors: CollectorTable
-    chain: Sequence[KeepPolicy] = ()
-    counts: CollectorCounts = attrs.field(factory=CollectorCounts)
+    chain: Sequence[SamplingPolicy] = ()
+    stats: CollectorStats = attrs.field(factory=CollectorStats)
     size_bytes: int = 0
-    _rows: dict[TraceId, CollectedTrace] = attrs.field(factory=dict)
+    _pending: dict[TraceId, PendingTrace] = attrs.field(factory=dict)
     _waiting: deque[TraceId] = attrs.field(factory=deque)
     """New traces: they all wait equally long from their first span, so the first is due first."""
     _due_otherwise: list[tuple[float, TraceId]] = attrs.field(factory=list)
-    """Heap of the traces that wait for another time: handed over, extended, judged afresh."""
-    _settled: dict[MemberId, list[int]] = attrs.field(factory=dict)
+    """Heap of the traces that wait for another time: transferred, extended, evaluated afresh."""
+    _acknowledged: dict[MemberId, list[int]] = attrs.field(factory=dict)
     """Sequences of decided chunks by origin, until the running input is handled."""
     _verdicts: VerdictCache = attrs.field(factory=VerdictCache)
-    _backups: BackupTable = attrs.field(init=False)
+    _backups: BackupStore = attrs.field(init=False)
     _is_full: bool = False
 
     def __attrs_post_init__(self) -> None:
         config = self.config
-        self._backups = BackupTable(
+        self._backups = BackupStore(
             int(config.collector_bytes * BACKUP_SHARE), config.decision_wait_s + BACKUP_MARGIN_S
         )
         if not self.chain:
             self.chain = default_chain(self.config)
 
     def __len__(self) -> int:
-        return len(self._rows)
+        return len(self._pending)
 
     def handle(self, event: Input, now: float) -> list[CollectorEffect]:
         """Apply one input and return what to do; verdicts are reported once for each origin."""
         effects = self._apply(event, now)
-        if self._settled:
-            effects += [Settle(origin, found) for origin, found in self._settled.items()]
-            self._settled = {}
+        if self._acknowledged:
+            effects += [
+                AcknowledgeChunks(origin, found) for origin, found in self._acknowledged.items()
+            ]
+            self._acknowledged = {}
         return effects
 
     def _apply(self, event: Input, now: float) -> list[CollectorEffect]:
@@ -106,10 +114,10 @@
                 if is_backup:
                     return self._handle_backup(chunks, now)
                 return self._handle_batch(chunks, now)
-            case VerdictsReceived(holder, trace_ids):
-                return self._handle_verdicts(holder, trace_ids)
-            case MembersChanged(gone):
-                return self._handle_members(gone, now)
+            case VerdictsReceived(primary, trace_ids):
+                return self._handle_verdicts(primary, trace_ids)
+            case MembersChanged(departed):
+                return self._handle_members(departed, now)
             case DecisionDue():
                 return self._handle_due(now)
 
@@ -121,51 +129,51 @@
             return 0
         return min(share, MAX_GRANT_BYTES)
 
-    def pending(self, trace_id: TraceId) -> CollectedTrace | None:
+    def pending(self, trace_id: TraceId) -> PendingTrace | None:
         """Return an undecided trace, or None."""
-        return self._rows.get(trace_id)
+        return self._pending.get(trace_id)
 
-    def pending_of_request(self, request_id: str) -> list[CollectedTrace]:
+    def pending_of_request(self, request_id: str) -> list[PendingTrace]:
         """Return the undecided traces of a request; walks the table."""
         return [
             row
-            for row in self._rows.values()
+            for row in self._pending.values()
             if any(chunk.request_id == request_id for chunk in row.chunks)
         ]
 
-    def verdict_holder(self, trace_id: TraceId) -> MemberId | None:
-        """Return who keeps a decided trace, `DROPPED`, or None when it is not remembered."""
-        return self._verdicts.holder(trace_id)
+    def primary_of(self, trace_id: TraceId) -> MemberId | None:
+        """Return the primary of a decided trace, `DROPPED`, or None when it is not remembered."""
+        return self._verdicts.primary(trace_id)
 
-    def remember_kept(self, trace_id: TraceId) -> None:
-        """Take it that this member holds the kept trace (as a copy): late spans belong here."""
+    def mark_retained_here(self, trace_id: TraceId) -> None:
+        """Record that this member has a replica of the trace: late spans belong here."""
         self._verdicts.remember(trace_id, self.member_id)
         self._backups.drop(trace_id)
 
     def _handle_batch(self, chunks: list[TraceChunk], now: float) -> list[CollectorEffect]:
         effects: list[CollectorEffect] = []
         for chunk in chunks:
-            effects += self._take(chunk, now)
-        return effects + self._hold_budget(now)
+            effects += self._collect(chunk, now)
+        return effects + self._enforce_budget(now)
 
-    def _take(self, chunk: TraceChunk, now: float) -> list[CollectorEffect]:
-        self.counts.chunks += 1
+    def _collect(self, chunk: TraceChunk, now: float) -> list[CollectorEffect]:
+        self.stats.chunks += 1
         trace_id = chunk.trace_id
-        row = self._rows.get(trace_id)
+        row = self._pending.get(trace_id)
         if row is not None:
             self._add(row, chunk, now)
             return []
-        holder = self._verdicts.holder(trace_id)
-        if holder is not None:
-            return self._take_late(chunk, holder, now)
+        primary = self._verdicts.primary(trace_id)
+        if primary is not None:
+            return self._collect_late(chunk, primary, now)
         if self._belongs_elsewhere(chunk):
-            self.counts.passed_on += 1
-            return [PassOn(attrs.evolve(chunk, hops=chunk.hops + 1))]
+            self.stats.passed_on += 1
+            return [ForwardChunk(attrs.evolve(chunk, hops=chunk.hops + 1))]
         if chunk.waited_s:
-            self._open_row(chunk, now, self.config.decision_wait_s - chunk.waited_s)
+            self._add_pending(chunk, now, self.config.decision_wait_s - chunk.waited_s)
             return []
         self._waiting.append(trace_id)
-        self._rows[trace_id] = row = CollectedTrace(trace_id, now, [])
+        self._pending[trace_id] = row = PendingTrace(trace_id, now, [])
         self._add(row, chunk, now)
         return []
 
@@ -176,18 +184,18 @@
         is_collecting = self.member_id in self.collectors.members
         return not is_collecting or chunk.hops < MAX_HOPS
 
-    def _open_row(self, chunk: TraceChunk, now: float, wait_s: float) -> None:
+    def _add_pending(self, chunk: TraceChunk, now: float, wait_s: float) -> None:
         """Collect a trace that is due at a time of its own."""
-        row = CollectedTrace(chunk.trace_id, now - chunk.waited_s, [])
-        self._rows[chunk.trace_id] = row
+        row = PendingTrace(chunk.trace_id, now - chunk.waited_s, [])
+        self._pending[chunk.trace_id] = row
         due_at = now + max(wait_s, LATE_WAIT_S)
         heapq.heappush(self._due_otherwise, (due_at, chunk.trace_id))
         self._add(row, chunk, now)
 
-    def _add(self, row: CollectedTrace, chunk: TraceChunk, now: float) -> None:
-        for held in row.chunks:
-            if held.sequence == chunk.sequence and held.origin == chunk.origin:
-                self.counts.duplicates += 1
+    def _add(self, row: PendingTrace, chunk: TraceChunk, now: float) -> None:
+        for stored in row.chunks:
+            if stored.sequence == chunk.sequence and stored.origin == chunk.origin:
+                self.stats.duplicates += 1
                 return
         row.chunks.append(chunk)
         self.size_bytes += chunk.size_bytes
@@ -195,40 +203,42 @@
             row.error = True
         if chunk.root_open:
             row.open_until = now + OPEN_ROOT_TIMEOUT_S
-            row.entry = chunk.origin
+            row.ingress = chunk.origin
         elif chunk.root_ms >= 0.0:
             row.root_ms = chunk.root_ms
             row.open_until = 0.0
 
-    def _take_late(self, chunk: TraceChunk, holder: MemberId, now: float) -> list[CollectorEffect]:
-        if holder == self.member_id:
-            self.counts.late_kept += 1
-            return [self._keep_late(chunk, now)]
-        if holder != DROPPED:
+    def _collect_late(
+        self, chunk: TraceChunk, primary: MemberId, now: float
+    ) -> list[CollectorEffect]:
+        if primary == self.member_id:
+            self.stats.late_kept += 1
+            return [self._retain_late(chunk, now)]
+        if primary != DROPPED:
             evidence, bodies = encode_chunks([attrs.evolve(chunk, hops=MAX_HOPS)])
-            return [Send(holder, SpanBatch(0, evidence, bodies))]
+            return [Send(primary, SpanBatch(0, evidence, bodies))]
         if not chunk.error:
-            self.counts.late_dropped += 1
-            self._settle(chunk)
+            self.stats.late_dropped += 1
+            self._acknowledge(chunk)
             return []
-        # The earlier spans are gone, but what failed late is still worth keeping.
-        self.counts.revised += 1
+        # The earlier spans were dropped, but what failed late is still worth retaining.
+        self.stats.revised += 1
         self._verdicts.forget(chunk.trace_id)
-        self._open_row(chunk, now, LATE_WAIT_S)
+        self._add_pending(chunk, now, LATE_WAIT_S)
         return []
 
-    def _keep_late(self, chunk: TraceChunk, now: float) -> Keep:
+    def _retain_late(self, chunk: TraceChunk, now: float) -> RetainTrace:
         verdict = None
         if chunk.error or chunk.root_ms >= 0.0:
             evidence = Evidence(chunk.trace_id, chunk.error, chunk.root_ms, now)
-            verdict = judge(self.chain, evidence)
-        return Keep([chunk], verdict or Verdict(NO_POLICY, 1.0), chunk.error)
+            verdict = evaluate(self.chain, evidence)
+        return RetainTrace([chunk], verdict or Verdict(NO_POLICY, 1.0), chunk.error)
 
     def _handle_due(self, now: float) -> list[CollectorEffect]:
         effects: list[CollectorEffect] = []
         seen_before = now - self.config.decision_wait_s
         while self._waiting:
-            row = self._rows.get(self._waiting[0])
+            row = self._pending.get(self._waiting[0])
             if row is not None and row.first_seen_at > seen_before:
                 break
             effects += self._decide_unless_open(self._waiting.popleft(), now)
@@ -238,103 +248,103 @@
         return effects
 
     def _decide_unless_open(self, trace_id: TraceId, now: float) -> list[CollectorEffect]:
-        row = self._rows.get(trace_id)
+        row = self._pending.get(trace_id)
         if row is None:
             return []
         if self._must_wait(row, now):
-            self.counts.extended += 1
+            self.stats.extended += 1
             heapq.heappush(self._due_otherwise, (now + RECHECK_S, trace_id))
             return []
         return self._decide(row, now)
 
-    def _must_wait(self, row: CollectedTrace, now: float) -> bool:
+    def _must_wait(self, row: PendingTrace, now: float) -> bool:
         if row.open_until <= now:
             return False
         return now - row.first_seen_at < self.config.longest_wait_s
 
-    def _decide(self, row: CollectedTrace, now: float) -> list[CollectorEffect]:
-        del self._rows[row.trace_id]
-        self.counts.decided += 1
-        verdict = judge(self.chain, self._evidence(row, now))
+    def _decide(self, row: PendingTrace, now: float) -> list[CollectorEffect]:
+        del self._pending[row.trace_id]
+        self.stats.decided += 1
+        verdict = evaluate(self.chain, self._evidence(row, now))
         for chunk in row.chunks:
             self.size_bytes -= chunk.size_bytes
             if verdict is None:
-                self._settle(chunk)
+                self._acknowledge(chunk)
         if verdict is None:
             self._verdicts.remember(row.trace_id, DROPPED)
             return []
-        self.counts.kept += 1
+        self.stats.kept += 1
         self._verdicts.remember(row.trace_id, self.member_id)
-        return [Keep(row.chunks, verdict, row.error)]
+        return [RetainTrace(row.chunks, verdict, row.error)]
 
-    def _settle(self, chunk: TraceChunk) -> None:
-        self._settled.setdefault(chunk.origin, []).append(chunk.sequence)
+    def _acknowledge(self, chunk: TraceChunk) -> None:
+        self._acknowledged.setdefault(chunk.origin, []).append(chunk.sequence)
 
-    def _evidence(self, row: CollectedTrace, now: float) -> Evidence:
+    def _evidence(self, row: PendingTrace, now: float) -> Evidence:
         if row.open_until <= 0.0:
             return Evidence(row.trace_id, row.error, row.root_ms, now)
-        # The root runs on, or its member is gone: it took at least as long as it was seen to.
+        # The root runs on, or its member departed: it took at least as long as was observed.
         seen_ms = (min(row.open_until, now) - row.first_seen_at) * MS_PER_S
-        entry_is_lost = row.entry not in self.collectors.everyone
-        return Evidence(row.trace_id, row.error, seen_ms, now, entry_is_lost)
+        is_ingress_lost = row.ingress not in self.collectors.live_members
+        return Evidence(row.trace_id, row.error, seen_ms, now, is_ingress_lost)
 
-    def _hold_budget(self, now: float) -> list[CollectorEffect]:
+    def _enforce_budget(self, now: float) -> list[CollectorEffect]:
         """Decide the oldest traces early: dropping new ones would lose ERRORs that come."""
         effects: list[CollectorEffect] = []
         was_full = self._is_full
         self._is_full = False
-        while self._rows and self._is_over_budget():
-            effects += self._decide(next(iter(self._rows.values())), now)
-            self.counts.decided_early += 1
+        while self._pending and self._is_over_budget():
+            effects += self._decide(next(iter(self._pending.values())), now)
+            self.stats.decided_early += 1
             self._is_full = True
         if self._is_full and not was_full:
-            effects.append(Log(COLLECTOR_FULL, {"decided_early": self.counts.decided_early}))
+            effects.append(Log(COLLECTOR_FULL, {"decided_early": self.stats.decided_early}))
         return effects
 
     def _is_over_budget(self) -> bool:
         return (
             self.size_bytes > self.config.collector_bytes
-            or len(self._rows) > self.config.num_traces
+            or len(self._pending) > self.config.num_traces
         )
 
-    def _handle_members(self, gone: frozenset[MemberId], now: float) -> list[CollectorEffect]:
-        self._verdicts.forget_holders(gone)
-        effects = self._handle_batch(self._backups.take_of(gone), now)
+    def _handle_members(self, departed: frozenset[MemberId], now: float) -> list[CollectorEffect]:
+        self._verdicts.forget_primaries(departed)
+        effects = self._handle_batch(self._backups.take_of(departed), now)
         moved = [
             (trace_id, row)
-            for trace_id, row in self._rows.items()
+            for trace_id, row in self._pending.items()
             if self.collectors.owner(trace_id) not in (None, self.member_id)
         ]
         for trace_id, row in moved:
-            effects += self._hand_over(trace_id, row, now)
+            effects += self._transfer(trace_id, row, now)
         if moved:
             effects.append(Log(TRACES_HANDED_OVER, {"traces": len(moved)}))
-        return effects + self._move_verdicts()
+        return effects + self._announce_moved_verdicts()
 
-    def _hand_over(
-        self, trace_id: TraceId, row: CollectedTrace, now: float
-    ) -> list[CollectorEffect]:
-        del self._rows[trace_id]
+    def _transfer(self, trace_id: TraceId, row: PendingTrace, now: float) -> list[CollectorEffect]:
+        del self._pending[trace_id]
         waited_s = now - row.first_seen_at
         effects: list[CollectorEffect] = []
         for chunk in row.chunks:
             self.size_bytes -= chunk.size_bytes
-            effects.append(PassOn(attrs.evolve(chunk, waited_s=waited_s, hops=MAX_HOPS)))
+            effects.append(ForwardChunk(attrs.evolve(chunk, waited_s=waited_s, hops=MAX_HOPS)))
         return effects
 
-    def _move_verdicts(self) -> list[CollectorEffect]:
-        """Tell new owners which kept traces stay here, so that late spans find them."""
+    def _announce_moved_verdicts(self) -> list[CollectorEffect]:
+        """Notify new owners which retained traces stay here, so that late spans find them."""
         moved: dict[MemberId, list[str]] = {}
-        for trace_id in self._verdicts.kept_by(self.member_id):
+        for trace_id in self._verdicts.retained_by(self.member_id):
             owner = self.collectors.owner(trace_id)
             if owner not in (None, self.member_id):
                 moved.setdefault(owner, []).append(trace_id)
         return [Send(owner, VerdictsMoved(trace_ids)) for owner, trace_ids in moved.items()]
 
-    def _handle_verdicts(self, holder: MemberId, trace_ids: list[TraceId]) -> list[CollectorEffect]:
+    def _handle_verdicts(
+        self, primary: MemberId, trace_ids: list[TraceId]
+    ) -> list[CollectorEffect]:
         for trace_id in trace_ids:
-            if self._verdicts.holder(trace_id) is None and trace_id not in self._rows:
-                self._verdicts.remember(trace_id, holder)
+            if self._verdicts.primary(trace_id) is None and trace_id not in self._pending:
+                self._verdicts.remember(trace_id, primary)
         return []
 
     def _handle_backup(self, chunks: list[TraceChunk], now: float) -> list[CollectorEffect]:
--- a/src/zincvale/tracing/collector/effects.py
+++ b/src/zincvale/tracing/collector/effects.py
@@ -11,10 +11,10 @@
 
 
 @attrs.frozen
-class Keep:
-    """The chain keeps this trace: store its chunks under `verdict` (or add them to what is kept).
+class RetainTrace:
+    """The chain retains this trace: store its chunks under `verdict`, or add them to its row.
 
-    Whoever stores them also settles them, once they are safe.
+    Whoever stores them also acknowledges them, once they are safe.
     `is_error` says that the trace stands for itself alone (see `policies.weight`).
     """
 
@@ -24,18 +24,18 @@
 
 
 @attrs.frozen
-class PassOn:
-    """The chunk belongs to another collector: send it there, with credit and retries."""
+class ForwardChunk:
+    """The chunk belongs to another collector: send it there, with flow control and retries."""
 
     chunk: TraceChunk
 
 
 @attrs.frozen
-class Settle:
-    """Tell the origin of these chunks that their trace is decided."""
+class AcknowledgeChunks:
+    """Report to the origin of these chunks that their trace is decided."""
 
     origin: MemberId
     sequences: list[int]
 
 
-CollectorEffect = Keep | PassOn | Settle | Send | Log
+CollectorEffect = RetainTrace | ForwardChunk | AcknowledgeChunks | Send | Log
--- a/src/zincvale/tracing/collector/inputs.py
+++ b/src/zincvale/tracing/collector/inputs.py
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class BatchReceived:
-    """Input: chunks came; `is_backup` ones are only held for their origin's crash."""
+    """Input: chunks arrived; `is_backup` ones are only stored for their origin's crash."""
 
     chunks: list[TraceChunk]
     is_backup: bool = False
@@ -18,17 +18,17 @@
 
 @attrs.frozen
 class VerdictsReceived:
-    """Input: `holder` keeps these traces, which belong here now."""
+    """Input: `primary` retains these traces, whose hash owner is this member now."""
 
-    holder: MemberId
+    primary: MemberId
     trace_ids: list[TraceId]
 
 
 @attrs.frozen
 class MembersChanged:
-    """Input: the collector table was changed; `gone` left, or restarted without their memory."""
+    """Input: the collector table changed; `departed` left, or restarted without their memory."""
 
-    gone: frozenset[MemberId]
+    departed: frozenset[MemberId]
 
 
 @attrs.frozen
--- a/src/zincvale/tracing/collector/collected_trace.py
+++ b/src/zincvale/tracing/collector/pending_trace.py
@@ -9,13 +9,13 @@
 
 
 @attrs.define(slots=True, eq=False)
-class CollectedTrace:
+class PendingTrace:
     """One undecided trace.
 
     Attributes
     ----------
     open_until : the root runs on at least until then, as its last marker says; 0.0 for none.
-    entry : the member whose root is open.
+    ingress : the member whose root is open.
     """
 
     trace_id: TraceId
@@ -24,11 +24,11 @@
     error: bool = False
     root_ms: float = NO_ROOT_MS
     open_until: float = 0.0
-    entry: MemberId = MemberId("")
+    ingress: MemberId = MemberId("")
 
 
 @attrs.define(slots=True)
-class CollectorCounts:
+class CollectorStats:
     """Totals since the start, for metrics."""
 
     chunks: int = 0
--- a/src/zincvale/tracing/collector/policies.py
+++ b/src/zincvale/tracing/collector/policies.py
@@ -1,4 +1,4 @@
-"""The ordered keep-or-abstain chain: each policy keeps or abstains, the first keep wins.
+"""The ordered chain of sampling policies: each retains or abstains, the first that retains wins.
 
 Source: "Trace sampling: head, tail, adaptive". Changed: the chain reads evidence instead of spans,
 the root is the span without a parent instead of the longest one, and the baseline is drawn from the
@@ -18,76 +18,76 @@
 from zincvale.tracing.recorder.limiter import MAX_RATE, AdaptiveLimiter
 
 ERROR_POLICY = "errors-always"
-ENTRY_LOST_POLICY = "entry-lost"
+INGRESS_LOST_POLICY = "entry-lost"
 SLOW_POLICY = "slow-always"
 BASELINE_POLICY = "random-baseline"
 NO_POLICY = ""
-"""Stands for late spans that are added to a kept trace without a reason of their own."""
+"""Stands for late spans that are added to a retained trace without a reason of their own."""
 CERTAIN = 1.0
 
 
 @attrs.define(slots=True)
 class Evidence:
-    """What is known of a trace when the chain is asked."""
+    """What is known of a trace when the chain is evaluated."""
 
     trace_id: TraceId
     error: bool = False
     root_ms: float = -1.0
     """Duration of the root; negative while it is not known."""
     at: float = 0.0
-    """When the chain is asked, in seconds on the collector's monotonic clock."""
-    entry_is_lost: bool = False
-    """The member that held the root went away while it was open."""
+    """When the chain is evaluated, in seconds on the collector's monotonic clock."""
+    is_ingress_lost: bool = False
+    """The member that had the root departed while it was open."""
 
 
 @attrs.frozen(slots=True)
 class Verdict:
-    """Which policy keeps the trace, and its probability of keeping one with this evidence."""
+    """Which policy retains the trace, and its probability of retaining one with this evidence."""
 
     policy: str
     probability: float
 
 
-class KeepPolicy(Protocol):
+class SamplingPolicy(Protocol):
     """One policy of the chain."""
 
-    def judge(self, evidence: Evidence) -> Verdict | None:
-        """Keep, or abstain with None."""
+    def evaluate(self, evidence: Evidence) -> Verdict | None:
+        """Return the verdict, or None to abstain."""
         ...
 
 
 @attrs.frozen(slots=True)
 class ErrorsAlways:
-    """Keeps every trace that has a span with status ERROR."""
+    """Retains every trace that has a span with status ERROR."""
 
-    def judge(self, evidence: Evidence) -> Verdict | None:
-        """Keep, or abstain with None."""
+    def evaluate(self, evidence: Evidence) -> Verdict | None:
+        """Return the verdict, or None to abstain."""
         return Verdict(ERROR_POLICY, CERTAIN) if evidence.error else None
 
 
 @attrs.frozen(slots=True)
-class EntryLost:
-    """Keeps every trace whose root was open on a member that went away."""
+class IngressNodeLost:
+    """Retains every trace whose root was open on an ingress node that departed."""
 
-    def judge(self, evidence: Evidence) -> Verdict | None:
-        """Keep, or abstain with None."""
-        return Verdict(ENTRY_LOST_POLICY, CERTAIN) if evidence.entry_is_lost else None
+    def evaluate(self, evidence: Evidence) -> Verdict | None:
+        """Return the verdict, or None to abstain."""
+        return Verdict(INGRESS_LOST_POLICY, CERTAIN) if evidence.is_ingress_lost else None
 
 
 @attrs.frozen(slots=True)
 class SlowAlways:
-    """Keeps every trace whose root took longer than `threshold_ms`."""
+    """Retains every trace whose root took longer than `threshold_ms`."""
 
     threshold_ms: float
 
-    def judge(self, evidence: Evidence) -> Verdict | None:
-        """Keep, or abstain with None."""
+    def evaluate(self, evidence: Evidence) -> Verdict | None:
+        """Return the verdict, or None to abstain."""
         return Verdict(SLOW_POLICY, CERTAIN) if evidence.root_ms > self.threshold_ms else None
 
 
 @attrs.frozen(slots=True)
 class RandomBaseline:
-    """Keeps a share of all traces, by a hash that is independent of the head decision.
+    """Retains a share of all traces, by a hash that is independent of the head decision.
 
     The share falls as ordinary traces grow more frequent, down to the limiter's least rate: while
     there is little traffic, every request can be explained.
@@ -95,40 +95,40 @@
 
     limiter: AdaptiveLimiter
 
-    def judge(self, evidence: Evidence) -> Verdict | None:
-        """Keep, or abstain with None."""
+    def evaluate(self, evidence: Evidence) -> Verdict | None:
+        """Return the verdict, or None to abstain."""
         drawn = xxhash.xxh64_intdigest(evidence.trace_id.encode())
         if not self.limiter.decide(drawn, evidence.at):
             return None
         return Verdict(BASELINE_POLICY, self.limiter.rate)
 
 
-def default_chain(config: TracingConfig) -> tuple[KeepPolicy, ...]:
-    """Return the chain of the design: errors (with lost entries), slow roots, baseline."""
+def default_chain(config: TracingConfig) -> tuple[SamplingPolicy, ...]:
+    """Return the chain of the design: errors, lost ingress nodes, slow roots, baseline."""
     baseline = AdaptiveLimiter(config.baseline_traces_per_s, MAX_RATE, config.baseline_share)
     if not config.baseline_traces_per_s:
         baseline.set_rate(config.baseline_share)
     return (
         ErrorsAlways(),
-        EntryLost(),
+        IngressNodeLost(),
         SlowAlways(config.slow_root_ms),
         RandomBaseline(baseline),
     )
 
 
-def judge(chain: Sequence[KeepPolicy], evidence: Evidence) -> Verdict | None:
-    """Return the first keep of the chain, or None when every policy abstains."""
+def evaluate(chain: Sequence[SamplingPolicy], evidence: Evidence) -> Verdict | None:
+    """Return the first verdict of the chain, or None when every policy abstains."""
     for policy in chain:
-        verdict = policy.judge(evidence)
+        verdict = policy.evaluate(evidence)
         if verdict is not None:
             return verdict
     return None
 
 
 def weight(verdict: Verdict, head_probability: float, is_error: bool) -> float:
-    """Return how many traces a kept one stands for: 1 / probability of it being kept.
+    """Return how many traces a retained one stands for: 1 / probability of its retention.
 
-    Every ERROR trace is kept, sampled or promoted, so it stands for itself alone. A trace whose
+    Every ERROR trace is retained, sampled or promoted, so it stands for itself alone. A trace whose
     head probability is not known gets 0.0, which leaves it out of statistics.
     """
     if is_error:
--- a/src/zincvale/tracing/config.py
+++ b/src/zincvale/tracing/config.py
@@ -26,9 +26,9 @@
     """Bound of the wait while open-root markers come."""
     slow_root_ms: float = 500.0
     baseline_share: float = 0.01
-    """Least share of ordinary traces that a collector keeps."""
+    """Least share of ordinary traces that a collector retains."""
     baseline_traces_per_s: float = 10.0
-    """Ordinary traces a second that a collector keeps as long as the share allows; 0 keeps just
+    """Ordinary traces a second that a collector retains as long as the share allows; 0 means just
     the share."""
     num_traces: int = 200_000
     """Most undecided traces in one collector."""
@@ -37,9 +37,10 @@
     sender_bytes: int = 32 * MEBIBYTE
     """Most bytes queued for collectors, or retained until their verdict."""
     kept_bytes: int = 64 * MEBIBYTE
+    """Most bytes of retained traces in one member, replicas included."""
     kept_s: float = 24 * 3600.0
-    """Longest retention of a kept trace."""
+    """Longest retention of a retained trace."""
     open_bytes: int = 16 * MEBIBYTE
     """Most bytes of ended spans whose trace is not flushed or dropped yet."""
     copy_errors: bool = True
-    """Whether kept ERROR traces are copied to a second member."""
+    """Whether retained ERROR traces are replicated to a second member."""
--- a/src/zincvale/tracing/log_events.py
+++ b/src/zincvale/tracing/log_events.py
@@ -22,8 +22,8 @@
     "tracing.traces.handed-over",
     "Undecided traces moved to their new collectors after a change of members.",
 )
-KEPT_EVICTED = declare(
+RETAINED_EVICTED = declare(
     8005,
-    "tracing.kept.evicted",
+    "tracing.retained.evicted",
     "Kept traces were evicted to hold the byte budget; names the class and its oldest trace.",
 )
--- a/src/zincvale/tracing/messages.py
+++ b/src/zincvale/tracing/messages.py
@@ -12,7 +12,7 @@
 class SpanBatch:
     """Chunks for the collector (see `chunks.encode_chunks`); answered by `BatchAck`.
 
-    An empty batch asks for credit. `backup` chunks are only held, in case their collector, which
+    An empty batch asks for credit. `backup` chunks are only stored, in case their collector, which
     is also their origin, is lost.
     """
 
@@ -27,48 +27,49 @@
 class BatchAck:
     """The batch arrived; the sender may send `credit_bytes` more before the next ack.
 
-    `settled` as in `ChunksSettled`: verdicts ride on acks while batches come.
+    The ack of a batch says only that it arrived: its chunks stay retained at the sender until
+    `acknowledged` (as in `ChunksAcknowledged`) names them. These ride on acks while batches come.
     """
 
     batch: int
     credit_bytes: int
-    settled: list[int]
+    acknowledged: list[int]
 
 
 @peer_message("tracing.chunks-settled")
 @attrs.frozen
-class ChunksSettled:
-    """The traces of these chunks are decided, and safe on two members where kept as ERROR."""
+class ChunksAcknowledged:
+    """The traces of these chunks are decided, and stored on two members where retained as ERROR."""
 
     sequences: list[int]
 
 
 @peer_message("tracing.kept-copy")
 @attrs.frozen
-class KeptCopy:
-    """Chunks of one kept trace, for the member that stands in when its holder is lost."""
+class TraceReplica:
+    """Chunks of one retained trace, for the member that takes over when its primary is lost."""
 
-    copy_id: int
+    replica_id: int
     trace_id: str
     policy: str
     weight: float
-    kept_wall_s: float
+    retained_wall_s: float
     evidence: bytes
     bodies: bytes
 
 
 @peer_message("tracing.kept-copy-ack")
 @attrs.frozen
-class KeptCopyAck:
-    """The copy is held."""
+class TraceReplicaAck:
+    """The replica is stored."""
 
-    copy_id: int
+    replica_id: int
 
 
 @peer_message("tracing.verdicts-moved")
 @attrs.frozen
 class VerdictsMoved:
-    """The sender holds these kept traces; late spans of them belong there."""
+    """The sender is the primary of these retained traces; late spans of them belong there."""
 
     trace_ids: list[str]
 
@@ -76,6 +77,6 @@
 @peer_message("tracing.promote")
 @attrs.frozen
 class PromoteTraces:
-    """These unsampled traces turned out ERROR: send what is held of them to their collectors."""
+    """These unsampled traces have an ERROR: send what is buffered of them to their collectors."""
 
     trace_ids: list[str]
--- a/src/zincvale/tracing/metrics.py
+++ b/src/zincvale/tracing/metrics.py
@@ -13,7 +13,7 @@
 
 
 class TracingMetrics(MetricsCollector):
-    """Reads one service's counts at each scrape: the request path pays nothing for metrics."""
+    """Reads one service's stats at each scrape: the request path pays nothing for metrics."""
 
     def __init__(self, service: TracingService) -> None:
         self._service = service
@@ -23,12 +23,12 @@
         yield from self._recorder()
         yield from self._sender()
         yield from self._collector()
-        yield from self._kept()
+        yield from self._retained()
 
     def _recorder(self) -> Iterator[Metric]:
         recorder = self._service.recorder
-        counts = {"traces": recorder.limiter.counted, **attrs.asdict(recorder.counts)}
-        yield from _counters("recorder", counts)
+        stats = {"traces": recorder.limiter.counted, **attrs.asdict(recorder.stats)}
+        yield from _counters("recorder", stats)
         yield _gauge("sampling_rate", "Probability of the head decision.", recorder.limiter.rate)
         yield _gauge(
             "sampling_pressure",
@@ -38,8 +38,8 @@
 
     def _sender(self) -> Iterator[Metric]:
         sender = self._service.sender
-        counts = sender.counts
-        sent = {"batches": counts.batches, "chunks": counts.chunks, "resent": counts.resent}
+        stats = sender.stats
+        sent = {"batches": stats.batches, "chunks": stats.chunks, "resent": stats.resent}
         yield from _counters("sender", sent)
         dropped = CounterMetricFamily(
             "zincvale_tracing_sender_dropped",
@@ -47,7 +47,7 @@
             labels=["kind"],
         )
         for kind in ("error", "other"):
-            dropped.add_metric([kind], counts.dropped[kind])
+            dropped.add_metric([kind], stats.dropped[kind])
         yield dropped
         yield _gauge("sender_queued_bytes", "Bytes that wait for a collector.", sender.queued_bytes)
         yield _gauge(
@@ -58,26 +58,26 @@
 
     def _collector(self) -> Iterator[Metric]:
         collector = self._service.collector
-        yield from _counters("collector", attrs.asdict(collector.counts))
+        yield from _counters("collector", attrs.asdict(collector.stats))
         yield _gauge("collector_traces", "Undecided traces.", len(collector))
         yield _gauge("collector_bytes", "Bytes of undecided traces.", collector.size_bytes)
 
-    def _kept(self) -> Iterator[Metric]:
-        keeper = self._service.keeper
-        kept = CounterMetricFamily(
+    def _retained(self) -> Iterator[Metric]:
+        replicator = self._service.replicator
+        retained = CounterMetricFamily(
             "zincvale_tracing_kept", "Traces kept, by policy.", labels=["policy"]
         )
-        for policy, count in keeper.counts.kept_by_policy.items():
-            kept.add_metric([policy], count)
-        yield kept
+        for policy, count in replicator.stats.retained_by_policy.items():
+            retained.add_metric([policy], count)
+        yield retained
         evicted = CounterMetricFamily(
             "zincvale_tracing_evicted", "Kept traces evicted by the byte budget.", labels=["class"]
         )
-        for name, count in keeper.store.evicted.items():
+        for name, count in replicator.store.evicted.items():
             evicted.add_metric([name], count)
         yield evicted
-        yield _gauge("kept_traces", "Kept traces and copies.", len(keeper.store))
-        yield _gauge("kept_bytes", "Bytes of kept traces and copies.", keeper.store.size_bytes)
+        yield _gauge("kept_traces", "Kept traces and copies.", len(replicator.store))
+        yield _gauge("kept_bytes", "Bytes of kept traces and copies.", replicator.store.size_bytes)
 
 
 def register_metrics(service: TracingService, registry: CollectorRegistry) -> None:
@@ -85,8 +85,8 @@
     registry.register(TracingMetrics(service))
 
 
-def _counters(part: str, counts: dict[str, int]) -> Iterator[Metric]:
-    for name, count in counts.items():
+def _counters(part: str, stats: dict[str, int]) -> Iterator[Metric]:
+    for name, count in stats.items():
         documentation = f"Total of {name.replace('_', ' ')} in the {part}."
         yield CounterMetricFamily(f"zincvale_tracing_{part}_{name}", documentation, value=count)
 
--- a/src/zincvale/tracing/ownership.py
+++ b/src/zincvale/tracing/ownership.py
@@ -2,7 +2,7 @@
 
 Trace identifiers fall into slots by their low bits, and each slot belongs to the member with the
 highest score for it, so that a change of members moves only what it must. A slot is ranked when
-the first of its traces is asked for, and remembered until the members change: a member makes a few
+the first of its traces is looked up, and remembered until the members change: a member makes a few
 traces a second, and a numeric library would cost it more memory than everything else here.
 """
 
@@ -39,19 +39,19 @@
     Attributes
     ----------
     members : the collectors.
-    everyone : every live member that makes spans, collectors among them.
+    live_members : every live member that makes spans, collectors among them.
     """
 
     members: frozenset[MemberId] = frozenset()
-    everyone: frozenset[MemberId] = frozenset()
+    live_members: frozenset[MemberId] = frozenset()
     _seeds: dict[MemberId, int] = attrs.field(factory=dict)
     _ranked: dict[int, Ranked] = attrs.field(factory=dict)
 
     def apply(
-        self, members: frozenset[MemberId], everyone: frozenset[MemberId] | None = None
+        self, members: frozenset[MemberId], live_members: frozenset[MemberId] | None = None
     ) -> None:
-        """Take the new set of collectors, and of all members when that is more."""
-        self.everyone = members if everyone is None else everyone
+        """Apply the new set of collectors, and of all live members when that is larger."""
+        self.live_members = members if live_members is None else live_members
         if members == self.members:
             return
         self.members = members
@@ -62,10 +62,10 @@
         """Return the collector of a trace, or None without members."""
         return self._rank(trace_id).first
 
-    def stand_in(self, trace_id: TraceId, other_than: MemberId) -> MemberId | None:
-        """Return the best member besides `other_than`: its stand-in, or None."""
+    def successor(self, trace_id: TraceId, excluding: MemberId) -> MemberId | None:
+        """Return the best member besides `excluding`, which takes over from it, or None."""
         ranked = self._rank(trace_id)
-        return ranked.second if ranked.first == other_than else ranked.first
+        return ranked.second if ranked.first == excluding else ranked.first
 
     def _rank(self, trace_id: TraceId) -> Ranked:
         slot = int(trace_id[-SLOT_HEX_DIGITS:], 16)
--- a/src/zincvale/tracing/recorder/context.py
+++ b/src/zincvale/tracing/recorder/context.py
@@ -2,7 +2,7 @@
 
 The head decision is drawn from the low 64 bits of the trace identifier and travels in the sampled
 bit; the probability it was drawn with travels beside it, as in consistent probability sampling, so
-that a kept trace can be weighted by the inverse of its selection probability.
+that a retained trace can be weighted by the inverse of its selection probability.
 """
 
 from __future__ import annotations
@@ -13,6 +13,10 @@
 
 LOW_BITS_HEX_DIGITS = 16
 LOW_BITS_RANGE = 2**64
+TRACE_ID_HEX_DIGITS = 32
+SPAN_ID_HEX_DIGITS = 16
+TRACEPARENT_FIELDS = 4
+"""Version, trace identifier, parent span and flags (W3C Trace Context, section 3.2)."""
 HEADER_VERSION = "00"
 SAMPLED_FLAGS = "01"
 UNSAMPLED_FLAGS = "00"
@@ -26,27 +30,30 @@
     ----------
     sampled : the head decision of the whole trace.
     probability : probability of that decision being `sampled`; 0.0 means not known.
-    entry : the member that minted the trace; empty means not known.
+    ingress : the member that minted the trace; empty means not known.
     """
 
     trace_id: TraceId
     span_id: str
     sampled: bool
     probability: float = 0.0
-    entry: MemberId = MemberId("")
+    ingress: MemberId = MemberId("")
 
     def header(self) -> str:
         """Return the context as one line: W3C `traceparent`, then `p=` and `e=` fields."""
         flags = SAMPLED_FLAGS if self.sampled else UNSAMPLED_FLAGS
         parent = f"{HEADER_VERSION}-{self.trace_id}-{self.span_id}-{flags}"
-        return f"{parent};p={self.probability!r};e={self.entry}"
+        return f"{parent};p={self.probability!r};e={self.ingress}"
 
 
 def parse_context(header: str) -> TraceContext | None:
     """Return the context in a header line, or None when it is not one."""
     parent, *fields = header.split(";")
     parts = parent.split("-")
-    if len(parts) != 4 or not _is_hex(parts[1], 32) or not _is_hex(parts[2], 16):
+    if len(parts) != TRACEPARENT_FIELDS:
+        return None
+    _, trace_id, span_id, flags = parts
+    if not _is_hex(trace_id, TRACE_ID_HEX_DIGITS) or not _is_hex(span_id, SPAN_ID_HEX_DIGITS):
         return None
     values = dict(field.partition("=")[::2] for field in fields)
     try:
@@ -54,9 +61,9 @@
     except ValueError:
         return None
     return TraceContext(
-        TraceId(parts[1]),
-        parts[2],
-        parts[3] == SAMPLED_FLAGS,
+        TraceId(trace_id),
+        span_id,
+        flags == SAMPLED_FLAGS,
         probability,
         MemberId(values.get("e", "")),
     )
--- a/src/zincvale/tracing/recorder/limiter.py
+++ b/src/zincvale/tracing/recorder/limiter.py
@@ -86,12 +86,12 @@
             self._first_at = now
             self._adjust_at = now + ADJUST_INTERVAL_S
         else:
-            self._forget(min(bucket - self._bucket, BUCKET_COUNT))
+            self._close_buckets(min(bucket - self._bucket, BUCKET_COUNT))
         self._bucket = bucket
         self._bucket_ends_at = (bucket + 1) * BUCKET_S
 
-    def _forget(self, passed: int) -> None:
-        """File the newest bucket, and empty those that left the window since."""
+    def _close_buckets(self, passed: int) -> None:
+        """Add the newest bucket to the window, and empty those that left the window since."""
         self._buckets[self._bucket % BUCKET_COUNT] = self._newest
         self._total += self._newest
         self.counted += self._newest
@@ -106,6 +106,6 @@
         observed = self.observed_per_s(now)
         if observed <= MIN_OBSERVED_PER_S:
             return
-        wanted = self.target_per_s * max(self.pressure, MIN_PRESSURE) / observed
-        clamped = max(self.min_rate, min(MAX_RATE, wanted))
+        desired = self.target_per_s * max(self.pressure, MIN_PRESSURE) / observed
+        clamped = max(self.min_rate, min(MAX_RATE, desired))
         self.set_rate(OLD_RATE_SHARE * self.rate + NEW_RATE_SHARE * clamped)
--- a/src/zincvale/tracing/recorder/no_spans.py
+++ b/src/zincvale/tracing/recorder/no_spans.py
@@ -1,4 +1,4 @@
-"""A recorder that keeps nothing, for measurements and models of what is not the record."""
+"""A recorder that records nothing, for measurements and models without tracing."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class NoSpan:
-    """A span that keeps nothing."""
+    """A span that records nothing."""
 
     context = NO_CONTEXT
 
     def set(self, name: str, value: AttributeValue) -> None:
-        """Keep nothing."""
+        """Record nothing."""
 
     def event(self, name: str, **attributes: AttributeValue) -> None:
-        """Keep nothing."""
+        """Record nothing."""
 
     def error(self, message: str) -> None:
-        """Keep nothing."""
+        """Record nothing."""
 
     def end(self) -> None:
-        """Keep nothing."""
+        """Record nothing."""
 
 
 class NoSpans:
@@ -39,7 +39,8 @@
         parent: str | None = None,
         attributes: Mapping[str, AttributeValue] | None = None,
     ) -> NoSpan:
-        """Return the span that keeps nothing."""
+        """Return the span that records nothing."""
+        del name, trace, parent, attributes  # The interface of `SpanRecorder.start`.
         return _NO_SPAN
 
 
--- a/src/zincvale/tracing/recorder/open_trace.py
+++ b/src/zincvale/tracing/recorder/open_trace.py
@@ -1,6 +1,6 @@
 """The part of a trace that is open on this member, and the span handles given out.
 
-This is the only part of the record that every request pays for, sampled or not. Identifiers are
+This is the only part of tracing that every request pays for, sampled or not. Identifiers are
 numbers until they are sent, events stand flat in one list, and a span is its own context.
 """
 
@@ -23,7 +23,7 @@
 
 MAX_EVENTS_PER_SPAN = 512
 MAX_ENDED_SPANS = 64
-"""Ended spans that one trace holds while others of its spans run on."""
+"""Ended spans that one trace buffers while others of its spans run on."""
 EVENTS_DROPPED_ATTRIBUTE = "events_dropped"
 UNNAMED_ERROR = "error"
 OPEN_S = -1.0
@@ -34,7 +34,7 @@
 MAX_EVENT_FIELDS = MAX_EVENTS_PER_SPAN * FIELDS_OF_EVENT
 
 
-class SpanKeeper(Protocol):
+class SpanSink(Protocol):
     """What a running span reports to: the recorder."""
 
     @property
@@ -42,20 +42,20 @@
         """The member's monotonic clock, in seconds."""
         ...
 
-    def span_failed(self, trace: OpenTrace) -> None:
+    def on_span_failed(self, trace: OpenTrace) -> None:
         """A span of the trace has status ERROR."""
         ...
 
-    def trace_idle(self, trace: OpenTrace) -> None:
+    def on_trace_idle(self, trace: OpenTrace) -> None:
         """The last open span of the trace ended."""
         ...
 
-    def trace_crowded(self, trace: OpenTrace) -> None:
-        """The trace holds `MAX_ENDED_SPANS` ended spans, and others run on."""
+    def on_trace_full(self, trace: OpenTrace) -> None:
+        """The trace buffers `MAX_ENDED_SPANS` ended spans, and others run on."""
         ...
 
-    def context_given(self, trace: OpenTrace) -> None:
-        """Another member gets the context of the trace."""
+    def on_context_sent(self, trace: OpenTrace) -> None:
+        """The context of the trace is sent to another member."""
         ...
 
 
@@ -66,8 +66,8 @@
     Attributes
     ----------
     trace_id : 32 lower-case hexadecimal digits.
-    entry : the member that holds the root; empty when not known.
-    is_entry : this member minted the trace and holds its root.
+    ingress : the member that has the root; empty when not known.
+    is_ingress : this member minted the trace and has its root.
     sampled, probability : the head decision, and the probability it was drawn with.
     flushed_at : when ended spans or an open-root marker were last sent.
     is_known : the recorder can find the trace by its identifier.
@@ -78,12 +78,12 @@
     """
 
     trace_id: TraceId
-    keeper: SpanKeeper
-    entry: MemberId
+    replicator: SpanSink
+    ingress: MemberId
     sampled: bool
     probability: float
     flushed_at: float
-    is_entry: bool = True
+    is_ingress: bool = True
     promoted: bool = False
     is_known: bool = False
     error: bool = False
@@ -141,35 +141,35 @@
         return self.trace.probability
 
     @property
-    def entry(self) -> MemberId:
-        """The member that holds the root."""
-        return self.trace.entry
+    def ingress(self) -> MemberId:
+        """The member that has the root."""
+        return self.trace.ingress
 
     def header(self) -> str:
         """Return the context as one line for other members."""
         trace = self.trace
-        trace.keeper.context_given(trace)
+        trace.replicator.on_context_sent(trace)
         return TraceContext(
-            trace.trace_id, self.span_id, trace.sampled, trace.probability, trace.entry
+            trace.trace_id, self.span_id, trace.sampled, trace.probability, trace.ingress
         ).header()
 
     def header_for(self, member: MemberId) -> str:
-        """Return the header for `member`, which is told if the trace is promoted."""
+        """Return the header for `member`, which is notified if the trace is promoted."""
         trace = self.trace
         trace.participants = (trace.participants or set()) | {member}
         return self.header()
 
     def set(self, name: str, value: AttributeValue) -> None:
-        """Set one attribute; long text is cut when it is sent."""
+        """Set one attribute; long text is truncated when it is sent."""
         self.attributes[name] = value
 
     def event(self, name: str, **attributes: AttributeValue) -> None:
-        """Note something that happened now; beyond the limit events are only counted."""
+        """Record something that happened now; beyond the limit events are only counted."""
         events = self.events
         if events is None:
-            self.events = [name, self.trace.keeper.clock(), attributes]
+            self.events = [name, self.trace.replicator.clock(), attributes]
         elif len(events) < MAX_EVENT_FIELDS:
-            events += (name, self.trace.keeper.clock(), attributes)
+            events += (name, self.trace.replicator.clock(), attributes)
         else:
             self._count_dropped_event()
 
@@ -177,22 +177,22 @@
         """Give the span status ERROR; the first message stays."""
         if not self.failure:
             self.failure = message[:MAX_TEXT_CHARACTERS] or UNNAMED_ERROR
-            self.trace.keeper.span_failed(self.trace)
+            self.trace.replicator.on_span_failed(self.trace)
 
     def end(self) -> None:
         """Finish the span now; a second call does nothing."""
         if self.duration_s != OPEN_S:
             return
         trace = self.trace
-        self.duration_s = trace.keeper.clock() - self.start_s
+        self.duration_s = trace.replicator.clock() - self.start_s
         trace.ended.append(self)
         trace.open_spans -= 1
         if self.parent_number is None:
             trace.root_ended = True
         if not trace.open_spans:
-            trace.keeper.trace_idle(trace)
+            trace.replicator.on_trace_idle(trace)
         elif len(trace.ended) >= MAX_ENDED_SPANS:
-            trace.keeper.trace_crowded(trace)
+            trace.replicator.on_trace_full(trace)
 
     def to_row(self, member: MemberId, wall_offset_s: float) -> SpanRow:
         """Return the row that is sent; `wall_offset_s` is wall clock minus monotonic clock."""
--- a/src/zincvale/tracing/recorder/recorder.py
+++ b/src/zincvale/tracing/recorder/recorder.py
@@ -1,4 +1,4 @@
-"""Makes spans, draws the head decision, and cuts the ended spans of a trace into chunks.
+"""Makes spans, draws the head decision, and groups the ended spans of a trace into chunks.
 
 Spans stay here until nothing of their trace is open on this member; then a sampled trace leaves as
 one chunk, and an unsampled one is dropped unless it turned out ERROR (it is promoted). A trace
@@ -28,8 +28,8 @@
 """A trace open for this long sends its ended spans and a marker; well under `decision_wait_s`."""
 MIN_TARGET_PER_S = 1.0
 MAX_OPEN_TRACES = 100_000
-HELD_SPAN_BYTES = 1024
-"""What one held span is counted with."""
+BUFFERED_SPAN_BYTES = 1024
+"""What one buffered span is counted with."""
 LOW_BITS = 64
 SPAN_ID_BITS = 64
 SPAN_ID_MASK = 2**SPAN_ID_BITS - 1
@@ -57,14 +57,14 @@
 
 
 @attrs.define(slots=True)
-class RecorderCounts:
+class RecorderStats:
     """Totals since the start, for metrics."""
 
     sampled: int = 0
     promoted: int = 0
     chunks: int = 0
     held_dropped: int = 0
-    """Held unsampled spans dropped to hold the budget; their trace can only be promoted in part."""
+    """Buffered unsampled spans dropped by the budget; their trace can only be promoted in part."""
 
 
 @attrs.define(slots=True, eq=False)
@@ -73,7 +73,7 @@
 
     Parameters
     ----------
-    chunk_ended : takes each chunk when it is cut.
+    on_chunk : called with each chunk when it is complete.
     send : sends a one-way message to a member.
     """
 
@@ -82,10 +82,10 @@
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
     config: TracingConfig
-    chunk_ended: Callable[[TraceChunk], None]
+    on_chunk: Callable[[TraceChunk], None]
     send: Callable[[MemberId, object], None]
     limiter: AdaptiveLimiter = attrs.field(factory=AdaptiveLimiter)
-    counts: RecorderCounts = attrs.field(factory=RecorderCounts)
+    stats: RecorderStats = attrs.field(factory=RecorderStats)
     _draw_bits: Callable[[int], int] = attrs.field(init=False)
     _high_digits: str = attrs.field(init=False)
     """The high half of this recorder's trace identifiers; the low half is drawn for each."""
@@ -95,7 +95,7 @@
     _open: dict[str, OpenTrace] = attrs.field(factory=dict)
     """Traces with open spans that may have to be found: all but unsampled ones that nobody else
     knows, which every request of a busy node is."""
-    _held: OrderedDict[str, OpenTrace] = attrs.field(factory=OrderedDict)
+    _buffered: OrderedDict[str, OpenTrace] = attrs.field(factory=OrderedDict)
     """Unsampled parts of other members' traces, in case they are promoted; oldest first."""
     _wall_offset_s: float = 0.0
     """Wall clock minus monotonic clock, taken at each tick: spans read one clock only."""
@@ -107,7 +107,7 @@
         self._high_digits = f"{self._draw_bits(LOW_BITS):016x}"
         self._next_span = self.random.getrandbits(SPAN_ID_BITS)
         self._next_sequence = self.random.getrandbits(SEQUENCE_BITS)
-        self.share_target(1)
+        self.divide_target(1)
         self._wall_offset_s = self.wall_clock() - self.clock()
 
     def start(
@@ -137,7 +137,7 @@
             attributes = dict(attributes or ())
         return OpenSpan(open_trace, number, parent_number, name, now, attributes)
 
-    def share_target(self, members: int) -> None:
+    def divide_target(self, members: int) -> None:
         """Aim at an even share of the fleet's target, among `members` that mint traces."""
         if not self.config.head_sampling:
             return
@@ -149,55 +149,55 @@
         """Return the context that another member's header carries, or None."""
         return parse_context(header)
 
-    def span_failed(self, trace: OpenTrace) -> None:
+    def on_span_failed(self, trace: OpenTrace) -> None:
         """Promote the trace of a span that has status ERROR."""
         trace.error = True
         if not trace.is_sent:
             self._promote(trace)
 
-    def context_given(self, trace: OpenTrace) -> None:
+    def on_context_sent(self, trace: OpenTrace) -> None:
         """Make the trace known by its identifier: another member may ask to promote it."""
         self._know(trace)
 
-    def trace_crowded(self, trace: OpenTrace) -> None:
+    def on_trace_full(self, trace: OpenTrace) -> None:
         """Send the ended spans of a long trace early, or drop them if it is not sampled."""
         if trace.is_sent:
-            self._flush(trace, trace.is_entry and not trace.root_ended)
+            self._flush(trace, trace.is_ingress and not trace.root_ended)
         else:
             self._drop_ended(trace)
 
-    def trace_idle(self, trace: OpenTrace) -> None:
-        """Settle what becomes of a trace that has no open span here any more."""
+    def on_trace_idle(self, trace: OpenTrace) -> None:
+        """Send, buffer or drop a trace that has no open span here any more."""
         if trace.is_known:
             self._open.pop(trace.trace_id, None)
         if trace.sampled or trace.promoted:
             self._flush(trace, is_open=False)
-        elif trace.is_entry:
+        elif trace.is_ingress:
             # Spans know their trace: cleared, so that no cycle is left to the garbage collector.
             trace.ended.clear()
         else:
-            self._hold(trace)
+            self._buffer(trace)
 
     def promote(self, trace_ids: list[str]) -> None:
-        """Send what is held of these traces: another member saw an ERROR in them."""
+        """Send what is buffered of these traces: another member saw an ERROR in them."""
         for trace_id in trace_ids:
             trace = self._open.get(trace_id)
             if trace is not None:
                 if not trace.is_sent:
                     self._promote(trace)
                 continue
-            held = self._held.pop(trace_id, None)
-            if held is not None:
-                held.promoted = True
-                self._flush(held, is_open=False)
+            buffered = self._buffered.pop(trace_id, None)
+            if buffered is not None:
+                buffered.promoted = True
+                self._flush(buffered, is_open=False)
 
     def tick(self, now: float) -> None:
-        """Send parts of traces that run long, and forget what was held for long enough."""
+        """Send parts of traces that run long, and expire what was buffered for long enough."""
         self._wall_offset_s = self.wall_clock() - now
         self._flush_long_traces(now)
-        self._forget_held(now)
-        self._hold_budget()
-        self._bound_open()
+        self._expire_buffered(now)
+        self._enforce_budget()
+        self._enforce_open_limit()
 
     def _mint(self, now: float) -> OpenTrace:
         low_bits = self._draw_bits(LOW_BITS)
@@ -206,7 +206,7 @@
         trace_id = TraceId(f"{self._high_digits}{low_bits:016x}")
         trace = OpenTrace(trace_id, self, self.member_id, sampled, limiter.rate, now)
         if sampled:
-            self.counts.sampled += 1
+            self.stats.sampled += 1
             self._know(trace)
         return trace
 
@@ -215,10 +215,10 @@
         trace = self._open.get(trace_id)
         if trace is not None:
             return trace
-        entry = getattr(context, "entry", MemberId(""))
+        ingress = getattr(context, "ingress", MemberId(""))
         probability = getattr(context, "probability", UNKNOWN_PROBABILITY)
-        trace = OpenTrace(trace_id, self, entry, context.sampled, probability, now)
-        trace.is_entry = False
+        trace = OpenTrace(trace_id, self, ingress, context.sampled, probability, now)
+        trace.is_ingress = False
         self._know(trace)
         return trace
 
@@ -226,27 +226,27 @@
         trace.is_known = True
         self._open[trace.trace_id] = trace
 
-    def _hold(self, trace: OpenTrace) -> None:
-        earlier = self._held.get(trace.trace_id)
+    def _buffer(self, trace: OpenTrace) -> None:
+        earlier = self._buffered.get(trace.trace_id)
         if earlier is not None:
             earlier.ended += trace.ended
             return
         trace.flushed_at = self.clock()
-        self._held[trace.trace_id] = trace
+        self._buffered[trace.trace_id] = trace
 
     def _promote(self, trace: OpenTrace) -> None:
         trace.promoted = True
         self._know(trace)
-        self.counts.promoted += 1
+        self.stats.promoted += 1
         message = PromoteTraces([trace.trace_id])
         others = set(trace.participants or ())
-        if not trace.is_entry and trace.entry:
-            others.add(trace.entry)
+        if not trace.is_ingress and trace.ingress:
+            others.add(trace.ingress)
         for member in sorted(others):
             self.send(member, message)
-        held = self._held.pop(trace.trace_id, None)
-        if held is not None:
-            trace.ended = held.ended + trace.ended
+        buffered = self._buffered.pop(trace.trace_id, None)
+        if buffered is not None:
+            trace.ended = buffered.ended + trace.ended
 
     def _flush(self, trace: OpenTrace, is_open: bool) -> None:
         spans = trace.ended
@@ -260,7 +260,7 @@
                 request_id = subject_of(span.attributes)
         sequence = self._next_sequence
         self._next_sequence += 1
-        self.counts.chunks += 1
+        self.stats.chunks += 1
         chunk = TraceChunk(
             trace.trace_id,
             self.member_id,
@@ -274,12 +274,12 @@
             request_id,
             encode_rows(rows),
         )
-        self.chunk_ended(chunk)
+        self.on_chunk(chunk)
 
     def _flush_long_traces(self, now: float) -> None:
         for trace in self._long_open(now):
             trace.flushed_at = now
-            is_open = trace.is_entry and not trace.root_ended
+            is_open = trace.is_ingress and not trace.root_ended
             if trace.ended or is_open:
                 self._flush(trace, is_open)
 
@@ -291,33 +291,33 @@
             if trace.flushed_at <= flushed_before and trace.is_sent
         ]
 
-    def _forget_held(self, now: float) -> None:
-        while self._held:
-            trace = next(iter(self._held.values()))
+    def _expire_buffered(self, now: float) -> None:
+        while self._buffered:
+            trace = next(iter(self._buffered.values()))
             if now - trace.flushed_at < self.config.decision_wait_s:
                 return
-            self._held.popitem(last=False)
+            self._buffered.popitem(last=False)
 
-    def held_spans(self) -> int:
-        """Return how many ended spans are held; walks the tables."""
-        tables = (self._open, self._held)
+    def buffered_spans(self) -> int:
+        """Return how many ended spans are buffered; walks the tables."""
+        tables = (self._open, self._buffered)
         return sum(len(trace.ended) for table in tables for trace in table.values())
 
-    def _hold_budget(self) -> None:
-        excess = self.held_spans() - self.config.open_bytes // HELD_SPAN_BYTES
-        while excess > 0 and self._held:
-            _, trace = self._held.popitem(last=False)
+    def _enforce_budget(self) -> None:
+        excess = self.buffered_spans() - self.config.open_bytes // BUFFERED_SPAN_BYTES
+        while excess > 0 and self._buffered:
+            _, trace = self._buffered.popitem(last=False)
             excess -= self._drop_ended(trace)
         for trace in list(self._open.values()) if excess > 0 else ():
             if trace.is_sent and trace.ended:
                 excess -= len(trace.ended)
-                self._flush(trace, trace.is_entry and not trace.root_ended)
+                self._flush(trace, trace.is_ingress and not trace.root_ended)
             elif not trace.is_sent:
                 excess -= self._drop_ended(trace)
             if excess <= 0:
                 return
 
-    def _bound_open(self) -> None:
+    def _enforce_open_limit(self) -> None:
         """Forget the oldest open traces: their makers never end them."""
         while len(self._open) > MAX_OPEN_TRACES:
             trace = self._open.pop(next(iter(self._open)))
@@ -326,6 +326,6 @@
     def _drop_ended(self, trace: OpenTrace) -> int:
         """Drop the ended spans of a trace; return how many."""
         dropped = len(trace.ended)
-        self.counts.held_dropped += dropped
+        self.stats.held_dropped += dropped
         trace.ended = []
         return dropped
--- a/src/zincvale/tracing/recorder/spans.py
+++ b/src/zincvale/tracing/recorder/spans.py
@@ -1,7 +1,7 @@
 """Finished spans and their compact body.
 
 A body is a JSON array of rows, written by `orjson`; messages carry it as opaque bytes, and only
-kept traces are ever read back. Row: `[span_id, parent_id, name, member, start_wall_s, start_s,
+retained traces are ever read back. Row: `[span_id, parent_id, name, member, start_wall_s, start_s,
 duration_s, failure, attributes, events]` with events `[name, offset_s, attributes]`.
 """
 
@@ -104,19 +104,19 @@
 
 
 def bounded(attributes: Attributes) -> Attributes:
-    """Return the attributes with long text cut."""
+    """Return the attributes with long text truncated."""
     for value in attributes.values():
         if type(value) is str and len(value) > MAX_TEXT_CHARACTERS:
-            return {name: _cut(held) for name, held in attributes.items()}
+            return {name: _truncated(value) for name, value in attributes.items()}
     return attributes
 
 
-def _cut(value: AttributeValue) -> AttributeValue:
+def _truncated(value: AttributeValue) -> AttributeValue:
     return value[:MAX_TEXT_CHARACTERS] if isinstance(value, str) else value
 
 
 def subject_of(attributes: Attributes) -> str:
-    """Return what a root span is about: the identifier of its request or order."""
+    """Return the subject of a root span: the identifier of its request or order."""
     for name in SUBJECT_ATTRIBUTES:
         value = attributes.get(name)
         if value:
@@ -137,7 +137,7 @@
         body = orjson.dumps([_as_text(row) for row in rows])
     if len(body) > MAX_BODY_BYTES:
         body = orjson.dumps([_bare(row, len(rows)) for row in rows[:MAX_SPANS_OF_LONG_BODY]])
-    # orjson leaves its buffer several times too large, and bodies are kept for a long time.
+    # orjson leaves its buffer several times too large, and bodies are retained for a long time.
     return bytes(memoryview(body))
 
 
@@ -154,9 +154,9 @@
 
 def _bare(row: SpanRow, span_count: int) -> SpanRow:
     *others, attributes, _ = row
-    kept = dict(list(attributes.items())[:MAX_ATTRIBUTES_OF_LONG_BODY])
-    kept[TRUNCATED_ATTRIBUTE] = span_count
-    return (*others, kept, [])
+    first_attributes = dict(list(attributes.items())[:MAX_ATTRIBUTES_OF_LONG_BODY])
+    first_attributes[TRUNCATED_ATTRIBUTE] = span_count
+    return (*others, first_attributes, [])
 
 
 def decode_spans(body: bytes) -> list[Span]:
--- a/src/zincvale/tracing/retention/retained_store.py
+++ b/src/zincvale/tracing/retention/retained_store.py
@@ -1,4 +1,4 @@
-"""The kept traces of one member, in memory, within budgets of bytes and time.
+"""The retained traces of one member, in memory, within budgets of bytes and time.
 
 Rows live in one table per class of policy, oldest first. Over the byte budget the baseline goes
 first, then slow traces, then errors; statistics over a class are unbiased back to its
@@ -14,7 +14,7 @@
 
 from zincvale.model.identifiers import TraceId
 from zincvale.tracing.collector.policies import ERROR_POLICY, SLOW_POLICY
-from zincvale.tracing.retention.retained_trace import KeptTrace
+from zincvale.tracing.retention.retained_trace import RetainedTrace
 
 OTHER_CLASS = "other"
 EVICTION_ORDER = (OTHER_CLASS, SLOW_POLICY, ERROR_POLICY)
@@ -39,8 +39,8 @@
     since: float = 0.0
     limit: int = DEFAULT_FIND_LIMIT
 
-    def matches(self, trace: KeptTrace) -> bool:
-        """Whether a kept trace is looked for."""
+    def matches(self, trace: RetainedTrace) -> bool:
+        """Whether a retained trace matches every field."""
         if self.name and trace.name != self.name:
             return False
         if self.route and trace.route != self.route:
@@ -55,15 +55,15 @@
 
 
 @attrs.define(slots=True)
-class KeptTraceStore:
-    """Table of kept traces with its indexes and budgets."""
+class RetainedTraceStore:
+    """Table of retained traces with its indexes and budgets."""
 
     budget_bytes: int
     retention_s: float
     size_bytes: int = 0
     evicted: Counter[str] = attrs.field(factory=Counter)
     complete_since: dict[str, float] = attrs.field(factory=dict)
-    _rows_by_class: dict[str, OrderedDict[TraceId, KeptTrace]] = attrs.field(
+    _rows_by_class: dict[str, OrderedDict[TraceId, RetainedTrace]] = attrs.field(
         factory=lambda: {name: OrderedDict() for name in EVICTION_ORDER}
     )
     _class_by_trace: dict[TraceId, str] = attrs.field(factory=dict)
@@ -72,43 +72,43 @@
     def __len__(self) -> int:
         return len(self._class_by_trace)
 
-    def get(self, trace_id: TraceId) -> KeptTrace | None:
-        """Return a kept trace, or None."""
+    def get(self, trace_id: TraceId) -> RetainedTrace | None:
+        """Return a retained trace, or None."""
         name = self._class_by_trace.get(trace_id)
         return self._rows_by_class[name][trace_id] if name else None
 
-    def by_request(self, request_id: str) -> list[KeptTrace]:
-        """Return the kept traces of a request's attempts, newest first."""
+    def by_request(self, request_id: str) -> list[RetainedTrace]:
+        """Return the retained traces of a request's attempts, newest first."""
         found = [self.get(trace_id) for trace_id in self._traces_by_request.get(request_id, ())]
         traces = [trace for trace in found if trace is not None]
         return sorted(traces, key=lambda trace: trace.start_wall_s, reverse=True)
 
-    def find(self, query: TraceQuery) -> list[KeptTrace]:
+    def find(self, query: TraceQuery) -> list[RetainedTrace]:
         """Return the matching traces, newest first."""
         found = [trace for trace in self.rows() if query.matches(trace)]
         found.sort(key=lambda trace: trace.start_wall_s, reverse=True)
         return found[: query.limit]
 
-    def rows(self) -> Iterator[KeptTrace]:
-        """Iterate over every kept trace."""
+    def rows(self) -> Iterator[RetainedTrace]:
+        """Iterate over every retained trace."""
         for rows in self._rows_by_class.values():
             yield from rows.values()
 
-    def errors(self) -> Iterator[KeptTrace]:
+    def errors(self) -> Iterator[RetainedTrace]:
         """Iterate over the ERROR traces, oldest first."""
         yield from self._rows_by_class[ERROR_POLICY].values()
 
-    def put(self, trace: KeptTrace) -> None:
-        """Take a new row, or one that `take_out` returned changed."""
+    def put(self, trace: RetainedTrace) -> None:
+        """Store a new row, or one that `take_out` returned and the caller changed."""
         name = trace.policy if trace.policy in EVICTION_ORDER else OTHER_CLASS
         self._rows_by_class[name][trace.trace_id] = trace
         self._class_by_trace[trace.trace_id] = name
         if trace.request_id:
             self._traces_by_request.setdefault(trace.request_id, []).append(trace.trace_id)
         self.size_bytes += trace.size_bytes
-        self._hold_budget()
+        self._enforce_budget()
 
-    def take_out(self, trace_id: TraceId) -> KeptTrace | None:
+    def take_out(self, trace_id: TraceId) -> RetainedTrace | None:
         """Remove and return a row; change rows only between this and `put`."""
         name = self._class_by_trace.pop(trace_id, None)
         if name is None:
@@ -123,11 +123,11 @@
         for rows in self._rows_by_class.values():
             while rows:
                 oldest = next(iter(rows.values()))
-                if wall_now_s - oldest.kept_wall_s < self.retention_s:
+                if wall_now_s - oldest.retained_wall_s < self.retention_s:
                     break
                 self.take_out(oldest.trace_id)
 
-    def _forget_request(self, trace: KeptTrace) -> None:
+    def _forget_request(self, trace: RetainedTrace) -> None:
         traces = self._traces_by_request.get(trace.request_id)
         if traces is None:
             return
@@ -135,7 +135,7 @@
         if not traces:
             del self._traces_by_request[trace.request_id]
 
-    def _hold_budget(self) -> None:
+    def _enforce_budget(self) -> None:
         for name in EVICTION_ORDER:
             rows = self._rows_by_class[name]
             while self.size_bytes > self.budget_bytes and rows:
--- a/src/zincvale/tracing/retention/retained_trace.py
+++ b/src/zincvale/tracing/retention/retained_trace.py
@@ -1,4 +1,4 @@
-"""A kept trace: its bodies, why it was kept, and what it can be found by."""
+"""A retained trace: its bodies, why it was retained, and what it can be found by."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from zincvale.tracing.recorder.spans import Span, decode_spans, subject_of
 
 ROW_OVERHEAD_BYTES = 1000
-"""Memory of a kept row and its index entries beyond its bodies (bench/tracing_bench.py)."""
-MAX_KEPT_TRACE_BYTES = 2 * 1024 * 1024
+"""Memory of a retained row and its index entries beyond its bodies (bench/tracing_bench.py)."""
+MAX_RETAINED_TRACE_BYTES = 2 * 1024 * 1024
 """Later bodies of a longer trace are only counted."""
 
 
 @attrs.define(slots=True, eq=False)
-class KeptTrace:
-    """One row of the kept-trace store.
+class RetainedTrace:
+    """One row of the store of retained traces.
 
     Attributes
     ----------
-    policy, weight : why it is kept, and how many traces it stands for in statistics (0.0: none).
-    holder : the member that decided it; another than the store's own for a copy.
-    copied_to : the member that holds a copy; empty for none.
+    policy, weight : why it is retained, and how many traces it stands for (0.0: not known).
+    primary : the member that decided it; another than the store's own for a replica.
+    replica_member : the member that has a replica; empty for none.
     name : of the root span: `request` or `order`.
     request_id : of the request, or the identifier of the order.
-    dropped_bytes : bytes of late spans beyond `MAX_KEPT_TRACE_BYTES`.
+    dropped_bytes : bytes of late spans beyond `MAX_RETAINED_TRACE_BYTES`.
     """
 
     trace_id: TraceId
     policy: str
     weight: float
     probability: float
-    kept_wall_s: float
-    holder: MemberId
-    copied_to: MemberId = MemberId("")
+    retained_wall_s: float
+    primary: MemberId
+    replica_member: MemberId = MemberId("")
     chunks: list[TraceChunk] = attrs.field(factory=list)
     body_bytes: int = 0
     dropped_bytes: int = 0
@@ -53,7 +53,7 @@
 
     @property
     def is_error(self) -> bool:
-        """Whether the trace is kept for a span with status ERROR."""
+        """Whether the trace is retained for a span with status ERROR."""
         return self.policy == ERROR_POLICY
 
     @property
@@ -67,11 +67,11 @@
         return sorted(spans, key=lambda span: span.start_wall_s)
 
     def add(self, chunk: TraceChunk) -> bool:
-        """Take a chunk; returns False when it is held already or does not fit any more."""
-        for held in self.chunks:
-            if held.sequence == chunk.sequence and held.origin == chunk.origin:
+        """Add a chunk; return False when it is stored already or does not fit any more."""
+        for stored in self.chunks:
+            if stored.sequence == chunk.sequence and stored.origin == chunk.origin:
                 return False
-        if self.body_bytes + len(chunk.body) > MAX_KEPT_TRACE_BYTES:
+        if self.body_bytes + len(chunk.body) > MAX_RETAINED_TRACE_BYTES:
             self.dropped_bytes += len(chunk.body)
             return False
         self.chunks.append(chunk)
@@ -82,7 +82,7 @@
         return True
 
     def revise(self, verdict: Verdict, is_error: bool) -> None:
-        """Take a stronger reason, such as an ERROR that came late: one with a lower weight."""
+        """Adopt a stronger reason, such as an ERROR that came late: one with a lower weight."""
         revised = weight(verdict, self.probability, is_error)
         is_first = self.weight <= 0.0
         is_stronger = 0.0 < revised < self.weight
@@ -122,8 +122,8 @@
             "policy": self.policy,
             "weight": self.weight,
             "probability": self.probability,
-            "holder": self.holder,
-            "copied_to": self.copied_to,
+            "holder": self.primary,
+            "copied_to": self.replica_member,
             "dropped_bytes": self.dropped_bytes,
         }
 
--- a/src/zincvale/tracing/retention/trace_replicator.py
+++ b/src/zincvale/tracing/retention/trace_replicator.py
@@ -1,7 +1,7 @@
-"""Stores kept traces and copies the ERROR ones to a second member, as a pure state machine.
+"""Stores retained traces and replicates the ERROR ones to a second member, as a pure machine.
 
-A kept trace is settled at its origins once it is stored; an ERROR trace only once its copy is
-confirmed, so that no crash of one member loses it.
+A retained trace is acknowledged to its origins once it is stored; an ERROR trace only once its
+replica is confirmed, so that no crash of one member loses it.
 """
 
 from __future__ import annotations
@@ -13,49 +13,49 @@
 from zincvale.model.identifiers import MemberId, TraceId
 from zincvale.model.machine import Log, Send
 from zincvale.tracing.chunks import TraceChunk, decode_chunks, encode_chunks
-from zincvale.tracing.collector.effects import Keep, Settle
+from zincvale.tracing.collector.effects import AcknowledgeChunks, RetainTrace
 from zincvale.tracing.collector.policies import NO_POLICY, Verdict
 from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.log_events import KEPT_EVICTED
-from zincvale.tracing.messages import KeptCopy
+from zincvale.tracing.log_events import RETAINED_EVICTED
+from zincvale.tracing.messages import TraceReplica
 from zincvale.tracing.ownership import CollectorTable
-from zincvale.tracing.retention.retained_store import KeptTraceStore
-from zincvale.tracing.retention.retained_trace import KeptTrace
-
-COPY_TIMEOUT_S = 2.0
-COPY_BYTES_PER_TICK = 512 * 1024
-"""Copies made again after a crash leave at this pace."""
-LEAVING_BYTES_PER_TICK = 8 * 1024 * 1024
-"""A leaving member has little time to hand its kept traces over."""
+from zincvale.tracing.retention.retained_store import RetainedTraceStore
+from zincvale.tracing.retention.retained_trace import RetainedTrace
+
+REPLICA_ACK_TIMEOUT_S = 2.0
+REPLICATION_BYTES_PER_TICK = 512 * 1024
+"""Replicas made again after a crash are sent at this pace."""
+DRAIN_BYTES_PER_TICK = 8 * 1024 * 1024
+"""A draining member has little time to transfer its retained traces."""
 NO_PROBABILITY = 0.0
 
 
 @attrs.frozen
-class CopyReceived:
-    """Input: `holder` sent a copy of chunks of a kept trace."""
+class ReplicaReceived:
+    """Input: `primary` sent a replica of chunks of a retained trace."""
 
-    holder: MemberId
-    message: KeptCopy
+    primary: MemberId
+    message: TraceReplica
 
 
 @attrs.frozen
-class CopyAcked:
-    """Input: the copy is held by `member`."""
+class ReplicaAcknowledged:
+    """Input: `member` stored the replica."""
 
     member: MemberId
-    copy_id: int
+    replica_id: int
 
 
 @attrs.frozen
-class HoldersChanged:
-    """Input: the collector table was changed; `gone` left or lost their memory."""
+class ReplicaMembersChanged:
+    """Input: the collector table was changed; `departed` left or lost their memory."""
 
-    gone: frozenset[MemberId]
+    departed: frozenset[MemberId]
 
 
 @attrs.frozen
-class KeeperLeaves:
-    """Input: this member stops in order; what only it holds has to go elsewhere."""
+class DrainStarted:
+    """Input: this member stops in order; what only it has must go elsewhere."""
 
 
 @attrs.frozen
@@ -65,13 +65,20 @@
     wall_now_s: float
 
 
-Input = Keep | CopyReceived | CopyAcked | HoldersChanged | KeeperLeaves | RetentionDue
-KeeperEffect = Settle | Send | Log
+Input = (
+    RetainTrace
+    | ReplicaReceived
+    | ReplicaAcknowledged
+    | ReplicaMembersChanged
+    | DrainStarted
+    | RetentionDue
+)
+ReplicatorEffect = AcknowledgeChunks | Send | Log
 
 
 @attrs.define(slots=True, eq=False)
-class PendingCopy:
-    """A copy on its way."""
+class PendingReplica:
+    """A replica in flight."""
 
     trace_id: TraceId
     to: MemberId
@@ -80,107 +87,109 @@
 
 
 @attrs.define(slots=True)
-class KeeperCounts:
+class ReplicatorStats:
     """Totals since the start, for metrics."""
 
-    kept_by_policy: dict[str, int] = attrs.field(factory=dict)
-    copies: int = 0
+    retained_by_policy: dict[str, int] = attrs.field(factory=dict)
+    replicas: int = 0
     adopted: int = 0
 
 
 @attrs.define(slots=True)
-class TraceKeeper:
-    """State machine over the kept-trace store."""
+class TraceReplicator:
+    """State machine over the store of retained traces."""
 
     member_id: MemberId
     config: TracingConfig
     collectors: CollectorTable
-    store: KeptTraceStore
+    store: RetainedTraceStore
     wall_now_s: float = 0.0
-    counts: KeeperCounts = attrs.field(factory=KeeperCounts)
-    _pending: dict[int, PendingCopy] = attrs.field(factory=dict)
-    _to_copy: deque[TraceId] = attrs.field(factory=deque)
-    _next_copy: int = 1
-    _is_leaving: bool = False
+    stats: ReplicatorStats = attrs.field(factory=ReplicatorStats)
+    _pending: dict[int, PendingReplica] = attrs.field(factory=dict)
+    _to_replicate: deque[TraceId] = attrs.field(factory=deque)
+    _next_replica: int = 1
+    _is_draining: bool = False
     _reported_evictions: int = 0
 
-    def handle(self, event: Input, now: float) -> list[KeeperEffect]:
+    def handle(self, event: Input, now: float) -> list[ReplicatorEffect]:
         """Apply one input and return what to do."""
         match event:
-            case Keep(chunks, verdict, is_error):
-                return self._handle_keep(chunks, verdict, is_error, now)
-            case CopyReceived(holder, message):
-                return self._handle_copy(holder, message)
-            case CopyAcked(member, copy_id):
-                return self._handle_ack(member, copy_id)
-            case HoldersChanged(gone):
-                return self._handle_members(gone, now)
-            case KeeperLeaves():
-                return self._handle_leaving()
+            case RetainTrace(chunks, verdict, is_error):
+                return self._handle_retain(chunks, verdict, is_error, now)
+            case ReplicaReceived(primary, message):
+                return self._handle_replica(primary, message)
+            case ReplicaAcknowledged(member, replica_id):
+                return self._handle_ack(member, replica_id)
+            case ReplicaMembersChanged(departed):
+                return self._handle_members(departed, now)
+            case DrainStarted():
+                return self._handle_drain()
             case RetentionDue(wall_now_s):
                 return self._handle_tick(wall_now_s, now)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no copy is on its way or due."""
-        return not (self._pending or self._to_copy)
+        """Whether no replica is in flight or due."""
+        return not (self._pending or self._to_replicate)
 
-    def _handle_keep(
+    def _handle_retain(
         self, chunks: list[TraceChunk], verdict: Verdict, is_error: bool, now: float
-    ) -> list[KeeperEffect]:
+    ) -> list[ReplicatorEffect]:
         trace_id = chunks[0].trace_id
         trace = self.store.take_out(trace_id)
         if trace is None:
             if verdict.policy == NO_POLICY:
-                return _settles(chunks)
+                return _acknowledgements(chunks)
             trace = self._new_trace(trace_id, verdict)
         for chunk in chunks:
             trace.add(chunk)
         if verdict.policy != NO_POLICY:
             trace.revise(verdict, is_error)
         self.store.put(trace)
-        if not self._wants_copy(trace):
-            return _settles(chunks)
-        return self._copy(trace, chunks, now)
-
-    def _new_trace(self, trace_id: TraceId, verdict: Verdict) -> KeptTrace:
-        counts = self.counts.kept_by_policy
-        counts[verdict.policy] = counts.get(verdict.policy, 0) + 1
-        return KeptTrace(
+        if not self._needs_replica(trace):
+            return _acknowledgements(chunks)
+        return self._replicate(trace, chunks, now)
+
+    def _new_trace(self, trace_id: TraceId, verdict: Verdict) -> RetainedTrace:
+        stats = self.stats.retained_by_policy
+        stats[verdict.policy] = stats.get(verdict.policy, 0) + 1
+        return RetainedTrace(
             trace_id, verdict.policy, 0.0, NO_PROBABILITY, self.wall_now_s, self.member_id
         )
 
-    def _copy(self, trace: KeptTrace, chunks: list[TraceChunk], now: float) -> list[KeeperEffect]:
-        stand_in = self.collectors.stand_in(trace.trace_id, self.member_id)
-        if stand_in is None:
-            return _settles(chunks)
-        copy_id = self._next_copy
-        self._next_copy += 1
-        self.counts.copies += 1
-        self._pending[copy_id] = PendingCopy(trace.trace_id, stand_in, now, chunks)
+    def _replicate(
+        self, trace: RetainedTrace, chunks: list[TraceChunk], now: float
+    ) -> list[ReplicatorEffect]:
+        successor = self.collectors.successor(trace.trace_id, self.member_id)
+        if successor is None:
+            return _acknowledgements(chunks)
+        replica_id = self._next_replica
+        self._next_replica += 1
+        self.stats.replicas += 1
+        self._pending[replica_id] = PendingReplica(trace.trace_id, successor, now, chunks)
         evidence, bodies = encode_chunks(chunks)
-        message = KeptCopy(
-            copy_id,
+        message = TraceReplica(
+            replica_id,
             trace.trace_id,
             trace.policy,
             trace.weight,
-            trace.kept_wall_s,
+            trace.retained_wall_s,
             evidence,
             bodies,
         )
-        return [Send(stand_in, message)]
+        return [Send(successor, message)]
 
-    def _handle_copy(self, holder: MemberId, message: KeptCopy) -> list[KeeperEffect]:
+    def _handle_replica(self, primary: MemberId, message: TraceReplica) -> list[ReplicatorEffect]:
         trace_id = TraceId(message.trace_id)
         trace = self.store.take_out(trace_id)
         if trace is None:
-            trace = KeptTrace(
+            trace = RetainedTrace(
                 trace_id,
                 message.policy,
                 message.weight,
                 NO_PROBABILITY,
-                message.kept_wall_s,
-                holder,
+                message.retained_wall_s,
+                primary,
             )
         for chunk in decode_chunks(message.evidence, message.bodies):
             trace.add(chunk)
@@ -190,74 +199,74 @@
         self.store.put(trace)
         return []
 
-    def _handle_ack(self, member: MemberId, copy_id: int) -> list[KeeperEffect]:
-        pending = self._pending.pop(copy_id, None)
+    def _handle_ack(self, member: MemberId, replica_id: int) -> list[ReplicatorEffect]:
+        pending = self._pending.pop(replica_id, None)
         if pending is None:
             return []
         trace = self.store.get(pending.trace_id)
         if trace is not None:
-            trace.copied_to = member
-        return _settles(pending.chunks)
+            trace.replica_member = member
+        return _acknowledgements(pending.chunks)
 
-    def _handle_members(self, gone: frozenset[MemberId], now: float) -> list[KeeperEffect]:
-        """Stand in for lost holders, and copy again what lost its copy."""
+    def _handle_members(self, departed: frozenset[MemberId], now: float) -> list[ReplicatorEffect]:
+        """Take over from lost primaries, and replicate again what lost its replica."""
         for trace in self.store.rows():
-            if trace.holder in gone:
-                trace.holder = self.member_id
-                self.counts.adopted += 1
-                self._to_copy.append(trace.trace_id)
-            elif trace.copied_to in gone and trace.copied_to:
-                trace.copied_to = MemberId("")
-                self._to_copy.append(trace.trace_id)
-        effects: list[KeeperEffect] = []
-        for copy_id, pending in list(self._pending.items()):
-            if pending.to in gone:
-                effects += self._copy_again(copy_id, now)
+            if trace.primary in departed:
+                trace.primary = self.member_id
+                self.stats.adopted += 1
+                self._to_replicate.append(trace.trace_id)
+            elif trace.replica_member in departed and trace.replica_member:
+                trace.replica_member = MemberId("")
+                self._to_replicate.append(trace.trace_id)
+        effects: list[ReplicatorEffect] = []
+        for replica_id, pending in list(self._pending.items()):
+            if pending.to in departed:
+                effects += self._replicate_again(replica_id, now)
         return effects
 
-    def _handle_tick(self, wall_now_s: float, now: float) -> list[KeeperEffect]:
+    def _handle_tick(self, wall_now_s: float, now: float) -> list[ReplicatorEffect]:
         self.wall_now_s = wall_now_s
         self.store.expire(wall_now_s)
-        effects: list[KeeperEffect] = []
-        for copy_id, pending in list(self._pending.items()):
-            if now - pending.sent_at >= COPY_TIMEOUT_S:
-                effects += self._copy_again(copy_id, now)
-        effects += self._copy_due(now)
+        effects: list[ReplicatorEffect] = []
+        for replica_id, pending in list(self._pending.items()):
+            if now - pending.sent_at >= REPLICA_ACK_TIMEOUT_S:
+                effects += self._replicate_again(replica_id, now)
+        effects += self._replicate_due(now)
         return effects + self._report_evictions()
 
-    def _handle_leaving(self) -> list[KeeperEffect]:
-        self._is_leaving = True
-        mine = [trace for trace in self.store.rows() if trace.holder == self.member_id]
-        mine.sort(key=lambda trace: (not trace.is_error, -trace.kept_wall_s))
-        self._to_copy.clear()
-        self._to_copy.extend(trace.trace_id for trace in mine if not trace.copied_to)
+    def _handle_drain(self) -> list[ReplicatorEffect]:
+        self._is_draining = True
+        mine = [trace for trace in self.store.rows() if trace.primary == self.member_id]
+        mine.sort(key=lambda trace: (not trace.is_error, -trace.retained_wall_s))
+        self._to_replicate.clear()
+        self._to_replicate.extend(trace.trace_id for trace in mine if not trace.replica_member)
         return []
 
-    def _copy_due(self, now: float) -> list[KeeperEffect]:
-        """Copy what waits for it, at a bounded pace."""
-        effects: list[KeeperEffect] = []
-        left = LEAVING_BYTES_PER_TICK if self._is_leaving else COPY_BYTES_PER_TICK
-        while self._to_copy and left > 0:
-            trace = self.store.get(self._to_copy.popleft())
-            if trace is None or not self._wants_copy(trace):
+    def _replicate_due(self, now: float) -> list[ReplicatorEffect]:
+        """Replicate what is due, at a bounded pace."""
+        effects: list[ReplicatorEffect] = []
+        left = DRAIN_BYTES_PER_TICK if self._is_draining else REPLICATION_BYTES_PER_TICK
+        while self._to_replicate and left > 0:
+            trace = self.store.get(self._to_replicate.popleft())
+            if trace is None or not self._needs_replica(trace):
                 continue
             left -= trace.body_bytes
-            effects += self._copy(trace, list(trace.chunks), now)
+            effects += self._replicate(trace, list(trace.chunks), now)
         return effects
 
-    def _wants_copy(self, trace: KeptTrace) -> bool:
-        return self._is_leaving or (trace.is_error and self.config.copy_errors)
+    def _needs_replica(self, trace: RetainedTrace) -> bool:
+        return self._is_draining or (trace.is_error and self.config.copy_errors)
 
-    def _copy_again(self, copy_id: int, now: float) -> list[KeeperEffect]:
-        pending = self._pending.pop(copy_id)
+    def _replicate_again(self, replica_id: int, now: float) -> list[ReplicatorEffect]:
+        pending = self._pending.pop(replica_id)
         trace = self.store.get(pending.trace_id)
         if trace is None:
-            return _settles(pending.chunks)
-        # The new stand-in may have none of the trace: it gets all of it.
+            return _acknowledgements(pending.chunks)
+        # The new successor may have none of the trace: it gets all of it.
         missing = [chunk for chunk in pending.chunks if chunk not in trace.chunks]
-        return self._copy(trace, trace.chunks + missing, now)
+        return self._replicate(trace, trace.chunks + missing, now)
 
-    def _report_evictions(self) -> list[KeeperEffect]:
+    def _report_evictions(self) -> list[ReplicatorEffect]:
         total = self.store.evicted.total()
         if total == self._reported_evictions:
             return []
@@ -266,11 +275,13 @@
             "evicted": dict(self.store.evicted),
             "complete_since": dict(self.store.complete_since),
         }
-        return [Log(KEPT_EVICTED, fields)]
+        return [Log(RETAINED_EVICTED, fields)]
 
 
-def _settles(chunks: list[TraceChunk]) -> list[KeeperEffect]:
+def _acknowledgements(chunks: list[TraceChunk]) -> list[ReplicatorEffect]:
     sequences_by_origin: dict[MemberId, list[int]] = {}
     for chunk in chunks:
         sequences_by_origin.setdefault(chunk.origin, []).append(chunk.sequence)
-    return [Settle(origin, sequences) for origin, sequences in sequences_by_origin.items()]
+    return [
+        AcknowledgeChunks(origin, sequences) for origin, sequences in sequences_by_origin.items()
+    ]
--- a/src/zincvale/tracing/sender/links.py
+++ b/src/zincvale/tracing/sender/links.py
@@ -1,6 +1,6 @@
-"""The way from a sender to one collector: queues, the batch on its way, and credit.
+"""A sender's link to one collector: queues, the batch in flight, and credit.
 
-One batch at a time is on its way, and its ack says how many bytes the next one may carry.
+One batch at a time is in flight, and its ack says how many bytes the next one may carry.
 """
 
 from __future__ import annotations
@@ -22,40 +22,40 @@
 
 @attrs.define(slots=True)
 class Link:
-    """The way to one collector: what waits for it, what is on its way, and its credit."""
+    """The link to one collector: what is queued for it, what is in flight, and its credit."""
 
     errors: deque[TraceChunk] = attrs.field(factory=deque)
     others: deque[TraceChunk] = attrs.field(factory=deque)
     credit_bytes: int = INITIAL_CREDIT_BYTES
     batch: int = NO_BATCH
-    """Number of the batch on its way, or `NO_BATCH`."""
+    """Number of the batch in flight, or `NO_BATCH`."""
     in_flight: list[TraceChunk] = attrs.field(factory=list)
     encoded: tuple[bytes, bytes] = (b"", b"")
-    """What `encode_chunks` gave for the batch on its way."""
+    """What `encode_chunks` returned for the batch in flight."""
     encoded_count: int = 0
     sent_at: float = float("-inf")
 
     @property
     def is_urgent(self) -> bool:
-        """Whether an ERROR or half a batch waits."""
+        """Whether an ERROR or half a batch is queued."""
         return bool(self.errors) or len(self.others) >= MAX_BATCH_CHUNKS // 2
 
     @property
     def has_full_batch(self) -> bool:
-        """Whether what waits fills a batch."""
+        """Whether what is queued fills a batch."""
         return len(self.errors) + len(self.others) >= MAX_BATCH_CHUNKS
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing waits or is on its way."""
+        """Whether nothing is queued or in flight."""
         return not (self.errors or self.others or self.batch)
 
     def queue_for(self, chunk: TraceChunk) -> deque[TraceChunk]:
-        """Return the queue that the chunk waits in."""
+        """Return the queue that the chunk belongs in."""
         return self.errors if chunk.error else self.others
 
     def forget_in_flight(self, origin: MemberId, sequences: set[int]) -> None:
-        """Let go of chunks on their way that are settled already."""
+        """Release chunks in flight that are acknowledged already."""
         self.in_flight = [
             chunk
             for chunk in self.in_flight
@@ -63,7 +63,7 @@
         ]
 
     def put_in_flight(self, batch: int, chunks: list[TraceChunk], now: float) -> None:
-        """Note a batch that leaves now."""
+        """Record a batch that is sent now."""
         self.batch = batch
         self.in_flight = chunks
         self.encoded = encode_chunks(chunks)
@@ -71,14 +71,14 @@
         self.sent_at = now
 
     def clear_in_flight(self) -> None:
-        """Note that nothing is on its way any more."""
+        """Record that nothing is in flight any more."""
         self.in_flight = []
         self.batch = NO_BATCH
         self.encoded = (b"", b"")
         self.encoded_count = 0
 
     def return_in_flight(self) -> None:
-        """Put the batch on its way back to the front of the queues."""
+        """Put the batch in flight back to the front of the queues."""
         for chunk in reversed(self.in_flight):
             self.queue_for(chunk).appendleft(chunk)
         self.clear_in_flight()
--- a/src/zincvale/tracing/sender/retained_batches.py
+++ b/src/zincvale/tracing/sender/retained_batches.py
@@ -1,7 +1,7 @@
-"""Batches kept at their origin until their collector reports the verdicts.
+"""Batches retained at their origin until their collector reports the verdicts.
 
-What is kept is the encoded batch and the sequences that are not settled: thousands of chunks wait
-for their verdict at any time, and as objects they would cost the garbage collector more than their
+Retained are the encoded batch and the unacknowledged sequences: thousands of chunks wait for
+their verdict at any time, and as objects they would cost the garbage collector more than their
 making.
 """
 
@@ -16,17 +16,17 @@
 
 SHRINK_SHARE = 0.9
 COMPACT_SHARE = 0.25
-"""A batch with so few of its chunks unsettled is encoded anew without the others."""
+"""A batch with so few of its chunks unacknowledged is encoded anew without the others."""
 SEQUENCE_OVERHEAD_BYTES = 150
 
 
 @attrs.define(slots=True, eq=False)
 class RetainedBatch:
-    """Chunks that `collector` acknowledged at `acked_at`.
+    """Chunks whose batch `collector` acked at `acked_at`; the verdicts are still open.
 
     Attributes
     ----------
-    sequences : the unsettled ones.
+    sequences : the unacknowledged ones.
     count : how many chunks are encoded.
     """
 
@@ -44,24 +44,24 @@
         return len(self.evidence) + len(self.bodies) + self.count * SEQUENCE_OVERHEAD_BYTES
 
     def chunks(self) -> list[TraceChunk]:
-        """Return the unsettled chunks."""
+        """Return the unacknowledged chunks."""
         chunks = decode_chunks(self.evidence, self.bodies)
         return [chunk for chunk in chunks if chunk.sequence in self.sequences]
 
     def compact(self, errors_only: bool = False) -> list[int]:
-        """Encode the unsettled chunks anew, or just their errors; return what was left out."""
-        kept = [chunk for chunk in self.chunks() if chunk.error or not errors_only]
-        sequences = {chunk.sequence for chunk in kept}
+        """Encode the unacknowledged chunks anew, or just their errors; return what was left out."""
+        retained = [chunk for chunk in self.chunks() if chunk.error or not errors_only]
+        sequences = {chunk.sequence for chunk in retained}
         left_out = self.sequences - sequences
-        self.evidence, self.bodies = encode_chunks(kept)
+        self.evidence, self.bodies = encode_chunks(retained)
         self.sequences = sequences
-        self.count = len(kept)
+        self.count = len(retained)
         return list(left_out)
 
 
 @attrs.define(slots=True)
 class RetainedChunks:
-    """Table of acknowledged batches with unsettled chunks, in the order of their acks."""
+    """Table of acked batches with unacknowledged chunks, in the order of their acks."""
 
     size_bytes: int = 0
     _batches: dict[int, RetainedBatch] = attrs.field(factory=dict)
@@ -78,11 +78,11 @@
         collector: MemberId,
         now: float,
     ) -> None:
-        """Retain chunks that `collector` holds now; `encoded` is what `encode_chunks` gave."""
+        """Retain chunks that `collector` acked; `encoded` is what `encode_chunks` returned."""
         if not chunks:
             return
         sequences = {chunk.sequence for chunk in chunks}
-        self.settle(sequences)
+        self.acknowledge(sequences)
         number = self._next_batch
         self._next_batch += 1
         evidence, bodies = encoded
@@ -92,8 +92,8 @@
         self._batch_by_sequence.update(dict.fromkeys(sequences, number))
         self.size_bytes += batch.size_bytes
 
-    def settle(self, sequences: Iterable[int]) -> set[int]:
-        """Let go of chunks whose traces are decided; return those that are not held."""
+    def acknowledge(self, sequences: Iterable[int]) -> set[int]:
+        """Release chunks whose traces are decided; return the sequences that are unknown here."""
         unknown = set()
         touched = set()
         for sequence in sequences:
@@ -108,12 +108,12 @@
         return unknown
 
     def take_sent_to(self, collectors: frozenset[MemberId]) -> list[TraceChunk]:
-        """Take out the chunks that these collectors held, to be sent again."""
+        """Take out the chunks that these collectors had, to be sent again."""
         lost = [n for n, batch in self._batches.items() if batch.collector in collectors]
         return [chunk for number in lost for chunk in self._take(number)]
 
     def take_acked_before(self, acked_before: float) -> list[TraceChunk]:
-        """Take out the chunks that were acknowledged before that time, to be sent again."""
+        """Take out the chunks whose batch was acked before that time, to be sent again."""
         old = []
         for number, batch in self._batches.items():
             if batch.acked_at >= acked_before:
@@ -122,7 +122,7 @@
         return [chunk for number in old for chunk in self._take(number)]
 
     def shrink(self, limit_bytes: int) -> None:
-        """Let go of chunks when over a limit: oldest first, those with an ERROR last.
+        """Release chunks when over a limit: oldest first, those with an ERROR last.
 
         Goes some way below the limit, so that the walk over the table is rare.
         """
--- a/src/zincvale/tracing/sender/sender.py
+++ b/src/zincvale/tracing/sender/sender.py
@@ -1,9 +1,9 @@
-"""Sends chunks to their collectors and keeps them until the verdict, as a pure state machine.
+"""Sends chunks to their collectors and retains them until the verdict, as a pure state machine.
 
-Flow control: one batch at a time is on its way to each collector (see `links`). Chunks that wait
+Flow control: one batch at a time is in flight to each collector (see `links`). Queued chunks
 are bounded; when the bound is hit, traces without an ERROR go first, counted.
 
-Crash safety: a chunk is retained after its ack, until its collector reports it settled. When the
+Crash safety: a chunk is retained after its ack, until its collector acknowledges it. When the
 collector leaves or restarts, retained chunks go to the new owner of their trace.
 """
 
@@ -30,20 +30,20 @@
 MAX_BATCHES_PER_S = 50.0
 """Each batch costs both ends a message, so with many collectors each is served less often."""
 PROBE_INTERVAL_S = 1.0
-SETTLE_MARGIN_S = 15.0
-"""A chunk that is not settled this long after the decision wait is sent again."""
+ACKNOWLEDGEMENT_MARGIN_S = 15.0
+"""A chunk that is not acknowledged this long after the decision wait is sent again."""
 
 
 @attrs.frozen
 class ChunksEnded:
-    """Input: chunks of this member, or passed on for their origins, have to be sent."""
+    """Input: chunks of this member, or forwarded for their origins, have to be sent."""
 
     chunks: list[TraceChunk]
 
 
 @attrs.frozen
-class BatchAcked:
-    """Input: `collector` took a batch and grants credit."""
+class BatchAckReceived:
+    """Input: a batch arrived at `collector`, which grants credit for the next."""
 
     collector: MemberId
     batch: int
@@ -51,15 +51,15 @@
 
 
 @attrs.frozen
-class ChunksDecided:
-    """Input: a collector reports chunks settled."""
+class AcknowledgementReceived:
+    """Input: a collector reports that the traces of these chunks are decided and safe."""
 
     sequences: list[int]
 
 
 @attrs.frozen
 class CollectorsChanged:
-    """Input: these members collect now; `restarted` kept their name and lost their memory."""
+    """Input: these members collect now; `restarted` lost their memory but not their name."""
 
     members: frozenset[MemberId]
     restarted: frozenset[MemberId] = frozenset()
@@ -70,11 +70,11 @@
     """Input: the flush timer fired."""
 
 
-Input = ChunksEnded | BatchAcked | ChunksDecided | CollectorsChanged | FlushDue
+Input = ChunksEnded | BatchAckReceived | AcknowledgementReceived | CollectorsChanged | FlushDue
 
 
 @attrs.define(slots=True)
-class SenderCounts:
+class SenderStats:
     """Totals since the start, for metrics."""
 
     batches: int = 0
@@ -91,7 +91,7 @@
     member_id: MemberId
     config: TracingConfig
     collectors: CollectorTable
-    counts: SenderCounts = attrs.field(factory=SenderCounts)
+    stats: SenderStats = attrs.field(factory=SenderStats)
     _links: dict[MemberId, Link] = attrs.field(factory=dict)
     _retained: RetainedChunks = attrs.field(factory=RetainedChunks)
     _queued_bytes: int = 0
@@ -103,42 +103,43 @@
         match event:
             case ChunksEnded(chunks):
                 return self._handle_chunks(chunks)
-            case BatchAcked(collector, batch, credit_bytes):
+            case BatchAckReceived(collector, batch, credit_bytes):
                 return self._handle_ack(collector, batch, credit_bytes, now)
-            case ChunksDecided(sequences):
+            case AcknowledgementReceived(sequences):
                 return self._handle_decided(sequences)
             case CollectorsChanged(members, restarted):
-                return self._handle_members(members, restarted, now)
+                return self._handle_members(members, restarted)
             case FlushDue():
                 return self._handle_flush(now)
 
     @property
     def queued_bytes(self) -> int:
-        """Bytes that wait for a collector."""
+        """Bytes queued for a collector."""
         return self._queued_bytes
 
     @property
     def retained_bytes(self) -> int:
-        """Bytes kept in case a collector is lost."""
+        """Bytes retained in case a collector is lost."""
         return self._retained.size_bytes
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing waits or is on its way."""
+        """Whether nothing is queued or in flight."""
         return all(link.is_idle for link in self._links.values())
 
     def pressure(self) -> float:
         """Return the share of the sampling target that the queue leaves, in (0, 1].
 
-        Sampling less keeps the weights of kept traces right; dropping from a full queue does not.
+        Sampling less leaves the weights of retained traces right; dropping from a full queue does
+        not.
         """
         return max(0.0, 1.0 - 2.0 * self._queued_bytes / self.config.sender_bytes)
 
     def _handle_chunks(self, chunks: list[TraceChunk]) -> list[Effect]:
-        self.counts.chunks += len(chunks)
+        self.stats.chunks += len(chunks)
         for chunk in chunks:
             self._enqueue(chunk)
-        self._hold_budget()
+        self._enforce_budget()
         return []
 
     def _enqueue(self, chunk: TraceChunk) -> None:
@@ -151,7 +152,7 @@
         link = self._links.get(collector)
         if link is None or link.batch != batch:
             return []
-        # A chunk passed on stays with its origin, which retains it.
+        # A forwarded chunk stays with its origin, which retains it.
         own = [chunk for chunk in link.in_flight if chunk.origin == self.member_id]
         encoded = link.encoded if len(own) == link.encoded_count else encode_chunks(own)
         self._retained.add(own, encoded, collector, now)
@@ -162,7 +163,7 @@
         return []
 
     def _handle_decided(self, sequences: list[int]) -> list[Effect]:
-        unknown = self._retained.settle(sequences)
+        unknown = self._retained.acknowledge(sequences)
         if unknown:
             # The verdict on a late span overtakes the ack of the batch that carried it.
             for link in self._links.values():
@@ -170,7 +171,7 @@
         return []
 
     def _handle_members(
-        self, members: frozenset[MemberId], restarted: frozenset[MemberId], now: float
+        self, members: frozenset[MemberId], restarted: frozenset[MemberId]
     ) -> list[Effect]:
         lost = (frozenset(self._links) - members) | restarted
         effects: list[Effect] = []
@@ -181,11 +182,11 @@
         again = self._retained.take_sent_to(lost)
         for chunk in again:
             self._enqueue(chunk)
-        self.counts.resent += len(again)
+        self.stats.resent += len(again)
         if again:
             effects.append(Log(COLLECTOR_LOST, {"collectors": sorted(lost), "chunks": len(again)}))
         self._reroute()
-        self._hold_budget()
+        self._enforce_budget()
         return effects
 
     def _requeue(self, link: Link) -> None:
@@ -214,16 +215,16 @@
                 self._return_in_flight(link)
             if is_lost or link.is_urgent or now - link.sent_at >= interval_s:
                 effects += self._send_batch(collector, link, now)
-        self._resend_unsettled(now)
+        self._resend_unacknowledged(now)
         return effects + self._report_drops()
 
     def _flush_interval_s(self) -> float:
-        wanted_s = len(self.collectors.members) / MAX_BATCHES_PER_S
-        return min(max(wanted_s, MIN_FLUSH_INTERVAL_S), MAX_FLUSH_INTERVAL_S)
+        interval_s = len(self.collectors.members) / MAX_BATCHES_PER_S
+        return min(max(interval_s, MIN_FLUSH_INTERVAL_S), MAX_FLUSH_INTERVAL_S)
 
     def _return_in_flight(self, link: Link) -> None:
         self._queued_bytes += sum(chunk.size_bytes for chunk in link.in_flight)
-        self.counts.resent += len(link.in_flight)
+        self.stats.resent += len(link.in_flight)
         link.return_in_flight()
 
     def _send_batch(self, collector: MemberId, link: Link, now: float) -> list[Effect]:
@@ -235,34 +236,34 @@
         self._queued_bytes -= sum([chunk.size_bytes for chunk in chunks])
         link.put_in_flight(self._next_batch, chunks, now)
         self._next_batch += 1
-        self.counts.batches += 1
+        self.stats.batches += 1
         sends: list[Effect] = [Send(collector, SpanBatch(link.batch, *link.encoded))]
-        return sends + self._back_up(collector, chunks)
+        return sends + self._back_up_own(collector, chunks)
 
-    def _back_up(self, collector: MemberId, chunks: list[TraceChunk]) -> list[Effect]:
+    def _back_up_own(self, collector: MemberId, chunks: list[TraceChunk]) -> list[Effect]:
         """Copy what this member collects itself: else its crash takes origin and verdict.
 
-        Only errors and long traces: the others are not copied when they are kept, either.
+        Only errors and long traces: the others are not replicated when they are retained, either.
         """
         if collector != self.member_id:
             return []
         chunks_by_member: dict[MemberId, list[TraceChunk]] = {}
         for chunk in chunks:
-            stand_in = self.collectors.stand_in(chunk.trace_id, self.member_id)
-            if _is_backed_up(chunk) and stand_in:
-                chunks_by_member.setdefault(stand_in, []).append(chunk)
+            successor = self.collectors.successor(chunk.trace_id, self.member_id)
+            if _is_backed_up(chunk) and successor:
+                chunks_by_member.setdefault(successor, []).append(chunk)
         return [
             Send(member, SpanBatch(NO_BATCH, *encode_chunks(backed_up), backup=True))
             for member, backed_up in chunks_by_member.items()
         ]
 
-    def _resend_unsettled(self, now: float) -> None:
-        acked_before = now - self.config.decision_wait_s - SETTLE_MARGIN_S
+    def _resend_unacknowledged(self, now: float) -> None:
+        acked_before = now - self.config.decision_wait_s - ACKNOWLEDGEMENT_MARGIN_S
         for chunk in self._retained.take_acked_before(acked_before):
             self._enqueue(chunk)
-            self.counts.resent += 1
+            self.stats.resent += 1
 
-    def _hold_budget(self) -> None:
+    def _enforce_budget(self) -> None:
         """Drop insurance before data, and data without an ERROR before errors."""
         budget = self.config.sender_bytes
         if self._queued_bytes + self._retained.size_bytes <= budget:
@@ -274,7 +275,7 @@
                 if chunk is None:
                     break
                 self._queued_bytes -= chunk.size_bytes
-                self.counts.dropped["error" if is_error else "other"] += 1
+                self.stats.dropped["error" if is_error else "other"] += 1
 
     def _drop_oldest(self, is_error: bool) -> TraceChunk | None:
         queues = [link.errors if is_error else link.others for link in self._links.values()]
@@ -282,11 +283,11 @@
         return longest.popleft() if longest else None
 
     def _report_drops(self) -> list[Effect]:
-        total = self.counts.dropped.total()
+        total = self.stats.dropped.total()
         if total == self._reported_drops:
             return []
         self._reported_drops = total
-        return [Log(SPANS_DROPPED, {"totals": dict(self.counts.dropped)})]
+        return [Log(SPANS_DROPPED, {"totals": dict(self.stats.dropped)})]
 
     def _link_of(self, chunk: TraceChunk) -> Link:
         """Return the link to the chunk's collector; to nobody while no collector is known."""
--- a/src/zincvale/tracing/service.py
+++ b/src/zincvale/tracing/service.py
@@ -1,4 +1,4 @@
-"""The tracing plane of one daemon: recorder, sender, collector and kept traces behind one object.
+"""The tracing plane of one daemon: recorder, sender, collector and replicator as one object.
 
 It carries out the effects of the machines: messages go through `send`, or stay here when they are
 for this member.
@@ -18,7 +18,7 @@
 from zincvale.model.view import Members, Role
 from zincvale.tracing.chunks import TraceChunk, decode_chunks
 from zincvale.tracing.collector.collector import Collector
-from zincvale.tracing.collector.effects import Keep, PassOn, Settle
+from zincvale.tracing.collector.effects import AcknowledgeChunks, ForwardChunk, RetainTrace
 from zincvale.tracing.collector.inputs import (
     BatchReceived,
     DecisionDue,
@@ -28,28 +28,28 @@
 from zincvale.tracing.config import TracingConfig
 from zincvale.tracing.messages import (
     BatchAck,
-    ChunksSettled,
-    KeptCopy,
-    KeptCopyAck,
+    ChunksAcknowledged,
     PromoteTraces,
     SpanBatch,
+    TraceReplica,
+    TraceReplicaAck,
     VerdictsMoved,
 )
 from zincvale.tracing.ownership import CollectorTable
 from zincvale.tracing.recorder.recorder import SpanRecorder
-from zincvale.tracing.retention.retained_store import KeptTraceStore
+from zincvale.tracing.retention.retained_store import RetainedTraceStore
 from zincvale.tracing.retention.trace_replicator import (
-    CopyAcked,
-    CopyReceived,
-    HoldersChanged,
-    KeeperLeaves,
+    DrainStarted,
+    ReplicaAcknowledged,
+    ReplicaMembersChanged,
+    ReplicaReceived,
     RetentionDue,
-    TraceKeeper,
+    TraceReplicator,
 )
+from zincvale.tracing.sender.links import NO_BATCH
 from zincvale.tracing.sender.sender import (
-    NO_BATCH,
-    BatchAcked,
-    ChunksDecided,
+    AcknowledgementReceived,
+    BatchAckReceived,
     ChunksEnded,
     CollectorsChanged,
     FlushDue,
@@ -57,7 +57,7 @@
 )
 
 SLOW_TICK_S = 1.0
-"""Decisions, retention and open-root markers are looked at this often; flushes on each tick."""
+"""Decisions, retention and open-root markers are checked this often; flushes on each tick."""
 
 
 def _no_log(number: int, **fields: Any) -> None:
@@ -89,12 +89,12 @@
     recorder: SpanRecorder = attrs.field(init=False)
     sender: SpanSender = attrs.field(init=False)
     collector: Collector = attrs.field(init=False)
-    keeper: TraceKeeper = attrs.field(init=False)
+    replicator: TraceReplicator = attrs.field(init=False)
     collectors: CollectorTable = attrs.field(factory=CollectorTable)
     _incarnations: dict[MemberId, str] = attrs.field(factory=dict)
-    _is_leaving: bool = False
+    _is_draining: bool = False
     _last_slow_tick: float = float("-inf")
-    _settled: dict[MemberId, list[int]] = attrs.field(factory=dict)
+    _acknowledged: dict[MemberId, list[int]] = attrs.field(factory=dict)
     """Sequences of decided chunks by origin, until an ack or the next slow tick takes them."""
     _outbox: list[TraceChunk] = attrs.field(factory=list)
     """Chunks that wait for the next tick to reach the sender."""
@@ -115,13 +115,15 @@
         )
         self.sender = SpanSender(self.member_id, config, self.collectors)
         self.collector = Collector(self.member_id, config, self.collectors)
-        store = KeptTraceStore(config.kept_bytes, config.kept_s)
-        self.keeper = TraceKeeper(self.member_id, config, self.collectors, store, self.wall_clock())
+        store = RetainedTraceStore(config.kept_bytes, config.kept_s)
+        self.replicator = TraceReplicator(
+            self.member_id, config, self.collectors, store, self.wall_clock()
+        )
 
     @property
-    def store(self) -> KeptTraceStore:
-        """The kept traces of this member."""
-        return self.keeper.store
+    def store(self) -> RetainedTraceStore:
+        """The retained traces of this member."""
+        return self.replicator.store
 
     def apply_members(self, members: Members) -> None:
         """Take a new member table: the nodes in it collect."""
@@ -133,33 +135,33 @@
         )
         self._incarnations = incarnations
         nodes = {member for member, row in members.rows.items() if row.role is Role.NODE}
-        if self._is_leaving:
+        if self._is_draining:
             nodes.discard(self.member_id)
         self._change_collectors(
             frozenset(nodes), frozenset(incarnations), restarted - {self.member_id}
         )
 
     def leave(self) -> None:
-        """Hand over what is undecided or kept here; go on ticking until `is_idle`."""
-        self._is_leaving = True
+        """Transfer what is undecided or retained here; keep ticking until `is_idle`."""
+        self._is_draining = True
         others = self.collectors.members - {self.member_id}
-        self._change_collectors(others, self.collectors.everyone, frozenset())
+        self._change_collectors(others, self.collectors.live_members, frozenset())
         now = self.clock()
-        self._run(self.keeper.handle(KeeperLeaves(), now), now)
+        self._run(self.replicator.handle(DrainStarted(), now), now)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing waits to be sent, decided or copied."""
+        """Whether nothing waits to be sent, decided or replicated."""
         is_empty = not self._outbox and not len(self.collector)
-        return is_empty and self.sender.is_idle and self.keeper.is_idle
+        return is_empty and self.sender.is_idle and self.replicator.is_idle
 
     def tick(self, now: float) -> None:
         """Run the timers."""
         if now - self._last_slow_tick >= SLOW_TICK_S:
             self._last_slow_tick = now
             self.recorder.tick(now)
-            self._run(self.keeper.handle(RetentionDue(self.wall_clock()), now), now)
-            self._report_settled()
+            self._run(self.replicator.handle(RetentionDue(self.wall_clock()), now), now)
+            self._send_acknowledgements()
             self._run(self.collector.handle(DecisionDue(), now), now)
         if self._outbox:
             chunks = self._outbox.copy()
@@ -177,20 +179,20 @@
                 self._run(self.collector.handle(BatchReceived(chunks, is_backup), now), now)
                 if batch == NO_BATCH:
                     return None
-                settled = self._settled.pop(sender, [])
-                return BatchAck(batch, self.collector.credit_bytes(), settled)
-            case BatchAck(batch, credit_bytes, settled):
-                acked = BatchAcked(sender, batch, credit_bytes)
+                acknowledged = self._acknowledged.pop(sender, [])
+                return BatchAck(batch, self.collector.credit_bytes(), acknowledged)
+            case BatchAck(batch, credit_bytes, acknowledged):
+                acked = BatchAckReceived(sender, batch, credit_bytes)
                 self._run(self.sender.handle(acked, now), now)
-                self._run(self.sender.handle(ChunksDecided(settled), now), now)
-            case ChunksSettled(sequences):
-                self._run(self.sender.handle(ChunksDecided(sequences), now), now)
-            case KeptCopy():
-                self._run(self.keeper.handle(CopyReceived(sender, message), now), now)
-                self.collector.remember_kept(TraceId(message.trace_id))
-                return KeptCopyAck(message.copy_id)
-            case KeptCopyAck(copy_id):
-                self._run(self.keeper.handle(CopyAcked(sender, copy_id), now), now)
+                self._run(self.sender.handle(AcknowledgementReceived(acknowledged), now), now)
+            case ChunksAcknowledged(sequences):
+                self._run(self.sender.handle(AcknowledgementReceived(sequences), now), now)
+            case TraceReplica():
+                self._run(self.replicator.handle(ReplicaReceived(sender, message), now), now)
+                self.collector.mark_retained_here(TraceId(message.trace_id))
+                return TraceReplicaAck(message.replica_id)
+            case TraceReplicaAck(replica_id):
+                self._run(self.replicator.handle(ReplicaAcknowledged(sender, replica_id), now), now)
             case VerdictsMoved(trace_ids):
                 received = VerdictsReceived(sender, [TraceId(text) for text in trace_ids])
                 self._run(self.collector.handle(received, now), now)
@@ -198,34 +200,27 @@
                 self.recorder.promote(trace_ids)
         return None
 
-    def http_routes(self) -> list[Any]:
-        """Return the tornado routes of the trace API, for the node's api address."""
-        # Imported late: only a daemon that serves HTTP needs tornado.
-        from zincvale.tracing.api.http import http_routes
-
-        return list(http_routes(self))
-
-    def _report_settled(self) -> None:
-        """Send what found no ack to ride on since the last time, or is for this member."""
-        for origin, sequences in self._settled.items():
-            self._send(origin, ChunksSettled(sequences))
-        self._settled = {}
+    def _send_acknowledgements(self) -> None:
+        """Send the acknowledgements that no batch ack carried since the last slow tick."""
+        for origin, sequences in self._acknowledged.items():
+            self._send(origin, ChunksAcknowledged(sequences))
+        self._acknowledged = {}
 
     def _change_collectors(
         self,
         collectors: frozenset[MemberId],
-        everyone: frozenset[MemberId],
+        live_members: frozenset[MemberId],
         restarted: frozenset[MemberId],
     ) -> None:
         now = self.clock()
         before = self.collectors.members
-        if collectors == before and everyone == self.collectors.everyone and not restarted:
+        if collectors == before and live_members == self.collectors.live_members and not restarted:
             return
-        gone = ((before - collectors) | restarted) - {self.member_id}
-        self.collectors.apply(collectors, everyone)
-        self.recorder.share_target(len(collectors))
-        self._run(self.collector.handle(MembersChanged(gone), now), now)
-        self._run(self.keeper.handle(HoldersChanged(gone), now), now)
+        departed = ((before - collectors) | restarted) - {self.member_id}
+        self.collectors.apply(collectors, live_members)
+        self.recorder.divide_target(len(collectors))
+        self._run(self.collector.handle(MembersChanged(departed), now), now)
+        self._run(self.replicator.handle(ReplicaMembersChanged(departed), now), now)
         changed = CollectorsChanged(collectors, restarted)
         self._run(self.sender.handle(changed, now), now)
 
@@ -234,12 +229,12 @@
             match effect:
                 case Send(to, message):
                     self._send(to, message)
-                case Settle(origin, sequences):
-                    self._settled.setdefault(origin, []).extend(sequences)
-                case PassOn(chunk):
+                case AcknowledgeChunks(origin, sequences):
+                    self._acknowledged.setdefault(origin, []).extend(sequences)
+                case ForwardChunk(chunk):
                     self._outbox.append(chunk)
-                case Keep():
-                    self._run(self.keeper.handle(effect, now), now)
+                case RetainTrace():
+                    self._run(self.replicator.handle(effect, now), now)
                 case Log(number, fields):
                     self.log(number, **fields)
 
--- a/tests/golden/test_report_bytes.py
+++ b/tests/golden/test_report_bytes.py
@@ -26,7 +26,7 @@
 from zincvale.tracing.api.explain import explain
 from zincvale.tracing.chunks import TraceChunk, decode_chunks, encode_chunks
 from zincvale.tracing.recorder.spans import Span
-from zincvale.tracing.retention.retained_trace import KeptTrace
+from zincvale.tracing.retention.retained_trace import RetainedTrace
 
 CLAIMS = "claim_words.json"
 REPORTS = "report_bytes.json"
@@ -65,13 +65,13 @@
         {"name": name, "offset_s": float(index), "attributes": attributes}
         for index, (name, attributes) in enumerate(events)
     ]
-    trace = KeptTrace(**{**_kept_fields(), "request_id": "r"}).summary()
+    trace = RetainedTrace(**{**_kept_fields(), "request_id": "r"}).summary()
     return explain({"state": "kept", **trace, "spans": [plain]})
 
 
 def _kept_fields() -> dict[str, Any]:
-    sample = SampleBuilder(False).build(KeptTrace)
-    fields = [each for each in attrs.fields(KeptTrace) if each.init]
+    sample = SampleBuilder(False).build(RetainedTrace)
+    fields = [each for each in attrs.fields(RetainedTrace) if each.init]
     return {each.alias: getattr(sample, each.name) for each in fields}
 
 
@@ -88,7 +88,7 @@
     evidence, bodies = encode_chunks([full(TraceChunk), full(TraceChunk)])
     return {
         "trace chunks": [evidence.decode(), bodies.hex()],
-        "trace summary": orjson.dumps(SampleBuilder(False).build(KeptTrace).summary()).decode(),
+        "trace summary": orjson.dumps(SampleBuilder(False).build(RetainedTrace).summary()).decode(),
         "schedule": schedule_text(full(Schedule)),
         "explored": orjson.dumps(attrs.asdict(full(Outcome))).decode(),
         "report figures": orjson.dumps(attrs.asdict(full(Figures))).decode(),
--- a/tests/golden/test_surfaces.py
+++ b/tests/golden/test_surfaces.py
@@ -123,7 +123,7 @@
         service = TracingService(
             MemberId("node-1"), random.Random(1), lambda: 0.0, lambda: 0.0, lambda to, message: None
         )
-        service.keeper.counts.kept_by_policy["a-policy"] = 1
+        service.replicator.stats.retained_by_policy["a-policy"] = 1
         register_metrics(service, metrics.registry)
         route = RouteName("a-route")
         for outcome in Outcome:
--- a/tests/tracing/test_trace_api.py
+++ b/tests/tracing/api/test_trace_api.py
@@ -13,8 +13,9 @@
 from zincvale.bench.tracing_fleet import RequestMix, TracingFleet, trace_request
 from zincvale.cli.trace_commands import age_s, best_trace, merge_attempts, merge_found
 from zincvale.model.errors import InvalidInputError, NotFoundError
+from zincvale.tracing.api.http import trace_api_routes
 from zincvale.tracing.api.query import find_traces, get_trace, read_query, traces_of_request
-from zincvale.tracing.collector.effects import Keep
+from zincvale.tracing.collector.effects import RetainTrace
 from zincvale.tracing.collector.inputs import BatchReceived
 from zincvale.tracing.collector.policies import ERROR_POLICY, SLOW_POLICY, Verdict
 from zincvale.tracing.metrics import register_metrics
@@ -60,7 +61,7 @@
         start_line=RequestStartLine("GET", path, "HTTP/1.1"),
         headers=HTTPHeaders({"Host": "127.0.0.1"}),
     )
-    application = Application(service.http_routes(), log_function=lambda handler: None)
+    application = Application(trace_api_routes(service), log_function=lambda handler: None)
     found = application.find_handler(request)
     handler = found.handler_class(application, request, **found.handler_kwargs)
     handler._transforms = []
@@ -98,7 +99,7 @@
         error = self.assertRaises(NotFoundError, get_trace, self.owner, trace_id(77))
         self.assertThat(error.problem, Contains("not kept"))
 
-    def test_a_search_lists_copies_but_counts_each_trace_once(self):
+    def test_a_search_lists_replicas_but_counts_each_trace_once(self):
         self.wait()
         found = [find_traces(s, TraceQuery(route="quotes")) for s in self.fleet.services.values()]
         self.assertThat(sum(len(body["traces"]) for body in found), Equals(2))
@@ -142,7 +143,7 @@
 
 
 class Merging(TestCase):
-    def test_the_fullest_answer_wins_and_attempts_stand_in_order(self):
+    def test_the_fullest_response_wins_and_attempts_are_in_order(self):
         fleet = make_fleet()
         here, other = fleet.services[HERE], fleet.services[OTHER]
         first = make_chunk(1, 1, request_id="r-7")
@@ -150,7 +151,7 @@
         for service, chunks in ((here, [first]), (other, [first, second])):
             for chunk in chunks:
                 verdict = Verdict(SLOW_POLICY, 1.0)
-                service.keeper.handle(Keep([chunk], verdict, False), 0.0)
+                service.replicator.handle(RetainTrace([chunk], verdict, False), 0.0)
         here.collector.handle(BatchReceived([attempt := make_chunk(3, 3, hops=1)]), 0.0)
         bodies = [
             traces_of_request(other, "r-0001"),
--- a/tests/tracing/test_transcripts.py
+++ b/tests/tracing/api/test_transcripts.py
@@ -8,11 +8,11 @@
 from tests.tracing.builders import HERE, Recording, table
 from zincvale.tracing.api.explain import explain
 from zincvale.tracing.api.render import render_table, render_tree
-from zincvale.tracing.collector.effects import Keep
+from zincvale.tracing.collector.effects import RetainTrace
 from zincvale.tracing.collector.policies import ERROR_POLICY, SLOW_POLICY, Verdict
 from zincvale.tracing.config import TracingConfig
-from zincvale.tracing.retention.retained_store import KeptTraceStore
-from zincvale.tracing.retention.trace_replicator import TraceKeeper
+from zincvale.tracing.retention.retained_store import RetainedTraceStore
+from zincvale.tracing.retention.trace_replicator import TraceReplicator
 
 APPROVED = Path(__file__).parent / "approved"
 
@@ -67,11 +67,11 @@
     root.end()
 
 
-def keep(run, verdict, is_error):
-    """Return the kept trace of what the run recorded, as the trace API writes it."""
-    store = KeptTraceStore(10**6, 3600.0)
-    keeper = TraceKeeper(HERE, TracingConfig(), table(HERE), store, run.now)
-    keeper.handle(Keep(run.chunks, verdict, is_error), run.now)
+def retain(run, verdict, is_error):
+    """Return the retained trace of what the run recorded, as the trace API writes it."""
+    store = RetainedTraceStore(10**6, 3600.0)
+    replicator = TraceReplicator(HERE, TracingConfig(), table(HERE), store, run.now)
+    replicator.handle(RetainTrace(run.chunks, verdict, is_error), run.now)
     [trace] = store.rows()
     return {"state": "kept", **trace.to_json()}
 
@@ -87,23 +87,23 @@
         self.assertThat(text + "\n", Equals((APPROVED / name).read_text(encoding="utf-8")))
 
     def test_a_retried_quote(self):
-        trace = keep(self.quote, Verdict(ERROR_POLICY, 1.0), True)
+        trace = retain(self.quote, Verdict(ERROR_POLICY, 1.0), True)
         self.assert_approved("quote-show.txt", render_tree(trace))
         self.assert_approved("quote-why.txt", explain(trace))
 
     def test_an_order(self):
-        trace = keep(self.order, Verdict(SLOW_POLICY, 1.0), False)
+        trace = retain(self.order, Verdict(SLOW_POLICY, 1.0), False)
         self.assert_approved("order-show.txt", render_tree(trace))
         self.assert_approved("order-why.txt", explain(trace))
 
     def test_a_search(self):
         rows = [
-            keep(self.quote, Verdict(ERROR_POLICY, 1.0), True),
-            keep(self.order, Verdict(SLOW_POLICY, 1.0), False),
+            retain(self.quote, Verdict(ERROR_POLICY, 1.0), True),
+            retain(self.order, Verdict(SLOW_POLICY, 1.0), False),
         ]
         self.assert_approved("find.txt", render_table(rows))
 
-    def test_parts_without_their_entry_node(self):
-        trace = keep(self.quote, Verdict(ERROR_POLICY, 1.0), True)
+    def test_parts_without_their_ingress_node(self):
+        trace = retain(self.quote, Verdict(ERROR_POLICY, 1.0), True)
         trace["spans"] = [span for span in trace["spans"] if span["parent_id"]]
         self.assert_approved("no-root-why.txt", explain({**trace, "state": "pending"}))
--- a/tests/tracing/test_collector.py
+++ b/tests/tracing/collector/test_collector.py
@@ -13,7 +13,7 @@
     RECHECK_S,
     Collector,
 )
-from zincvale.tracing.collector.effects import Keep, PassOn, Settle
+from zincvale.tracing.collector.effects import AcknowledgeChunks, ForwardChunk, RetainTrace
 from zincvale.tracing.collector.inputs import (
     BatchReceived,
     DecisionDue,
@@ -49,14 +49,14 @@
     def due(self, now):
         return self.collector.handle(DecisionDue(), now)
 
-    def change(self, *members, gone=(), now=10.0):
+    def change(self, *members, departed=(), now=10.0):
         self.collectors.apply(frozenset(members))
-        return self.collector.handle(MembersChanged(frozenset(gone)), now)
+        return self.collector.handle(MembersChanged(frozenset(departed)), now)
 
     def boring(self, count=1):
-        """Return numbers of traces that the baseline does not keep."""
+        """Return numbers of traces that the baseline does not effect."""
         chain = self.collector.chain
-        numbers = (n for n in range(1000) if chain[-1].judge(Evidence(trace_id(n))) is None)
+        numbers = (n for n in range(1000) if chain[-1].evaluate(Evidence(trace_id(n))) is None)
         return [next(numbers) for _ in range(count)]
 
 
@@ -64,25 +64,27 @@
     def test_each_trace_waits_and_then_the_chain_decides(self):
         [boring] = self.boring()
         baseline = next(
-            n for n in range(1000) if self.collector.chain[-1].judge(Evidence(trace_id(n)))
+            n for n in range(1000) if self.collector.chain[-1].evaluate(Evidence(trace_id(n)))
         )
         self.receive(0.0, make_chunk(boring, 1), make_chunk(baseline, 2))
         self.receive(0.0, make_chunk(5001, 3, error=True), make_chunk(5002, 4, root_ms=700.0))
         self.assertThat(self.due(WAIT_S - 0.1), Equals([]))
         effects = self.due(WAIT_S)
-        told = {keep.chunks[0].sequence: keep.verdict.policy for keep in of(Keep, effects)}
-        self.assertThat(told, Equals({2: BASELINE_POLICY, 3: ERROR_POLICY, 4: SLOW_POLICY}))
-        self.assertThat(of(Settle, effects), Equals([Settle(HERE, [1])]))
+        policies = {
+            effect.chunks[0].sequence: effect.verdict.policy for effect in of(RetainTrace, effects)
+        }
+        self.assertThat(policies, Equals({2: BASELINE_POLICY, 3: ERROR_POLICY, 4: SLOW_POLICY}))
+        self.assertThat(of(AcknowledgeChunks, effects), Equals([AcknowledgeChunks(HERE, [1])]))
         self.assertThat((len(self.collector), self.collector.size_bytes), Equals((0, 0)))
 
-    def test_an_error_in_any_chunk_keeps_all_of_them_once(self):
+    def test_an_error_in_any_chunk_retains_all_of_them_once(self):
         root = make_chunk(1, 1)
         failed = make_chunk(1, 7, error=True, root_ms=-1.0, origin=OTHER)
         self.receive(0.0, root)
         self.receive(5.0, failed, root, failed)
-        [keep] = self.due(WAIT_S)
-        self.assertThat([chunk.sequence for chunk in keep.chunks], Equals([1, 7]))
-        self.assertThat(self.collector.counts.duplicates, Equals(2))
+        [effect] = self.due(WAIT_S)
+        self.assertThat([chunk.sequence for chunk in effect.chunks], Equals([1, 7]))
+        self.assertThat(self.collector.stats.duplicates, Equals(2))
 
 
 class LateSpans(CollectorTest):
@@ -92,21 +94,21 @@
         self.due(WAIT_S)
         return number
 
-    def test_of_a_kept_trace_are_added_to_it(self):
+    def test_of_a_retained_trace_are_added_to_it(self):
         number = self.decided(error=True)
-        [keep] = self.receive(40.0, make_chunk(number, 2, root_ms=-1.0))
-        self.assertThat(keep.chunks[0].sequence, Equals(2))
+        [effect] = self.receive(40.0, make_chunk(number, 2, root_ms=-1.0))
+        self.assertThat(effect.chunks[0].sequence, Equals(2))
 
-    def test_of_a_dropped_trace_are_dropped_and_settled(self):
+    def test_of_a_dropped_trace_are_dropped_and_acknowledged(self):
         number = self.decided()
         late = make_chunk(number, 2, root_ms=-1.0)
-        self.assertThat(self.receive(40.0, late), Equals([Settle(HERE, [2])]))
+        self.assertThat(self.receive(40.0, late), Equals([AcknowledgeChunks(HERE, [2])]))
 
     def test_a_late_error_revises_the_verdict(self):
         number = self.decided()
         self.receive(40.0, make_chunk(number, 2, error=True, root_ms=-1.0))
-        [keep] = self.due(40.0 + LATE_WAIT_S)
-        self.assertThat((keep.verdict.policy, keep.is_error), Equals((ERROR_POLICY, True)))
+        [effect] = self.due(40.0 + LATE_WAIT_S)
+        self.assertThat((effect.verdict.policy, effect.is_error), Equals((ERROR_POLICY, True)))
 
 
 class OpenRoots(CollectorTest):
@@ -117,39 +119,45 @@
     def test_markers_extend_the_wait_until_the_root_ends(self):
         for step in range(8):
             self.receive(step * 5.0, self.open_chunk(step))
-            self.assertThat(of(Keep, self.due(step * 5.0)), HasLength(0))
+            self.assertThat(of(RetainTrace, self.due(step * 5.0)), HasLength(0))
         [number] = self.boring()
         self.receive(41.0, make_chunk(number, 50, error=True, root_ms=41_000.0))
-        [keep] = self.due(41.0 + RECHECK_S)
-        self.assertThat((len(keep.chunks), keep.verdict.policy), Equals((9, ERROR_POLICY)))
+        [effect] = self.due(41.0 + RECHECK_S)
+        self.assertThat((len(effect.chunks), effect.verdict.policy), Equals((9, ERROR_POLICY)))
 
     def test_the_extension_is_bounded_and_the_time_so_far_counts(self):
         self.collector = self.make_collector(longest_wait_s=60.0)
-        kept = []
+        retained = []
         for step in range(16):
-            kept += of(Keep, self.receive(step * 5.0, self.open_chunk(step)))
-            kept += of(Keep, self.due(step * 5.0))
-        self.assertThat(kept[0].verdict.policy, Equals(SLOW_POLICY))
-        self.assertThat(kept[0].chunks, HasLength(13))
-        self.assertThat([keep.chunks[0].sequence for keep in kept[1:]], Equals([13, 14, 15]))
+            retained += of(RetainTrace, self.receive(step * 5.0, self.open_chunk(step)))
+            retained += of(RetainTrace, self.due(step * 5.0))
+        self.assertThat(retained[0].verdict.policy, Equals(SLOW_POLICY))
+        self.assertThat(retained[0].chunks, HasLength(13))
+        self.assertThat(
+            [effect.chunks[0].sequence for effect in retained[1:]], Equals([13, 14, 15])
+        )
 
-    def test_a_root_whose_member_went_away_is_kept(self):
+    def test_a_root_whose_ingress_node_departed_is_retained(self):
         self.collector = self.make_collector(slow_root_ms=1e9)
         [number] = self.boring()
         lost = make_chunk(number, 1, root_open=True, root_ms=-1.0, origin=OTHER)
         self.receive(0.0, lost)
-        [keep] = self.due(max(WAIT_S, OPEN_ROOT_TIMEOUT_S) + RECHECK_S)
-        self.assertThat(keep.verdict.policy, Equals("entry-lost"))
+        [effect] = self.due(max(WAIT_S, OPEN_ROOT_TIMEOUT_S) + RECHECK_S)
+        self.assertThat(effect.verdict.policy, Equals("entry-lost"))
 
 
 class Budgets(CollectorTest):
-    def test_a_full_table_decides_its_oldest_early_and_keeps_errors(self):
+    def test_a_full_table_decides_its_oldest_early_and_retains_errors(self):
         self.collector = self.make_collector(num_traces=3)
         numbers = self.boring(4)
         self.receive(0.0, make_chunk(5000, 9, error=True))
         effects = self.receive(1.0, *[make_chunk(n, n) for n in numbers])
-        self.assertThat([keep.chunks[0].sequence for keep in of(Keep, effects)], Equals([9]))
-        self.assertThat(of(Settle, effects), Equals([Settle(HERE, [numbers[0]])]))
+        self.assertThat(
+            [effect.chunks[0].sequence for effect in of(RetainTrace, effects)], Equals([9])
+        )
+        self.assertThat(
+            of(AcknowledgeChunks, effects), Equals([AcknowledgeChunks(HERE, [numbers[0]])])
+        )
         self.assertThat([log.number for log in of(Log, effects)], Equals([8002]))
         self.assertThat(log_events.COLLECTOR_FULL, Equals(8002))
         self.assertThat(len(self.collector), Equals(3))
@@ -172,7 +180,7 @@
     def test_a_misdirected_chunk_is_passed_on_but_never_for_ever(self):
         [theirs] = owned_by(OTHER, self.collectors)
         [passed] = self.receive(0.0, make_chunk(theirs))
-        self.assertThat((type(passed), passed.chunk.hops), Equals((PassOn, 1)))
+        self.assertThat((type(passed), passed.chunk.hops), Equals((ForwardChunk, 1)))
         self.assertThat(self.receive(0.0, make_chunk(theirs, hops=2)), Equals([]))
         self.assertThat(len(self.collector), Equals(1))
 
@@ -182,7 +190,7 @@
         self.receive(0.0, *[make_chunk(n, n) for n in numbers])
         effects = self.change(HERE, OTHER, now=12.0)
         theirs = [n for n in numbers if self.collectors.owner(trace_id(n)) == OTHER]
-        moved = of(PassOn, effects)
+        moved = of(ForwardChunk, effects)
         self.assertThat([effect.chunk.sequence for effect in moved], Equals(theirs))
         self.assertThat({effect.chunk.waited_s for effect in moved}, Equals({12.0}))
         self.assertThat(len(self.collector), Equals(40 - len(theirs)))
@@ -193,7 +201,7 @@
         receiver.handle(DecisionDue(), 12.0 + WAIT_S - 12.0)
         self.assertThat(len(receiver), Equals(0))
 
-    def test_late_spans_find_the_holder_after_a_move(self):
+    def test_late_spans_find_the_primary_after_a_move(self):
         self.change(HERE)
         self.receive(0.0, *[make_chunk(n, n, error=True) for n in range(20)])
         self.due(WAIT_S)
@@ -206,20 +214,20 @@
         [sent] = receiver.handle(BatchReceived([make_chunk(moved, 99)]), 41.0)
         self.assertThat((sent.to, sequences(sent.message)), Equals((HERE, [99])))
         receiver.handle(MembersChanged(frozenset({HERE})), 42.0)
-        self.assertIsNone(receiver.verdict_holder(trace_id(moved)))
+        self.assertIsNone(receiver.primary_of(trace_id(moved)))
 
-    def test_backed_up_errors_are_judged_when_their_member_is_gone(self):
+    def test_backed_up_errors_are_decided_when_their_member_departs(self):
         [theirs] = owned_by(OTHER, self.collectors)
         backup = make_chunk(theirs, 3, error=True, origin=OTHER)
         self.receive(0.0, backup, backup=True)
         self.assertThat(self.due(WAIT_S), Equals([]))
-        self.change(HERE, gone=[OTHER], now=WAIT_S)
-        [keep] = self.due(2 * WAIT_S)
-        self.assertThat(keep.verdict.policy, Equals(ERROR_POLICY))
+        self.change(HERE, departed=[OTHER], now=WAIT_S)
+        [effect] = self.due(2 * WAIT_S)
+        self.assertThat(effect.verdict.policy, Equals(ERROR_POLICY))
 
-    def test_a_copy_ends_the_backup(self):
+    def test_a_replica_ends_the_backup(self):
         [theirs] = owned_by(OTHER, self.collectors)
         self.receive(0.0, make_chunk(theirs, 3, error=True, origin=OTHER), backup=True)
-        self.collector.remember_kept(trace_id(theirs))
-        self.change(HERE, gone=[MemberId("node-2")], now=WAIT_S)
+        self.collector.mark_retained_here(trace_id(theirs))
+        self.change(HERE, departed=[MemberId("node-2")], now=WAIT_S)
         self.assertThat(len(self.collector), Equals(0))
--- a/tests/tracing/test_policies.py
+++ b/tests/tracing/collector/test_policies.py
@@ -10,13 +10,13 @@
 from zincvale.tracing.api.estimates import estimate
 from zincvale.tracing.collector.policies import (
     BASELINE_POLICY,
-    ENTRY_LOST_POLICY,
     ERROR_POLICY,
+    INGRESS_LOST_POLICY,
     SLOW_POLICY,
     Evidence,
     Verdict,
     default_chain,
-    judge,
+    evaluate,
     weight,
 )
 from zincvale.tracing.config import TracingConfig
@@ -39,58 +39,58 @@
     """
 
     def test_every_error_every_slow_and_one_percent_of_the_rest(self):
-        kept = Counter()
+        retained = Counter()
         for number in range(TRACES):
             error = number < PUBLISHED_ERRORS
             slow = PUBLISHED_ERRORS <= number < PUBLISHED_ERRORS + PUBLISHED_SLOW
             evidence = Evidence(trace_id(number), error, 501.0 if slow else 55.0)
-            verdict = judge(CHAIN, evidence)
-            kept[verdict.policy if verdict else "dropped"] += 1
-        self.assertThat(kept[ERROR_POLICY], Equals(PUBLISHED_ERRORS))
-        self.assertThat(kept[SLOW_POLICY], Equals(PUBLISHED_SLOW))
+            verdict = evaluate(CHAIN, evidence)
+            retained[verdict.policy if verdict else "dropped"] += 1
+        self.assertThat(retained[ERROR_POLICY], Equals(PUBLISHED_ERRORS))
+        self.assertThat(retained[SLOW_POLICY], Equals(PUBLISHED_SLOW))
         rest = TRACES - PUBLISHED_ERRORS - PUBLISHED_SLOW
         four_sigma = 4 * (rest * 0.01 * 0.99) ** 0.5
-        deviation = abs(kept[BASELINE_POLICY] - rest * 0.01)
+        deviation = abs(retained[BASELINE_POLICY] - rest * 0.01)
         self.assertThat(deviation, LessThan(four_sigma))
 
 
 class Order(TestCase):
-    def test_first_keep_wins(self):
+    def test_first_verdict_wins(self):
         policies = [
-            judge(CHAIN, Evidence(TraceId("0"), True, 900.0, entry_is_lost=True)).policy,
-            judge(CHAIN, Evidence(TraceId("0"), False, 900.0, entry_is_lost=True)).policy,
-            judge(CHAIN, Evidence(TraceId("0"), False, 900.0)).policy,
+            evaluate(CHAIN, Evidence(TraceId("0"), True, 900.0, is_ingress_lost=True)).policy,
+            evaluate(CHAIN, Evidence(TraceId("0"), False, 900.0, is_ingress_lost=True)).policy,
+            evaluate(CHAIN, Evidence(TraceId("0"), False, 900.0)).policy,
         ]
-        self.assertThat(policies, Equals([ERROR_POLICY, ENTRY_LOST_POLICY, SLOW_POLICY]))
+        self.assertThat(policies, Equals([ERROR_POLICY, INGRESS_LOST_POLICY, SLOW_POLICY]))
 
     def test_threshold_is_exclusive_and_unknown_roots_are_not_slow(self):
         unlucky = next(
             trace_id(number)
             for number in range(100)
-            if judge(CHAIN, Evidence(trace_id(number), False, 500.0)) is None
+            if evaluate(CHAIN, Evidence(trace_id(number), False, 500.0)) is None
         )
-        self.assertIsNone(judge(CHAIN, Evidence(unlucky, False, 500.0)))
-        self.assertIsNone(judge(CHAIN, Evidence(unlucky)))
-        self.assertIsNotNone(judge(CHAIN, Evidence(unlucky, False, 500.1)))
+        self.assertIsNone(evaluate(CHAIN, Evidence(unlucky, False, 500.0)))
+        self.assertIsNone(evaluate(CHAIN, Evidence(unlucky)))
+        self.assertIsNotNone(evaluate(CHAIN, Evidence(unlucky, False, 500.1)))
 
 
 class AdaptiveBaseline(TestCase):
-    def kept(self, chain, per_second, seconds):
+    def retained(self, chain, per_second, seconds):
         verdicts = [
-            judge(chain, Evidence(trace_id(number), at=1.0 + number / per_second))
+            evaluate(chain, Evidence(trace_id(number), at=1.0 + number / per_second))
             for number in range(per_second * seconds)
         ]
         return [verdict for verdict in verdicts if verdict]
 
-    def test_everything_is_kept_while_there_is_room(self):
+    def test_everything_is_retained_below_the_baseline_rate(self):
         chain = default_chain(TracingConfig(baseline_traces_per_s=10.0))
-        self.assertThat(self.kept(chain, 8, 20), HasLength(160))
+        self.assertThat(self.retained(chain, 8, 20), HasLength(160))
 
     def test_the_share_falls_to_the_target_and_never_below_its_floor(self):
         chain = default_chain(TracingConfig(baseline_traces_per_s=10.0))
-        last = self.kept(chain, 100, 60)[-1]
+        last = self.retained(chain, 100, 60)[-1]
         self.assertThat(round(last.probability, 3), Equals(0.1))
-        last = self.kept(default_chain(TracingConfig(baseline_traces_per_s=1.0)), 500, 60)[-1]
+        last = self.retained(default_chain(TracingConfig(baseline_traces_per_s=1.0)), 500, 60)[-1]
         self.assertThat(round(last.probability, 3), Equals(0.01))
 
 
@@ -113,7 +113,7 @@
             true_errors += error
             if not error and int(identifier[-16:], 16) / 2**64 >= head:
                 continue
-            verdict = judge(CHAIN, Evidence(identifier, error, duration_ms))
+            verdict = evaluate(CHAIN, Evidence(identifier, error, duration_ms))
             if verdict is not None:
                 rows.append(
                     {
--- a/tests/tracing/test_recorder.py
+++ b/tests/tracing/recorder/test_recorder.py
@@ -56,7 +56,7 @@
             self.assertThat(child.context.sampled, Equals(context.sampled))
             child.end()
             root.end()
-        self.assertThat(len(run.chunks), Equals(run.recorder.counts.sampled))
+        self.assertThat(len(run.chunks), Equals(run.recorder.stats.sampled))
         self.assertTrue(all(chunk.probability == 0.5 for chunk in run.chunks))
 
     def test_ending_twice_is_ending_once(self):
@@ -68,7 +68,7 @@
 
     def test_a_core_samples_every_trace_of_its_orders(self):
         run = Recording(rate=None, head_sampling=False, target_traces_per_s=1.0)
-        run.recorder.share_target(8)
+        run.recorder.divide_target(8)
         for _ in range(2_000):
             run.recorder.start("order").end()
             run.now += 0.01
@@ -78,13 +78,13 @@
     def test_a_node_aims_at_no_more_than_its_own_bound_however_many_collect(self):
         for members, target in ((1, 0.25), (60, 0.25), (100_000, 0.25)):
             run = Recording(rate=None, node_traces_per_s=0.25)
-            run.recorder.share_target(members)
+            run.recorder.divide_target(members)
             self.assertThat(run.recorder.limiter.target_per_s, Equals(target))
 
     def test_without_a_bound_a_node_aims_at_its_share(self):
         for members, target in ((1, 500.0), (100, 5.0), (100_000, 1.0)):
             run = Recording(rate=None)
-            run.recorder.share_target(members)
+            run.recorder.divide_target(members)
             self.assertThat(run.recorder.limiter.target_per_s, Equals(target))
 
 
@@ -95,9 +95,9 @@
         run.recorder.start("dispatch", root.context).end()
         root.end()
         self.assertThat(run.chunks, HasLength(0))
-        self.assertThat((len(run.recorder._open), run.recorder.held_spans()), Equals((0, 0)))
+        self.assertThat((len(run.recorder._open), run.recorder.buffered_spans()), Equals((0, 0)))
 
-    def test_an_unsampled_trace_that_turns_out_error_leaves_whole(self):
+    def test_an_unsampled_trace_with_an_error_is_sent_complete(self):
         run = Recording(rate=NEVER)
         root = run.recorder.start("request")
         run.recorder.start("hold", root.context).end()
@@ -108,7 +108,7 @@
         [chunk] = run.chunks
         self.assertThat((chunk.sampled, chunk.error, chunk.span_count), Equals((False, True, 3)))
 
-    def test_other_members_are_told_and_send_what_they_hold(self):
+    def test_other_members_are_notified_and_send_what_they_buffered(self):
         entry, other = Recording(rate=NEVER), Recording(rate=NEVER)
         root = entry.recorder.start("request")
         header = root.header_for(OTHER)
@@ -122,7 +122,7 @@
         [chunk] = other.chunks
         self.assertThat((chunk.trace_id, chunk.root_ms), Equals((context.trace_id, -1.0)))
 
-    def test_an_error_elsewhere_promotes_the_entry(self):
+    def test_an_error_elsewhere_promotes_the_trace_at_its_ingress_node(self):
         entry, other = Recording(rate=NEVER), Recording(rate=NEVER)
         root = entry.recorder.start("request")
         context = other.recorder.context_from(root.context.header())
@@ -135,14 +135,14 @@
         root.end()
         self.assertThat(entry.chunks, HasLength(1))
 
-    def test_held_spans_are_forgotten_after_the_wait(self):
+    def test_buffered_spans_expire_after_the_wait(self):
         other = Recording(rate=NEVER)
         context = TraceContext("0" * 32, "1" * 16, False)
         other.recorder.start("claim", context).end()
         other.now += 31.0
         other.recorder.tick(other.now)
         other.recorder.promote([context.trace_id])
-        self.assertThat((other.chunks, other.recorder.held_spans()), Equals(([], 0)))
+        self.assertThat((other.chunks, other.recorder.buffered_spans()), Equals(([], 0)))
 
 
 class LongTraces(TestCase):
@@ -156,8 +156,8 @@
         run.now += 1.0
         run.recorder.tick(run.now)
         root.end()
-        told = [(chunk.root_open, chunk.span_count) for chunk in run.chunks]
-        self.assertThat(told, Equals([(True, 1), (True, 0), (False, 1)]))
+        markers = [(chunk.root_open, chunk.span_count) for chunk in run.chunks]
+        self.assertThat(markers, Equals([(True, 1), (True, 0), (False, 1)]))
 
     def test_ended_spans_of_one_trace_are_bounded(self):
         unsampled, sampled = Recording(rate=NEVER), Recording()
@@ -167,18 +167,18 @@
                 run.recorder.start("dispatch", root.context).end()
             self.assertThat(len(root.trace.ended), Equals(5))
             root.end()
-        self.assertThat(unsampled.recorder.counts.held_dropped, Equals(2 * MAX_ENDED_SPANS))
+        self.assertThat(unsampled.recorder.stats.held_dropped, Equals(2 * MAX_ENDED_SPANS))
         counts = [chunk.span_count for chunk in sampled.chunks]
         self.assertThat(counts, Equals([MAX_ENDED_SPANS, MAX_ENDED_SPANS, 6]))
 
-    def test_held_spans_of_all_traces_are_bounded(self):
+    def test_buffered_spans_of_all_traces_are_bounded(self):
         other = Recording(rate=NEVER, open_bytes=10 * 1024)
         for number in range(50):
             context = TraceContext(f"{number:032x}", "1" * 16, False)
             other.recorder.start("claim", context).end()
         other.recorder.tick(other.now)
-        self.assertThat(other.recorder.held_spans(), Equals(10))
-        self.assertThat(other.recorder.counts.held_dropped, Equals(40))
+        self.assertThat(other.recorder.buffered_spans(), Equals(10))
+        self.assertThat(other.recorder.stats.held_dropped, Equals(40))
 
 
 class UnusualSpans(TestCase):
--- a/tests/tracing/test_sender.py
+++ b/tests/tracing/sender/test_sender.py
@@ -11,11 +11,11 @@
 from zincvale.tracing.sender.links import MAX_BATCH_CHUNKS
 from zincvale.tracing.sender.sender import (
     ACK_TIMEOUT_S,
+    ACKNOWLEDGEMENT_MARGIN_S,
     MIN_FLUSH_INTERVAL_S,
     PROBE_INTERVAL_S,
-    SETTLE_MARGIN_S,
-    BatchAcked,
-    ChunksDecided,
+    AcknowledgementReceived,
+    BatchAckReceived,
     ChunksEnded,
     CollectorsChanged,
     FlushDue,
@@ -65,20 +65,20 @@
         self.offer(OTHER, 2, 2)
         self.offer(OTHER, 1, 9, error=True)
         self.assertThat(self.flush(0.25), HasLength(0))
-        self.sender.handle(BatchAcked(OTHER, first.message.batch, PLENTY), 0.3)
+        self.sender.handle(BatchAckReceived(OTHER, first.message.batch, PLENTY), 0.3)
         [second] = self.flush(0.5)
         self.assertThat(sequences(second.message), Equals([9, 2, 3]))
 
     def test_errors_and_full_queues_leave_at_once_the_rest_once_a_second(self):
         self.offer(OTHER)
         [first] = self.flush(0.0)
-        self.sender.handle(BatchAcked(OTHER, first.message.batch, PLENTY), 0.1)
+        self.sender.handle(BatchAckReceived(OTHER, first.message.batch, PLENTY), 0.1)
         self.offer(OTHER, 3, 2)
         self.assertThat(self.flush(0.25), HasLength(0))
         self.offer(OTHER, 1, 9, error=True)
         [urgent] = self.flush(0.5)
         self.assertThat(sequences(urgent.message), Equals([9, 2, 3, 4]))
-        self.sender.handle(BatchAcked(OTHER, urgent.message.batch, PLENTY), 0.6)
+        self.sender.handle(BatchAckReceived(OTHER, urgent.message.batch, PLENTY), 0.6)
         self.offer(OTHER, MAX_BATCH_CHUNKS // 2 - 1, 100)
         self.assertThat(self.flush(0.75), HasLength(0))
         self.offer(OTHER, 1, 1000)
@@ -89,9 +89,9 @@
         [first] = self.flush(0.0)
         [again] = self.flush(ACK_TIMEOUT_S)
         self.assertThat(sequences(again.message), Equals(sequences(first.message)))
-        self.sender.handle(BatchAcked(OTHER, first.message.batch, PLENTY), 2.0)
+        self.sender.handle(BatchAckReceived(OTHER, first.message.batch, PLENTY), 2.0)
         self.assertFalse(self.sender.is_idle)
-        self.sender.handle(BatchAcked(OTHER, again.message.batch, PLENTY), 2.0)
+        self.sender.handle(BatchAckReceived(OTHER, again.message.batch, PLENTY), 2.0)
         self.assertTrue(self.sender.is_idle)
 
     def test_nothing_is_lost_while_no_collector_is_known(self):
@@ -115,7 +115,7 @@
     def without_credit(self):
         self.offer(OTHER)
         [first] = self.flush(0.0)
-        self.sender.handle(BatchAcked(OTHER, first.message.batch, 0), 0.1)
+        self.sender.handle(BatchAckReceived(OTHER, first.message.batch, 0), 0.1)
 
     def test_no_credit_sends_only_a_probe_a_second_with_errors(self):
         self.without_credit()
@@ -124,7 +124,7 @@
         self.assertThat(self.flush(0.25), HasLength(0))
         [probe] = self.flush(PROBE_INTERVAL_S)
         self.assertThat(sequences(probe.message), Equals([9]))
-        self.sender.handle(BatchAcked(OTHER, probe.message.batch, PLENTY), 1.1)
+        self.sender.handle(BatchAckReceived(OTHER, probe.message.batch, PLENTY), 1.1)
         self.assertThat(self.flush(1.25), HasLength(0))
         [batch] = self.flush(PROBE_INTERVAL_S + MIN_FLUSH_INTERVAL_S)
         self.assertThat(sequences(batch.message), Equals([2, 3, 4]))
@@ -133,7 +133,7 @@
         self.offer(OTHER)
         [first] = self.flush(0.0)
         size = make_chunk(1).size_bytes
-        self.sender.handle(BatchAcked(OTHER, first.message.batch, 2 * size), 0.1)
+        self.sender.handle(BatchAckReceived(OTHER, first.message.batch, 2 * size), 0.1)
         self.offer(OTHER, 10, 2)
         [batch] = self.flush(MIN_FLUSH_INTERVAL_S)
         self.assertThat(sequences(batch.message), HasLength(2))
@@ -143,9 +143,9 @@
         self.sender = self.make_sender(sender_bytes=10 * size)
         self.offer(OTHER, 8, 1, error=True)
         self.offer(OTHER, 8, 11)
-        self.assertThat(dict(self.sender.counts.dropped), Equals({"other": 6}))
+        self.assertThat(dict(self.sender.stats.dropped), Equals({"other": 6}))
         self.offer(OTHER, 6, 21, error=True)
-        self.assertThat(dict(self.sender.counts.dropped), Equals({"other": 8, "error": 4}))
+        self.assertThat(dict(self.sender.stats.dropped), Equals({"other": 8, "error": 4}))
         self.assertThat(self.sender.queued_bytes, LessThan(10 * size + 1))
         logs = [e for e in self.sender.handle(FlushDue(), 0.0) if isinstance(e, Log)]
         self.assertThat([log.number for log in logs], Equals([log_events.SPANS_DROPPED]))
@@ -162,14 +162,14 @@
     def deliver_to(self, member, count, **fields):
         self.offer(member, count, **fields)
         for effect in self.flush(0.0):
-            self.sender.handle(BatchAcked(effect.to, effect.message.batch, PLENTY), 0.1)
+            self.sender.handle(BatchAckReceived(effect.to, effect.message.batch, PLENTY), 0.1)
 
     def sent_after_change(self):
         return sorted(n for effect in self.flush(10.0) for n in sequences(effect.message))
 
-    def test_acknowledged_unsettled_chunks_are_sent_to_the_new_owners(self):
+    def test_acked_undecided_chunks_are_sent_to_the_new_owners(self):
         self.deliver_to(OTHER, 6)
-        self.sender.handle(ChunksDecided([2, 3]), 5.0)
+        self.sender.handle(AcknowledgementReceived([2, 3]), 5.0)
         [log] = self.change(HERE, THIRD)
         self.assertThat(log.number, Equals(log_events.COLLECTOR_LOST))
         self.assertThat(self.sent_after_change(), Equals([1, 4, 5, 6]))
@@ -193,7 +193,7 @@
 
     def test_a_verdict_that_never_comes_is_asked_for(self):
         self.deliver_to(OTHER, 1)
-        due = 0.1 + TracingConfig().decision_wait_s + SETTLE_MARGIN_S
+        due = 0.1 + TracingConfig().decision_wait_s + ACKNOWLEDGEMENT_MARGIN_S
         self.assertThat(self.flush(due - 0.1), HasLength(0))
         self.flush(due + 0.1)
         [again] = self.flush(due + 0.4)
@@ -204,6 +204,6 @@
         self.sender = self.make_sender(sender_bytes=10 * size)
         self.deliver_to(OTHER, 8)
         self.offer(THIRD, 8, 21)
-        self.assertThat(self.sender.counts.dropped.total(), Equals(0))
-        held_bytes = self.sender.retained_bytes + self.sender.queued_bytes
-        self.assertThat(held_bytes, LessThan(10 * size + 1))
+        self.assertThat(self.sender.stats.dropped.total(), Equals(0))
+        buffered_bytes = self.sender.retained_bytes + self.sender.queued_bytes
+        self.assertThat(buffered_bytes, LessThan(10 * size + 1))
--- a/tests/tracing/test_fleet.py
+++ b/tests/tracing/test_fleet.py
@@ -42,37 +42,37 @@
     def run(self, settle_s=SETTLE_S):
         self.fleet.run_until(self.begin + SECONDS + settle_s)
 
-    def kept_share(self):
-        kept = sum(self.fleet.kept_anywhere(trace_id) for trace_id in self.failed)
-        return kept / len(self.failed)
+    def retained_share(self):
+        found = sum(self.fleet.is_retained_anywhere(trace_id) for trace_id in self.failed)
+        return found / len(self.failed)
 
-    def holders(self, trace_id):
+    def primaries(self, trace_id):
         services = self.fleet.services.values()
         found = [(service.member_id, service.store.get(trace_id)) for service in services]
-        return [member for member, trace in found if trace and trace.holder == member]
+        return [member for member, trace in found if trace and trace.primary == member]
 
 
-class ErrorsAreKept(TestCase):
+class ErrorsAreRetained(TestCase):
     def test_all_of_them_while_every_process_lives_and_messages_are_lost(self):
         load = Load(1, loss=0.05)
         load.run()
         self.assertThat(len(load.failed), GreaterThan(150))
         self.assertThat(load.fleet.lost_messages, GreaterThan(50))
-        self.assertThat(load.kept_share(), Equals(1.0))
+        self.assertThat(load.retained_share(), Equals(1.0))
 
     def test_through_the_crash_of_any_one_collector(self):
         for number in range(1, NODES + 1):
             load = Load(10 + number)
             load.at(11.0, lambda load=load, n=number: load.fleet.crash(MemberId(f"node-{n}")))
             load.run()
-            self.assertThat(load.kept_share(), GreaterThan(0.99))
+            self.assertThat(load.retained_share(), GreaterThan(0.99))
 
     def test_through_a_crash_long_after_the_verdicts_and_a_second_one(self):
         load = Load(3)
         load.at(60.0, lambda: load.fleet.crash(MemberId("node-2")))
         load.at(75.0, lambda: load.fleet.crash(MemberId("node-4")))
         load.run()
-        self.assertThat(load.kept_share(), Equals(1.0))
+        self.assertThat(load.retained_share(), Equals(1.0))
 
     def test_through_a_crash_and_an_empty_return_within_the_lease(self):
         load = Load(4)
@@ -83,7 +83,7 @@
 
         load.at(11.0, restart)
         load.run()
-        self.assertThat(load.kept_share(), GreaterThan(0.99))
+        self.assertThat(load.retained_share(), GreaterThan(0.99))
 
     def test_through_joins_and_orderly_leaves_of_every_first_member(self):
         load = Load(5)
@@ -93,8 +93,8 @@
             load.at(4.0 * number, lambda newcomer=newcomer: load.fleet.join(newcomer))
             load.at(4.0 * number + 1.0, lambda leaver=leaver: load.fleet.leave(leaver, 2.5))
         load.run()
-        self.assertThat(load.kept_share(), Equals(1.0))
-        several = [trace for trace in load.failed if len(load.holders(trace)) != 1]
+        self.assertThat(load.retained_share(), Equals(1.0))
+        several = [trace for trace in load.failed if len(load.primaries(trace)) != 1]
         self.assertThat(several, HasLength(0))
 
     def test_nothing_stays_behind(self):
@@ -107,7 +107,7 @@
 
 
 class LongStreams(TestCase):
-    def test_a_stream_that_outlasts_the_wait_is_kept_whole_with_its_late_error(self):
+    def test_a_stream_that_outlasts_the_wait_is_retained_complete_with_its_late_error(self):
         fleet = TracingFleet(7)
         fleet.start(NODES)
         service = fleet.services[MemberId("node-1")]
@@ -121,13 +121,15 @@
         second.end()
         root.end()
         fleet.run_until(fleet.now + 60.0)
-        kept = [s.store.get(root.context.trace_id) for s in fleet.services.values()]
-        [holder] = [trace for trace in kept if trace and trace.holder != trace.copied_to][:1]
-        names = sorted(span.name for span in holder.spans())
+        found = [s.store.get(root.context.trace_id) for s in fleet.services.values()]
+        [retained] = [trace for trace in found if trace and trace.primary != trace.replica_member][
+            :1
+        ]
+        names = sorted(span.name for span in retained.spans())
         self.assertThat(names, Equals(["dispatch", "dispatch", "request"]))
-        self.assertThat((holder.policy, holder.weight), Equals(("errors-always", 1.0)))
+        self.assertThat((retained.policy, retained.weight), Equals(("errors-always", 1.0)))
 
-    def test_a_stream_whose_entry_node_crashes_is_kept(self):
+    def test_a_stream_whose_ingress_node_crashes_is_retained(self):
         fleet = TracingFleet(8)
         fleet.start(NODES)
         entry = MemberId("node-1")
@@ -136,8 +138,8 @@
         fleet.run_until(fleet.now + 12.0)
         fleet.crash(entry)
         fleet.run_until(fleet.now + 60.0)
-        kept = [s.store.get(root.context.trace_id) for s in fleet.services.values()]
-        self.assertThat({trace.policy for trace in kept if trace}, Equals({"entry-lost"}))
+        found = [s.store.get(root.context.trace_id) for s in fleet.services.values()]
+        self.assertThat({trace.policy for trace in found if trace}, Equals({"entry-lost"}))
 
 
 class PushBack(TestCase):
@@ -156,7 +158,7 @@
         load.run()
         self.assertThat(max(sender for sender, _ in peaks), LessThan(120_001))
         self.assertThat(max(collector for _, collector in peaks), LessThan(60_001))
-        self.assertThat(load.kept_share(), Equals(1.0))
+        self.assertThat(load.retained_share(), Equals(1.0))
 
 
 class Messages(TestCase):
--- a/tests/tracing/test_ownership.py
+++ b/tests/tracing/test_ownership.py
@@ -23,7 +23,7 @@
     def test_nobody_owns_without_members(self):
         table = CollectorTable()
         self.assertIsNone(table.owner(identifiers(1)[0]))
-        self.assertIsNone(table.stand_in(identifiers(1)[0], MemberId("node-0")))
+        self.assertIsNone(table.successor(identifiers(1)[0], MemberId("node-0")))
 
     def test_history_of_changes_does_not_matter(self):
         fresh, changed = CollectorTable(), CollectorTable()
@@ -36,9 +36,9 @@
         for trace in traces:
             first = fresh.owner(trace)
             self.assertThat(changed.owner(trace), Equals(first))
-            self.assertThat(changed.stand_in(trace, first), Equals(fresh.stand_in(trace, first)))
+            self.assertThat(changed.successor(trace, first), Equals(fresh.successor(trace, first)))
 
-    def test_load_is_even_and_a_leaver_moves_only_its_own(self):
+    def test_load_is_even_and_a_departure_moves_only_its_own(self):
         table = CollectorTable()
         table.apply(members(8))
         traces = identifiers(20_000)
@@ -46,15 +46,15 @@
         shares = Counter(before.values())
         self.assertThat(min(shares.values()), GreaterThan(2_200))
         self.assertThat(max(shares.values()), LessThan(2_800))
-        stand_ins = {trace: table.stand_in(trace, before[trace]) for trace in traces}
+        successors = {trace: table.successor(trace, before[trace]) for trace in traces}
         table.apply(members(8) - {MemberId("node-3")})
         for trace in traces:
             expected = before[trace]
             if expected == "node-3":
-                expected = stand_ins[trace]
+                expected = successors[trace]
             self.assertThat(table.owner(trace), Equals(expected))
 
-    def test_lone_member_has_no_stand_in(self):
+    def test_lone_member_has_no_successor(self):
         table = CollectorTable()
         table.apply(members(1))
-        self.assertIsNone(table.stand_in(identifiers(1)[0], MemberId("node-0")))
+        self.assertIsNone(table.successor(identifiers(1)[0], MemberId("node-0")))
