--- a/src/zincvale/controlplane/placement/apply_intent.py
+++ b/src/zincvale/controlplane/placement/apply_intent.py
@@ -81,7 +81,7 @@
     if server.in_service:
         placement.capacity_appeared = True
     else:
-        placement.draining[server.server] = float("-inf")
+        placement.out_of_service[server.server] = float("-inf")
     placement.recount_server(server)
 
 
--- a/src/zincvale/controlplane/placement/apply_status.py
+++ b/src/zincvale/controlplane/placement/apply_status.py
@@ -37,7 +37,7 @@
     for report in event.reports:
         if report.row.kind is PoolKind.LANGUAGE_MODEL:
             _apply_report(placement, report, now)
-    for server_id in event.gone:
+    for server_id in event.departed:
         _remove_server(placement, server_id, now)
 
 
@@ -113,9 +113,9 @@
 
 def _apply_row(placement: PlacementState, server: ServerState, row: ServerRow) -> None:
     server.running = row.running
-    if row.closing and not _marked_closing(server):
+    if row.closing and not _has_draining_replica(server):
         # Left over from an earlier leader.
-        placement.changed_closing[server.server] = None
+        placement.changed_drains[server.server] = None
     server.max_running = row.max_running
     if row.address != server.address:
         _remove_address(placement, server)
@@ -132,8 +132,8 @@
         placement.recount_server(server)
 
 
-def _marked_closing(server: ServerState) -> bool:
-    return any(replica.closing for replica in server.replicas.values())
+def _has_draining_replica(server: ServerState) -> bool:
+    return any(replica.draining for replica in server.replicas.values())
 
 
 def _move_server(placement: PlacementState, server: ServerState, row: ServerRow) -> None:
@@ -176,8 +176,8 @@
     if len(server.replicas) > len(reported):
         for key in [key for key in server.replicas if key not in reported]:
             _apply_unreported(placement, server, key, report.requested_at, now)
-    held = [server.replicas[key] for key in reported if key in server.replicas]
-    server.listed_bytes = sum(replica.item_bytes for replica in held)
+    listed = [server.replicas[key] for key in reported if key in server.replicas]
+    server.listed_bytes = sum(replica.item_bytes for replica in listed)
 
 
 def _reported_states(
@@ -315,7 +315,7 @@
     placement.servers_by_zone[server.zone].pop(server_id, None)
     placement.moves_by_server.pop(server_id, None)
     placement.watched.pop(server_id, None)
-    placement.draining.pop(server_id, None)
+    placement.out_of_service.pop(server_id, None)
     del placement.servers[server_id]
     placement.log(log_events.SERVER_GONE, server=server_id, zone=server.zone)
 
--- a/src/zincvale/controlplane/placement/choose_server.py
+++ b/src/zincvale/controlplane/placement/choose_server.py
@@ -194,7 +194,7 @@
     for server_id in base.holders:
         server = placement.servers[server_id]
         replica = server.replicas[base.key]
-        if replica.state is not ReplicaState.UNLOADING and not replica.closing:
+        if replica.state is not ReplicaState.UNLOADING and not replica.draining:
             servers.append(server)
     return _sample(placement, servers, placement.config.candidate_sample)
 
--- a/src/zincvale/controlplane/placement/config.py
+++ b/src/zincvale/controlplane/placement/config.py
@@ -23,8 +23,8 @@
         the stores.
     unresponsive_release_s : an unresponsive server's store slot is given up after this long.
     demand_expiry_s : a node that has not reported for this long counts as gone.
-    closing_wait_s : time for nodes to learn that a model is closing, before it is unloaded.
-    drain_limit_s : longest wait for requests that still run on a closing model.
+    drain_notice_s : time for nodes to learn that a model is draining, before it is unloaded.
+    drain_limit_s : longest wait for requests that still run on a draining model.
     max_loads_per_server, max_loads_per_cold_server : concurrent loads ordered to one server.
     cold_ramp_s : a server counts as cold for this long after its incarnation appeared.
     kv_headroom_fraction : part of a server's memory kept for KV caches.
@@ -77,7 +77,7 @@
     takeover_limit_s: float = 15.0
     unresponsive_release_s: float = 120.0
     demand_expiry_s: float = 3.0
-    closing_wait_s: float = 0.2
+    drain_notice_s: float = 0.2
     drain_limit_s: float = 60.0
     max_loads_per_server: int = 2
     max_loads_per_cold_server: int = 1
--- a/src/zincvale/controlplane/placement/desired_replicas.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -182,7 +182,7 @@
     if item.retry_at > now:
         placement.review_later(item, item.retry_at)
         return
-    if not placement.leadership.held:
+    if not placement.leadership.is_leader:
         return
     reason = _reason(placement, item, ready, pending, now)
     if now < item.place_after and reason is not MoveReason.WAITING_REQUESTS:
--- a/src/zincvale/controlplane/placement/dispatch.py
+++ b/src/zincvale/controlplane/placement/dispatch.py
@@ -27,8 +27,8 @@
         return
     reports = [node.reported_at for node in placement.nodes.values()]
     placement.oldest_node_report = min(reports, default=now)
-    closing = [move for move in placement.moves.values() if move.state is MoveState.CLOSING]
-    for move in closing:
+    draining = [move for move in placement.moves.values() if move.state is MoveState.DRAINING]
+    for move in draining:
         if move.move_id in placement.moves:
             _advance_unload(placement, move, now)
 
@@ -73,7 +73,7 @@
 
 
 def _why_keep(placement: PlacementState, move: Move, server: ServerState, now: float) -> str:
-    """Return why a closing replica should stay after all; empty when it should go."""
+    """Return why a draining replica should stay after all; empty when it should go."""
     key = move_item_key(move)
     if not server.is_serving:
         return "the server went out of service"
@@ -106,10 +106,10 @@
     if not planned:
         return
     planned.sort(key=lambda move: _order_key(placement, move, now))
-    held_back: set[StoreName] = set()
+    stores_held_back: set[StoreName] = set()
     for move in planned:
         if move.move_id in placement.moves:
-            _advance_load(placement, move, held_back, now)
+            _advance_load(placement, move, stores_held_back, now)
 
 
 def _order_key(placement: PlacementState, move: Move, now: float) -> tuple[float, ...]:
@@ -121,7 +121,7 @@
 
 
 def _advance_load(
-    placement: PlacementState, move: Move, held_back: set[StoreName], now: float
+    placement: PlacementState, move: Move, stores_held_back: set[StoreName], now: float
 ) -> None:
     item = placement.items.get(move_item_key(move))
     server = placement.servers[move.server]
@@ -132,12 +132,12 @@
     if not placement.leadership.may_order(now) or not placement.leadership.stores_open:
         return
     small = item.weight_bytes <= placement.config.small_item_bytes
-    if move.store in held_back and not small:
+    if move.store in stores_held_back and not small:
         return
     if not _fits_now(placement, move, item, server, now):
         # A larger, less urgent pull must not overtake an urgent one and owe the store's rate.
         if is_missed(placement, item, now):
-            held_back.add(move.store)
+            stores_held_back.add(move.store)
         return
     _order_load(placement, move, item, server, now)
 
@@ -186,7 +186,7 @@
     placement: PlacementState, move: Move, item: ItemRow, server: ServerState, now: float
 ) -> None:
     store = placement.stores[move.store]
-    # Asked before the replica counts as held.
+    # Read before the replica is added: from then on the server counts as having the weights.
     from_disk = placement.loads_from_disk(item, server)
     expected_s = placement.expected_load_s(item, server)
     store.order(item.weight_bytes, now, placement.config)
--- a/src/zincvale/controlplane/placement/draining_row_codec.py
+++ b/src/zincvale/controlplane/placement/draining_row_codec.py
@@ -11,36 +11,36 @@
 
 MOVES_TOPIC = "moves"
 UNLOAD = "unload"
-CLOSING_STATE_NAMES = frozenset({"closing", "ordered", "running", "unknown"})
-"""A replica is closing from the announcement of its unload until that move is finished."""
+DRAINING_STATE_NAMES = frozenset({"closing", "ordered", "running", "unknown"})
+"""A replica is draining from the announcement of its unload until that move is finished."""
 
 
 class DrainingReplicasDecoder:
-    """Keeps what is closing at each server; reads only rows that changed."""
+    """Tracks which replicas drain at each server; parses only rows that changed."""
 
     def __init__(self) -> None:
         self._rows: dict[str, bytes] = {}
-        self._closing: dict[str, tuple[ServerId, str] | None] = {}
+        self._draining: dict[str, tuple[ServerId, str] | None] = {}
 
     def update(self, rows: Mapping[str, bytes]) -> dict[ServerId, frozenset[str]]:
         """Return the names that nodes must send nothing new for; raises `MalformedBodyError`."""
-        self._closing = {
-            move: self._closing[move] if self._rows.get(move) == content else _read(content)
+        self._draining = {
+            move: self._draining[move] if self._rows.get(move) == content else _read(content)
             for move, content in rows.items()
         }
         self._rows = dict(rows)
         names: dict[ServerId, set[str]] = {}
-        for each in self._closing.values():
+        for each in self._draining.values():
             if each is not None:
                 names.setdefault(each[0], set()).add(each[1])
-        return {server: frozenset(closing) for server, closing in names.items()}
+        return {server: frozenset(draining) for server, draining in names.items()}
 
 
 def _read(content: bytes) -> tuple[ServerId, str] | None:
     try:
         row = orjson.loads(content)
-        is_closing = row["kind"] == UNLOAD and row["state"] in CLOSING_STATE_NAMES
-        return (ServerId(row["server"]), row["name"]) if is_closing else None
+        is_draining = row["kind"] == UNLOAD and row["state"] in DRAINING_STATE_NAMES
+        return (ServerId(row["server"]), row["name"]) if is_draining else None
     except (ValueError, KeyError, TypeError) as error:
         raise MalformedBodyError(
             f"a row of the topic moves cannot be read: {error}",
--- a/src/zincvale/controlplane/placement/drains.py
+++ b/src/zincvale/controlplane/placement/drains.py
@@ -14,11 +14,11 @@
 
 def track_drains(placement: PlacementState, now: float) -> None:
     """System: open, follow and end one drain move for each server out of service."""
-    if not placement.leadership.held:
+    if not placement.leadership.is_leader:
         return
-    for server_id, check_at in list(placement.draining.items()):
+    for server_id, check_at in list(placement.out_of_service.items()):
         if check_at <= now:
-            placement.draining[server_id] = now + CHECK_INTERVAL_S
+            placement.out_of_service[server_id] = now + CHECK_INTERVAL_S
             _update_drain(placement, placement.servers[server_id], now)
 
 
@@ -26,7 +26,7 @@
     move_id = placement.drain_by_server.get(server.server)
     move = placement.moves.get(move_id) if move_id is not None else None
     if server.in_service:
-        del placement.draining[server.server]
+        del placement.out_of_service[server.server]
         placement.drain_by_server.pop(server.server, None)
         if move is not None:
             end_move(placement, move, MoveState.CANCELLED, "the server is in service again", now)
--- a/src/zincvale/controlplane/placement/events.py
+++ b/src/zincvale/controlplane/placement/events.py
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class IntentChanged:
-    """Input: the whole intent; tables and specs that are the same objects are skipped."""
+    """Input: the complete intent; tables and specs that are the same objects are skipped."""
 
     intent: Intent
 
@@ -54,7 +54,7 @@
     """Input: servers whose rows changed, or were confirmed, and servers that left the list."""
 
     reports: tuple[StatusReport, ...] = ()
-    gone: tuple[ServerId, ...] = ()
+    departed: tuple[ServerId, ...] = ()
 
 
 @attrs.frozen
@@ -65,7 +65,7 @@
     ----------
     requests : requests that arrived.
     tokens : tokens generated.
-    waiting : requests held at the node now because no replica can take them.
+    waiting : requests pending at the node now because no replica can take them.
     """
 
     model: ModelName
@@ -87,7 +87,7 @@
 
 @attrs.frozen
 class DemandReported:
-    """Input: a node's whole present picture; what it does not list is zero."""
+    """Input: a node's complete present picture; what it does not list is zero."""
 
     node: MemberId
     rows: tuple[DemandRow, ...] = ()
@@ -222,12 +222,12 @@
 class PublishMoves:
     """Effect: put these rows on the topic `moves` and take the removed ones off it.
 
-    `whole` tells that rows not listed are to be removed as well.
+    `is_complete` says that rows not listed are to be removed as well.
     """
 
     changed: tuple[Move, ...]
     removed: tuple[MoveId, ...] = ()
-    whole: bool = False
+    is_complete: bool = False
 
 
 @attrs.frozen
--- a/src/zincvale/controlplane/placement/eviction.py
+++ b/src/zincvale/controlplane/placement/eviction.py
@@ -171,7 +171,7 @@
 
 def _may_leave(placement: PlacementState, item: ItemRow, replica: Replica, now: float) -> bool:
     """Whether a replica is neither pinned, nor moving, nor just loaded, nor waited for."""
-    if replica.state is not ReplicaState.LOADED or replica.closing or replica.move is not None:
+    if replica.state is not ReplicaState.LOADED or replica.draining or replica.move is not None:
         return False
     if now - replica.since < placement.config.min_residency_s:
         return False
--- a/src/zincvale/controlplane/placement/leadership.py
+++ b/src/zincvale/controlplane/placement/leadership.py
@@ -25,14 +25,14 @@
 def apply_leadership(placement: PlacementState, event: LeaderGained, now: float) -> None:
     """Hold the lease under a new epoch, or hold it for longer."""
     leadership = placement.leadership
-    if leadership.held and event.epoch == leadership.epoch:
+    if leadership.is_leader and event.epoch == leadership.epoch:
         leadership.acts_until = max(leadership.acts_until, event.acts_until)
         return
     if event.epoch < leadership.epoch:
         return
     give_up_leadership(placement, now)
     leadership.epoch = event.epoch
-    leadership.held = True
+    leadership.is_leader = True
     leadership.acts_until = event.acts_until
     leadership.gained_at = now
     leadership.stores_open = False
@@ -48,7 +48,7 @@
 
 def give_up_leadership(placement: PlacementState, now: float) -> None:
     """Plan nothing more; orders in flight keep their reservations as unknown."""
-    if not placement.leadership.held:
+    if not placement.leadership.is_leader:
         return
     cancel_planned(placement, now, "the leader lease ended")
     for move in list(placement.moves.values()):
@@ -57,21 +57,21 @@
         elif move.state is MoveState.ORDERED:
             mark_unconfirmed(placement, move)
     placement.drain_by_server.clear()
-    placement.leadership.held = False
+    placement.leadership.is_leader = False
     placement.leadership.stores_open = False
     placement.log(log_events.LEADERSHIP_LOST, epoch=placement.leadership.epoch)
 
 
 def expire_leadership(placement: PlacementState, now: float) -> None:
     """System: stop when the lease was not renewed in time."""
-    if placement.leadership.held and now >= placement.leadership.acts_until:
+    if placement.leadership.is_leader and now >= placement.leadership.acts_until:
         give_up_leadership(placement, now)
 
 
 def open_stores(placement: PlacementState, now: float) -> None:
     """System: end the wait after a change of leader."""
     leadership = placement.leadership
-    if not leadership.held or leadership.stores_open:
+    if not leadership.is_leader or leadership.stores_open:
         return
     limit = leadership.gained_at + placement.config.takeover_limit_s
     if now < limit and not _all_confirmed(placement):
@@ -86,7 +86,7 @@
 
 def request_statuses(placement: PlacementState, now: float) -> None:
     """System: request the status of the servers that a decision waits for."""
-    if not placement.leadership.held:
+    if not placement.leadership.is_leader:
         return
     requested = 0
     for server_id in list(placement.watched):
--- a/src/zincvale/controlplane/placement/move_completion.py
+++ b/src/zincvale/controlplane/placement/move_completion.py
@@ -194,7 +194,7 @@
         placement.queue_review(item.key)
     for needed_id in move.after:
         needed = placement.moves.get(needed_id)
-        if needed is not None and needed.state is MoveState.CLOSING:
+        if needed is not None and needed.state is MoveState.DRAINING:
             end_move(
                 placement, needed, MoveState.CANCELLED, "its space is not needed any more", now
             )
@@ -220,6 +220,6 @@
         return
     placement.set_state(server, key, replica, ReplicaState.LOADED)
     replica.contrary_since = None
-    placement.set_closing(server, key, replica, False)
+    placement.set_draining(server, key, replica, False)
     placement.index_free(server)
     placement.queue_review(key)
--- a/src/zincvale/controlplane/placement/move_row_codec.py
+++ b/src/zincvale/controlplane/placement/move_row_codec.py
@@ -12,7 +12,7 @@
 import attrs
 import orjson
 
-from zincvale.controlplane.placement.draining_row_codec import CLOSING_STATE_NAMES
+from zincvale.controlplane.placement.draining_row_codec import DRAINING_STATE_NAMES
 from zincvale.controlplane.placement.events import PublishMoves
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.controlplane.placement.moves import (
@@ -33,7 +33,7 @@
     "finished_at": "finished_at",
 }
 """Fields of `Move` by the keys of a row; the keys are text of the API and of the topic."""
-CLOSING_STATES = frozenset(MoveState(state) for state in CLOSING_STATE_NAMES)
+DRAINING_STATES = frozenset(MoveState(state) for state in DRAINING_STATE_NAMES)
 
 
 def encode_move(move: Move, wall_offset_s: float = 0.0) -> bytes:
@@ -94,17 +94,17 @@
     return {"moves": [move_to_json(move) for move in ordered]}
 
 
-def closing_by_server(moves: Iterable[Move]) -> dict[ServerId, frozenset[str]]:
+def draining_by_server(moves: Iterable[Move]) -> dict[ServerId, frozenset[str]]:
     """Return what nodes must send nothing new to, from the rows of the topic.
 
-    A replica is closing from the announcement of its unload until that move is finished; it is the
+    A replica is draining from the announcement of its unload until that move is finished; it is the
     value of `ServerRow.closing`.
     """
     names: dict[ServerId, set[str]] = {}
     for move in moves:
-        if move.kind is MoveKind.UNLOAD and move.state in CLOSING_STATES:
+        if move.kind is MoveKind.UNLOAD and move.state in DRAINING_STATES:
             names.setdefault(move.server, set()).add(move.name)
-    return {server: frozenset(closing) for server, closing in names.items()}
+    return {server: frozenset(draining) for server, draining in names.items()}
 
 
 def _from_json(data: Mapping[str, Any]) -> Move:
--- a/src/zincvale/controlplane/placement/moves.py
+++ b/src/zincvale/controlplane/placement/moves.py
@@ -23,8 +23,8 @@
     """How far a move is."""
 
     PLANNED = "planned"
-    CLOSING = "closing"
-    """Nodes were told to send nothing new; the unload follows."""
+    DRAINING = "closing"
+    """Nodes are notified to send nothing new; the unload follows. The value is text of the API."""
     ORDERED = "ordered"
     """The order was sent; its response is pending."""
     RUNNING = "running"
--- a/src/zincvale/controlplane/placement/order_confirmation.py
+++ b/src/zincvale/controlplane/placement/order_confirmation.py
@@ -25,7 +25,7 @@
 ) -> None:
     """Take a status as evidence that the server carries no order of an earlier leader."""
     leadership = placement.leadership
-    if not leadership.held or server.confirmed_epoch == leadership.epoch:
+    if not leadership.is_leader or server.confirmed_epoch == leadership.epoch:
         return
     if requested_at < leadership.gained_at + placement.config.order_lifetime_s:
         return
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -49,7 +49,7 @@
 
     What is planned early would hold its server and its victims while something more urgent comes.
     """
-    if not placement.leadership.held or not placement.leadership.stores_open:
+    if not placement.leadership.is_leader or not placement.leadership.stores_open:
         return
     planned = _planned_by_store(placement)
     budget = placement.config.plan_budget
@@ -135,7 +135,7 @@
     if not is_idle and _gives_way(reason, config):
         # What nobody asked for yet must not be in the way of what is asked for next.
         return False
-    order_at = now + config.closing_wait_s
+    order_at = now + config.drain_notice_s
     return store.may_plan(item.weight_bytes, planned, order_at, now, config)
 
 
@@ -310,6 +310,6 @@
 def cancel_planned(placement: PlacementState, now: float, outcome: str) -> None:
     """Give up everything that was not ordered."""
     for move in list(placement.moves.values()):
-        pending = move.state in (MoveState.PLANNED, MoveState.CLOSING)
+        pending = move.state in (MoveState.PLANNED, MoveState.DRAINING)
         if pending and move.move_id in placement.moves:
             end_move(placement, move, MoveState.CANCELLED, outcome, now)
--- a/src/zincvale/controlplane/placement/plan_unloads.py
+++ b/src/zincvale/controlplane/placement/plan_unloads.py
@@ -30,11 +30,11 @@
     """Close a replica and put its unload on the calendar; return the move."""
     replica = server.replicas[key]
     kind, _, name = key.partition("/")
-    start_at = now + placement.config.closing_wait_s
+    start_at = now + placement.config.drain_notice_s
     move = Move(
         move_id=placement.new_move_id(),
         kind=MoveKind.UNLOAD,
-        state=MoveState.CLOSING,
+        state=MoveState.DRAINING,
         reason=reason,
         detail=detail,
         server=server.server,
@@ -49,7 +49,7 @@
         after=after,
     )
     replica.move = move.move_id
-    placement.set_closing(server, key, replica, True)
+    placement.set_draining(server, key, replica, True)
     server.planned_free_bytes += replica.item_bytes
     server.planned_free_adapters += move.item_kind is ItemKind.ADAPTER
     placement.index_free(server)
@@ -79,7 +79,7 @@
         found_at = placement.undeclared.get(key, {}).get(server_id)
         if found_at is None:
             continue
-        if found_at + placement.config.undeclared_grace_s <= now and placement.leadership.held:
+        if found_at + placement.config.undeclared_grace_s <= now and placement.leadership.is_leader:
             _unload_undeclared_replica(placement, placement.servers[server_id], key, now)
         # Looked at again until it is gone: the unload may fail, or not be possible yet.
         due.append((now + placement.config.undeclared_grace_s, server_id, key))
--- a/src/zincvale/controlplane/placement/publication.py
+++ b/src/zincvale/controlplane/placement/publication.py
@@ -1,4 +1,4 @@
-"""System: publishes what changed in the calendar and in the closing marks."""
+"""System: publishes what changed in the calendar and in the draining marks."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 
 def publish_changes(placement: PlacementState, now: float) -> None:
-    """System: emit changed rows of the calendar and changed closing marks.
+    """System: emit changed rows of the calendar and changed draining marks.
 
     Only the leader publishes; its first publication replaces what its predecessor left.
     """
-    if not placement.leadership.held:
+    if not placement.leadership.is_leader:
         placement.changed_moves.clear()
         placement.removed_moves.clear()
         return
-    _publish_closing(placement)
+    _publish_draining(placement)
     if placement.leadership.published_epoch != placement.leadership.epoch:
         placement.leadership.published_epoch = placement.leadership.epoch
         rows = (*placement.moves.values(), *placement.finished_moves.values())
-        placement.effects.append(PublishMoves(rows, whole=True))
+        placement.effects.append(PublishMoves(rows, is_complete=True))
     elif placement.changed_moves or placement.removed_moves:
         placement.effects.append(
             PublishMoves(_changed_rows(placement), tuple(placement.removed_moves))
@@ -44,11 +44,11 @@
     placement.removed_moves.clear()
 
 
-def _publish_closing(placement: PlacementState) -> None:
-    for server_id in placement.changed_closing:
-        names = _closing_names(placement, server_id)
+def _publish_draining(placement: PlacementState) -> None:
+    for server_id in placement.changed_drains:
+        names = _draining_names(placement, server_id)
         placement.effects.append(MarkDraining(server_id, names))
-    placement.changed_closing.clear()
+    placement.changed_drains.clear()
 
 
 def _changed_rows(placement: PlacementState) -> tuple[Move, ...]:
@@ -60,10 +60,10 @@
     return tuple(rows)
 
 
-def _closing_names(placement: PlacementState, server_id: ServerId) -> frozenset[str]:
+def _draining_names(placement: PlacementState, server_id: ServerId) -> frozenset[str]:
     server = placement.servers.get(server_id)
     if server is None:
         return frozenset()
     return frozenset(
-        key.partition("/")[2] for key, replica in server.replicas.items() if replica.closing
+        key.partition("/")[2] for key, replica in server.replicas.items() if replica.draining
     )
--- a/src/zincvale/controlplane/placement/servers.py
+++ b/src/zincvale/controlplane/placement/servers.py
@@ -15,7 +15,7 @@
 
 
 class CountedAs(enum.Enum):
-    """How a holding is counted in its item's row."""
+    """How a replica is counted in its item's row."""
 
     NOTHING = "nothing"
     READY = "ready"
@@ -34,22 +34,22 @@
 class Replica:
     """An item on a server; counted in memory from the order to load until it is seen gone.
 
-    Attributes
-    ----------
-    item_bytes : weights.
-    since : when the state began.
-    closing : nodes were told to send nothing new.
-    move : the move that loads or unloads it.
-    fetched_ahead : loaded so that the server has it on disk, not for requests.
-    contrary_since : arrival of the first status that contradicts the order; see
-        `order_confirmation`.
+        Attributes
+        ----------
+        item_bytes : weights.
+        since : when the state began.
+    draining : nodes are notified to send nothing new.
+        move : the move that loads or unloads it.
+        fetched_ahead : loaded so that the server has it on disk, not for requests.
+        contrary_since : arrival of the first status that contradicts the order; see
+            `order_confirmation`.
     """
 
     state: ReplicaState
     item_bytes: int
     kv_bytes: int
     since: float
-    closing: bool = False
+    draining: bool = False
     counted_as: CountedAs = CountedAs.NOTHING
     move: MoveId | None = None
     contrary_since: float | None = None
@@ -66,18 +66,18 @@
     first_response_at : arrival of the first status requested under the present leadership.
     confirmed_epoch : leadership epoch under which orders may be given.
     cold_until : end of the ramp after its incarnation appeared.
-    held_bytes, held_kv_bytes : sums over `holdings`.
+    reserved_bytes, reserved_kv_bytes : sums over `replicas`.
     planned_bytes, planned_kv_bytes : loads planned but not ordered.
     planned_models : loads of models planned but not ordered.
-    planned_free_bytes : planned unloads, still counted in `held_bytes`.
+    planned_free_bytes : planned unloads, still counted in `reserved_bytes`.
     listing : names of the newest status, to skip a status that lists the same.
     listed_bytes : weights of what the newest status lists.
     unexplained_bytes : memory it reports in use beyond the weights that it lists.
     loads_in_flight : loads ordered and not seen over.
     barred_until : items not to be loaded yet, because an order to unload them may still arrive.
     adapter_slots : adapters that fit beside each other, whatever their size; 0 means no limit.
-    held_adapters, planned_adapters, planned_free_adapters : adapters in `holdings`, in loads that
-        are planned but not ordered, and in planned unloads.
+    reserved_adapters, planned_adapters, planned_free_adapters : adapters in `replicas`, in loads
+        that are planned but not ordered, and in planned unloads.
     """
 
     server: ServerId
@@ -98,8 +98,8 @@
     down_since: float = NEVER
     status_requested_at: float = NEVER
     replicas: dict[ItemKey, Replica] = attrs.field(factory=dict)
-    held_bytes: int = 0
-    held_kv_bytes: int = 0
+    reserved_bytes: int = 0
+    reserved_kv_bytes: int = 0
     planned_bytes: int = 0
     planned_kv_bytes: int = 0
     planned_models: int = 0
@@ -112,7 +112,7 @@
     retry_at: float = NEVER
     indexed_free_bytes: int = 0
     adapter_slots: int = 0
-    held_adapters: int = 0
+    reserved_adapters: int = 0
     planned_adapters: int = 0
     planned_free_adapters: int = 0
 
@@ -132,25 +132,25 @@
         return max(least, kv_bytes, self.unexplained_bytes)
 
     def free_now_bytes(self, config: PlacementConfig, more_kv_bytes: int) -> int:
-        """Return memory for one more load, by what is held or may be in flight."""
-        headroom = self.headroom_bytes(config, self.held_kv_bytes + more_kv_bytes)
-        return self.memory_bytes - headroom - self.held_bytes
+        """Return memory for one more load, by what is loaded or may be in flight."""
+        headroom = self.headroom_bytes(config, self.reserved_kv_bytes + more_kv_bytes)
+        return self.memory_bytes - headroom - self.reserved_bytes
 
     def free_planned_bytes(self, config: PlacementConfig, more_kv_bytes: int) -> int:
         """Return memory for one more load once the calendar is carried out."""
-        kv_bytes = self.held_kv_bytes + self.planned_kv_bytes + more_kv_bytes
-        weights = self.held_bytes + self.planned_bytes - self.planned_free_bytes
+        kv_bytes = self.reserved_kv_bytes + self.planned_kv_bytes + more_kv_bytes
+        weights = self.reserved_bytes + self.planned_bytes - self.planned_free_bytes
         return self.memory_bytes - self.headroom_bytes(config, kv_bytes) - weights
 
     def has_adapter_slot_now(self) -> bool:
-        """Whether one more adapter fits, by what is held or may be in flight."""
-        return not self.adapter_slots or self.held_adapters < self.adapter_slots
+        """Whether one more adapter fits, by what is loaded or may be in flight."""
+        return not self.adapter_slots or self.reserved_adapters < self.adapter_slots
 
     def missing_adapter_slots(self) -> int:
         """Return how many adapters must leave for one more, once the calendar is carried out."""
         if not self.adapter_slots:
             return 0
-        planned = self.held_adapters + self.planned_adapters - self.planned_free_adapters
+        planned = self.reserved_adapters + self.planned_adapters - self.planned_free_adapters
         return max(0, planned + 1 - self.adapter_slots)
 
     def load_slots(self, config: PlacementConfig, now: float) -> int:
--- a/src/zincvale/controlplane/placement/state.py
+++ b/src/zincvale/controlplane/placement/state.py
@@ -38,7 +38,7 @@
     """Whether this process plans moves, and until when orders may leave."""
 
     epoch: int = 0
-    held: bool = False
+    is_leader: bool = False
     acts_until: float = float("-inf")
     gained_at: float = float("-inf")
     published_epoch: int = 0
@@ -50,7 +50,7 @@
 
     def may_order(self, now: float) -> bool:
         """Whether an order may leave at `now`."""
-        return self.held and self.orders_from <= now < self.acts_until
+        return self.is_leader and self.orders_from <= now < self.acts_until
 
 
 @attrs.define(eq=False)
@@ -84,7 +84,7 @@
     unplaced : desired items for which no server was found; looked at again when
         `capacity_appeared`.
     dependents : the load that waits for an unload.
-    draining : servers out of service, with the time of their next check.
+    out_of_service : servers out of service, with the time of their next check.
     undeclared_due : the same replicas in the order in which their grace ends.
     changed_moves : moves whose rows are to be published.
     """
@@ -125,10 +125,10 @@
     capacity_appeared: bool = False
     unplaced_queued_at: float = float("-inf")
     dependents: dict[MoveId, MoveId] = attrs.field(factory=dict)
-    draining: dict[ServerId, float] = attrs.field(factory=dict)
+    out_of_service: dict[ServerId, float] = attrs.field(factory=dict)
     changed_moves: dict[MoveId, None] = attrs.field(factory=dict)
     removed_moves: list[MoveId] = attrs.field(factory=list)
-    changed_closing: dict[ServerId, None] = attrs.field(factory=dict)
+    changed_drains: dict[ServerId, None] = attrs.field(factory=dict)
     effects: list[Effect] = attrs.field(factory=list)
     next_number: int = 1
     next_shortage_stamp: int = 1
@@ -167,7 +167,7 @@
         return item.loading + len(item.planned)
 
     def recount(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
-        """Count a holding in its item's row as what it is now."""
+        """Count a replica in its item's row as what it is now."""
         counted_as = _counted_as(server, replica)
         if counted_as is replica.counted_as:
             return
@@ -206,7 +206,7 @@
         return any(address in self.server_by_address for address in addresses)
 
     def expected_load_s(self, item: ItemRow, server: ServerState | None = None) -> float:
-        """Return how long a load of the item takes, on a server or on any that never held it."""
+        """Return how long a load of the item takes, on a server or on any that never had it."""
         if server is not None and self.loads_from_disk(item, server):
             return self._expected_from_disk_s(item)
         server_id = server.server if server is not None else None
@@ -216,7 +216,7 @@
         )
 
     def expected_return_s(self, item: ItemRow) -> float:
-        """Return how long it takes to load the item again where it was held before."""
+        """Return how long it takes to load the item again where it was before."""
         if not self.config.servers_keep_weights or item.kind is not ItemKind.MODEL:
             return self.expected_load_s(item)
         return min(self._expected_from_disk_s(item), self.expected_load_s(item))
@@ -245,9 +245,9 @@
         """Count an item in the server's memory."""
         server.replicas[key] = replica
         self._record_disk_copy(server, key, replica)
-        server.held_adapters += is_adapter_key(key)
-        server.held_bytes += replica.item_bytes
-        server.held_kv_bytes += replica.kv_bytes
+        server.reserved_adapters += is_adapter_key(key)
+        server.reserved_bytes += replica.item_bytes
+        server.reserved_kv_bytes += replica.kv_bytes
         item = self.items.get(key)
         if item is not None:
             item.holders[server.server] = None
@@ -258,11 +258,11 @@
     def remove_replica(self, server: ServerState, key: ItemKey) -> None:
         """Take an item out of the server's memory: it was observed to be gone."""
         replica = server.replicas.pop(key)
-        server.held_adapters -= is_adapter_key(key)
-        server.held_bytes -= replica.item_bytes
-        server.held_kv_bytes -= replica.kv_bytes
-        if replica.closing:
-            self.changed_closing[server.server] = None
+        server.reserved_adapters -= is_adapter_key(key)
+        server.reserved_bytes -= replica.item_bytes
+        server.reserved_kv_bytes -= replica.kv_bytes
+        if replica.draining:
+            self.changed_drains[server.server] = None
         item = self.items.get(key)
         if item is not None:
             item.holders.pop(server.server, None)
@@ -276,8 +276,8 @@
 
     def resize_replica(self, server: ServerState, replica: Replica, item: ItemRow) -> None:
         """Count a replica with the sizes that are declared now."""
-        server.held_bytes += item.weight_bytes - replica.item_bytes
-        server.held_kv_bytes += item.kv_bytes - replica.kv_bytes
+        server.reserved_bytes += item.weight_bytes - replica.item_bytes
+        server.reserved_kv_bytes += item.kv_bytes - replica.kv_bytes
         replica.item_bytes = item.weight_bytes
         replica.kv_bytes = item.kv_bytes
         self.index_free(server)
@@ -296,17 +296,17 @@
         if not replicas:
             del self.undeclared[key]
 
-    def set_closing(
-        self, server: ServerState, key: ItemKey, replica: Replica, closing: bool
+    def set_draining(
+        self, server: ServerState, key: ItemKey, replica: Replica, draining: bool
     ) -> None:
         """Have nodes send nothing new to a replica, or send again."""
-        if replica.closing != closing:
-            replica.closing = closing
+        if replica.draining != draining:
+            replica.draining = draining
             self.recount(server, key, replica)
-            self.changed_closing[server.server] = None
+            self.changed_drains[server.server] = None
 
     def queue_adapters(self, model: ItemRow) -> None:
-        """Have the adapters of a model that were ever asked for, or are held, looked at."""
+        """Have the adapters of a model that were ever requested, or occupy memory, looked at."""
         for key in model.adapters:
             adapter = self.items[key]
             known = adapter.demand.profile is not None or adapter.holders or adapter.planned
@@ -368,6 +368,6 @@
         return CountedAs.NOTHING
     if replica.state is ReplicaState.LOADING:
         return CountedAs.LOADING
-    if replica.state is ReplicaState.LOADED and not replica.closing:
+    if replica.state is ReplicaState.LOADED and not replica.draining:
         return CountedAs.READY
     return CountedAs.NOTHING
--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -160,7 +160,7 @@
 
     def _server_reported(self, report: ServerReported | ServerRemoved) -> None:
         if isinstance(report, ServerRemoved):
-            self._placement.feed(DirectoryChanged(gone=(report.server,)))
+            self._placement.feed(DirectoryChanged(departed=(report.server,)))
             return
         status = StatusReport(report.row, report.requested_at, report.unloading)
         self._placement.feed(DirectoryChanged((status,)))
--- a/src/zincvale/daemons/forwarding_placement.py
+++ b/src/zincvale/daemons/forwarding_placement.py
@@ -26,7 +26,7 @@
         orders_from_s=order_quiet_s,
         one_status_confirms=True,
         takeover_limit_s=ORDER_LIFETIME_S,
-        closing_wait_s=0.0,
+        drain_notice_s=0.0,
         min_residency_s=0.5,
         servers_guard_unloads=True,
         adapters_add_replicas=True,
--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -135,7 +135,7 @@
         rows = topic_rows(effect, self._wall_clock() - self._clock())
         puts = {row: content for row, content in rows.items() if content is not None}
         deletes = [row for row, content in rows.items() if content is None]
-        return PublishTopic(MOVES_TOPIC, self.epoch, puts, deletes, replace=effect.whole)
+        return PublishTopic(MOVES_TOPIC, self.epoch, puts, deletes, replace=effect.is_complete)
 
     async def _publish_forever(self) -> None:
         async for message in self._publications:
--- a/src/zincvale/daemons/residency_publication.py
+++ b/src/zincvale/daemons/residency_publication.py
@@ -67,7 +67,7 @@
     held: dict[str, list[str]] = {ItemKind.MODEL.value: [], ItemKind.ADAPTER.value: []}
     for key, replica in server.replicas.items():
         kind, _, name = key.partition("/")
-        if replica.state is ReplicaState.LOADED and not replica.closing:
+        if replica.state is ReplicaState.LOADED and not replica.draining:
             held[kind].append(name)
     return orjson.dumps(
         {
--- a/src/zincvale/simulator/what_if/control_machine.py
+++ b/src/zincvale/simulator/what_if/control_machine.py
@@ -48,7 +48,7 @@
     SendOrder,
     StatusReport,
 )
-from zincvale.controlplane.placement.move_row_codec import closing_by_server
+from zincvale.controlplane.placement.move_row_codec import draining_by_server
 from zincvale.controlplane.placement.moves import Move, MoveKind
 from zincvale.coordination.changes import TopicView
 from zincvale.coordination.delivery.messages import PublishTopic
@@ -141,7 +141,7 @@
                 case ServerReported(row, asked_at, unloading):
                     self._feed(DirectoryChanged((StatusReport(row, asked_at, unloading),)))
                 case ServerRemoved(server):
-                    self._feed(DirectoryChanged(gone=(server,)))
+                    self._feed(DirectoryChanged(departed=(server,)))
 
     def _list(self) -> None:
         rows = [server.place for server in self._servers.values()]
@@ -174,7 +174,7 @@
         """Hand out the directory with the closing marks of the calendar."""
         self._version += 1
         directory = self._decoder.update(EPOCH, self._version, self._rows)
-        self._publish(with_closing(directory, closing_by_server(self._unloads.values())))
+        self._publish(with_closing(directory, draining_by_server(self._unloads.values())))
 
     # placement
 
@@ -230,8 +230,8 @@
         self._later(hop_s, answer)
 
     def _take_moves(self, effect: PublishMoves) -> None:
-        before = closing_by_server(self._unloads.values())
-        if effect.whole:
+        before = draining_by_server(self._unloads.values())
+        if effect.is_complete:
             self._unloads.clear()
         for move in effect.changed:
             if move.kind is MoveKind.UNLOAD and not move.finished:
@@ -240,7 +240,7 @@
                 self._unloads.pop(move.move_id, None)
         for move_id in effect.removed:
             self._unloads.pop(move_id, None)
-        if closing_by_server(self._unloads.values()) != before:
+        if draining_by_server(self._unloads.values()) != before:
             self._publish_directory()
 
     def _later(self, delay_s: float, action: Callable[[], None]) -> None:
--- a/tests/controlplane/placement/bench_world.py
+++ b/tests/controlplane/placement/bench_world.py
@@ -92,7 +92,7 @@
         effects: list[Effect] = []
         for _ in range(max(round(seconds / 0.1), 1)):
             self.now = round(self.now + 0.1, 3)
-            if renew and self.controller.state.leadership.held:
+            if renew and self.controller.state.leadership.is_leader:
                 effects += self.feed(
                     LeaderGained(self.controller.state.leadership.epoch, self.now + 2.0)
                 )
--- a/tests/controlplane/placement/test_closing_rows.py
+++ b/tests/controlplane/placement/test_closing_rows.py
@@ -5,7 +5,7 @@
 
 from tests.controlplane.placement.test_move_rows import MOVE
 from zincvale.controlplane.placement.draining_row_codec import DrainingReplicasDecoder
-from zincvale.controlplane.placement.move_row_codec import closing_by_server, encode_move
+from zincvale.controlplane.placement.move_row_codec import draining_by_server, encode_move
 from zincvale.controlplane.placement.moves import MoveKind, MoveState
 from zincvale.model.errors import MalformedBodyError
 
@@ -21,11 +21,11 @@
         ]
         for move in moves:
             rows = {move.move_id: encode_move(move)}
-            self.assertEqual(closing_by_server([move]), DrainingReplicasDecoder().update(rows))
+            self.assertEqual(draining_by_server([move]), DrainingReplicasDecoder().update(rows))
 
     def test_a_changed_row_counts_and_a_removed_one_does_not(self):
         decoder = DrainingReplicasDecoder()
-        unload = attrs.evolve(MOVE, kind=MoveKind.UNLOAD, state=MoveState.CLOSING)
+        unload = attrs.evolve(MOVE, kind=MoveKind.UNLOAD, state=MoveState.DRAINING)
         rows = {"a": encode_move(unload), "b": encode_move(attrs.evolve(unload, name="other"))}
         names = decoder.update(rows)[unload.server]
         self.assertEqual({unload.name, "other"}, names)
--- a/tests/controlplane/placement/test_disk_copies.py
+++ b/tests/controlplane/placement/test_disk_copies.py
@@ -24,7 +24,7 @@
 CONFIG = PlacementConfig(
     fill_free_memory=False,
     min_residency_s=0.0,
-    closing_wait_s=0.0,
+    drain_notice_s=0.0,
     servers_guard_unloads=True,
     serial_orders=True,
     max_loads_per_server=1,
--- a/tests/controlplane/placement/test_leadership.py
+++ b/tests/controlplane/placement/test_leadership.py
@@ -88,7 +88,7 @@
         driver.seen.clear()
         driver.tick(1.0, renew=False)
         self.assertEqual([], orders_in(driver.seen))
-        self.assertFalse(driver.controller.state.leadership.held)
+        self.assertFalse(driver.controller.state.leadership.is_leader)
 
     def test_a_woken_leader_gives_no_order(self):
         for event in (ClockJumped(20.0), LeaderLost()):
@@ -107,7 +107,7 @@
         driver.lead(epoch=5)
         driver.feed(LeaderLost())
         driver.feed(LeaderGained(4, driver.now + 100.0))
-        self.assertFalse(driver.controller.state.leadership.held)
+        self.assertFalse(driver.controller.state.leadership.is_leader)
 
     def test_orders_carry_epoch_lease_end_and_store_address(self):
         driver = make_driver(servers=1)
@@ -123,12 +123,14 @@
         order = orders_in(driver.lead())[0]
         driver.feed(OrderRefused(order.order.order_id, OrderRefusal.WITHHELD))
         self.assertEqual(0, driver.controller.state.stores["weights"].in_flight)
-        self.assertEqual(0, driver.controller.state.servers["server-1"].held_bytes)
+        self.assertEqual(0, driver.controller.state.servers["server-1"].reserved_bytes)
 
     def test_the_first_publication_of_a_leader_is_whole(self):
         driver = make_driver()
         published = [effect for effect in driver.lead() if isinstance(effect, PublishMoves)]
-        self.assertEqual([True] + [False] * (len(published) - 1), [p.whole for p in published])
+        self.assertEqual(
+            [True] + [False] * (len(published) - 1), [p.is_complete for p in published]
+        )
 
 
 class UnknownOutcomeTests(testtools.TestCase):
@@ -140,7 +142,7 @@
         self.placement = self.driver.controller.state
 
     def held(self) -> int:
-        return self.placement.servers["server-1"].held_bytes
+        return self.placement.servers["server-1"].reserved_bytes
 
     def test_the_reservation_stays_without_a_status(self):
         self.driver.tick(60.0)
--- a/tests/controlplane/placement/test_move_rows.py
+++ b/tests/controlplane/placement/test_move_rows.py
@@ -8,8 +8,8 @@
 from zincvale.controlplane.placement.events import PublishMoves
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.controlplane.placement.move_row_codec import (
-    closing_by_server,
     decode_move,
+    draining_by_server,
     encode_move,
     moves_to_json,
     topic_rows,
@@ -26,7 +26,7 @@
 MOVE = Move(
     move_id="m3-17",
     kind=MoveKind.UNLOAD,
-    state=MoveState.CLOSING,
+    state=MoveState.DRAINING,
     reason=MoveReason.MAKE_ROOM,
     detail="makes room for model new",
     server="server-1",
@@ -70,9 +70,9 @@
             attrs.evolve(MOVE, move_id=f"m{number}", name=state.value, state=state)
             for number, state in enumerate(MoveState)
         ]
-        names = closing_by_server(moves)["server-1"]
+        names = draining_by_server(moves)["server-1"]
         self.assertEqual({"closing", "ordered", "running", "unknown"}, names)
-        self.assertEqual({}, closing_by_server([attrs.evolve(MOVE, kind=MoveKind.LOAD)]))
+        self.assertEqual({}, draining_by_server([attrs.evolve(MOVE, kind=MoveKind.LOAD)]))
 
     def test_the_calendar_lists_unfinished_moves_first_and_their_reason(self):
         done = attrs.evolve(MOVE, move_id="m3-2", state=MoveState.DONE, start_at=1.0)
--- a/tests/controlplane/placement/test_mutations.py
+++ b/tests/controlplane/placement/test_mutations.py
@@ -24,7 +24,7 @@
 
 
 def confirm_on_first_status(placement, server, requested_at, now):
-    if placement.leadership.held:
+    if placement.leadership.is_leader:
         server.confirmed_epoch = placement.leadership.epoch
 
 
@@ -34,7 +34,7 @@
 
 
 def open_at_once(placement, now):
-    placement.leadership.stores_open = placement.leadership.held
+    placement.leadership.stores_open = placement.leadership.is_leader
 
 
 MUTATIONS: dict[str, dict[str, object]] = {
@@ -48,7 +48,7 @@
         ),
     },
     "orders leave without a look at the lease": {
-        f"{PLACEMENT}.state.Leadership.may_order": lambda self, now: self.held,
+        f"{PLACEMENT}.state.Leadership.may_order": lambda self, now: self.is_leader,
         f"{PLACEMENT}.controller.SYSTEMS": tuple(
             system for system in SYSTEMS if system is not expire_leadership
         ),
--- a/tests/controlplane/placement/test_options.py
+++ b/tests/controlplane/placement/test_options.py
@@ -169,7 +169,7 @@
 
 class GuardedUnloadTest(testtools.TestCase):
     def unloading(self, guarded: bool) -> list[Effect]:
-        config = attrs.evolve(SHORT_DAY, servers_guard_unloads=guarded, closing_wait_s=0.0)
+        config = attrs.evolve(SHORT_DAY, servers_guard_unloads=guarded, drain_notice_s=0.0)
         driver = driver_of(config, {"old": 30, "new": 30}, servers=1, resident=("old",))
         driver.lead()
         driver.demand(("new", None, 1, 1))
--- a/tests/controlplane/placement/test_prefetch.py
+++ b/tests/controlplane/placement/test_prefetch.py
@@ -182,7 +182,9 @@
         made = engines(absent=12)
         asked = (("a1", None, 1, 0),)
         for _ in range(40):
-            made.run(0.5, asked) if made.driver.controller.state.leadership.held else made.lead(0.5)
+            made.run(
+                0.5, asked
+            ) if made.driver.controller.state.leadership.is_leader else made.lead(0.5)
             loading = [e for _, e in made.under_way if e.order.name.startswith("absent")]
             if made.driver.now > 110.0:
                 self.assertLessEqual(len(loading), SERVERS * (1.0 - KEPT_IDLE_SHARE))
--- a/tests/controlplane/placement/test_properties.py
+++ b/tests/controlplane/placement/test_properties.py
@@ -23,7 +23,7 @@
         planned = sum(move.reservation.memory_bytes for move in pending)
         leaving = sum(m.reservation.memory_bytes for m in moves if m.kind.value == "unload")
         facts = {
-            "held": (server.held_bytes, held),
+            "held": (server.reserved_bytes, held),
             "loads": (server.loads_in_flight, loading),
             "planned": (server.planned_bytes, planned),
             "leaving": (server.planned_free_bytes, leaving),
--- a/tests/controlplane/placement/test_residency.py
+++ b/tests/controlplane/placement/test_residency.py
@@ -254,7 +254,7 @@
         driver.report(models=frozenset({"alpha"}), adapters=frozenset({"tuned"}))
         driver.feed(IntentChanged(make_intent({"alpha": 8}, {"tuned": "alpha"})))
         server = driver.controller.state.servers["server-1"]
-        self.assertEqual(8 * GB + GB // 10, server.held_bytes)
+        self.assertEqual(8 * GB + GB // 10, server.reserved_bytes)
         self.assertEqual({}, driver.controller.state.undeclared)
 
     def test_a_leader_without_an_intent_unloads_nothing(self):
--- a/tests/daemons/test_residency_publication.py
+++ b/tests/daemons/test_residency_publication.py
@@ -25,9 +25,9 @@
     return state
 
 
-def loaded(closing: bool = False) -> Replica:
+def loaded(draining: bool = False) -> Replica:
     """Return a copy in service, or about to be unloaded."""
-    return Replica(ReplicaState.LOADED, 1, 0, 0.0, closing=closing)
+    return Replica(ReplicaState.LOADED, 1, 0, 0.0, draining=draining)
 
 
 class PublicationTest(testtools.TestCase):
@@ -49,13 +49,13 @@
     def test_what_is_about_to_be_unloaded_is_left_out_as_soon_as_that_is_planned(self) -> None:
         self.servers[SERVER] = make_server(a=loaded(), b=loaded())
         self.assertEqual(frozenset({"a", "b"}), self.told())
-        self.servers[SERVER].replicas[model_key("b")].closing = True
+        self.servers[SERVER].replicas[model_key("b")].draining = True
         self.assertEqual(frozenset({"a"}), self.told())
 
     def test_an_unload_that_was_given_up_brings_the_copy_back(self) -> None:
-        self.servers[SERVER] = make_server(a=loaded(closing=True))
+        self.servers[SERVER] = make_server(a=loaded(draining=True))
         self.assertEqual(frozenset(), self.told())
-        self.servers[SERVER].replicas[model_key("a")].closing = False
+        self.servers[SERVER].replicas[model_key("a")].draining = False
         self.assertEqual(frozenset({"a"}), self.told())
 
     def test_what_did_not_change_is_not_published_again(self) -> None:
