--- a/src/zincvale/controlplane/placement/apply_intent.py
+++ b/src/zincvale/controlplane/placement/apply_intent.py
@@ -44,7 +44,7 @@
     apply_declarations(placement, now)
     _apply_zones(placement, old, intent)
     for name, pool_spec in _changes(old.pools, intent.pools):
-        for server_id in placement.servers_by_pool.get(PoolName(name), {}):
+        for server_id in placement.server_index.by_pool.get(PoolName(name), {}):
             _set_adapter_slots(placement.servers[server_id], pool_spec)
     for name, _ in _changes(old.servers, intent.servers):
         server = placement.servers.get(ServerId(name))
@@ -79,9 +79,9 @@
     server.drained = drained
     server.zone_evacuated = evacuated
     if server.in_service:
-        placement.capacity_appeared = True
+        placement.unplaced.mark_capacity()
     else:
-        placement.out_of_service[server.server] = float("-inf")
+        placement.drains.check_at[server.server] = float("-inf")
     placement.recount_server(server)
 
 
@@ -176,7 +176,7 @@
 
 def _adopt_holders(placement: PlacementState, item: ItemRow) -> None:
     """Link replicas that were reported before the item was declared, and count its size."""
-    item.holders.update(dict.fromkeys(placement.undeclared.pop(item.key, {})))
+    item.holders.update(dict.fromkeys(placement.undeclared.pop_declared(item.key)))
     for server_id in item.holders:
         server = placement.servers[server_id]
         replica = server.replicas[item.key]
@@ -192,16 +192,16 @@
         return
     if item.base is not None:
         placement.adapters_by_base[item.base].pop(key, None)
-    placement.queued.discard(key)
-    placement.unplaced.pop(key, None)
+    placement.reviews.remove(key)
+    placement.unplaced.remove(key)
     remove_item_demand(placement, key)
     placement.disk_copies.remove(key)
     for server_id in item.holders:
         placement.servers[server_id].replicas[key].counted_as = CountedAs.NOTHING
-        placement.add_undeclared(key, server_id, now)
+        placement.undeclared.add(key, server_id, placement.config.undeclared_grace_s, now)
 
 
 def _apply_zones(placement: PlacementState, old: Intent, new: Intent) -> None:
     for name, _ in _changes(old.zones, new.zones):
-        for server_id in placement.servers_by_zone.get(ZoneName(name), {}):
+        for server_id in placement.server_index.by_zone.get(ZoneName(name), {}):
             refresh_service(placement, placement.servers[server_id])
--- a/src/zincvale/controlplane/placement/apply_status.py
+++ b/src/zincvale/controlplane/placement/apply_status.py
@@ -63,11 +63,10 @@
 def _add_server(placement: PlacementState, row: ServerRow) -> ServerState:
     server = ServerState(row.server, row.address, row.pool, row.zone)
     placement.servers[row.server] = server
-    placement.server_by_address[row.address] = row.server
-    placement.servers_by_pool.setdefault(row.pool, {})[row.server] = None
-    placement.servers_by_zone.setdefault(row.zone, {})[row.server] = None
+    placement.server_index.by_address[row.address] = row.server
+    placement.server_index.add_to_pool_and_zone(server)
     placement.watched[row.server] = None
-    placement.capacity_appeared = True
+    placement.unplaced.mark_capacity()
     refresh_service(placement, server)
     set_adapter_slots(placement, server)
     return server
@@ -105,8 +104,8 @@
 
 
 def _cancel_pending(placement: PlacementState, server: ServerState, now: float) -> None:
-    for move_id in list(placement.moves_by_server.get(server.server, ())):
-        move = placement.moves.get(move_id)
+    for move_id in list(placement.calendar.by_server.get(server.server, ())):
+        move = placement.calendar.moves.get(move_id)
         if move is not None and move.kind is not MoveKind.DRAIN and not move.in_flight:
             end_move(placement, move, MoveState.CANCELLED, "the server restarted", now)
 
@@ -118,17 +117,17 @@
         placement.changed_drains[server.server] = None
     server.max_running = row.max_running
     if row.address != server.address:
-        _remove_address(placement, server)
+        placement.server_index.remove_address(server)
         server.address = row.address
-        placement.server_by_address[row.address] = row.server
+        placement.server_index.by_address[row.address] = row.server
     if (row.pool, row.zone) != (server.pool, server.zone):
         _move_server(placement, server, row)
     if row.memory_bytes != server.memory_bytes:
         server.memory_bytes = row.memory_bytes
-        placement.index_free(server)
+        placement.free_memory.mark_stale(server)
     if row.health is not server.health:
         server.health = row.health
-        placement.capacity_appeared = True
+        placement.unplaced.mark_capacity()
         placement.recount_server(server)
 
 
@@ -137,14 +136,12 @@
 
 
 def _move_server(placement: PlacementState, server: ServerState, row: ServerRow) -> None:
-    placement.unindex_free(server)
-    placement.servers_by_pool[server.pool].pop(server.server, None)
-    placement.servers_by_zone[server.zone].pop(server.server, None)
+    placement.free_memory.remove(server)
+    placement.server_index.remove_from_pool_and_zone(server)
     server.pool = row.pool
     server.zone = row.zone
-    placement.servers_by_pool.setdefault(row.pool, {})[row.server] = None
-    placement.servers_by_zone.setdefault(row.zone, {})[row.server] = None
-    placement.index_free(server)
+    placement.server_index.add_to_pool_and_zone(server)
+    placement.free_memory.mark_stale(server)
     refresh_service(placement, server)
 
 
@@ -153,13 +150,13 @@
 ) -> None:
     row = report.row
     listing = (row.models, row.adapters, row.loading, report.unloading)
-    if listing != server.listing or placement.moves_by_server.get(server.server):
+    if listing != server.listing or placement.calendar.by_server.get(server.server):
         server.listing = listing
         _compare_replicas(placement, server, report, now)
     unexplained = max(row.used_bytes - server.listed_bytes, 0)
     if unexplained != server.unexplained_bytes:
         server.unexplained_bytes = unexplained
-        placement.index_free(server)
+        placement.free_memory.mark_stale(server)
 
 
 def _compare_replicas(
@@ -213,7 +210,7 @@
     """Count a replica that the tables did not have."""
     item = placement.items.get(key)
     if item is None:
-        placement.add_undeclared(key, server.server, now)
+        placement.undeclared.add(key, server.server, placement.config.undeclared_grace_s, now)
         placement.add_replica(server, key, Replica(state, 0, 0, now))
         return
     replica = Replica(state, item.weight_bytes, item.kv_bytes, now)
@@ -279,7 +276,7 @@
         if placement.config.confirms_orders and NEVER < requested_at < replica.since:
             # The end of the load was learned another way, after the status was taken.
             return
-        pending = placement.moves.get(replica.move) if replica.move is not None else None
+        pending = placement.calendar.moves.get(replica.move) if replica.move is not None else None
         if pending is not None:
             end_move(placement, pending, MoveState.CANCELLED, "the server no longer holds it", now)
         placement.remove_replica(server, key)
@@ -295,7 +292,7 @@
 def _move_in_flight(placement: PlacementState, replica: Replica) -> Move | None:
     if replica.move is None:
         return None
-    move = placement.moves.get(replica.move)
+    move = placement.calendar.moves.get(replica.move)
     if move is None or not move.in_flight:
         return None
     return move
@@ -309,17 +306,11 @@
     fail_moves_of(placement, server, "the server left the directory", now)
     for key in list(server.replicas):
         placement.remove_replica(server, key)
-    placement.unindex_free(server)
-    _remove_address(placement, server)
-    placement.servers_by_pool[server.pool].pop(server_id, None)
-    placement.servers_by_zone[server.zone].pop(server_id, None)
-    placement.moves_by_server.pop(server_id, None)
+    placement.free_memory.remove(server)
+    placement.server_index.remove_address(server)
+    placement.server_index.remove_from_pool_and_zone(server)
+    placement.calendar.by_server.pop(server_id, None)
     placement.watched.pop(server_id, None)
-    placement.out_of_service.pop(server_id, None)
+    placement.drains.check_at.pop(server_id, None)
     del placement.servers[server_id]
     placement.log(log_events.SERVER_GONE, server=server_id, zone=server.zone)
-
-
-def _remove_address(placement: PlacementState, server: ServerState) -> None:
-    if placement.server_by_address.get(server.address) == server.server:
-        del placement.server_by_address[server.address]
--- a/src/zincvale/controlplane/placement/choose_server.py
+++ b/src/zincvale/controlplane/placement/choose_server.py
@@ -73,7 +73,7 @@
 def _on_disk(placement: PlacementState, item: ItemRow, now: float) -> list[ServerState]:
     servers = []
     for address in placement.disk_copies.addresses(item.key):
-        server = placement.servers.get(placement.server_by_address.get(address, NO_SERVER))
+        server = placement.servers.get(placement.server_index.by_address.get(address, NO_SERVER))
         if (
             server is None
             or server.pool != item.pool
@@ -86,7 +86,10 @@
 
 def _moves_end_at(placement: PlacementState, server: ServerState, now: float) -> float:
     """Return when the last planned or running move of the server is expected to end."""
-    moves = (placement.moves[move] for move in placement.moves_by_server.get(server.server, ()))
+    moves = (
+        placement.calendar.moves[move]
+        for move in placement.calendar.by_server.get(server.server, ())
+    )
     return max((move.expected_end for move in moves), default=now)
 
 
@@ -180,7 +183,7 @@
 def _candidates(placement: PlacementState, item: ItemRow) -> Iterable[ServerState]:
     if item.base is not None:
         return _candidates_beside(placement, item)
-    pool = placement.servers_by_pool.get(item.pool, {})
+    pool = placement.server_index.by_pool.get(item.pool, {})
     if len(pool) <= placement.config.candidate_sample:
         return [placement.servers[server] for server in pool]
     return _sampled_pool(placement, item)
@@ -201,7 +204,7 @@
 
 def _sampled_pool(placement: PlacementState, item: ItemRow) -> list[ServerState]:
     """Return the servers with most free memory and some at random."""
-    by_free = placement.free_index(item.pool)
+    by_free = placement.free_memory.of_pool(item.pool, placement.servers, placement.config)
     count = len(by_free)
     chosen: dict[ServerId, None] = {}
     for _, server_id in by_free[-LARGEST_FREE_SAMPLE:]:
--- a/src/zincvale/controlplane/placement/desired_replicas.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import heapq
 import math
 
 from zincvale.controlplane.placement.items import ItemKind, ItemRow
@@ -12,7 +11,6 @@
 
 PRESSURE_PATIENCE_S = 1.0
 URGENT_REVIEW_S = 1.0
-UNPLACED_INTERVAL_S = 1.0
 DEFAULT_SLOTS = 16
 BUSY_ADAPTER_RATE_PER_S = 1.0 / 600.0
 DAILY_CHANGE_FACTOR = 2.0
@@ -23,42 +21,30 @@
     _queue_due(placement, now)
     _queue_unplaced(placement, now)
     _queue_daily_change(placement, now)
-    for _ in range(min(len(placement.review_queue), placement.config.review_budget)):
-        key = placement.review_queue.popleft()
-        placement.queued.discard(key)
-        item = placement.items.get(key)
+    for _ in range(min(len(placement.reviews), placement.config.review_budget)):
+        item = placement.items.get(placement.reviews.pop())
         if item is not None:
             _review(placement, item, now)
 
 
 def _queue_due(placement: PlacementState, now: float) -> None:
-    timers = placement.review_timers
-    while timers and timers[0][0] <= now:
-        at, key = heapq.heappop(timers)
-        item = placement.items.get(key)
-        if item is not None and item.review_at == at:
-            item.review_at = math.inf
-            placement.queue_review(key)
+    while (item := placement.reviews.pop_due(placement.items, now)) is not None:
+        placement.queue_review(item.key)
 
 
 def _queue_unplaced(placement: PlacementState, now: float) -> None:
     """Look again at what found no server, after servers appeared or were confirmed."""
-    if not placement.capacity_appeared or now < placement.unplaced_queued_at + UNPLACED_INTERVAL_S:
-        return
-    placement.capacity_appeared = False
-    placement.unplaced_queued_at = now
-    for key in placement.unplaced:
+    for key in placement.unplaced.take(now):
         placement.items[key].place_after = now
         placement.queue_review(key)
-    placement.unplaced.clear()
 
 
 def _queue_daily_change(placement: PlacementState, now: float) -> None:
     """Look at everything with a history before each part of the day begins."""
     bucket = int((now + placement.config.lookahead_s) / placement.config.bucket_s)
-    if bucket == placement.profile_bucket:
+    if bucket == placement.reviews.profile_bucket:
         return
-    placement.profile_bucket = bucket
+    placement.reviews.profile_bucket = bucket
     for key, item in placement.items.items():
         if item.demand.profile is not None:
             placement.queue_review(key)
@@ -78,9 +64,9 @@
 
 def _plan_next_review(placement: PlacementState, item: ItemRow, ready: int, now: float) -> None:
     if item.waiting:
-        placement.review_later(item, now + URGENT_REVIEW_S)
+        placement.reviews.queue_at(item, now + URGENT_REVIEW_S)
     elif item.desired or ready:
-        placement.review_later(item, now + placement.config.review_interval_s)
+        placement.reviews.queue_at(item, now + placement.config.review_interval_s)
 
 
 def _desired_models(
@@ -106,10 +92,10 @@
         _single_replica(placement, item),
         _for_adapters(placement, item, now),
     )
-    servers = len(placement.servers_by_pool.get(item.pool, ()))
+    servers = len(placement.server_index.by_pool.get(item.pool, ()))
     if desired > servers:
         # Looked at again when servers of the pool appear.
-        placement.unplaced[item.key] = None
+        placement.unplaced.add(item.key)
     return min(desired, servers)
 
 
@@ -180,7 +166,7 @@
     placement: PlacementState, item: ItemRow, ready: int, pending: int, now: float
 ) -> None:
     if item.retry_at > now:
-        placement.review_later(item, item.retry_at)
+        placement.reviews.queue_at(item, item.retry_at)
         return
     if not placement.leadership.is_leader:
         return
@@ -195,12 +181,7 @@
     if reason is MoveReason.WAITING_REQUESTS:
         # Weighted shortest first: the sum of the waits is least.
         rank = -need(placement, item, now) / max(item.weight_bytes, 1)
-    stamp = placement.next_shortage_stamp
-    placement.next_shortage_stamp += 1
-    item.shortage_stamp = stamp
-    item.shortage_urgency = urgency
-    queue = placement.shortages.setdefault(item.store, [])
-    heapq.heappush(queue, (urgency, rank, stamp, item.key))
+    placement.shortages.add(item, urgency, rank)
 
 
 def _reason(
--- a/src/zincvale/controlplane/placement/dispatch.py
+++ b/src/zincvale/controlplane/placement/dispatch.py
@@ -27,9 +27,11 @@
         return
     reports = [node.reported_at for node in placement.nodes.values()]
     placement.oldest_node_report = min(reports, default=now)
-    draining = [move for move in placement.moves.values() if move.state is MoveState.DRAINING]
+    draining = [
+        move for move in placement.calendar.moves.values() if move.state is MoveState.DRAINING
+    ]
     for move in draining:
-        if move.move_id in placement.moves:
+        if move.move_id in placement.calendar.moves:
             _advance_unload(placement, move, now)
 
 
@@ -61,14 +63,15 @@
     if not placement.config.serial_orders:
         return False
     moves = (
-        placement.moves[move_id] for move_id in placement.moves_by_server.get(server.server, ())
+        placement.calendar.moves[move_id]
+        for move_id in placement.calendar.by_server.get(server.server, ())
     )
     return any(move.in_flight for move in moves)
 
 
 def _is_pending(placement: PlacementState, move_id: MoveId) -> bool:
     """Whether a move still waits for its order."""
-    move = placement.moves.get(move_id)
+    move = placement.calendar.moves.get(move_id)
     return move is not None and not move.in_flight
 
 
@@ -84,7 +87,9 @@
         return "requests still run on it"
     if move.reason is not MoveReason.MAKE_ROOM:
         return ""
-    load = placement.moves.get(placement.dependents.get(move.move_id, move.move_id))
+    load = placement.calendar.moves.get(
+        placement.calendar.load_by_unload.get(move.move_id, move.move_id)
+    )
     if load is None:
         return "its space is not needed any more"
     item = placement.items.get(key)
@@ -100,7 +105,7 @@
     """System: order planned loads, most urgent first, small ones first among equals."""
     planned = [
         move
-        for move in placement.moves.values()
+        for move in placement.calendar.moves.values()
         if move.kind is MoveKind.LOAD and move.state is MoveState.PLANNED
     ]
     if not planned:
@@ -108,7 +113,7 @@
     planned.sort(key=lambda move: _order_key(placement, move, now))
     stores_held_back: set[StoreName] = set()
     for move in planned:
-        if move.move_id in placement.moves:
+        if move.move_id in placement.calendar.moves:
             _advance_load(placement, move, stores_held_back, now)
 
 
@@ -154,7 +159,7 @@
     if item.base is not None and item.base not in server.replicas:
         return "the base model left the server"
     for needed in move.after:
-        finished = placement.finished_moves.get(needed)
+        finished = placement.calendar.finished.get(needed)
         if finished is not None and finished.state is not MoveState.DONE:
             return f"{needed}, which it needs, came to nothing"
     return ""
@@ -164,7 +169,7 @@
     placement: PlacementState, move: Move, item: ItemRow, server: ServerState, now: float
 ) -> bool:
     config = placement.config
-    if any(needed in placement.moves for needed in move.after):
+    if any(needed in placement.calendar.moves for needed in move.after):
         return False
     if item.base is not None and server.replicas[item.base].state is not ReplicaState.LOADED:
         return False
@@ -240,7 +245,7 @@
         epoch=order.epoch,
         address=server.address,
     )
-    placement.put_move(ordered)
+    placement.calendar.put(ordered)
     placement.watched[server.server] = None
     not_after = placement.leadership.acts_until
     placement.effects.append(SendOrder(server.server, server.address, order, not_after))
--- a/src/zincvale/controlplane/placement/drains.py
+++ b/src/zincvale/controlplane/placement/drains.py
@@ -16,18 +16,18 @@
     """System: open, follow and end one drain move for each server out of service."""
     if not placement.leadership.is_leader:
         return
-    for server_id, check_at in list(placement.out_of_service.items()):
+    for server_id, check_at in list(placement.drains.check_at.items()):
         if check_at <= now:
-            placement.out_of_service[server_id] = now + CHECK_INTERVAL_S
+            placement.drains.check_at[server_id] = now + CHECK_INTERVAL_S
             _update_drain(placement, placement.servers[server_id], now)
 
 
 def _update_drain(placement: PlacementState, server: ServerState, now: float) -> None:
-    move_id = placement.drain_by_server.get(server.server)
-    move = placement.moves.get(move_id) if move_id is not None else None
+    move_id = placement.drains.move_by_server.get(server.server)
+    move = placement.calendar.moves.get(move_id) if move_id is not None else None
     if server.in_service:
-        del placement.out_of_service[server.server]
-        placement.drain_by_server.pop(server.server, None)
+        del placement.drains.check_at[server.server]
+        placement.drains.move_by_server.pop(server.server, None)
         if move is not None:
             end_move(placement, move, MoveState.CANCELLED, "the server is in service again", now)
         return
@@ -70,6 +70,6 @@
         start_at=now,
         expected_end=now + longest_s,
     )
-    placement.drain_by_server[server.server] = move.move_id
-    placement.put_move(move)
+    placement.drains.move_by_server[server.server] = move.move_id
+    placement.calendar.put(move)
     placement.log(log_events.DRAIN_STARTED, server=server.server, replaces=names)
--- a/src/zincvale/controlplane/placement/leadership.py
+++ b/src/zincvale/controlplane/placement/leadership.py
@@ -51,12 +51,12 @@
     if not placement.leadership.is_leader:
         return
     cancel_planned(placement, now, "the leader lease ended")
-    for move in list(placement.moves.values()):
+    for move in list(placement.calendar.moves.values()):
         if move.kind in (MoveKind.DRAIN, MoveKind.WAIT):
             end_move(placement, move, MoveState.CANCELLED, "the leader lease ended", now)
         elif move.state is MoveState.ORDERED:
             mark_unconfirmed(placement, move)
-    placement.drain_by_server.clear()
+    placement.drains.move_by_server.clear()
     placement.leadership.is_leader = False
     placement.leadership.stores_open = False
     placement.log(log_events.LEADERSHIP_LOST, epoch=placement.leadership.epoch)
@@ -79,7 +79,7 @@
     if now < leadership.gained_at + placement.config.order_lifetime_s:
         return
     leadership.stores_open = True
-    for move in list(placement.moves.values()):
+    for move in list(placement.calendar.moves.values()):
         if move.kind is MoveKind.WAIT:
             end_move(placement, move, MoveState.DONE, "the servers' own statuses are known", now)
 
@@ -92,7 +92,7 @@
     for server_id in list(placement.watched):
         server = placement.servers[server_id]
         confirmed = server.confirmed_epoch == placement.leadership.epoch
-        if confirmed and not placement.moves_by_server.get(server_id):
+        if confirmed and not placement.calendar.by_server.get(server_id):
             placement.watched.pop(server_id, None)
             continue
         if requested >= STATUS_BUDGET or now < _next_request_at(placement, server):
@@ -113,8 +113,8 @@
     soonest = float("inf")
     if server.confirmed_epoch != placement.leadership.epoch:
         soonest = last + config.status_interval_s
-    for move_id in placement.moves_by_server.get(server.server, ()):
-        move = placement.moves[move_id]
+    for move_id in placement.calendar.by_server.get(server.server, ()):
+        move = placement.calendar.moves[move_id]
         if not move.in_flight:
             continue
         if config.confirms_orders and move.state is not MoveState.UNKNOWN:
@@ -136,7 +136,7 @@
 
 def _plan_wait(placement: PlacementState, now: float) -> None:
     config = placement.config
-    placement.put_move(
+    placement.calendar.put(
         Move(
             move_id=placement.new_move_id(),
             kind=MoveKind.WAIT,
--- a/src/zincvale/controlplane/placement/move_completion.py
+++ b/src/zincvale/controlplane/placement/move_completion.py
@@ -39,7 +39,7 @@
         _end_load(placement, placement.servers[move.server], move, state, now)
     elif move.kind is MoveKind.UNLOAD:
         _end_unload(placement, placement.servers[move.server], move, state, now)
-    placement.retire_move(attrs.evolve(move, state=state, finished_at=now, outcome=outcome))
+    placement.calendar.retire(attrs.evolve(move, state=state, finished_at=now, outcome=outcome))
     placement.log(
         LOG_BY_STATE[state],
         move=move.move_id,
@@ -86,7 +86,7 @@
         store.adopt()
         placement.store_slots[move.move_id] = store.store
     placement.watched[server.server] = None
-    placement.put_move(move)
+    placement.calendar.put(move)
     placement.log(log_events.UNPLANNED_LOAD, server=server.server, name=item.name)
 
 
@@ -99,8 +99,8 @@
 
 def fail_moves_of(placement: PlacementState, server: ServerState, outcome: str, now: float) -> None:
     """End every move of a server whose memory is gone."""
-    for move_id in list(placement.moves_by_server.get(server.server, ())):
-        move = placement.moves.get(move_id)
+    for move_id in list(placement.calendar.by_server.get(server.server, ())):
+        move = placement.calendar.moves.get(move_id)
         if move is not None:
             state = MoveState.FAILED if move.in_flight else MoveState.CANCELLED
             end_move(placement, move, state, outcome, now)
@@ -108,12 +108,12 @@
 
 def keep_reservations_of(placement: PlacementState, server: ServerState, now: float) -> None:
     """Keep the store slots of an unobservable server for as long as a pull can take."""
-    for move_id in placement.moves_by_server.get(server.server, ()):
+    for move_id in placement.calendar.by_server.get(server.server, ()):
         name = placement.store_slots.pop(move_id, None)
         if name is None:
             continue
         store = placement.stores[name]
-        move = placement.moves[move_id]
+        move = placement.calendar.moves[move_id]
         share = max(store.bytes_per_second, 1) / max(store.max_concurrent_loads, 1)
         longest_s = move.reservation.memory_bytes / share + placement.config.order_lifetime_s
         store.keep_slot(now + longest_s)
@@ -178,7 +178,7 @@
     pause_s = min(config.retry_backoff_s * 2.0**item.failures, config.max_retry_backoff_s)
     item.failures += 1
     item.retry_at = now + pause_s
-    placement.review_later(item, item.retry_at)
+    placement.reviews.queue_at(item, item.retry_at)
 
 
 def _unplan_load(
@@ -188,12 +188,12 @@
     server.planned_kv_bytes -= move.reservation.kv_bytes
     server.planned_models -= move.item_kind is ItemKind.MODEL
     server.planned_adapters -= move.item_kind is ItemKind.ADAPTER
-    placement.index_free(server)
+    placement.free_memory.mark_stale(server)
     if item is not None:
         item.planned.pop(server.server, None)
         placement.queue_review(item.key)
     for needed_id in move.after:
-        needed = placement.moves.get(needed_id)
+        needed = placement.calendar.moves.get(needed_id)
         if needed is not None and needed.state is MoveState.DRAINING:
             end_move(
                 placement, needed, MoveState.CANCELLED, "its space is not needed any more", now
@@ -204,7 +204,7 @@
     placement: PlacementState, server: ServerState, move: Move, state: MoveState, now: float
 ) -> None:
     key = move_item_key(move)
-    placement.dependents.pop(move.move_id, None)
+    placement.calendar.load_by_unload.pop(move.move_id, None)
     server.planned_free_bytes -= move.reservation.memory_bytes
     server.planned_free_adapters -= move.item_kind is ItemKind.ADAPTER
     if move.in_flight and move.responded_at is None:
@@ -212,7 +212,7 @@
         server.barred_until[key] = move.start_at + placement.config.order_lifetime_s
     replica = server.replicas.get(key)
     if replica is None:
-        placement.index_free(server)
+        placement.free_memory.mark_stale(server)
         return
     replica.move = None
     if state is MoveState.DONE:
@@ -221,5 +221,5 @@
     placement.set_state(server, key, replica, ReplicaState.LOADED)
     replica.contrary_since = None
     placement.set_draining(server, key, replica, False)
-    placement.index_free(server)
+    placement.free_memory.mark_stale(server)
     placement.queue_review(key)
--- a/src/zincvale/controlplane/placement/order_confirmation.py
+++ b/src/zincvale/controlplane/placement/order_confirmation.py
@@ -37,7 +37,7 @@
         or requested_at >= server.first_response_at + placement.config.confirmation_interval_s
     ):
         server.confirmed_epoch = leadership.epoch
-        placement.capacity_appeared = True
+        placement.unplaced.mark_capacity()
         placement.log(log_events.SERVER_CONFIRMED, server=server.server, epoch=leadership.epoch)
 
 
@@ -55,7 +55,7 @@
 def mark_running(placement: PlacementState, move: Move, now: float) -> None:
     """Note that the server carries the order out."""
     if move.state is not MoveState.RUNNING:
-        placement.put_move(attrs.evolve(move, state=MoveState.RUNNING, responded_at=now))
+        placement.calendar.put(attrs.evolve(move, state=MoveState.RUNNING, responded_at=now))
 
 
 def observe_missing(
@@ -80,8 +80,8 @@
 def expire_overdue_orders(placement: PlacementState, now: float) -> None:
     """System: mark overdue orders unconfirmed; free the slots of unresponsive servers."""
     for server_id in list(placement.watched):
-        for move_id in list(placement.moves_by_server.get(server_id, ())):
-            move = placement.moves[move_id]
+        for move_id in list(placement.calendar.by_server.get(server_id, ())):
+            move = placement.calendar.moves[move_id]
             overdue = now >= move.start_at + placement.config.order_lifetime_s
             if move.state is MoveState.ORDERED and overdue:
                 mark_unconfirmed(placement, move)
@@ -90,7 +90,7 @@
 
 def mark_unconfirmed(placement: PlacementState, move: Move) -> None:
     """Keep the reservation of an order that may or may not run."""
-    placement.put_move(attrs.evolve(move, state=MoveState.UNKNOWN))
+    placement.calendar.put(attrs.evolve(move, state=MoveState.UNKNOWN))
     placement.log(log_events.ORDER_UNKNOWN, move=move.move_id, server=move.server, name=move.name)
 
 
@@ -102,7 +102,7 @@
         return
     if server.down_since + placement.config.unresponsive_release_s > now or server.down_since < 0.0:
         return
-    for move_id in placement.moves_by_server.get(server.server, ()):
+    for move_id in placement.calendar.by_server.get(server.server, ()):
         store = placement.store_slots.pop(move_id, None)
         if store is not None:
             placement.stores[store].release()
--- a/src/zincvale/controlplane/placement/order_responses.py
+++ b/src/zincvale/controlplane/placement/order_responses.py
@@ -25,7 +25,7 @@
     if done:
         end_move(placement, taken, MoveState.DONE, "answered as done", now)
     else:
-        placement.put_move(taken)
+        placement.calendar.put(taken)
 
 
 def apply_refused(placement: PlacementState, order_id: str, why: OrderRefusal, now: float) -> None:
@@ -52,8 +52,7 @@
 
 
 def _unresponded_move(placement: PlacementState, order_id: str) -> Move | None:
-    move_id = placement.move_by_order.get(order_id)
-    move = placement.moves.get(move_id) if move_id is not None else None
+    move = placement.calendar.of_order(order_id)
     if move is None or move.state not in (MoveState.ORDERED, MoveState.UNKNOWN):
         return None
     return move
@@ -61,6 +60,5 @@
 
 def _running_move(placement: PlacementState, order_id: str) -> Move | None:
     """Return the move of an order that was accepted before and is now reported done."""
-    move_id = placement.move_by_order.get(order_id)
-    move = placement.moves.get(move_id) if move_id is not None else None
+    move = placement.calendar.of_order(order_id)
     return move if move is not None and move.state is MoveState.RUNNING else None
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -24,6 +24,7 @@
     expected_rate,
 )
 from zincvale.controlplane.placement.servers import ReplicaState, ServerState
+from zincvale.controlplane.placement.shortages import Shortage, compact, current_item
 from zincvale.controlplane.placement.state import PlacementState
 from zincvale.controlplane.placement.stores import PlannedPulls, StoreState
 from zincvale.model.identifiers import MoveId, StoreName
@@ -31,7 +32,6 @@
 REASONS = tuple(MoveReason)
 LOOKED_PAST = 64
 """Shortages looked past in one run because their store or servers are taken up."""
-SHORTAGES_KEPT_PER_ITEM = 4
 UNPLACED_LOG_INTERVAL_S = 10.0
 
 
@@ -53,8 +53,8 @@
         return
     planned = _planned_by_store(placement)
     budget = placement.config.plan_budget
-    for name, queue in placement.shortages.items():
-        _compact(placement, queue)
+    for name, queue in placement.shortages.by_store.items():
+        compact(queue, placement.items)
         store = placement.stores.get(name)
         if store is not None:
             pulls = planned.setdefault(name, PlannedPulls())
@@ -63,49 +63,32 @@
 
 def _planned_by_store(placement: PlacementState) -> dict[StoreName, PlannedPulls]:
     planned: dict[StoreName, PlannedPulls] = {}
-    for move in placement.moves.values():
+    for move in placement.calendar.moves.values():
         if move.kind is MoveKind.LOAD and move.state is MoveState.PLANNED:
             pulls = planned.setdefault(move.store, PlannedPulls())
             pulls.add(move.reservation.memory_bytes)
     return planned
 
 
-def _compact(placement: PlacementState, queue: list[tuple[int, float, int, ItemKey]]) -> None:
-    """Drop outdated entries when they have piled up."""
-    if len(queue) <= SHORTAGES_KEPT_PER_ITEM * max(len(placement.items), 1):
-        return
-    queue[:] = [entry for entry in queue if _valid_item(placement, entry) is not None]
-    heapq.heapify(queue)
-
-
-def _valid_item(
-    placement: PlacementState, entry: tuple[int, float, int, ItemKey]
-) -> ItemRow | None:
-    item = placement.items.get(entry[3])
-    if item is None or item.shortage_stamp != entry[2]:
-        return None
-    return item
-
-
 def _plan_store(
     placement: PlacementState,
     store: StoreState,
-    queue: list[tuple[int, float, int, ItemKey]],
+    queue: list[Shortage],
     planned: PlannedPulls,
     budget: int,
     now: float,
 ) -> int:
     """Plan loads of one store; return what is left of the run's budget."""
-    later: list[tuple[int, float, int, ItemKey]] = []
+    later: list[Shortage] = []
     while queue and budget > 0 and len(later) < LOOKED_PAST:
         entry = heapq.heappop(queue)
-        item = _valid_item(placement, entry)
+        item = current_item(placement.items, entry)
         if item is None:
             continue
         if not _still_short(placement, item):
             item.shortage_stamp = 0
             continue
-        reason = REASONS[entry[0]]
+        reason = REASONS[entry.urgency]
         if not _store_takes(store, item, reason, planned, now, placement.config):
             later.append(entry)
             continue
@@ -157,7 +140,7 @@
     except AllServersBusyError:
         return Planning.BUSY
     if choice is None or not is_worth(placement, item, reason, choice, now):
-        placement.unplaced[item.key] = None
+        placement.unplaced.add(item.key)
         _log_unplaced(placement, item, reason, choice, now)
         if reason is not MoveReason.WAITING_REQUESTS:
             item.place_after = now + placement.config.review_interval_s
@@ -198,7 +181,7 @@
     after = _plan_evictions(placement, item, choice, now)
     load_id = placement.new_move_id()
     for unload_id in after:
-        placement.dependents[unload_id] = load_id
+        placement.calendar.load_by_unload[unload_id] = load_id
     start_at = _start_at(placement, item, server, after, now)
     store = placement.stores[item.store]
     rate = store.bytes_per_second
@@ -229,8 +212,8 @@
     server.planned_models += item.kind is ItemKind.MODEL
     server.planned_adapters += item.kind is ItemKind.ADAPTER
     item.planned[server.server] = None
-    placement.index_free(server)
-    placement.put_move(move)
+    placement.free_memory.mark_stale(server)
+    placement.calendar.put(move)
     placement.log(
         log_events.LOAD_PLANNED,
         move=load_id,
@@ -266,10 +249,10 @@
 ) -> float:
     start_at = placement.stores[item.store].free_at(now, placement.config)
     for move_id in after:
-        start_at = max(start_at, placement.moves[move_id].expected_end)
+        start_at = max(start_at, placement.calendar.moves[move_id].expected_end)
     base_load = _base_load(placement, item, server)
     if base_load is not None:
-        start_at = max(start_at, placement.moves[base_load].expected_end)
+        start_at = max(start_at, placement.calendar.moves[base_load].expected_end)
     return start_at
 
 
@@ -309,7 +292,7 @@
 
 def cancel_planned(placement: PlacementState, now: float, outcome: str) -> None:
     """Give up everything that was not ordered."""
-    for move in list(placement.moves.values()):
+    for move in list(placement.calendar.moves.values()):
         pending = move.state in (MoveState.PLANNED, MoveState.DRAINING)
-        if pending and move.move_id in placement.moves:
+        if pending and move.move_id in placement.calendar.moves:
             end_move(placement, move, MoveState.CANCELLED, outcome, now)
--- a/src/zincvale/controlplane/placement/plan_unloads.py
+++ b/src/zincvale/controlplane/placement/plan_unloads.py
@@ -52,8 +52,8 @@
     placement.set_draining(server, key, replica, True)
     server.planned_free_bytes += replica.item_bytes
     server.planned_free_adapters += move.item_kind is ItemKind.ADAPTER
-    placement.index_free(server)
-    placement.put_move(move)
+    placement.free_memory.mark_stale(server)
+    placement.calendar.put(move)
     placement.queue_review(key)
     placement.log(
         log_events.UNLOAD_PLANNED,
@@ -73,10 +73,10 @@
     """
     if placement.intent.version == 0:
         return
-    due = placement.undeclared_due
+    due = placement.undeclared.due
     while due and due[0][0] <= now:
         _, server_id, key = due.popleft()
-        found_at = placement.undeclared.get(key, {}).get(server_id)
+        found_at = placement.undeclared.found_at.get(key, {}).get(server_id)
         if found_at is None:
             continue
         if found_at + placement.config.undeclared_grace_s <= now and placement.leadership.is_leader:
--- a/src/zincvale/controlplane/placement/prefetch.py
+++ b/src/zincvale/controlplane/placement/prefetch.py
@@ -48,7 +48,7 @@
         return
     if not placement.leadership.stores_open:
         return
-    for pool, servers in placement.servers_by_pool.items():
+    for pool, servers in placement.server_index.by_pool.items():
         state = placement.prefetches.setdefault(pool, PrefetchState())
         if now < state.looked_at + LOOK_INTERVAL_S:
             continue
@@ -67,7 +67,7 @@
     server = placement.servers[server_id]
     if not server.is_serving or server.confirmed_epoch != placement.leadership.epoch:
         return False
-    return not placement.moves_by_server.get(server_id) and not server.planned_models
+    return not placement.calendar.by_server.get(server_id) and not server.planned_models
 
 
 def _is_worth(placement: PlacementState, pool: PoolName) -> bool | None:
@@ -95,16 +95,16 @@
 def _try_disk(
     placement: PlacementState, state: PrefetchState, idle: list[ServerState], now: float
 ) -> None:
-    if state.trial is not None and state.trial in placement.moves:
+    if state.trial is not None and state.trial in placement.calendar.moves:
         return
-    finished = placement.finished_moves.get(state.trial) if state.trial is not None else None
+    finished = placement.calendar.finished.get(state.trial) if state.trial is not None else None
     state.trial = None
     server = placement.servers.get(state.trial_server)
     item = placement.items.get(state.trial_key)
     if finished is not None and finished.state is MoveState.DONE and server in idle and item:
         _load(placement, item, server, NO_EVICTION, now)
         return
-    if any(_is_prefetch(move) for move in placement.moves.values()):
+    if any(_is_prefetch(move) for move in placement.calendar.moves.values()):
         return
     for server in idle:
         key = _spare_replica(placement, server, now)
@@ -139,7 +139,7 @@
 ) -> None:
     room = len(idle)
     if now - state.requested_at <= QUIET_S:
-        room -= math.ceil(len(placement.servers_by_pool[pool]) * KEPT_IDLE_SHARE)
+        room -= math.ceil(len(placement.server_index.by_pool[pool]) * KEPT_IDLE_SHARE)
     if room <= 0:
         return
     missing = _on_no_disk(placement, pool)
@@ -169,7 +169,7 @@
         return len(missing)
     planned = sum(
         1
-        for move in placement.moves.values()
+        for move in placement.calendar.moves.values()
         if _is_prefetch(move) and move.state is MoveState.PLANNED
     )
     return math.floor(store.loads_per_window * WINDOW_SHARE) - store.begun(now) - planned
--- a/src/zincvale/controlplane/placement/publication.py
+++ b/src/zincvale/controlplane/placement/publication.py
@@ -11,15 +11,15 @@
 def trim_history(placement: PlacementState, now: float) -> None:
     """System: drop finished moves that are old or too many."""
     oldest = now - placement.config.finished_move_keep_s
-    history = placement.finished_moves
+    history = placement.calendar.finished
     while history:
         move_id, move = next(iter(history.items()))
         recent = move.finished_at is not None and move.finished_at > oldest
         if recent and len(history) <= placement.config.finished_moves_kept:
             return
         del history[move_id]
-        placement.changed_moves.pop(move_id, None)
-        placement.removed_moves.append(move_id)
+        placement.calendar.changed.pop(move_id, None)
+        placement.calendar.removed.append(move_id)
 
 
 def publish_changes(placement: PlacementState, now: float) -> None:
@@ -28,20 +28,20 @@
     Only the leader publishes; its first publication replaces what its predecessor left.
     """
     if not placement.leadership.is_leader:
-        placement.changed_moves.clear()
-        placement.removed_moves.clear()
+        placement.calendar.changed.clear()
+        placement.calendar.removed.clear()
         return
     _publish_draining(placement)
     if placement.leadership.published_epoch != placement.leadership.epoch:
         placement.leadership.published_epoch = placement.leadership.epoch
-        rows = (*placement.moves.values(), *placement.finished_moves.values())
+        rows = (*placement.calendar.moves.values(), *placement.calendar.finished.values())
         placement.effects.append(PublishMoves(rows, is_complete=True))
-    elif placement.changed_moves or placement.removed_moves:
+    elif placement.calendar.changed or placement.calendar.removed:
         placement.effects.append(
-            PublishMoves(_changed_rows(placement), tuple(placement.removed_moves))
+            PublishMoves(_changed_rows(placement), tuple(placement.calendar.removed))
         )
-    placement.changed_moves.clear()
-    placement.removed_moves.clear()
+    placement.calendar.changed.clear()
+    placement.calendar.removed.clear()
 
 
 def _publish_draining(placement: PlacementState) -> None:
@@ -53,8 +53,8 @@
 
 def _changed_rows(placement: PlacementState) -> tuple[Move, ...]:
     rows = []
-    for move_id in placement.changed_moves:
-        move = placement.moves.get(move_id) or placement.finished_moves.get(move_id)
+    for move_id in placement.calendar.changed:
+        move = placement.calendar.moves.get(move_id) or placement.calendar.finished.get(move_id)
         if move is not None:
             rows.append(move)
     return tuple(rows)
--- a/src/zincvale/controlplane/placement/state.py
+++ b/src/zincvale/controlplane/placement/state.py
@@ -2,31 +2,33 @@
 
 from __future__ import annotations
 
-import heapq
 import random
-from collections import OrderedDict, deque
 from typing import Any
 
 import attrs
-from sortedcontainers import SortedSet
 
+from zincvale.controlplane.placement.calendar import Calendar
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.disk_copies import DiskCopies
+from zincvale.controlplane.placement.drain_table import DrainTable
 from zincvale.controlplane.placement.events import Effect
+from zincvale.controlplane.placement.free_memory import FreeMemoryIndex
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow, is_adapter_key
 from zincvale.controlplane.placement.load_times import LoadTimes
-from zincvale.controlplane.placement.moves import Move
 from zincvale.controlplane.placement.prefetch_state import PrefetchState
+from zincvale.controlplane.placement.reviews import ReviewSchedule
+from zincvale.controlplane.placement.server_index import ServerIndex
 from zincvale.controlplane.placement.servers import CountedAs, Replica, ReplicaState, ServerState
+from zincvale.controlplane.placement.shortages import ShortageQueues
 from zincvale.controlplane.placement.stores import StoreState
+from zincvale.controlplane.placement.undeclared import UndeclaredReplicas
+from zincvale.controlplane.placement.unplaced import UnplacedItems
 from zincvale.model.identifiers import (
-    Address,
     MemberId,
     MoveId,
     PoolName,
     ServerId,
     StoreName,
-    ZoneName,
 )
 from zincvale.model.machine import Log
 from zincvale.model.resources import AdapterSpec, ModelSpec
@@ -64,77 +66,57 @@
 
 @attrs.define(eq=False)
 class PlacementState:
-    """Every table, and the queues that tell the systems what changed.
+    """Every table, and the indexes that tell the systems what changed.
+
+    Dicts without values stand for sets: their order is the same in every run.
 
     Attributes
     ----------
     running : requests that nodes report as running, by server and item.
+    nodes_checked_at : when nodes that stopped reporting were last looked for.
+    oldest_node_report : arrival of the oldest of the nodes' newest reports.
     adapters_by_base : declared adapters; the value of `ItemRow.adapters` of a model.
+    pending_items : declarations that were not applied to the tables yet; None deletes.
     store_slots : the store whose pull slot a move occupies.
-    drain_by_server : the running drain of a server.
-    unindexed : servers whose free memory changed since the index was read.
-    pending_items : declarations that were not taken into the tables yet; None deletes.
-    review_queue : items to look at again; `queued` holds the same keys.
-    review_timers : heap of (time, item).
-    shortages : per store, heap of (urgency, rank, stamp, item); old stamps are skipped.
-    server_by_address : servers in the directory.
     prefetches : what is known of fetching ahead, by pool.
     watched : servers whose next status matters (orders in flight, or not confirmed).
-    undeclared : replicas that no resource declares, with the time they were found.
-    unplaced : desired items for which no server was found; looked at again when
-        `capacity_appeared`.
-    dependents : the load that waits for an unload.
-    out_of_service : servers out of service, with the time of their next check.
-    undeclared_due : the same replicas in the order in which their grace ends.
-    changed_moves : moves whose rows are to be published.
+    changed_drains : servers whose draining replicas are to be published.
+    effects : of the running input, in order.
     """
 
     config: PlacementConfig
     random: random.Random
     intent: Intent = attrs.field(factory=Intent)
     leadership: Leadership = attrs.field(factory=Leadership)
+    # What is declared, reported and measured.
     items: dict[ItemKey, ItemRow] = attrs.field(factory=dict)
-    servers: dict[ServerId, ServerState] = attrs.field(factory=dict)
+    adapters_by_base: dict[ItemKey, dict[ItemKey, None]] = attrs.field(factory=dict)
+    pending_items: dict[ItemKey, ModelSpec | AdapterSpec | None] = attrs.field(factory=dict)
     stores: dict[StoreName, StoreState] = attrs.field(factory=dict)
+    servers: dict[ServerId, ServerState] = attrs.field(factory=dict)
+    server_index: ServerIndex = attrs.field(factory=ServerIndex)
     nodes: dict[MemberId, NodeDemand] = attrs.field(factory=dict)
     running: dict[tuple[ServerId, ItemKey], int] = attrs.field(factory=dict)
-    adapters_by_base: dict[ItemKey, dict[ItemKey, None]] = attrs.field(factory=dict)
-    moves: dict[MoveId, Move] = attrs.field(factory=dict)
-    finished_moves: OrderedDict[MoveId, Move] = attrs.field(factory=OrderedDict)
-    move_by_order: dict[str, MoveId] = attrs.field(factory=dict)
-    moves_by_server: dict[ServerId, dict[MoveId, None]] = attrs.field(factory=dict)
-    store_slots: dict[MoveId, StoreName] = attrs.field(factory=dict)
-    drain_by_server: dict[ServerId, MoveId] = attrs.field(factory=dict)
+    nodes_checked_at: float = 0.0
+    oldest_node_report: float = 0.0
     load_times: LoadTimes = attrs.field(factory=LoadTimes)
     disk_copies: DiskCopies = attrs.field(factory=DiskCopies)
+    # What is planned and under way.
+    calendar: Calendar = attrs.field(factory=Calendar)
+    store_slots: dict[MoveId, StoreName] = attrs.field(factory=dict)
+    drains: DrainTable = attrs.field(factory=DrainTable)
     prefetches: dict[PoolName, PrefetchState] = attrs.field(factory=dict)
-    server_by_address: dict[Address, ServerId] = attrs.field(factory=dict)
-    servers_by_pool: dict[PoolName, dict[ServerId, None]] = attrs.field(factory=dict)
-    servers_by_zone: dict[ZoneName, dict[ServerId, None]] = attrs.field(factory=dict)
-    free_by_pool: dict[PoolName, SortedSet] = attrs.field(factory=dict)
-    unindexed: dict[ServerId, None] = attrs.field(factory=dict)
-    pending_items: dict[ItemKey, ModelSpec | AdapterSpec | None] = attrs.field(factory=dict)
-    review_queue: deque[ItemKey] = attrs.field(factory=deque)
-    queued: set[ItemKey] = attrs.field(factory=set)
-    review_timers: list[tuple[float, ItemKey]] = attrs.field(factory=list)
-    shortages: dict[StoreName, list[tuple[int, float, int, ItemKey]]] = attrs.field(factory=dict)
+    # What the systems look at next.
+    reviews: ReviewSchedule = attrs.field(factory=ReviewSchedule)
+    shortages: ShortageQueues = attrs.field(factory=ShortageQueues)
+    unplaced: UnplacedItems = attrs.field(factory=UnplacedItems)
+    undeclared: UndeclaredReplicas = attrs.field(factory=UndeclaredReplicas)
+    free_memory: FreeMemoryIndex = attrs.field(factory=FreeMemoryIndex)
     watched: dict[ServerId, None] = attrs.field(factory=dict)
-    undeclared: dict[ItemKey, dict[ServerId, float]] = attrs.field(factory=dict)
-    undeclared_due: deque[tuple[float, ServerId, ItemKey]] = attrs.field(factory=deque)
-    unplaced: dict[ItemKey, None] = attrs.field(factory=dict)
-    capacity_appeared: bool = False
-    unplaced_queued_at: float = float("-inf")
-    dependents: dict[MoveId, MoveId] = attrs.field(factory=dict)
-    out_of_service: dict[ServerId, float] = attrs.field(factory=dict)
-    changed_moves: dict[MoveId, None] = attrs.field(factory=dict)
-    removed_moves: list[MoveId] = attrs.field(factory=list)
+    # What leaves.
     changed_drains: dict[ServerId, None] = attrs.field(factory=dict)
     effects: list[Effect] = attrs.field(factory=list)
     next_number: int = 1
-    next_shortage_stamp: int = 1
-    profile_bucket: int = -1
-    nodes_checked_at: float = 0.0
-    oldest_node_report: float = 0.0
 
     def log(self, number: int, **fields: Any) -> None:
         """Emit a numbered log event."""
@@ -149,16 +131,9 @@
     # Reviews
 
     def queue_review(self, key: ItemKey) -> None:
-        """Have the item looked at in the next run."""
-        if key not in self.queued and key in self.items:
-            self.queued.add(key)
-            self.review_queue.append(key)
-
-    def review_later(self, item: ItemRow, at: float) -> None:
-        """Have the item looked at by `at`; an earlier pending time wins."""
-        if at < item.review_at:
-            item.review_at = at
-            heapq.heappush(self.review_timers, (at, item.key))
+        """Have a declared item looked at in the next run."""
+        if key in self.items:
+            self.reviews.queue(key)
 
     # Replicas
 
@@ -203,7 +178,7 @@
     def is_on_disk(self, item: ItemRow) -> bool:
         """Whether a server in the directory has the item's weights on its own disk."""
         addresses = self.disk_copies.addresses(item.key)
-        return any(address in self.server_by_address for address in addresses)
+        return any(address in self.server_index.by_address for address in addresses)
 
     def expected_load_s(self, item: ItemRow, server: ServerState | None = None) -> float:
         """Return how long a load of the item takes, on a server or on any that never had it."""
@@ -252,7 +227,7 @@
         if item is not None:
             item.holders[server.server] = None
         self.recount(server, key, replica)
-        self.index_free(server)
+        self.free_memory.mark_stale(server)
         self.queue_review(key)
 
     def remove_replica(self, server: ServerState, key: ItemKey) -> None:
@@ -268,8 +243,8 @@
             item.holders.pop(server.server, None)
             item.ready -= replica.counted_as is CountedAs.READY
             item.loading -= replica.counted_as is CountedAs.LOADING
-        self.remove_undeclared(key, server.server)
-        self.index_free(server)
+        self.undeclared.remove(key, server.server)
+        self.free_memory.mark_stale(server)
         self.queue_review(key)
         if item is not None and item.kind is ItemKind.MODEL:
             self.queue_adapters(item)
@@ -280,21 +255,7 @@
         server.reserved_kv_bytes += item.kv_bytes - replica.kv_bytes
         replica.item_bytes = item.weight_bytes
         replica.kv_bytes = item.kv_bytes
-        self.index_free(server)
-
-    def add_undeclared(self, key: ItemKey, server_id: ServerId, now: float) -> None:
-        """Note a replica that no resource declares; it is unloaded after a grace."""
-        self.undeclared.setdefault(key, {})[server_id] = now
-        self.undeclared_due.append((now + self.config.undeclared_grace_s, server_id, key))
-
-    def remove_undeclared(self, key: ItemKey, server_id: ServerId) -> None:
-        """Take a replica off the list of undeclared ones."""
-        replicas = self.undeclared.get(key)
-        if replicas is None:
-            return
-        replicas.pop(server_id, None)
-        if not replicas:
-            del self.undeclared[key]
+        self.free_memory.mark_stale(server)
 
     def set_draining(
         self, server: ServerState, key: ItemKey, replica: Replica, draining: bool
@@ -313,51 +274,8 @@
             if known or adapter.waiting:
                 self.queue_review(key)
 
-    # Free memory
-
-    def index_free(self, server: ServerState) -> None:
-        """Have the server's free memory noted in its pool's index before it is next read."""
-        self.unindexed[server.server] = None
-
-    def free_index(self, pool: PoolName) -> SortedSet:
-        """Return (free bytes, server) of the pool, in order."""
-        for server_id in self.unindexed:
-            server = self.servers.get(server_id)
-            if server is not None:
-                self._index_free(server)
-        self.unindexed.clear()
-        return self.free_by_pool.setdefault(pool, SortedSet())
-
-    def _index_free(self, server: ServerState) -> None:
-        index = self.free_by_pool.setdefault(server.pool, SortedSet())
-        index.discard((server.indexed_free_bytes, server.server))
-        server.indexed_free_bytes = server.free_planned_bytes(self.config, 0)
-        index.add((server.indexed_free_bytes, server.server))
-
-    def unindex_free(self, server: ServerState) -> None:
-        """Take the server out of its pool's index."""
-        index = self.free_by_pool.get(server.pool)
-        if index is not None:
-            index.discard((server.indexed_free_bytes, server.server))
-
     # Moves
 
-    def put_move(self, move: Move) -> None:
-        """Add or replace a row of the calendar."""
-        self.moves[move.move_id] = move
-        self.moves_by_server.setdefault(move.server, {})[move.move_id] = None
-        if move.order_id:
-            self.move_by_order[move.order_id] = move.move_id
-        self.changed_moves[move.move_id] = None
-
-    def retire_move(self, move: Move) -> None:
-        """Move a finished row from the calendar to the history."""
-        self.moves.pop(move.move_id, None)
-        self.moves_by_server.get(move.server, {}).pop(move.move_id, None)
-        self.move_by_order.pop(move.order_id, None)
-        self.finished_moves[move.move_id] = move
-        self.changed_moves[move.move_id] = None
-
     def new_move_id(self) -> MoveId:
         """Return an identifier no other leader uses."""
         return MoveId(f"m{self.leadership.epoch}-{self.number()}")
--- a/tests/controlplane/placement/test_leadership.py
+++ b/tests/controlplane/placement/test_leadership.py
@@ -73,7 +73,9 @@
         driver = make_driver()
         driver.report("server-1", loading=frozenset({"alpha"}))
         driver.lead()
-        moves = [m for m in driver.controller.state.moves.values() if m.kind is MoveKind.LOAD]
+        moves = [
+            m for m in driver.controller.state.calendar.moves.values() if m.kind is MoveKind.LOAD
+        ]
         self.assertEqual([MoveReason.FOUND_IN_PROGRESS], [move.reason for move in moves])
         self.assertEqual(1, driver.controller.state.stores["weights"].in_flight)
         self.assertEqual([], loads_in(driver.seen))
@@ -169,7 +171,7 @@
         self.driver.report(loading=frozenset({"alpha"}))
         self.driver.tick(10.0)
         self.driver.report(loading=frozenset({"alpha"}))
-        states = [move.state for move in self.placement.moves.values()]
+        states = [move.state for move in self.placement.calendar.moves.values()]
         self.assertEqual([MoveState.RUNNING], states)
         self.assertEqual(8_000_000_000, self.held())
 
@@ -191,7 +193,7 @@
         self.driver.report(incarnation="i2")
         self.assertEqual(8_000_000_000, self.held())
         self.driver.report(loading=frozenset({"alpha"}))
-        states = [move.state for move in self.placement.moves.values()]
+        states = [move.state for move in self.placement.calendar.moves.values()]
         self.assertEqual([MoveState.RUNNING], states)
 
     def test_it_outlasts_a_change_of_leader(self):
@@ -201,7 +203,7 @@
 
     def test_a_late_answer_after_all_is_taken(self):
         self.driver.feed(OrderAccepted(self.order.order.order_id))
-        states = [move.state for move in self.placement.moves.values()]
+        states = [move.state for move in self.placement.calendar.moves.values()]
         self.assertEqual([MoveState.RUNNING], states)
 
     def test_a_server_that_left_keeps_its_store_slot_for_the_longest_pull(self):
--- a/tests/controlplane/placement/test_properties.py
+++ b/tests/controlplane/placement/test_properties.py
@@ -18,7 +18,10 @@
     for server in placement.servers.values():
         held = sum(replica.item_bytes for replica in server.replicas.values())
         loading = sum(h.state is ReplicaState.LOADING for h in server.replicas.values())
-        moves = [placement.moves[move] for move in placement.moves_by_server.get(server.server, ())]
+        moves = [
+            placement.calendar.moves[move]
+            for move in placement.calendar.by_server.get(server.server, ())
+        ]
         pending = [m for m in moves if not m.in_flight and m.kind.value == "load"]
         planned = sum(move.reservation.memory_bytes for move in pending)
         leaving = sum(m.reservation.memory_bytes for m in moves if m.kind.value == "unload")
--- a/tests/controlplane/placement/test_residency.py
+++ b/tests/controlplane/placement/test_residency.py
@@ -200,12 +200,14 @@
         other = "server-2" if home == "server-1" else "server-1"
         self.assertEqual([(other, "alpha")], loads_in(second))
         drain = next(
-            move for move in driver.controller.state.moves.values() if move.kind is MoveKind.DRAIN
+            move
+            for move in driver.controller.state.calendar.moves.values()
+            if move.kind is MoveKind.DRAIN
         )
         self.assertEqual((MoveReason.SERVER_DRAINED, home), (drain.reason, drain.server))
         driver.complete(second)
         driver.tick(2.0)
-        finished = driver.controller.state.finished_moves[drain.move_id]
+        finished = driver.controller.state.calendar.finished[drain.move_id]
         self.assertEqual(MoveState.DONE, finished.state)
 
     def test_an_evacuated_zone_takes_no_loads(self):
@@ -255,7 +257,7 @@
         driver.feed(IntentChanged(make_intent({"alpha": 8}, {"tuned": "alpha"})))
         server = driver.controller.state.servers["server-1"]
         self.assertEqual(8 * GB + GB // 10, server.reserved_bytes)
-        self.assertEqual({}, driver.controller.state.undeclared)
+        self.assertEqual({}, driver.controller.state.undeclared.found_at)
 
     def test_a_leader_without_an_intent_unloads_nothing(self):
         driver = Driver(Intent(), {"server-1": make_row("server-1")})
