--- a/src/zincvale/controlplane/placement/dispatch.py
+++ b/src/zincvale/controlplane/placement/dispatch.py
@@ -197,10 +197,7 @@
     store.order(item.weight_bytes, now, placement.config)
     placement.store_slots[move.move_id] = store.store
     server.loads_in_flight += 1
-    server.planned_bytes -= move.reservation.memory_bytes
-    server.planned_kv_bytes -= move.reservation.kv_bytes
-    server.planned_models -= move.item_kind is ItemKind.MODEL
-    server.planned_adapters -= move.item_kind is ItemKind.ADAPTER
+    server.remove_planned_load(move.item_kind, move.reservation)
     item.planned.pop(server.server, None)
     replica = Replica(ReplicaState.LOADING, item.weight_bytes, item.kv_bytes, now)
     replica.move = move.move_id
--- /dev/null
+++ b/src/zincvale/controlplane/placement/load_moves.py
@@ -0,0 +1,73 @@
+"""Rows of the calendar for loads, planned or found in progress."""
+
+from __future__ import annotations
+
+import attrs
+
+from zincvale.controlplane.placement.items import ItemRow
+from zincvale.controlplane.placement.moves import (
+    Move,
+    MoveKind,
+    MoveReason,
+    MoveState,
+    Reservation,
+)
+from zincvale.controlplane.placement.servers import ServerState
+from zincvale.controlplane.placement.state import PlacementState
+from zincvale.model.identifiers import MoveId
+
+SLOTS_PER_LOAD = 1
+"""Of the server's concurrent loads; rows of the topic carry it, so all processes must agree."""
+
+
+@attrs.frozen
+class LoadTerms:
+    """Why and when an item is loaded.
+
+    Attributes
+    ----------
+    start_at : expected start in seconds on the controller's clock.
+    after : moves that must be done before.
+    """
+
+    state: MoveState
+    reason: MoveReason
+    detail: str
+    start_at: float
+    after: tuple[MoveId, ...] = ()
+
+
+def new_load(
+    placement: PlacementState, server: ServerState, item: ItemRow, terms: LoadTerms, now: float
+) -> Move:
+    """Return a load with a new identifier; it is not on the calendar yet."""
+    store = placement.stores.get(item.store)
+    return Move(
+        move_id=placement.new_move_id(),
+        kind=MoveKind.LOAD,
+        state=terms.state,
+        reason=terms.reason,
+        detail=terms.detail,
+        server=server.server,
+        address=server.address,
+        zone=server.zone,
+        created_at=now,
+        start_at=terms.start_at,
+        expected_end=terms.start_at + placement.expected_load_s(item, server),
+        item_kind=item.kind,
+        name=item.name,
+        base_model=base_name(item),
+        store=item.store,
+        reservation=Reservation(
+            memory_bytes=item.weight_bytes,
+            kv_bytes=item.kv_bytes,
+            store_bytes_per_second=store.bytes_per_second if store is not None else 0,
+            server_load_slots=SLOTS_PER_LOAD,
+        ),
+        after=terms.after,
+    )
+
+
+def base_name(item: ItemRow) -> str:
+    """Return the name of an adapter's base model, empty for models."""
+    return "" if item.base is None else item.base.removeprefix("model/")
--- a/src/zincvale/controlplane/placement/move_completion.py
+++ b/src/zincvale/controlplane/placement/move_completion.py
@@ -7,12 +7,12 @@
 from zincvale.controlplane.placement import log_events
 from zincvale.controlplane.placement.events import CompletionRecorded
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow, adapter_key, model_key
+from zincvale.controlplane.placement.load_moves import LoadTerms, new_load
 from zincvale.controlplane.placement.moves import (
     Move,
     MoveKind,
     MoveReason,
     MoveState,
-    Reservation,
 )
 from zincvale.controlplane.placement.servers import Replica, ReplicaState, ServerState
 from zincvale.controlplane.placement.state import PlacementState
@@ -59,27 +59,14 @@
     placement: PlacementState, server: ServerState, item: ItemRow, replica: Replica, now: float
 ) -> None:
     """Put a load that another leader ordered on the calendar, with its reservations."""
-    store = placement.stores.get(item.store)
-    rate = store.bytes_per_second if store else 0
-    move = Move(
-        move_id=placement.new_move_id(),
-        kind=MoveKind.LOAD,
+    terms = LoadTerms(
         state=MoveState.RUNNING,
         reason=MoveReason.FOUND_IN_PROGRESS,
         detail="the server reports this load; this process did not order it",
-        server=server.server,
-        address=server.address,
-        zone=server.zone,
-        created_at=now,
         start_at=now,
-        responded_at=now,
-        expected_end=now + placement.expected_load_s(item, server),
-        item_kind=item.kind,
-        name=item.name,
-        base_model=base_name(placement, item),
-        store=item.store,
-        reservation=Reservation(item.weight_bytes, item.kv_bytes, rate, 1),
     )
+    move = attrs.evolve(new_load(placement, server, item, terms, now), responded_at=now)
+    store = placement.stores.get(item.store)
     replica.move = move.move_id
     server.loads_in_flight += 1
     if store is not None:
@@ -90,13 +77,6 @@
     placement.log(log_events.UNPLANNED_LOAD, server=server.server, name=item.name)
 
 
-def base_name(placement: PlacementState, item: ItemRow) -> str:
-    """Return the name of an adapter's base model, empty for models."""
-    if item.base is None:
-        return ""
-    return item.base.removeprefix("model/")
-
-
 def fail_moves_of(placement: PlacementState, server: ServerState, outcome: str, now: float) -> None:
     """End every move of a server whose memory is gone."""
     for move_id in list(placement.calendar.by_server.get(server.server, ())):
@@ -134,7 +114,7 @@
     replica = server.replicas[key]
     replica.move = None
     if state is MoveState.DONE:
-        _finish_load(placement, server, move, replica, item, now)
+        _finish_load(placement, server, move, item, now)
         return
     placement.remove_replica(server, key)
     if item is not None:
@@ -142,13 +122,9 @@
 
 
 def _finish_load(
-    placement: PlacementState,
-    server: ServerState,
-    move: Move,
-    replica: Replica,
-    item: ItemRow | None,
-    now: float,
+    placement: PlacementState, server: ServerState, move: Move, item: ItemRow | None, now: float
 ) -> None:
+    replica = server.replicas[move_item_key(move)]
     placement.set_state(server, move_item_key(move), replica, ReplicaState.LOADED)
     replica.since = now
     replica.fetched_ahead = move.reason is MoveReason.PREFETCH
@@ -184,10 +160,7 @@
 def _unplan_load(
     placement: PlacementState, server: ServerState, move: Move, item: ItemRow | None, now: float
 ) -> None:
-    server.planned_bytes -= move.reservation.memory_bytes
-    server.planned_kv_bytes -= move.reservation.kv_bytes
-    server.planned_models -= move.item_kind is ItemKind.MODEL
-    server.planned_adapters -= move.item_kind is ItemKind.ADAPTER
+    server.remove_planned_load(move.item_kind, move.reservation)
     placement.free_memory.mark_stale(server)
     if item is not None:
         item.planned.pop(server.server, None)
@@ -220,6 +193,6 @@
         return
     placement.set_state(server, key, replica, ReplicaState.LOADED)
     replica.contrary_since = None
-    placement.set_draining(server, key, replica, False)
+    placement.set_draining(server, key, replica, draining=False)
     placement.free_memory.mark_stale(server)
     placement.queue_review(key)
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -5,20 +5,21 @@
 import enum
 import heapq
 
+import attrs
+
 from zincvale.controlplane.placement import log_events
 from zincvale.controlplane.placement.choose_server import AllServersBusyError, Choice
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow
 from zincvale.controlplane.placement.load_candidates import find_candidate, is_worth
-from zincvale.controlplane.placement.move_completion import base_name, end_move
+from zincvale.controlplane.placement.load_moves import LoadTerms, new_load
+from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import (
-    Move,
     MoveKind,
     MoveReason,
     MoveState,
-    Reservation,
 )
-from zincvale.controlplane.placement.plan_unloads import plan_unload
+from zincvale.controlplane.placement.plan_unloads import UnloadTerms, plan_unload
 from zincvale.controlplane.placement.replica_value import (
     LEAST_NEED,
     expected_rate,
@@ -58,7 +59,16 @@
         store = placement.stores.get(name)
         if store is not None:
             pulls = planned.setdefault(name, PlannedPulls())
-            budget = _plan_store(placement, store, queue, pulls, budget, now)
+            budget = _plan_store(placement, _StorePlan(store, queue, pulls), budget, now)
+
+
+@attrs.frozen
+class _StorePlan:
+    """A store, what is missing of its items, and the loads planned and not ordered."""
+
+    store: StoreState
+    queue: list[Shortage]
+    planned: PlannedPulls
 
 
 def _planned_by_store(placement: PlacementState) -> dict[StoreName, PlannedPulls]:
@@ -70,15 +80,9 @@
     return planned
 
 
-def _plan_store(
-    placement: PlacementState,
-    store: StoreState,
-    queue: list[Shortage],
-    planned: PlannedPulls,
-    budget: int,
-    now: float,
-) -> int:
+def _plan_store(placement: PlacementState, plan: _StorePlan, budget: int, now: float) -> int:
     """Plan loads of one store; return what is left of the run's budget."""
+    queue = plan.queue
     later: list[Shortage] = []
     while queue and budget > 0 and len(later) < LOOKED_PAST:
         entry = heapq.heappop(queue)
@@ -89,7 +93,7 @@
             item.shortage_stamp = 0
             continue
         reason = REASONS[entry.urgency]
-        if not _store_takes(store, item, reason, planned, now, placement.config):
+        if not _store_has_capacity(placement, plan, item, reason, now):
             later.append(entry)
             continue
         budget -= 1
@@ -99,27 +103,23 @@
             continue
         item.shortage_stamp = 0
         if result is Planning.PLANNED:
-            planned.add(item.weight_bytes)
+            plan.planned.add(item.weight_bytes)
     for entry in later:
         heapq.heappush(queue, entry)
     return budget
 
 
-def _store_takes(
-    store: StoreState,
-    item: ItemRow,
-    reason: MoveReason,
-    planned: PlannedPulls,
-    now: float,
-    config: PlacementConfig,
+def _store_has_capacity(
+    placement: PlacementState, plan: _StorePlan, item: ItemRow, reason: MoveReason, now: float
 ) -> bool:
-    """Whether the store can give the item by the time its victims have closed."""
-    is_idle = store.occupied_slots(now) + planned.count == 0
+    """Whether the store can deliver the item by the time its victims have drained."""
+    config, store = placement.config, plan.store
+    is_idle = store.occupied_slots(now) + plan.planned.count == 0
     if not is_idle and _gives_way(reason, config):
-        # What nobody asked for yet must not be in the way of what is asked for next.
+        # What no request needs yet must not delay what the next request needs.
         return False
     order_at = now + config.drain_notice_s
-    return store.may_plan(item.weight_bytes, planned, order_at, now, config)
+    return store.may_plan(item.weight_bytes, plan.planned, order_at, now, config)
 
 
 def _gives_way(reason: MoveReason, config: PlacementConfig) -> bool:
@@ -178,45 +178,21 @@
     """Put a load and what leaves for it on the calendar."""
     server = choice.server
     detail = _detail(placement, item, reason, choice, now)
-    after = _plan_evictions(placement, item, choice, now)
-    load_id = placement.new_move_id()
-    for unload_id in after:
-        placement.calendar.load_by_unload[unload_id] = load_id
-    start_at = _start_at(placement, item, server, after, now)
-    store = placement.stores[item.store]
-    rate = store.bytes_per_second
+    unloads = _plan_evictions(placement, item, choice, now)
+    start_at = _start_at(placement, item, server, unloads, now)
     base_load = _base_load(placement, item, server)
-    if base_load is not None:
-        after = (*after, base_load)
-    move = Move(
-        move_id=load_id,
-        kind=MoveKind.LOAD,
-        state=MoveState.PLANNED,
-        reason=reason,
-        detail=detail,
-        server=server.server,
-        address=server.address,
-        zone=server.zone,
-        created_at=now,
-        start_at=start_at,
-        expected_end=start_at + placement.expected_load_s(item, server),
-        item_kind=item.kind,
-        name=item.name,
-        base_model=base_name(placement, item),
-        store=item.store,
-        reservation=Reservation(item.weight_bytes, item.kv_bytes, rate, 1),
-        after=after,
-    )
-    server.planned_bytes += item.weight_bytes
-    server.planned_kv_bytes += item.kv_bytes
-    server.planned_models += item.kind is ItemKind.MODEL
-    server.planned_adapters += item.kind is ItemKind.ADAPTER
+    after = unloads if base_load is None else (*unloads, base_load)
+    terms = LoadTerms(MoveState.PLANNED, reason, detail, start_at, after)
+    move = new_load(placement, server, item, terms, now)
+    for unload_id in unloads:
+        placement.calendar.load_by_unload[unload_id] = move.move_id
+    server.add_planned_load(item.kind, move.reservation)
     item.planned[server.server] = None
     placement.free_memory.mark_stale(server)
     placement.calendar.put(move)
     placement.log(
         log_events.LOAD_PLANNED,
-        move=load_id,
+        move=move.move_id,
         name=item.name,
         server=server.server,
         reason=reason.value,
@@ -234,9 +210,8 @@
     for key in choice.eviction.keys:
         victim = placement.items[key]
         before = tuple(planned[adapter] for adapter in victim.adapters if adapter in planned)
-        planned[key] = plan_unload(
-            placement, server, key, MoveReason.MAKE_ROOM, detail, before, now
-        )
+        terms = UnloadTerms(MoveReason.MAKE_ROOM, detail, before)
+        planned[key] = plan_unload(placement, server, key, terms, now)
     return tuple(planned.values())
 
 
--- a/src/zincvale/controlplane/placement/plan_unloads.py
+++ b/src/zincvale/controlplane/placement/plan_unloads.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import attrs
+
 from zincvale.controlplane.placement import log_events
 from zincvale.controlplane.placement.items import ItemKey, ItemKind
 from zincvale.controlplane.placement.moves import (
@@ -18,25 +20,50 @@
 EXPECTED_UNLOAD_S = 0.2
 
 
+@attrs.frozen
+class UnloadTerms:
+    """Why a replica is unloaded, and the moves that must be done before."""
+
+    reason: MoveReason
+    detail: str
+    after: tuple[MoveId, ...] = ()
+
+
 def plan_unload(
-    placement: PlacementState,
-    server: ServerState,
-    key: ItemKey,
-    reason: MoveReason,
-    detail: str,
-    after: tuple[MoveId, ...],
-    now: float,
+    placement: PlacementState, server: ServerState, key: ItemKey, terms: UnloadTerms, now: float
 ) -> MoveId:
-    """Close a replica and put its unload on the calendar; return the move."""
+    """Drain a replica and put its unload on the calendar; return the move."""
     replica = server.replicas[key]
+    move = _new_unload(placement, server, key, terms, now)
+    replica.move = move.move_id
+    placement.set_draining(server, key, replica, draining=True)
+    server.planned_free_bytes += replica.item_bytes
+    server.planned_free_adapters += move.item_kind is ItemKind.ADAPTER
+    placement.free_memory.mark_stale(server)
+    placement.calendar.put(move)
+    placement.queue_review(key)
+    placement.log(
+        log_events.UNLOAD_PLANNED,
+        move=move.move_id,
+        name=move.name,
+        server=server.server,
+        reason=terms.reason.value,
+        detail=terms.detail,
+    )
+    return move.move_id
+
+
+def _new_unload(
+    placement: PlacementState, server: ServerState, key: ItemKey, terms: UnloadTerms, now: float
+) -> Move:
     kind, _, name = key.partition("/")
     start_at = now + placement.config.drain_notice_s
-    move = Move(
+    return Move(
         move_id=placement.new_move_id(),
         kind=MoveKind.UNLOAD,
         state=MoveState.DRAINING,
-        reason=reason,
-        detail=detail,
+        reason=terms.reason,
+        detail=terms.detail,
         server=server.server,
         address=server.address,
         zone=server.zone,
@@ -45,25 +72,9 @@
         expected_end=start_at + EXPECTED_UNLOAD_S,
         item_kind=ItemKind(kind),
         name=name,
-        reservation=Reservation(memory_bytes=replica.item_bytes),
-        after=after,
+        reservation=Reservation(memory_bytes=server.replicas[key].item_bytes),
+        after=terms.after,
     )
-    replica.move = move.move_id
-    placement.set_draining(server, key, replica, True)
-    server.planned_free_bytes += replica.item_bytes
-    server.planned_free_adapters += move.item_kind is ItemKind.ADAPTER
-    placement.free_memory.mark_stale(server)
-    placement.calendar.put(move)
-    placement.queue_review(key)
-    placement.log(
-        log_events.UNLOAD_PLANNED,
-        move=move.move_id,
-        name=name,
-        server=server.server,
-        reason=reason.value,
-        detail=detail,
-    )
-    return move.move_id
 
 
 def unload_undeclared(placement: PlacementState, now: float) -> None:
@@ -93,4 +104,5 @@
         return
     if not server.is_serving or server.confirmed_epoch != placement.leadership.epoch:
         return
-    plan_unload(placement, server, key, MoveReason.NOT_DECLARED, "no resource declares it", (), now)
+    terms = UnloadTerms(MoveReason.NOT_DECLARED, "no resource declares it")
+    plan_unload(placement, server, key, terms, now)
--- a/src/zincvale/controlplane/placement/prefetch.py
+++ b/src/zincvale/controlplane/placement/prefetch.py
@@ -18,7 +18,7 @@
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow
 from zincvale.controlplane.placement.moves import Move, MoveReason, MoveState
 from zincvale.controlplane.placement.plan_loads import add_load_moves
-from zincvale.controlplane.placement.plan_unloads import plan_unload
+from zincvale.controlplane.placement.plan_unloads import UnloadTerms, plan_unload
 from zincvale.controlplane.placement.prefetch_state import PrefetchState
 from zincvale.controlplane.placement.servers import Replica, ReplicaState, ServerState
 from zincvale.controlplane.placement.state import PlacementState
@@ -110,7 +110,8 @@
         key = _spare_replica(placement, server, now)
         if key is not None:
             detail = "loaded again at once, to learn how long that takes from the server's disk"
-            state.trial = plan_unload(placement, server, key, MoveReason.PREFETCH, detail, (), now)
+            terms = UnloadTerms(MoveReason.PREFETCH, detail)
+            state.trial = plan_unload(placement, server, key, terms, now)
             state.trial_key, state.trial_server = key, server.server
             return
 
--- a/src/zincvale/controlplane/placement/servers.py
+++ b/src/zincvale/controlplane/placement/servers.py
@@ -7,7 +7,8 @@
 import attrs
 
 from zincvale.controlplane.placement.config import PlacementConfig
-from zincvale.controlplane.placement.items import ItemKey
+from zincvale.controlplane.placement.items import ItemKey, ItemKind
+from zincvale.controlplane.placement.moves import Reservation
 from zincvale.model.identifiers import Address, MoveId, PoolName, ServerId, ZoneName
 from zincvale.model.view import ServerHealth
 
@@ -153,6 +154,20 @@
         planned = self.reserved_adapters + self.planned_adapters - self.planned_free_adapters
         return max(0, planned + 1 - self.adapter_slots)
 
+    def add_planned_load(self, kind: ItemKind, reservation: Reservation) -> None:
+        """Count a load that is planned but not ordered; `remove_planned_load` takes it back."""
+        self.planned_bytes += reservation.memory_bytes
+        self.planned_kv_bytes += reservation.kv_bytes
+        self.planned_models += kind is ItemKind.MODEL
+        self.planned_adapters += kind is ItemKind.ADAPTER
+
+    def remove_planned_load(self, kind: ItemKind | None, reservation: Reservation) -> None:
+        """Stop counting a planned load: it is ordered now, or given up."""
+        self.planned_bytes -= reservation.memory_bytes
+        self.planned_kv_bytes -= reservation.kv_bytes
+        self.planned_models -= kind is ItemKind.MODEL
+        self.planned_adapters -= kind is ItemKind.ADAPTER
+
     def load_slots(self, config: PlacementConfig, now: float) -> int:
         """Return how many loads may run here at once."""
         if now < self.cold_until:
--- a/src/zincvale/controlplane/placement/state.py
+++ b/src/zincvale/controlplane/placement/state.py
@@ -258,7 +258,7 @@
         self.free_memory.mark_stale(server)
 
     def set_draining(
-        self, server: ServerState, key: ItemKey, replica: Replica, draining: bool
+        self, server: ServerState, key: ItemKey, replica: Replica, *, draining: bool
     ) -> None:
         """Have nodes send nothing new to a replica, or send again."""
         if replica.draining != draining:
