--- a/src/zincvale/controlplane/placement/apply_demand.py
+++ b/src/zincvale/controlplane/placement/apply_demand.py
@@ -9,6 +9,8 @@
 from zincvale.model.identifiers import MemberId, ServerId
 
 NODES_CHECK_INTERVAL_S = 1.0
+"""Time between two searches for nodes that stopped reporting; their requests count that much
+longer."""
 
 
 def apply_demand_report(placement: PlacementState, event: DemandReported, now: float) -> None:
--- a/src/zincvale/controlplane/placement/apply_intent.py
+++ b/src/zincvale/controlplane/placement/apply_intent.py
@@ -29,6 +29,7 @@
 from zincvale.model.view import Intent
 
 UNDECLARED_STORE = StoreName("")
+"""Of a new row, until its declaration is applied; no store has this name."""
 
 
 def apply_intent_change(placement: PlacementState, intent: Intent, now: float) -> None:
--- a/src/zincvale/controlplane/placement/apply_status.py
+++ b/src/zincvale/controlplane/placement/apply_status.py
@@ -15,7 +15,7 @@
 from zincvale.controlplane.placement.move_completion import (
     adopt_load,
     end_move,
-    fail_moves_of,
+    end_moves_of,
     keep_reservations_of,
 )
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveState
@@ -303,7 +303,7 @@
     if server is None:
         return
     keep_reservations_of(placement, server, now)
-    fail_moves_of(placement, server, "the server left the directory", now)
+    end_moves_of(placement, server, "the server left the directory", now)
     for key in list(server.replicas):
         placement.remove_replica(server, key)
     placement.free_memory.remove(server)
--- a/src/zincvale/controlplane/placement/choose_server.py
+++ b/src/zincvale/controlplane/placement/choose_server.py
@@ -13,12 +13,18 @@
 from zincvale.controlplane.placement.state import PlacementState
 from zincvale.model.identifiers import ServerId, ZoneName
 
-SOONER_PART = 0.7
+DISK_CHOICE_FACTOR = 0.7
 """Part of the time from the store below which a server's own disk is worth being bound to it."""
 NO_SERVER = ServerId("")
+"""Found in no table."""
 EVICTION_SAMPLE = 12
+"""Servers for which an eviction is computed; more cost time in each run, fewer miss cheap
+victims."""
 SHORTLIST = 8
+"""Servers compared in full among those that fit; more cost a sum over their replicas each."""
 LARGEST_FREE_SAMPLE = 16
+"""Servers with most free memory that are always candidates in a large pool; fewer cause
+evictions."""
 
 
 class AllServersBusyError(Exception):
@@ -54,7 +60,7 @@
     item = space.item
     known = _on_disk(placement, item, now)
     from_store_s = placement.expected_load_s(item)
-    if not known or placement.expected_load_s(item, known[0]) > from_store_s * SOONER_PART:
+    if not known or placement.expected_load_s(item, known[0]) > from_store_s * DISK_CHOICE_FACTOR:
         return None
     free = [
         server for server in known if _pending(server) < server.load_slots(placement.config, now)
@@ -102,9 +108,9 @@
 ) -> Choice | None:
     item = space.item
     zones = _zones_of_replicas(placement, item)
-    roomy = [server for server in candidates if space.fits(placement, server)]
-    if roomy and not spread_first:
-        return Choice(_least(placement, roomy, zones, now), NO_EVICTION)
+    fitting = [server for server in candidates if space.fits(placement, server)]
+    if fitting and not spread_first:
+        return Choice(_least(placement, fitting, zones, now), NO_EVICTION)
     best: tuple[tuple[float, ...], Choice] | None = None
     for server in _sample(placement, candidates, EVICTION_SAMPLE):
         eviction = find_eviction(placement, server, space, now)
@@ -165,12 +171,12 @@
     placement: PlacementState, server: ServerState, zones: dict[ZoneName, int], now: float
 ) -> tuple[float, ...]:
     zone_replicas, busy, tie = _rough_preference(placement, server, zones)
-    asked_for = _asked_for(placement, server, now)
+    request_rate = _request_rate(placement, server, now)
     free_bytes = float(server.free_planned_bytes(placement.config, 0))
-    return (zone_replicas, busy, asked_for, -free_bytes, tie)
+    return (zone_replicas, busy, request_rate, -free_bytes, tie)
 
 
-def _asked_for(placement: PlacementState, server: ServerState, now: float) -> float:
+def _request_rate(placement: PlacementState, server: ServerState, now: float) -> float:
     """Return the request rate of the server's models, shared among their replicas."""
     total = 0.0
     for key in server.replicas:
--- a/src/zincvale/controlplane/placement/config.py
+++ b/src/zincvale/controlplane/placement/config.py
@@ -4,7 +4,8 @@
 
 import attrs
 
-GIGABYTE = 1_000_000_000
+GIGABYTE_BYTES = 1_000_000_000
+"""Decimal, as vendors of memory and disks count."""
 
 
 @attrs.frozen
@@ -104,7 +105,7 @@
     review_interval_s: float = 30.0
     candidate_sample: int = 48
     store_burst_s: float = 2.0
-    small_item_bytes: int = GIGABYTE
+    small_item_bytes: int = GIGABYTE_BYTES
     small_item_share: float = 0.2
     retry_backoff_s: float = 1.0
     max_retry_backoff_s: float = 60.0
--- a/src/zincvale/controlplane/placement/demand.py
+++ b/src/zincvale/controlplane/placement/demand.py
@@ -10,13 +10,20 @@
 from zincvale.controlplane.placement.config import PlacementConfig
 
 LN_2 = math.log(2.0)
+"""Turns a half-life into a rate of decay."""
 PROFILE_WEIGHT_OF_NEWEST_DAY = 0.5
+"""Part of a day's shape that the newest day replaces; 1 would forget all days before."""
 NOT_SEEN = -1.0
+"""Part of a day without history; rates are never negative."""
 RECENT_EVENTS = 0.5
+"""Decayed requests at which demand counts as recent: one request within the half-life."""
 EPISODE_S = 5.0
+"""Requests within this time count as one episode; longer hides steady demand, shorter shows
+crowds."""
 STEADY_EPISODES_PER_S = 0.5 / EPISODE_S
 """Above this an item is asked for most of the time, and its whole rate counts."""
-SHORTEST_OBSERVATION_S = 30.0
+MIN_OBSERVATION_S = 30.0
+"""A rate is taken over at least this time, so that the first request is not a high rate."""
 
 
 @attrs.define(eq=False)
@@ -35,7 +42,7 @@
     def rate(self, now: float, observed_since: float) -> float:
         """Return events per second, corrected for an observation shorter than the memory."""
         weight = self._decayed(now) * LN_2 / self.half_life_s
-        age = max(now - observed_since, SHORTEST_OBSERVATION_S)
+        age = max(now - observed_since, MIN_OBSERVATION_S)
         seen_part = 1.0 - 0.5 ** (age / self.half_life_s)
         return weight / seen_part
 
--- a/src/zincvale/controlplane/placement/desired_replicas.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -9,11 +9,18 @@
 from zincvale.controlplane.placement.replica_value import is_missed, item_value, need
 from zincvale.controlplane.placement.state import PlacementState
 
-PRESSURE_PATIENCE_S = 1.0
+PRESSURE_DELAY_S = 1.0
+"""Requests wait this long before they add a replica; less loads for waits that end by
+themselves."""
 URGENT_REVIEW_S = 1.0
-DEFAULT_SLOTS = 16
+"""An item with waiting requests is reviewed this often, as the weight of waiting grows with
+time."""
+DEFAULT_SLOTS_PER_SERVER = 16
+"""Concurrent requests of a server whose pool declares no limit."""
 BUSY_ADAPTER_RATE_PER_S = 1.0 / 600.0
+"""An adapter with this rate is placed beside every pinned replica of its base."""
 DAILY_CHANGE_FACTOR = 2.0
+"""A predicted rate this much above the present one is a daily change."""
 
 
 def review_items(placement: PlacementState, now: float) -> None:
@@ -83,7 +90,7 @@
         # Hysteresis: the last replica goes only when the others would stay well below the target.
         keep = math.ceil(item.concurrency / (slots * config.release_utilization))
         by_load = min(item.desired, max(keep, by_load))
-    pressed = pressure > 0 and now - item.waiting_since > PRESSURE_PATIENCE_S
+    pressed = pressure > 0 and now - item.waiting_since > PRESSURE_DELAY_S
     if pressed and pending == 0 and not config.crowds_count_as_waiting:
         by_load = max(by_load, ready + 1)
     desired = max(
@@ -104,11 +111,11 @@
     pool = placement.intent.pools.get(item.pool)
     if not placement.config.adapters_add_replicas or pool is None or not pool.adapter_slots:
         return 0
-    asked_for = sum(1 for key in item.adapters if _is_asked_for(placement.items[key], now))
-    return math.ceil(asked_for / pool.adapter_slots)
+    requested = sum(1 for key in item.adapters if _is_requested(placement.items[key], now))
+    return math.ceil(requested / pool.adapter_slots)
 
 
-def _is_asked_for(adapter: ItemRow, now: float) -> bool:
+def _is_requested(adapter: ItemRow, now: float) -> bool:
     """Whether more than one request came within the time that recent demand is counted over."""
     return bool(adapter.waiting or adapter.running or adapter.demand.is_recent(now))
 
@@ -159,7 +166,7 @@
     pool = placement.intent.pools.get(item.pool)
     if pool is not None and pool.max_concurrent_per_server > 0:
         return pool.max_concurrent_per_server
-    return DEFAULT_SLOTS
+    return DEFAULT_SLOTS_PER_SERVER
 
 
 def _queue_shortage(
--- a/src/zincvale/controlplane/placement/dispatch.py
+++ b/src/zincvale/controlplane/placement/dispatch.py
@@ -19,10 +19,11 @@
 from zincvale.model.identifiers import Address, MoveId, StoreName
 
 NO_ADDRESS = Address("")
+"""Of the store in an order to unload."""
 
 
 def order_unloads(placement: PlacementState, now: float) -> None:
-    """System: unload what is closed and idle; give up what stays in use."""
+    """System: unload what is drained and idle; cancel what stays in use."""
     if not placement.leadership.may_order(now):
         return
     reports = [node.reported_at for node in placement.nodes.values()]
@@ -38,9 +39,9 @@
 def _advance_unload(placement: PlacementState, move: Move, now: float) -> None:
     server = placement.servers[move.server]
     replica = server.replicas[move_item_key(move)]
-    give_up = _why_keep(placement, move, server, now)
-    if give_up:
-        end_move(placement, move, MoveState.CANCELLED, give_up, now)
+    reason = _reason_to_keep(placement, move, server, now)
+    if reason:
+        end_move(placement, move, MoveState.CANCELLED, reason, now)
         return
     if now < move.start_at or placement.running_on(server, move_item_key(move)) > 0:
         return
@@ -75,7 +76,7 @@
     return move is not None and not move.in_flight
 
 
-def _why_keep(placement: PlacementState, move: Move, server: ServerState, now: float) -> str:
+def _reason_to_keep(placement: PlacementState, move: Move, server: ServerState, now: float) -> str:
     """Return why a draining replica should stay after all; empty when it should go."""
     key = move_item_key(move)
     if not server.is_serving:
@@ -130,16 +131,16 @@
 ) -> None:
     item = placement.items.get(move_item_key(move))
     server = placement.servers[move.server]
-    give_up = _why_cancel(placement, move, item, server)
-    if give_up or item is None:
-        end_move(placement, move, MoveState.CANCELLED, give_up, now)
+    reason = _reason_to_cancel(placement, move, item, server)
+    if reason or item is None:
+        end_move(placement, move, MoveState.CANCELLED, reason, now)
         return
     if not placement.leadership.may_order(now) or not placement.leadership.stores_open:
         return
     small = item.weight_bytes <= placement.config.small_item_bytes
     if move.store in stores_held_back and not small:
         return
-    if not _fits_now(placement, move, item, server, now):
+    if not _may_order_now(placement, move, item, server, now):
         # A larger, less urgent pull must not overtake an urgent one and owe the store's rate.
         if is_missed(placement, item, now):
             stores_held_back.add(move.store)
@@ -147,7 +148,7 @@
     _order_load(placement, move, item, server, now)
 
 
-def _why_cancel(
+def _reason_to_cancel(
     placement: PlacementState, move: Move, item: ItemRow | None, server: ServerState
 ) -> str:
     if item is None:
@@ -165,7 +166,7 @@
     return ""
 
 
-def _fits_now(
+def _may_order_now(
     placement: PlacementState, move: Move, item: ItemRow, server: ServerState, now: float
 ) -> bool:
     config = placement.config
--- a/src/zincvale/controlplane/placement/draining_row_codec.py
+++ b/src/zincvale/controlplane/placement/draining_row_codec.py
@@ -10,7 +10,9 @@
 from zincvale.model.identifiers import ServerId
 
 MOVES_TOPIC = "moves"
+"""Name of the topic; nodes and cores of one release must agree."""
 UNLOAD = "unload"
+"""`MoveKind.UNLOAD` as text of a row; nodes do not import the calendar."""
 DRAINING_STATE_NAMES = frozenset({"closing", "ordered", "running", "unknown"})
 """A replica is draining from the announcement of its unload until that move is finished."""
 
--- a/src/zincvale/controlplane/placement/drains.py
+++ b/src/zincvale/controlplane/placement/drains.py
@@ -9,7 +9,8 @@
 from zincvale.controlplane.placement.servers import ServerState
 from zincvale.controlplane.placement.state import PlacementState
 
-CHECK_INTERVAL_S = 1.0
+DRAIN_CHECK_INTERVAL_S = 1.0
+"""Time between two checks of a drained server; a drain is shown as done that much later."""
 
 
 def track_drains(placement: PlacementState, now: float) -> None:
@@ -18,7 +19,7 @@
         return
     for server_id, check_at in list(placement.drains.check_at.items()):
         if check_at <= now:
-            placement.drains.check_at[server_id] = now + CHECK_INTERVAL_S
+            placement.drains.check_at[server_id] = now + DRAIN_CHECK_INTERVAL_S
             _update_drain(placement, placement.servers[server_id], now)
 
 
--- a/src/zincvale/controlplane/placement/eviction.py
+++ b/src/zincvale/controlplane/placement/eviction.py
@@ -1,6 +1,6 @@
 """Choice of what leaves a server to make room: the least worth a byte.
 
-What is in use is not chosen, unless requests have waited for long: then a replica may be closed
+What is in use is not chosen, unless requests have waited for long: then a replica may drain
 while requests still run on it, and is unloaded when they have ended.
 """
 
@@ -38,7 +38,9 @@
 
 
 NO_EVICTION = Eviction((), 0.0)
+"""Nothing has to leave."""
 DRAIN_COST_FACTOR = 3.0
+"""A replica in use costs this much more; less interrupts models that are in use for idle ones."""
 
 
 @attrs.frozen
--- a/src/zincvale/controlplane/placement/items.py
+++ b/src/zincvale/controlplane/placement/items.py
@@ -15,6 +15,7 @@
 """`model/NAME` or `adapter/NAME`."""
 
 MISSED_HALF_LIFE_S = 5.0
+"""Requests that found no replica count as waiting for about this long."""
 
 
 class ItemKind(enum.Enum):
--- a/src/zincvale/controlplane/placement/leadership.py
+++ b/src/zincvale/controlplane/placement/leadership.py
@@ -17,9 +17,13 @@
 from zincvale.model.identifiers import Address, ServerId, ZoneName
 
 NO_SERVER = ServerId("")
+"""The wait after a change of leader belongs to no server."""
 STATUS_BUDGET = 200
-STATUS_PART_OF_LOAD = 0.1
-LONGEST_STATUS_INTERVAL_S = 1.0
+"""Status requests in one run; more delay the run, fewer slow a takeover of a large fleet."""
+STATUS_LOAD_FRACTION = 0.1
+"""Part of a load's time before its expected end from which its status is requested."""
+MAX_STATUS_INTERVAL_S = 1.0
+"""Longest time between status requests near the end of a load; the end is seen that much later."""
 
 
 def apply_leadership(placement: PlacementState, event: LeaderGained, now: float) -> None:
@@ -122,8 +126,8 @@
         if move.kind is not MoveKind.LOAD or move.state is not MoveState.RUNNING:
             soonest = min(soonest, last + config.status_interval_s)
             continue
-        part_s = STATUS_PART_OF_LOAD * (move.expected_end - move.start_at)
-        interval_s = min(max(part_s, config.shortest_status_interval_s), LONGEST_STATUS_INTERVAL_S)
+        part_s = STATUS_LOAD_FRACTION * (move.expected_end - move.start_at)
+        interval_s = min(max(part_s, config.shortest_status_interval_s), MAX_STATUS_INTERVAL_S)
         soonest = min(soonest, max(move.expected_end - part_s, last + interval_s))
     return soonest
 
--- a/src/zincvale/controlplane/placement/load_candidates.py
+++ b/src/zincvale/controlplane/placement/load_candidates.py
@@ -15,21 +15,22 @@
 )
 from zincvale.controlplane.placement.state import PlacementState
 
-DRAIN_PATIENCE_S = 2.0
-"""Requests that waited this long may close a replica on which others still run."""
+DRAIN_DELAY_S = 2.0
+"""Requests that waited this long may drain a replica on which others still run."""
 EXPECTED_DRAIN_S = 5.0
+"""Time for which requests to a draining replica are expected to wait."""
 
 
 def find_candidate(
     placement: PlacementState, item: ItemRow, reason: MoveReason, now: float
 ) -> Choice | None:
-    """Return the best server for a load, with room for the adapters that come along if possible.
+    """Return the best server for a load, with memory for the adapters that come along if possible.
 
     A server that has the weights on its own disk comes first, where that is sooner.
 
     Raises `AllServersBusyError` when servers could take it, but not soon.
     """
-    may_drain = item.waiting > 0 and now - item.waiting_since > DRAIN_PATIENCE_S
+    may_drain = item.waiting > 0 and now - item.waiting_since > DRAIN_DELAY_S
     if placement.config.servers_keep_weights and item.kind is ItemKind.MODEL:
         choice = choose_by_disk(placement, Space(item, item.weight_bytes, may_drain), now)
         if choice is not None and is_worth(placement, item, reason, choice, now):
--- a/src/zincvale/controlplane/placement/move_completion.py
+++ b/src/zincvale/controlplane/placement/move_completion.py
@@ -22,6 +22,7 @@
     MoveState.FAILED: log_events.MOVE_FAILED,
     MoveState.CANCELLED: log_events.MOVE_CANCELLED,
 }
+"""The log event of each end of a move."""
 
 
 def move_item_key(move: Move) -> ItemKey:
@@ -77,7 +78,7 @@
     placement.log(log_events.UNPLANNED_LOAD, server=server.server, name=item.name)
 
 
-def fail_moves_of(placement: PlacementState, server: ServerState, outcome: str, now: float) -> None:
+def end_moves_of(placement: PlacementState, server: ServerState, outcome: str, now: float) -> None:
     """End every move of a server whose memory is gone."""
     for move_id in list(placement.calendar.by_server.get(server.server, ())):
         move = placement.calendar.moves.get(move_id)
@@ -127,7 +128,7 @@
     replica = server.replicas[move_item_key(move)]
     placement.set_state(server, move_item_key(move), replica, ReplicaState.LOADED)
     replica.since = now
-    replica.fetched_ahead = move.reason is MoveReason.PREFETCH
+    replica.is_prefetched = move.reason is MoveReason.PREFETCH
     if item is None:
         return
     item.failures = 0
--- a/src/zincvale/controlplane/placement/move_row_codec.py
+++ b/src/zincvale/controlplane/placement/move_row_codec.py
@@ -34,6 +34,7 @@
 }
 """Fields of `Move` by the keys of a row; the keys are text of the API and of the topic."""
 DRAINING_STATES = frozenset(MoveState(state) for state in DRAINING_STATE_NAMES)
+"""`DRAINING_STATE_NAMES` as states."""
 
 
 def encode_move(move: Move, wall_offset_s: float = 0.0) -> bytes:
--- a/src/zincvale/controlplane/placement/moves.py
+++ b/src/zincvale/controlplane/placement/moves.py
@@ -20,7 +20,13 @@
 
 
 class MoveState(enum.Enum):
-    """How far a move is."""
+    """How far a move is.
+
+    Legal transitions: a load begins PLANNED, an unload DRAINING, a drain or a wait RUNNING.
+    PLANNED and DRAINING become ORDERED or CANCELLED. ORDERED becomes RUNNING, UNKNOWN, DONE or
+    FAILED. RUNNING becomes DONE, FAILED, UNKNOWN (the runtime could not learn the end) or, for a
+    drain or a wait, CANCELLED. UNKNOWN becomes RUNNING, DONE or FAILED. The last three are final.
+    """
 
     PLANNED = "planned"
     DRAINING = "closing"
@@ -37,7 +43,9 @@
 
 
 FINISHED_STATES = frozenset({MoveState.DONE, MoveState.FAILED, MoveState.CANCELLED})
+"""Nothing follows them."""
 IN_FLIGHT_STATES = frozenset({MoveState.ORDERED, MoveState.RUNNING, MoveState.UNKNOWN})
+"""The server may be carrying the move out."""
 
 
 class MoveReason(enum.Enum):
@@ -63,6 +71,7 @@
 
 
 URGENCY_BY_REASON = {reason: urgency for urgency, reason in enumerate(MoveReason)}
+"""0 is the most urgent; the order of `MoveReason` is the order of planning."""
 
 
 @attrs.frozen
@@ -84,6 +93,7 @@
 
 
 NO_RESERVATION = Reservation()
+"""Of moves that occupy nothing."""
 
 
 @attrs.frozen
--- a/src/zincvale/controlplane/placement/order_responses.py
+++ b/src/zincvale/controlplane/placement/order_responses.py
@@ -11,7 +11,8 @@
 from zincvale.controlplane.placement.order_confirmation import mark_unconfirmed
 from zincvale.controlplane.placement.state import PlacementState
 
-BUSY_PAUSE_S = 0.5
+BUSY_BACKOFF_S = 0.5
+"""Pause before the next order to a server that refused one as busy."""
 
 
 def apply_accepted(placement: PlacementState, order_id: str, done: bool, now: float) -> None:
@@ -35,7 +36,7 @@
         return
     placement.log(log_events.ORDER_REFUSED, order=order_id, server=move.server, why=why.value)
     if why is OrderRefusal.BUSY:
-        placement.servers[move.server].retry_at = now + BUSY_PAUSE_S
+        placement.servers[move.server].retry_at = now + BUSY_BACKOFF_S
     if move.kind is MoveKind.UNLOAD and why is OrderRefusal.NOT_HELD:
         end_move(placement, move, MoveState.DONE, "the server did not hold it", now)
         return
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -21,7 +21,7 @@
 )
 from zincvale.controlplane.placement.plan_unloads import UnloadTerms, plan_unload
 from zincvale.controlplane.placement.replica_value import (
-    LEAST_NEED,
+    MIN_NEED,
     expected_rate,
 )
 from zincvale.controlplane.placement.servers import ReplicaState, ServerState
@@ -31,9 +31,12 @@
 from zincvale.model.identifiers import MoveId, StoreName
 
 REASONS = tuple(MoveReason)
-LOOKED_PAST = 64
-"""Shortages looked past in one run because their store or servers are taken up."""
+"""The reason of an urgency."""
+MAX_SKIPPED_SHORTAGES = 64
+"""Shortages skipped in one run because their store or servers are busy; more cost time in each
+run."""
 UNPLACED_LOG_INTERVAL_S = 10.0
+"""Time between two log lines for one item that finds no server."""
 
 
 class Planning(enum.Enum):
@@ -41,14 +44,15 @@
 
     PLANNED = "planned"
     BUSY = "busy"
-    """Looked at again in the next run: the servers are taken up for the moment."""
+    """Looked at again in the next run: the servers are busy for the moment."""
     NOWHERE = "nowhere"
 
 
 def plan_loads(placement: PlacementState, now: float) -> None:
     """System: plan loads for the shortages of each store, as far as they can soon be ordered.
 
-    What is planned early would hold its server and its victims while something more urgent comes.
+    A load that is planned early would reserve its server and drain its victims while a more urgent
+    one arrives.
     """
     if not placement.leadership.is_leader or not placement.leadership.stores_open:
         return
@@ -84,7 +88,7 @@
     """Plan loads of one store; return what is left of the run's budget."""
     queue = plan.queue
     later: list[Shortage] = []
-    while queue and budget > 0 and len(later) < LOOKED_PAST:
+    while queue and budget > 0 and len(later) < MAX_SKIPPED_SHORTAGES:
         entry = heapq.heappop(queue)
         item = current_item(placement.items, entry)
         if item is None:
@@ -156,7 +160,7 @@
 def _log_unplaced(
     placement: PlacementState, item: ItemRow, reason: MoveReason, choice: Choice | None, now: float
 ) -> None:
-    """Tell why a desired replica has no place; once in a while for each item."""
+    """Log why a desired replica finds no server; at most once an interval for each item."""
     if now < item.unplaced_logged_at + UNPLACED_LOG_INTERVAL_S:
         return
     item.unplaced_logged_at = now
@@ -203,7 +207,7 @@
 def _plan_evictions(
     placement: PlacementState, item: ItemRow, choice: Choice, now: float
 ) -> tuple[MoveId, ...]:
-    """Close what leaves; a model's unload comes after those of its adapters."""
+    """Drain what leaves; a model's unload comes after those of its adapters."""
     server = choice.server
     planned: dict[ItemKey, MoveId] = {}
     detail = f"makes room for {item.kind.value} {item.name}"
@@ -247,7 +251,7 @@
     per_minute = expected_rate(placement, item, now) * 60.0
     facts = f"{item.ready} of {item.desired} copies serve, {per_minute:.2f} requests/min expected"
     if reason is MoveReason.WAITING_REQUESTS:
-        facts += _why_missed(item, now)
+        facts += _reason_missed(item, now)
     if reason is MoveReason.MORE_LOAD:
         facts += f", {item.concurrency:.1f} requests at once"
     if choice.eviction.keys:
@@ -256,11 +260,11 @@
     return facts
 
 
-def _why_missed(item: ItemRow, now: float) -> str:
+def _reason_missed(item: ItemRow, now: float) -> str:
     if item.waiting:
         return f", {item.waiting} requests wait since {now - item.waiting_since:.1f} s"
     missed = item.missed.present(now)
-    if missed >= LEAST_NEED:
+    if missed >= MIN_NEED:
         return f", about {missed:.0f} requests came lately and found no copy"
     return f", {item.min_replicas} copies are declared"
 
--- a/src/zincvale/controlplane/placement/plan_unloads.py
+++ b/src/zincvale/controlplane/placement/plan_unloads.py
@@ -1,4 +1,4 @@
-"""Closes replicas that are to be unloaded, and plans the unload of what no resource declares."""
+"""Drains replicas that are to be unloaded, and plans the unload of what no resource declares."""
 
 from __future__ import annotations
 
@@ -18,6 +18,7 @@
 from zincvale.model.identifiers import MoveId
 
 EXPECTED_UNLOAD_S = 0.2
+"""Expected time of an unload; shown in the calendar, and loads that wait for it start after it."""
 
 
 @attrs.frozen
--- a/src/zincvale/controlplane/placement/prefetch.py
+++ b/src/zincvale/controlplane/placement/prefetch.py
@@ -24,16 +24,17 @@
 from zincvale.controlplane.placement.state import PlacementState
 from zincvale.model.identifiers import PoolName, ServerId
 
-SHORT_LOAD_S = 1.5
+MIN_STORE_LOAD_S = 1.5
 """A load from the store that takes no longer is not worth fetching ahead."""
-FASTER_PART = 0.5
+PREFETCH_DISK_FACTOR = 0.5
 """Part of the time from the store that a load from disk may take for fetching to be worth it."""
-QUIET_S = 1.5
+IDLE_POOL_S = 1.5
 """Without requests for so long, every idle server may fetch."""
-KEPT_IDLE_SHARE = 0.6
+RESERVED_IDLE_FRACTION = 0.6
 """Part of a pool's servers that are left idle while requests come."""
-LOOK_INTERVAL_S = 0.25
-WINDOW_SHARE = 0.6
+PREFETCH_INTERVAL_S = 0.25
+"""Time between two looks at a pool; each costs a pass over its servers and items."""
+PREFETCH_WINDOW_FRACTION = 0.6
 """Part of what a store gives in a window that fetching may use up; the rest is for requests."""
 
 
@@ -50,17 +51,17 @@
         return
     for pool, servers in placement.server_index.by_pool.items():
         state = placement.prefetches.setdefault(pool, PrefetchState())
-        if now < state.looked_at + LOOK_INTERVAL_S:
+        if now < state.considered_at + PREFETCH_INTERVAL_S:
             continue
-        state.looked_at = now
+        state.considered_at = now
         idle = [placement.servers[server] for server in servers if _is_idle(placement, server)]
         if not idle:
             continue
         worth = _is_worth(placement, pool)
         if worth is None:
-            _try_disk(placement, state, idle, now)
+            _measure_disk(placement, state, idle, now)
         elif worth:
-            _fetch(placement, pool, state, idle, now)
+            _prefetch_missing(placement, pool, state, idle, now)
 
 
 def _is_idle(placement: PlacementState, server_id: ServerId) -> bool:
@@ -77,12 +78,12 @@
         key=placement.expected_load_s,
         default=None,
     )
-    if longest is None or placement.expected_load_s(longest) <= SHORT_LOAD_S:
+    if longest is None or placement.expected_load_s(longest) <= MIN_STORE_LOAD_S:
         return False
     if longest.store not in placement.load_times.disk_rate_by_store:
         return None
     from_disk_s = placement.expected_return_s(longest)
-    return from_disk_s <= placement.expected_load_s(longest) * FASTER_PART
+    return from_disk_s <= placement.expected_load_s(longest) * PREFETCH_DISK_FACTOR
 
 
 def _is_model_of(item: ItemRow, pool: PoolName) -> bool:
@@ -92,7 +93,7 @@
 # --- the trial ------------------------------------------------------------------------------
 
 
-def _try_disk(
+def _measure_disk(
     placement: PlacementState, state: PrefetchState, idle: list[ServerState], now: float
 ) -> None:
     if state.trial is not None and state.trial in placement.calendar.moves:
@@ -131,29 +132,29 @@
 # --- fetching -------------------------------------------------------------------------------
 
 
-def _fetch(
+def _prefetch_missing(
     placement: PlacementState,
     pool: PoolName,
     state: PrefetchState,
     idle: list[ServerState],
     now: float,
 ) -> None:
-    room = len(idle)
-    if now - state.requested_at <= QUIET_S:
-        room -= math.ceil(len(placement.server_index.by_pool[pool]) * KEPT_IDLE_SHARE)
-    if room <= 0:
+    capacity = len(idle)
+    if now - state.requested_at <= IDLE_POOL_S:
+        capacity -= math.ceil(len(placement.server_index.by_pool[pool]) * RESERVED_IDLE_FRACTION)
+    if capacity <= 0:
         return
-    missing = _on_no_disk(placement, pool)
-    room = min(room, _window_left(placement, missing, now)) if missing else 0
+    missing = _models_on_no_disk(placement, pool)
+    capacity = min(capacity, _window_left(placement, missing, now)) if missing else 0
     for server in idle:
-        if room <= 0 or not missing:
+        if capacity <= 0 or not missing:
             return
         item = missing[-1]
-        eviction = _place(placement, item, server)
+        eviction = _eviction_for(placement, item, server)
         if eviction is None:
             continue
         missing.pop()
-        room -= 1
+        capacity -= 1
         _load(placement, item, server, eviction, now)
 
 
@@ -173,10 +174,12 @@
         for move in placement.calendar.moves.values()
         if _is_prefetch(move) and move.state is MoveState.PLANNED
     )
-    return math.floor(store.loads_per_window * WINDOW_SHARE) - store.begun(now) - planned
+    return (
+        math.floor(store.loads_per_window * PREFETCH_WINDOW_FRACTION) - store.begun(now) - planned
+    )
 
 
-def _on_no_disk(placement: PlacementState, pool: PoolName) -> list[ItemRow]:
+def _models_on_no_disk(placement: PlacementState, pool: PoolName) -> list[ItemRow]:
     """Return the models that no server in the directory has on disk, the least desired first."""
     missing = [
         item
@@ -190,7 +193,7 @@
     return missing
 
 
-def _place(placement: PlacementState, item: ItemRow, server: ServerState) -> Eviction | None:
+def _eviction_for(placement: PlacementState, item: ItemRow, server: ServerState) -> Eviction | None:
     """Return what leaves for the item, None when something that may be asked for would."""
     space = Space(item, item.weight_bytes)
     missing_bytes = space.missing_bytes(placement, server)
@@ -227,7 +230,7 @@
         return 2 if item.ready > max(item.desired, 1) else None
     if item.ready > 1:
         return None
-    return 0 if replica.fetched_ahead else 1
+    return 0 if replica.is_prefetched else 1
 
 
 def _load(
--- a/src/zincvale/controlplane/placement/prefetch_state.py
+++ b/src/zincvale/controlplane/placement/prefetch_state.py
@@ -15,13 +15,13 @@
     Attributes
     ----------
     requested_at : when a request for the pool last arrived.
-    looked_at : when fetching was last considered.
+    considered_at : when fetching was last considered.
     trial : the unload of a replica that is loaded again to learn how long that takes.
     trial_key, trial_server : that replica.
     """
 
     requested_at: float = float("-inf")
-    looked_at: float = float("-inf")
+    considered_at: float = float("-inf")
     trial: MoveId | None = None
     trial_key: ItemKey = ItemKey("")
     trial_server: ServerId = ServerId("")
--- a/src/zincvale/controlplane/placement/replica_value.py
+++ b/src/zincvale/controlplane/placement/replica_value.py
@@ -9,14 +9,17 @@
 from zincvale.model.resources import Stake
 
 FAST_RATE_WEIGHT = 0.25
+"""Part of the recent rate that is expected to last."""
 HISTORY_WEIGHT = 0.5
 """Of what earlier days show for the time ahead, beside what is measured now."""
 SURPLUS_WEIGHT = 0.05
-LEAST_OVERLOAD = 2.0
+"""Of a replica that others can stand in for, as a part of the value of a single one."""
+MIN_OVERLOAD = 2.0
 """Requests beyond what the replicas should run at once that count as if they waited."""
-LEAST_NEED = 0.5
+MIN_NEED = 0.5
 """Below this an item is not missed now, only worth having."""
 WEIGHT_BY_STAKE = {Stake.LOW: 0.5, Stake.NORMAL: 1.0, Stake.HIGH: 4.0}
+"""Weight of a request by the priority that its model declares."""
 
 
 def expected_rate(placement: PlacementState, item: ItemRow, now: float) -> float:
@@ -70,14 +73,14 @@
     if not placement.config.crowds_count_as_waiting or not item.ready or pool is None:
         return 0.0
     crowd = item.running - (item.ready + item.loading) * pool.max_concurrent_per_server
-    return float(crowd) if crowd >= LEAST_OVERLOAD and item.base is None else 0.0
+    return float(crowd) if crowd >= MIN_OVERLOAD and item.base is None else 0.0
 
 
 def is_missed(placement: PlacementState, item: ItemRow, now: float) -> bool:
     """Whether requests ask now for an item that no replica serves, or too few do."""
     if item.ready:
         return overload(placement, item) > 0.0
-    return item.waiting > 0 or need(placement, item, now) >= LEAST_NEED
+    return item.waiting > 0 or need(placement, item, now) >= MIN_NEED
 
 
 def foreseen_value(placement: PlacementState, item: ItemRow, now: float) -> float:
@@ -104,8 +107,8 @@
 def eviction_cost(placement: PlacementState, item: ItemRow, now: float) -> float:
     """Return requests expected to wait if a replica goes for the sake of waiting ones."""
     rate = expected_rate(placement, item, now)
-    asked_again = 1.0 - math.exp(-rate * placement.config.urgent_horizon_s)
-    cost = asked_again * (1.0 + rate * placement.expected_return_s(item))
+    requested_again = 1.0 - math.exp(-rate * placement.config.urgent_horizon_s)
+    cost = requested_again * (1.0 + rate * placement.expected_return_s(item))
     if item.ready > 1:
         cost *= SURPLUS_WEIGHT
     return cost * WEIGHT_BY_STAKE[item.stake]
--- a/src/zincvale/controlplane/placement/servers.py
+++ b/src/zincvale/controlplane/placement/servers.py
@@ -13,6 +13,7 @@
 from zincvale.model.view import ServerHealth
 
 NEVER = float("-inf")
+"""Before every time on the controller's clock."""
 
 
 class CountedAs(enum.Enum):
@@ -24,7 +25,12 @@
 
 
 class ReplicaState(enum.Enum):
-    """What a server does with an item that occupies its memory."""
+    """What a server does with an item that occupies its memory.
+
+    Legal transitions by orders: LOADING to LOADED, LOADED to UNLOADING, and back to LOADED when the
+    unload failed; the replica is removed when a load failed or an unload ended. A status may show
+    any other change, which no order of this process explains; then the status is followed.
+    """
 
     LOADING = "loading"
     LOADED = "loaded"
@@ -41,7 +47,7 @@
         since : when the state began.
     draining : nodes are notified to send nothing new.
         move : the move that loads or unloads it.
-        fetched_ahead : loaded so that the server has it on disk, not for requests.
+        is_prefetched : loaded so that the server has it on disk, not for requests.
         contrary_since : arrival of the first status that contradicts the order; see
             `order_confirmation`.
     """
@@ -54,7 +60,7 @@
     counted_as: CountedAs = CountedAs.NOTHING
     move: MoveId | None = None
     contrary_since: float | None = None
-    fetched_ahead: bool = False
+    is_prefetched: bool = False
 
 
 @attrs.define(eq=False)
--- a/src/zincvale/controlplane/placement/stores.py
+++ b/src/zincvale/controlplane/placement/stores.py
@@ -11,6 +11,8 @@
 from zincvale.model.identifiers import Address, StoreName
 
 LOADS_LEFT_TO_NEW_LEADER = 3
+"""Loads of a window that a new leader may begin whatever its predecessor began; more may pass the
+store's limit, none would block the first loads for a window."""
 
 
 @attrs.define
--- a/tests/controlplane/placement/test_disk_copies.py
+++ b/tests/controlplane/placement/test_disk_copies.py
@@ -18,7 +18,7 @@
 from zincvale.controlplane.placement.disk_copies import MAX_ADDRESSES_PER_ITEM, DiskCopies
 from zincvale.controlplane.placement.events import OrderAccepted, OrderAction, SendOrder
 from zincvale.controlplane.placement.items import model_key
-from zincvale.controlplane.placement.load_times import DISK_GUESS_PART, LoadTimes
+from zincvale.controlplane.placement.load_times import DEFAULT_DISK_FACTOR, LoadTimes
 from zincvale.model.resources import StoreSpec
 
 CONFIG = PlacementConfig(
@@ -65,7 +65,7 @@
         times = LoadTimes()
         from_store_s = times.expected_s(MODEL, 8 * GB, None, "weights", GB)
         guess_s = times.expected_from_disk_s(8 * GB, "weights", GB)
-        self.assertEqual(from_store_s * DISK_GUESS_PART, guess_s)
+        self.assertEqual(from_store_s * DEFAULT_DISK_FACTOR, guess_s)
 
     def test_both_are_learned_apart(self) -> None:
         times = LoadTimes()
--- a/tests/controlplane/placement/test_prefetch.py
+++ b/tests/controlplane/placement/test_prefetch.py
@@ -25,7 +25,10 @@
     OrderAccepted,
     OrderAction,
 )
-from zincvale.controlplane.placement.prefetch import KEPT_IDLE_SHARE, WINDOW_SHARE
+from zincvale.controlplane.placement.prefetch import (
+    PREFETCH_WINDOW_FRACTION,
+    RESERVED_IDLE_FRACTION,
+)
 from zincvale.model.resources import ModelSpec, StoreSpec
 
 CONFIG = attrs.evolve(KEEPING, one_status_confirms=True, confirms_orders=True)
@@ -187,12 +190,12 @@
             ) if made.driver.controller.state.leadership.is_leader else made.lead(0.5)
             loading = [e for _, e in made.under_way if e.order.name.startswith("absent")]
             if made.driver.now > 110.0:
-                self.assertLessEqual(len(loading), SERVERS * (1.0 - KEPT_IDLE_SHARE))
+                self.assertLessEqual(len(loading), SERVERS * (1.0 - RESERVED_IDLE_FRACTION))
 
     def test_part_of_the_stores_window_is_left_for_requests(self) -> None:
         made = engines(absent=40, per_window=5)
         self.assertLessEqual(
-            len(fetched(made.lead(30.0))), 30 / 5 * math.ceil(5 * WINDOW_SHARE) + 3
+            len(fetched(made.lead(30.0))), 30 / 5 * math.ceil(5 * PREFETCH_WINDOW_FRACTION) + 3
         )
 
     def test_a_model_that_is_on_a_disk_comes_from_there_when_it_is_asked_for(self) -> None:
