--- a/src/zincvale/controlplane/placement/choose_server.py
+++ b/src/zincvale/controlplane/placement/choose_server.py
@@ -40,7 +40,7 @@
 
 
 def choose_server(
-    placement: PlacementState, space: Space, spread_first: bool, now: float
+    placement: PlacementState, space: Space, now: float, *, spread_first: bool
 ) -> Choice | None:
     """Return the best server for one more replica of an item, or None when none can hold it.
 
@@ -48,7 +48,8 @@
     that are not loading, and those whose models are asked for least. With `spread_first` another
     zone comes before room. Raises `AllServersBusyError` when servers could take it, but not soon.
     """
-    return _best(placement, space, _free_to_load(placement, space.item, now), spread_first, now)
+    candidates = _free_to_load(placement, space.item, now)
+    return _best(placement, space, candidates, now, spread_first=spread_first)
 
 
 def choose_by_disk(placement: PlacementState, space: Space, now: float) -> Choice | None:
@@ -65,7 +66,7 @@
     free = [
         server for server in known if _pending(server) < server.load_slots(placement.config, now)
     ]
-    choice = _best(placement, space, free, False, now)
+    choice = _best(placement, space, free, now, spread_first=False)
     if choice is None and any(
         _moves_end_at(placement, server, now) - now + placement.expected_load_s(item, server)
         < from_store_s
@@ -103,8 +104,9 @@
     placement: PlacementState,
     space: Space,
     candidates: list[ServerState],
-    spread_first: bool,
     now: float,
+    *,
+    spread_first: bool,
 ) -> Choice | None:
     item = space.item
     zones = _zones_of_replicas(placement, item)
--- a/src/zincvale/controlplane/placement/controller.py
+++ b/src/zincvale/controlplane/placement/controller.py
@@ -67,7 +67,7 @@
     trim_history,
     publish_changes,
 )
-"""Run in this order."""
+"""Run in this order: what ended, what changed, what is missing, what to order, what to publish."""
 
 
 class PlacementController:
@@ -98,21 +98,28 @@
                 apply_directory(self.state, event, now)
             case DemandReported():
                 apply_demand_report(self.state, event, now)
+            case OrderAccepted() | OrderRefused() | OrderUnknown():
+                self._apply_response(event, now)
+            case IntentChanged(intent):
+                apply_intent_change(self.state, intent, now)
+            case LeaderGained():
+                apply_leadership(self.state, event, now)
+            case LeaderLost() | ClockJumped():
+                give_up_leadership(self.state, now)
+
+    def _apply_response(
+        self, event: OrderAccepted | OrderRefused | OrderUnknown, now: float
+    ) -> None:
+        match event:
             case OrderAccepted(order_id, done):
-                apply_accepted(self.state, order_id, done, now)
+                apply_accepted(self.state, order_id, now, done=done)
                 if done:
-                    # A load may have waited for the room that an unload just left.
+                    # A load may have waited for the memory that an unload just freed.
                     order_loads(self.state, now)
             case OrderRefused(order_id, why):
                 apply_refused(self.state, order_id, why, now)
             case OrderUnknown(order_id):
                 apply_unknown(self.state, order_id)
-            case IntentChanged(intent):
-                apply_intent_change(self.state, intent, now)
-            case LeaderGained():
-                apply_leadership(self.state, event, now)
-            case LeaderLost() | ClockJumped():
-                give_up_leadership(self.state, now)
 
     def _tick(self, now: float) -> None:
         if now < self._run_at:
--- a/src/zincvale/controlplane/placement/demand.py
+++ b/src/zincvale/controlplane/placement/demand.py
@@ -43,8 +43,8 @@
         """Return events per second, corrected for an observation shorter than the memory."""
         weight = self._decayed(now) * LN_2 / self.half_life_s
         age = max(now - observed_since, MIN_OBSERVATION_S)
-        seen_part = 1.0 - 0.5 ** (age / self.half_life_s)
-        return weight / seen_part
+        observed_fraction: float = 1.0 - 0.5 ** (age / self.half_life_s)
+        return weight / observed_fraction
 
     def present(self, now: float) -> float:
         """Return the events, each with what is left of its weight."""
@@ -53,7 +53,8 @@
     def _decayed(self, now: float) -> float:
         if now <= self.at:
             return self.count
-        return self.count * 0.5 ** ((now - self.at) / self.half_life_s)
+        left: float = 0.5 ** ((now - self.at) / self.half_life_s)
+        return self.count * left
 
 
 @attrs.define(eq=False)
--- a/src/zincvale/controlplane/placement/dispatch.py
+++ b/src/zincvale/controlplane/placement/dispatch.py
@@ -205,7 +205,7 @@
     placement.add_replica(server, item.key, replica)
     if item.kind is ItemKind.MODEL:
         placement.queue_adapters(item)
-    order = _order(placement, move, OrderAction.LOAD, store.address, from_disk)
+    order = _order(placement, move, OrderAction.LOAD, store.address, from_disk=from_disk)
     ordered = attrs.evolve(move, expected_end=now + expected_s, from_disk=from_disk)
     _send(placement, ordered, server, order, now)
 
@@ -215,6 +215,7 @@
     move: Move,
     action: OrderAction,
     store_address: Address = NO_ADDRESS,
+    *,
     from_disk: bool = False,
 ) -> Order:
     epoch = placement.leadership.epoch
--- a/src/zincvale/controlplane/placement/eviction.py
+++ b/src/zincvale/controlplane/placement/eviction.py
@@ -141,9 +141,11 @@
     for model in models:
         if model != space.item.base:
             keys = (*adapters_by_model.get(model, ()), model)
-            groups.append(_group(placement, server, keys, space.may_drain, now))
+            groups.append(_group(placement, server, keys, now, may_drain=space.may_drain))
     for adapters in adapters_by_model.values():
-        groups.extend(_group(placement, server, (key,), space.may_drain, now) for key in adapters)
+        groups.extend(
+            _group(placement, server, (key,), now, may_drain=space.may_drain) for key in adapters
+        )
     return [group for group in groups if group is not None]
 
 
@@ -151,8 +153,9 @@
     placement: PlacementState,
     server: ServerState,
     keys: tuple[ItemKey, ...],
-    may_drain: bool,
     now: float,
+    *,
+    may_drain: bool,
 ) -> VictimGroup | None:
     cost = 0.0
     item_bytes = 0
--- a/src/zincvale/controlplane/placement/load_candidates.py
+++ b/src/zincvale/controlplane/placement/load_candidates.py
@@ -39,7 +39,7 @@
     companions = _companion_bytes(placement, item)
     for extra in (companions, 0) if companions else (0,):
         space = Space(item, item.weight_bytes + extra, may_drain)
-        choice = choose_server(placement, space, spread_first, now)
+        choice = choose_server(placement, space, now, spread_first=spread_first)
         if choice is not None:
             return choice
     return None
--- a/src/zincvale/controlplane/placement/move_completion.py
+++ b/src/zincvale/controlplane/placement/move_completion.py
@@ -39,7 +39,7 @@
     if move.kind is MoveKind.LOAD:
         _end_load(placement, placement.servers[move.server], move, state, now)
     elif move.kind is MoveKind.UNLOAD:
-        _end_unload(placement, placement.servers[move.server], move, state, now)
+        _end_unload(placement, placement.servers[move.server], move, state)
     placement.calendar.retire(attrs.evolve(move, state=state, finished_at=now, outcome=outcome))
     placement.log(
         LOG_BY_STATE[state],
@@ -175,7 +175,7 @@
 
 
 def _end_unload(
-    placement: PlacementState, server: ServerState, move: Move, state: MoveState, now: float
+    placement: PlacementState, server: ServerState, move: Move, state: MoveState
 ) -> None:
     key = move_item_key(move)
     placement.calendar.load_by_unload.pop(move.move_id, None)
--- a/src/zincvale/controlplane/placement/order_responses.py
+++ b/src/zincvale/controlplane/placement/order_responses.py
@@ -15,7 +15,7 @@
 """Pause before the next order to a server that refused one as busy."""
 
 
-def apply_accepted(placement: PlacementState, order_id: str, done: bool, now: float) -> None:
+def apply_accepted(placement: PlacementState, order_id: str, now: float, *, done: bool) -> None:
     """The server took the order; unless it is done, the server's status tells when it is."""
     move = _unresponded_move(placement, order_id)
     if move is None and done:
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -184,7 +184,7 @@
     detail = _detail(placement, item, reason, choice, now)
     unloads = _plan_evictions(placement, item, choice, now)
     start_at = _start_at(placement, item, server, unloads, now)
-    base_load = _base_load(placement, item, server)
+    base_load = _base_load(item, server)
     after = unloads if base_load is None else (*unloads, base_load)
     terms = LoadTerms(MoveState.PLANNED, reason, detail, start_at, after)
     move = new_load(placement, server, item, terms, now)
@@ -229,13 +229,13 @@
     start_at = placement.stores[item.store].free_at(now, placement.config)
     for move_id in after:
         start_at = max(start_at, placement.calendar.moves[move_id].expected_end)
-    base_load = _base_load(placement, item, server)
+    base_load = _base_load(item, server)
     if base_load is not None:
         start_at = max(start_at, placement.calendar.moves[base_load].expected_end)
     return start_at
 
 
-def _base_load(placement: PlacementState, item: ItemRow, server: ServerState) -> MoveId | None:
+def _base_load(item: ItemRow, server: ServerState) -> MoveId | None:
     """Return the running load of an adapter's base model on the server, if any."""
     if item.base is None:
         return None
--- a/src/zincvale/controlplane/placement/prefetch.py
+++ b/src/zincvale/controlplane/placement/prefetch.py
@@ -108,7 +108,7 @@
     if any(_is_prefetch(move) for move in placement.calendar.moves.values()):
         return
     for server in idle:
-        key = _spare_replica(placement, server, now)
+        key = _spare_replica(placement, server)
         if key is not None:
             detail = "loaded again at once, to learn how long that takes from the server's disk"
             terms = UnloadTerms(MoveReason.PREFETCH, detail)
@@ -117,7 +117,7 @@
             return
 
 
-def _spare_replica(placement: PlacementState, server: ServerState, now: float) -> ItemKey | None:
+def _spare_replica(placement: PlacementState, server: ServerState) -> ItemKey | None:
     """Return a model on the server whose other replicas are enough."""
     for key, replica in server.replicas.items():
         item = placement.items.get(key)
--- a/src/zincvale/controlplane/placement/publication.py
+++ b/src/zincvale/controlplane/placement/publication.py
@@ -22,7 +22,7 @@
         placement.calendar.removed.append(move_id)
 
 
-def publish_changes(placement: PlacementState, now: float) -> None:
+def publish_changes(placement: PlacementState, _now: float) -> None:
     """System: emit changed rows of the calendar and changed draining marks.
 
     Only the leader publishes; its first publication replaces what its predecessor left.
