--- a/src/zincvale/simulator/placement/baselines.py
+++ b/src/zincvale/simulator/placement/baselines.py
@@ -1,6 +1,6 @@
 """Placement policies of our own to compare with: static, least recently used, greedy.
 
-They see the whole fleet without delay, unload without closing first, and keep every limit that
+They see the whole fleet without delay, unload without draining first, and keep every limit that
 the real controller keeps: memory, loads per server and loads per store.
 """
 
@@ -11,28 +11,37 @@
 from zincvale.simulator.placement.fleet import EmulatedServer, Fleet, ItemSpec, OrderResult
 
 GREEDY_INTERVAL_S = 60.0
+"""Time between two assignments; shorter swaps more for the same demand."""
 GREEDY_HALF_LIFE_S = 1800.0
+"""Of the counted requests, as the slow average of the real controller."""
 
 
 def _store_has_slot(fleet: Fleet, item: ItemSpec) -> bool:
     return fleet.pulls(item.store) < fleet.stores[item.store].max_concurrent_loads
 
 
-def _takes_load(server: EmulatedServer) -> bool:
-    return server.serving and len(server.loading()) < server.spec.max_loads
+def _may_take_load(server: EmulatedServer) -> bool:
+    return server.is_serving and len(server.loading()) < server.spec.max_loads
 
 
 def _pool(fleet: Fleet, item: ItemSpec) -> list[EmulatedServer]:
     return [server for server in fleet.servers.values() if server.spec.pool == item.pool]
 
 
-def _in_use(fleet: Fleet, server: EmulatedServer, name: str) -> bool:
-    return server.running_on(name) > 0 or not server.copies[name].ready
+def _in_use(server: EmulatedServer, name: str) -> bool:
+    return server.running_on(name) > 0 or not server.replicas[name].is_ready
+
+
+def _has_base(server: EmulatedServer, item: ItemSpec) -> bool:
+    """Whether an adapter's base model is ready on the server; true for a model."""
+    if not item.base:
+        return True
+    return item.base in server.replicas and server.replicas[item.base].is_ready
 
 
 def _group(fleet: Fleet, server: EmulatedServer, name: str) -> list[str]:
     """Return an item with the adapters that leave with it, adapters first."""
-    adapters = [other for other in server.copies if fleet.items[other].base == name]
+    adapters = [other for other in server.replicas if fleet.items[other].base == name]
     return [*adapters, name]
 
 
@@ -41,8 +50,8 @@
     return len(fleet.holders(name)) <= item.min_replicas
 
 
-def _make_room(
-    fleet: Fleet, server: EmulatedServer, item: ItemSpec, order: list[str], stop: set[str]
+def _evict_until_fits(
+    fleet: Fleet, server: EmulatedServer, item: ItemSpec, order: list[str], protected: set[str]
 ) -> bool:
     """Unload idle items in `order` until `item` fits; unload nothing when it cannot fit."""
     missing = server.used_bytes + item.item_bytes - server.weight_bytes
@@ -50,13 +59,13 @@
     for name in order:
         if missing <= 0:
             break
-        if name in leaving or name == item.base or name in stop or _is_pinned(fleet, name):
+        if name in leaving or name == item.base or name in protected or _is_pinned(fleet, name):
             continue
         group = [other for other in _group(fleet, server, name) if other not in leaving]
-        if any(_in_use(fleet, server, other) for other in group):
+        if any(_in_use(server, other) for other in group):
             continue
         leaving.extend(group)
-        missing -= sum(server.copies[other].item_bytes for other in group)
+        missing -= sum(server.replicas[other].item_bytes for other in group)
     if missing > 0:
         return False
     for name in leaving:
@@ -64,71 +73,74 @@
     return True
 
 
-def _order_on_room(fleet: Fleet, server: EmulatedServer, item: ItemSpec) -> bool:
+def _order_load(fleet: Fleet, server: EmulatedServer, item: ItemSpec) -> bool:
     return fleet.order_load(server.spec.name, item.name) is OrderResult.ACCEPTED
 
 
-def _has_room(server: EmulatedServer, item: ItemSpec) -> bool:
+def _fits(server: EmulatedServer, item: ItemSpec) -> bool:
     return server.used_bytes + item.item_bytes <= server.weight_bytes
 
 
 @attrs.define(eq=False)
 class LeastRecentlyUsed:
-    """Loads what a request waits for, where the oldest copies are; adds copies when all are full.
+    """Loads what a request waits for, where the oldest replicas are; adds replicas when all are
+    full.
 
-    It also keeps `min_replicas`, as every policy must. `kept` names, by server, what it evicts
+    It also keeps `min_replicas`, as every policy must. `assigned` names, by server, what it evicts
     only when nothing else is left.
     """
 
-    kept: dict[str, list[str]] = attrs.field(factory=dict)
+    assigned: dict[str, list[str]] = attrs.field(factory=dict)
 
     def step(self, fleet: Fleet, now: float) -> None:
         """Serve the requests that wait, oldest first."""
-        self._keep_least(fleet)
+        self._load_min_replicas(fleet)
         queues = sorted(fleet.waiting.items(), key=lambda entry: entry[1][0].arrival.at)
         for (model, adapter), _ in queues:
-            if self._short(fleet, model):
+            if self._is_short(fleet, model):
                 self._load(fleet, fleet.items[model])
-            elif adapter and self._short(fleet, adapter):
+            elif adapter and self._is_short(fleet, adapter):
                 self._load(fleet, fleet.items[adapter])
 
-    def _keep_least(self, fleet: Fleet) -> None:
+    def _load_min_replicas(self, fleet: Fleet) -> None:
         for item in fleet.items.values():
             if item.min_replicas and len(fleet.holders(item.name)) < item.min_replicas:
                 self._load(fleet, item)
 
-    def _short(self, fleet: Fleet, name: str) -> bool:
-        """Whether no copy is there or coming, or all copies are full."""
+    def _is_short(self, fleet: Fleet, name: str) -> bool:
+        """Whether no replica is ready or pending, or all replicas are full."""
         holders = fleet.holders(name)
-        if any(not server.copies[name].ready for server in holders):
+        if any(not server.replicas[name].is_ready for server in holders):
             return False
         return all(server.running >= server.spec.max_running for server in holders)
 
     def _load(self, fleet: Fleet, item: ItemSpec) -> None:
         if not _store_has_slot(fleet, item):
             return
-        servers = [server for server in self._candidates(fleet, item) if _takes_load(server)]
-        roomy = [server for server in servers if _has_room(server, item)]
-        if roomy:
-            _order_on_room(fleet, max(roomy, key=_free_bytes), item)
+        servers = [server for server in self._candidates(fleet, item) if _may_take_load(server)]
+        fitting = [server for server in servers if _fits(server, item)]
+        if fitting:
+            _order_load(fleet, max(fitting, key=_free_bytes), item)
             return
         for server in sorted(servers, key=_oldest_use):
             order = self._eviction_order(server)
-            if _make_room(fleet, server, item, order, set()):
-                _order_on_room(fleet, server, item)
+            if _evict_until_fits(fleet, server, item, order, set()):
+                _order_load(fleet, server, item)
                 return
 
     def _eviction_order(self, server: EmulatedServer) -> list[str]:
-        kept = self.kept.get(server.spec.name, [])
-        return sorted(server.copies, key=lambda name: (name in kept, server.copies[name].used_at))
+        assigned = self.assigned.get(server.spec.name, [])
+        return sorted(
+            server.replicas, key=lambda name: (name in assigned, server.replicas[name].used_at)
+        )
 
     def _candidates(self, fleet: Fleet, item: ItemSpec) -> list[EmulatedServer]:
         if not item.base:
-            return [server for server in _pool(fleet, item) if item.name not in server.copies]
+            return [server for server in _pool(fleet, item) if item.name not in server.replicas]
         return [
             server
             for server in fleet.holders(item.base)
-            if server.copies[item.base].ready and item.name not in server.copies
+            if server.replicas[item.base].is_ready and item.name not in server.replicas
         ]
 
 
@@ -137,14 +149,14 @@
 
 
 def _oldest_use(server: EmulatedServer) -> float:
-    return min((copy.used_at for copy in server.copies.values()), default=0.0)
+    return min((replica.used_at for replica in server.replicas.values()), default=0.0)
 
 
 @attrs.define(eq=False)
 class Static:
     """Fills the servers once, by a popularity known beforehand, and keeps that.
 
-    `popularity` names items, most wanted first. A server that returns is given its items again.
+    `popularity` names items, most requested first. A server that returns is given its items again.
     """
 
     popularity: list[str]
@@ -166,49 +178,51 @@
 
 def _load_assigned(fleet: Fleet, server: EmulatedServer, name: str) -> None:
     item = fleet.items[name]
-    if name in server.copies or not _takes_load(server) or not _store_has_slot(fleet, item):
+    if name in server.replicas or not _may_take_load(server) or not _store_has_slot(fleet, item):
         return
-    if item.base and not (item.base in server.copies and server.copies[item.base].ready):
+    if not _has_base(server, item):
         return
-    if _has_room(server, item):
-        _order_on_room(fleet, server, item)
+    if _fits(server, item):
+        _order_load(fleet, server, item)
 
 
 def assign_by_rank(fleet: Fleet, ranked: list[str], assigned: dict[str, list[str]]) -> None:
-    """Give each item, most wanted first, to the servers with most room left."""
-    room = {name: server.weight_bytes for name, server in fleet.servers.items()}
+    """Give each item, most requested first, to the servers with most memory left."""
+    free_bytes = {name: server.weight_bytes for name, server in fleet.servers.items()}
     models = [name for name in ranked if not fleet.items[name].base]
     for name in sorted(models, key=lambda name: -fleet.items[name].min_replicas):
         item = fleet.items[name]
         for _ in range(max(item.min_replicas, 1)):
-            _assign_copy(fleet, item, room, assigned)
+            _assign_replica(fleet, item, free_bytes, assigned)
     for name in ranked:
         item = fleet.items[name]
         if item.base:
-            _assign_adapter(item, room, assigned)
+            _assign_adapter(item, free_bytes, assigned)
 
 
-def _assign_copy(
-    fleet: Fleet, item: ItemSpec, room: dict[str, int], assigned: dict[str, list[str]]
+def _assign_replica(
+    fleet: Fleet, item: ItemSpec, free_bytes: dict[str, int], assigned: dict[str, list[str]]
 ) -> None:
     names = [
         server.spec.name
         for server in _pool(fleet, item)
-        if server.serving
+        if server.is_serving
         and item.name not in assigned[server.spec.name]
-        and room[server.spec.name] >= item.item_bytes
+        and free_bytes[server.spec.name] >= item.item_bytes
     ]
     if names:
-        name = max(names, key=lambda name: room[name])
+        name = max(names, key=lambda name: free_bytes[name])
         assigned[name].append(item.name)
-        room[name] -= item.item_bytes
+        free_bytes[name] -= item.item_bytes
 
 
-def _assign_adapter(item: ItemSpec, room: dict[str, int], assigned: dict[str, list[str]]) -> None:
+def _assign_adapter(
+    item: ItemSpec, free_bytes: dict[str, int], assigned: dict[str, list[str]]
+) -> None:
     for name, items in assigned.items():
-        if item.base in items and room[name] >= item.item_bytes:
+        if item.base in items and free_bytes[name] >= item.item_bytes:
             items.append(item.name)
-            room[name] -= item.item_bytes
+            free_bytes[name] -= item.item_bytes
             return
 
 
@@ -249,38 +263,38 @@
         )
         ranked = [name for name in ranked if self._counts.get(name, 0.0) > 0.0]
         self._assigned = {name: [] for name in fleet.servers}
-        self._on_demand.kept = self._assigned
-        self._keep_where_it_is(fleet, ranked)
+        self._on_demand.assigned = self._assigned
+        self._assign_by_rank_in_place(fleet, ranked)
 
-    def _keep_where_it_is(self, fleet: Fleet, ranked: list[str]) -> None:
-        """Assign by rank, preferring servers that hold the item already."""
-        room = {name: server.weight_bytes for name, server in fleet.servers.items()}
+    def _assign_by_rank_in_place(self, fleet: Fleet, ranked: list[str]) -> None:
+        """Assign by rank, preferring servers that have the item already."""
+        free_bytes = {name: server.weight_bytes for name, server in fleet.servers.items()}
         for name in ranked:
             item = fleet.items[name]
-            held = [server for server in fleet.holders(name) if room[server.spec.name] > 0]
+            present = [server for server in fleet.holders(name) if free_bytes[server.spec.name] > 0]
             if item.base:
-                _assign_adapter(item, room, self._assigned)
+                _assign_adapter(item, free_bytes, self._assigned)
                 continue
-            fitting = [s for s in held if room[s.spec.name] >= item.item_bytes]
+            fitting = [s for s in present if free_bytes[s.spec.name] >= item.item_bytes]
             if fitting:
                 self._assigned[fitting[0].spec.name].append(name)
-                room[fitting[0].spec.name] -= item.item_bytes
+                free_bytes[fitting[0].spec.name] -= item.item_bytes
             else:
-                _assign_copy(fleet, item, room, self._assigned)
+                _assign_replica(fleet, item, free_bytes, self._assigned)
 
     def _swap(self, fleet: Fleet, server: EmulatedServer, names: list[str]) -> None:
         for name in names:
             item = fleet.items[name]
-            if name in server.copies or fleet.holders(name) or not _takes_load(server):
+            if name in server.replicas or fleet.holders(name) or not _may_take_load(server):
                 continue
             if fleet.waiting:
                 return
             if not _store_has_slot(fleet, item):
                 continue
-            if item.base and not (item.base in server.copies and server.copies[item.base].ready):
+            if not _has_base(server, item):
                 continue
-            if not _has_room(server, item):
-                order = [other for other in server.copies if other not in names]
-                if not _make_room(fleet, server, item, order, set(names)):
+            if not _fits(server, item):
+                order = [other for other in server.replicas if other not in names]
+                if not _evict_until_fits(fleet, server, item, order, set(names)):
                     continue
-            _order_on_room(fleet, server, item)
+            _order_load(fleet, server, item)
--- a/src/zincvale/simulator/placement/controller_policy.py
+++ b/src/zincvale/simulator/placement/controller_policy.py
@@ -50,9 +50,12 @@
 from zincvale.simulator.placement.fleet import EmulatedServer, Fleet, ItemSpec, OrderResult
 
 STATUS_INTERVAL_S = 0.5
+"""As the deployments' probes; the controller sees a loaded replica that much later."""
 DEMAND_INTERVAL_S = 0.5
+"""As the nodes' reports, unless a request starts to wait."""
 LEASE_S = 2.0
-MARK_DELAY_S = 0.2
+"""Renewed at each step, so that the policy always leads."""
+DRAIN_NOTICE_DELAY_S = 0.2
 NODE = MemberId("node-1")
 REFUSAL_BY_RESULT = {
     OrderResult.MEMORY: OrderRefusal.MEMORY,
@@ -67,13 +70,13 @@
     """The real controller as an emulator policy.
 
     Statuses and demand reach it twice a second, and at once when a request starts to wait; orders
-    and closing marks arrive with a delay of a step or two.
+    and drain notices arrive with a delay of a step or two.
     """
 
     def __init__(self, config: PlacementConfig, seed: int) -> None:
         self.controller = PlacementController(random.Random(seed), config)
-        self.effects_seen: list[Effect] = []
-        self.keep_effects = False
+        self.recorded_effects: list[Effect] = []
+        self.records_effects = False
         self._intent = Intent()
         self._drained: frozenset[str] = frozenset()
         self._due: list[tuple[float, Callable[[Fleet], None]]] = []
@@ -120,15 +123,17 @@
             self._carry_out(fleet, effect)
 
     def _carry_out(self, fleet: Fleet, effect: Effect) -> None:
-        if self.keep_effects:
-            self.effects_seen.append(effect)
+        if self.records_effects:
+            self.recorded_effects.append(effect)
         match effect:
             case SendOrder():
                 self._order(fleet, effect)
             case RequestStatus(server, _):
-                self._later(0.0, lambda fleet: self._answer_status(fleet, server))
+                self._later(0.0, lambda fleet: self._respond_status(fleet, server))
             case MarkDraining(server, names):
-                self._later(MARK_DELAY_S, lambda fleet: self._mark(fleet, server, names))
+                self._later(
+                    DRAIN_NOTICE_DELAY_S, lambda fleet: self._apply_drains(fleet, server, names)
+                )
 
     def _order(self, fleet: Fleet, effect: SendOrder) -> None:
         order = effect.order
@@ -137,18 +142,18 @@
         else:
             result = fleet.order_unload(effect.server, order.name)
         done = order.action is OrderAction.UNLOAD
-        answer: Input = OrderAccepted(order.order_id, done)
+        response: Input = OrderAccepted(order.order_id, done)
         if result is not OrderResult.ACCEPTED:
-            answer = OrderRefused(order.order_id, REFUSAL_BY_RESULT[result])
-        self._later(0.0, lambda fleet: self._feed(fleet, answer))
+            response = OrderRefused(order.order_id, REFUSAL_BY_RESULT[result])
+        self._later(0.0, lambda fleet: self._feed(fleet, response))
 
-    def _answer_status(self, fleet: Fleet, server: ServerId) -> None:
+    def _respond_status(self, fleet: Fleet, server: ServerId) -> None:
         report = status_of(fleet.servers[server], self._now)
         self._feed(fleet, DirectoryChanged((report,)))
 
-    def _mark(self, fleet: Fleet, server: ServerId, names: frozenset[str]) -> None:
-        """The node stops sending to what closes, and reports what still runs there."""
-        fleet.servers[server].closing = names
+    def _apply_drains(self, fleet: Fleet, server: ServerId, names: frozenset[str]) -> None:
+        """The node stops sending to what drains, and reports what still runs there."""
+        fleet.servers[server].draining = names
         self._demand_at = self._now
 
     def _later(self, delay_s: float, action: Callable[[Fleet], None]) -> None:
@@ -164,14 +169,14 @@
 def status_of(server: EmulatedServer, now: float) -> StatusReport:
     """Return what a server's status shows."""
     spec = server.spec
-    ready = [name for name, copy in server.copies.items() if copy.ready]
+    ready = [name for name, replica in server.replicas.items() if replica.is_ready]
     row = ServerRow(
         server=ServerId(spec.name),
         address=Address(spec.name),
         pool=PoolName(spec.pool),
         zone=ZoneName(spec.zone),
         kind=PoolKind.LANGUAGE_MODEL,
-        health=ServerHealth.READY if server.up else ServerHealth.DOWN,
+        health=ServerHealth.READY if server.is_up else ServerHealth.DOWN,
         incarnation=f"{spec.name}-{server.incarnation}",
         memory_bytes=spec.memory_bytes,
         used_bytes=server.used_bytes,
@@ -180,7 +185,7 @@
         loading=frozenset(server.loading()),
         running=server.running,
         max_running=spec.max_running,
-        closing=server.closing,
+        closing=server.draining,
     )
     return StatusReport(row, now)
 
--- a/src/zincvale/simulator/placement/emulator.py
+++ b/src/zincvale/simulator/placement/emulator.py
@@ -18,7 +18,7 @@
 
 from zincvale.simulator.placement.fleet import (
     Arrival,
-    Copy,
+    EmulatedReplica,
     EmulatedServer,
     Fleet,
     FleetEvent,
@@ -28,7 +28,9 @@
 )
 
 STEP_S = 0.1
-REQUEST_PATIENCE_S = 30.0
+"""Of virtual time; another step changes every outcome, so that runs can't be compared."""
+MAX_REQUEST_WAIT_S = 30.0
+"""A request that waited this long is given up and counted as expired."""
 
 
 @attrs.frozen
@@ -37,9 +39,9 @@
 
     Attributes
     ----------
-    requests, missed, expired : all requests; those that met no ready copy; those given up.
+    requests, missed, expired : all requests; those that met no ready replica; those given up.
     interrupted : ran on a server that crashed.
-    wait_p50_s, wait_p99_s, wait_mean_s : over all requests, for a copy or a free slot.
+    wait_p50_s, wait_p99_s, wait_mean_s : over all requests, for a replica or a free slot.
     missed_wait_p99_s : over the requests that waited for a load.
     pulled_bytes : bytes that stores delivered.
     loads, unloads : orders carried out.
@@ -59,7 +61,7 @@
 
     @property
     def served_without_load_wait(self) -> float:
-        """Share of requests that met a ready copy."""
+        """Share of requests that met a ready replica."""
         return 1.0 - self.missed / max(self.requests, 1)
 
 
@@ -106,16 +108,16 @@
             if now < measured_from:
                 pulled_before = self._pulled_bytes
                 rows_before = len(self.fleet.journal)
-            self._step(policy, now, now >= measured_from)
+            self._step(policy, now, measured=now >= measured_from)
         return self._outcome(pulled_before, rows_before)
 
-    def _step(self, policy: Policy, now: float, measured: bool) -> None:
+    def _step(self, policy: Policy, now: float, *, measured: bool) -> None:
         fleet = self.fleet
         fleet.now = now
         self._apply_events(now)
         self._transfer()
         self._finish(now)
-        self._arrive(now, measured)
+        self._arrive(now, measured=measured)
         policy.step(fleet, now)
         self._dispatch(now)
 
@@ -127,7 +129,7 @@
                 case FleetEventKind.CRASH:
                     self._crash(server)
                 case FleetEventKind.RETURN_COLD:
-                    server.up = True
+                    server.is_up = True
                     server.up_since = now
                 case FleetEventKind.DRAIN:
                     server.drained = True
@@ -137,34 +139,39 @@
 
     def _crash(self, server: EmulatedServer) -> None:
         self._interrupted += server.running
-        server.up = False
+        server.is_up = False
         server.incarnation += 1
-        server.copies.clear()
-        server.closing = frozenset()
+        server.replicas.clear()
+        server.draining = frozenset()
         server.running = 0
         server.running_by_pair.clear()
 
     def _transfer(self) -> None:
         """Move bytes for one step: a store's rate is shared, a server's network as well."""
-        pulls: dict[str, list[tuple[EmulatedServer, str, Copy]]] = {}
+        pulls: dict[str, list[tuple[EmulatedServer, str, EmulatedReplica]]] = {}
         per_server: dict[str, int] = {}
         for server in self.fleet.servers.values():
-            for name, copy in server.copies.items():
-                if not copy.ready:
+            for name, replica in server.replicas.items():
+                if not replica.is_ready:
                     store = self.fleet.items[name].store
-                    pulls.setdefault(store, []).append((server, name, copy))
+                    pulls.setdefault(store, []).append((server, name, replica))
                     per_server[server.spec.name] = per_server.get(server.spec.name, 0) + 1
         for store, active in pulls.items():
             share = self.fleet.stores[store].bytes_per_second / len(active)
-            for server, name, copy in active:
+            for server, name, replica in active:
                 own = server.spec.pull_bytes_per_second / per_server[server.spec.name]
-                moved = min(min(share, own) * STEP_S, copy.left_bytes)
-                copy.left_bytes -= moved
+                moved = min(min(share, own) * STEP_S, replica.left_bytes)
+                replica.left_bytes -= moved
                 self._pulled_bytes += moved
-                if copy.ready:
+                if replica.is_ready:
                     self.fleet.journal.append(
                         JournalRow(
-                            self.fleet.now, "loaded", server.spec.name, name, copy.item_bytes, store
+                            self.fleet.now,
+                            "loaded",
+                            server.spec.name,
+                            name,
+                            replica.item_bytes,
+                            store,
                         )
                     )
 
@@ -178,7 +185,7 @@
             pair = (request.arrival.model, request.arrival.adapter)
             server.running_by_pair[pair] -= 1
 
-    def _arrive(self, now: float, measured: bool) -> None:
+    def _arrive(self, now: float, *, measured: bool) -> None:
         fleet = self.fleet
         while self._arrivals and self._arrivals[0].at <= now:
             arrival = self._arrivals.popleft()
@@ -208,10 +215,10 @@
             if server.running >= server.spec.max_running:
                 break
             self._start(queue.popleft(), server, now)
-        while queue and now - queue[0].arrival.at > REQUEST_PATIENCE_S:
+        while queue and now - queue[0].arrival.at > MAX_REQUEST_WAIT_S:
             request = queue.popleft()
             self._expired += request.measured
-            self._note_wait(request, REQUEST_PATIENCE_S)
+            self._record_wait(request, MAX_REQUEST_WAIT_S)
         if not queue:
             del self.fleet.waiting[key]
 
@@ -222,12 +229,12 @@
         pair = (request.arrival.model, request.arrival.adapter)
         server.running_by_pair[pair] = server.running_by_pair.get(pair, 0) + 1
         for name in filter(None, pair):
-            server.copies[name].used_at = now
-        self._note_wait(request, max(now - request.arrival.at, 0.0))
+            server.replicas[name].used_at = now
+        self._record_wait(request, max(now - request.arrival.at, 0.0))
         ends_at = now + request.arrival.service_s
         heapq.heappush(self._finishing, (ends_at, next(self._numbers), request))
 
-    def _note_wait(self, request: Request, wait_s: float) -> None:
+    def _record_wait(self, request: Request, wait_s: float) -> None:
         if not request.measured:
             return
         self._waits.append(wait_s)
--- a/src/zincvale/simulator/placement/fleet.py
+++ b/src/zincvale/simulator/placement/fleet.py
@@ -1,6 +1,7 @@
-"""The emulated fleet: servers, stores, copies and requests, and the orders that policies give.
+"""The emulated fleet: servers, stores, replicas and requests, and the orders that policies give.
 
-Everything that happens is journalled, and `placement_check` holds the journal against the limits.
+Everything that happens is written to a journal, and `journal_checks` compares the journal with the
+limits.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class OrderResult(enum.Enum):
-    """What a server says to an order."""
+    """Response of a server to an order."""
 
     ACCEPTED = "accepted"
     MEMORY = "memory"
@@ -35,7 +36,7 @@
 
 
 @attrs.frozen
-class StoreSpecification:
+class EmulatedStoreSpec:
     """A weight store."""
 
     name: str
@@ -44,7 +45,7 @@
 
 
 @attrs.frozen
-class ServerSpecification:
+class EmulatedServerSpec:
     """A language-model server; `kv_bytes` of its memory are not for weights."""
 
     name: str
@@ -58,7 +59,7 @@
 
 
 @attrs.define(eq=False)
-class Copy:
+class EmulatedReplica:
     """An item on a server; it serves when `left_bytes` is 0."""
 
     item_bytes: int
@@ -66,7 +67,7 @@
     used_at: float = 0.0
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether it is loaded."""
         return self.left_bytes <= 0.0
 
@@ -75,26 +76,26 @@
 class EmulatedServer:
     """One server's present state."""
 
-    spec: ServerSpecification
-    up: bool = True
+    spec: EmulatedServerSpec
+    is_up: bool = True
     drained: bool = False
     incarnation: int = 1
     up_since: float = 0.0
-    copies: dict[str, Copy] = attrs.field(factory=dict)
-    closing: frozenset[str] = frozenset()
+    replicas: dict[str, EmulatedReplica] = attrs.field(factory=dict)
+    draining: frozenset[str] = frozenset()
     running: int = 0
     running_by_pair: dict[tuple[str, str], int] = attrs.field(factory=dict)
     """Running requests by model and adapter."""
 
     @property
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether requests may be sent here."""
-        return self.up and not self.drained
+        return self.is_up and not self.drained
 
     @property
     def used_bytes(self) -> int:
         """Memory of weights, loading ones included."""
-        return sum(copy.item_bytes for copy in self.copies.values())
+        return sum(replica.item_bytes for replica in self.replicas.values())
 
     @property
     def weight_bytes(self) -> int:
@@ -107,7 +108,7 @@
 
     def loading(self) -> list[str]:
         """Return the names being loaded."""
-        return [name for name, copy in self.copies.items() if not copy.ready]
+        return [name for name, replica in self.replicas.items() if not replica.is_ready]
 
 
 @attrs.frozen
@@ -126,7 +127,7 @@
 
     Attributes
     ----------
-    missed : no server had model and adapter ready when it arrived, or while it was held.
+    missed : no server had model and adapter ready when it arrived, or while it was pending.
     """
 
     arrival: Arrival
@@ -171,7 +172,7 @@
     """The emulated fleet: what policies see and order."""
 
     items: dict[str, ItemSpec]
-    stores: dict[str, StoreSpecification]
+    stores: dict[str, EmulatedStoreSpec]
     servers: dict[str, EmulatedServer]
     waiting: dict[tuple[str, str], deque[Request]] = attrs.field(factory=dict)
     arrived: dict[tuple[str, str], int] = attrs.field(factory=dict)
@@ -192,25 +193,27 @@
         return [
             server
             for server in self.servers.values()
-            if server.serving
-            and _is_ready(server, model)
-            and (not adapter or _is_ready(server, adapter))
+            if server.is_serving
+            and _may_serve(server, model)
+            and (not adapter or _may_serve(server, adapter))
         ]
 
     def holders(self, name: str) -> list[EmulatedServer]:
         """Return the servers in service that hold or load an item."""
         return [
-            server for server in self.servers.values() if server.serving and name in server.copies
+            server
+            for server in self.servers.values()
+            if server.is_serving and name in server.replicas
         ]
 
     def order_load(self, server_name: str, name: str) -> OrderResult:
         """Start a load, if the server takes it."""
         server = self.servers[server_name]
         item = self.items[name]
-        if not server.up:
+        if not server.is_up:
             return OrderResult.DOWN
         self._write("order-load", server_name, name)
-        if name in server.copies:
+        if name in server.replicas:
             return OrderResult.ACCEPTED
         if item.base and not _loaded(server, item.base):
             return OrderResult.BASE_MODEL
@@ -218,20 +221,20 @@
             return OrderResult.MEMORY
         if len(server.loading()) >= server.spec.max_loads:
             return OrderResult.BUSY
-        server.copies[name] = Copy(item.item_bytes, float(item.item_bytes), self.now)
+        server.replicas[name] = EmulatedReplica(item.item_bytes, float(item.item_bytes), self.now)
         self._write("load-start", server_name, name)
         return OrderResult.ACCEPTED
 
     def order_unload(self, server_name: str, name: str) -> OrderResult:
-        """Drop a copy at once."""
+        """Drop a replica at once."""
         server = self.servers[server_name]
-        if not server.up:
+        if not server.is_up:
             return OrderResult.DOWN
-        if name not in server.copies:
+        if name not in server.replicas:
             return OrderResult.NOT_HELD
         if server.running_on(name):
             self._write("unload-in-use", server_name, name)
-        del server.copies[name]
+        del server.replicas[name]
         self._write("unloaded", server_name, name)
         return OrderResult.ACCEPTED
 
@@ -243,9 +246,9 @@
 
 
 def _loaded(server: EmulatedServer, name: str) -> bool:
-    copy = server.copies.get(name)
-    return copy is not None and copy.ready
+    replica = server.replicas.get(name)
+    return replica is not None and replica.is_ready
 
 
-def _is_ready(server: EmulatedServer, name: str) -> bool:
-    return _loaded(server, name) and name not in server.closing
+def _may_serve(server: EmulatedServer, name: str) -> bool:
+    return _loaded(server, name) and name not in server.draining
--- a/src/zincvale/simulator/placement/journal_checks.py
+++ b/src/zincvale/simulator/placement/journal_checks.py
@@ -1,4 +1,4 @@
-"""Holds an emulator journal against the limits of servers and stores."""
+"""Compares an emulator journal with the limits of servers and stores."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
     An order counts in memory from its row on, whether or not the server took it.
     """
     problems: list[str] = []
-    held: dict[str, dict[str, int]] = {name: {} for name in fleet.servers}
+    reserved_bytes: dict[str, dict[str, int]] = {name: {} for name in fleet.servers}
     loading: dict[str, set[str]] = {name: set() for name in fleet.servers}
     pulls: dict[str, int] = dict.fromkeys(fleet.stores, 0)
     for row in fleet.journal:
         match row.event:
             case "order-load":
-                held[row.server].setdefault(row.name, row.item_bytes)
-                problems.extend(_check_memory(fleet, row, held[row.server]))
+                reserved_bytes[row.server].setdefault(row.name, row.item_bytes)
+                problems.extend(_check_memory(fleet, row, reserved_bytes[row.server]))
             case "load-start":
                 loading[row.server].add(row.name)
                 pulls[row.store] += 1
@@ -29,7 +29,7 @@
                 loading[row.server].discard(row.name)
                 pulls[row.store] -= 1
             case "unloaded":
-                held[row.server].pop(row.name, None)
+                reserved_bytes[row.server].pop(row.name, None)
                 if row.name in loading[row.server]:
                     loading[row.server].discard(row.name)
                     pulls[row.store] -= 1
@@ -39,12 +39,12 @@
                 for name in loading[row.server]:
                     pulls[fleet.items[name].store] -= 1
                 loading[row.server].clear()
-                held[row.server].clear()
+                reserved_bytes[row.server].clear()
     return problems
 
 
-def check_asked_rate(fleet: Fleet, burst_s: float) -> list[str]:
-    """Return stores that were asked for more bytes over some time than their rate allows.
+def check_ordered_rate(fleet: Fleet, burst_s: float) -> list[str]:
+    """Return stores from which more bytes were ordered over some time than their rate allows.
 
     Over any time the bytes ordered may exceed the rate by one item and `burst_s` of the rate, and
     by the share of small items while a large one is owed (bounded by one more item).
@@ -65,9 +65,9 @@
     return problems
 
 
-def _check_memory(fleet: Fleet, row: JournalRow, held: dict[str, int]) -> list[str]:
+def _check_memory(fleet: Fleet, row: JournalRow, reserved_bytes: dict[str, int]) -> list[str]:
     limit = fleet.servers[row.server].weight_bytes
-    used = sum(held.values())
+    used = sum(reserved_bytes.values())
     if used <= limit:
         return []
     return [f"{row.at:.1f} s: {row.server} ordered to hold {used} of {limit} bytes"]
--- a/src/zincvale/simulator/placement/scenarios.py
+++ b/src/zincvale/simulator/placement/scenarios.py
@@ -14,17 +14,20 @@
 from zincvale.simulator.placement.fleet import (
     Arrival,
     EmulatedServer,
+    EmulatedServerSpec,
+    EmulatedStoreSpec,
     Fleet,
     FleetEvent,
     FleetEventKind,
     ItemSpec,
-    ServerSpecification,
-    StoreSpecification,
 )
 
 GIGABYTE = 1_000_000_000
 MODEL_SIZES_GB = (5, 5, 6, 6, 6, 7, 8, 8, 8, 9, 9, 10, 10, 12, 12)
+"""Drawn from by the seed: another length or order gives other fleets for every seed."""
 ADAPTER_SIZES_MB = (60, 100, 140, 180, 250)
+HALF_DAY = 0.5
+"""Phase of the day at which the popularity by night begins."""
 
 
 @attrs.frozen
@@ -35,7 +38,7 @@
     ----------
     servers_by_pool, models_by_pool : sizes of each pool.
     adapters : over all models.
-    pinned_models : per pool, how many of the most popular models have two least copies.
+    pinned_models : per pool, how many of the most popular models have two least replicas.
     """
 
     servers_by_pool: tuple[int, ...]
@@ -128,7 +131,7 @@
         size = source.choice(ADAPTER_SIZES_MB) * 1_000_000
         items[name] = ItemSpec(name, size, base.store, base.pool, base.name)
     stores = {
-        name: StoreSpecification(name, shape.store_bytes_per_second, 4)
+        name: EmulatedStoreSpec(name, shape.store_bytes_per_second, 4)
         for name in ("store-0", "store-1")
     }
     return Fleet(items, stores, _servers(shape))
@@ -140,7 +143,7 @@
     for pool_number, count in enumerate(shape.servers_by_pool):
         for _ in range(count):
             name = f"server-{number}"
-            spec = ServerSpecification(
+            spec = EmulatedServerSpec(
                 name,
                 f"pool-{pool_number}",
                 f"zone-{number % 3}",
@@ -194,7 +197,7 @@
             phase = (at % load.day_s) / load.day_s
             swing = 1.0 + load.swing * math.sin(2.0 * math.pi * phase)
             if self._source.random() < load.requests_per_second * swing / peak:
-                ranked = self._models if phase < 0.5 else night
+                ranked = self._models if phase < HALF_DAY else night
                 yield self._arrival(self._source.choices(ranked, weights)[0], at)
             at += self._source.expovariate(peak)
 
--- a/src/zincvale/simulator/placement_quality.py
+++ b/src/zincvale/simulator/placement_quality.py
@@ -18,7 +18,7 @@
 from zincvale.simulator.placement.controller_policy import ControllerPolicy
 from zincvale.simulator.placement.emulator import Emulator, Outcome, Policy
 from zincvale.simulator.placement.fleet import Fleet
-from zincvale.simulator.placement.journal_checks import check_asked_rate, check_journal
+from zincvale.simulator.placement.journal_checks import check_journal, check_ordered_rate
 from zincvale.simulator.placement.scenarios import (
     LOADS,
     NILEBRIDGE,
@@ -32,7 +32,7 @@
 
 FLEETS = {"nilebridge": NILEBRIDGE, "tzintzuntzan": TZINTZUNTZAN}
 CONTROLLER = "zincvale"
-WARM_UP_SHARE = 0.25
+WARM_UP_FRACTION = 0.25
 DEFAULT_SECONDS = 7200.0
 
 
@@ -49,9 +49,9 @@
     """Return the constructors of every policy by its name."""
     return {
         "static": lambda fleet: Static(_by_popularity(fleet)),
-        "lru": lambda fleet: LeastRecentlyUsed(),
-        "greedy": lambda fleet: Greedy(),
-        CONTROLLER: lambda fleet: ControllerPolicy(config, seed),
+        "lru": lambda _: LeastRecentlyUsed(),
+        "greedy": lambda _: Greedy(),
+        CONTROLLER: lambda _: ControllerPolicy(config, seed),
     }
 
 
@@ -64,10 +64,10 @@
     arrivals = build_arrivals(fleet, load, seconds, seed + 1)
     events = build_events(fleet, load, seconds, seed + 2)
     placed = make_policies(seed, config)[policy](fleet)
-    outcome = Emulator(fleet, arrivals, events).run(placed, seconds, seconds * WARM_UP_SHARE)
+    outcome = Emulator(fleet, arrivals, events).run(placed, seconds, seconds * WARM_UP_FRACTION)
     problems = check_journal(fleet)
     if policy == CONTROLLER:
-        problems += check_asked_rate(fleet, config.store_burst_s)
+        problems += check_ordered_rate(fleet, config.store_burst_s)
     return Comparison(policy, outcome, tuple(problems))
 
 
--- a/src/zincvale/simulator/placement_scale.py
+++ b/src/zincvale/simulator/placement_scale.py
@@ -76,7 +76,7 @@
     by_kind: dict[str, list[float]] = attrs.field(factory=dict)
 
     def add(self, kind: str, seconds: float) -> None:
-        """Note one call."""
+        """Record one call."""
         self.by_kind.setdefault(kind, []).append(seconds * 1000.0)
 
     def summary(self) -> dict[str, dict[str, float]]:
@@ -95,7 +95,7 @@
 
 
 class HollowFleet:
-    """Servers that hold what they were told, and nodes that report seeded demand."""
+    """Servers that load what they are ordered to, and nodes that report seeded demand."""
 
     def __init__(self, servers: int, seed: int) -> None:
         self._random = random.Random(seed)
@@ -110,7 +110,7 @@
         self.orders = 0
 
     def start(self) -> None:
-        """Take the intent, every status and leadership, and let the fleet settle."""
+        """Take the intent, every status and leadership, and let the fleet be confirmed."""
         self._feed("intent", IntentChanged(make_intent(len(self._rows))))
         for first in range(0, len(self._names), STATUS_BATCH):
             self._report(self._names[first : first + STATUS_BATCH], "first-statuses")
@@ -119,7 +119,7 @@
             self._step()
         self._feed("intent-delta", IntentChanged(self._changed_intent()))
 
-    def forget_timings(self) -> None:
+    def reset_timings(self) -> None:
         """Begin to time anew."""
         self.timings = Timings()
         self.orders = 0
@@ -154,7 +154,7 @@
             rows = [self._demand_row() for _ in range(ROWS_PER_REPORT)]
             self._feed("demand", DemandReported(node, tuple(rows)))
         if self._random.random() < len(self._names) * LOADS_PER_SERVER_S * TICK_S:
-            self._want_something_new()
+            self._request_rare_item()
 
     def _demand_row(self) -> DemandRow:
         model = self._random.choices(range(MODELS), self._weights)[0]
@@ -162,7 +162,7 @@
         adapter = AdapterName(f"a{model}-{number}") if self._random.random() < 0.7 else None
         return DemandRow(ModelName(f"m{model}"), adapter, requests=3, tokens=900)
 
-    def _want_something_new(self) -> None:
+    def _request_rare_item(self) -> None:
         model = self._random.randrange(MODELS)
         number = self._random.randrange(ADAPTERS // MODELS)
         row = DemandRow(ModelName(f"m{model}"), AdapterName(f"a{model}-{number}"), 1, 0, 1)
@@ -195,9 +195,9 @@
         self._feed(kind, DirectoryChanged(tuple(reports)))
 
     def _feed(self, kind: str, event: Input) -> None:
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         effects = self._controller.handle(event, self._now)
-        self.timings.add(kind, time.perf_counter() - begun)
+        self.timings.add(kind, time.perf_counter() - started_at)
         for effect in effects:
             self._carry_out(effect)
 
@@ -270,7 +270,7 @@
     fleet.start()
     takeover = fleet.timings.summary()
     fleet.run(WARM_UP_S)
-    fleet.forget_timings()
+    fleet.reset_timings()
     fleet.run(seconds)
     return {
         "servers": servers,
--- a/tests/controlplane/placement/test_quality.py
+++ b/tests/controlplane/placement/test_quality.py
@@ -9,12 +9,12 @@
 from zincvale.simulator.placement.fleet import (
     Arrival,
     EmulatedServer,
+    EmulatedServerSpec,
+    EmulatedStoreSpec,
     Fleet,
     ItemSpec,
     JournalRow,
     OrderResult,
-    ServerSpecification,
-    StoreSpecification,
 )
 from zincvale.simulator.placement.journal_checks import check_journal
 from zincvale.simulator.placement_quality import FLEETS, LOADS, compare
@@ -45,8 +45,8 @@
         "n": ItemSpec("n", 10 * GB, "store", "pool"),
         "m:1": ItemSpec("m:1", GB, "store", "pool", "m"),
     }
-    spec = ServerSpecification("s", "pool", "zone", 20 * GB, 4 * GB, 2 * GB, 1)
-    stores = {"store": StoreSpecification("store", 5 * GB, 2)}
+    spec = EmulatedServerSpec("s", "pool", "zone", 20 * GB, 4 * GB, 2 * GB, 1)
+    stores = {"store": EmulatedStoreSpec("store", 5 * GB, 2)}
     return Fleet(items, stores, {"s": EmulatedServer(spec)})
 
 
