--- a/src/zincvale/simulator/placement_scale.py
+++ b/src/zincvale/simulator/placement_scale.py
@@ -67,6 +67,10 @@
 LOAD_S = 8.0
 WARM_UP_S = 30.0
 START_STEPS = 200
+ADAPTER_SHARE = 0.7
+"""Part of the demand rows that name an adapter."""
+MIN_SERVERS_FOR_PINS = 100
+"""Smaller fleets have no memory for three replicas of every tenth model."""
 
 
 @attrs.define(eq=False)
@@ -159,7 +163,9 @@
     def _demand_row(self) -> DemandRow:
         model = self._random.choices(range(MODELS), self._weights)[0]
         number = self._random.randrange(ADAPTERS // MODELS // 8)
-        adapter = AdapterName(f"a{model}-{number}") if self._random.random() < 0.7 else None
+        adapter = (
+            AdapterName(f"a{model}-{number}") if self._random.random() < ADAPTER_SHARE else None
+        )
         return DemandRow(ModelName(f"m{model}"), adapter, requests=3, tokens=900)
 
     def _request_rare_item(self) -> None:
@@ -250,7 +256,7 @@
             (40 + number % 5 * 15) * GIGABYTE,
             f"store-{number % STORES}",
             f"pool-{number % POOLS}",
-            min_replicas=3 if number % 10 == 0 and servers >= 100 else 0,
+            min_replicas=3 if number % 10 == 0 and servers >= MIN_SERVERS_FOR_PINS else 0,
         )
         for number in range(MODELS)
     }
--- a/tests/controlplane/placement/chaos.py
+++ b/tests/controlplane/placement/chaos.py
@@ -1,6 +1,6 @@
 """A fleet in which everything goes wrong, for the property tests.
 
-Two controllers share a lease that moves; processes freeze; orders, answers and statuses are lost,
+Two controllers share a lease that moves; processes freeze; orders, responses and statuses are lost,
 late and out of order; servers crash, freeze with orders in their sockets, come back empty. The
 servers take every order without a check of their own, so that only the controller keeps limits.
 """
@@ -14,7 +14,7 @@
 
 import attrs
 
-from tests.controlplane.placement.bench_world import GB, make_intent, make_row
+from tests.controlplane.placement.driver import GB, make_intent, make_row
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.controller import PlacementController
 from zincvale.controlplane.placement.events import (
@@ -57,7 +57,7 @@
     frozen_until: float = 0.0
     down_until: float = 0.0
     socket: list[Callable[[], None]] = attrs.field(factory=list)
-    answered_at: float = 0.0
+    responded_at: float = 0.0
 
     def weights(self) -> int:
         return sum(self.loaded.values()) + sum(size for size, _ in self.loading.values())
@@ -193,7 +193,7 @@
 
     def _advance(self, server: ChaosServer) -> None:
         if self.now < max(server.frozen_until, server.down_until):
-            if self.now > server.answered_at + DOWN_AFTER_S:
+            if self.now > server.responded_at + DOWN_AFTER_S:
                 self._tell_down(server)
             return
         for name, (size, ends_at) in list(server.loading.items()):
@@ -211,7 +211,7 @@
                 self._ask(process, server)
 
     def _tell_down(self, server: ChaosServer) -> None:
-        server.answered_at = self.now
+        server.responded_at = self.now
         row = make_row(server.name, health=ServerHealth.DOWN)
         for process in self.processes:
             process.inbox.append(DirectoryChanged((StatusReport(row, self.now),)))
@@ -222,13 +222,13 @@
 
         def arrive() -> None:
             if server.incarnation == incarnation or self.random.random() < 0.5:
-                server.socket.append(lambda: self._answer(process, server, requested_at))
+                server.socket.append(lambda: self._respond(process, server, requested_at))
 
         if self.random.random() < 0.9:
             self.later(self._delay(), arrive)
 
-    def _answer(self, process: Process, server: ChaosServer, requested_at: float) -> None:
-        server.answered_at = self.now
+    def _respond(self, process: Process, server: ChaosServer, requested_at: float) -> None:
+        server.responded_at = self.now
         names = frozenset(server.loaded)
         row = make_row(
             server.name,
@@ -244,23 +244,23 @@
         if self.random.random() < 0.9:
             self.later(self._delay(), lambda: process.inbox.append(report))
 
-    def _handle_order(self, server: ChaosServer, effect: SendOrder, answer) -> None:
+    def _handle_order(self, server: ChaosServer, effect: SendOrder, respond) -> None:
         order = effect.order
         held = order.name in server.loaded or order.name in server.loading
         if order.action is OrderAction.UNLOAD:
             if order.name in server.loading:
                 self.problems.append(f"{self.now}: {order.name} unloaded while it loads")
             server.loaded.pop(order.name, None)
-            answer(OrderAccepted(order.order_id) if held else None)
+            respond(OrderAccepted(order.order_id) if held else None)
             return
         if order.base_model and order.base_model not in server.loaded:
-            answer(OrderRefused(order.order_id, OrderRefusal.BASE_MODEL))
+            respond(OrderRefused(order.order_id, OrderRefusal.BASE_MODEL))
             return
         if not held:
             ends_at = self.now + self.random.uniform(0.2, 5.0)
             server.loading[order.name] = (order.item_bytes, ends_at)
             self._check(server, order.store)
-        answer(OrderAccepted(order.order_id))
+        respond(OrderAccepted(order.order_id))
 
     def _check(self, server: ChaosServer, store: str) -> None:
         limit = int(server.memory_bytes * (1.0 - self.config.kv_headroom_fraction))
@@ -303,35 +303,37 @@
                 self._send(process, effect)
 
     def _send(self, process: Process, effect: SendOrder) -> None:
-        """The runtime's part: the lease is checked as the order leaves; no answer is unknown."""
+        """The runtime's part: the lease is checked as the order leaves; no response is unknown."""
         order_id = effect.order.order_id
         if self.now >= effect.not_after or effect.order.epoch != self.epoch:
             self.problems.append(f"{self.now}: order {order_id} without the lease")
         self.orders_sent += 1
-        answered: list[bool] = []
+        responded: list[bool] = []
 
-        def give(answer) -> None:
-            if not answered:
-                answered.append(True)
-                process.inbox.append(answer)
+        def respond_once(response) -> None:
+            if not responded:
+                responded.append(True)
+                process.inbox.append(response)
 
-        def answer(event) -> None:
+        def respond(event) -> None:
             if event is not None and self.random.random() < 0.8:
-                self.later(self._delay(), lambda: give(event))
+                self.later(self._delay(), lambda: respond_once(event))
 
         server = self.servers[effect.server]
         if self.random.random() < 0.05:
-            self.later(0.0, lambda: give(OrderRefused(order_id, OrderRefusal.NOT_CONNECTED)))
+            self.later(
+                0.0, lambda: respond_once(OrderRefused(order_id, OrderRefusal.NOT_CONNECTED))
+            )
             return
 
         def arrive() -> None:
             # A dead process takes no connection; a frozen one does.
             if self.now >= server.down_until:
-                server.socket.append(lambda: self._handle_order(server, effect, answer))
+                server.socket.append(lambda: self._handle_order(server, effect, respond))
 
         if self.random.random() < 0.95:
             self.later(self._delay(), arrive)
-        self.later(ORDER_TIMEOUT_S, lambda: give(OrderUnknown(order_id)))
+        self.later(ORDER_TIMEOUT_S, lambda: respond_once(OrderUnknown(order_id)))
 
     def _demand(self) -> None:
         rows = []
--- a/tests/controlplane/placement/test_demand.py
+++ b/tests/controlplane/placement/test_demand.py
@@ -5,7 +5,7 @@
 import attrs
 import testtools
 
-from tests.controlplane.placement.bench_world import (
+from tests.controlplane.placement.driver import (
     GB,
     Driver,
     loads_in,
@@ -122,7 +122,7 @@
 
 
 class DailyChangeTests(testtools.TestCase):
-    def test_what_history_shows_is_loaded_before_it_is_asked_for(self):
+    def test_what_history_shows_is_loaded_before_it_is_requested(self):
         config = PlacementConfig(
             day_s=4800.0, fill_free_memory=False, lookahead_s=150.0, slow_half_life_s=300.0
         )
--- a/tests/controlplane/placement/test_disk_copies.py
+++ b/tests/controlplane/placement/test_disk_copies.py
@@ -5,7 +5,7 @@
 import attrs
 import testtools
 
-from tests.controlplane.placement.bench_world import (
+from tests.controlplane.placement.driver import (
     GB,
     STORE_ADDRESS,
     Driver,
@@ -37,7 +37,7 @@
 
 
 class DiskCopiesTest(testtools.TestCase):
-    def test_what_was_held_is_remembered_by_address(self) -> None:
+    def test_what_was_loaded_is_remembered_by_address(self) -> None:
         copies = DiskCopies()
         copies.record(MODEL, "10.0.0.1:1")
         self.assertTrue(copies.has(MODEL, "10.0.0.1:1"))
@@ -75,7 +75,7 @@
         self.assertAlmostEqual(0.4, times.expected_from_disk_s(4 * GB, "weights", GB))
 
 
-def settled(config: PlacementConfig = CONFIG, servers: int = 3) -> Driver:
+def confirmed_driver(config: PlacementConfig = CONFIG, servers: int = 3) -> Driver:
     """Return servers of which the second one held `m` and is full of something else now."""
     rows = {
         f"server-{number}": make_row(
@@ -101,7 +101,7 @@
     return order
 
 
-def wanted(driver: Driver, name: str = "m", seconds: float = 2.0) -> list:
+def request_model(driver: Driver, name: str = "m", seconds: float = 2.0) -> list:
     """Let requests wait for a model; unloads are carried out at once."""
     effects: list = []
     for _ in range(round(seconds / 0.1)):
@@ -114,52 +114,52 @@
 
 
 class ChoiceTest(testtools.TestCase):
-    def test_a_model_returns_to_the_server_that_held_it(self) -> None:
-        order = load_of(wanted(settled()), "m")
+    def test_a_model_returns_to_the_server_that_had_it(self) -> None:
+        order = load_of(request_model(confirmed_driver()), "m")
         self.assertEqual("server-2", order.server)
         self.assertTrue(order.order.from_disk)
 
     def test_without_the_option_no_server_is_taken_to_have_it(self) -> None:
         config = attrs.evolve(CONFIG, servers_keep_weights=False)
-        self.assertFalse(load_of(wanted(settled(config)), "m").order.from_disk)
+        self.assertFalse(load_of(request_model(confirmed_driver(config)), "m").order.from_disk)
 
     def test_where_disks_are_slower_than_the_store_nothing_draws_it_there(self) -> None:
         for store_s, disk_s, expected in ((5.0, 0.8, True), (0.8, 5.0, False), (0.8, 0.7, False)):
-            driver = settled()
+            driver = confirmed_driver()
             times = driver.controller.state.load_times
             times.observe(model_key("x"), 30 * GB, "server-9", "weights", store_s)
             times.observe_from_disk(30 * GB, "weights", disk_s)
             for server in ("server-1", "server-3"):
                 driver.report(server, models=frozenset())
-            placed = load_of(wanted(driver), "m").server == "server-2"
+            placed = load_of(request_model(driver), "m").server == "server-2"
             self.assertEqual(expected, placed)
 
     def test_a_restarted_server_at_the_same_address_still_has_it(self) -> None:
-        driver = settled()
+        driver = confirmed_driver()
         driver.report("server-2", incarnation="i2", models=frozenset({"spare"}))
         driver.tick(0.2)
         driver.lead()
-        self.assertTrue(load_of(wanted(driver), "m").order.from_disk)
+        self.assertTrue(load_of(request_model(driver), "m").order.from_disk)
 
     def test_a_load_from_disk_teaches_nothing_of_the_store(self) -> None:
-        driver = settled()
-        order = load_of(wanted(driver), "m")
+        driver = confirmed_driver()
+        order = load_of(request_model(driver), "m")
         placement = driver.controller.state
         driver.complete([order])
         self.assertEqual({}, placement.load_times.rate_by_store)
         self.assertIn("weights", placement.load_times.disk_rate_by_store)
 
     def test_it_waits_for_a_load_there_that_ends_soon(self) -> None:
-        driver = settled()
+        driver = confirmed_driver()
         times = driver.controller.state.load_times
         times.observe(model_key("x"), 30 * GB, "server-9", "weights", 20.0)
         times.observe_from_disk(30 * GB, "weights", 0.8)
         driver.report("server-2", models=frozenset())
-        first = load_of(wanted(driver, "spare"), "spare")
+        first = load_of(request_model(driver, "spare"), "spare")
         self.assertEqual("server-2", first.server)
         self.assertEqual(
-            [], [name for _, name in loads_in(wanted(driver, "m", 0.3)) if name == "m"]
+            [], [name for _, name in loads_in(request_model(driver, "m", 0.3)) if name == "m"]
         )
         driver.feed(OrderAccepted(first.order.order_id, done=True))
         driver.report("server-2", models=frozenset({"spare"}))
-        self.assertEqual("server-2", load_of(wanted(driver, "m"), "m").server)
+        self.assertEqual("server-2", load_of(request_model(driver, "m"), "m").server)
--- a/tests/controlplane/placement/test_closing_rows.py
+++ b/tests/controlplane/placement/test_draining_rows.py
@@ -10,7 +10,7 @@
 from zincvale.model.errors import MalformedBodyError
 
 
-class ClosingDecoderTest(TestCase):
+class DrainingReplicasDecoderTest(TestCase):
     """The decoder reads rows as the typed moves would."""
 
     def test_it_agrees_with_the_typed_moves_in_every_kind_and_state(self):
--- a/tests/controlplane/placement/test_leadership.py
+++ b/tests/controlplane/placement/test_leadership.py
@@ -5,7 +5,7 @@
 import attrs
 import testtools
 
-from tests.controlplane.placement.bench_world import (
+from tests.controlplane.placement.driver import (
     Driver,
     loads_in,
     make_intent,
@@ -143,27 +143,27 @@
         self.driver.feed(OrderUnknown(self.order.order.order_id))
         self.placement = self.driver.controller.state
 
-    def held(self) -> int:
+    def reserved_bytes(self) -> int:
         return self.placement.servers["server-1"].reserved_bytes
 
     def test_the_reservation_stays_without_a_status(self):
         self.driver.tick(60.0)
         self.assertEqual(
-            (8_000_000_000, 1), (self.held(), self.placement.stores["weights"].in_flight)
+            (8_000_000_000, 1), (self.reserved_bytes(), self.placement.stores["weights"].in_flight)
         )
 
     def test_one_status_does_not_release_it(self):
         self.driver.tick(10.0)
         self.driver.report()
         self.driver.tick(0.5)
-        self.assertEqual(8_000_000_000, self.held())
+        self.assertEqual(8_000_000_000, self.reserved_bytes())
 
-    def test_a_second_status_after_the_settling_time_releases_it(self):
+    def test_a_second_status_after_the_confirmation_interval_releases_it(self):
         self.driver.tick(10.0)
         self.driver.report()
         self.driver.tick(self.driver.config.confirmation_interval_s)
         self.driver.report()
-        self.assertEqual(0, self.held())
+        self.assertEqual(0, self.reserved_bytes())
         self.assertEqual(0, self.placement.stores["weights"].in_flight)
 
     def test_a_status_that_shows_it_loading_keeps_it(self):
@@ -173,25 +173,25 @@
         self.driver.report(loading=frozenset({"alpha"}))
         states = [move.state for move in self.placement.calendar.moves.values()]
         self.assertEqual([MoveState.RUNNING], states)
-        self.assertEqual(8_000_000_000, self.held())
+        self.assertEqual(8_000_000_000, self.reserved_bytes())
 
     def test_a_new_incarnation_does_not_release_it_any_sooner(self):
         self.driver.tick(self.driver.config.order_lifetime_s)
         self.driver.report(incarnation="i2")
-        self.assertEqual(8_000_000_000, self.held())
+        self.assertEqual(8_000_000_000, self.reserved_bytes())
         self.driver.tick(self.driver.config.confirmation_interval_s)
         self.driver.report()
-        self.assertEqual(0, self.held())
+        self.assertEqual(0, self.reserved_bytes())
 
     def test_a_new_incarnation_releases_what_the_old_one_had_taken(self):
         self.driver.feed(OrderAccepted(self.order.order.order_id))
         self.driver.report(incarnation="i2")
-        self.assertEqual(0, self.held())
+        self.assertEqual(0, self.reserved_bytes())
 
     def test_an_order_on_its_way_may_reach_the_new_incarnation(self):
         self.driver.tick(0.1)
         self.driver.report(incarnation="i2")
-        self.assertEqual(8_000_000_000, self.held())
+        self.assertEqual(8_000_000_000, self.reserved_bytes())
         self.driver.report(loading=frozenset({"alpha"}))
         states = [move.state for move in self.placement.calendar.moves.values()]
         self.assertEqual([MoveState.RUNNING], states)
@@ -199,9 +199,9 @@
     def test_it_outlasts_a_change_of_leader(self):
         self.driver.feed(LeaderLost())
         self.driver.feed(LeaderGained(2, self.driver.now + 2.0))
-        self.assertEqual(8_000_000_000, self.held())
+        self.assertEqual(8_000_000_000, self.reserved_bytes())
 
-    def test_a_late_answer_after_all_is_taken(self):
+    def test_a_late_response_after_all_is_taken(self):
         self.driver.feed(OrderAccepted(self.order.order.order_id))
         states = [move.state for move in self.placement.calendar.moves.values()]
         self.assertEqual([MoveState.RUNNING], states)
--- a/tests/controlplane/placement/test_move_rows.py
+++ b/tests/controlplane/placement/test_move_rows.py
@@ -65,7 +65,7 @@
             error = self.assertRaises(MalformedBodyError, decode_move, content)
             self.assertEqual("run the same release on every machine", error.remedy)
 
-    def test_copies_close_from_announcement_to_the_end(self):
+    def test_replicas_drain_from_announcement_to_the_end(self):
         moves = [
             attrs.evolve(MOVE, move_id=f"m{number}", name=state.value, state=state)
             for number, state in enumerate(MoveState)
--- a/tests/controlplane/placement/test_options.py
+++ b/tests/controlplane/placement/test_options.py
@@ -5,7 +5,7 @@
 import attrs
 import testtools
 
-from tests.controlplane.placement.bench_world import (
+from tests.controlplane.placement.driver import (
     GB,
     STORE_ADDRESS,
     Driver,
@@ -43,7 +43,7 @@
     return Driver(make_intent(models, adapters, stores), rows, config)
 
 
-def loads_until_settled(driver: Driver, seconds: float) -> list[Effect]:
+def loads_within(driver: Driver, seconds: float) -> list[Effect]:
     effects: list[Effect] = []
     for _ in range(round(seconds / 0.1)):
         new = driver.tick(0.1)
@@ -61,7 +61,7 @@
         driver.demand(("hot", None, 30, 0), use=(("server-1", "hot", 30),))
         return loads_in(driver.tick(0.6))
 
-    def test_a_crowd_gets_another_copy_at_once(self):
+    def test_a_crowd_gets_another_replica_at_once(self):
         config = attrs.evolve(SHORT_DAY, crowds_count_as_waiting=True)
         self.assertEqual([("server-2", "hot")], self.crowded(config))
 
@@ -77,20 +77,20 @@
         driver = driver_of(SHORT_DAY, models, stores=stores)
         driver.lead()
         driver.demand(*((name, None, 1, 1) for name in models))
-        first = loads_in(loads_until_settled(driver, 2.0))
+        first = loads_in(loads_within(driver, 2.0))
         self.assertEqual(2, len(first))
         driver.demand(*((name, None, 0, 1) for name in models))
-        self.assertEqual([], loads_in(loads_until_settled(driver, 1.0)))
+        self.assertEqual([], loads_in(loads_within(driver, 1.0)))
         for _ in range(4):
             driver.demand(*((name, None, 0, 1) for name in models))
-            loads_until_settled(driver, 1.0)
+            loads_within(driver, 1.0)
         self.assertEqual(4, len(loads_in(driver.seen)))
 
 
 class AdapterSlotsTest(testtools.TestCase):
     ADAPTERS = ("a1", "a2", "a3")
 
-    def copies(self, adapters_add_replicas: bool) -> int:
+    def replicas(self, adapters_add_replicas: bool) -> int:
         config = attrs.evolve(SHORT_DAY, adapters_add_replicas=adapters_add_replicas)
         adapters = dict.fromkeys(self.ADAPTERS, "base")
         driver = driver_of(config, {"base": 8}, servers=3, adapters=adapters)
@@ -98,17 +98,17 @@
         driver.feed(IntentChanged(attrs.evolve(driver.intent, pools=pools)))
         driver.lead()
         driver.demand(("base", None, 1, 1))
-        loads_until_settled(driver, 0.3)
+        loads_within(driver, 0.3)
         for _ in range(4):
             driver.demand(("base", None, 0, 0), *(("base", name, 1, 0) for name in self.ADAPTERS))
-            loads_until_settled(driver, 1.0)
+            loads_within(driver, 1.0)
         return sum("base" in row.models for row in driver.rows.values())
 
-    def test_adapters_that_do_not_fit_bring_another_copy(self):
-        self.assertEqual(2, self.copies(adapters_add_replicas=True))
+    def test_adapters_that_do_not_fit_bring_another_replica(self):
+        self.assertEqual(2, self.replicas(adapters_add_replicas=True))
 
-    def test_without_the_option_one_copy_stays(self):
-        self.assertEqual(1, self.copies(adapters_add_replicas=False))
+    def test_without_the_option_one_replica_stays(self):
+        self.assertEqual(1, self.replicas(adapters_add_replicas=False))
 
 
 class SerialOrdersTest(testtools.TestCase):
--- a/tests/controlplane/placement/test_prefetch.py
+++ b/tests/controlplane/placement/test_prefetch.py
@@ -7,7 +7,7 @@
 import attrs
 import testtools
 
-from tests.controlplane.placement.bench_world import (
+from tests.controlplane.placement.driver import (
     GB,
     STORE_ADDRESS,
     Driver,
@@ -64,12 +64,12 @@
         self.driver.report()
         return self.run(seconds)
 
-    def run(self, seconds: float, asked: tuple = ()) -> list:
+    def run(self, seconds: float, requested: tuple = ()) -> list:
         """Let time pass; return every effect."""
         driver, before = self.driver, len(self.driver.seen)
         for _ in range(round(seconds / 0.1)):
-            if asked:
-                driver.demand(*asked)
+            if requested:
+                driver.demand(*requested)
             for effect in orders_in(driver.tick(0.1)):
                 self.take(effect)
             self.finish()
@@ -118,12 +118,12 @@
 
 
 def fetched(effects: list) -> list[str]:
-    """Return the models that were loaded though no request asked for them, in order."""
+    """Return the models that were loaded though no request came for them, in order."""
     return [name for _, name in loads_in(effects) if name.startswith("absent")]
 
 
 class TrialTest(testtools.TestCase):
-    def test_a_copy_that_is_not_needed_shows_how_fast_disks_are(self) -> None:
+    def test_a_replica_that_is_not_needed_shows_how_fast_disks_are(self) -> None:
         made = engines()
         effects = made.lead()
         self.assertEqual("busy", unloads_in(effects)[0][1])
@@ -131,7 +131,7 @@
         times = made.driver.controller.state.load_times
         self.assertAlmostEqual(DISK_S, SIZE / times.disk_rate_by_store[POOL], delta=0.2)
 
-    def test_without_a_spare_copy_nothing_is_tried(self) -> None:
+    def test_without_a_spare_replica_nothing_is_tried(self) -> None:
         made = engines()
         for server, row in made.driver.rows.items():
             made.driver.rows[server] = attrs.evolve(row, models=row.models - {"busy"})
@@ -144,7 +144,7 @@
         made = engines(attrs.evolve(CONFIG, servers_keep_weights=False))
         self.assertEqual([], orders_in(made.lead(12.0)))
 
-    def test_a_copy_that_is_in_use_is_not_tried(self) -> None:
+    def test_a_replica_that_is_in_use_is_not_tried(self) -> None:
         made = engines()
         use = tuple((server, "busy", 1) for server in made.driver.rows)
         made.driver.demand(use=use)
@@ -173,7 +173,7 @@
     def test_slow_disks_end_it_after_the_trial(self) -> None:
         self.assertEqual([], fetched(engines(disk_s=4.0).lead(30.0)))
 
-    def test_what_was_asked_for_stays(self) -> None:
+    def test_what_was_requested_stays(self) -> None:
         made = engines(absent=12)
         own = [f"{letter}{n}" for letter in "ab" for n in range(1, SERVERS + 1)]
         made.driver.demand(*((name, None, 1, 0) for name in own))
@@ -183,10 +183,10 @@
 
     def test_while_requests_come_most_servers_are_left_to_them(self) -> None:
         made = engines(absent=12)
-        asked = (("a1", None, 1, 0),)
+        requested = (("a1", None, 1, 0),)
         for _ in range(40):
             made.run(
-                0.5, asked
+                0.5, requested
             ) if made.driver.controller.state.leadership.is_leader else made.lead(0.5)
             loading = [e for _, e in made.under_way if e.order.name.startswith("absent")]
             if made.driver.now > 110.0:
@@ -198,7 +198,7 @@
             len(fetched(made.lead(30.0))), 30 / 5 * math.ceil(5 * PREFETCH_WINDOW_FRACTION) + 3
         )
 
-    def test_a_model_that_is_on_a_disk_comes_from_there_when_it_is_asked_for(self) -> None:
+    def test_a_model_that_is_on_a_disk_comes_from_there_when_it_is_requested(self) -> None:
         made = engines(absent=12)
         names = fetched(made.lead(30.0))
         held = {name for row in made.driver.rows.values() for name in row.models}
--- a/tests/controlplane/placement/test_residency.py
+++ b/tests/controlplane/placement/test_residency.py
@@ -5,7 +5,7 @@
 import attrs
 import testtools
 
-from tests.controlplane.placement.bench_world import (
+from tests.controlplane.placement.driver import (
     GB,
     Driver,
     loads_in,
@@ -39,8 +39,8 @@
     return Driver(make_intent(models, adapters, **tables), rows, config)
 
 
-def pinned(gigabytes: int, copies: int) -> ModelSpec:
-    return ModelSpec(gigabytes * GB, "weights", "chat", min_replicas=copies, stake=Stake.HIGH)
+def pinned(gigabytes: int, replicas: int) -> ModelSpec:
+    return ModelSpec(gigabytes * GB, "weights", "chat", min_replicas=replicas, stake=Stake.HIGH)
 
 
 class LoadTests(testtools.TestCase):
@@ -53,7 +53,7 @@
         driver.tick(0.5)
         self.assertEqual(["rare"], [name for _, name in loads_in(driver.seen)])
 
-    def test_least_copies_are_spread_over_zones(self):
+    def test_min_replicas_are_spread_over_zones(self):
         driver = make_driver({"pharmacy": pinned(8, 3)}, servers=6)
         effects = driver.lead()
         while orders_in(effects):
@@ -98,7 +98,7 @@
         driver.complete(back)
         self.assertEqual([("server-1", "large")], loads_in(driver.tick(2.0)))
 
-    def test_a_saturated_model_gets_another_copy(self):
+    def test_a_saturated_model_gets_another_replica(self):
         driver = make_driver({"busy": 8}, servers=2)
         driver.lead()
         driver.demand(("busy", None, 1, 1))
@@ -121,7 +121,7 @@
             self.driver.demand(("hot", None, 10, 0), ("warm", None, 2, 0))
             self.driver.tick(1.0)
 
-    def test_the_least_wanted_copy_closes_then_leaves_then_the_load_follows(self):
+    def test_the_least_requested_replica_drains_then_leaves_then_the_load_follows(self):
         driver = self.driver
         driver.demand(("new", None, 1, 1))
         effects = driver.tick(0.2)
@@ -147,26 +147,26 @@
             driver.tick(0.5)
         self.assertNotIn(("server-1", "rare"), unloads_in(driver.seen))
 
-    def test_requests_that_wait_for_long_close_a_used_copy_that_leaves_when_idle(self):
+    def test_requests_that_wait_for_long_drain_a_used_replica_that_leaves_when_idle(self):
         driver = self.driver
         names = ("hot", "warm", "rare")
         busy = tuple(("server-1", name, 1) for name in names)
         for _ in range(10):
             driver.demand(("new", None, 3, 3), use=busy)
             driver.tick(0.5)
-        closing = [effect for effect in driver.seen if isinstance(effect, MarkDraining)]
-        self.assertEqual([MarkDraining("server-1", frozenset({"rare"}))], closing)
+        draining = [effect for effect in driver.seen if isinstance(effect, MarkDraining)]
+        self.assertEqual([MarkDraining("server-1", frozenset({"rare"}))], draining)
         self.assertEqual([], orders_in(driver.seen))
         driver.demand(("new", None, 0, 3), use=busy[:2])
         self.assertEqual([("server-1", "rare")], unloads_in(driver.tick(0.2)))
 
-    def test_a_closing_copy_waits_for_reports_made_after_the_mark(self):
+    def test_a_draining_replica_waits_for_reports_made_after_the_mark(self):
         driver = self.driver
         driver.demand(("new", None, 1, 1))
         driver.tick(1.0)
         self.assertEqual([], unloads_in(driver.seen))
 
-    def test_least_copies_are_never_evicted(self):
+    def test_min_replicas_are_never_evicted(self):
         driver = make_driver({"kept": pinned(30, 1), "new": 12})
         driver.report(models=frozenset({"kept"}))
         driver.lead()
@@ -230,7 +230,7 @@
         driver.demand(("alpha", None, 1, 1))
         self.assertEqual([("server-2", "alpha")], loads_in(driver.tick(0.5)))
 
-    def test_a_server_that_leaves_takes_its_copies_along(self):
+    def test_a_server_that_leaves_takes_its_replicas_along(self):
         driver = make_driver({"alpha": pinned(8, 1)}, servers=2)
         driver.report("server-1", models=frozenset({"alpha"}))
         driver.lead()
@@ -239,7 +239,7 @@
 
 
 class IntentTests(testtools.TestCase):
-    def test_copies_of_a_deleted_model_are_unloaded_after_the_grace(self):
+    def test_replicas_of_a_deleted_model_are_unloaded_after_the_grace(self):
         driver = make_driver({"alpha": 8, "beta": 8})
         driver.report(models=frozenset({"alpha", "beta"}))
         driver.lead()
@@ -251,7 +251,7 @@
         actions = [(order.order.action, order.order.name) for order in orders_in(driver.seen)]
         self.assertEqual([(OrderAction.UNLOAD, "alpha")], actions)
 
-    def test_copies_reported_before_their_declaration_are_counted_then(self):
+    def test_replicas_reported_before_their_declaration_are_counted_then(self):
         driver = Driver(make_intent({}), {"server-1": make_row("server-1")}, NO_FILL)
         driver.report(models=frozenset({"alpha"}), adapters=frozenset({"tuned"}))
         driver.feed(IntentChanged(make_intent({"alpha": 8}, {"tuned": "alpha"})))
--- a/tests/controlplane/placement/test_transcript.py
+++ b/tests/controlplane/placement/test_transcript.py
@@ -8,7 +8,7 @@
 import testtools
 
 from tests.approval import verify
-from tests.controlplane.placement.bench_world import (
+from tests.controlplane.placement.driver import (
     Driver,
     make_intent,
     make_row,
--- a/tests/daemons/test_placement_runner.py
+++ b/tests/daemons/test_placement_runner.py
@@ -9,7 +9,7 @@
 import attrs
 import testtools
 
-from tests.controlplane.placement.bench_world import make_row
+from tests.controlplane.placement.driver import make_row
 from zincvale.controlplane.placement.events import (
     DirectoryChanged,
     Order,
--- a/tests/daemons/test_residency_publication.py
+++ b/tests/daemons/test_residency_publication.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from tests.controlplane.placement.bench_world import make_row
+from tests.controlplane.placement.driver import make_row
 from zincvale.controlplane.placement.items import model_key
 from zincvale.controlplane.placement.servers import Replica, ReplicaState, ServerState
 from zincvale.coordination.delivery.messages import PublishTopic
