--- a/src/zincvale/controlplane/directory/server_discovery.py
+++ b/src/zincvale/controlplane/directory/server_discovery.py
@@ -3,7 +3,7 @@
 Reading the list is safe for any number of cores, so no lease guards it: one core reads and
 publishes, and each other core begins to read when it has heard of no read for a time that grows
 with its rank. Of two readers the one with the newer publication stays. Epochs of the publication
-are made unique by the reader's name; they are no fencing epochs. They grow with the time of day, so
+are made unique by the reader's name; they are no fencing epochs. They grow with the wall clock, so
 that what a reader publishes after a restart of all cores is newer than what nodes still store; a
 clock that went back shows in the epochs that nodes poll with.
 
@@ -51,7 +51,8 @@
 EMPTY_READS_UNTIL_ACCEPTED = 3
 """So many empty reads in a row make an empty list; fewer are taken for a fault of the list."""
 EPOCH_NAME_BITS = 20
-"""Low bits of an epoch that come from the reader's name: two cores never choose the same epoch."""
+"""Low bits of an epoch that come from a hash of the reader's name: two readers that begin at
+the same count differ in them. With fewer bits, equal epochs of two readers become likelier."""
 
 
 @attrs.frozen
@@ -146,7 +147,7 @@
     # --- inputs ---------------------------------------------------------------------------
 
     def on_document_changed(self, document: ForwardingDocument, now: float) -> list[Effect]:
-        """Take a newer document: it tells what the servers of a pool are."""
+        """Take a newer document, which declares the engines of the pools."""
         self._document = document
         if not self.is_reader:
             return []
@@ -181,9 +182,9 @@
             self._last_read_at = now
 
     def on_list_read(
-        self, servers: list[ListedServer], requested_at: float, now: float, day_s: float
+        self, servers: list[ListedServer], requested_at: float, now: float, wall_s: float
     ) -> list[Effect]:
-        """Take a complete read that began at `requested_at`; `day_s` is the time of day."""
+        """Take a complete read that began at `requested_at`, at `wall_s` of the wall clock."""
         self._is_reading = False
         self._read_due_at = now + READ_INTERVAL_S
         if not servers and self._listed:
@@ -192,7 +193,7 @@
                 return []
         self._empty_reads = 0
         if not self.is_reader:
-            self._begin_epoch(day_s)
+            self._begin_epoch(wall_s)
         effects = self._update_servers(servers, requested_at - self._lag_s)
         return [*effects, AnnounceRead(ListRead(self._own_epoch))]
 
@@ -229,8 +230,8 @@
 
     # --- publication ----------------------------------------------------------------------
 
-    def _begin_epoch(self, day_s: float) -> None:
-        count = max((self._known_epoch >> EPOCH_NAME_BITS) + 1, int(day_s))
+    def _begin_epoch(self, wall_s: float) -> None:
+        count = max((self._known_epoch >> EPOCH_NAME_BITS) + 1, int(wall_s))
         self._own_epoch = (count << EPOCH_NAME_BITS) | self._name_bits
         self._known_epoch = self._own_epoch
         self._published = {}
@@ -242,12 +243,13 @@
         removed = tuple(server for server in self._rows if server not in rows)
         self._rows = rows
         effects: list[Effect] = [ServersObserved(tuple(rows.values()), removed, requested_at)]
-        message = self._publication()
+        message = self._next_publication()
         if message is not None:
             effects.append(PublishServers(message))
         return effects
 
-    def _publication(self) -> PublishTopic | None:
+    def _next_publication(self) -> PublishTopic | None:
+        """Return what differs from the last publication, which it becomes; None if nothing does."""
         encoded = {str(server): encode_server_row(row) for server, row in self._rows.items()}
         puts = {row: value for row, value in encoded.items() if self._published.get(row) != value}
         deletes = [row for row in self._published if row not in encoded]
