--- a/src/zincvale/coordination/config.py
+++ b/src/zincvale/coordination/config.py
@@ -23,13 +23,13 @@
     change_limit_s: float = 4.0
     """After this a change is answered `not-confirmed`."""
     forward_timeout_s: float = 4.0
-    home_collect_s: float = 0.03
+    renewal_collect_s: float = 0.03
     """How long a home core collects renewals before it passes them on together."""
-    home_wait_s: float = 0.25
+    renewal_wait_s: float = 0.25
     """After this a home core answers a renewal with the grants it has."""
-    home_timeout_s: float = 0.55
+    renewal_timeout_s: float = 0.55
     """After this a node renews at every core itself."""
-    laggard_grace_s: float = 1.0
+    stale_member_grace_s: float = 1.0
     """A node that lacks a chosen version for longer loses its grants until it holds it."""
     poll_hold_s: float = 10.0
     """How long a core holds a long poll without news."""
--- a/src/zincvale/coordination/delivery/applied_versions.py
+++ b/src/zincvale/coordination/delivery/applied_versions.py
@@ -63,13 +63,13 @@
             settled = all(self.is_settled(key) for key in DELIVERED_KEYS)
             self._repeat_at = now + (IDLE_INTERVAL_S if settled else BUSY_INTERVAL_S)
             return self.report(now, only_news=False)
-        if self._grantor.replicas_changed or self._grantor.has_laggards():
+        if self._grantor.applied_versions_changed or self._grantor.has_stale_members():
             return self.report(now, only_news=True)
         return []
 
     def report(self, now: float, only_news: bool) -> list[Effect]:
         """Tell the other cores which versions every live lease here holds."""
-        self._grantor.replicas_changed = False
+        self._grantor.applied_versions_changed = False
         effects: list[Effect] = []
         for key in DELIVERED_KEYS:
             report = self._report(key, now)
@@ -82,12 +82,12 @@
 
     def _report(self, key: str, now: float) -> AppliedVersionsReport:
         chosen = self._context.chosen_versions()
-        floor = self._grantor.held_floor(key, chosen[key], now)
+        floor = self._grantor.lowest_applied_version(key, chosen[key], now)
         confirmed = chosen if key == REGISTRY_KEY else {key: floor}
         return AppliedVersionsReport(
             key=key,
             version=floor,
-            nodes=self._grantor.confirming(confirmed, now),
+            nodes=self._grantor.confirming_nodes(confirmed, now),
             chosen=chosen,
             config_version=self._context.sets.version,
         )
--- a/src/zincvale/coordination/delivery/long_poll_client.py
+++ b/src/zincvale/coordination/delivery/long_poll_client.py
@@ -46,7 +46,7 @@
         self.topics = EphemeralTopics()
         self.notes = ChangeNotifications()
 
-    def held(self) -> dict[str, int]:
+    def applied_versions(self) -> dict[str, int]:
         """Return the versions held of the durable keys."""
         return {key: table.version for key, table in self.values.items()}
 
@@ -59,7 +59,7 @@
         self._count += 1
         self._token = f"{POLL_PREFIX}{self._count}"
         poll = Poll(
-            keys=self.held(),
+            keys=self.applied_versions(),
             members_source=self.members_source,
             members_version=self.members.version,
             topics={
--- a/src/zincvale/coordination/election/leader_lease.py
+++ b/src/zincvale/coordination/election/leader_lease.py
@@ -58,7 +58,7 @@
             return Send(sender, RoleRefused(ask.role, ask.epoch, known))
         expires_at = now + self._timings.role_lease_s * CLOCK_RATE_ALLOWANCE
         self._grants[ask.role] = RoleGrant(sender, ask.epoch, expires_at)
-        return Send(sender, RoleGranted(ask.role, ask.epoch, ask.asked_at, config_version))
+        return Send(sender, RoleGranted(ask.role, ask.epoch, ask.requested_at, config_version))
 
     def release(self, sender: MemberId, role: str, epoch: int) -> None:
         """The holder gave its lease back."""
@@ -131,7 +131,7 @@
         """Count a grant from when it was asked for."""
         if granted.epoch != self.epoch or self.phase in (LeasePhase.IDLE, LeasePhase.TAKING):
             return
-        self._asked_at[sender] = max(self._asked_at.get(sender, 0.0), granted.asked_at)
+        self._asked_at[sender] = max(self._asked_at.get(sender, 0.0), granted.requested_at)
         if self.phase is LeasePhase.ASKING and now < self.acts_until(quorum):
             self.phase = LeasePhase.HELD
 
@@ -157,10 +157,10 @@
 
     def acts_until(self, quorum: ReplicaConfig) -> float:
         """Return the instant after which a majority of grantors may have forgotten this holder."""
-        for asked_at in sorted(self._asked_at.values(), reverse=True):
-            granted = {each for each, at in self._asked_at.items() if at >= asked_at}
+        for requested_at in sorted(self._asked_at.values(), reverse=True):
+            granted = {each for each, at in self._asked_at.items() if at >= requested_at}
             if quorum.is_member_quorum(granted):
-                return asked_at + self._timings.role_lease_s - self._timings.role_margin_s
+                return requested_at + self._timings.role_lease_s - self._timings.role_margin_s
         return float("-inf")
 
     def state(self, quorum: ReplicaConfig, now: float) -> LeadershipState:
--- a/src/zincvale/coordination/election/messages.py
+++ b/src/zincvale/coordination/election/messages.py
@@ -14,7 +14,7 @@
 
     role: str
     epoch: int
-    asked_at: float
+    requested_at: float
 
 
 @peer_message("role.released")
@@ -33,7 +33,7 @@
 
     role: str
     epoch: int
-    asked_at: float
+    requested_at: float
     config_version: int
     """The grantor's replica sets; a holder that knows only older ones does not count the grant."""
 
--- a/src/zincvale/coordination/leases/catch_up.py
+++ b/src/zincvale/coordination/leases/catch_up.py
@@ -1,8 +1,12 @@
 """Tells when a started core knows everything that was acknowledged before it started.
 
 It does once, for each delivered key, a majority of replicas has said *after this start* that no
-epoch above the serving owner's was promised, and the owner's chosen version is held here. Until
-then it grants no leases, for it may have reported newer versions in an earlier run.
+epoch above the serving owner's was promised, and the owner's chosen version is known here. Until
+then it grants no leases: an earlier run of this process may have reported newer versions as applied
+everywhere, and a grant that does not require them would support a node that lacks them.
+
+A heartbeat proves that it was sent after this start by naming the incarnation of this process among
+those that its sender heard.
 """
 
 from __future__ import annotations
@@ -16,7 +20,7 @@
 
 
 class CatchUpTracker:
-    """Watches the statuses heard since this process started."""
+    """Judges by the heartbeats that were sent since this process started."""
 
     def __init__(self, context: CoreContext, owners: dict[str, RegisterOwner]) -> None:
         self._context = context
@@ -36,18 +40,18 @@
 
     def _statuses_since_start(self, key: str, now: float) -> dict[str, KeyStatus]:
         context = self._context
-        found = {context.own_replica(): own_key_status(context, self._owners, key)}
+        statuses = {context.own_replica(): own_key_status(context, self._owners, key)}
         for member, status in context.cores.live(now).items():
             if status.heard.get(context.own_id) != context.config.incarnation:
                 continue
             for key_status in status.keys:
                 if key_status.key == key:
-                    found[replica_id(member, status.disk)] = key_status
-        return found
+                    statuses[replica_id(member, status.disk)] = key_status
+        return statuses
 
 
 def own_key_status(context: CoreContext, owners: dict[str, RegisterOwner], key: str) -> KeyStatus:
-    """Return where this core stands with `key`."""
+    """Return this core's promise, accepted position and epoch of `key`, as its heartbeat states."""
     state = context.replica.state(key)
     owner = owners.get(key)
     serving = owner is not None and owner.is_serving()
--- a/src/zincvale/coordination/leases/core_leases.py
+++ b/src/zincvale/coordination/leases/core_leases.py
@@ -1,4 +1,8 @@
-"""Member leases at a core: who gets a grant, and what follows from the leases."""
+"""Member leases at a core: who gets a grant, and what follows from the leases.
+
+A core grants nothing before it is caught up (see `catch_up`) and while `grants_blocked_until` lies
+ahead: a grant must require everything that was acknowledged before this process started.
+"""
 
 from __future__ import annotations
 
@@ -15,34 +19,42 @@
 
 
 class MemberLeases:
-    """Grants leases once this core knows what was acknowledged before it started."""
+    """The member leases of one core, and the tables that are made from them.
+
+    Attributes
+    ----------
+    grantor : the leases granted here.
+    applied_versions : this core's reports of applied versions, and the other cores'.
+    members : the member table, made from the leases and the cores' heartbeats.
+    caught_up : whether this core knows everything acknowledged before it started.
+    """
 
     def __init__(self, context: CoreContext) -> None:
         timings = context.config.timings
         earliest = context.started_at + timings.lease_ttl_s * CLOCK_RATE_ALLOWANCE
         self._context = context
         self.grantor = LeaseGrantor(timings, earliest)
-        self.reports = AppliedVersions(context, self.grantor)
+        self.applied_versions = AppliedVersions(context, self.grantor)
         self.members = MemberTable(context, self.grantor)
         self._registry = RegistryReconciler(context, self.grantor)
         self.caught_up = False
 
-    def handle_renew(
+    def handle_renewal(
         self, renewal: RenewLease, newest: dict[str, int], now: float
     ) -> LeaseGranted | LeaseRedirect:
-        """Grant a lease, or say why not; a lease that starts anew needs the `newest` versions."""
+        """Grant a lease, or say why not; a lease that starts anew requires `newest`."""
         context = self._context
         context.cores.note_address(renewal.info)
         if not self.caught_up or not context.is_voter() or now < context.grants_blocked_until:
             return LeaseRedirect(self.core_infos(), "this core cannot grant yet")
-        is_informed = renewal.config_version == context.sets.version
+        knows_replica_sets = renewal.config_version == context.sets.version
         return LeaseGranted(
-            asked_at=renewal.asked_at,
+            requested_at=renewal.requested_at,
             config_version=context.sets.version,
-            grantors=ReplicaConfig() if is_informed else context.sets.grantors(),
+            grantors=ReplicaConfig() if knows_replica_sets else context.sets.grantors(),
             required=self.grantor.renew(renewal, newest, now),
             chosen=context.chosen_versions(),
-            cores=[] if is_informed else self.core_infos(),
+            cores=[] if knows_replica_sets else self.core_infos(),
             cluster_incarnation=context.sets.cluster_incarnation,
             fence=context.newest_role_epoch(),
         )
@@ -53,21 +65,25 @@
         return infos if infos else [self._context.info()]
 
     def report_if_complete(self, now: float) -> list[Effect]:
-        """Report at once when the last node that lacked a version confirmed it."""
-        if not self.caught_up or not self.grantor.replicas_changed or self.grantor.has_laggards():
+        """Report applied versions at once when no live lease lacks a chosen version any more."""
+        if (
+            not self.caught_up
+            or not self.grantor.applied_versions_changed
+            or self.grantor.has_stale_members()
+        ):
             return []
-        return self.reports.report(now, only_news=True)
+        return self.applied_versions.report(now, only_news=True)
 
     def tick(self, now: float) -> list[Effect]:
-        """Expire leases, report, call back lost nodes."""
+        """Expire leases, report applied versions, invite registered nodes that have no lease."""
         self.grantor.expire(now)
         if not self.caught_up:
             return []
-        call_back = self._registry.call_back(self.core_infos(), now)
-        return [*self.reports.tick(now), *call_back]
+        invitations = self._registry.invite_absent(self.core_infos(), now)
+        return [*self.applied_versions.tick(now), *invitations]
 
     def registry_change(self, now: float) -> bytes | None:
         """Return the next change of the registry, if one is due."""
         if not self.caught_up:
             return None
-        return self._registry.next_change(self.reports.is_settled(REGISTRY_KEY), now)
+        return self._registry.next_change(self.applied_versions.is_settled(REGISTRY_KEY), now)
--- a/src/zincvale/coordination/leases/member_lease.py
+++ b/src/zincvale/coordination/leases/member_lease.py
@@ -1,7 +1,11 @@
 """The node's side of its member lease.
 
-The lease is valid while a majority of the cores granted it within its lifetime, counted from when
-the node asked. A grant counts only while the node holds the versions that the grant requires.
+The lease is valid while a majority of the granting cores granted it within its lifetime. A grant
+counts from the instant of the node's request, not from its arrival: grants that waited in the
+sockets of a process that was frozen are worth no more. It counts only while the node has applied
+the versions that the grant requires.
+
+While the replica sets change, a majority of the old and of the new grantors is needed.
 """
 
 from __future__ import annotations
@@ -18,14 +22,14 @@
 
 @attrs.frozen
 class Grant:
-    """The newest grant of one core."""
+    """The newest grant of one core; `requested_at` is on the node's own clock."""
 
-    asked_at: float
+    requested_at: float
     required: dict[str, int]
 
 
-class NodeLease:
-    """Grants of the cores, and where the cores are."""
+class MemberLeaseHolder:
+    """The grants that this node has, and where the cores are reached."""
 
     def __init__(self, config: NodeConfig) -> None:
         self._config = config
@@ -39,7 +43,7 @@
         self.fence = 0
         """The newest fencing epoch of any role that a core named."""
 
-    def info(self) -> MemberInfo:
+    def own_info(self) -> MemberInfo:
         """Return how this node describes itself."""
         config = self._config
         return MemberInfo(
@@ -52,22 +56,28 @@
         )
 
     def renewal(
-        self, held: dict[str, int], ready: bool, evidence_silent: bool, fence: int, now: float
+        self,
+        applied_versions: dict[str, int],
+        *,
+        ready: bool,
+        may_confirm: bool,
+        fence: int,
+        now: float,
     ) -> RenewLease:
-        """Return the request for a grant."""
+        """Return the request for a grant; the parameters are fields of `RenewLease`."""
         return RenewLease(
-            info=self.info(),
-            asked_at=now,
+            info=self.own_info(),
+            requested_at=now,
             ready=ready,
-            held=held,
-            evidence_silent=evidence_silent,
+            applied_versions=applied_versions,
+            may_confirm=may_confirm,
             cluster_incarnation=self.cluster_incarnation,
             config_version=self._config_version,
             fence=max(fence, self.fence),
         )
 
     def targets(self) -> list[MemberId]:
-        """Return the cores to ask: those that grant, those known, else the seeds by address."""
+        """Return whom to send renewals: the grantors, else the cores known, else the seeds."""
         if self._grantors.replicas:
             return self._grantors.members()
         if self.cores:
@@ -79,7 +89,7 @@
         return self._grantors.is_member_quorum(cores)
 
     def grantors(self) -> list[MemberId]:
-        """Return the cores whose grants count, once they are known."""
+        """Return the cores whose grants count; none before the first grant."""
         return self._grantors.members()
 
     def in_own_zone(self, members: list[MemberId]) -> list[MemberId]:
@@ -102,7 +112,7 @@
         return Address(info.peer_address) if info else None
 
     def learn_cores(self, infos: list[MemberInfo]) -> None:
-        """Remember the cores that a process named."""
+        """Add cores that a process named; what a core granted itself is not overwritten."""
         for info in infos:
             self.cores.setdefault(MemberId(info.member), info)
 
@@ -116,36 +126,45 @@
             self._valid_for = None
         self.fence = max(self.fence, granted.fence)
         known = self._grants.get(sender)
-        if known is None or granted.asked_at > known.asked_at:
-            self._grants[sender] = Grant(granted.asked_at, granted.required)
+        if known is None or granted.requested_at > known.requested_at:
+            self._grants[sender] = Grant(granted.requested_at, granted.required)
             self._valid_for = None
 
-    def drop(self) -> None:
-        """Hold no grant any more, after the clock jumped."""
+    def discard_grants(self) -> None:
+        """Discard every grant: the clock jumped, so the lifetimes counted by it are void."""
         self._grants.clear()
         self._valid_for = None
 
-    def valid_until(self, held: dict[str, int]) -> float:
-        """Return until when a majority's grants count for a holder of the versions `held`."""
-        if self._valid_for != held:
-            self._valid_for = dict(held)
-            self._valid_until = self._count(held)
+    def valid_until(self, applied_versions: dict[str, int]) -> float:
+        """Return until when a majority's grants count for a node with these applied versions.
+
+        It is minus infinity without a majority.
+        """
+        if self._valid_for != applied_versions:
+            self._valid_for = dict(applied_versions)
+            self._valid_until = self._majority_valid_until(applied_versions)
         return self._valid_until
 
-    def _count(self, held: dict[str, int]) -> float:
+    def _majority_valid_until(self, applied_versions: dict[str, int]) -> float:
         if not self._grantors.replicas:
             return float("-inf")
-        asked = {
-            core: grant.asked_at
+        requested = {
+            core: grant.requested_at
             for core, grant in self._grants.items()
-            if all(held.get(key, 0) >= version for key, version in grant.required.items())
+            if all(
+                applied_versions.get(key, 0) >= version for key, version in grant.required.items()
+            )
         }
         sets = self._grantors.quorum_sets()
-        return min(_majority_asked(each, asked) for each in sets) + self._config.timings.lease_ttl_s
+        return (
+            min(_majority_requested_at(each, requested) for each in sets)
+            + self._config.timings.lease_ttl_s
+        )
 
 
-def _majority_asked(replicas: list[str], asked: dict[MemberId, float]) -> float:
+def _majority_requested_at(replicas: list[str], requested: dict[MemberId, float]) -> float:
+    """Return the latest instant since which a majority of `replicas` granted requests."""
     members = [member_of(replica) for replica in replicas]
-    times = sorted((asked[member] for member in members if member in asked), reverse=True)
+    times = sorted((requested[member] for member in members if member in requested), reverse=True)
     needed = majority(len(members))
     return times[needed - 1] if len(times) >= needed else float("-inf")
--- a/src/zincvale/coordination/leases/messages.py
+++ b/src/zincvale/coordination/leases/messages.py
@@ -1,4 +1,7 @@
-"""Messages about the members' leases."""
+"""Messages about member leases: renewals, grants, their relays, and evidence of a partition.
+
+They travel as positional Avro: the order and the types of the fields are the wire format.
+"""
 
 from __future__ import annotations
 
@@ -12,17 +15,21 @@
 @peer_message("lease.renew")
 @attrs.frozen
 class RenewLease:
-    """A node asks a core for its lease and says which versions it holds."""
+    """A node requests a grant of its lease and reports the versions that it has applied."""
 
     info: MemberInfo
-    asked_at: float
+    requested_at: float
+    """Seconds on the node's own clock; a grant counts from this instant."""
     ready: bool
-    held: dict[str, int]
-    evidence_silent: bool
-    """The node told no peer that it was cut off during the last lease lifetime."""
+    applied_versions: dict[str, int]
+    """Version by delivered key."""
+    may_confirm: bool
+    """No evidence of a partition that the node gave to a peer may still count; only then do its
+    applied versions count towards the registered majority."""
     cluster_incarnation: str
     config_version: int
-    """The replica sets that the node counts by; a grant describes them only when they differ."""
+    """Version of the replica sets that the node counts by; a grant describes them only when they
+    differ."""
     fence: int
     """The newest fencing epoch of any role that the node saw."""
 
@@ -30,15 +37,16 @@
 @peer_message("lease.granted")
 @attrs.frozen
 class LeaseGranted:
-    """A core's grant; it counts only for a node that holds the `required` versions."""
+    """A core's grant; it counts only for a node that has applied the `required` versions."""
 
-    asked_at: float
+    requested_at: float
+    """As in the renewal, on the node's clock."""
     config_version: int
     grantors: ReplicaConfig
     """The cores that grant; empty, like `cores`, for a node that knows `config_version`."""
     required: dict[str, int]
     chosen: dict[str, int]
-    """The newest versions the core knows, so that a node notices a poll that lags."""
+    """The newest chosen versions that the core knows, so that a node notices a poll that lags."""
     cores: list[MemberInfo]
     cluster_incarnation: str
     fence: int
@@ -48,7 +56,7 @@
 @peer_message("lease.relay")
 @attrs.frozen
 class RelayRenewal:
-    """Ask a peer to pass a renewal on to the cores it reaches."""
+    """Requests a peer to forward a renewal to the cores that it reaches."""
 
     renewal: RenewLease
 
@@ -56,7 +64,7 @@
 @peer_message("lease.relayed")
 @attrs.frozen
 class RelayedRenewal:
-    """A renewal that came through the sender, for a node that does not reach the core itself."""
+    """A renewal forwarded by the sender, for a node that does not reach the core itself."""
 
     renewal: RenewLease
 
@@ -74,27 +82,30 @@
 @peer_message("island.probe")
 @attrs.frozen
 class PartitionProbe:
-    """A node that lost the cores asks a peer whether it lost them as well."""
+    """A node that reaches no core asks a peer whether it reaches none either."""
 
-    asked_at: float
+    requested_at: float
 
 
 @peer_message("island.evidence")
 @attrs.frozen
 class PartitionEvidence:
-    """The sender lost the cores too, holds these versions, and confirms nothing for a while."""
+    """The sender reaches no core either, and has applied these versions.
+
+    From now on it confirms no version to any core until the evidence cannot count any more.
+    """
 
-    asked_at: float
-    held: dict[str, int]
+    requested_at: float
+    applied_versions: dict[str, int]
     ages: bytes
-    """Age of the evidence the sender collected, one byte per registered node in order of name, in
-    250ths of a lease lifetime; 255 for none."""
+    """Age of the evidence that the sender collected: one byte for each registered node, in order of
+    name, in 250ths of a lease lifetime; 255 for none."""
 
 
 @peer_message("lease.batch")
 @attrs.frozen
 class RelayedRenewals:
-    """Renewals that a home core collected, for another granting core."""
+    """Renewals that a coordinating core collected, for another granting core."""
 
     renewals: list[RenewLease]
 
@@ -110,7 +121,7 @@
 @peer_message("lease.batch-grants")
 @attrs.frozen
 class RelayedGrants:
-    """A granting core's answer to a batch of renewals."""
+    """A granting core's response to a batch of renewals."""
 
     grants: list[NodeGrant]
 
@@ -126,7 +137,7 @@
 @peer_message("lease.grants")
 @attrs.frozen
 class LeaseGrants:
-    """A home core's answer to a renewal: the grants of a majority, or what came in time."""
+    """A coordinating core's response to a renewal: a majority's grants, or what came in time."""
 
     grants: list[CoreGrant]
 
@@ -134,9 +145,9 @@
 @peer_message("lease.redirect")
 @attrs.frozen
 class LeaseRedirect:
-    """No grant: the sender cannot grant; `cores` are those it knows.
+    """No grant: the sender cannot grant; `cores` are those that it knows.
 
-    With `can_grant`, a core tells a node that renewed nowhere lately that it grants.
+    With `can_grant`, a core invites a node that has no lease to renew: its seeds may be outdated.
     """
 
     cores: list[MemberInfo]
--- a/src/zincvale/coordination/membership/registry_reconciler.py
+++ b/src/zincvale/coordination/membership/registry_reconciler.py
@@ -50,7 +50,7 @@
         remove = self._absent(registered, now)
         return registry.open_change(add, remove) if add or remove else None
 
-    def call_back(self, cores: list[MemberInfo], now: float) -> list[Effect]:
+    def invite_absent(self, cores: list[MemberInfo], now: float) -> list[Effect]:
         """Tell registered nodes without a lease where the cores are: their seeds may be gone."""
         if now < self._call_back_at:
             return []
--- a/src/zincvale/coordination/node/machine.py
+++ b/src/zincvale/coordination/node/machine.py
@@ -12,7 +12,7 @@
 from zincvale.coordination.delivery.long_poll_server import LongPollServer, delta_message
 from zincvale.coordination.delivery.messages import Poll, PollResponse
 from zincvale.coordination.delivery.versioned_table import Delta
-from zincvale.coordination.leases.member_lease import NodeLease
+from zincvale.coordination.leases.member_lease import MemberLeaseHolder
 from zincvale.coordination.leases.messages import (
     LeaseGranted,
     LeaseGrants,
@@ -24,7 +24,7 @@
     RelayRenewal,
     RenewLease,
 )
-from zincvale.coordination.leases.renewal_coordinator import HOME_PREFIX, RenewalCoordinator
+from zincvale.coordination.leases.renewal_client import RENEWAL_PREFIX, RenewalClient
 from zincvale.coordination.membership.member_codec import MemberTableDecoder, decode_member
 from zincvale.coordination.membership.registry import decode_row
 from zincvale.coordination.node.partition_guard import PartitionGuard
@@ -72,10 +72,10 @@
     def __init__(self, config: NodeConfig, random: random.Random, now: float) -> None:
         self._config = config
         self._random = random
-        self._lease = NodeLease(config)
+        self._lease = MemberLeaseHolder(config)
         self._poller = LongPollClient(config, DELIVERED_KEYS, random)
         self._island = PartitionGuard(config, random, now)
-        self._home = RenewalCoordinator(config, random)
+        self._renewal_client = RenewalClient(config, random)
         self._delivery = LongPollServer(
             config.timings, self._poller.values, self._poller.members, self._poller.topics
         )
@@ -104,10 +104,10 @@
                 return self._handle_tick(now)
             case MessageReceived(sender, message):
                 return self._handle_message(sender, message, now)
-            case CallReplied(token, LeaseGrants() as grants) if token.startswith(HOME_PREFIX):
-                return self._handle_home_grants(token, grants, now)
-            case CallReplied(token, _) | CallFailed(token, _) if token.startswith(HOME_PREFIX):
-                return self._handle_home_failure(token, now)
+            case CallReplied(token, LeaseGrants() as grants) if token.startswith(RENEWAL_PREFIX):
+                return self._handle_lease_grants(token, grants, now)
+            case CallReplied(token, _) | CallFailed(token, _) if token.startswith(RENEWAL_PREFIX):
+                return self._handle_renewal_failure(token, now)
             case CallReplied(token, PollResponse() as answer) if token.startswith(POLL_PREFIX):
                 return self._handle_answer(token, answer, now)
             case CallReplied(token, _) | CallFailed(token, _) if token.startswith(POLL_PREFIX):
@@ -117,8 +117,8 @@
             case CallAbandoned(token):
                 self._delivery.abandon(token)
             case ClockJumped(gap_s):
-                self._lease.drop()
-                self._home.drop()
+                self._lease.discard_grants()
+                self._renewal_client.abandon_call()
                 self._island.drop()
                 self._poller.restart(None)
                 return [Log(log_events.CLOCK_JUMPED, {"gap_s": round(gap_s, 3)})]
@@ -143,10 +143,12 @@
                 return [Send(sender, LeaseRedirect(list(self._lease.cores.values()), "a node"))]
             case PartitionProbe() if self._may_give_evidence(now):
                 return self._island.answer(
-                    sender, message, self._registered(), self._poller.held(), now
+                    sender, message, self._registered(), self._poller.applied_versions(), now
                 )
             case PartitionEvidence():
-                self._island.note(sender, message, self._registered(), self._poller.held())
+                self._island.note(
+                    sender, message, self._registered(), self._poller.applied_versions()
+                )
             case FetchValue():
                 return self._handle_fetch(sender, message)
         return []
@@ -166,7 +168,7 @@
         self._poller.leave_silent_host(hosts)
         effects: list[Effect] = list(self._poller.tick(hosts, now))
         if now >= self._renew_at:
-            effects.extend(self._renew_through_home(now))
+            effects.extend(self._renew_through_coordinator(now))
         effects.extend(self._delivery.tick(now))
         if self._suspects(now):
             effects.extend(self._ask_peers(now))
@@ -192,42 +194,42 @@
 
     # --- cores and peers ------------------------------------------------------------------
 
-    def _renew_through_home(self, now: float) -> list[Effect]:
-        """Renew by one call; at every core without a home core or after a renewal that failed."""
-        if self._home.is_waiting():
+    def _renew_through_coordinator(self, now: float) -> list[Effect]:
+        """Renew by one call; at every core without a coordinator or after a renewal that failed."""
+        if self._renewal_client.is_waiting():
             return []
         if self._left_s(now) < self._config.timings.lease_ttl_s * HEALTHY_FACTOR:
             return self._renew(now)
         grantors = self._lease.grantors()
         near = self._lease.in_own_zone(grantors)
-        call = self._home.renew(grantors, near, self._renewal(now), now)
+        call = self._renewal_client.renew(grantors, near, self._renewal(now), now)
         if call is None:
             return self._renew(now)
         self._renew_at = now + self._config.timings.lease_renew_s
         return [call]
 
-    def _handle_home_grants(self, token: str, answer: LeaseGrants, now: float) -> list[Effect]:
-        home = self._home.ended(token)
-        if home is None:
+    def _handle_lease_grants(self, token: str, response: LeaseGrants, now: float) -> list[Effect]:
+        coordinator = self._renewal_client.complete_call(token)
+        if coordinator is None:
             return []
-        self._heard_at[home] = now
+        self._heard_at[coordinator] = now
         effects: list[Effect] = []
-        for grant in answer.grants:
+        for grant in response.grants:
             core = MemberId(grant.core)
-            effects.extend(self._handle_granted(core, home, grant.granted, now))
-        granted = [MemberId(grant.core) for grant in answer.grants]
+            effects.extend(self._handle_granted(core, coordinator, grant.granted, now))
+        granted = [MemberId(grant.core) for grant in response.grants]
         has_majority = self._lease.is_majority(granted)
-        self._home.answered(has_majority, now)
+        self._renewal_client.on_response(has_majority=has_majority, now=now)
         if not has_majority:
             renewal = self._renewal(now)
             missing = [core for core in self._lease.grantors() if core not in granted]
             effects.extend(Send(core, renewal) for core in missing)
         return effects
 
-    def _handle_home_failure(self, token: str, now: float) -> list[Effect]:
-        if self._home.ended(token) is None:
+    def _handle_renewal_failure(self, token: str, now: float) -> list[Effect]:
+        if self._renewal_client.complete_call(token) is None:
             return []
-        self._home.failed(now)
+        self._renewal_client.on_failure(now)
         return self._renew(now)
 
     def _renew(self, now: float) -> list[Effect]:
@@ -245,9 +247,13 @@
         return min(renew_s, FIRST_ASK_AGAIN_S * ASK_AGAIN_GROWTH**self._asked)
 
     def _renewal(self, now: float) -> RenewLease:
-        silent = self._island.is_silent(now)
-        fence = self._poller.topics.newest_epoch()
-        return self._lease.renewal(self._poller.held(), self.ready(now), silent, fence, now)
+        return self._lease.renewal(
+            self._poller.applied_versions(),
+            ready=self.ready(now),
+            may_confirm=self._island.is_silent(now),
+            fence=self._poller.topics.newest_epoch(),
+            now=now,
+        )
 
     def _ask_peers(self, now: float) -> list[Effect]:
         """Renew through peers; ask them whether they lost the cores too; try the seeds again."""
@@ -278,7 +284,7 @@
         answering = self._answering(now)
         if answering:
             return self._lease.in_own_zone(answering) or answering
-        return self._island.newer_peers(self._poller.held(), now) or self._peers()
+        return self._island.newer_peers(self._poller.applied_versions(), now) or self._peers()
 
     def _answering(self, now: float) -> list[MemberId]:
         """Return the cores that answered this node itself within a lease lifetime."""
@@ -291,18 +297,18 @@
     # --- freshness ------------------------------------------------------------------------
 
     def _has_lease(self, now: float) -> bool:
-        return now < self._lease.valid_until(self._poller.held())
+        return now < self._lease.valid_until(self._poller.applied_versions())
 
     def _suspects(self, now: float) -> bool:
         """Whether renewals go unanswered, so that the lease is about to lapse or has lapsed."""
         left_s = self._left_s(now)
-        if left_s > 0 and self._home.is_waiting():
+        if left_s > 0 and self._renewal_client.is_waiting():
             return False
         return left_s < self._config.timings.lease_ttl_s * SUSPICION_FACTOR
 
     def _left_s(self, now: float) -> float:
         """Return how long the lease still lasts; negative when it lapsed."""
-        return self._lease.valid_until(self._poller.held()) - now
+        return self._lease.valid_until(self._poller.applied_versions()) - now
 
     def _may_give_evidence(self, now: float) -> bool:
         """Only a node that once held a lease knows everything acknowledged before that."""
--- a/src/zincvale/coordination/node/partition_guard.py
+++ b/src/zincvale/coordination/node/partition_guard.py
@@ -71,28 +71,32 @@
         sender: MemberId,
         probe: PartitionProbe,
         registered: Rows,
-        held: dict[str, int],
+        applied_versions: dict[str, int],
         now: float,
     ) -> list[Effect]:
         """Give evidence; from now on this node confirms nothing for a while."""
         self._given_at = now
         ages = bytes(self._age(node, now) for node in sorted(registered))
-        return [Send(sender, PartitionEvidence(probe.asked_at, held, ages))]
+        return [Send(sender, PartitionEvidence(probe.requested_at, applied_versions, ages))]
 
     def note(
-        self, sender: MemberId, evidence: PartitionEvidence, registered: Rows, held: dict[str, int]
+        self,
+        sender: MemberId,
+        evidence: PartitionEvidence,
+        registered: Rows,
+        applied_versions: dict[str, int],
     ) -> None:
         """Count a peer's evidence and what it passes on, unless it holds something newer."""
-        if not _holds_all(held, evidence.held):
-            self._newer[sender] = (evidence.asked_at, evidence.held)
+        if not _has_applied_all(applied_versions, evidence.applied_versions):
+            self._newer[sender] = (evidence.requested_at, evidence.applied_versions)
             return
         self._newer.pop(sender, None)
-        self._count(sender, evidence.asked_at)
-        if evidence.held.get(REGISTRY_KEY) != held.get(REGISTRY_KEY):
+        self._count(sender, evidence.requested_at)
+        if evidence.applied_versions.get(REGISTRY_KEY) != applied_versions.get(REGISTRY_KEY):
             return
         for node, age in zip(sorted(registered), evidence.ages, strict=False):
             if age != NO_EVIDENCE and node != self._config.member:
-                self._count(node, evidence.asked_at - age * self._lifetime_s / AGE_STEPS)
+                self._count(node, evidence.requested_at - age * self._lifetime_s / AGE_STEPS)
 
     def valid_until(self, registered: Rows, now: float) -> float:
         """Return until when this node may serve on what it holds."""
@@ -102,16 +106,17 @@
         sets = registry.counting_sets(registered)
         return min(_majority_asked(each, asked) for each in sets) + self._lifetime_s
 
-    def newer_peers(self, held: dict[str, int], now: float) -> list[MemberId]:
+    def newer_peers(self, applied_versions: dict[str, int], now: float) -> list[MemberId]:
         """Return peers that lately said that they hold something newer."""
         return [
             MemberId(node)
-            for node, (asked_at, theirs) in self._newer.items()
-            if now < asked_at + self._lifetime_s and not _holds_all(held, theirs)
+            for node, (requested_at, theirs) in self._newer.items()
+            if now < requested_at + self._lifetime_s
+            and not _has_applied_all(applied_versions, theirs)
         ]
 
-    def _count(self, node: str, asked_at: float) -> None:
-        self._asked_at[node] = max(asked_at, self._asked_at.get(node, float("-inf")))
+    def _count(self, node: str, requested_at: float) -> None:
+        self._asked_at[node] = max(requested_at, self._asked_at.get(node, float("-inf")))
 
     def _age(self, node: str, now: float) -> int:
         """Return the age of a node's evidence in steps, rounded up."""
@@ -132,5 +137,5 @@
     return times[needed - 1] if len(times) >= needed else float("-inf")
 
 
-def _holds_all(held: dict[str, int], other: dict[str, int]) -> bool:
-    return all(held.get(key, 0) >= version for key, version in other.items())
+def _has_applied_all(applied_versions: dict[str, int], other: dict[str, int]) -> bool:
+    return all(applied_versions.get(key, 0) >= version for key, version in other.items())
--- a/src/zincvale/coordination/registers/value_repair.py
+++ b/src/zincvale/coordination/registers/value_repair.py
@@ -57,7 +57,7 @@
             return
         self._newest_fence = max(self._newest_fence, renewal.fence)
         for key in DELIVERED_KEYS:
-            version = renewal.held.get(key, 0)
+            version = renewal.applied_versions.get(key, 0)
             if version > self.newest(key):
                 self._newest_at_nodes[key] = _NewestVersion(sender, version)
 
--- a/src/zincvale/daemons/forwarding_timings.py
+++ b/src/zincvale/daemons/forwarding_timings.py
@@ -15,7 +15,7 @@
 REPLACE_DELAY_S = 1.2
 BOOTSTRAP_LISTEN_S = 0.5
 CANDIDATE_STAGGER_S = 0.3
-HOME_COLLECT_S = 0.1
+RENEWAL_COLLECT_S = 0.1
 """Each collection costs a message to every other granting core; a lease lasts 18 times as long."""
 POLL_ANSWERS_PER_S = 60.0
 """About 4% of a core, at 0.6 ms an answer."""
@@ -30,6 +30,6 @@
         replace_delay_s=REPLACE_DELAY_S,
         bootstrap_listen_s=BOOTSTRAP_LISTEN_S,
         candidate_stagger_s=CANDIDATE_STAGGER_S,
-        home_collect_s=HOME_COLLECT_S,
+        renewal_collect_s=RENEWAL_COLLECT_S,
         poll_answers_per_s=POLL_ANSWERS_PER_S,
     )
--- a/src/zincvale/simulator/mutations/leases.py
+++ b/src/zincvale/simulator/mutations/leases.py
@@ -7,16 +7,15 @@
 from typing import Any
 from unittest import mock
 
-from zincvale.coordination.delivery import rollout as in_force
+from zincvale.coordination.delivery import rollout
 from zincvale.coordination.delivery.rollout import RolloutTracker
-from zincvale.coordination.election import leader_lease as role_lease
+from zincvale.coordination.election import leader_lease
 from zincvale.coordination.election.leader_lease import LeaderLeaseGrantor, LeaderLeaseHolder
-from zincvale.coordination.leases import catch_up as catching_up
-from zincvale.coordination.leases import lease_grantor
+from zincvale.coordination.leases import catch_up, lease_grantor
 from zincvale.coordination.leases.core_leases import MemberLeases
 from zincvale.coordination.leases.lease_grantor import LeaseGrantor
-from zincvale.coordination.leases.member_lease import NodeLease
-from zincvale.coordination.node import partition_guard as node_island
+from zincvale.coordination.leases.member_lease import MemberLeaseHolder
+from zincvale.coordination.node import partition_guard
 from zincvale.model.machine import Send
 from zincvale.simulator.mutations.registry import mutation
 
@@ -58,13 +57,13 @@
 @contextlib.contextmanager
 def _no_listening() -> Iterator[None]:
     """A restarted core does not listen to what nodes hold before it grants."""
-    original = MemberLeases.handle_renew
+    original = MemberLeases.handle_renewal
 
     def hasty(self: Any, renewal: Any, newest: Any, now: float) -> Any:
         self._context.grants_blocked_until = 0.0
         return original(self, renewal, newest, now)
 
-    with mock.patch.object(MemberLeases, "handle_renew", hasty):
+    with mock.patch.object(MemberLeases, "handle_renewal", hasty):
         yield
 
 
@@ -73,7 +72,7 @@
 def grant_before_caught_up() -> Iterator[None]:
     """A core that knows nothing yet grants leases that require nothing."""
     with (
-        mock.patch.object(catching_up.CatchUpTracker, "is_caught_up", lambda self, now: True),
+        mock.patch.object(catch_up.CatchUpTracker, "is_caught_up", lambda self, now: True),
         _no_listening(),
     ):
         yield
@@ -92,7 +91,7 @@
 def island_serves() -> Iterator[None]:
     """A minority island takes its own evidence for a majority's."""
     with mock.patch.object(
-        node_island.PartitionGuard, "valid_until", lambda self, registered, now: now + 1.0
+        partition_guard.PartitionGuard, "valid_until", lambda self, registered, now: now + 1.0
     ):
         yield
 
@@ -101,7 +100,7 @@
 @contextlib.contextmanager
 def no_registry_majority() -> Iterator[None]:
     """A majority island serves while changes are acknowledged elsewhere."""
-    with mock.patch.object(in_force, "has_majority", lambda registry, confirmed: True):
+    with mock.patch.object(rollout, "has_majority", lambda registry, confirmed: True):
         yield
 
 
@@ -139,7 +138,7 @@
     def generous(
         self: Any, sender: Any, ask: Any, newest_epoch: int, config_version: int, now: float
     ) -> Any:
-        granted = role_lease.RoleGranted(ask.role, ask.epoch, ask.asked_at, config_version)
+        granted = leader_lease.RoleGranted(ask.role, ask.epoch, ask.requested_at, config_version)
         return Send(sender, granted)
 
     with (
@@ -153,10 +152,10 @@
 @contextlib.contextmanager
 def lease_from_arrival() -> Iterator[None]:
     """Grants that waited in a frozen node's sockets count as fresh."""
-    original = NodeLease.valid_until
+    original = MemberLeaseHolder.valid_until
 
-    def late(self: Any, held: dict[str, int]) -> float:
-        return original(self, held) + self._config.timings.lease_ttl_s
+    def late(self: Any, applied_versions: dict[str, int]) -> float:
+        return original(self, applied_versions) + self._config.timings.lease_ttl_s
 
-    with mock.patch.object(NodeLease, "valid_until", late):
+    with mock.patch.object(MemberLeaseHolder, "valid_until", late):
         yield
--- a/src/zincvale/simulator/mutations/registers.py
+++ b/src/zincvale/simulator/mutations/registers.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from zincvale.coordination.leases import member_lease as node_lease
+from zincvale.coordination.leases import member_lease
 from zincvale.coordination.registers import change_batch
 from zincvale.coordination.registers.chosen_values import ChosenValues
 from zincvale.coordination.registers.epochs import Epoch
@@ -29,7 +29,7 @@
     """Every quorum is reached by one."""
     with (
         mock.patch.object(replica_config, "majority", lambda size: 1),
-        mock.patch.object(node_lease, "majority", lambda size: 1),
+        mock.patch.object(member_lease, "majority", lambda size: 1),
     ):
         yield
 
