--- a/examples/embedded_register.py
+++ b/examples/embedded_register.py
@@ -50,7 +50,7 @@
                         replies.append(message)
                     case m.Reply(token, message):
                         queue.append((calls[token][0], m.CallReplied(calls[token][1], message)))
-    leaders = [name for name in NAMES if cores[name].role("planner", 159 * 0.05).held]
+    leaders = [name for name in NAMES if cores[name].role("planner", 159 * 0.05).is_leader]
     return replies, {name: cores[name].value("k").rows for name in NAMES}, leaders
 
 
--- a/src/zincvale/coordination/changes.py
+++ b/src/zincvale/coordination/changes.py
@@ -59,7 +59,7 @@
 class LeadershipState:
     """Whether this process holds a role, its fencing epoch and until when it may act."""
 
-    held: bool = False
+    is_leader: bool = False
     epoch: int = 0
     acts_until: float = float("-inf")
 
--- a/src/zincvale/coordination/core/messages.py
+++ b/src/zincvale/coordination/core/messages.py
@@ -54,7 +54,7 @@
     topics: dict[str, TopicPosition]
     leaving: bool = False
     """The sender was asked to stop: it owns nothing, leads nothing, and may be replaced."""
-    held_roles: list[str] = attrs.field(factory=list)
+    leased_roles: list[str] = attrs.field(factory=list)
     """Roles for which the sender's grant to some holder is live."""
     number: int = 0
     """Counts the heartbeats of one process that differ in more than their topics."""
--- a/src/zincvale/coordination/election/leader_election.py
+++ b/src/zincvale/coordination/election/leader_election.py
@@ -1,4 +1,10 @@
-"""Singleton roles at a core: standing for them, holding them, granting them."""
+"""Singleton roles at a core: standing for them, leading them, granting their leases.
+
+A role is free when no grantor that is heard has a live grant of it. Candidates wait for their turn,
+staggered by a rendezvous hash, so that one of them is usually alone; when two are not, the durable
+epoch decides. A new epoch ends the lease of an older one, so a core that was cut off or restarted,
+and knows nothing of a live lease, must not take one: see `_is_free`.
+"""
 
 from __future__ import annotations
 
@@ -15,10 +21,10 @@
     LeasePhase,
 )
 from zincvale.coordination.election.messages import (
-    RequestRole,
-    RoleGranted,
-    RoleRefused,
-    RoleReleased,
+    LeadershipGranted,
+    LeadershipRefused,
+    LeadershipReleased,
+    RequestLeadership,
 )
 from zincvale.coordination.membership.peer_table import rendezvous_order
 from zincvale.coordination.registers.change_messages import IN_FORCE, ChangeResult
@@ -26,7 +32,9 @@
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Log, Send
 
-SETTLING_S = 0.2
+FREE_ROLE_DELAY_S = 0.2
+"""A role must be seen free for this long; with less, a core stands for a role whose new leader has
+taken the epoch and only not requested the lease yet."""
 
 
 @attrs.frozen
@@ -62,15 +70,15 @@
         self._grantor = LeaderLeaseGrantor(timings, grants_from)
         self._holders = {role: LeaderLeaseHolder(role, timings) for role in context.config.roles}
         self._free_since: dict[str, _FreeSince] = {}
-        self._was_held: set[str] = set()
+        self._leading: set[str] = set()
 
     def state(self, role: str, now: float) -> LeadershipState:
-        """Return this process's lease of `role`."""
+        """Return whether this process leads `role`, under which epoch and until when."""
         holder = self._holders.get(role)
         return holder.state(self._context.sets.grantors(), now) if holder else LeadershipState()
 
     def last_granted(self, now: float) -> dict[str, tuple[MemberId | None, int]]:
-        """Return the holder and epoch of each role as last granted here."""
+        """Return holder and epoch of each role as last granted here; (None, 0) if it never was."""
         known: dict[str, tuple[MemberId | None, int]] = dict.fromkeys(self._holders, (None, 0))
         known.update(self._grantor.last_granted(now))
         return known
@@ -83,67 +91,67 @@
     def drop_all(self, now: float) -> list[Effect]:
         """Give up every lease, after the clock jumped."""
         for holder in self._holders.values():
-            holder.drop(now + self._context.config.timings.role_renew_s)
-        return self._note_changes(now)
+            holder.give_up(now + self._context.config.timings.role_renew_s)
+        return self._log_changes(now)
 
     def release_all(self, now: float) -> list[Effect]:
-        """Give up every lease and tell the grantors, so that others need not wait for its end."""
+        """Give up every lease and notify the grantors: others need not wait for its end."""
         effects: list[Effect] = []
         for role, holder in self._holders.items():
             if holder.phase is not LeasePhase.IDLE:
-                released = RoleReleased(role, holder.epoch)
+                released = LeadershipReleased(role, holder.epoch)
                 members = self._context.sets.grantors().members()
                 effects.extend(Send(member, released) for member in members)
-            holder.drop(float("inf"))
-        return effects + self._note_changes(now)
+            holder.give_up(float("inf"))
+        return effects + self._log_changes(now)
 
     def handle(
         self,
         sender: MemberId,
-        message: RequestRole | RoleGranted | RoleRefused | RoleReleased,
+        message: RequestLeadership | LeadershipGranted | LeadershipRefused | LeadershipReleased,
         now: float,
     ) -> list[Effect]:
         """Apply a message about leader leases."""
         holder = self._holders.get(message.role)
         sets = self._context.sets
         match message:
-            case RequestRole():
+            case RequestLeadership():
                 newest = self._context.chosen_version(f"{ROLE_KEY_PREFIX}{message.role}")
                 config_version = self._context.sets.version
                 return [self._grantor.handle(sender, message, newest, config_version, now)]
-            case RoleReleased(role, epoch):
+            case LeadershipReleased(role, epoch):
                 self._grantor.release(sender, role, epoch)
-            case RoleGranted(_, _, _, config_version) if config_version > sets.version:
+            case LeadershipGranted(_, _, _, config_version) if config_version > sets.version:
                 return []
-            case RoleGranted() if holder is not None:
-                holder.handle_granted(sender, message, self._context.sets.grantors(), now)
-            case RoleRefused() if holder is not None:
-                holder.handle_refused(message, now)
-        return self._note_changes(now)
-
-    def handle_epoch(self, role: str, result: ChangeResult, now: float) -> list[Effect]:
-        """Take the result of proposing a new epoch."""
+            case LeadershipGranted() if holder is not None:
+                holder.on_granted(sender, message, self._context.sets.grantors(), now)
+            case LeadershipRefused() if holder is not None:
+                holder.on_refused(message, now)
+        return self._log_changes(now)
+
+    def on_epoch_proposed(self, role: str, result: ChangeResult, now: float) -> list[Effect]:
+        """Apply the result of proposing a new epoch."""
         holder = self._holders[role]
         if result.status != IN_FORCE:
-            holder.drop(now + self._context.config.timings.role_renew_s)
+            holder.give_up(now + self._context.config.timings.role_renew_s)
             return []
-        return holder.epoch_chosen(result.version, self._context.sets.grantors(), now)
+        return holder.on_epoch_chosen(result.version, self._context.sets.grantors(), now)
 
     def tick(self, now: float) -> tuple[list[Effect], list[str]]:
-        """Renew; return effects and the roles whose epoch is to be proposed."""
-        if self._nobody_can_hold(now):
-            self._grantor.grant_from(now)
+        """Renew leases; return effects, and the roles for which a new epoch must be proposed."""
+        if self._no_grant_is_live(now):
+            self._grantor.allow_grants(now)
         effects: list[Effect] = []
-        wanted: list[str] = []
+        candidacies: list[str] = []
         for role, holder in self._holders.items():
             effects.extend(holder.tick(self._context.sets.grantors(), now))
             if holder.phase is LeasePhase.IDLE and self._is_our_turn(role, holder, now):
-                holder.begin(now)
-                wanted.append(role)
-        effects.extend(self._note_changes(now))
-        return effects, wanted
+                holder.start_taking(now)
+                candidacies.append(role)
+        effects.extend(self._log_changes(now))
+        return effects, candidacies
 
-    def _nobody_can_hold(self, now: float) -> bool:
+    def _no_grant_is_live(self, now: float) -> bool:
         """Whether every other grantor said, since this process started, that no grant is live.
 
         A holder needs grants of a majority, its own among them; only a grant that this process
@@ -156,7 +164,7 @@
             if member == context.own_id:
                 continue
             status = live.get(member)
-            if status is None or status.held_roles:
+            if status is None or status.leased_roles:
                 return False
             if status.heard.get(context.own_id) != context.config.incarnation:
                 return False
@@ -173,25 +181,25 @@
             return False
         free = self._free_since.get(role)
         if free is None or free.epoch != epoch:
-            # Whoever took the newest epoch is given the time to ask for the lease.
+            # The process that took the newest epoch is given time to request the lease.
             free = _FreeSince(epoch, now)
             self._free_since[role] = free
         stagger_s = self._context.config.timings.candidate_stagger_s
-        return now - free.since >= SETTLING_S + stagger_s * self._rank(role, now)
+        return now - free.since >= FREE_ROLE_DELAY_S + stagger_s * self._rank(role, now)
 
     def _is_free(self, role: str, now: float) -> bool:
-        """Whether no core that is heard has a live grant of it, and a new epoch could be taken.
+        """Whether no core that is heard has a live grant of `role`, and an epoch could be taken.
 
-        A core that restarted, or was cut off, granted nothing lately: what the others say keeps it
-        from ending a lease that it knows nothing of by a newer epoch.
+        A core that restarted, or was cut off, granted nothing lately: the heartbeats of the others
+        keep it from ending, by a newer epoch, a lease that it does not know.
         """
-        if self._grantor.held_elsewhere(role, self._context.own_id, now):
+        if self._grantor.may_be_leased_elsewhere(role, self._context.own_id, now):
             return False
         live = self._context.cores.live(now)
         if not self._context.sets.grantors().is_member_quorum({self._context.own_id, *live}):
             # A proposal made while cut off would be chosen on the return.
             return False
-        if any(role in status.held_roles for status in live.values()):
+        if any(role in status.leased_roles for status in live.values()):
             return False
         return self._owner_of(f"{ROLE_KEY_PREFIX}{role}", now) is not None
 
@@ -202,14 +210,14 @@
                 candidates.append(member)
         return rendezvous_order(role, candidates).index(self._context.own_id)
 
-    def _note_changes(self, now: float) -> list[Effect]:
+    def _log_changes(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        held = {role for role in self._holders if self.state(role, now).held}
-        for role in held - self._was_held:
+        leading = {role for role in self._holders if self.state(role, now).is_leader}
+        for role in leading - self._leading:
             epoch = self._holders[role].epoch
             effects.append(Log(log_events.ROLE_TAKEN, {"role": role, "epoch": epoch}))
-        for role in self._was_held - held:
+        for role in self._leading - leading:
             effects.append(Log(log_events.ROLE_LOST, {"role": role}))
-        self._context.notes.roles |= held ^ self._was_held
-        self._was_held = held
+        self._context.notes.roles |= leading ^ self._leading
+        self._leading = leading
         return effects
--- a/src/zincvale/coordination/election/messages.py
+++ b/src/zincvale/coordination/election/messages.py
@@ -1,4 +1,4 @@
-"""Messages about leader leases."""
+"""Messages about leader leases; positional Avro: the order and types of fields are the format."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 
 @peer_message("role.ask")
 @attrs.frozen
-class RequestRole:
-    """Ask a grantor for the lease of `role` at the fencing `epoch`."""
+class RequestLeadership:
+    """Requests the lease of `role` from a grantor, at the fencing `epoch`."""
 
     role: str
     epoch: int
     requested_at: float
+    """Seconds on the clock of the requesting process, from which it counts the grant."""
 
 
 @peer_message("role.released")
 @attrs.frozen
-class RoleReleased:
-    """The holder gives a role back: it acts no more under `epoch`."""
+class LeadershipReleased:
+    """The holder gives its lease up early: it acts no more under `epoch`."""
 
     role: str
     epoch: int
@@ -28,8 +29,8 @@
 
 @peer_message("role.granted")
 @attrs.frozen
-class RoleGranted:
-    """The lease of `role` was granted, counted from `asked_at` on the asker's clock."""
+class LeadershipGranted:
+    """The lease of `role` was granted, counted from `requested_at` on the requester's clock."""
 
     role: str
     epoch: int
@@ -40,8 +41,8 @@
 
 @peer_message("role.refused")
 @attrs.frozen
-class RoleRefused:
-    """Another holder has the lease, or the epoch is old."""
+class LeadershipRefused:
+    """Another holder has the lease, the grantor may not grant yet, or the epoch is old."""
 
     role: str
     epoch: int
--- a/src/zincvale/coordination/membership/heartbeats.py
+++ b/src/zincvale/coordination/membership/heartbeats.py
@@ -31,11 +31,11 @@
         self,
         context: CoreContext,
         owners: dict[str, RegisterOwner],
-        held_roles: Callable[[float], list[str]],
+        leased_roles: Callable[[float], list[str]],
     ) -> None:
         self._context = context
         self._owners = owners
-        self._held_roles = held_roles
+        self._held_roles = leased_roles
         self._due_at = context.started_at
         self._sent_at = float("-inf")
         self._last: Heartbeat | None = None
@@ -98,7 +98,7 @@
                 for topic in context.topics.names()
             },
             leaving=context.leaving,
-            held_roles=self._held_roles(now),
+            leased_roles=self._held_roles(now),
         )
 
     def _targets(self) -> list[MemberId]:
--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -184,7 +184,7 @@
 
     def _follow_role(self, now: float) -> None:
         state = self.machine.role(PLACEMENT_ROLE, now)
-        if not state.held:
+        if not state.is_leader:
             self._lose_role()
             return
         if state.epoch != self._role_epoch:
--- a/src/zincvale/daemons/leadership_guard.py
+++ b/src/zincvale/daemons/leadership_guard.py
@@ -25,4 +25,4 @@
         """
         now = self.clock()
         state = self.machine.role(self.role, now)
-        return state.held and state.epoch == epoch and now < state.acts_until
+        return state.is_leader and state.epoch == epoch and now < state.acts_until
--- a/src/zincvale/simulator/cluster/checks.py
+++ b/src/zincvale/simulator/cluster/checks.py
@@ -143,7 +143,7 @@
         machine: CoreMachine = process.machine
         for role in self._roles:
             state = machine.role(role, process.local(self._world.now))
-            if not state.held:
+            if not state.is_leader:
                 seen.role_epochs.pop(role, None)
                 continue
             if seen.role_epochs.get(role) == state.epoch:
@@ -166,7 +166,7 @@
             for process in self._world.processes.values()
             if process.kind == "core"
             and not process.frozen
-            and process.machine.role(role, process.local(now)).held
+            and process.machine.role(role, process.local(now)).is_leader
         ]
         if len(holders) > 1:
             raise InvariantViolationError("two-holders", f"{holders} may act as {role}")
--- a/src/zincvale/simulator/cluster/role_publisher.py
+++ b/src/zincvale/simulator/cluster/role_publisher.py
@@ -31,7 +31,7 @@
 
     def _publish_from(self, process: Process) -> None:
         state = process.machine.role(self._role, process.local(self._world.now))
-        if not state.held:
+        if not state.is_leader:
             return
         self._count += 1
         puts = {"row": f"{self._count}".encode()}
--- a/src/zincvale/simulator/mutations/leases.py
+++ b/src/zincvale/simulator/mutations/leases.py
@@ -136,14 +136,18 @@
     """Two may hold one role."""
 
     def generous(
-        self: Any, sender: Any, ask: Any, newest_epoch: int, config_version: int, now: float
+        self: Any, sender: Any, request: Any, newest_epoch: int, config_version: int, now: float
     ) -> Any:
-        granted = leader_lease.RoleGranted(ask.role, ask.epoch, ask.requested_at, config_version)
+        granted = leader_lease.LeadershipGranted(
+            request.role, request.epoch, request.requested_at, config_version
+        )
         return Send(sender, granted)
 
     with (
         mock.patch.object(LeaderLeaseGrantor, "handle", generous),
-        mock.patch.object(LeaderLeaseGrantor, "held_elsewhere", lambda self, role, own, now: False),
+        mock.patch.object(
+            LeaderLeaseGrantor, "may_be_leased_elsewhere", lambda self, role, own, now: False
+        ),
     ):
         yield
 
--- a/src/zincvale/simulator/schedules/run.py
+++ b/src/zincvale/simulator/schedules/run.py
@@ -153,7 +153,7 @@
     def _all_roles_held(self) -> bool:
         cores = [each for each in self.world.processes.values() if each.kind == "core"]
         return all(
-            any(core.machine.role(role, core.local(self.world.now)).held for core in cores)
+            any(core.machine.role(role, core.local(self.world.now)).is_leader for core in cores)
             for role in ROLES
         )
 
--- a/tests/coordination/pump.py
+++ b/tests/coordination/pump.py
@@ -326,7 +326,7 @@
             for each in self.processes.values()
             if isinstance(each.machine, CoreMachine)
             and each.frozen_at is None
-            and each.machine.role("placer", self.now).held
+            and each.machine.role("placer", self.now).is_leader
         }
         assert len(holders) <= 1, f"two holders: {holders}"
 
--- a/tests/coordination/test_failures.py
+++ b/tests/coordination/test_failures.py
@@ -50,12 +50,14 @@
     def test_a_frozen_role_holder_wakes_without_its_role(self) -> None:
         cluster = Cluster().started()
         cluster.run(5.0)
-        holder = next(core for core in CORES if cluster.core(core).role("placer", cluster.now).held)
+        holder = next(
+            core for core in CORES if cluster.core(core).role("placer", cluster.now).is_leader
+        )
         epoch = cluster.core(holder).role("placer", cluster.now).epoch
         cluster.freeze(holder)
         cluster.run(20.0)
         cluster.thaw(holder)
-        self.assertFalse(cluster.core(holder).role("placer", cluster.now).held)
+        self.assertFalse(cluster.core(holder).role("placer", cluster.now).is_leader)
         states = [cluster.core(core).role("placer", cluster.now) for core in self.others(holder)]
         self.assertGreater(max(state.epoch for state in states), epoch)
 
--- a/tests/coordination/test_hand_over.py
+++ b/tests/coordination/test_hand_over.py
@@ -16,7 +16,7 @@
 
 def holder_of(cluster: Cluster) -> str:
     for core in CORES:
-        if core in cluster.processes and cluster.core(core).role(ROLE, cluster.now).held:
+        if core in cluster.processes and cluster.core(core).role(ROLE, cluster.now).is_leader:
             return core
     return ""
 
@@ -33,7 +33,7 @@
         cluster = led(timings=Timings(candidate_stagger_s=0.3))
         leader = holder_of(cluster)
         cluster._feed(cluster.processes[leader], ShutdownRequested())
-        self.assertFalse(cluster.core(leader).role(ROLE, cluster.now).held)
+        self.assertFalse(cluster.core(leader).role(ROLE, cluster.now).is_leader)
         self.assertTrue(cluster.run_until(lambda: holder_of(cluster) not in ("", leader), 2.5))
 
     def test_changes_go_on_while_an_owner_leaves(self) -> None:
@@ -78,7 +78,7 @@
                 cluster.start_core(core, bootstrap=True)
                 cluster.run(12.0)
                 state = cluster.core(leader).role(ROLE, cluster.now)
-                self.assertEqual((True, epoch), (state.held, state.epoch), (seed, core))
+                self.assertEqual((True, epoch), (state.is_leader, state.epoch), (seed, core))
 
     def test_a_core_that_was_cut_off_does_not_end_a_lease_when_it_returns(self) -> None:
         for seed in range(1, 9):
@@ -91,7 +91,7 @@
             cluster.heal()
             cluster.run(10.0)
             state = cluster.core(leader).role(ROLE, cluster.now)
-            self.assertEqual((True, epoch), (state.held, state.epoch), seed)
+            self.assertEqual((True, epoch), (state.is_leader, state.epoch), seed)
 
     def test_nobody_waits_for_a_lease_after_a_restart_of_all(self) -> None:
         cluster = led()
--- a/tests/coordination/test_ordinary_path.py
+++ b/tests/coordination/test_ordinary_path.py
@@ -52,14 +52,16 @@
     def test_one_core_holds_a_role(self) -> None:
         cluster = self.started()
         cluster.run(3.0)
-        holders = [core for core in CORES if cluster.core(core).role("placer", cluster.now).held]
+        holders = [
+            core for core in CORES if cluster.core(core).role("placer", cluster.now).is_leader
+        ]
         self.assertEqual(1, len(holders))
         before = cluster.core(holders[0]).role("placer", cluster.now).epoch
         cluster.kill(holders[0])
         cluster.run(10.0)
         rest = [core for core in CORES if core != holders[0]]
         states = [cluster.core(core).role("placer", cluster.now) for core in rest]
-        self.assertEqual(1, sum(state.held for state in states))
+        self.assertEqual(1, sum(state.is_leader for state in states))
         self.assertGreater(max(state.epoch for state in states), before)
 
     def test_topics_reach_the_nodes_and_old_epochs_are_refused(self) -> None:
