--- a/src/zincvale/coordination/config.py
+++ b/src/zincvale/coordination/config.py
@@ -14,9 +14,9 @@
     lease_ttl_s: float = 1.8
     """Lifetime of a member lease, counted by the holder from when it asked."""
     lease_renew_s: float = 0.6
-    status_interval_s: float = 0.25
+    heartbeat_interval_s: float = 0.25
     """How often cores tell each other their status."""
-    core_silence_s: float = 1.0
+    peer_timeout_s: float = 1.0
     """A core not heard for this long is not live; its keys get a new owner."""
     prepare_timeout_s: float = 0.8
     resend_interval_s: float = 0.3
--- a/src/zincvale/coordination/core/context.py
+++ b/src/zincvale/coordination/core/context.py
@@ -92,9 +92,9 @@
         before = self.sets
         self.sets = decode_replica_sets(version, rows)
         for member in before.cores.keys() - self.sets.cores.keys():
-            self.cores.forget(member)
+            self.cores.remove_core(member)
         for row in self.sets.cores.values():
-            self.cores.note_core(row.info)
+            self.cores.add_core(row.info)
 
     def is_voting(self) -> bool:
         """Whether the replica responds: it is a voter and its disk takes writes."""
--- a/src/zincvale/coordination/core/queries.py
+++ b/src/zincvale/coordination/core/queries.py
@@ -62,7 +62,7 @@
 def _replica_status(context: CoreContext, member: MemberId, now: float) -> ReplicaStatus:
     row = context.sets.cores[member]
     is_own = member == context.own_id
-    status = context.cores.status(member)
+    status = context.cores.heartbeat_of(member)
     intent_version = context.chosen_version(INTENT_KEY) if is_own else _intent_version(status)
     return ReplicaStatus(
         member=member,
--- a/src/zincvale/coordination/delivery/applied_versions.py
+++ b/src/zincvale/coordination/delivery/applied_versions.py
@@ -48,7 +48,7 @@
         )
         return tracker.update(rules)
 
-    def is_settled(self, key: str) -> bool:
+    def is_rolled_out(self, key: str) -> bool:
         """Whether the newest chosen version is in force."""
         return self.trackers[key].version >= self._context.chosen_version(key)
 
@@ -60,7 +60,7 @@
     def tick(self, now: float) -> list[Effect]:
         """Report what changed, and repeat reports now and then: they may be lost."""
         if now >= self._repeat_at:
-            settled = all(self.is_settled(key) for key in DELIVERED_KEYS)
+            settled = all(self.is_rolled_out(key) for key in DELIVERED_KEYS)
             self._repeat_at = now + (IDLE_INTERVAL_S if settled else BUSY_INTERVAL_S)
             return self.report(now, only_news=False)
         if self._grantor.applied_versions_changed or self._grantor.has_stale_members():
@@ -97,5 +97,5 @@
         if table is None:
             return []
         if self._counting[0] != table.version:
-            self._counting = (table.version, registry.counting_sets(table.rows))
+            self._counting = (table.version, registry.quorum_sets(table.rows))
         return self._counting[1]
--- a/src/zincvale/coordination/leases/core_leases.py
+++ b/src/zincvale/coordination/leases/core_leases.py
@@ -44,7 +44,7 @@
     ) -> LeaseGranted | LeaseRedirect:
         """Grant a lease, or say why not; a lease that starts anew requires `newest`."""
         context = self._context
-        context.cores.note_address(renewal.info)
+        context.cores.record_address(renewal.info)
         if not self.caught_up or not context.is_voter() or now < context.grants_blocked_until:
             return LeaseRedirect(self.core_infos(), "this core cannot grant yet")
         knows_replica_sets = renewal.config_version == context.sets.version
@@ -86,4 +86,4 @@
         """Return the next change of the registry, if one is due."""
         if not self.caught_up:
             return None
-        return self._registry.next_change(self.applied_versions.is_settled(REGISTRY_KEY), now)
+        return self._registry.next_change(self.applied_versions.is_rolled_out(REGISTRY_KEY), now)
--- a/src/zincvale/coordination/membership/member_codec.py
+++ b/src/zincvale/coordination/membership/member_codec.py
@@ -1,4 +1,4 @@
-"""Rows of the member table as bytes, and back."""
+"""Rows of the member table as bytes, and back: JSON lists by position."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
 
 class MemberTableDecoder:
-    """Keeps the typed table of changing rows; decodes only rows that changed.
+    """Keeps the decoded member table; decodes only rows that changed.
 
-    It is asked for with each input of a process, and changes when a member comes or goes.
+    The table is read with each input of a process, and changes only when a member does.
     """
 
     def __init__(self) -> None:
--- a/src/zincvale/coordination/membership/member_table.py
+++ b/src/zincvale/coordination/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The member table of a core: the cores it hears and the nodes with leases here."""
+"""The member table of a core: the live cores, and the nodes with leases here."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 from zincvale.coordination.membership.member_codec import encode_member
 
 SMALL_TABLE_ROWS = 50
-"""Up to so many nodes every change is taken at once."""
+"""Up to so many nodes every change is applied at once."""
 LARGE_TABLE_INTERVAL_S = 1.0
-"""In a larger table changes are collected for so long; readiness that flaps in between is lost."""
+"""In a larger table changes are collected for so long: each one is sent to every node, so the work
+grows with the square of the nodes. Readiness that flaps in between is not seen."""
 
 
 class MemberTable:
-    """Keeps the table's rows up to date by differences."""
+    """Keeps the table's rows up to date by deltas."""
 
     def __init__(self, context: CoreContext, grantor: LeaseGrantor) -> None:
         self._context = context
@@ -22,7 +23,7 @@
         self._nodes_due_at = 0.0
 
     def refresh(self, now: float) -> bool:
-        """Bring the table up to date; whether it changed."""
+        """Apply changed cores and nodes to the table; return whether it changed."""
         puts, deletes = self._core_changes(now)
         changed: set[str] = set()
         if now >= self._nodes_due_at:
--- a/src/zincvale/coordination/membership/messages.py
+++ b/src/zincvale/coordination/membership/messages.py
@@ -1,4 +1,4 @@
-"""How a process is reached, as it travels."""
+"""How a process is reached; positional Avro, and by name in the rows of the replica sets."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 @attrs.frozen
 class MemberInfo:
-    """Who a process is and how it is reached."""
+    """Who a process is and how it is reached.
+
+    `role` is a value of `zincvale.model.view.Role`; `incarnation` is random, one per process start.
+    """
 
     member: str
     role: str
--- a/src/zincvale/coordination/membership/peer_table.py
+++ b/src/zincvale/coordination/membership/peer_table.py
@@ -1,4 +1,4 @@
-"""What this core knows of the other cores: their last status and where they are reached."""
+"""What this core knows of the other processes: cores' last heartbeats, and peer addresses."""
 
 from __future__ import annotations
 
@@ -12,41 +12,44 @@
 
 
 @attrs.frozen
-class PeerStatus:
-    """A status and when it arrived."""
+class ReceivedHeartbeat:
+    """A heartbeat and when it arrived, in seconds on this core's clock."""
 
-    status: Heartbeat
-    heard_at: float
+    heartbeat: Heartbeat
+    received_at: float
 
 
 class PeerTable:
-    """Statuses and addresses of the other cores."""
+    """The cores that were ever named, the last heartbeat of each, and addresses of all members.
+
+    A core is live while its last heartbeat is at most `peer_timeout_s` old.
+    """
 
     def __init__(self, config: CoreConfig) -> None:
         self._own = config.member
-        self._silence_s = config.timings.core_silence_s
-        self._heard: dict[MemberId, PeerStatus] = {}
+        self._timeout_s = config.timings.peer_timeout_s
+        self._heartbeats: dict[MemberId, ReceivedHeartbeat] = {}
         self._addresses: dict[MemberId, Address] = {
             core.member: core.peer_address for core in config.initial_cores
         }
         self._cores: set[MemberId] = {core.member for core in config.initial_cores}
 
-    def note(self, sender: MemberId, status: Heartbeat, now: float) -> None:
-        """Remember a status."""
-        self._heard[sender] = PeerStatus(status, now)
-        self.note_core(status.info)
+    def record_heartbeat(self, sender: MemberId, heartbeat: Heartbeat, now: float) -> None:
+        """Record a heartbeat and where its sender is reached."""
+        self._heartbeats[sender] = ReceivedHeartbeat(heartbeat, now)
+        self.add_core(heartbeat.info)
 
-    def note_address(self, info: MemberInfo) -> None:
-        """Remember where a member is reached."""
+    def record_address(self, info: MemberInfo) -> None:
+        """Record where a member says that it is reached."""
         self._addresses[MemberId(info.member)] = Address(info.peer_address)
 
-    def note_core(self, info: MemberInfo) -> None:
-        """Remember a core and where it is reached."""
+    def add_core(self, info: MemberInfo) -> None:
+        """Add a core and record where it is reached."""
         self._cores.add(MemberId(info.member))
-        self.note_address(info)
+        self.record_address(info)
 
-    def note_peer(self, member: MemberId, address: Address) -> None:
-        """Remember where a node is reached."""
+    def set_address(self, member: MemberId, address: Address) -> None:
+        """Set the peer address of a member that does not state it itself."""
         self._addresses[member] = address
 
     def address_of(self, member: MemberId) -> Address | None:
@@ -54,37 +57,41 @@
         return self._addresses.get(member)
 
     def known_cores(self) -> list[MemberId]:
-        """Return every other core that was ever heard of."""
+        """Return every other core that was ever named, in order of name."""
         return sorted(self._cores - {self._own})
 
-    def forget(self, member: MemberId) -> None:
-        """A core left the cluster."""
+    def remove_core(self, member: MemberId) -> None:
+        """Remove a core that left the cluster."""
         self._cores.discard(member)
-        self._heard.pop(member, None)
+        self._heartbeats.pop(member, None)
 
-    def status(self, member: MemberId) -> Heartbeat | None:
-        """Return the last status of `member`."""
-        heard = self._heard.get(member)
-        return heard.status if heard else None
+    def heartbeat_of(self, member: MemberId) -> Heartbeat | None:
+        """Return the last heartbeat of `member`, live or not."""
+        received = self._heartbeats.get(member)
+        return received.heartbeat if received else None
 
     def is_live(self, member: MemberId, now: float) -> bool:
-        """Whether `member` is this core or was heard lately."""
+        """Whether `member` is this core or its last heartbeat is recent."""
         if member == self._own:
             return True
-        heard = self._heard.get(member)
-        return heard is not None and now - heard.heard_at <= self._silence_s
+        received = self._heartbeats.get(member)
+        return received is not None and now - received.received_at <= self._timeout_s
 
     def live(self, now: float) -> dict[MemberId, Heartbeat]:
-        """Return the statuses of the other cores that were heard lately."""
+        """Return the last heartbeats of the other cores that are live."""
         return {
-            member: heard.status
-            for member, heard in self._heard.items()
-            if now - heard.heard_at <= self._silence_s
+            member: received.heartbeat
+            for member, received in self._heartbeats.items()
+            if now - received.received_at <= self._timeout_s
         }
 
 
 def rendezvous_order(name: str, members: list[MemberId]) -> list[MemberId]:
-    """Return `members` by their claim to `name`, the strongest first."""
+    """Return `members` by their claim to `name`, the strongest first (rendezvous hashing).
+
+    Every core derives the same order without a message. The separator and the hash decide who owns
+    which key in a mixed cluster: changing them moves owners while versions are mixed.
+    """
 
     def claim(member: MemberId) -> int:
         return xxhash.xxh3_64_intdigest(f"{name}|{member}".encode())
--- a/src/zincvale/coordination/membership/registry.py
+++ b/src/zincvale/coordination/membership/registry.py
@@ -1,8 +1,12 @@
-"""The key `registry`: the nodes of the cluster, by which islands and acknowledgements count.
+"""The key `registry`: the nodes whose majorities acknowledge versions and outvote partitions.
 
-A change of the registry passes through a state in which both the old and the new set count: a node
-is `joining` (new set only), `member` (both) or `leaving` (old set only). It is closed once both
-sets hold it, so that no two counts that are in use at a time can miss each other.
+A change of the registry passes through a joint state in which majorities of both the old and the
+new set are needed: a node is `joining` (new set only), `member` (both) or `leaving` (old set only).
+The change is closed once it is rolled out to both sets, so that any two majorities that are in use
+at a time share a node (joint consensus, as in the Raft thesis, section 4.3).
+
+Legal transitions of a node's row: absent -> JOINING -> MEMBER -> LEAVING -> absent, and
+MEMBER -> MEMBER under a new address or zone. One change at a time.
 """
 
 from __future__ import annotations
@@ -15,13 +19,16 @@
 from zincvale.coordination.membership.messages import MemberInfo
 
 JOINING = "joining"
+"""Counts in the new set only, while the change that adds it is open."""
 MEMBER = "member"
+"""Counts in every set."""
 LEAVING = "leaving"
+"""Counts in the old set only, while the change that removes it is open."""
 
 
 @attrs.frozen
 class RegistryRow:
-    """One registered node."""
+    """One registered node; `state` is JOINING, MEMBER or LEAVING."""
 
     state: str
     peer_address: str
@@ -38,42 +45,43 @@
     return RegistryRow(*orjson.loads(value))
 
 
-def counting_sets(rows: Rows) -> list[list[str]]:
-    """Return the sets of nodes of which majorities are needed: the old and the new one."""
+def quorum_sets(rows: Rows) -> list[list[str]]:
+    """Return the sets of nodes of which majorities are needed: the old and the new, or the one."""
     states = {node: decode_row(value).state for node, value in rows.items()}
     old = [node for node, state in states.items() if state != JOINING]
     new = [node for node, state in states.items() if state != LEAVING]
     return [old] if old == new else [old, new]
 
 
-def is_open(rows: Rows) -> bool:
+def is_change_open(rows: Rows) -> bool:
     """Whether a change of the registry is under way."""
     return any(decode_row(value).state != MEMBER for value in rows.values())
 
 
 def open_change(add: list[MemberInfo], remove: list[str]) -> bytes:
-    """Return the change that opens a change: nodes to add and nodes to remove."""
+    """Return the encoded change that adds and removes nodes, and opens the joint state."""
     nodes = {info.member: [info.peer_address, info.zone] for info in add}
     return orjson.dumps({"add": nodes, "remove": remove})
 
 
 def close_change() -> bytes:
-    """Return the change that closes the open one."""
+    """Return the encoded change that ends the joint state."""
     return orjson.dumps({"close": True})
 
 
 def reduce_registry(rows: Rows, change: bytes) -> Result[list[RowChange], ChangeRefused]:
-    """Reducer of the key `registry`."""
+    """Reducer of the key `registry`; refuses to open a change while another one is open."""
     plain = orjson.loads(change)
     if plain.get("close"):
         return Success(_closed(rows))
-    if is_open(rows):
+    if is_change_open(rows):
         return Failure(ChangeRefused("a change of the registry is under way", "wait for its end"))
     changes = [
         RowChange(node, encode_row(RegistryRow(JOINING, address, zone)))
         for node, (address, zone) in plain["add"].items()
         if node not in rows
     ]
+    # A node that is registered already changes its address or zone at once: no set changes by it.
     changes += [
         RowChange(node, encode_row(RegistryRow(MEMBER, address, zone)))
         for node, (address, zone) in plain["add"].items()
@@ -86,6 +94,7 @@
 
 
 def _closed(rows: Rows) -> list[RowChange]:
+    """Return the changes of rows that close the open change."""
     changes = []
     for node, value in rows.items():
         state = decode_row(value).state
--- a/src/zincvale/coordination/node/partition_guard.py
+++ b/src/zincvale/coordination/node/partition_guard.py
@@ -103,7 +103,7 @@
         if not registered:
             return float("-inf")
         asked = {**self._asked_at, str(self._config.member): now}
-        sets = registry.counting_sets(registered)
+        sets = registry.quorum_sets(registered)
         return min(_majority_asked(each, asked) for each in sets) + self._lifetime_s
 
     def newer_peers(self, applied_versions: dict[str, int], now: float) -> list[MemberId]:
--- a/src/zincvale/coordination/registers/ownership.py
+++ b/src/zincvale/coordination/registers/ownership.py
@@ -94,7 +94,7 @@
             return False
         if key in DELIVERED_KEYS and now < self._context.grants_blocked_until:
             return False
-        silence_s = self._context.config.timings.core_silence_s
+        silence_s = self._context.config.timings.peer_timeout_s
         silent_for = now - self._claimed_at.setdefault(key, now)
         was_owned = self._context.replica.state(key).promised != Epoch()
         first_wait_s = silence_s if was_owned else NEW_KEY_WAIT_S
--- a/src/zincvale/coordination/registers/value_repair.py
+++ b/src/zincvale/coordination/registers/value_repair.py
@@ -14,7 +14,7 @@
 
 from zincvale.coordination.core.context import CoreContext
 from zincvale.coordination.leases.messages import RenewLease
-from zincvale.coordination.membership.registry import counting_sets
+from zincvale.coordination.membership.registry import quorum_sets
 from zincvale.coordination.registers.messages import FetchValue
 from zincvale.coordination.registers.owner import RegisterOwner
 from zincvale.coordination.replication.replica_sets import (
@@ -94,7 +94,7 @@
             return
         registered = {
             member
-            for members in counting_sets(context.replica.state(REGISTRY_KEY).record.rows)
+            for members in quorum_sets(context.replica.state(REGISTRY_KEY).record.rows)
             for member in members
         }
         if registered and registered <= self._renewed_nodes:
--- a/tests/coordination/test_statuses.py
+++ b/tests/coordination/test_statuses.py
@@ -64,7 +64,7 @@
         cluster.run(5.0)
         self.assertEqual([], cluster.of_kind(Heartbeat))
         # One on each of six links each interval, which the tick rounds up.
-        expected = 6 * 5.0 / (cluster.timings.status_interval_s + 2 * TICK_S)
+        expected = 6 * 5.0 / (cluster.timings.heartbeat_interval_s + 2 * TICK_S)
         self.assertGreater(len(cluster.of_kind(UnchangedHeartbeat)), expected)
         self.assertTrue(cluster.all_hear_each_other())
 
@@ -112,7 +112,7 @@
     def test_what_stands_for_an_unknown_status_is_no_sign_of_life(self) -> None:
         cluster = self.settled()
         machine = cluster.core("core-1")
-        known = machine._context.cores.status(MemberId("core-2"))
+        known = machine._context.cores.heartbeat_of(MemberId("core-2"))
         assert known is not None
         cluster.freeze("core-2")
         cluster.run(2.0)
@@ -133,12 +133,12 @@
         cluster = self.settled()
         cluster.run(1.0)
         core = cluster.core("core-1")
-        told = core._context.cores.status(MemberId("core-2"))
+        told = core._context.cores.heartbeat_of(MemberId("core-2"))
         assert told is not None
         position = {"moves": TopicPosition(7, 70)}
         message = UnchangedHeartbeat(told.info.incarnation, told.number, position)
         core.handle(MessageReceived(MemberId("core-2"), message), cluster.now)
-        known = core._context.cores.status(MemberId("core-2"))
+        known = core._context.cores.heartbeat_of(MemberId("core-2"))
         assert known is not None
         self.assertEqual(position, known.topics)
         self.assertEqual(told.keys, known.keys)
