--- a/src/zincvale/coordination/leases/member_lease.py
+++ b/src/zincvale/coordination/leases/member_lease.py
@@ -16,7 +16,7 @@
 from zincvale.coordination.leases.messages import LeaseGranted, RenewLease
 from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.coordination.replication.replica_config import ReplicaConfig, majority, member_of
-from zincvale.model.identifiers import Address, MemberId
+from zincvale.model.identifiers import Address, MemberId, member_at
 from zincvale.model.view import Role
 
 
@@ -100,7 +100,7 @@
 
     def seeds(self) -> list[MemberId]:
         """Return the seeds, by address."""
-        return [MemberId(f"@{seed}") for seed in self._config.seeds]
+        return [member_at(seed) for seed in self._config.seeds]
 
     def use_seeds(self, seeds: tuple[Address, ...]) -> None:
         """Take other addresses for first contact."""
--- a/src/zincvale/coordination/membership/heartbeats.py
+++ b/src/zincvale/coordination/membership/heartbeats.py
@@ -16,14 +16,12 @@
 from zincvale.coordination.core.messages import Heartbeat, TopicPosition, UnchangedHeartbeat
 from zincvale.coordination.leases.catch_up import own_key_status
 from zincvale.coordination.registers.owner import RegisterOwner
-from zincvale.model.identifiers import MemberId
+from zincvale.model.identifiers import RAW_ADDRESS_PREFIX, MemberId, member_at
 from zincvale.model.machine import Effect, Send
 
 MIN_INTERVAL_S = 0.05
 """Between two heartbeats, however many are requested; with less, cores that start together and
 request each other's heartbeats keep each other busy."""
-RAW_ADDRESS_PREFIX = "@"
-"""A member id that is an address: for first contact."""
 
 
 class HeartbeatSender:
@@ -116,5 +114,5 @@
         targets = context.cores.known_cores()
         if context.sets.cores or context.cores.live(context.started_at):
             return targets
-        seeds = [MemberId(f"{RAW_ADDRESS_PREFIX}{seed}") for seed in context.config.seeds]
+        seeds = [member_at(seed) for seed in context.config.seeds]
         return [*targets, *seeds]
--- a/src/zincvale/model/identifiers.py
+++ b/src/zincvale/model/identifiers.py
@@ -29,3 +29,11 @@
 MoveId = NewType("MoveId", str)
 Address = NewType("Address", str)
 """`ip:port`."""
+
+RAW_ADDRESS_PREFIX = "@"
+"""Marks a member id that is an address, of a process whose name is not known yet."""
+
+
+def member_at(address: Address) -> MemberId:
+    """Return the member id for first contact with the process at `address`."""
+    return MemberId(f"{RAW_ADDRESS_PREFIX}{address}")
--- a/src/zincvale/simulator/cluster/event_loop.py
+++ b/src/zincvale/simulator/cluster/event_loop.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from zincvale.model.identifiers import MemberId
+from zincvale.model.identifiers import RAW_ADDRESS_PREFIX, MemberId
 from zincvale.model.machine import (
     Call,
     CallAbandoned,
@@ -43,7 +43,6 @@
 """How long a connection to a dead process takes to be refused."""
 WRITE_S = (0.0005, 0.008)
 """Shortest and longest time that a synced write takes."""
-RAW_ADDRESS_PREFIX = "@"
 PEER_TOKEN_PREFIX = "peer-"
 
 
--- a/src/zincvale/transport/peer_client.py
+++ b/src/zincvale/transport/peer_client.py
@@ -12,7 +12,7 @@
 from tornado.ioloop import IOLoop
 
 from zincvale.model.errors import MalformedBodyError
-from zincvale.model.identifiers import MemberId
+from zincvale.model.identifiers import RAW_ADDRESS_PREFIX, MemberId
 from zincvale.transport.codec import Batch, decode_batch, encode_batch
 from zincvale.transport.complete_exchange import CompleteResponse, NoResponseError, fetch_response
 from zincvale.transport.compression import (
@@ -30,9 +30,6 @@
 SEND_TIMEOUT_S = 0.8
 """One-way messages queue behind a batch in flight: longer delays those that follow."""
 MAX_QUEUED_MESSAGES = 2_000
-"""Bounds the memory of an unreachable peer's queue; one-way messages may be lost."""
-RAW_ADDRESS_PREFIX = "@"
-"""A member identifier with this prefix is itself the address: seeds have no identifier yet."""
 BATCH_CONTENT_TYPE = "application/vnd.zincvale.avro"
 
 
