--- a/src/zincvale/coordination/config.py
+++ b/src/zincvale/coordination/config.py
@@ -31,12 +31,12 @@
     """After this a node renews at every core itself."""
     stale_member_grace_s: float = 1.0
     """A node that lacks a chosen version for longer loses its grants until it holds it."""
-    poll_hold_s: float = 10.0
+    long_poll_timeout_s: float = 10.0
     """How long a core holds a long poll without news."""
     poll_timeout_s: float = 12.0
     delta_batch_s: float = 0.02
     """News is collected for this long before long polls are answered."""
-    poll_answers_per_s: float = 0.0
+    ephemeral_responses_per_s: float = 0.0
     """Bound of the answers that carry only topics and members, at one core; 0 for none."""
     role_lease_s: float = 6.0
     role_margin_s: float = 1.0
--- a/src/zincvale/coordination/delivery/applied_versions.py
+++ b/src/zincvale/coordination/delivery/applied_versions.py
@@ -1,10 +1,10 @@
-"""Reports among the cores about what nodes hold, and what is in force by them."""
+"""Reports among the cores about the versions that nodes applied, and what is rolled out by them."""
 
 from __future__ import annotations
 
 from zincvale.coordination.core.context import CoreContext
 from zincvale.coordination.core.messages import AppliedVersionsReport
-from zincvale.coordination.delivery.rollout import QuorumRules, RolloutTracker, Waiter
+from zincvale.coordination.delivery.rollout import PendingChange, QuorumRules, RolloutTracker
 from zincvale.coordination.leases.lease_grantor import LeaseGrantor
 from zincvale.coordination.membership import registry
 from zincvale.coordination.replication.replica_sets import DELIVERED_KEYS, REGISTRY_KEY
@@ -12,12 +12,14 @@
 from zincvale.model.machine import Effect
 
 BUSY_INTERVAL_S = 0.5
-"""How often a report is repeated while a version is not in force yet."""
+"""Between two reports while a version is not rolled out: a lost one delays an acknowledgement by
+this much."""
 IDLE_INTERVAL_S = 2.0
+"""Between two reports otherwise; a core that started needs them before it may count."""
 
 
 class AppliedVersions:
-    """This core's reports, and the trackers that count everybody's."""
+    """This core's reports, and for each delivered key the tracker that counts every core's."""
 
     def __init__(self, context: CoreContext, grantor: LeaseGrantor) -> None:
         self._context = context
@@ -27,56 +29,59 @@
         }
         self._reported: dict[str, AppliedVersionsReport] = {}
         self._repeat_at = 0.0
-        self._counting: tuple[int, list[list[str]]] = (0, [])
+        self._cached_quorum_sets: tuple[int, list[list[str]]] = (0, [])
 
     def handle(self, sender: MemberId, report: AppliedVersionsReport) -> None:
-        """Remember another core's report."""
+        """Record another core's report."""
         tracker = self.trackers.get(report.key)
         if tracker is not None:
-            tracker.note(sender, report)
+            tracker.record_report(sender, report)
 
-    def satisfied(self, key: str) -> list[Waiter]:
-        """Return the changes of `key` that came into force."""
+    def take_rolled_out(self, key: str) -> list[PendingChange]:
+        """Remove and return the pending changes of `key` that are rolled out."""
         tracker = self.trackers[key]
-        if not tracker.stale:
+        if not tracker.is_stale:
             return []
         rules = QuorumRules(
             grantors=self._context.sets.grantors(),
             config_version=self._context.sets.version,
             registry_version=self._context.chosen_version(REGISTRY_KEY),
-            registries=self._counting_sets(),
+            registries=self._quorum_sets(),
         )
         return tracker.update(rules)
 
     def is_rolled_out(self, key: str) -> bool:
-        """Whether the newest chosen version is in force."""
+        """Whether the newest chosen version is rolled out."""
         return self.trackers[key].version >= self._context.chosen_version(key)
 
-    def note_rules_changed(self) -> None:
-        """Count anew: the replica sets or the registry changed."""
+    def on_rules_changed(self) -> None:
+        """Have every key counted anew: the replica sets or the registry changed."""
         for tracker in self.trackers.values():
-            tracker.stale = True
+            tracker.is_stale = True
 
     def tick(self, now: float) -> list[Effect]:
         """Report what changed, and repeat reports now and then: they may be lost."""
         if now >= self._repeat_at:
-            settled = all(self.is_rolled_out(key) for key in DELIVERED_KEYS)
-            self._repeat_at = now + (IDLE_INTERVAL_S if settled else BUSY_INTERVAL_S)
-            return self.report(now, only_news=False)
+            all_rolled_out = all(self.is_rolled_out(key) for key in DELIVERED_KEYS)
+            self._repeat_at = now + (IDLE_INTERVAL_S if all_rolled_out else BUSY_INTERVAL_S)
+            return self.report(now, only_changes=False)
         if self._grantor.applied_versions_changed or self._grantor.has_stale_members():
-            return self.report(now, only_news=True)
+            return self.report(now, only_changes=True)
         return []
 
-    def report(self, now: float, only_news: bool) -> list[Effect]:
-        """Tell the other cores which versions every live lease here holds."""
+    def report(self, now: float, *, only_changes: bool) -> list[Effect]:
+        """Send the other cores the versions that every live lease here has applied.
+
+        With `only_changes`, keys whose report is the same as the last one are left out.
+        """
         self._grantor.applied_versions_changed = False
         effects: list[Effect] = []
         for key in DELIVERED_KEYS:
             report = self._report(key, now)
-            if only_news and self._reported.get(key) == report:
+            if only_changes and self._reported.get(key) == report:
                 continue
             self._reported[key] = report
-            self.trackers[key].note(self._context.own_id, report)
+            self.trackers[key].record_report(self._context.own_id, report)
             effects.extend(self._context.to_other_cores(report))
         return effects
 
@@ -92,10 +97,10 @@
             config_version=self._context.sets.version,
         )
 
-    def _counting_sets(self) -> list[list[str]]:
+    def _quorum_sets(self) -> list[list[str]]:
         table = self._context.values.get(REGISTRY_KEY)
         if table is None:
             return []
-        if self._counting[0] != table.version:
-            self._counting = (table.version, registry.quorum_sets(table.rows))
-        return self._counting[1]
+        if self._cached_quorum_sets[0] != table.version:
+            self._cached_quorum_sets = (table.version, registry.quorum_sets(table.rows))
+        return self._cached_quorum_sets[1]
--- a/src/zincvale/coordination/delivery/ephemeral_topics.py
+++ b/src/zincvale/coordination/delivery/ephemeral_topics.py
@@ -1,6 +1,10 @@
-"""Soft topics: tables that a role's holder publishes and that are rebuilt from their sources.
+"""Ephemeral topics: tables that the leader of a role publishes, rebuilt from their source.
 
-The epoch is the fencing epoch of the publishing role; older epochs are refused.
+They are replicated to the cores' memory only and are lost with all cores.
+
+The epoch is the fencing epoch of the publishing role. A publication under an older epoch is
+refused: a former leader that does not know yet that its term is over would overwrite its
+successor's rows.
 """
 
 from __future__ import annotations
@@ -43,7 +47,7 @@
         return TopicView(self._epochs[topic], table.version, table.rows)
 
     def position(self, topic: str) -> tuple[int, int]:
-        """Return the epoch and version held of a topic."""
+        """Return the epoch and version of a topic; (0, 0) when it was never published."""
         table = self._tables.get(topic)
         return (self._epochs[topic], table.version) if table else (0, 0)
 
@@ -53,34 +57,37 @@
         epoch, version = self.position(topic)
         if publication.epoch < epoch:
             return None
-        whole = publication.epoch > epoch or publication.replace
+        is_full = publication.epoch > epoch or publication.replace
         delta = TopicDelta(
             topic=topic,
             epoch=publication.epoch,
-            base_version=None if whole else version,
+            base_version=None if is_full else version,
             version=version + 1,
             puts=publication.puts,
-            deletes=[] if whole else publication.deletes,
+            deletes=[] if is_full else publication.deletes,
         )
         self.apply(delta)
         return delta
 
     def apply(self, delta: TopicDelta) -> bool:
-        """Apply a change that was sent here; False when its base is not held."""
+        """Apply a received change; return False when its base is missing here.
+
+        A change that was overtaken counts as applied.
+        """
         epoch, version = self.position(delta.topic)
         if (delta.epoch, delta.version) <= (epoch, version):
             return True
         if delta.base_version is not None and delta.epoch != epoch:
             return False
         table = self._tables.setdefault(delta.topic, VersionedTable())
-        difference = Delta(delta.base_version, delta.version, delta.puts, delta.deletes)
-        if not table.apply(difference):
+        changes = Delta(delta.base_version, delta.version, delta.puts, delta.deletes)
+        if not table.apply(changes):
             return False
         self._epochs[delta.topic] = delta.epoch
         return True
 
     def since(self, topic: str, epoch: int, version: int) -> TopicDelta | None:
-        """Return what leads a holder of `(epoch, version)` to the newest, or None without news."""
+        """Return what leads a reader at `(epoch, version)` to the newest, or None."""
         table = self._tables.get(topic)
         if table is None:
             return None
@@ -88,14 +95,14 @@
         if (own_epoch, table.version) <= (epoch, version):
             return None
         if epoch == own_epoch:
-            difference = table.since(version)
+            changes = table.since(version)
         else:
-            difference = Delta(None, table.version, table.rows, [])
+            changes = table.full()
         return TopicDelta(
             topic,
             own_epoch,
-            difference.base,
-            difference.version,
-            difference.puts,
-            difference.deletes,
+            changes.base,
+            changes.version,
+            changes.puts,
+            changes.deletes,
         )
--- a/src/zincvale/coordination/delivery/long_poll_client.py
+++ b/src/zincvale/coordination/delivery/long_poll_client.py
@@ -1,6 +1,10 @@
 """The node's long poll: one call at a time, for everything it follows.
 
-It goes to a core; while no core answers, to a peer, which answers from what it holds itself.
+It goes to a core; while no core responds, to a peer, which responds from its own tables.
+
+Races that are guarded here: the response of a call that was given up is ignored by its token; a
+delta applies only to the version it starts from; a delta of members from another source than the
+known one is not applied, since versions of the member table count per core.
 """
 
 from __future__ import annotations
@@ -11,7 +15,7 @@
 from zincvale.coordination.config import NodeConfig
 from zincvale.coordination.core.messages import TopicPosition
 from zincvale.coordination.delivery.ephemeral_topics import EphemeralTopics
-from zincvale.coordination.delivery.long_poll_server import delta_of
+from zincvale.coordination.delivery.long_poll_server import delta_from_message
 from zincvale.coordination.delivery.messages import Poll, PollResponse
 from zincvale.coordination.delivery.versioned_table import VersionedTable
 from zincvale.coordination.registers.messages import TableDelta
@@ -20,14 +24,22 @@
 
 POLL_PREFIX = "poll:"
 RETRY_S = 0.2
-LONGEST_BEHIND_S = 3.2
-"""Each poll that is given up for another core doubles the patience with the next one: a large
-answer takes long over a slow link, and polls given up while it comes would fill the link."""
+"""Before another host is polled after a failure, and the first wait when a poll lags."""
+MAX_BEHIND_S = 3.2
+"""Bound of the wait before a lagging poll is given up for another core. Each one that is given up
+doubles the wait: a large response takes long over a slow link, and polls that are given up while it
+arrives would fill the link."""
 ISOLATED_RETRY_S = 1.0
+"""Before the next poll when the host said that it hears no majority of the cores."""
 
 
 class LongPollClient:
-    """Keeps the node's tables up to date; versions never go backwards."""
+    """Keeps the node's tables up to date; versions never go backwards.
+
+    Parameters
+    ----------
+    keys : the durable keys to follow; the topics are in `config`.
+    """
 
     def __init__(
         self, config: NodeConfig, keys: tuple[str, ...], random_source: random.Random
@@ -39,7 +51,7 @@
         self._host: MemberId | None = None
         self._retry_at = 0.0
         self._behind_since: float | None = None
-        self._behind_patience_s = RETRY_S
+        self._max_behind_s = RETRY_S
         self.values = {key: VersionedTable() for key in keys}
         self.members = VersionedTable()
         self.members_source = ""
@@ -47,11 +59,11 @@
         self.notes = ChangeNotifications()
 
     def applied_versions(self) -> dict[str, int]:
-        """Return the versions held of the durable keys."""
+        """Return the applied version of each durable key."""
         return {key: table.version for key, table in self.values.items()}
 
     def tick(self, hosts: list[MemberId], now: float) -> list[Call]:
-        """Start a poll when none is under way."""
+        """Return the call of a new poll, to one of `hosts`, when none is under way."""
         if self._token or now < self._retry_at or not hosts:
             return []
         if self._host not in hosts:
@@ -68,19 +80,19 @@
         )
         return [Call(self._host, self._token, poll, self._config.timings.poll_timeout_s)]
 
-    def handle_answer(self, token: str, answer: PollResponse, now: float) -> bool:
-        """Apply an answer; whether a durable key moved forward."""
+    def handle_response(self, token: str, response: PollResponse, now: float) -> bool:
+        """Apply a response; return whether a durable key changed."""
         if token != self._token:
             return False
         self._token = ""
-        if answer.isolated:
+        if response.is_isolated:
             self._leave_host(now + ISOLATED_RETRY_S)
-        moved = [delta.name for delta in answer.keys if self._apply_key(delta)]
-        for topic_delta in answer.topics:
+        moved = [delta.name for delta in response.keys if self._apply_key(delta)]
+        for topic_delta in response.topics:
             if self.topics.apply(topic_delta):
                 self.notes.topics.add(topic_delta.topic)
-        if answer.members is not None:
-            self._apply_members(answer.members_source, answer.members)
+        if response.members is not None:
+            self._apply_members(response.members_source, response.members)
         self.notes.keys.update(moved)
         return bool(moved)
 
@@ -90,25 +102,25 @@
             self._token = ""
             self._leave_host(now + RETRY_S)
 
-    def note_newest(self, host: MemberId, newest: dict[str, int], now: float) -> None:
-        """A core knows newer versions: when the poll does not bring them soon, poll there."""
+    def on_newest_versions(self, host: MemberId, newest: dict[str, int], now: float) -> None:
+        """Poll `host`, which knows newer versions, if the poll under way brings none soon."""
         if all(table.version >= newest.get(key, 0) for key, table in self.values.items()):
             self._behind_since = None
-            self._behind_patience_s = RETRY_S
+            self._max_behind_s = RETRY_S
             return
         if self._behind_since is None:
             self._behind_since = now
-        elif now - self._behind_since >= self._behind_patience_s and host != self._host:
-            self._behind_patience_s = min(LONGEST_BEHIND_S, 2.0 * self._behind_patience_s)
+        elif now - self._behind_since >= self._max_behind_s and host != self._host:
+            self._max_behind_s = min(MAX_BEHIND_S, 2.0 * self._max_behind_s)
             self.restart(host)
 
-    def leave_silent_host(self, hosts: list[MemberId]) -> None:
-        """Give up a poll at a host that no longer answers anything else."""
+    def leave_unresponsive_host(self, hosts: list[MemberId]) -> None:
+        """Give up a poll at a host that no longer responds to anything else."""
         if self._token and self._host not in hosts and hosts:
             self.restart(None)
 
     def restart(self, host: MemberId | None) -> None:
-        """Start a new poll at once; the answer of the old one is ignored."""
+        """Start a new poll with the next tick; the response of the old one is ignored."""
         self._token = ""
         self._host = host
         self._retry_at = 0.0
@@ -122,11 +134,11 @@
         table = self.values.get(delta.name)
         if table is None or delta.version <= table.version:
             return False
-        return table.apply(delta_of(delta))
+        return table.apply(delta_from_message(delta))
 
     def _apply_members(self, source: str, delta: TableDelta) -> None:
         if source != self.members_source and delta.base_version is not None:
             return
-        if self.members.apply(delta_of(delta)):
+        if self.members.apply(delta_from_message(delta)):
             self.members_source = source
             self.notes.members = True
--- a/src/zincvale/coordination/delivery/long_poll_server.py
+++ b/src/zincvale/coordination/delivery/long_poll_server.py
@@ -1,4 +1,7 @@
-"""Answers long polls: chosen values, members and soft topics, as differences where possible."""
+"""Responds to long polls with chosen values, members and ephemeral topics, as deltas if possible.
+
+Runs at cores, and at nodes for peers that reach no core.
+"""
 
 from __future__ import annotations
 
@@ -15,21 +18,24 @@
 
 _Position = tuple[Hashable, ...]
 
-LONGEST_SOFT_REST_S = 0.5
+MAX_EPHEMERAL_PAUSE_S = 0.5
+"""Bound of the pause, however many polls were answered: how late a topic can be for it."""
 
 
 @attrs.frozen
 class _PendingPoll:
+    """A poll without a response, which gets an empty one at `until`."""
+
     poll: Poll
     until: float
 
 
 class LongPollServer:
-    """Holds long polls until there is news, collected for a batching interval.
+    """Keeps long polls pending until there is an update; updates are batched for `delta_batch_s`.
 
-    News of durable keys goes out at once. Soft news (topics and members) comes often, and each
-    piece of it costs an exchange with every poller; so that it takes a bounded part of this
-    process, it rests after an answer for as long as the pollers answered then are allowed to cost.
+    Updates of durable keys are sent at once. Ephemeral updates (topics and members) are frequent,
+    and each costs an exchange with every poller. So that they take a bounded part of this process,
+    they pause after a batch for as long as its responses may cost (`ephemeral_responses_per_s`).
     """
 
     def __init__(
@@ -43,131 +49,131 @@
         self._values = values
         self._members = members
         self._topics = topics
-        self._held: dict[str, _PendingPoll] = {}
-        self._news_since: float | None = None
-        self._soft_news_since: float | None = None
-        self._soft_rest_until = 0.0
+        self._pending: dict[str, _PendingPoll] = {}
+        self._updated_since: float | None = None
+        self._ephemeral_updated_since: float | None = None
+        self._ephemeral_pause_until = 0.0
         self.members_source = ""
         self.topic_epochs_seen: dict[str, int] = {}
-        """The newest epoch of each topic that any poller holds."""
-        self.isolated = False
+        """The newest epoch of each topic that any poller has applied."""
+        self.is_isolated = False
         """Whether this process hears no majority of the cores: pollers are sent elsewhere."""
 
     def poll(self, token: str, poll: Poll, now: float) -> list[Effect]:
-        """Answer at once when there is news, else hold the poll."""
+        """Respond at once when there is an update, else keep the poll pending."""
         for topic, position in poll.topics.items():
             if position.epoch > self.topic_epochs_seen.get(topic, 0):
                 self.topic_epochs_seen[topic] = position.epoch
-        answer = self._answer(poll)
-        if answer is not None and self._may_rest(poll, answer, now):
-            self.note_soft_news(now)
-            answer = None
-        if answer is None and self.isolated:
-            answer = self._nothing()
-        if answer is not None:
-            return [Reply(token, answer)]
-        self._held[token] = _PendingPoll(poll, now + self._timings.poll_hold_s)
+        response = self._response(poll)
+        if response is not None and self._may_wait(poll, response, now):
+            self.on_ephemeral_update(now)
+            response = None
+        if response is None and self.is_isolated:
+            response = self._empty_response()
+        if response is not None:
+            return [Reply(token, response)]
+        self._pending[token] = _PendingPoll(poll, now + self._timings.long_poll_timeout_s)
         return []
 
     def abandon(self, token: str) -> None:
-        """Forget a poll whose caller went away."""
-        self._held.pop(token, None)
+        """Remove a poll whose caller closed its connection."""
+        self._pending.pop(token, None)
 
-    def note_news(self, now: float) -> None:
-        """A durable key moved, or something else that pollers must have soon."""
-        if self._news_since is None:
-            self._news_since = now
+    def on_update(self, now: float) -> None:
+        """Mark that a durable key changed, or something else that pollers must have soon."""
+        if self._updated_since is None:
+            self._updated_since = now
 
-    def note_soft_news(self, now: float) -> None:
-        """A topic or the members changed."""
-        if self._soft_news_since is None:
-            self._soft_news_since = now
+    def on_ephemeral_update(self, now: float) -> None:
+        """Mark that a topic or the members changed."""
+        if self._ephemeral_updated_since is None:
+            self._ephemeral_updated_since = now
 
-    def answer_if_due(self, now: float) -> list[Effect]:
-        """Answer polls with news once the batching interval is over."""
+    def respond_if_due(self, now: float) -> list[Effect]:
+        """Respond to polls that have updates once the batching interval is over."""
         return self.tick(now) if self._is_due(now) else []
 
     def tick(self, now: float) -> list[Effect]:
-        """Answer polls with news once the batching interval is over, and those held long enough."""
+        """As `respond_if_due`, and respond with nothing to polls that are pending for too long."""
         effects: list[Effect] = []
         is_due = self._is_due(now)
-        answers: dict[_Position, PollResponse | None] = {}
-        for token, held in list(self._held.items()):
-            answer = self._answer_once(held.poll, answers) if is_due else None
-            if answer is None and (now >= held.until or self.isolated):
-                answer = self._nothing()
-            if answer is not None:
-                del self._held[token]
-                effects.append(Reply(token, answer))
+        responses: dict[_Position, PollResponse | None] = {}
+        for token, pending in list(self._pending.items()):
+            response = self._shared_response(pending.poll, responses) if is_due else None
+            if response is None and (now >= pending.until or self.is_isolated):
+                response = self._empty_response()
+            if response is not None:
+                del self._pending[token]
+                effects.append(Reply(token, response))
         if is_due:
-            self._news_since = self._soft_news_since = None
-            self._rest_soft_news(len(effects), now)
+            self._updated_since = self._ephemeral_updated_since = None
+            self._pause_ephemeral_updates(len(effects), now)
         return effects
 
     def _is_due(self, now: float) -> bool:
         batch_s = self._timings.delta_batch_s
-        if self._news_since is not None and now - self._news_since >= batch_s:
+        if self._updated_since is not None and now - self._updated_since >= batch_s:
             return True
-        if self._soft_news_since is None or now < self._soft_rest_until:
+        if self._ephemeral_updated_since is None or now < self._ephemeral_pause_until:
             return False
-        return now - self._soft_news_since >= batch_s
+        return now - self._ephemeral_updated_since >= batch_s
 
-    def _rest_soft_news(self, answered: int, now: float) -> None:
-        rate = self._timings.poll_answers_per_s
+    def _pause_ephemeral_updates(self, response_count: int, now: float) -> None:
+        rate = self._timings.ephemeral_responses_per_s
         if rate:
-            self._soft_rest_until = now + min(answered / rate, LONGEST_SOFT_REST_S)
+            self._ephemeral_pause_until = now + min(response_count / rate, MAX_EPHEMERAL_PAUSE_S)
 
-    def _may_rest(self, poll: Poll, answer: PollResponse, now: float) -> bool:
-        """Whether this answer can wait for the others; a poller that knows nothing can not."""
-        if answer.keys or now >= self._soft_rest_until:
+    def _may_wait(self, poll: Poll, response: PollResponse, now: float) -> bool:
+        """Whether the response can wait for the pause to end; not if the poller knows nothing."""
+        if response.keys or now >= self._ephemeral_pause_until:
             return False
         is_new = not poll.members_source or any(not each.epoch for each in poll.topics.values())
         return not is_new
 
-    def _answer_once(
-        self, poll: Poll, answers: dict[_Position, PollResponse | None]
+    def _shared_response(
+        self, poll: Poll, responses: dict[_Position, PollResponse | None]
     ) -> PollResponse | None:
-        """Work out one answer for all pollers that hold the same."""
+        """Return the response to a poll; pollers at the same position share one."""
         position = _position_of(poll)
-        if position not in answers:
-            answers[position] = self._answer(poll)
-        return answers[position]
+        if position not in responses:
+            responses[position] = self._response(poll)
+        return responses[position]
 
-    def _answer(self, poll: Poll) -> PollResponse | None:
+    def _response(self, poll: Poll) -> PollResponse | None:
         keys = [
             delta_message(key, self._values[key].since(version))
             for key, version in poll.keys.items()
             if key in self._values and self._values[key].version > version
         ]
-        topics = self._topic_news(poll)
-        members = self._member_news(poll)
+        topics = self._topic_updates(poll)
+        members = self._member_update(poll)
         if not keys and not topics and members is None:
             return None
-        return PollResponse(keys, topics, self.members_source, members, self.isolated)
+        return PollResponse(keys, topics, self.members_source, members, self.is_isolated)
 
-    def _nothing(self) -> PollResponse:
-        return PollResponse([], [], self.members_source, None, self.isolated)
+    def _empty_response(self) -> PollResponse:
+        return PollResponse([], [], self.members_source, None, self.is_isolated)
 
-    def _topic_news(self, poll: Poll) -> list[TopicDelta]:
-        news = []
+    def _topic_updates(self, poll: Poll) -> list[TopicDelta]:
+        updates = []
         for topic, position in poll.topics.items():
             delta = self._topics.since(topic, position.epoch, position.version)
             if delta is not None:
-                news.append(delta)
-        return news
+                updates.append(delta)
+        return updates
 
-    def _member_news(self, poll: Poll) -> TableDelta | None:
+    def _member_update(self, poll: Poll) -> TableDelta | None:
         if not self.members_source:
             return None
         if poll.members_source != self.members_source:
-            whole = Delta(None, self._members.version, self._members.rows, [])
-            return delta_message("members", whole)
+            return delta_message("members", self._members.full())
         if self._members.version <= poll.members_version:
             return None
         return delta_message("members", self._members.since(poll.members_version))
 
 
 def _position_of(poll: Poll) -> _Position:
+    """Return what a poller has applied, as a key."""
     return (
         tuple(poll.keys.items()),
         poll.members_source,
@@ -176,13 +182,11 @@
     )
 
 
-def delta_message(name: str, difference: Delta) -> TableDelta:
-    """Return a difference as it travels."""
-    return TableDelta(
-        name, difference.base, difference.version, difference.puts, difference.deletes
-    )
+def delta_message(name: str, delta: Delta) -> TableDelta:
+    """Return a delta of the table `name` as a message."""
+    return TableDelta(name, delta.base, delta.version, delta.puts, delta.deletes)
 
 
-def delta_of(delta: TableDelta) -> Delta:
-    """Return a travelled difference."""
+def delta_from_message(delta: TableDelta) -> Delta:
+    """Return the delta in a message."""
     return Delta(delta.base_version, delta.version, delta.puts, delta.deletes)
--- a/src/zincvale/coordination/delivery/messages.py
+++ b/src/zincvale/coordination/delivery/messages.py
@@ -1,4 +1,4 @@
-"""Long polls and soft topics."""
+"""Messages of long polls and ephemeral topics; positional Avro."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class TopicDelta:
-    """A soft topic at `(epoch, version)`: whole when `base_version` is None."""
+    """An ephemeral topic at `(epoch, version)`: the full table when `base_version` is None."""
 
     topic: str
     epoch: int
@@ -24,7 +24,7 @@
 @peer_message("topic.publish")
 @attrs.frozen
 class PublishTopic:
-    """Change a soft topic under the fencing epoch of the publishing role.
+    """Changes an ephemeral topic under the fencing epoch of the publishing role.
 
     The first publication under a new epoch, or with `replace`, replaces all rows.
     """
@@ -39,7 +39,7 @@
 @peer_message("topic.published")
 @attrs.frozen
 class TopicPublished:
-    """Answer to `PublishTopic`: whether the epoch was accepted."""
+    """Response to `PublishTopic`: whether the epoch was accepted, and the topic's position."""
 
     accepted: bool
     epoch: int
@@ -49,7 +49,7 @@
 @peer_message("topic.update")
 @attrs.frozen
 class TopicUpdate:
-    """A topic's change on its way to the other cores."""
+    """A change of a topic, sent to the other cores."""
 
     delta: TopicDelta
 
@@ -57,7 +57,7 @@
 @peer_message("topic.fetch")
 @attrs.frozen
 class FetchTopic:
-    """Ask for a topic newer than what the sender holds."""
+    """Requests what is newer than the sender's position in a topic."""
 
     topic: str
     epoch: int
@@ -67,7 +67,10 @@
 @peer_message("poll")
 @attrs.frozen
 class Poll:
-    """Long poll: answered when anything is newer than what the poller holds."""
+    """Long poll: gets a response when anything is newer than what the poller has applied.
+
+    `members_source` names the core whose member table `members_version` counts; empty for none.
+    """
 
     keys: dict[str, int]
     members_source: str
@@ -84,5 +87,5 @@
     topics: list[TopicDelta]
     members_source: str
     members: TableDelta | None
-    isolated: bool = False
+    is_isolated: bool = False
     """The sender does not hear a majority of the cores: poll another one."""
--- a/src/zincvale/coordination/delivery/rollout.py
+++ b/src/zincvale/coordination/delivery/rollout.py
@@ -1,8 +1,13 @@
-"""Tells when a chosen version is in force: held by every node that may serve.
+"""Tells when a chosen version is rolled out: applied by every node that may serve.
 
-A version is in force when a majority of the granting cores reports that every live lease holds it,
-and a majority of the registered nodes confirmed it. The second condition keeps a majority island of
-nodes that no core can reach on a version that nothing newer was acknowledged over.
+A version is rolled out when a majority of the granting cores reports that every live lease has
+applied it, and a majority of the registered nodes confirmed it (docs/design-coordination.md,
+"Acknowledgement"). By the first condition no node serves on a lease without it. By the second none
+serves without a lease either: nodes that reach no core go on serving only with evidence from a
+majority of the registered nodes, and whoever gave evidence does not confirm.
+
+A core that reports newer replica sets or a newer registry than the one that counts stops the count:
+majorities of outdated sets prove nothing.
 """
 
 from __future__ import annotations
@@ -15,8 +20,8 @@
 
 
 @attrs.frozen
-class Waiter:
-    """A change that waits for its version to be in force."""
+class PendingChange:
+    """A change whose caller, at the call `token`, waits until its version is rolled out."""
 
     token: str
     version: int
@@ -24,7 +29,7 @@
 
 @attrs.frozen
 class QuorumRules:
-    """By what a core counts reports and confirmations.
+    """The sets by whose majorities a core counts reports and confirmations.
 
     Attributes
     ----------
@@ -46,43 +51,44 @@
     Parameters
     ----------
     registry_key : the key of the registry.
-    strict : count only nodes that hold the newest of *every* key that any report knows. A change of
-        the registry is closed by this rule, so that the new set knows all that the old set does.
+    strict : count only nodes that applied the newest version of *every* key that any report knows.
+        A change of the registry ends by this rule, so that the new set has applied all that the
+        old set has.
     """
 
-    def __init__(self, registry_key: str, strict: bool) -> None:
+    def __init__(self, registry_key: str, *, strict: bool) -> None:
         self._registry_key = registry_key
         self._strict = strict
         self._reports: dict[MemberId, AppliedVersionsReport] = {}
-        self.waiters: list[Waiter] = []
+        self.pending: list[PendingChange] = []
         self.version = 0
-        self.stale = False
-        """Whether counting anew may tell something new."""
+        self.is_stale = False
+        """Whether counting anew may have another result."""
 
-    def note(self, sender: MemberId, report: AppliedVersionsReport) -> None:
-        """Remember the newest report of a core."""
+    def record_report(self, sender: MemberId, report: AppliedVersionsReport) -> None:
+        """Record the newest report of a core."""
         self._reports[sender] = report
-        self.stale = True
+        self.is_stale = True
 
-    def wait(self, waiter: Waiter) -> None:
-        """Add a change that waits."""
-        self.waiters.append(waiter)
-        self.stale = True
+    def wait(self, change: PendingChange) -> None:
+        """Add a change that waits for its version."""
+        self.pending.append(change)
+        self.is_stale = True
 
-    def update(self, rules: QuorumRules) -> list[Waiter]:
-        """Work out the version in force; return the waiters it satisfies."""
-        self.stale = False
+    def update(self, rules: QuorumRules) -> list[PendingChange]:
+        """Count anew; remove and return the pending changes that are rolled out."""
+        self.is_stale = False
         for version in sorted({report.version for report in self._reports.values()}, reverse=True):
             if version <= self.version:
                 break
-            if self._in_force(version, rules):
+            if self._is_applied_everywhere(version, rules):
                 self.version = version
                 break
-        done = [waiter for waiter in self.waiters if waiter.version <= self.version]
-        self.waiters = [waiter for waiter in self.waiters if waiter.version > self.version]
+        done = [change for change in self.pending if change.version <= self.version]
+        self.pending = [change for change in self.pending if change.version > self.version]
         return done
 
-    def _in_force(self, version: int, rules: QuorumRules) -> bool:
+    def _is_applied_everywhere(self, version: int, rules: QuorumRules) -> bool:
         reports = {
             core: report for core, report in self._reports.items() if report.version >= version
         }
@@ -91,7 +97,7 @@
         if any(self._knows_newer_rules(report, rules) for report in reports.values()):
             return False
         counted = self._newest(reports) if self._strict else reports
-        confirmed = _confirmed(counted, rules.grantors)
+        confirmed = _confirmed_nodes(counted, rules.grantors)
         return all(has_majority(registry, confirmed) for registry in rules.registries)
 
     def _knows_newer_rules(self, report: AppliedVersionsReport, rules: QuorumRules) -> bool:
@@ -111,11 +117,13 @@
         return {core: report for core, report in reports.items() if report.chosen == newest}
 
 
-def _confirmed(reports: dict[MemberId, AppliedVersionsReport], grantors: ReplicaConfig) -> set[str]:
+def _confirmed_nodes(
+    reports: dict[MemberId, AppliedVersionsReport], grantors: ReplicaConfig
+) -> set[str]:
     """Return the nodes that confirmed to a majority of the granting cores.
 
-    To one core is not enough: a node that restarts could get a new lease from the others, without
-    what it confirmed before.
+    One core is not enough: a node that restarts could get a new lease from the others, without the
+    version that it had applied and confirmed before.
     """
     cores_by_node: dict[str, set[MemberId]] = {}
     for core, report in reports.items():
--- a/src/zincvale/coordination/delivery/core_topics.py
+++ b/src/zincvale/coordination/delivery/topic_replicator.py
@@ -1,4 +1,4 @@
-"""Soft topics at a core: published here, passed on to the other cores, fetched when missed."""
+"""Ephemeral topics at a core: published here, forwarded to the other cores, fetched if missed."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from zincvale.model.machine import Effect, Reply, Send
 
 
-class CoreTopics:
-    """The topics of one core, in step with the other cores."""
+class TopicReplicator:
+    """Replicates the topics of one core to and from the other cores."""
 
     def __init__(self, context: CoreContext, delivery: LongPollServer) -> None:
         self._context = context
-        self._delivery = delivery
+        self._poll_server = delivery
 
     def publish(self, token: str, publication: PublishTopic, now: float) -> list[Effect]:
-        """Take a publication of this process; older epochs are refused."""
+        """Apply and forward a publication of this process; an older epoch is refused."""
         delta = self._context.topics.publish(publication)
         epoch, version = self._context.topics.position(publication.topic)
         reply = Reply(token, TopicPublished(delta is not None, epoch, version))
         if delta is None:
             return [reply]
-        self._note_news(publication.topic, now)
+        self._record_update(publication.topic, now)
         return [reply, *self._context.to_other_cores(TopicUpdate(delta))]
 
     def handle_update(self, sender: MemberId, update: TopicUpdate, now: float) -> list[Effect]:
@@ -40,23 +40,23 @@
         if not topics.apply(update.delta):
             return [Send(sender, FetchTopic(topic, before[0], before[1]))]
         if topics.position(topic) != before:
-            self._note_news(topic, now)
+            self._record_update(topic, now)
         return []
 
     def handle_fetch(self, sender: MemberId, fetch: FetchTopic) -> list[Effect]:
-        """Send what is newer than the asker holds."""
+        """Send what is newer than the requester's position."""
         delta = self._context.topics.since(fetch.topic, fetch.epoch, fetch.version)
         return [Send(sender, TopicUpdate(delta))] if delta is not None else []
 
-    def handle_status(self, sender: MemberId, status: Heartbeat) -> list[Effect]:
-        """Fetch topics that another core has newer."""
+    def handle_heartbeat(self, sender: MemberId, heartbeat: Heartbeat) -> list[Effect]:
+        """Fetch the topics of which another core has a newer version."""
         effects: list[Effect] = []
-        for topic, position in status.topics.items():
-            held = self._context.topics.position(topic)
-            if (position.epoch, position.version) > held:
-                effects.append(Send(sender, FetchTopic(topic, held[0], held[1])))
+        for topic, position in heartbeat.topics.items():
+            own = self._context.topics.position(topic)
+            if (position.epoch, position.version) > own:
+                effects.append(Send(sender, FetchTopic(topic, own[0], own[1])))
         return effects
 
-    def _note_news(self, topic: str, now: float) -> None:
+    def _record_update(self, topic: str, now: float) -> None:
         self._context.notes.topics.add(topic)
-        self._delivery.note_soft_news(now)
+        self._poll_server.on_ephemeral_update(now)
--- a/src/zincvale/coordination/delivery/versioned_table.py
+++ b/src/zincvale/coordination/delivery/versioned_table.py
@@ -1,4 +1,4 @@
-"""Tables with a version and a bounded memory of their recent differences."""
+"""Tables with a version and a bounded number of their recent deltas."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from zincvale.coordination.changes import Rows
 
 RETAINED_DELTAS = 256
-"""A reader further behind than this gets the whole table."""
+"""A reader further behind than this gets the full table; each delta retains the rows it changed."""
 
 
 @attrs.frozen
 class Delta:
-    """What leads from one version of a table to a later one; whole when `base` is None."""
+    """What leads from one version of a table to a later one; the full table when `base` is None."""
 
     base: int | None
     version: int
@@ -23,61 +23,69 @@
 
 
 class VersionedTable:
-    """Rows, their version and the differences between recent versions."""
+    """Rows, their version and the deltas between recent versions.
+
+    `rows` is replaced, never changed in place: readers may retain it and compare by identity.
+    """
 
     def __init__(self, version: int = 0, rows: Rows | None = None) -> None:
         self.version = version
         self.rows: Rows = rows if rows is not None else {}
-        self._differences: deque[Delta] = deque(maxlen=RETAINED_DELTAS)
+        self._deltas: deque[Delta] = deque(maxlen=RETAINED_DELTAS)
 
     def replace(self, version: int, rows: Rows) -> None:
-        """Move to `version` with these rows; the difference is worked out and kept."""
+        """Move to `version` with these rows; the delta is computed and retained."""
         old = self.rows
         puts = {row: value for row, value in rows.items() if old.get(row) != value}
         deletes = [row for row in old if row not in rows]
-        self._differences.append(Delta(self.version, version, puts, deletes))
+        self._deltas.append(Delta(self.version, version, puts, deletes))
         self.version = version
         self.rows = rows
 
     def reset(self, version: int, rows: Rows) -> None:
-        """Start anew at `version`; earlier readers get the whole table."""
-        self._differences.clear()
+        """Start anew at `version`; earlier readers get the full table."""
+        self._deltas.clear()
         self.version = version
         self.rows = dict(rows)
 
     def change(self, version: int, puts: Rows, deletes: list[str]) -> None:
-        """Move to `version` by a difference."""
+        """Move to `version` by a delta."""
         rows = dict(self.rows)
         rows.update(puts)
         for row in deletes:
             rows.pop(row, None)
-        self._differences.append(Delta(self.version, version, puts, deletes))
+        self._deltas.append(Delta(self.version, version, puts, deletes))
         self.version = version
         self.rows = rows
 
-    def apply(self, difference: Delta) -> bool:
-        """Apply a difference that was sent here; False when its base is not held."""
-        if difference.base is None:
-            self.reset(difference.version, difference.puts)
+    def apply(self, delta: Delta) -> bool:
+        """Apply a received delta; return False when its base is not this table's version."""
+        if delta.base is None:
+            self.reset(delta.version, delta.puts)
             return True
-        if difference.base != self.version:
+        if delta.base != self.version:
             return False
-        self.change(difference.version, difference.puts, difference.deletes)
+        self.change(delta.version, delta.puts, delta.deletes)
         return True
 
+    def full(self) -> Delta:
+        """Return the full table as a delta without a base."""
+        return Delta(None, self.version, self.rows, [])
+
     def since(self, version: int) -> Delta:
-        """Return what leads a holder of `version` to this one."""
+        """Return what leads a reader at `version` to this one: merged deltas, or the full table."""
         steps: list[Delta] = []
-        for difference in reversed(self._differences):
-            if difference.version <= version:
+        for delta in reversed(self._deltas):
+            if delta.version <= version:
                 break
-            steps.append(difference)
+            steps.append(delta)
         if not steps or steps[-1].base != version:
-            return Delta(None, self.version, self.rows, [])
+            return self.full()
         return _merge(list(reversed(steps)))
 
 
 def _merge(steps: list[Delta]) -> Delta:
+    """Return consecutive deltas as one; of each row the last change counts."""
     merged: dict[str, bytes | None] = {}
     for step in steps:
         merged.update(step.puts)
--- a/src/zincvale/coordination/leases/core_leases.py
+++ b/src/zincvale/coordination/leases/core_leases.py
@@ -72,7 +72,7 @@
             or self.grantor.has_stale_members()
         ):
             return []
-        return self.applied_versions.report(now, only_news=True)
+        return self.applied_versions.report(now, only_changes=True)
 
     def tick(self, now: float) -> list[Effect]:
         """Expire leases, report applied versions, invite registered nodes that have no lease."""
--- a/src/zincvale/coordination/node/machine.py
+++ b/src/zincvale/coordination/node/machine.py
@@ -11,7 +11,6 @@
 from zincvale.coordination.delivery.long_poll_client import POLL_PREFIX, LongPollClient
 from zincvale.coordination.delivery.long_poll_server import LongPollServer, delta_message
 from zincvale.coordination.delivery.messages import Poll, PollResponse
-from zincvale.coordination.delivery.versioned_table import Delta
 from zincvale.coordination.leases.member_lease import MemberLeaseHolder
 from zincvale.coordination.leases.messages import (
     LeaseGranted,
@@ -73,11 +72,14 @@
         self._config = config
         self._random = random
         self._lease = MemberLeaseHolder(config)
-        self._poller = LongPollClient(config, DELIVERED_KEYS, random)
+        self._poll_client = LongPollClient(config, DELIVERED_KEYS, random)
         self._island = PartitionGuard(config, random, now)
         self._renewal_client = RenewalClient(config, random)
-        self._delivery = LongPollServer(
-            config.timings, self._poller.values, self._poller.members, self._poller.topics
+        self._poll_server = LongPollServer(
+            config.timings,
+            self._poll_client.values,
+            self._poll_client.members,
+            self._poll_client.topics,
         )
         self._members = MemberTableDecoder()
         self._renew_at = now
@@ -111,16 +113,16 @@
             case CallReplied(token, PollResponse() as answer) if token.startswith(POLL_PREFIX):
                 return self._handle_answer(token, answer, now)
             case CallReplied(token, _) | CallFailed(token, _) if token.startswith(POLL_PREFIX):
-                self._poller.handle_failure(token, now)
+                self._poll_client.handle_failure(token, now)
             case CallReceived(_, token, Poll() as poll):
-                return self._delivery.poll(token, poll, now)
+                return self._poll_server.poll(token, poll, now)
             case CallAbandoned(token):
-                self._delivery.abandon(token)
+                self._poll_server.abandon(token)
             case ClockJumped(gap_s):
                 self._lease.discard_grants()
                 self._renewal_client.abandon_call()
                 self._island.drop()
-                self._poller.restart(None)
+                self._poll_client.restart(None)
                 return [Log(log_events.CLOCK_JUMPED, {"gap_s": round(gap_s, 3)})]
         return []
 
@@ -143,11 +145,11 @@
                 return [Send(sender, LeaseRedirect(list(self._lease.cores.values()), "a node"))]
             case PartitionProbe() if self._may_give_evidence(now):
                 return self._island.answer(
-                    sender, message, self._registered(), self._poller.applied_versions(), now
+                    sender, message, self._registered(), self._poll_client.applied_versions(), now
                 )
             case PartitionEvidence():
                 self._island.note(
-                    sender, message, self._registered(), self._poller.applied_versions()
+                    sender, message, self._registered(), self._poll_client.applied_versions()
                 )
             case FetchValue():
                 return self._handle_fetch(sender, message)
@@ -157,40 +159,39 @@
         self, core: MemberId, through: MemberId, granted: LeaseGranted, now: float
     ) -> list[Effect]:
         self._lease.handle_granted(core, granted)
-        self._poller.note_newest(through, granted.chosen, now)
+        self._poll_client.on_newest_versions(through, granted.chosen, now)
         if self._has_lease(now):
             self._ever_leased = True
-        return list(self._poller.tick(self._poll_hosts(now), now))
+        return list(self._poll_client.tick(self._poll_hosts(now), now))
 
     def _handle_tick(self, now: float) -> list[Effect]:
-        self._delivery.isolated = not self._has_lease(now)
+        self._poll_server.is_isolated = not self._has_lease(now)
         hosts = self._poll_hosts(now)
-        self._poller.leave_silent_host(hosts)
-        effects: list[Effect] = list(self._poller.tick(hosts, now))
+        self._poll_client.leave_unresponsive_host(hosts)
+        effects: list[Effect] = list(self._poll_client.tick(hosts, now))
         if now >= self._renew_at:
             effects.extend(self._renew_through_coordinator(now))
-        effects.extend(self._delivery.tick(now))
+        effects.extend(self._poll_server.tick(now))
         if self._suspects(now):
             effects.extend(self._ask_peers(now))
         return effects
 
     def _handle_answer(self, token: str, answer: PollResponse, now: float) -> list[Effect]:
-        moved = self._poller.handle_answer(token, answer, now)
+        moved = self._poll_client.handle_response(token, answer, now)
         self._polled = True
-        self._delivery.members_source = self._poller.members_source
-        self._delivery.note_news(now)
-        effects: list[Effect] = list(self._poller.tick(self._poll_hosts(now), now))
+        self._poll_server.members_source = self._poll_client.members_source
+        self._poll_server.on_update(now)
+        effects: list[Effect] = list(self._poll_client.tick(self._poll_hosts(now), now))
         if moved:
             effects.extend(self._renew(now))
         return effects
 
     def _handle_fetch(self, sender: MemberId, fetch: FetchValue) -> list[Effect]:
         """Announce a held value whole, for a core that lost it."""
-        table = self._poller.values.get(fetch.key)
+        table = self._poll_client.values.get(fetch.key)
         if table is None or table.version <= fetch.version:
             return []
-        whole = Delta(None, table.version, table.rows, [])
-        return [Send(sender, ChosenValue(delta_message(fetch.key, whole)))]
+        return [Send(sender, ChosenValue(delta_message(fetch.key, table.full())))]
 
     # --- cores and peers ------------------------------------------------------------------
 
@@ -248,10 +249,10 @@
 
     def _renewal(self, now: float) -> RenewLease:
         return self._lease.renewal(
-            self._poller.applied_versions(),
+            self._poll_client.applied_versions(),
             ready=self.ready(now),
             may_confirm=self._island.is_silent(now),
-            fence=self._poller.topics.newest_epoch(),
+            fence=self._poll_client.topics.newest_epoch(),
             now=now,
         )
 
@@ -284,7 +285,7 @@
         answering = self._answering(now)
         if answering:
             return self._lease.in_own_zone(answering) or answering
-        return self._island.newer_peers(self._poller.applied_versions(), now) or self._peers()
+        return self._island.newer_peers(self._poll_client.applied_versions(), now) or self._peers()
 
     def _answering(self, now: float) -> list[MemberId]:
         """Return the cores that answered this node itself within a lease lifetime."""
@@ -292,12 +293,12 @@
         return [core for core in self._lease.cores if self._heard_at.get(core, 0.0) > since]
 
     def _registered(self) -> dict[str, bytes]:
-        return self._poller.values[REGISTRY_KEY].rows
+        return self._poll_client.values[REGISTRY_KEY].rows
 
     # --- freshness ------------------------------------------------------------------------
 
     def _has_lease(self, now: float) -> bool:
-        return now < self._lease.valid_until(self._poller.applied_versions())
+        return now < self._lease.valid_until(self._poll_client.applied_versions())
 
     def _suspects(self, now: float) -> bool:
         """Whether renewals go unanswered, so that the lease is about to lapse or has lapsed."""
@@ -308,7 +309,7 @@
 
     def _left_s(self, now: float) -> float:
         """Return how long the lease still lasts; negative when it lapsed."""
-        return self._lease.valid_until(self._poller.applied_versions()) - now
+        return self._lease.valid_until(self._poll_client.applied_versions()) - now
 
     def _may_give_evidence(self, now: float) -> bool:
         """Only a node that once held a lease knows everything acknowledged before that."""
@@ -342,23 +343,25 @@
 
     def value(self, key: str) -> KeyView:
         """Return a delivered key as held here."""
-        table = self._poller.values.get(key)
+        table = self._poll_client.values.get(key)
         return KeyView(table.version, table.rows) if table is not None else KeyView()
 
     def topic(self, name: str) -> TopicView:
         """Return a soft topic as held here."""
-        return self._poller.topics.view(name)
+        return self._poll_client.topics.view(name)
 
     def members(self, now: float) -> Members:
         """Return the members as the core last told."""
-        return self._members.update(self._poller.members.version, self._poller.members.rows)
+        return self._members.update(
+            self._poll_client.members.version, self._poll_client.members.rows
+        )
 
     def address_of(self, member: MemberId) -> Address | None:
         """Return the peer address of a member, if known."""
         address = self._lease.address_of(member)
         if address is not None:
             return address
-        row = self._poller.members.rows.get(member)
+        row = self._poll_client.members.rows.get(member)
         if row is not None:
             return decode_member(member, row).peer_address
         registered = self._registered().get(member)
@@ -370,4 +373,4 @@
 
     def take_changes(self) -> ChangeNotifications:
         """Return what changed since the last call."""
-        return self._poller.notes.take()
+        return self._poll_client.notes.take()
--- a/src/zincvale/coordination/registers/chosen_values.py
+++ b/src/zincvale/coordination/registers/chosen_values.py
@@ -7,7 +7,7 @@
 from zincvale.coordination.changes import Rows
 from zincvale.coordination.core.context import CoreContext
 from zincvale.coordination.core.messages import Heartbeat
-from zincvale.coordination.delivery.long_poll_server import delta_message, delta_of
+from zincvale.coordination.delivery.long_poll_server import delta_from_message, delta_message
 from zincvale.coordination.delivery.versioned_table import VersionedTable
 from zincvale.coordination.registers.messages import Accept, Chosen, ChosenValue, FetchValue
 from zincvale.coordination.replication.replica_sets import REPLICA_SETS_KEY
--- a/src/zincvale/daemons/forwarding_timings.py
+++ b/src/zincvale/daemons/forwarding_timings.py
@@ -17,7 +17,7 @@
 CANDIDATE_STAGGER_S = 0.3
 RENEWAL_COLLECT_S = 0.1
 """Each collection costs a message to every other granting core; a lease lasts 18 times as long."""
-POLL_ANSWERS_PER_S = 60.0
+EPHEMERAL_RESPONSES_PER_S = 60.0
 """About 4% of a core, at 0.6 ms an answer."""
 
 
@@ -31,5 +31,5 @@
         bootstrap_listen_s=BOOTSTRAP_LISTEN_S,
         candidate_stagger_s=CANDIDATE_STAGGER_S,
         renewal_collect_s=RENEWAL_COLLECT_S,
-        poll_answers_per_s=POLL_ANSWERS_PER_S,
+        ephemeral_responses_per_s=EPHEMERAL_RESPONSES_PER_S,
     )
--- a/src/zincvale/simulator/mutations/leases.py
+++ b/src/zincvale/simulator/mutations/leases.py
@@ -26,12 +26,12 @@
     """Nodes with a lease need not hold what is acknowledged."""
 
     def at_once(self: Any, rules: Any) -> Any:
-        done, self.waiters = self.waiters, []
+        done, self.pending = self.pending, []
         return done
 
-    def always_stale(self: Any, waiter: Any) -> None:
-        self.waiters.append(waiter)
-        self.stale = True
+    def always_stale(self: Any, change: Any) -> None:
+        self.pending.append(change)
+        self.is_stale = True
 
     with (
         mock.patch.object(RolloutTracker, "update", at_once),
--- a/tests/coordination/test_statuses.py
+++ b/tests/coordination/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Statuses of the cores: whole when something changed, else a short word that it did not."""
+"""Heartbeats of the cores: in full when something changed, else a short message that it did not."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         return all(len(self.core(name).live_cores(self.now)) == 2 for name in CORES)
 
 
-class StatusesTest(testtools.TestCase):
+class HeartbeatTest(testtools.TestCase):
     def settled(self) -> ListeningCluster:
         cluster = ListeningCluster(nodes=1)
         cluster.started()
@@ -59,7 +59,7 @@
         cluster.passed.clear()
         return cluster
 
-    def test_while_nothing_changes_only_short_statuses_are_sent(self) -> None:
+    def test_while_nothing_changes_only_short_heartbeats_are_sent(self) -> None:
         cluster = self.settled()
         cluster.run(5.0)
         self.assertEqual([], cluster.of_kind(Heartbeat))
@@ -68,7 +68,7 @@
         self.assertGreater(len(cluster.of_kind(UnchangedHeartbeat)), expected)
         self.assertTrue(cluster.all_hear_each_other())
 
-    def test_a_short_status_is_a_small_part_of_a_whole_one(self) -> None:
+    def test_a_short_heartbeat_is_a_small_part_of_a_full_one(self) -> None:
         cluster = ListeningCluster(nodes=1)
         cluster.started()
         cluster.run(5.0)
@@ -76,7 +76,7 @@
         short = encode_message(cluster.of_kind(UnchangedHeartbeat)[-1].message)
         self.assertLess(5 * len(short), len(whole))
 
-    def test_a_change_is_told_whole_once(self) -> None:
+    def test_a_change_is_sent_in_full_once(self) -> None:
         cluster = self.settled()
         cluster.change("core-1", "o1", {"a": "1"})
         cluster.run(2.0)
@@ -89,7 +89,7 @@
         cluster.run(2.0)
         self.assertEqual([], cluster.of_kind(Heartbeat))
 
-    def test_a_lost_status_is_asked_for(self) -> None:
+    def test_a_lost_heartbeat_is_requested(self) -> None:
         cluster = self.settled()
         lost: list[Passed] = []
 
@@ -109,7 +109,7 @@
         cluster.run(2.0)
         self.assertEqual([], cluster.of_kind(RequestHeartbeat))
 
-    def test_what_stands_for_an_unknown_status_is_no_sign_of_life(self) -> None:
+    def test_what_stands_for_an_unknown_heartbeat_is_no_sign_of_life(self) -> None:
         cluster = self.settled()
         machine = cluster.core("core-1")
         known = machine._context.cores.heartbeat_of(MemberId("core-2"))
@@ -123,7 +123,7 @@
             self.assertIn(Send(MemberId("core-2"), RequestHeartbeat()), effects)
             self.assertNotIn("core-2", machine.live_cores(cluster.now))
 
-    def test_a_restarted_core_is_told_everything_at_once(self) -> None:
+    def test_a_restarted_core_is_sent_everything_at_once(self) -> None:
         cluster = self.settled()
         cluster.kill("core-2")
         cluster.start_core("core-2")
@@ -133,12 +133,12 @@
         cluster = self.settled()
         cluster.run(1.0)
         core = cluster.core("core-1")
-        told = core._context.cores.heartbeat_of(MemberId("core-2"))
-        assert told is not None
+        received = core._context.cores.heartbeat_of(MemberId("core-2"))
+        assert received is not None
         position = {"moves": TopicPosition(7, 70)}
-        message = UnchangedHeartbeat(told.info.incarnation, told.number, position)
+        message = UnchangedHeartbeat(received.info.incarnation, received.number, position)
         core.handle(MessageReceived(MemberId("core-2"), message), cluster.now)
         known = core._context.cores.heartbeat_of(MemberId("core-2"))
         assert known is not None
         self.assertEqual(position, known.topics)
-        self.assertEqual(told.keys, known.keys)
+        self.assertEqual(received.keys, known.keys)
--- a/tests/coordination/test_node_poller.py
+++ b/tests/coordination/test_long_poll_client.py
@@ -5,7 +5,7 @@
 from testtools import TestCase
 
 from zincvale.coordination.config import NodeConfig
-from zincvale.coordination.delivery.long_poll_client import LONGEST_BEHIND_S, LongPollClient
+from zincvale.coordination.delivery.long_poll_client import MAX_BEHIND_S, LongPollClient
 from zincvale.coordination.delivery.messages import PollResponse
 from zincvale.coordination.registers.messages import TableDelta
 
@@ -13,44 +13,44 @@
 STEP_S = 0.05
 
 
-class BehindTest(TestCase):
+class LaggingPollTest(TestCase):
     """Cores say that something newer exists, and the poll under way does not bring it."""
 
     def setUp(self):
         super().setUp()
         config = NodeConfig("c", "n1", "i1", "z1", "r", "10.0.0.1:1", "10.0.0.1:2")
-        self.poller = LongPollClient(config, ("intent",), random.Random(1))
+        self.client = LongPollClient(config, ("intent",), random.Random(1))
         self.now = 0.0
-        self.polls = list(self.poller.tick(HOSTS, self.now))
+        self.polls = list(self.client.tick(HOSTS, self.now))
 
     def wait(self, seconds):
         end = self.now + seconds
         while self.now < end:
             self.now += STEP_S
             for host in HOSTS:
-                self.poller.note_newest(host, {"intent": 5}, self.now)
-            self.polls += self.poller.tick(HOSTS, self.now)
+                self.client.on_newest_versions(host, {"intent": 5}, self.now)
+            self.polls += self.client.tick(HOSTS, self.now)
 
     def test_the_first_poll_is_given_up_soon(self):
         self.wait(0.4)
         self.assertEqual(2, len(self.polls))
 
-    def test_a_large_answer_over_a_slow_link_is_not_asked_for_again_and_again(self):
+    def test_a_large_response_over_a_slow_link_is_not_requested_again_and_again(self):
         self.wait(20.0)
         self.assertLess(len(self.polls), 12)
         gaps = 20.0 / (len(self.polls) - 4)
-        self.assertLess(gaps, 2 * LONGEST_BEHIND_S)
+        self.assertLess(gaps, 2 * MAX_BEHIND_S)
 
-    def test_after_it_caught_up_it_is_impatient_again(self):
+    def test_after_it_caught_up_the_first_wait_is_short_again(self):
         self.wait(20.0)
         whole = PollResponse([TableDelta("intent", None, 5, {"row": b"x"}, [])], [], "", None)
-        self.poller.handle_answer(self.polls[-1].token, whole, self.now)
-        self.polls = list(self.poller.tick(HOSTS, self.now))
-        self.poller.note_newest(HOSTS[0], {"intent": 5}, self.now)
+        self.client.handle_response(self.polls[-1].token, whole, self.now)
+        self.polls = list(self.client.tick(HOSTS, self.now))
+        self.client.on_newest_versions(HOSTS[0], {"intent": 5}, self.now)
         before = len(self.polls)
         for _ in range(8):
             self.now += STEP_S
             for host in HOSTS:
-                self.poller.note_newest(host, {"intent": 6}, self.now)
-            self.polls += self.poller.tick(HOSTS, self.now)
+                self.client.on_newest_versions(host, {"intent": 6}, self.now)
+            self.polls += self.client.tick(HOSTS, self.now)
         self.assertEqual(before + 1, len(self.polls))
