--- a/src/zincvale/model/identifiers.py
+++ b/src/zincvale/model/identifiers.py
@@ -31,7 +31,7 @@
 """`ip:port`."""
 
 RAW_ADDRESS_PREFIX = "@"
-"""Marks a member id that is an address, of a process whose name is not known yet."""
+"""A member identifier with this prefix is itself the address: seeds have no identifier yet."""
 
 
 def member_at(address: Address) -> MemberId:
--- a/src/zincvale/transport/peer_client.py
+++ b/src/zincvale/transport/peer_client.py
@@ -30,6 +30,7 @@
 SEND_TIMEOUT_S = 0.8
 """One-way messages queue behind a batch in flight: longer delays those that follow."""
 MAX_QUEUED_MESSAGES = 2_000
+"""Bounds the memory of an unreachable peer's queue; one-way messages may be lost."""
 BATCH_CONTENT_TYPE = "application/vnd.zincvale.avro"
 
 
