--- a/src/zincvale/coordination/node/machine.py
+++ b/src/zincvale/coordination/node/machine.py
@@ -1,4 +1,9 @@
-"""The node's state machine: its lease, its long poll, its peers, and whether it may serve."""
+"""The node's state machine: its lease, its long poll, its peers, and whether it may serve.
+
+It renews its lease by one call to a coordinating core. When that fails it renews at every core, and
+while the lease runs out it uses peers as relays and the seeds for first contact. Pure: inputs in,
+effects out; time and randomness are arguments.
+"""
 
 from __future__ import annotations
 
@@ -45,17 +50,24 @@
 )
 from zincvale.model.view import Members
 
-HEALTHY_FACTOR = 0.5
-"""With more than this part of the lease left, the last renewal succeeded."""
-SUSPICION_FACTOR = 0.45
-"""With less than this part of the lease left, at least one renewal went unanswered."""
-RELAY_FACTOR = 0.3
-"""Peers are asked to relay only when direct renewals had time to be answered."""
-FIRST_ASK_AGAIN_S = 0.06
-ASK_AGAIN_GROWTH = 1.25
-RELAYS_ASKED = 2
+HEALTHY_LEASE_FRACTION = 0.5
+"""With less than this part of the lease left, a renewal failed: renew at every core."""
+SUSPICIOUS_LEASE_FRACTION = 0.45
+"""With less than this part left, renewals get no responses: peers are probed for a partition. It is
+below HEALTHY_LEASE_FRACTION, so that renewing at every core is tried first."""
+RELAY_LEASE_FRACTION = 0.3
+"""With less than this part left, peers relay renewals; direct ones had time to get a response."""
+FIRST_RETRY_S = 0.06
+"""Base of the interval between renewals before the first lease: a started node is ready early."""
+RETRY_GROWTH = 1.25
+"""Growth of that interval, up to `lease_renew_s`; without it many nodes that start together while
+no core can grant would flood the cores."""
+RELAY_PEERS = 2
+"""Peers that a renewal is sent to at a time; each forwards it to every core."""
 RELAY_INTERVAL_S = 0.3
+"""Between two relayed renewals."""
 SEED_INTERVAL_S = 2.0
+"""Between two renewals at the seeds while the lease runs out; every known core may have moved."""
 
 
 class NodeMachine:
@@ -73,7 +85,7 @@
         self._random = random
         self._lease = MemberLeaseHolder(config)
         self._poll_client = LongPollClient(config, DELIVERED_KEYS, random)
-        self._island = PartitionGuard(config, random, now)
+        self._partition_guard = PartitionGuard(config, random, now)
         self._renewal_client = RenewalClient(config, random)
         self._poll_server = LongPollServer(
             config.timings,
@@ -87,9 +99,9 @@
         self._seed_at = now + SEED_INTERVAL_S
         self._was_ready = False
         self._heard_at: dict[MemberId, float] = {}
-        """When each core last answered this node directly."""
+        """When each core last responded to this node directly."""
         self._ever_leased = False
-        self._asked = 0
+        self._early_renewals = 0
         self._polled = False
 
     # --- inputs ---------------------------------------------------------------------------
@@ -97,7 +109,7 @@
     def handle(self, event: Input, now: float) -> list[Effect]:
         """Apply one input and return what to do."""
         effects = self._handle_one(event, now)
-        effects.extend(self._note_readiness(now))
+        effects.extend(self._on_readiness(now))
         return effects
 
     def _handle_one(self, event: Input, now: float) -> list[Effect]:
@@ -110,8 +122,8 @@
                 return self._handle_lease_grants(token, grants, now)
             case CallReplied(token, _) | CallFailed(token, _) if token.startswith(RENEWAL_PREFIX):
                 return self._handle_renewal_failure(token, now)
-            case CallReplied(token, PollResponse() as answer) if token.startswith(POLL_PREFIX):
-                return self._handle_answer(token, answer, now)
+            case CallReplied(token, PollResponse() as response) if token.startswith(POLL_PREFIX):
+                return self._handle_poll_response(token, response, now)
             case CallReplied(token, _) | CallFailed(token, _) if token.startswith(POLL_PREFIX):
                 self._poll_client.handle_failure(token, now)
             case CallReceived(_, token, Poll() as poll):
@@ -121,7 +133,7 @@
             case ClockJumped(gap_s):
                 self._lease.discard_grants()
                 self._renewal_client.abandon_call()
-                self._island.drop()
+                self._partition_guard.discard_evidence()
                 self._poll_client.restart(None)
                 return [Log(log_events.CLOCK_JUMPED, {"gap_s": round(gap_s, 3)})]
         return []
@@ -133,22 +145,29 @@
                 return self._handle_granted(sender, sender, message, now)
             case RelayedGrant(node, core, granted) if node == self._config.member:
                 return self._handle_granted(MemberId(core), sender, granted, now)
-            case RelayedGrant(node, _, _):
-                return [Send(MemberId(node), message)]
-            case RelayRenewal(renewal) if self._has_lease(now):
-                return [Send(core, RelayedRenewal(renewal)) for core in self._lease.grantors()]
             case LeaseRedirect(cores, _, can_grant):
                 self._lease.learn_cores(cores)
                 if can_grant and not self._has_lease(now):
                     return self._renew(now)
+            case _:
+                return self._handle_peer_message(sender, message, now)
+        return []
+
+    def _handle_peer_message(self, sender: MemberId, message: object, now: float) -> list[Effect]:
+        """Apply what a peer, or a process that looks for cores, sent."""
+        match message:
+            case RelayedGrant(node, _, _):
+                return [Send(MemberId(node), message)]
+            case RelayRenewal(renewal) if self._has_lease(now):
+                return [Send(core, RelayedRenewal(renewal)) for core in self._lease.grantors()]
             case RenewLease() | Heartbeat() | RequestCores() if self._lease.cores:
                 return [Send(sender, LeaseRedirect(list(self._lease.cores.values()), "a node"))]
             case PartitionProbe() if self._may_give_evidence(now):
-                return self._island.answer(
+                return self._partition_guard.give_evidence(
                     sender, message, self._registered(), self._poll_client.applied_versions(), now
                 )
             case PartitionEvidence():
-                self._island.note(
+                self._partition_guard.record_evidence(
                     sender, message, self._registered(), self._poll_client.applied_versions()
                 )
             case FetchValue():
@@ -172,12 +191,12 @@
         if now >= self._renew_at:
             effects.extend(self._renew_through_coordinator(now))
         effects.extend(self._poll_server.tick(now))
-        if self._suspects(now):
-            effects.extend(self._ask_peers(now))
+        if self._is_lease_endangered(now):
+            effects.extend(self._request_peers(now))
         return effects
 
-    def _handle_answer(self, token: str, answer: PollResponse, now: float) -> list[Effect]:
-        moved = self._poll_client.handle_response(token, answer, now)
+    def _handle_poll_response(self, token: str, response: PollResponse, now: float) -> list[Effect]:
+        moved = self._poll_client.handle_response(token, response, now)
         self._polled = True
         self._poll_server.members_source = self._poll_client.members_source
         self._poll_server.on_update(now)
@@ -187,7 +206,7 @@
         return effects
 
     def _handle_fetch(self, sender: MemberId, fetch: FetchValue) -> list[Effect]:
-        """Announce a held value whole, for a core that lost it."""
+        """Send the full value of a key to a core that lost it."""
         table = self._poll_client.values.get(fetch.key)
         if table is None or table.version <= fetch.version:
             return []
@@ -199,7 +218,7 @@
         """Renew by one call; at every core without a coordinator or after a renewal that failed."""
         if self._renewal_client.is_waiting():
             return []
-        if self._left_s(now) < self._config.timings.lease_ttl_s * HEALTHY_FACTOR:
+        if self._remaining_s(now) < self._config.timings.lease_ttl_s * HEALTHY_LEASE_FRACTION:
             return self._renew(now)
         grantors = self._lease.grantors()
         near = self._lease.in_own_zone(grantors)
@@ -235,31 +254,33 @@
 
     def _renew(self, now: float) -> list[Effect]:
         """Renew at every core."""
-        self._renew_at = now + self._ask_again_s()
+        self._renew_at = now + self._renewal_interval_s()
         renewal = self._renewal(now)
         return [Send(target, renewal) for target in self._lease.targets()]
 
-    def _ask_again_s(self) -> float:
-        """Return when to renew again: a started node asks often at first, then less and less."""
+    def _renewal_interval_s(self) -> float:
+        """Return the time to the next renewal; before the first lease it grows from a short one."""
         renew_s = self._config.timings.lease_renew_s
         if self._ever_leased:
             return renew_s
-        self._asked += 1
-        return min(renew_s, FIRST_ASK_AGAIN_S * ASK_AGAIN_GROWTH**self._asked)
+        self._early_renewals += 1
+        return min(renew_s, FIRST_RETRY_S * RETRY_GROWTH**self._early_renewals)
 
     def _renewal(self, now: float) -> RenewLease:
         return self._lease.renewal(
             self._poll_client.applied_versions(),
             ready=self.ready(now),
-            may_confirm=self._island.is_silent(now),
+            may_confirm=self._partition_guard.may_confirm(now),
             fence=self._poll_client.topics.newest_epoch(),
             now=now,
         )
 
-    def _ask_peers(self, now: float) -> list[Effect]:
-        """Renew through peers; ask them whether they lost the cores too; try the seeds again."""
-        effects = self._island.probe(self._registered(), now)
-        lapses_soon = self._left_s(now) < self._config.timings.lease_ttl_s * RELAY_FACTOR
+    def _request_peers(self, now: float) -> list[Effect]:
+        """Probe peers for a partition; while the lease runs out, renew through peers and seeds."""
+        effects = self._partition_guard.probe(self._registered(), now)
+        lapses_soon = (
+            self._remaining_s(now) < self._config.timings.lease_ttl_s * RELAY_LEASE_FRACTION
+        )
         if lapses_soon and now >= self._relay_at:
             self._relay_at = now + RELAY_INTERVAL_S
             renewal = self._renewal(now)
@@ -275,20 +296,23 @@
 
     def _some_peers(self) -> list[MemberId]:
         peers = self._peers()
-        return self._random.sample(peers, min(RELAYS_ASKED, len(peers)))
+        return self._random.sample(peers, min(RELAY_PEERS, len(peers)))
 
     def _poll_hosts(self, now: float) -> list[MemberId]:
-        """Return whom to poll: cores that answer this node, else peers that know more, or any.
+        """Return whom to poll: responsive cores, else peers that have applied more, else any peer.
 
         Cores of the node's own zone come first: what they deliver crosses no zone.
         """
-        answering = self._answering(now)
-        if answering:
-            return self._lease.in_own_zone(answering) or answering
-        return self._island.newer_peers(self._poll_client.applied_versions(), now) or self._peers()
+        responsive = self._responsive_cores(now)
+        if responsive:
+            return self._lease.in_own_zone(responsive) or responsive
+        return (
+            self._partition_guard.newer_peers(self._poll_client.applied_versions(), now)
+            or self._peers()
+        )
 
-    def _answering(self, now: float) -> list[MemberId]:
-        """Return the cores that answered this node itself within a lease lifetime."""
+    def _responsive_cores(self, now: float) -> list[MemberId]:
+        """Return the cores that responded to this node directly within a lease lifetime."""
         since = now - self._config.timings.lease_ttl_s
         return [core for core in self._lease.cores if self._heard_at.get(core, 0.0) > since]
 
@@ -300,22 +324,26 @@
     def _has_lease(self, now: float) -> bool:
         return now < self._lease.valid_until(self._poll_client.applied_versions())
 
-    def _suspects(self, now: float) -> bool:
-        """Whether renewals go unanswered, so that the lease is about to lapse or has lapsed."""
-        left_s = self._left_s(now)
-        if left_s > 0 and self._renewal_client.is_waiting():
+    def _is_lease_endangered(self, now: float) -> bool:
+        """Whether renewals get no responses, so that the lease runs out or is over."""
+        remaining_s = self._remaining_s(now)
+        if remaining_s > 0 and self._renewal_client.is_waiting():
             return False
-        return left_s < self._config.timings.lease_ttl_s * SUSPICION_FACTOR
+        return remaining_s < self._config.timings.lease_ttl_s * SUSPICIOUS_LEASE_FRACTION
 
-    def _left_s(self, now: float) -> float:
-        """Return how long the lease still lasts; negative when it lapsed."""
+    def _remaining_s(self, now: float) -> float:
+        """Return how long the lease still lasts; negative once it is over."""
         return self._lease.valid_until(self._poll_client.applied_versions()) - now
 
     def _may_give_evidence(self, now: float) -> bool:
-        """Only a node that once held a lease knows everything acknowledged before that."""
-        return self._ever_leased and self._suspects(now)
+        """Whether evidence of this node is true: it had a lease, and is about to lose it.
+
+        Only a node that once had a lease knows everything acknowledged before that.
+        """
+        return self._ever_leased and self._is_lease_endangered(now)
 
-    def _note_readiness(self, now: float) -> list[Effect]:
+    def _on_readiness(self, now: float) -> list[Effect]:
+        """Log a change of readiness and report it to the cores at once."""
         ready = self.ready(now)
         if ready == self._was_ready:
             return []
@@ -326,32 +354,32 @@
     # --- queries --------------------------------------------------------------------------
 
     def fresh(self, now: float) -> bool:
-        """Whether nothing newer than what is held here can have been acknowledged."""
+        """Whether nothing newer than what is applied here can have been acknowledged."""
         if self._has_lease(now):
             return True
         if not self._ever_leased:
             return False
-        return now < self._island.valid_until(self._registered(), now)
+        return now < self._partition_guard.valid_until(self._registered(), now)
 
     def ready(self, now: float) -> bool:
         """Whether the node may take new work: fresh, with everything it follows."""
         return self._polled and self.fresh(now)
 
     def intent(self) -> KeyView:
-        """Return the operators' configuration as held here."""
+        """Return the operators' configuration as applied here."""
         return self.value(INTENT_KEY)
 
     def value(self, key: str) -> KeyView:
-        """Return a delivered key as held here."""
+        """Return a delivered key as applied here; version 0 when there is none."""
         table = self._poll_client.values.get(key)
         return KeyView(table.version, table.rows) if table is not None else KeyView()
 
     def topic(self, name: str) -> TopicView:
-        """Return a soft topic as held here."""
+        """Return an ephemeral topic as received here."""
         return self._poll_client.topics.view(name)
 
     def members(self, now: float) -> Members:
-        """Return the members as the core last told."""
+        """Return the member table as last received."""
         return self._members.update(
             self._poll_client.members.version, self._poll_client.members.rows
         )
