--- a/src/zincvale/coordination/delivery/long_poll_client.py
+++ b/src/zincvale/coordination/delivery/long_poll_client.py
@@ -78,7 +78,7 @@
                 topic: TopicPosition(*self.topics.position(topic)) for topic in self._config.topics
             },
         )
-        return [Call(self._host, self._token, poll, self._config.timings.poll_timeout_s)]
+        return [Call(self._host, self._token, poll, self._config.timings.poll_call_timeout_s)]
 
     def handle_response(self, token: str, response: PollResponse, now: float) -> bool:
         """Apply a response; return whether a durable key changed."""
--- a/src/zincvale/coordination/log_events.py
+++ b/src/zincvale/coordination/log_events.py
@@ -1,4 +1,7 @@
-"""Log events of coordination (2xxx)."""
+"""Log events of coordination (2xxx).
+
+Numbers are an interface of the operators' tools and are never used again; names may change.
+"""
 
 from __future__ import annotations
 
@@ -13,18 +16,20 @@
 REPLICA_RESUMED = declare(2005, "replica.resumed", "The disk takes writes again; voting goes on.")
 ROLE_TAKEN = declare(2006, "role.taken", "This process holds a leader lease; carries its epoch.")
 ROLE_LOST = declare(2007, "role.lost", "The leader lease ended or was given up.")
-CLOCK_JUMPED = declare(2008, "leases.dropped", "The clock jumped: every held lease was dropped.")
+CLOCK_JUMPED = declare(2008, "leases.dropped", "The clock jumped: this process dropped its leases.")
 NODE_READY = declare(2009, "node.ready", "The node holds the newest version and is fresh.")
 NODE_UNREADY = declare(2010, "node.unready", "The node is not fresh or lacks the newest version.")
 CREATION_REFUSED = declare(
     2011, "cluster.creation-refused", "Empty disks, but a cluster of this id exists: not created."
 )
 VALUE_RESTORED = declare(
-    2012, "value.restored", "The replicas had lost a version that a node held; it is written again."
+    2012,
+    "value.restored",
+    "The replicas had lost a version that a node had applied; it is written again.",
 )
+REPLICAS_CHANGED = declare(2013, "replicas.changed", "The declared replica sets changed.")
 CORE_STANDS_BY = declare(
     2014,
     "core.stands-by",
     "A core process without a data folder has no vote; it sends callers to cores that vote.",
 )
-REPLICAS_CHANGED = declare(2013, "replicas.changed", "The declared replica sets changed.")
--- a/src/zincvale/coordination/protocol.py
+++ b/src/zincvale/coordination/protocol.py
@@ -1,10 +1,14 @@
-"""Every message between the processes: importing this lets a process read what any peer sends."""
+"""Every message between the processes.
+
+Messages register themselves when their module is imported; importing this module lets a process
+decode whatever a peer of its version sends. A new module of messages must be added here.
+"""
 
 from __future__ import annotations
 
 from zincvale.coordination.core import messages as core_messages
 from zincvale.coordination.delivery import messages as delivery_messages
-from zincvale.coordination.election import messages as role_messages
+from zincvale.coordination.election import messages as election_messages
 from zincvale.coordination.leases import messages as lease_messages
 from zincvale.coordination.membership import messages as member_messages
 from zincvale.coordination.registers import change_messages
@@ -14,8 +18,8 @@
     change_messages,
     core_messages,
     delivery_messages,
+    election_messages,
     lease_messages,
     member_messages,
     register_messages,
-    role_messages,
 )
