--- a/src/zincvale/coordination/registers/chosen_values.py
+++ b/src/zincvale/coordination/registers/chosen_values.py
@@ -67,7 +67,7 @@
         table = self._context.values.setdefault(delta.name, VersionedTable())
         if delta.version <= table.version:
             return
-        if table.apply(delta_of(delta)):
+        if table.apply(delta_from_message(delta)):
             self._on_newer_value(delta.name, table, now)
 
     def handle_heartbeat(self, sender: MemberId, status: Heartbeat, now: float) -> list[Effect]:
--- a/src/zincvale/coordination/registers/proposal_router.py
+++ b/src/zincvale/coordination/registers/proposal_router.py
@@ -68,7 +68,7 @@
         if proposal.key not in self._owners:
             problem = f"there is no key {proposal.key!r}"
             return [Reply(token, ChangeResult(INVALID, problem=problem, remedy="name a key"))]
-        deadline = now + self._context.config.timings.change_limit_s
+        deadline = now + self._context.config.timings.change_timeout_s
         pending = _PendingProposal(proposal, deadline, is_forwarded_here=False)
         self._pending[token] = pending
         return self._route(token, pending, now)
