--- a/examples/embedded_register.py
+++ b/examples/embedded_register.py
@@ -1,4 +1,4 @@
-"""Three cores in one process: a key changed twice under one order id, and a leader lease.
+"""Three cores in one process: a key changed under one idempotency key, and a leader lease.
 
 The machines do no I/O: this file is the whole driver. `python examples/embedded_register.py`
 """
@@ -32,9 +32,9 @@
     cores, replies, calls, queue = {name: new_core(name) for name in NAMES}, [], {}, deque()
     for tick in range(160):
         queue.extend((name, m.Tick()) for name in NAMES)
-        if tick in (100, 130):  # the same order, sent to two cores
-            order = ProposeChange("k", "order-1", None, b"hello")
-            queue.append((NAMES[tick % 3], m.CallReceived(NAMES[tick % 3], "mine", order)))
+        if tick in (100, 130):  # the same change, sent to two cores
+            change = ProposeChange("k", "change-1", None, b"hello")
+            queue.append((NAMES[tick % 3], m.CallReceived(NAMES[tick % 3], "mine", change)))
         while queue:
             name, event = queue.popleft()
             for effect in cores[name].handle(event, tick * 0.05):
--- a/src/zincvale/coordination/node/machine.py
+++ b/src/zincvale/coordination/node/machine.py
@@ -378,8 +378,8 @@
         """Return an ephemeral topic as received here."""
         return self._poll_client.topics.view(name)
 
-    def members(self, now: float) -> Members:
-        """Return the member table as last received."""
+    def members(self, _now: float) -> Members:
+        """Return the member table as last received; both machines have this query."""
         return self._members.update(
             self._poll_client.members.version, self._poll_client.members.rows
         )
--- a/tests/coordination/test_member_rows.py
+++ b/tests/coordination/membership/test_member_codec.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from zincvale.coordination.membership import member_codec as member_rows
+from zincvale.coordination.membership import member_codec
 from zincvale.coordination.membership.member_codec import MemberTableDecoder, encode_member
 from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.model.view import Role
@@ -18,18 +18,18 @@
     return encode_member(info, ready)
 
 
-class MembersDecoderTest(testtools.TestCase):
+class MemberTableDecoderTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.decoder = MemberTableDecoder()
         self.decoded: list[str] = []
-        decode = member_rows.decode_member
+        decode = member_codec.decode_member
 
-        def noted(member: str, value: bytes):
+        def recorded(member: str, value: bytes):
             self.decoded.append(member)
             return decode(member, value)
 
-        patch = mock.patch.object(member_rows, "decode_member", noted)
+        patch = mock.patch.object(member_codec, "decode_member", recorded)
         patch.start()
         self.addCleanup(patch.stop)
 
--- a/tests/docs/test_example.py
+++ b/tests/docs/test_example.py
@@ -12,7 +12,7 @@
 
 
 class ExampleTest(testtools.TestCase):
-    def test_a_resent_order_gets_its_first_answer_and_one_core_leads(self) -> None:
+    def test_a_resent_change_gets_its_first_result_and_one_core_leads(self) -> None:
         spec = importlib.util.spec_from_file_location("embedded_register", EXAMPLE)
         assert spec is not None and spec.loader is not None
         example = importlib.util.module_from_spec(spec)
