--- a/src/zincvale/coordination/core/components.py
+++ b/src/zincvale/coordination/core/components.py
@@ -4,7 +4,7 @@
 - `cluster_creation`, `catch_up_tracker`, `value_repair`: the first record, what a started core must
   learn, values that nodes still store and disks lost;
 - `proposal_router`: changes to an owner and their results back;
-- `chosen_values`, `core_topics`, `long_poll_server`: tables, and the polls that they answer;
+- `chosen_values`, `topic_replicator`, `long_poll_server`: tables, and the polls that they answer;
 - `member_leases`, `renewal_batcher`: leases of members, and the versions that they applied;
 - `replica_set_reconciler`: replacement of replicas;
 - `leader_election`: singleton roles;
@@ -15,14 +15,14 @@
 
 from zincvale.coordination.changes import Reducer
 from zincvale.coordination.core.context import CoreContext
-from zincvale.coordination.delivery.core_topics import CoreTopics
 from zincvale.coordination.delivery.long_poll_server import LongPollServer
+from zincvale.coordination.delivery.topic_replicator import TopicReplicator
 from zincvale.coordination.election.leader_election import LeaderElection
 from zincvale.coordination.election.leader_lease import reduce_role
 from zincvale.coordination.leases.catch_up import CatchUpTracker
 from zincvale.coordination.leases.core_leases import MemberLeases
 from zincvale.coordination.leases.renewal_batcher import LeaseRenewalBatcher
-from zincvale.coordination.membership.heartbeats import HeartbeatExchange
+from zincvale.coordination.membership.heartbeats import HeartbeatSender
 from zincvale.coordination.membership.registry import reduce_registry
 from zincvale.coordination.registers.change_messages import ChangeResult
 from zincvale.coordination.registers.chosen_values import ChosenValues
@@ -77,8 +77,8 @@
         self.long_poll_server = LongPollServer(
             timings, context.values, context.members, context.topics
         )
-        self.core_topics = CoreTopics(context, self.long_poll_server)
-        self.heartbeats = HeartbeatExchange(context, self.owners, self.leader_election.granted_here)
+        self.topic_replicator = TopicReplicator(context, self.long_poll_server)
+        self.heartbeats = HeartbeatSender(context, self.owners, self.leader_election.granted_here)
 
     def is_isolated(self, now: float) -> bool:
         """Whether this core does not hear a majority of the cores, itself included."""
@@ -87,14 +87,14 @@
 
     def _on_chosen(self, key: str, version: int, now: float) -> None:
         if key in DELIVERED_KEYS:
-            self.member_leases.grantor.note_chosen(key, version, now)
+            self.member_leases.grantor.on_chosen(key, version, now)
         if key in (REGISTRY_KEY, REPLICA_SETS_KEY):
-            self.member_leases.reports.note_rules_changed()
-        self.long_poll_server.note_news(now)
+            self.member_leases.applied_versions.on_rules_changed()
+        self.long_poll_server.on_update(now)
 
     def _on_internal(self, name: str, result: ChangeResult, now: float) -> list[Effect]:
         if name.startswith(ROLE_PROPOSAL_PREFIX):
-            return self.leader_election.handle_epoch(
+            return self.leader_election.on_epoch_proposed(
                 name.removeprefix(ROLE_PROPOSAL_PREFIX), result, now
             )
         return []
--- a/src/zincvale/coordination/core/dispatch.py
+++ b/src/zincvale/coordination/core/dispatch.py
@@ -15,10 +15,10 @@
 )
 from zincvale.coordination.delivery.messages import FetchTopic, Poll, PublishTopic, TopicUpdate
 from zincvale.coordination.election.messages import (
-    RequestRole,
-    RoleGranted,
-    RoleRefused,
-    RoleReleased,
+    LeadershipGranted,
+    LeadershipRefused,
+    LeadershipReleased,
+    RequestLeadership,
 )
 from zincvale.coordination.leases.messages import (
     LeaseGranted,
@@ -67,7 +67,7 @@
         case Poll():
             return components.long_poll_server.poll(token, message, now)
         case PublishTopic():
-            return components.core_topics.publish(token, message, now)
+            return components.topic_replicator.publish(token, message, now)
         case RenewLease():
             return _renew_for_batch(components, token, message, now)
         case ReplaceReplica():
@@ -109,16 +109,16 @@
         case UnchangedHeartbeat():
             return _handle_unchanged_heartbeat(components, sender, message, now)
         case RequestHeartbeat():
-            components.heartbeats.send_whole_to(sender, now)
+            components.heartbeats.send_full_to(sender, now)
         case CreateCluster():
             return components.cluster_creation.handle(sender, message, now)
         case RequestCores():
             return [Send(sender, LeaseRedirect(components.member_leases.core_infos(), "asked"))]
         case LeaseRedirect(cores, _):
             for info in cores:
-                components.context.cores.note_core(info)
+                components.context.cores.add_core(info)
         case AppliedVersionsReport():
-            components.member_leases.reports.handle(sender, message)
+            components.member_leases.applied_versions.handle(sender, message)
         case _:
             return _handle_lease_message(components, sender, message, now)
     return []
@@ -146,12 +146,12 @@
 ) -> list[Effect]:
     """Apply a message of the singleton roles or of the ephemeral topics; ignore any other."""
     match message:
-        case RequestRole() | RoleGranted() | RoleRefused() | RoleReleased():
+        case RequestLeadership() | LeadershipGranted() | LeadershipRefused() | LeadershipReleased():
             return components.leader_election.handle(sender, message, now)
         case TopicUpdate():
-            return components.core_topics.handle_update(sender, message, now)
+            return components.topic_replicator.handle_update(sender, message, now)
         case FetchTopic():
-            return components.core_topics.handle_fetch(sender, message)
+            return components.topic_replicator.handle_fetch(sender, message)
     return []
 
 
@@ -166,7 +166,7 @@
     components: CoreComponents, sender: MemberId, message: UnchangedHeartbeat, now: float
 ) -> list[Effect]:
     """Apply the heartbeat that the message stands for; request it when it is not known here."""
-    last = components.context.cores.status(sender)
+    last = components.context.cores.heartbeat_of(sender)
     stands_for = (message.incarnation, message.number)
     if last is None or (last.info.incarnation, last.number) != stands_for:
         return [Send(sender, RequestHeartbeat())]
@@ -180,8 +180,8 @@
     known = components.context.cores.live(now).get(sender)
     is_new = known is None or known.info.incarnation != heartbeat.info.incarnation
     if is_new:
-        components.heartbeats.send_whole_to(sender, now)
-    components.context.cores.note(sender, heartbeat, now)
+        components.heartbeats.send_full_to(sender, now)
+    components.context.cores.record_heartbeat(sender, heartbeat, now)
     if (
         is_new
         or heartbeat.heard.get(components.context.own_id) != components.context.config.incarnation
@@ -192,7 +192,7 @@
     components.cluster_creation.record_existing_cluster(heartbeat.cluster_incarnation)
     effects = components.ownership.handle_heartbeat(sender, heartbeat, now)
     effects.extend(components.chosen_values.handle_heartbeat(sender, heartbeat, now))
-    effects.extend(components.core_topics.handle_status(sender, heartbeat))
+    effects.extend(components.topic_replicator.handle_heartbeat(sender, heartbeat))
     return effects
 
 
@@ -201,7 +201,7 @@
 ) -> LeaseGranted | LeaseRedirect:
     components.cluster_creation.record_existing_cluster(renewal.cluster_incarnation)
     components.value_repair.record_renewal(MemberId(renewal.info.member), renewal)
-    return components.member_leases.handle_renew(renewal, components.value_repair.required(), now)
+    return components.member_leases.handle_renewal(renewal, components.value_repair.required(), now)
 
 
 def _renew_for_batch(
@@ -210,7 +210,7 @@
     response = _renew(components, renewal, now)
     if not isinstance(response, LeaseGranted):
         return [Reply(token, response)]
-    effects = components.renewal_batcher.take(token, renewal, response, now)
+    effects = components.renewal_batcher.add(token, renewal, response, now)
     return [*effects, *components.member_leases.report_if_complete(now)]
 
 
--- a/src/zincvale/coordination/core/machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -192,7 +192,7 @@
     def applied_versions(self, key: str) -> dict[MemberId, int]:
         """Return the version of `key` that each live node last reported as applied."""
         rows = self._components.member_leases.grantor.rows
-        return {MemberId(member): row.held.get(key, 0) for member, row in rows.items()}
+        return {MemberId(member): row.applied_versions.get(key, 0) for member, row in rows.items()}
 
     def role_holders(self, now: float) -> dict[str, tuple[MemberId | None, int]]:
         """Return holder and epoch of each singleton role, as last granted here."""
@@ -209,7 +209,7 @@
     def state(self, now: float) -> CoreState:
         """Return the state of this core for operators."""
         components = self._components
-        trackers = components.member_leases.reports.trackers
+        trackers = components.member_leases.applied_versions.trackers
         keys = key_states(self._context, components.owners, components.ownership, trackers, now)
         return core_state(
             self._context, caught_up=components.member_leases.caught_up, keys=keys, now=now
--- a/src/zincvale/coordination/core/standby_machine.py
+++ b/src/zincvale/coordination/core/standby_machine.py
@@ -15,7 +15,7 @@
 from zincvale.coordination.core.messages import Heartbeat, RequestCores, UnchangedHeartbeat
 from zincvale.coordination.leases.messages import LeaseRedirect, RenewLease
 from zincvale.coordination.membership.messages import MemberInfo
-from zincvale.model.identifiers import Address, MemberId, ZoneName
+from zincvale.model.identifiers import Address, MemberId, ZoneName, member_at
 from zincvale.model.machine import Effect, Input, Log, MessageReceived, Send, Tick
 
 REFRESH_INTERVAL_S = 2.0
@@ -94,7 +94,7 @@
             targets = [self._nearest(responsive)]
         else:
             self._next_request_at = now + DISCOVERY_INTERVAL_S
-            targets = [*self._cores, *(MemberId(f"@{seed}") for seed in self._config.seeds)]
+            targets = [*self._cores, *(member_at(seed) for seed in self._config.seeds)]
         return [*effects, *(Send(target, RequestCores()) for target in targets)]
 
     def _record_cores(self, sender: MemberId, infos: list[MemberInfo], now: float) -> None:
--- a/src/zincvale/coordination/core/tick.py
+++ b/src/zincvale/coordination/core/tick.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from zincvale.coordination.core.components import ROLE_PROPOSAL_PREFIX, CoreComponents
-from zincvale.coordination.delivery.rollout import Waiter
+from zincvale.coordination.delivery.rollout import PendingChange
 from zincvale.coordination.registers.change_messages import IN_FORCE, ChangeResult
 from zincvale.coordination.registers.messages import Chosen
 from zincvale.coordination.registers.owner import NewlyChosen, OwnerPhase, RegisterOwner
@@ -43,13 +43,13 @@
             tokens = owner.take_abandoned_tokens()
             if tokens:
                 effects.extend(components.proposal_router.reroute(tokens, now))
-    effects.extend(components.long_poll_server.answer_if_due(now))
-    effects.extend(components.renewal_batcher.pass_on_if_due(now))
+    effects.extend(components.long_poll_server.respond_if_due(now))
+    effects.extend(components.renewal_batcher.forward_if_due(now))
     for key in DELIVERED_KEYS:
-        for waiter in components.member_leases.reports.satisfied(key):
+        for change in components.member_leases.applied_versions.take_rolled_out(key):
             chosen_version = components.context.chosen_version(key)
-            result = ChangeResult(IN_FORCE, waiter.version, chosen_version)
-            effects.extend(components.proposal_router.finish(waiter.token, result, now))
+            result = ChangeResult(IN_FORCE, change.version, chosen_version)
+            effects.extend(components.proposal_router.finish(change.token, result, now))
     return effects
 
 
@@ -78,8 +78,8 @@
     effects = components.context.to_other_cores(Chosen(key, position))
     for proposal in chosen.accepted:
         if key in DELIVERED_KEYS:
-            components.member_leases.reports.trackers[key].wait(
-                Waiter(proposal.token, proposal.version)
+            components.member_leases.applied_versions.trackers[key].wait(
+                PendingChange(proposal.token, proposal.version)
             )
             continue
         result = ChangeResult(IN_FORCE, proposal.version, position.version)
@@ -119,7 +119,7 @@
     leases, server = components.member_leases, components.long_poll_server
     if not leases.caught_up and components.context.is_voter():
         leases.caught_up = components.catch_up_tracker.is_caught_up(now)
-    server.isolated = components.is_isolated(now)
+    server.is_isolated = components.is_isolated(now)
     server.members_source = components.context.owner_name if leases.caught_up else ""
     return []
 
@@ -127,7 +127,7 @@
 def _tick_leases(components: CoreComponents, now: float) -> list[Effect]:
     effects = components.member_leases.tick(now)
     if components.member_leases.members.refresh(now):
-        components.long_poll_server.note_soft_news(now)
+        components.long_poll_server.on_ephemeral_update(now)
     return effects
 
 
--- a/src/zincvale/coordination/registers/cluster_creation.py
+++ b/src/zincvale/coordination/registers/cluster_creation.py
@@ -115,7 +115,7 @@
             if initial.member == context.own_id:
                 rows.append(CoreRow(context.info(), context.disk))
                 continue
-            status = context.cores.status(initial.member)
+            status = context.cores.heartbeat_of(initial.member)
             if status is None or not _awaits_creation(status):
                 return []
             rows.append(CoreRow(status.info, status.disk))
