--- a/src/zincvale/dataplane/http/handlers.py
+++ b/src/zincvale/dataplane/http/handlers.py
@@ -4,7 +4,7 @@
 
 import tornado.web
 
-from zincvale.dataplane.inference.ingress import RequestEntry
+from zincvale.dataplane.inference.ingress import RequestIngress
 
 SERVICE_UNAVAILABLE = 503
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
@@ -13,7 +13,7 @@
 class ReadyHandler(tornado.web.RequestHandler):
     """`GET /ready`: whether the platform may send callers to this node."""
 
-    def initialize(self, ingress: RequestEntry) -> None:
+    def initialize(self, ingress: RequestIngress) -> None:
         """Set the node's ingress, which knows its readiness and metrics."""
         self._ingress = ingress
 
@@ -36,7 +36,7 @@
 class MetricsHandler(tornado.web.RequestHandler):
     """`GET /metrics`: Prometheus exposition."""
 
-    def initialize(self, ingress: RequestEntry) -> None:
+    def initialize(self, ingress: RequestIngress) -> None:
         """Set the node's ingress, which knows its readiness and metrics."""
         self._ingress = ingress
 
--- a/src/zincvale/dataplane/inference/backend_adapter.py
+++ b/src/zincvale/dataplane/inference/backend_adapter.py
@@ -15,8 +15,8 @@
 
 from zincvale.dataplane.http.event_reader import EventReader, EventTooLargeError, ServerSentEvent
 from zincvale.dataplane.inference.events import (
-    Answered,
-    PiecesReceived,
+    ChunksReceived,
+    ResponseReceived,
     ServerFailed,
     ServerRefused,
     StreamEnded,
@@ -41,8 +41,8 @@
 FINAL_ERRORS = frozenset({"too-large", "malformed", "invalid"})
 """Refusals that another server would repeat."""
 
-Reply = Answered | ServerRefused | ServerFailed
-StreamInput = PiecesReceived | StreamEnded | ServerFailed
+Reply = ResponseReceived | ServerRefused | ServerFailed
+StreamInput = ChunksReceived | StreamEnded | ServerFailed
 
 
 class BackendAdapter(Protocol):
@@ -67,19 +67,21 @@
         self, request: CallerRequest, address: Address, prefix: tuple[str, ...]
     ) -> ClientRequest:
         """Return the generation request."""
-        question = request.question
+        inference_request = request.inference_request
         body = orjson.dumps(
             {
                 "request_id": request.request_id,
-                "model": question.model,
-                "adapter": question.adapter,
-                "prompt": question.prompt,
-                "max_tokens": question.max_tokens,
-                "stream": question.stream,
+                "model": inference_request.model,
+                "adapter": inference_request.adapter,
+                "prompt": inference_request.prompt,
+                "max_tokens": inference_request.max_tokens,
+                "stream": inference_request.stream,
                 "prefix": list(prefix),
             }
         )
-        return ClientRequest(address, "/v1/generate", body, JSON_HEADERS, streaming=question.stream)
+        return ClientRequest(
+            address, "/v1/generate", body, JSON_HEADERS, streaming=inference_request.stream
+        )
 
     def read_reply(self, request: CallerRequest, status: int, body: bytes) -> Reply:
         """Return what a whole response proves."""
@@ -94,7 +96,7 @@
         self, request: CallerRequest, address: Address, prefix: tuple[str, ...]
     ) -> ClientRequest:
         """Return the lookup request; lookups have no prefix."""
-        query = urlencode({"key": request.question.key, "request_id": request.request_id})
+        query = urlencode({"key": request.inference_request.key, "request_id": request.request_id})
         return ClientRequest(address, f"/v1/lookup?{query}")
 
     def read_reply(self, request: CallerRequest, status: int, body: bytes) -> Reply:
@@ -134,11 +136,11 @@
         self.ended = isinstance(read, StreamEnded)
         last = inputs[-1] if inputs else None
         if (
-            isinstance(last, PiecesReceived)
-            and isinstance(read, PiecesReceived)
-            and read.first_index == last.first_index + len(last.pieces)
+            isinstance(last, ChunksReceived)
+            and isinstance(read, ChunksReceived)
+            and read.first_index == last.first_index + len(last.chunks)
         ):
-            last.pieces.extend(read.pieces)
+            last.chunks.extend(read.chunks)
         else:
             inputs.append(read)
 
@@ -149,7 +151,7 @@
         if event.name == "end":
             return StreamEnded(int(data["count"]))
         if event.name == "" and event.number is not None and isinstance(data["text"], str):
-            return PiecesReceived(event.number, [data["text"]])
+            return ChunksReceived(event.number, [data["text"]])
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
         pass
     return ServerFailed(f"unreadable event {event.name or event.number!r}", sent=True)
@@ -163,34 +165,34 @@
     if not isinstance(data, dict):
         return ServerFailed(f"status {status} with a body that is not an object", sent=True)
     if status == STATUS_OK:
-        return _read_answer(request, data, body, units_field)
+        return _read_response(request, data, body, units_field)
     if data.get("ran") is False and _may_refuse(status):
         return _read_refusal(request, data)
     return ServerFailed(f"status {status} without proof that nothing ran", sent=True)
 
 
-def _read_answer(
+def _read_response(
     request: CallerRequest, data: dict[str, Any], body: bytes, units_field: str
 ) -> Reply:
     if data.get("request_id") != request.request_id:
-        return ServerFailed(MISMATCHED_ANSWER, sent=True)
+        return ServerFailed(MISMATCHED_RESPONSE, sent=True)
     units = data.get(units_field, 1)
-    return Answered(body, units if isinstance(units, int) else 1)
+    return ResponseReceived(body, units if isinstance(units, int) else 1)
 
 
-MISMATCHED_ANSWER = "the answer belongs to another request"
+MISMATCHED_RESPONSE = "the answer belongs to another request"
 
 
 def _read_refusal(request: CallerRequest, data: dict[str, Any]) -> Reply:
     named = data.get("request_id", request.request_id)
     if named != request.request_id:
-        return ServerFailed(MISMATCHED_ANSWER, sent=True)
+        return ServerFailed(MISMATCHED_RESPONSE, sent=True)
     error = str(data.get("error", "refused"))
     end = END_BY_ERROR.get(error, ExchangeEnd.REFUSED)
     missing: tuple[str, ...] = ()
     if end is ExchangeEnd.NOT_RESIDENT:
-        question = request.question
-        missing = (question.adapter or question.model,)
+        inference_request = request.inference_request
+        missing = (inference_request.adapter or inference_request.model,)
     return ServerRefused(end, error, missing, final=error in FINAL_ERRORS)
 
 
--- a/src/zincvale/dataplane/inference/caller_connection.py
+++ b/src/zincvale/dataplane/inference/caller_connection.py
@@ -22,8 +22,8 @@
 from tornado.iostream import StreamClosedError
 
 from zincvale.dataplane import log_events
-from zincvale.dataplane.inference import responses as answers
-from zincvale.dataplane.inference.ingress import RequestEntry
+from zincvale.dataplane.inference import responses
+from zincvale.dataplane.inference.ingress import RequestIngress
 from zincvale.dataplane.inference.runner import RequestRunner
 from zincvale.dataplane.inference.stream_relay import CallerLostError
 from zincvale.model.errors import MalformedBodyError
@@ -34,19 +34,19 @@
 class CallerConnections(HTTPServerConnectionDelegate):
     """Target of a routing rule: takes the requests of callers, whatever their path."""
 
-    def __init__(self, entry: RequestEntry) -> None:
-        self._entry = entry
+    def __init__(self, ingress: RequestIngress) -> None:
+        self._ingress = ingress
 
     def start_request(self, server_conn: object, request_conn: Any) -> HTTPMessageDelegate:
         """Return the receiver of one request."""
-        return CallerMessage(self._entry, request_conn)
+        return CallerMessage(self._ingress, request_conn)
 
 
 class CallerMessage(HTTPMessageDelegate):
     """Receives one request and hands it over when it is whole."""
 
-    def __init__(self, entry: RequestEntry, connection: Any) -> None:
-        self._entry = entry
+    def __init__(self, ingress: RequestIngress, connection: Any) -> None:
+        self._ingress = ingress
         self._connection = connection
         self._body: list[bytes] = []
         self._runner: RequestRunner | None = None
@@ -66,35 +66,35 @@
 
     def finish(self) -> None:
         """Begin the request."""
-        sink = ConnectionSink(self._connection, self._entry)
-        self._connection.set_close_callback(self._on_caller_gone)
+        sink = ConnectionSink(self._connection, self._ingress)
+        self._connection.set_close_callback(self._on_caller_disconnected)
         try:
             if self._method != "POST":
                 self._refuse_method(sink)
                 return
             body = b"".join(self._body)
-            self._runner = self._entry.begin(self._path, self._headers, body, sink)
+            self._runner = self._ingress.begin(self._path, self._headers, body, sink)
         except Exception as error:
             self._end_by_defect(sink, error)
 
     def on_connection_close(self) -> None:
         """Forget a request that did not arrive whole; nothing was begun."""
-        self._on_caller_gone()
+        self._on_caller_disconnected()
 
-    def _on_caller_gone(self) -> None:
+    def _on_caller_disconnected(self) -> None:
         if self._runner is not None:
             self._runner.on_caller_lost()
 
     def _refuse_method(self, sink: ConnectionSink) -> None:
         error = MalformedBodyError(f"{self._method} is not taken here", "send a POST")
-        answer = answers.malformed(self._request_id(), error)
-        sink.send_answer(answer.status, dict(answer.headers), answer.body)
+        response = responses.malformed(self._request_id(), error)
+        sink.send_response(response.status, dict(response.headers), response.body)
 
     def _end_by_defect(self, sink: ConnectionSink, error: Exception) -> None:
-        log = self._entry.context.log
+        log = self._ingress.context.log
         log(log_events.REQUEST_DEFECT, request_id=self._request_id(), error=repr(error))
-        answer = answers.unknown(self._request_id(), "a defect of this node")
-        sink.send_answer(answer.status, dict(answer.headers), answer.body)
+        response = responses.unknown(self._request_id(), "a defect of this node")
+        sink.send_response(response.status, dict(response.headers), response.body)
 
     def _request_id(self) -> RequestId:
         return RequestId(self._headers.get(REQUEST_ID_HEADER, ""))
@@ -105,11 +105,11 @@
     """The caller's side of one request (`stream_relay.CallerSink`) over its connection."""
 
     connection: Any
-    entry: RequestEntry
+    ingress: RequestIngress
     begun: bool = False
     _waiting_head: HTTPHeaders | None = None
 
-    def send_answer(self, status: int, headers: dict[str, str], body: bytes) -> None:
+    def send_response(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """Send a whole response."""
         if self.begun:
             return
@@ -150,7 +150,7 @@
         for name, value in headers.items():
             head[name] = value
         head["Date"] = _DATE.now()
-        if self.entry.draining:
+        if self.ingress.draining:
             head["Connection"] = "close"
         return head
 
--- a/src/zincvale/dataplane/inference/caller_side.py
+++ b/src/zincvale/dataplane/inference/caller_side.py
@@ -8,11 +8,11 @@
 import attrs
 
 from zincvale.dataplane import log_events
-from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference import responses
 from zincvale.dataplane.inference.context import NodeContext
-from zincvale.dataplane.inference.events import RelayPieces, SendAnswer
+from zincvale.dataplane.inference.events import RelayChunks, SendResponse
 from zincvale.dataplane.inference.request_machine import RequestMachine
-from zincvale.dataplane.inference.request_record import RequestRecord
+from zincvale.dataplane.inference.request_trace import RequestTrace
 from zincvale.dataplane.inference.stream_relay import CallerSink, StreamRelay
 
 
@@ -23,40 +23,40 @@
     Attributes
     ----------
     answered : the response is complete, or its caller is gone.
-    on_pressure, on_lost, on_taken_over : see `StreamRelay`.
+    on_backpressure, on_lost, on_fenced : see `StreamRelay`.
     """
 
     context: NodeContext
     machine: RequestMachine
-    record: RequestRecord
+    trace: RequestTrace
     sink: CallerSink
-    on_pressure: Callable[[bool], None]
+    on_backpressure: Callable[[bool], None]
     on_lost: Callable[[], None]
-    on_taken_over: Callable[[], None]
-    answered: bool = False
+    on_fenced: Callable[[], None]
+    is_response_complete: bool = False
     is_over: bool = False
     _relay: StreamRelay | None = None
     _relaying: asyncio.Task[None] | None = None
 
     @property
-    def pressed(self) -> bool:
+    def is_backpressured(self) -> bool:
         """Whether the caller is too slow for its stream."""
-        return self._relay is not None and self._relay.pressed
+        return self._relay is not None and self._relay.is_backpressured
 
-    def send_answer(self, effect: SendAnswer) -> None:
+    def send_response(self, effect: SendResponse) -> None:
         """Send a whole response, unless there was one or the caller is gone."""
-        if self.answered:
+        if self.is_response_complete:
             return
-        self.answered = True
+        self.is_response_complete = True
         headers = dict(effect.headers)
-        self.record.answered(headers)
-        self.sink.send_answer(effect.status, headers, effect.body)
+        self.trace.add_trace_header(headers)
+        self.sink.send_response(effect.status, headers, effect.body)
 
     def open_stream(self) -> None:
         """Begin the event stream."""
         request = self.machine.request
-        headers = answers.stream_headers(request.request_id)
-        self.record.answered(headers)
+        headers = responses.stream_headers(request.request_id)
+        self.trace.add_trace_header(headers)
         self.sink.open_stream(headers)
         self._relay = StreamRelay(
             request.request_id,
@@ -64,20 +64,20 @@
             self.machine.epoch,
             self.sink,
             self.context.journal,
-            self.on_pressure,
+            self.on_backpressure,
             self.on_lost,
-            self.on_taken_over,
+            self.on_fenced,
         )
         loop = asyncio.get_running_loop()
         self._relaying = loop.create_task(self._run(self._relay))
 
     # The relay may have ended before its stream did: its caller left, or it was taken over.
 
-    def relay(self, effect: RelayPieces) -> None:
+    def relay(self, effect: RelayChunks) -> None:
         """Pass pieces on."""
-        self.record.pieces(effect.first_index, len(effect.pieces))
+        self.trace.record_chunks(effect.first_index, len(effect.chunks))
         if self._relay is not None:
-            self._relay.push(effect.first_index, effect.pieces, effect.journal)
+            self._relay.push(effect.first_index, effect.chunks, effect.journal)
 
     def end_stream(self, count: int) -> None:
         """Close the stream whole."""
@@ -95,13 +95,13 @@
         """Let go of the runner once the request is over, so that no reference cycle stays."""
         self.is_over = True
         if self._relay is None:
-            self.on_pressure = self.on_lost = self.on_taken_over = _ignore
+            self.on_backpressure = self.on_lost = self.on_fenced = _ignore
 
     def abandon(self) -> None:
         """Stop sending: the caller is gone."""
         if self._relay is not None:
             self._relay.abandon()
-        self.answered = True
+        self.is_response_complete = True
 
     async def _run(self, relay: StreamRelay) -> None:
         try:
--- a/src/zincvale/dataplane/inference/capacity.py
+++ b/src/zincvale/dataplane/inference/capacity.py
@@ -4,8 +4,8 @@
 
 import math
 
-from zincvale.dataplane.inference.requests import Question
-from zincvale.dataplane.inference.routing_state import PoolState, ServerState, World
+from zincvale.dataplane.inference.requests import InferenceRequest
+from zincvale.dataplane.inference.routing_state import PoolState, RoutingState, ServerState
 from zincvale.model.identifiers import StoreName
 
 LOAD_OVERHEAD_FACTOR = 1.5
@@ -22,8 +22,8 @@
     return min(by_concurrency, server.rate.rate_per_s)
 
 
-def pool_rate_per_s(pool: PoolState, question: Question, now: float) -> float:
-    """Return the rate of those servers in service that hold what the question needs.
+def pool_rate_per_s(pool: PoolState, inference_request: InferenceRequest, now: float) -> float:
+    """Return the rate of those servers in service that hold what the request needs.
 
     While requests wait, it is no more than what this node was seen to get.
     """
@@ -31,7 +31,7 @@
     for server in pool.servers:
         if server.drained or server.evacuated:
             continue
-        if question.model and not server.holds(question.model, now):
+        if inference_request.model and not server.holds(inference_request.model, now):
             continue
         total += server_rate_per_s(server, now)
     service_s = max((server.latency_s for server in pool.servers), default=0.0)
@@ -47,15 +47,15 @@
     return ahead / rate_per_s
 
 
-def estimated_load_s(world: World, question: Question) -> float:
+def estimated_load_s(routing_state: RoutingState, inference_request: InferenceRequest) -> float:
     """Return how long it takes until the model (or adapter) is loaded somewhere."""
-    intent = world.intent
-    model = intent.models.get(question.model)
+    intent = routing_state.intent
+    model = intent.models.get(inference_request.model)
     if model is None:
         return DEFAULT_LOAD_S
     weight_bytes, store_name = model.weight_bytes, model.store
-    if question.adapter is not None and _base_is_loaded(world, question):
-        adapter = intent.adapters.get(question.adapter)
+    if inference_request.adapter is not None and _base_is_loaded(routing_state, inference_request):
+        adapter = intent.adapters.get(inference_request.adapter)
         if adapter is not None:
             weight_bytes, store_name = adapter.weight_bytes, adapter.store
     store = intent.stores.get(StoreName(store_name))
@@ -64,5 +64,7 @@
     return max(LEAST_LOAD_S, weight_bytes / store.bytes_per_second * LOAD_OVERHEAD_FACTOR)
 
 
-def _base_is_loaded(world: World, question: Question) -> bool:
-    return any(question.model in state.row.models for state in world.servers.values())
+def _base_is_loaded(routing_state: RoutingState, inference_request: InferenceRequest) -> bool:
+    return any(
+        inference_request.model in state.row.models for state in routing_state.servers.values()
+    )
--- a/src/zincvale/dataplane/inference/context.py
+++ b/src/zincvale/dataplane/inference/context.py
@@ -12,10 +12,10 @@
 from zincvale.dataplane.inference.dependencies import Claims, Spans, StreamJournal
 from zincvale.dataplane.inference.events import Input, NoServer, Refusal, ServerChosen
 from zincvale.dataplane.inference.requests import CallerRequest
-from zincvale.dataplane.inference.routing import PolicyNote
-from zincvale.dataplane.inference.routing_state import ServerState, World
+from zincvale.dataplane.inference.routing import PolicyReason
+from zincvale.dataplane.inference.routing_state import RoutingState, ServerState
 from zincvale.dataplane.inference.scheduler import Scheduler
-from zincvale.dataplane.inference.verdicts import Placed, Queued, Refused, Verdict
+from zincvale.dataplane.inference.verdicts import Placed, Queued, Rejected, Verdict
 from zincvale.dataplane.metrics import Metrics
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport, HealthChange
 from zincvale.model.resources import RouteSpec
@@ -27,14 +27,14 @@
 LogFunction = Callable[..., None]
 
 
-class VerdictTaker:
+class VerdictReceiver:
     """Who waits for the scheduler's verdicts: one per request."""
 
     def feed(self, event: Input) -> None:
         """Take an input of the request machine."""
         raise NotImplementedError
 
-    def on_notes(self, notes: tuple[PolicyNote, ...]) -> None:
+    def on_policy_reasons(self, reasons: tuple[PolicyReason, ...]) -> None:
         """Take the reasons of the policies."""
         raise NotImplementedError
 
@@ -51,7 +51,7 @@
 class NodeContext:
     """Tables, neighbours and the client, shared by the requests of one node."""
 
-    world: World
+    routing_state: RoutingState
     scheduler: Scheduler
     client: CurlClient
     claims: Claims
@@ -62,7 +62,7 @@
     ready: Callable[[], bool]
     log: LogFunction
     on_urgent_demand: Callable[[], None] | None = None
-    takers: dict[int, VerdictTaker] = attrs.field(factory=dict)
+    verdict_receivers: dict[int, VerdictReceiver] = attrs.field(factory=dict)
     _next_token: int = 0
     _pump_scheduled: bool = False
     _tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
@@ -75,19 +75,19 @@
     def deliver(self, verdicts: list[Verdict]) -> None:
         """Hand verdicts to the requests they are about."""
         for verdict in verdicts:
-            taker = self.takers.get(verdict.token)
-            if taker is None:
+            receiver = self.verdict_receivers.get(verdict.token)
+            if receiver is None:
                 continue
             match verdict:
-                case Placed(_, server, notes, waited_s):
-                    taker.on_notes(notes)
-                    taker.on_placed(server, waited_s)
-                    taker.feed(ServerChosen(server.row.server))
-                case Queued(_, _, notes):
-                    taker.on_notes(notes)
-                    taker.on_queued(verdict)
-                case Refused(_, reason, retry_after_s, problem):
-                    taker.feed(NoServer(Refusal(reason, problem, retry_after_s=retry_after_s)))
+                case Placed(_, server, reasons, waited_s):
+                    receiver.on_policy_reasons(reasons)
+                    receiver.on_placed(server, waited_s)
+                    receiver.feed(ServerChosen(server.row.server))
+                case Queued(_, _, reasons):
+                    receiver.on_policy_reasons(reasons)
+                    receiver.on_queued(verdict)
+                case Rejected(_, reason, retry_after_s, problem):
+                    receiver.feed(NoServer(Refusal(reason, problem, retry_after_s=retry_after_s)))
         self.schedule_pump()
         if self.scheduler.demand.urgent and self.on_urgent_demand is not None:
             self.scheduler.demand.urgent = False
@@ -100,7 +100,7 @@
         token: int,
         excluded: frozenset[str],
     ) -> None:
-        """Find a server for a request; its verdict is delivered to its taker."""
+        """Find a server for a request; its verdict is delivered to its receiver."""
         self.scheduler.may_place = self.ready()
         self.deliver(self.scheduler.place(request, route, token, self.clock(), excluded))
 
--- a/src/zincvale/dataplane/inference/dependency_calls.py
+++ b/src/zincvale/dataplane/inference/dependency_calls.py
@@ -7,7 +7,7 @@
 import attrs
 
 from zincvale.dataplane import log_events
-from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference import responses
 from zincvale.dataplane.inference.context import NodeContext
 from zincvale.dataplane.inference.dependencies import (
     ClaimDecision,
@@ -26,11 +26,11 @@
 from zincvale.dataplane.inference.request_machine import RequestMachine
 from zincvale.model.outcomes import Outcome
 
-NOTE_WITHIN_S = 1.0
+MARK_TIMEOUT_S = 1.0
 
 
 @attrs.define(eq=False)
-class NeighbourCalls:
+class DependencyCalls:
     """Each call returns the input it results in, and never raises.
 
     A neighbour that fails by a defect counts as one that did not answer.
@@ -89,21 +89,21 @@
     async def record_stream(self) -> None:
         """Keep a whole stream for resends."""
         request_id = self.machine.request.request_id
-        headers = answers.stream_headers(request_id)
-        body = answers.whole_stream(self.machine.pieces)
+        headers = responses.stream_headers(request_id)
+        body = responses.whole_stream(self.machine.chunks)
         await self._confirmed(
             "record",
             self.context.claims.record(request_id, Outcome.ANSWERED, 200, headers, body),
         )
 
-    async def note_may_have_run(self) -> None:
+    async def mark_may_have_run(self) -> None:
         """Claim a request that was not claimed, and record that its fate is unknown."""
-        decided = await self.claim(NOTE_WITHIN_S)
+        decided = await self.claim(MARK_TIMEOUT_S)
         if isinstance(decided, ClaimDecided) and isinstance(decided.decision, ClaimGranted):
             request_id = self.machine.request.request_id
-            answer = answers.unknown(request_id, "an earlier attempt may have run")
+            response = responses.unknown(request_id, "an earlier attempt may have run")
             await self.record(
-                RecordOutcome(Outcome.UNKNOWN, answer.status, answer.headers, answer.body)
+                RecordOutcome(Outcome.UNKNOWN, response.status, response.headers, response.body)
             )
 
     async def release(self) -> None:
--- a/src/zincvale/dataplane/inference/events.py
+++ b/src/zincvale/dataplane/inference/events.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import enum
 from collections.abc import Mapping
 
 import attrs
@@ -78,7 +77,7 @@
 
 
 @attrs.frozen
-class Answered:
+class ResponseReceived:
     """A whole answer, checked to be this request's."""
 
     body: bytes
@@ -86,11 +85,11 @@
 
 
 @attrs.frozen
-class PiecesReceived:
+class ChunksReceived:
     """Pieces of a stream; the first has event number `first_index`."""
 
     first_index: int
-    pieces: list[str]
+    chunks: list[str]
 
 
 @attrs.frozen
@@ -127,14 +126,14 @@
 
 
 @attrs.frozen
-class CallerGone:
+class CallerDisconnected:
     """The caller closed its connection; `sent` as above."""
 
     sent: bool = False
 
 
 @attrs.frozen
-class StreamTakenOver:
+class StreamFenced:
     """Another node resumed the stream."""
 
 
@@ -146,14 +145,14 @@
     | ServerChosen
     | NoServer
     | DispatchForbidden
-    | Answered
-    | PiecesReceived
+    | ResponseReceived
+    | ChunksReceived
     | StreamEnded
     | ServerRefused
     | ServerFailed
     | DeadlinePassed
-    | CallerGone
-    | StreamTakenOver
+    | CallerDisconnected
+    | StreamFenced
 )
 
 
@@ -171,7 +170,7 @@
 
 
 @attrs.frozen
-class NoteMayHaveRun:
+class MarkMayHaveRun:
     """Tell the claim voters that the request may have run, so that no resend is refused.
 
     Used on routes that are not at-most-once, whose requests are not claimed before they run.
@@ -250,7 +249,7 @@
 
 
 @attrs.frozen
-class SendAnswer:
+class SendResponse:
     """Send a whole response to the caller."""
 
     status: int
@@ -264,11 +263,11 @@
 
 
 @attrs.frozen
-class RelayPieces:
+class RelayChunks:
     """Pass pieces on, after the journal took them when `journal` is set."""
 
     first_index: int
-    pieces: list[str]
+    chunks: list[str]
     journal: bool = True
 
 
@@ -287,13 +286,6 @@
     reason: str
 
 
-class WaitFor(enum.Enum):
-    """What a stream waits for, which sets how long silence is borne."""
-
-    FIRST_PIECE = "first-piece"
-    NEXT_PIECE = "next-piece"
-
-
 @attrs.frozen
 class Finish:
     """The request is over with this outcome; nothing follows."""
@@ -305,7 +297,7 @@
 Effect = (
     Claim
     | RenewClaim
-    | NoteMayHaveRun
+    | MarkMayHaveRun
     | LookUpStream
     | ChooseServer
     | CancelChoice
@@ -315,9 +307,9 @@
     | RecordOutcome
     | RecordStream
     | ReleaseClaim
-    | SendAnswer
+    | SendResponse
     | OpenStream
-    | RelayPieces
+    | RelayChunks
     | EndStream
     | BreakStream
     | Finish
--- a/src/zincvale/dataplane/inference/exchange_reader.py
+++ b/src/zincvale/dataplane/inference/exchange_reader.py
@@ -8,7 +8,7 @@
 import attrs
 
 from zincvale.dataplane.inference.backend_adapter import (
-    MISMATCHED_ANSWER,
+    MISMATCHED_RESPONSE,
     STATUS_OK,
     BackendAdapter,
     StreamReader,
@@ -54,8 +54,8 @@
     now: Callable[[], float]
     exchange: RunningExchange | None = None
     started_at: float = 0.0
-    heard_at: float = 0.0
-    first_piece_at: float | None = None
+    last_received_at: float = 0.0
+    first_chunk_at: float | None = None
     status: int = 0
     stopped: bool = False
     _stream: StreamReader | None = None
@@ -65,7 +65,7 @@
     @property
     def first_piece_s(self) -> float:
         """How long the first piece took; 0 without one."""
-        return 0.0 if self.first_piece_at is None else self.first_piece_at - self.started_at
+        return 0.0 if self.first_chunk_at is None else self.first_chunk_at - self.started_at
 
     def on_connected(self) -> None:
         """Nothing to do: `exchange.sent` says it."""
@@ -73,19 +73,19 @@
     def on_headers(self, status: int, headers: Mapping[str, str]) -> None:
         """See whether the body is a stream."""
         self.status = status
-        self.heard_at = self.now()
+        self.last_received_at = self.now()
         is_stream = headers.get("content-type", "").startswith("text/event-stream")
-        if self.request.question.stream and status == STATUS_OK and is_stream:
+        if self.request.inference_request.stream and status == STATUS_OK and is_stream:
             self._stream = StreamReader()
 
     def on_body(self, data: bytes) -> None:
         """Read events, or collect the body of what turned out not to be a stream."""
-        self.heard_at = self.now()
+        self.last_received_at = self.now()
         if self._stream is None:
             self._collect(data)
             return
-        if self.first_piece_at is None:
-            self.first_piece_at = self.heard_at
+        if self.first_chunk_at is None:
+            self.first_chunk_at = self.last_received_at
         for read in self._stream.feed(data):
             if self.stopped:
                 return
@@ -134,4 +134,4 @@
 
 def is_mismatch(failure: ServerFailed) -> bool:
     """Whether a failure means that the answer was another request's."""
-    return failure.reason == MISMATCHED_ANSWER
+    return failure.reason == MISMATCHED_RESPONSE
--- a/src/zincvale/dataplane/inference/ingress.py
+++ b/src/zincvale/dataplane/inference/ingress.py
@@ -7,23 +7,23 @@
 
 import attrs
 
-from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference import responses
 from zincvale.dataplane.inference.context import NodeContext
-from zincvale.dataplane.inference.events import Refusal, SendAnswer, Started
+from zincvale.dataplane.inference.events import Refusal, SendResponse, Started
 from zincvale.dataplane.inference.request_machine import RequestMachine
-from zincvale.dataplane.inference.request_record import RequestRecord
+from zincvale.dataplane.inference.request_trace import RequestTrace
 from zincvale.dataplane.inference.requests import (
     CallerRequest,
     mint_request_id,
     read_deadline_s,
-    read_question,
+    read_inference_request,
     read_request_id,
     read_resume_after,
     request_digest,
 )
 from zincvale.dataplane.inference.runner import RequestRunner
 from zincvale.dataplane.inference.stream_relay import CallerSink
-from zincvale.dataplane.inference.verdicts import Refused
+from zincvale.dataplane.inference.verdicts import Rejected
 from zincvale.model.errors import InvalidInputError, MalformedBodyError
 from zincvale.model.identifiers import RequestId, RouteName
 from zincvale.model.outcomes import Outcome, RefusalReason
@@ -33,7 +33,7 @@
 
 
 @attrs.define(eq=False)
-class RequestEntry:
+class RequestIngress:
     """Begins requests and knows whether the node may take any."""
 
     context: NodeContext
@@ -48,7 +48,7 @@
         sink: CallerSink,
     ) -> RequestRunner | None:
         """Start a request; None when it was answered at once because it cannot be read."""
-        named = self.context.world.route_by_path.get(path)
+        named = self.context.routing_state.route_by_path.get(path)
         if named is None:
             self._refuse_unrouted(path, headers, sink)
             return None
@@ -61,20 +61,20 @@
 
     def unready_reason(self) -> str:
         """Return why callers should go elsewhere, empty when this node is ready."""
-        world = self.context.world
+        routing_state = self.context.routing_state
         if self.draining:
             return "draining"
         if not self.context.ready():
             return "no fresh configuration"
-        if world.zone_evacuated(world.zone):
-            return f"zone {world.zone} is evacuated"
+        if routing_state.zone_evacuated(routing_state.zone):
+            return f"zone {routing_state.zone} is evacuated"
         return ""
 
     def exposition(self) -> bytes:
         """Return the metrics text."""
         metrics = self.context.metrics
-        metrics.active.set(len(self.context.takers))
-        pools = self.context.world.pools
+        metrics.active.set(len(self.context.verdict_receivers))
+        pools = self.context.routing_state.pools
         waiting = sum(self.context.scheduler.waiting_count(name) for name in pools)
         metrics.waiting.set(waiting)
         return metrics.exposition()
@@ -83,7 +83,7 @@
         self, name: RouteName, route: RouteSpec, headers: Mapping[str, str], body: bytes
     ) -> CallerRequest:
         given = read_request_id(headers)
-        pool = self.context.world.pool_of(route)
+        pool = self.context.routing_state.pool_of(route)
         kind = PoolKind.LANGUAGE_MODEL if pool is None else pool.spec.kind
         now = self.context.clock()
         return CallerRequest(
@@ -91,7 +91,7 @@
             caller_named_it=given is not None,
             route=name,
             digest=request_digest(name, body),
-            question=read_question(body, route, kind),
+            inference_request=read_inference_request(body, route, kind),
             received_at=now,
             deadline_at=now + read_deadline_s(headers, route),
             resume_after=read_resume_after(headers),
@@ -109,12 +109,12 @@
         runner = RequestRunner(
             context,
             RequestMachine(request, route),
-            context.world.pool_of(route),
+            context.routing_state.pool_of(route),
             sink,
-            RequestRecord(context.spans, root),
+            RequestTrace(context.spans, root),
             token,
         )
-        context.takers[token] = runner
+        context.verdict_receivers[token] = runner
         refusal = self._admit(request, route, token, runner)
         runner.start_deadline(request.deadline_at - context.clock())
         runner.feed(Started(refusal))
@@ -127,7 +127,7 @@
             problem = "this node has no fresh configuration"
             return Refusal(RefusalReason.NOT_READY, problem, retry_after_s=NOT_READY_RETRY_S)
         refused = self.context.scheduler.admit(request, route, token, self.context.clock())
-        if isinstance(refused, Refused):
+        if isinstance(refused, Rejected):
             return Refusal(refused.reason, refused.problem, retry_after_s=refused.retry_after_s)
         runner.admitted = True
         return None
@@ -138,13 +138,13 @@
         headers: Mapping[str, str],
         sink: CallerSink,
     ) -> None:
-        if self.context.world.intent.version == 0:
+        if self.context.routing_state.intent.version == 0:
             refusal = Refusal(RefusalReason.NOT_READY, "this node has no configuration yet")
         else:
             refusal = Refusal(
                 RefusalReason.NO_ROUTE, f"no route has the path {path}", "declare a Route for it"
             )
-        self._answer(answers.refused(_id_or_mint(headers, self.random), refusal), sink)
+        self._send(responses.refused(_id_or_mint(headers, self.random), refusal), sink)
 
     def _reject(
         self,
@@ -155,11 +155,11 @@
     ) -> None:
         reason = RefusalReason.INVALID.value
         self.context.metrics.finished(route, Outcome.REFUSED, reason, 0.0)
-        answer = answers.malformed(_id_or_mint(headers, self.random), error)
-        self._answer(answer, sink)
+        response = responses.malformed(_id_or_mint(headers, self.random), error)
+        self._send(response, sink)
 
-    def _answer(self, answer: SendAnswer, sink: CallerSink) -> None:
-        sink.send_answer(answer.status, dict(answer.headers), answer.body)
+    def _send(self, response: SendResponse, sink: CallerSink) -> None:
+        sink.send_response(response.status, dict(response.headers), response.body)
 
 
 def _id_or_mint(headers: Mapping[str, str], random: Random) -> RequestId:
@@ -174,11 +174,11 @@
         "request_id": request.request_id,
         "route": request.route,
     }
-    question = request.question
-    if question.model:
-        attributes["model"] = question.model
-    if question.adapter:
-        attributes["adapter"] = question.adapter
+    inference_request = request.inference_request
+    if inference_request.model:
+        attributes["model"] = inference_request.model
+    if inference_request.adapter:
+        attributes["adapter"] = inference_request.adapter
     if request.resume_after is not None:
         attributes["resumed_at"] = request.resume_after
     return attributes
--- a/src/zincvale/dataplane/inference/node_service.py
+++ b/src/zincvale/dataplane/inference/node_service.py
@@ -15,8 +15,8 @@
 from zincvale.dataplane.inference.caller_connection import CallerConnections
 from zincvale.dataplane.inference.context import LogFunction, NodeContext
 from zincvale.dataplane.inference.dependencies import Claims, Spans, StreamJournal
-from zincvale.dataplane.inference.ingress import RequestEntry
-from zincvale.dataplane.inference.routing_state import World
+from zincvale.dataplane.inference.ingress import RequestIngress
+from zincvale.dataplane.inference.routing_state import RoutingState
 from zincvale.dataplane.inference.runner import RequestRunner
 from zincvale.dataplane.inference.scheduler import Scheduler
 from zincvale.dataplane.messages import DemandReport
@@ -79,12 +79,12 @@
         self.member_id = MemberId(settings.member_id)
         self.address_map: dict[str, str] = dict(settings.address_map)
         self.peers = peers
-        world = World(ZoneName(settings.zone), self.member_id)
+        routing_state = RoutingState(ZoneName(settings.zone), self.member_id)
         self.client = CurlClient(self.address_map)
         self._metrics = Metrics()
         self.context = NodeContext(
-            world=world,
-            scheduler=Scheduler(world, random),
+            routing_state=routing_state,
+            scheduler=Scheduler(routing_state, random),
             client=self.client,
             claims=claims,
             journal=journal,
@@ -94,7 +94,7 @@
             ready=ready,
             log=log,
         )
-        self.entry = RequestEntry(self.context, random)
+        self.entry = RequestIngress(self.context, random)
 
     @property
     def metrics(self) -> Any:
@@ -104,7 +104,7 @@
     @property
     def active_requests(self) -> int:
         """Requests under way; a draining node may stop at zero."""
-        return len(self.context.takers)
+        return len(self.context.verdict_receivers)
 
     def http_routes(self) -> list[tuple[Any, ...]]:
         """Return tornado routing rules for the node's `api_address`.
@@ -121,7 +121,7 @@
 
     def apply_intent(self, intent: Intent) -> None:
         """Take a newer intent into force: nothing is sent against it from here on."""
-        if not self.context.world.apply_intent(intent):
+        if not self.context.routing_state.apply_intent(intent):
             return
         for problem in self.context.scheduler.chain_problems():
             self.context.log(log_events.POLICY_UNKNOWN, problem=str(problem))
@@ -129,11 +129,11 @@
 
     def apply_directory(self, directory: Directory) -> None:
         """Take a newer directory; exchanges with servers that went down are given up."""
-        world = self.context.world
+        routing_state = self.context.routing_state
         now = self.context.clock()
-        if not world.apply_directory(directory, now):
+        if not routing_state.apply_directory(directory, now):
             return
-        for state in list(world.servers.values()):
+        for state in list(routing_state.servers.values()):
             if state.row.health is ServerHealth.DOWN and state.outstanding:
                 for runner in self._runners():
                     runner.on_server_lost(state, now)
@@ -141,12 +141,12 @@
 
     def apply_members(self, members: Members) -> None:
         """Take a newer member table."""
-        self.context.world.apply_members(members)
+        self.context.routing_state.apply_members(members)
 
     def tick(self, now: float) -> None:
         """Look for silent streams and waiting requests; call it about ten times a second."""
         for runner in self._runners():
-            runner.check_silence(now)
+            runner.check_timeout(now)
         if self.context.scheduler.any_waiting():
             self.context.pump()
 
@@ -171,4 +171,8 @@
         self.client.close()
 
     def _runners(self) -> list[RequestRunner]:
-        return [taker for taker in self.context.takers.values() if isinstance(taker, RequestRunner)]
+        return [
+            receiver
+            for receiver in self.context.verdict_receivers.values()
+            if isinstance(receiver, RequestRunner)
+        ]
--- a/src/zincvale/dataplane/inference/wait_queue.py
+++ b/src/zincvale/dataplane/inference/pending_request_queue.py
@@ -10,11 +10,11 @@
 from zincvale.dataplane.policies.base import Blocked
 from zincvale.model.resources import RouteSpec, Stake
 
-STAKES_HIGHEST_FIRST = (Stake.HIGH, Stake.NORMAL, Stake.LOW)
+PRIORITIES_HIGHEST_FIRST = (Stake.HIGH, Stake.NORMAL, Stake.LOW)
 
 
 @attrs.define(eq=False)
-class WaitingRequest:
+class PendingRequest:
     """A request that wants a server.
 
     Attributes
@@ -22,47 +22,47 @@
     token : identifies the request within this node.
     excluded : servers that already failed or refused it.
     blocked : why it was not placed when last tried.
-    give_up_at : when it is refused at the latest.
+    times_out_at : when it is refused at the latest.
     """
 
     token: int
     request: CallerRequest
     route: RouteSpec
     since: float
-    give_up_at: float
+    times_out_at: float
     excluded: frozenset[str] = frozenset()
     blocked: Blocked = Blocked.BUSY
 
     @property
     def key(self) -> tuple[str, str | None, Stake]:
         """What decides whether another waiting request would be placed alike."""
-        question = self.request.question
-        return (question.model, question.adapter, self.route.stake)
+        inference_request = self.request.inference_request
+        return (inference_request.model, inference_request.adapter, self.route.stake)
 
 
 @attrs.define
-class WaitQueue:
+class PendingRequestQueue:
     """Waiting requests by stake; within a stake first come, first served."""
 
-    _by_stake: dict[Stake, dict[int, WaitingRequest]] = attrs.field(
-        factory=lambda: {stake: {} for stake in STAKES_HIGHEST_FIRST}
+    _by_priority: dict[Stake, dict[int, PendingRequest]] = attrs.field(
+        factory=lambda: {stake: {} for stake in PRIORITIES_HIGHEST_FIRST}
     )
 
     def __len__(self) -> int:
-        return sum(len(waiting) for waiting in self._by_stake.values())
+        return sum(len(waiting) for waiting in self._by_priority.values())
 
-    def __iter__(self) -> Iterator[WaitingRequest]:
+    def __iter__(self) -> Iterator[PendingRequest]:
         """Iterate over a snapshot, highest stake first."""
-        for stake in STAKES_HIGHEST_FIRST:
-            yield from list(self._by_stake[stake].values())
+        for stake in PRIORITIES_HIGHEST_FIRST:
+            yield from list(self._by_priority[stake].values())
 
-    def add(self, waiting: WaitingRequest) -> None:
+    def add(self, waiting: PendingRequest) -> None:
         """Queue a request."""
-        self._by_stake[waiting.route.stake][waiting.token] = waiting
+        self._by_priority[waiting.route.stake][waiting.token] = waiting
 
-    def remove(self, token: int) -> WaitingRequest | None:
+    def remove(self, token: int) -> PendingRequest | None:
         """Take a request out; None when it does not wait here."""
-        for waiting in self._by_stake.values():
+        for waiting in self._by_priority.values():
             found = waiting.pop(token, None)
             if found is not None:
                 return found
@@ -75,17 +75,17 @@
     def ahead_of(self, stake: Stake) -> int:
         """Return how many would be served before a newcomer of `stake`."""
         count = 0
-        for other in STAKES_HIGHEST_FIRST:
-            count += len(self._by_stake[other])
+        for other in PRIORITIES_HIGHEST_FIRST:
+            count += len(self._by_priority[other])
             if other is stake:
                 return count
         return count
 
-    def youngest_below(self, stake: Stake) -> WaitingRequest | None:
+    def youngest_below(self, stake: Stake) -> PendingRequest | None:
         """Return the last come of the lowest stake below `stake`, None when there is none."""
-        for other in reversed(STAKES_HIGHEST_FIRST):
+        for other in reversed(PRIORITIES_HIGHEST_FIRST):
             if other is stake:
                 return None
-            if self._by_stake[other]:
-                return next(reversed(self._by_stake[other].values()))
+            if self._by_priority[other]:
+                return next(reversed(self._by_priority[other].values()))
         return None
--- a/src/zincvale/dataplane/inference/request_machine.py
+++ b/src/zincvale/dataplane/inference/request_machine.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference import responses
 from zincvale.dataplane.inference.dependencies import (
     NEWEST_STREAM_EPOCH,
     ClaimGranted,
@@ -20,11 +20,11 @@
     RecordedOutcome,
 )
 from zincvale.dataplane.inference.events import (
-    Answered,
-    CallerGone,
+    CallerDisconnected,
     CancelChoice,
     CancelExchange,
     ChooseServer,
+    ChunksReceived,
     Claim,
     ClaimDecided,
     ClaimRenewed,
@@ -38,21 +38,21 @@
     LookUpStream,
     NoServer,
     OpenStream,
-    PiecesReceived,
     RecordOutcome,
     RecordStream,
     Refusal,
-    RelayPieces,
+    RelayChunks,
     ReleaseClaim,
     RenewClaim,
-    SendAnswer,
+    ResponseReceived,
+    SendResponse,
     ServerChosen,
     ServerFailed,
     ServerRefused,
     Started,
     StreamEnded,
+    StreamFenced,
     StreamFound,
-    StreamTakenOver,
 )
 from zincvale.dataplane.inference.request_state import Phase, RequestState
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
@@ -94,10 +94,10 @@
             case DispatchForbidden():
                 self.phase = Phase.CLAIMING
                 return [RenewClaim()]
-            case Answered():
+            case ResponseReceived():
                 return self._handle_answered(event)
-            case PiecesReceived():
-                return self._handle_pieces(event)
+            case ChunksReceived():
+                return self._handle_chunks(event)
             case StreamEnded(count):
                 return self._handle_stream_ended(count)
             case ServerRefused():
@@ -106,15 +106,15 @@
                 return self._handle_server_failed(event)
             case DeadlinePassed(sent):
                 return self._handle_deadline(sent)
-            case CallerGone(sent):
-                return self._handle_caller_gone(sent)
-            case StreamTakenOver():
-                return self._handle_taken_over()
+            case CallerDisconnected(sent):
+                return self._handle_caller_disconnected(sent)
+            case StreamFenced():
+                return self._handle_fenced()
 
     @property
     def deadline_applies(self) -> bool:
         """Whether the deadline still matters: it covers a stream's start, not its length."""
-        return not self.opened and self.phase not in (Phase.DONE, Phase.LATE)
+        return not self.is_stream_open and self.phase not in (Phase.DONE, Phase.LATE)
 
     # before a server
 
@@ -144,10 +144,10 @@
                 return self._pending()
 
     def _handle_granted(self) -> list[Effect]:
-        self.claimed = True
-        if self.caller_gone:
+        self.is_claimed = True
+        if self.is_caller_disconnected:
             return self._leave_unrun()
-        if self.expired:
+        if self.is_expired:
             return self._give_up(self._deadline_refusal())
         if self.pending_refusal is not None:
             return self._give_up(self.pending_refusal)
@@ -159,18 +159,18 @@
 
     def _handle_renewed(self, renewed: bool) -> list[Effect]:
         effects = self._free_unused()
-        if renewed and not self.caller_gone and not self.expired:
+        if renewed and not self.is_caller_disconnected and not self.is_expired:
             # Time has passed: the server chosen before may be drained by now.
             return effects + self._choose()
-        if self.caller_gone:
+        if self.is_caller_disconnected:
             return effects + self._leave_unrun()
-        if self.expired and renewed:
+        if self.is_expired and renewed:
             return effects + self._refuse(self._deadline_refusal())
         # A resend may hold the claim by now, so this attempt cannot speak for the request.
-        answer = answers.unknown(
+        response = responses.unknown(
             self.request.request_id, "the claim could not be renewed", PENDING_RETRY_AFTER_S
         )
-        return [*effects, *self._release(), answer, *self._finish(Outcome.UNKNOWN, "not renewed")]
+        return [*effects, *self._release(), response, *self._finish(Outcome.UNKNOWN, "not renewed")]
 
     def _handle_claim_refused(self, refused: ClaimRefused) -> list[Effect]:
         if refused.reason is ClaimRefusal.OTHER_REQUEST:
@@ -194,19 +194,19 @@
     def _replay(self, recorded: RecordedOutcome) -> list[Effect]:
         after = self.request.resume_after
         if after is None:
-            answer = SendAnswer(recorded.status, recorded.headers, recorded.body)
-            return [answer, *self._finish(recorded.outcome, "recorded")]
+            response = SendResponse(recorded.status, recorded.headers, recorded.body)
+            return [response, *self._finish(recorded.outcome, "recorded")]
         if recorded.outcome is not Outcome.ANSWERED:
             return self._interrupt(resumable=False, reason="its outcome is not known")
-        pieces = answers.pieces_of(recorded.body)
+        chunks = responses.chunks_of(recorded.body)
         effects = self._open()
-        if len(pieces) > after:
-            effects.append(RelayPieces(after + 1, pieces[after:], journal=False))
-        return [*effects, EndStream(len(pieces)), *self._finish(Outcome.ANSWERED, "recorded")]
+        if len(chunks) > after:
+            effects.append(RelayChunks(after + 1, chunks[after:], journal=False))
+        return [*effects, EndStream(len(chunks)), *self._finish(Outcome.ANSWERED, "recorded")]
 
     def _handle_stream_found(self, state: JournalState | None) -> list[Effect]:
         after = self.request.resume_after or 0
-        if self.caller_gone:
+        if self.is_caller_disconnected:
             return self._finish(Outcome.INTERRUPTED, "the caller is gone")
         if state is not None and state.digest != self.request.digest:
             problem = "this X-Request-Id was used for another request"
@@ -217,14 +217,14 @@
                 self.epoch = NEWEST_STREAM_EPOCH
                 return self._choose()
             return self._interrupt(resumable=False, reason="the stream is not known any more")
-        self.pieces = list(state.chunks)
+        self.chunks = list(state.chunks)
         self.epoch = state.epoch
         effects: list[Effect] = [OpenStream()]
-        self.opened = True
+        self.is_stream_open = True
         if len(state.chunks) > after:
-            effects.append(RelayPieces(after + 1, self.pieces[after:], journal=False))
+            effects.append(RelayChunks(after + 1, self.chunks[after:], journal=False))
         if state.complete:
-            effects.append(EndStream(len(self.pieces)))
+            effects.append(EndStream(len(self.chunks)))
             return effects + self._finish(Outcome.ANSWERED, "resumed")
         return effects + self._choose()
 
@@ -240,39 +240,39 @@
     def _dispatch(self, server: ServerId) -> list[Effect]:
         self.phase = Phase.EXCHANGING
         self.attempts += 1
-        return [Dispatch(server, tuple(self.pieces), self.attempts)]
+        return [Dispatch(server, tuple(self.chunks), self.attempts)]
 
     # at a server
 
-    def _handle_answered(self, event: Answered) -> list[Effect]:
-        if self.opened:
+    def _handle_answered(self, event: ResponseReceived) -> list[Effect]:
+        if self.is_stream_open:
             return self._handle_server_failed(ServerFailed("not a stream", sent=True))
         effects: list[Effect] = [FreeServer(ExchangeEnd.ANSWERED, event.units)]
-        answer = answers.answered(self.request.request_id, event.body)
+        response = responses.answered(self.request.request_id, event.body)
         if self.route.at_most_once:
             effects.append(
-                RecordOutcome(Outcome.ANSWERED, answer.status, answer.headers, answer.body)
+                RecordOutcome(Outcome.ANSWERED, response.status, response.headers, response.body)
             )
         if self.phase is not Phase.LATE:
-            effects.append(answer)
+            effects.append(response)
         return effects + self._finish(Outcome.ANSWERED)
 
-    def _handle_pieces(self, event: PiecesReceived) -> list[Effect]:
-        expected = len(self.pieces) + 1
+    def _handle_chunks(self, event: ChunksReceived) -> list[Effect]:
+        expected = len(self.chunks) + 1
         if event.first_index != expected:
             reason = f"event {event.first_index} came where {expected} was due"
             return [CancelExchange(), *self._handle_server_failed(ServerFailed(reason, sent=True))]
-        self.pieces += event.pieces
+        self.chunks += event.chunks
         if self.phase is Phase.LATE:
             return []
         # An at-most-once stream never goes on elsewhere; its record is the whole outcome.
         journal = not self.route.at_most_once
-        relay = RelayPieces(event.first_index, event.pieces, journal)
+        relay = RelayChunks(event.first_index, event.chunks, journal)
         return [*self._open(), relay]
 
     def _handle_stream_ended(self, count: int) -> list[Effect]:
-        if count != len(self.pieces):
-            reason = f"the stream ended at {count} after {len(self.pieces)} events"
+        if count != len(self.chunks):
+            reason = f"the stream ended at {count} after {len(self.chunks)} events"
             return [CancelExchange(), *self._handle_server_failed(ServerFailed(reason, sent=True))]
         effects: list[Effect] = [FreeServer(ExchangeEnd.ANSWERED, max(1, count))]
         late = self.phase is Phase.LATE
@@ -295,7 +295,7 @@
         if self._attempts_used_up():
             return [free, *self._give_up(refusal)]
         # A stream that has begun is worth more than the budget: it must not be lost.
-        counts = event.end is not ExchangeEnd.NOT_RESIDENT and not self.opened
+        counts = event.end is not ExchangeEnd.NOT_RESIDENT and not self.is_stream_open
         return [free, *self._choose(retry=counts)]
 
     def _handle_server_failed(self, event: ServerFailed) -> list[Effect]:
@@ -308,7 +308,7 @@
             return [free, *self._record_unknown(event.reason), *self._finish(Outcome.UNKNOWN)]
         if self.route.at_most_once:
             return [free, *self._unknown(event.reason)]
-        if self.pieces:
+        if self.chunks:
             return [free, *self._continue(event.reason)]
         if self._attempts_used_up():
             return [free, *self._unknown(event.reason)]
@@ -319,7 +319,7 @@
             return [ReleaseClaim(), *self._finish(Outcome.REFUSED, event.reason)]
         if self._attempts_used_up():
             return self._give_up(Refusal(RefusalReason.NO_SERVER, event.reason))
-        return self._choose(retry=not self.opened)
+        return self._choose(retry=not self.is_stream_open)
 
     def _continue(self, reason: str) -> list[Effect]:
         self.continuations += 1
@@ -334,7 +334,7 @@
             return []
         match self.phase:
             case Phase.CLAIMING | Phase.LOOKING_UP | Phase.NEW:
-                self.expired = True
+                self.is_expired = True
                 return []
             case Phase.CHOOSING:
                 return [CancelChoice(), *self._give_up(self._deadline_refusal())]
@@ -352,10 +352,10 @@
             return [CancelExchange(), free, *self._unknown(problem)]
         self.may_have_run = True
         self.phase = Phase.LATE
-        return [answers.unknown(self.request.request_id, problem, PENDING_RETRY_AFTER_S)]
+        return [responses.unknown(self.request.request_id, problem, PENDING_RETRY_AFTER_S)]
 
-    def _handle_caller_gone(self, sent: bool) -> list[Effect]:
-        self.caller_gone = True
+    def _handle_caller_disconnected(self, sent: bool) -> list[Effect]:
+        self.is_caller_disconnected = True
         match self.phase:
             case Phase.CLAIMING | Phase.LOOKING_UP | Phase.NEW | Phase.LATE:
                 return []
@@ -373,19 +373,19 @@
         if not sent:
             return effects + self._leave_unrun()
         self.may_have_run = True
-        effects += self._note_may_have_run()
-        outcome = Outcome.INTERRUPTED if self.opened else Outcome.UNKNOWN
+        effects += self._mark_may_have_run()
+        outcome = Outcome.INTERRUPTED if self.is_stream_open else Outcome.UNKNOWN
         return effects + self._finish(outcome, "the caller is gone")
 
     def _leave_unrun(self) -> list[Effect]:
         outcome = Outcome.UNKNOWN if self.may_have_run else Outcome.REFUSED
-        if self.opened:
+        if self.is_stream_open:
             outcome = Outcome.INTERRUPTED
         reason = "the caller is gone"
         claim = [*self._release(), *self._record_unknown(reason)]
-        return [*claim, *self._note_may_have_run(), *self._finish(outcome, reason)]
+        return [*claim, *self._mark_may_have_run(), *self._finish(outcome, reason)]
 
-    def _handle_taken_over(self) -> list[Effect]:
+    def _handle_fenced(self) -> list[Effect]:
         effects: list[Effect] = []
         if self.phase is Phase.CHOOSING:
             effects.append(CancelChoice())
--- a/src/zincvale/dataplane/inference/request_state.py
+++ b/src/zincvale/dataplane/inference/request_state.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference import responses
 from zincvale.dataplane.inference.dependencies import FIRST_STREAM_EPOCH
 from zincvale.dataplane.inference.events import (
     BreakStream,
@@ -14,7 +14,7 @@
     Effect,
     Finish,
     FreeServer,
-    NoteMayHaveRun,
+    MarkMayHaveRun,
     OpenStream,
     RecordOutcome,
     Refusal,
@@ -26,10 +26,10 @@
 from zincvale.model.outcomes import Outcome, RefusalReason
 from zincvale.model.resources import RouteSpec, Stake
 
-PROOF_WAIT_S = 0.5
+PROOF_TIMEOUT_S = 0.5
 """How long a refusal may wait for the proof that no earlier attempt ran."""
 MAX_ATTEMPTS = 8
-MAX_ATTEMPTS_HIGH_STAKE = 24
+MAX_ATTEMPTS_HIGH_PRIORITY = 24
 
 
 class Phase(enum.Enum):
@@ -56,19 +56,19 @@
     request: CallerRequest
     route: RouteSpec
     phase: Phase = Phase.NEW
-    claimed: bool = False
+    is_claimed: bool = False
     may_have_run: bool = False
     """An attempt left whose fate is not known; a resumed stream ran before it came here."""
     attempts: int = 0
     continuations: int = 0
-    pieces: list[str] = attrs.field(factory=list)
-    opened: bool = False
-    caller_gone: bool = False
-    expired: bool = False
+    chunks: list[str] = attrs.field(factory=list)
+    is_stream_open: bool = False
+    is_caller_disconnected: bool = False
+    is_expired: bool = False
     server: ServerId | None = None
     excluded: frozenset[str] = frozenset()
     pending_refusal: Refusal | None = None
-    proof_asked: bool = False
+    has_requested_proof: bool = False
     """The claim voters were asked whether a request that is to be refused is fresh."""
     epoch: int = FIRST_STREAM_EPOCH
 
@@ -77,7 +77,7 @@
 
     def _give_up(self, refusal: Refusal) -> list[Effect]:
         """End without a server: a refusal, unless something may have run."""
-        if self.opened:
+        if self.is_stream_open:
             return self._interrupt(resumable=True, reason=refusal.problem)
         if self.may_have_run:
             return self._unknown(refusal.problem, refusal.retry_after_s)
@@ -88,52 +88,52 @@
             # An earlier attempt of the caller may have run through another node.
             self.pending_refusal = refusal
             self.phase = Phase.CLAIMING
-            return [Claim(PROOF_WAIT_S)]
-        answer = answers.refused(self.request.request_id, refusal)
+            return [Claim(PROOF_TIMEOUT_S)]
+        response = responses.refused(self.request.request_id, refusal)
         finish = self._finish(Outcome.REFUSED, refusal.reason.value)
-        return [*self._release(), answer, *finish]
+        return [*self._release(), response, *finish]
 
     def _needs_proof(self, refusal: Refusal) -> bool:
-        if self.claimed or self.proof_asked or not self.request.caller_named_it:
+        if self.is_claimed or self.has_requested_proof or not self.request.caller_named_it:
             return False
         if refusal.reason is RefusalReason.INVALID:
             return False
-        self.proof_asked = True
+        self.has_requested_proof = True
         return not self.route.at_most_once
 
-    def _note_may_have_run(self) -> list[Effect]:
+    def _mark_may_have_run(self) -> list[Effect]:
         """A resend that finds no server must not be told that the request never ran."""
         if self.route.at_most_once or not self.request.caller_named_it:
             return []
-        if not self.may_have_run or self.pieces or self.request.resume_after:
+        if not self.may_have_run or self.chunks or self.request.resume_after:
             # Either it did not, or the caller proves that it did by its Last-Event-ID.
             return []
-        return [NoteMayHaveRun()]
+        return [MarkMayHaveRun()]
 
     def _release(self) -> list[Effect]:
-        if not self.claimed or self.may_have_run:
+        if not self.is_claimed or self.may_have_run:
             return []
         return [ReleaseClaim()]
 
     def _unknown(self, problem: str, retry_after_s: float = 0.0) -> list[Effect]:
-        if self.opened:
+        if self.is_stream_open:
             return [
                 *self._record_unknown(problem),
                 *self._interrupt(not self.route.at_most_once, problem),
             ]
-        answer = answers.unknown(self.request.request_id, problem, retry_after_s)
-        note = self._note_may_have_run()
+        response = responses.unknown(self.request.request_id, problem, retry_after_s)
+        note = self._mark_may_have_run()
         finish = self._finish(Outcome.UNKNOWN, problem)
-        return [*self._record_unknown(problem), answer, *note, *finish]
+        return [*self._record_unknown(problem), response, *note, *finish]
 
     def _record_unknown(self, problem: str) -> list[Effect]:
-        if not self.claimed or not self.may_have_run:
+        if not self.is_claimed or not self.may_have_run:
             return []
-        answer = answers.unknown(self.request.request_id, problem)
-        return [RecordOutcome(Outcome.UNKNOWN, answer.status, answer.headers, answer.body)]
+        response = responses.unknown(self.request.request_id, problem)
+        return [RecordOutcome(Outcome.UNKNOWN, response.status, response.headers, response.body)]
 
     def _interrupt(self, resumable: bool, reason: str) -> list[Effect]:
-        note = self._note_may_have_run()
+        note = self._mark_may_have_run()
         effects = [*self._open(), BreakStream(resumable, reason), *note]
         return effects + self._finish(Outcome.INTERRUPTED, reason)
 
@@ -142,9 +142,9 @@
         return [Finish(outcome, reason)]
 
     def _open(self) -> list[Effect]:
-        if self.opened:
+        if self.is_stream_open:
             return []
-        self.opened = True
+        self.is_stream_open = True
         return [OpenStream()]
 
     def _free_unused(self) -> list[Effect]:
@@ -158,8 +158,8 @@
             self.excluded = self.excluded | {self.server}
 
     def _attempts_used_up(self) -> bool:
-        precious = self.opened or self.route.stake is Stake.HIGH
-        return self.attempts >= (MAX_ATTEMPTS_HIGH_STAKE if precious else MAX_ATTEMPTS)
+        has_priority = self.is_stream_open or self.route.stake is Stake.HIGH
+        return self.attempts >= (MAX_ATTEMPTS_HIGH_PRIORITY if has_priority else MAX_ATTEMPTS)
 
     def _deadline_refusal(self) -> Refusal:
         return Refusal(RefusalReason.DEADLINE, "the deadline passed before a server was free")
--- a/src/zincvale/dataplane/inference/request_record.py
+++ b/src/zincvale/dataplane/inference/request_trace.py
@@ -1,4 +1,4 @@
-"""What is kept of a request for the record: its spans, events and attributes."""
+"""What traces tell of a request: its spans, events and attributes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     StreamEnded,
     StreamFound,
 )
-from zincvale.dataplane.inference.routing import PolicyNote
+from zincvale.dataplane.inference.routing import PolicyReason
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.outcomes import TRACE_ID_HEADER, Outcome, RefusalReason
 from zincvale.model.view import ServerRow
@@ -38,35 +38,39 @@
 
 
 @attrs.define(eq=False)
-class RequestRecord:
+class RequestTrace:
     """The root span of a request and the span of its present dispatch."""
 
     spans: Spans
     root: Span
     _dispatch: Span | None = None
     _attempts: int = 0
-    _last_piece: int = 0
-    _held_ms: float = 0.0
+    _last_chunk: int = 0
+    _waited_ms: float = 0.0
 
-    def policies(self, notes: tuple[PolicyNote, ...]) -> None:
-        """Keep each policy's reason: the answer to "why here?"."""
-        for note in notes:
+    def record_policies(self, reasons: tuple[PolicyReason, ...]) -> None:
+        """Record each policy's reason: the answer to "why here?"."""
+        for policy_reason in reasons:
             self.root.event(
-                "policy", policy=note.policy, kind=note.kind, reason=note.reason, kept=note.kept
+                "policy",
+                policy=policy_reason.policy,
+                kind=policy_reason.kind,
+                reason=policy_reason.reason,
+                kept=policy_reason.kept,
             )
 
-    def held(self, reason: str) -> None:
-        """Note that the request waits for a server."""
+    def record_wait(self, reason: str) -> None:
+        """Record that the request waits for a server."""
         self.root.event("hold", reason=reason)
 
-    def released(self, waited_s: float) -> None:
-        """Note that a server was found."""
+    def record_wait_end(self, waited_s: float) -> None:
+        """Record that a server was found."""
         if waited_s <= 0.0:
             return
-        self._held_ms += waited_s * MS_PER_S
+        self._waited_ms += waited_s * MS_PER_S
         self.root.event("release", waited_ms=waited_s * MS_PER_S)
 
-    def dispatched(self, row: ServerRow, attempt: int, prefix: int) -> None:
+    def start_dispatch(self, row: ServerRow, attempt: int, prefix: int) -> None:
         """Open the span of one attempt."""
         self._attempts = attempt
         attributes: dict[str, str | int | float | bool] = {
@@ -80,8 +84,8 @@
         self._dispatch = self.spans.start("dispatch", self.root.context, attributes=attributes)
         self.root.set("server", row.server)
 
-    def input(self, event: Input) -> None:
-        """Keep what outsiders said, as far as it explains the request's way."""
+    def record_input(self, event: Input) -> None:
+        """Record the inputs that explain what became of the request."""
         match event:
             case ClaimDecided(decision):
                 self.root.event("claim", decision=CLAIM_DECISION_TEXTS[type(decision)])
@@ -95,13 +99,13 @@
             case StreamEnded(count):
                 self.root.event("last-event", number=count)
 
-    def pieces(self, first_index: int, count: int) -> None:
-        """Note the first streamed event."""
-        if self._last_piece == 0:
+    def record_chunks(self, first_index: int, count: int) -> None:
+        """Record the first streamed event."""
+        if self._last_chunk == 0:
             self.root.event("first-event", number=first_index)
-        self._last_piece = first_index + count - 1
+        self._last_chunk = first_index + count - 1
 
-    def exchange_ended(self, end: ExchangeEnd, units: int) -> None:
+    def end_dispatch(self, end: ExchangeEnd, units: int) -> None:
         """Close the span of the present attempt."""
         span, self._dispatch = self._dispatch, None
         if span is None:
@@ -113,11 +117,11 @@
             span.error(end.value)
         span.end()
 
-    def answered(self, headers: dict[str, str]) -> None:
+    def add_trace_header(self, headers: dict[str, str]) -> None:
         """Put the trace identifier on a response."""
         headers[TRACE_ID_HEADER] = self.root.context.trace_id
 
-    def finished(self, outcome: Outcome, reason: str) -> None:
+    def finish(self, outcome: Outcome, reason: str) -> None:
         """Close the root span."""
         root = self.root
         root.set("outcome", outcome.value)
@@ -125,8 +129,8 @@
             root.set("reason", reason)
         if self._attempts > 1:
             root.set("retries", self._attempts - 1)
-        if self._held_ms:
-            root.set("held_ms", self._held_ms)
+        if self._waited_ms:
+            root.set("held_ms", self._waited_ms)
         if outcome in (Outcome.UNKNOWN, Outcome.INTERRUPTED):
             root.error(reason or outcome.value)
         elif outcome is Outcome.REFUSED and reason != RefusalReason.OVERLOADED.value:
--- a/src/zincvale/dataplane/inference/requests.py
+++ b/src/zincvale/dataplane/inference/requests.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class Question:
+class InferenceRequest:
     """What a request asks of a back end.
 
     `model`, `adapter`, `prompt` and `max_tokens` belong to language models, `key` to lookups.
@@ -51,12 +51,17 @@
     """The caller chose the identifier, so that other attempts may exist elsewhere."""
     route: RouteName
     digest: str
-    question: Question
+    inference_request: InferenceRequest
     received_at: float
     deadline_at: float
     resume_after: int | None = None
     """Event number after which a stream is resumed; None when it starts."""
 
+    @property
+    def question(self) -> InferenceRequest:
+        """The inference request by the name that routing policies of third parties read."""
+        return self.inference_request
+
 
 def mint_request_id(random: Random) -> RequestId:
     """Return a fresh identifier for a request whose caller gave none."""
@@ -101,7 +106,7 @@
     return int(text)
 
 
-def read_question(body: bytes, route: RouteSpec, kind: PoolKind) -> Question:
+def read_inference_request(body: bytes, route: RouteSpec, kind: PoolKind) -> InferenceRequest:
     """Return what the body asks; raises `MalformedBodyError` or `InvalidInputError`."""
     try:
         data = orjson.loads(body)
@@ -110,7 +115,7 @@
     if not isinstance(data, dict):
         raise MalformedBodyError("the body is not a JSON object", "send a JSON object")
     if kind is PoolKind.LOOKUP:
-        return Question(key=_text(data, "key"))
+        return InferenceRequest(key=_text(data, "key"))
     return _read_generation(data, route)
 
 
@@ -119,7 +124,7 @@
     return xxhash.xxh3_128_hexdigest(route.encode() + b"\0" + body)
 
 
-def _read_generation(data: dict[str, Any], route: RouteSpec) -> Question:
+def _read_generation(data: dict[str, Any], route: RouteSpec) -> InferenceRequest:
     model = _model(data, route)
     adapter = data.get("adapter")
     if adapter is not None and not isinstance(adapter, str):
@@ -129,7 +134,7 @@
     stream = data.get("stream", route.stream)
     if not isinstance(stream, bool):
         raise InvalidInputError("field 'stream' is not true or false", "correct the value")
-    return Question(
+    return InferenceRequest(
         model=ModelName(model),
         adapter=AdapterName(adapter) if adapter else None,
         prompt=_text(data, "prompt"),
--- a/src/zincvale/dataplane/inference/responses.py
+++ b/src/zincvale/dataplane/inference/responses.py
@@ -7,7 +7,7 @@
 import orjson
 
 from zincvale.dataplane.http.event_reader import EventReader
-from zincvale.dataplane.inference.events import Refusal, SendAnswer
+from zincvale.dataplane.inference.events import Refusal, SendResponse
 from zincvale.model.errors import ZincvaleError
 from zincvale.model.identifiers import RequestId
 from zincvale.model.outcomes import (
@@ -25,12 +25,12 @@
 SERVICE_UNAVAILABLE = 503
 
 
-def answered(request_id: RequestId, body: bytes) -> SendAnswer:
+def answered(request_id: RequestId, body: bytes) -> SendResponse:
     """Return the response of a whole answer."""
-    return SendAnswer(200, _headers(Outcome.ANSWERED, request_id), body)
+    return SendResponse(200, _headers(Outcome.ANSWERED, request_id), body)
 
 
-def refused(request_id: RequestId, refusal: Refusal) -> SendAnswer:
+def refused(request_id: RequestId, refusal: Refusal) -> SendResponse:
     """Return the response of a refusal, which never ran and never will."""
     status = HTTP_STATUS_BY_REASON[refusal.reason]
     headers = _headers(Outcome.REFUSED, request_id)
@@ -45,17 +45,17 @@
             "remedy": refusal.remedy,
         }
     )
-    return SendAnswer(status, headers, body)
+    return SendResponse(status, headers, body)
 
 
-def malformed(request_id: RequestId, error: ZincvaleError) -> SendAnswer:
+def malformed(request_id: RequestId, error: ZincvaleError) -> SendResponse:
     """Return the response to a request that cannot be read; it never ran."""
     refusal = Refusal(RefusalReason.INVALID, error.problem, error.remedy)
-    answer = refused(request_id, refusal)
-    return SendAnswer(error.http_status, answer.headers, answer.body)
+    response = refused(request_id, refusal)
+    return SendResponse(error.http_status, response.headers, response.body)
 
 
-def unknown(request_id: RequestId, problem: str, retry_after_s: float = 0.0) -> SendAnswer:
+def unknown(request_id: RequestId, problem: str, retry_after_s: float = 0.0) -> SendResponse:
     """Return the response of a request that may have run."""
     headers = _headers(Outcome.UNKNOWN, request_id)
     if retry_after_s > 0:
@@ -68,7 +68,7 @@
             "remedy": "send it again with the same X-Request-Id to learn its outcome",
         }
     )
-    return SendAnswer(UNKNOWN_HTTP_STATUS, headers, body)
+    return SendResponse(UNKNOWN_HTTP_STATUS, headers, body)
 
 
 def event(number: int, text: str) -> bytes:
@@ -87,13 +87,13 @@
     return b"event: error\ndata: %b\n\n" % orjson.dumps(data)
 
 
-def whole_stream(pieces: list[str]) -> bytes:
+def whole_stream(chunks: list[str]) -> bytes:
     """Return a finished stream as one body, for the record of outcomes."""
-    events = [event(number, text) for number, text in enumerate(pieces, start=1)]
-    return b"".join([*events, end_event(len(pieces))])
+    events = [event(number, text) for number, text in enumerate(chunks, start=1)]
+    return b"".join([*events, end_event(len(chunks))])
 
 
-def pieces_of(body: bytes) -> list[str]:
+def chunks_of(body: bytes) -> list[str]:
     """Return the pieces of a body that `whole_stream` made."""
     events = EventReader().feed(body)
     return [orjson.loads(read.data)["text"] for read in events if read.number is not None]
--- a/src/zincvale/dataplane/inference/routing.py
+++ b/src/zincvale/dataplane/inference/routing.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class PolicyNote:
+class PolicyReason:
     """What one policy did, for the record."""
 
     policy: str
@@ -31,7 +31,7 @@
     """The server a request goes to."""
 
     server: ServerState
-    notes: tuple[PolicyNote, ...]
+    reasons: tuple[PolicyReason, ...]
 
 
 @attrs.frozen
@@ -39,7 +39,7 @@
     """No server is left."""
 
     blocked: Blocked
-    notes: tuple[PolicyNote, ...]
+    reasons: tuple[PolicyReason, ...]
 
 
 @attrs.define
@@ -52,27 +52,27 @@
 
     def choose(self, query: Query, random: Random, explain: bool = True) -> Choice | NoChoice:
         """Return the server for a request; `explain` collects each policy's reason."""
-        notes: list[PolicyNote] = []
+        reasons: list[PolicyReason] = []
         servers = query.pool.servers
         for policy in self.filters:
             kept, reason = _apply(policy, query, servers)
             if explain and len(kept) < len(servers):
-                notes.append(PolicyNote(policy.name, "filter", reason, len(kept)))
+                reasons.append(PolicyReason(policy.name, "filter", reason, len(kept)))
             if not kept and policy.soft and servers:
                 continue
             servers = kept
             if not servers:
-                return NoChoice(policy.blocked, tuple(notes))
+                return NoChoice(policy.blocked, tuple(reasons))
         if not servers:
-            return NoChoice(Blocked.NO_SERVER, tuple(notes))
-        return self._cheapest(query, servers, random, notes, explain)
+            return NoChoice(Blocked.NO_SERVER, tuple(reasons))
+        return self._cheapest(query, servers, random, reasons, explain)
 
     def _cheapest(
         self,
         query: Query,
         servers: list[ServerState],
         random: Random,
-        notes: list[PolicyNote],
+        reasons: list[PolicyReason],
         explain: bool,
     ) -> Choice:
         compared = self._compared(query, servers, random)
@@ -83,10 +83,10 @@
             if cost < best_cost:
                 best, best_cost = server, cost
         if explain:
-            notes += self._score_notes(query, best, len(compared))
+            reasons += self._score_notes(query, best, len(compared))
         for scorer in self.scorers:
             scorer.on_chosen(query, best)
-        return Choice(best, tuple(notes))
+        return Choice(best, tuple(reasons))
 
     def _compared(
         self, query: Query, servers: list[ServerState], random: Random
@@ -106,14 +106,14 @@
     def _cost(self, query: Query, server: ServerState) -> float:
         return sum(scorer.cost(query, server) for scorer in self.scorers)
 
-    def _score_notes(self, query: Query, server: ServerState, compared: int) -> list[PolicyNote]:
-        notes = []
+    def _score_notes(self, query: Query, server: ServerState, compared: int) -> list[PolicyReason]:
+        reasons = []
         for scorer in self.scorers:
             cost = scorer.cost(query, server)
             if cost:
                 reason = f"{server.row.server} costs {cost:.0f} tokens"
-                notes.append(PolicyNote(scorer.name, "score", reason, compared))
-        return notes
+                reasons.append(PolicyReason(scorer.name, "score", reason, compared))
+        return reasons
 
 
 def build_chain(spec: PoolSpec) -> PolicyChain:
--- a/src/zincvale/dataplane/inference/routing_state.py
+++ b/src/zincvale/dataplane/inference/routing_state.py
@@ -138,12 +138,12 @@
     spec: PoolSpec
     servers: list[ServerState] = attrs.field(factory=list)
     retry_budget: RetryBudget = attrs.field(factory=RetryBudget)
-    high_stake_seen_at: float = -math.inf
+    high_priority_seen_at: float = -math.inf
     throughput: ThroughputMeter = attrs.field(factory=ThroughputMeter)
 
 
 @attrs.define
-class World:
+class RoutingState:
     """All tables of one node."""
 
     zone: ZoneName
--- a/src/zincvale/dataplane/inference/runner.py
+++ b/src/zincvale/dataplane/inference/runner.py
@@ -11,13 +11,13 @@
 import attrs
 
 from zincvale.dataplane import log_events
-from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference import responses
 from zincvale.dataplane.inference.caller_side import CallerSide
-from zincvale.dataplane.inference.context import NodeContext, VerdictTaker
-from zincvale.dataplane.inference.dependency_calls import NeighbourCalls
+from zincvale.dataplane.inference.context import NodeContext, VerdictReceiver
+from zincvale.dataplane.inference.dependency_calls import DependencyCalls
 from zincvale.dataplane.inference.events import (
     BreakStream,
-    CallerGone,
+    CallerDisconnected,
     CancelChoice,
     CancelExchange,
     ChooseServer,
@@ -31,22 +31,22 @@
     FreeServer,
     Input,
     LookUpStream,
+    MarkMayHaveRun,
     NoServer,
-    NoteMayHaveRun,
     OpenStream,
     RecordOutcome,
     RecordStream,
     Refusal,
-    RelayPieces,
+    RelayChunks,
     ReleaseClaim,
     RenewClaim,
-    SendAnswer,
-    StreamTakenOver,
+    SendResponse,
+    StreamFenced,
 )
 from zincvale.dataplane.inference.request_machine import RequestMachine
-from zincvale.dataplane.inference.request_record import RequestRecord
 from zincvale.dataplane.inference.request_state import Phase
-from zincvale.dataplane.inference.routing import PolicyNote
+from zincvale.dataplane.inference.request_trace import RequestTrace
+from zincvale.dataplane.inference.routing import PolicyReason
 from zincvale.dataplane.inference.routing_state import PoolState, ServerState
 from zincvale.dataplane.inference.server_side import ServerSide
 from zincvale.dataplane.inference.stream_relay import CallerSink
@@ -55,13 +55,13 @@
 from zincvale.model.outcomes import Outcome, RefusalReason
 from zincvale.model.resources import Stake
 
-LATE_ANSWER_S = 15.0
+LATE_RESPONSE_TIMEOUT_S = 15.0
 """How long a late answer is still waited for, to be recorded for resends."""
-CONTINUATION_WAIT_S = 20.0
+CONTINUATION_TIMEOUT_S = 20.0
 """How long a broken stream may wait for another server."""
 
 
-class RequestRunner(VerdictTaker):
+class RequestRunner(VerdictReceiver):
     """One request under way.
 
     Inputs are applied one after the other. An effect that waits for a neighbour holds back those
@@ -74,25 +74,25 @@
         machine: RequestMachine,
         pool: PoolState | None,
         sink: CallerSink,
-        record: RequestRecord,
+        trace: RequestTrace,
         token: int,
     ) -> None:
         self.context = context
         self.machine = machine
-        self.record = record
+        self.trace = trace
         self.admitted = False
         self._pool = pool
         self._token = token
-        self._server = ServerSide(context, machine, pool, record, self.feed)
-        self._neighbours = NeighbourCalls(context, machine)
+        self._server = ServerSide(context, machine, pool, trace, self.feed)
+        self._dependency_calls = DependencyCalls(context, machine)
         self._caller = CallerSide(
             context,
             machine,
-            record,
+            trace,
             sink,
-            self._server.press,
+            self._server.set_backpressure,
             self.on_caller_lost,
-            self._on_taken_over,
+            self._on_fenced,
         )
         self._inputs: deque[Input] = deque()
         self._effects: deque[Effect] = deque()
@@ -115,30 +115,30 @@
     def on_caller_lost(self) -> None:
         """Take note that the caller closed its connection."""
         self._caller.abandon()
-        self.feed(CallerGone(self._server.sent))
+        self.feed(CallerDisconnected(self._server.sent))
 
-    def check_silence(self, now: float) -> None:
+    def check_timeout(self, now: float) -> None:
         """Give up a stream whose server has gone silent."""
         if self.machine.phase in (Phase.EXCHANGING, Phase.LATE):
-            self._server.check_silence(now, self._caller.pressed)
+            self._server.check_timeout(now, self._caller.is_backpressured)
 
     def on_server_lost(self, server: ServerState, now: float) -> None:
         """Give up an exchange with a server that is down."""
         if self.machine.phase is Phase.EXCHANGING:
             self._server.on_server_lost(server, now)
 
-    def on_notes(self, notes: tuple[PolicyNote, ...]) -> None:
-        """Put the policies' reasons on the record."""
-        self.record.policies(notes)
+    def on_policy_reasons(self, reasons: tuple[PolicyReason, ...]) -> None:
+        """Put the policies' reasons on the trace."""
+        self.trace.record_policies(reasons)
 
     def on_queued(self, verdict: Queued) -> None:
-        """Put the wait on the record."""
-        self.record.held(verdict.blocked.value)
+        """Put the wait on the trace."""
+        self.trace.record_wait(verdict.blocked.value)
 
     def on_placed(self, server: ServerState, waited_s: float) -> None:
         """Remember the server whose place is taken."""
         self._server.on_placed(server)
-        self.record.released(waited_s)
+        self.trace.record_wait_end(waited_s)
 
     def _on_deadline(self) -> None:
         self._timer = None
@@ -148,8 +148,8 @@
         self._timer = None
         self._server.give_up("no late answer either")
 
-    def _on_taken_over(self) -> None:
-        self.feed(StreamTakenOver())
+    def _on_fenced(self) -> None:
+        self.feed(StreamFenced())
 
     # effects
 
@@ -172,7 +172,7 @@
                     return False
                 continue
             event = self._inputs.popleft()
-            self.record.input(event)
+            self.trace.record_input(event)
             self._effects.extend(self.machine.handle(event))
         return True
 
@@ -184,7 +184,7 @@
 
     def _carry_out(self, effect: Effect) -> Coroutine[Any, Any, Input | None] | None:
         match effect:
-            case RelayPieces():
+            case RelayChunks():
                 self._caller.relay(effect)
             case ChooseServer(excluded, retry):
                 self._choose(excluded, retry)
@@ -193,8 +193,8 @@
                     self._inputs.append(DispatchForbidden())
             case FreeServer():
                 self._server.free(effect)
-            case SendAnswer():
-                self._send_answer(effect)
+            case SendResponse():
+                self._send_response(effect)
             case Finish(outcome, reason):
                 self._finish(outcome, reason)
             case OpenStream():
@@ -208,26 +208,26 @@
                     self.context.scheduler.cancel(self._pool.name, self._token)
             case CancelExchange():
                 self._server.cancel()
-            case NoteMayHaveRun():
-                self.context.spawn(self._neighbours.note_may_have_run())
+            case MarkMayHaveRun():
+                self.context.spawn(self._dependency_calls.mark_may_have_run())
             case _:
-                return self._call_neighbour(effect)
+                return self._call_dependency(effect)
         return None
 
-    def _call_neighbour(self, effect: Effect) -> Coroutine[Any, Any, Input | None]:
+    def _call_dependency(self, effect: Effect) -> Coroutine[Any, Any, Input | None]:
         match effect:
             case Claim(within_s):
-                return self._neighbours.claim(within_s)
+                return self._dependency_calls.claim(within_s)
             case RenewClaim():
-                return self._neighbours.renew()
+                return self._dependency_calls.renew()
             case LookUpStream(after):
-                return self._neighbours.look_up(after)
+                return self._dependency_calls.look_up(after)
             case RecordOutcome():
-                return self._neighbours.record(effect)
+                return self._dependency_calls.record(effect)
             case RecordStream():
-                return self._neighbours.record_stream()
+                return self._dependency_calls.record_stream()
             case ReleaseClaim():
-                return self._neighbours.release()
+                return self._dependency_calls.release()
             case _:
                 raise TypeError(f"no way to carry out {effect!r}")
 
@@ -241,18 +241,18 @@
             return
         if retry:
             self.context.metrics.retry(request.route)
-        if self.machine.opened:
+        if self.machine.is_stream_open:
             # A stream that has begun goes before any new request.
             self.context.metrics.continuations.inc()
-            deadline_at = self.context.clock() + CONTINUATION_WAIT_S
+            deadline_at = self.context.clock() + CONTINUATION_TIMEOUT_S
             request = attrs.evolve(request, deadline_at=deadline_at)
             route = dataclasses.replace(route, stake=Stake.HIGH)
         self.context.place(request, route, self._token, excluded)
 
-    def _send_answer(self, effect: SendAnswer) -> None:
-        self._caller.send_answer(effect)
+    def _send_response(self, effect: SendResponse) -> None:
+        self._caller.send_response(effect)
         if self.machine.phase is Phase.LATE:
-            self._arm(LATE_ANSWER_S, self._on_late_limit)
+            self._arm(LATE_RESPONSE_TIMEOUT_S, self._on_late_limit)
 
     def _finish(self, outcome: Outcome, reason: str) -> None:
         self._disarm()
@@ -260,10 +260,10 @@
         if self.admitted:
             self.admitted = False
             self.context.scheduler.leave(request)
-        self.context.takers.pop(self._token, None)
+        self.context.verdict_receivers.pop(self._token, None)
         elapsed_s = self.context.clock() - request.received_at
         self.context.metrics.finished(request.route, outcome, reason, elapsed_s)
-        self.record.finished(outcome, reason)
+        self.trace.finish(outcome, reason)
         self._server.release()
         self._caller.release()
 
@@ -275,10 +275,10 @@
         self._effects.clear()
         self._server.cancel()
         self._server.free(FreeServer(ExchangeEnd.ABANDONED))
-        if self.machine.opened:
+        if self.machine.is_stream_open:
             self._caller.break_stream(False, "a defect of this node")
         else:
-            self._caller.send_answer(answers.unknown(request_id, "a defect of this node"))
+            self._caller.send_response(responses.unknown(request_id, "a defect of this node"))
         self._finish(Outcome.UNKNOWN, "defect")
         self._busy = False
 
--- a/src/zincvale/dataplane/inference/server_side.py
+++ b/src/zincvale/dataplane/inference/server_side.py
@@ -12,24 +12,24 @@
 from zincvale.dataplane.inference.backend_adapter import ADAPTER_BY_KIND
 from zincvale.dataplane.inference.context import NodeContext
 from zincvale.dataplane.inference.events import (
+    ChunksReceived,
     Dispatch,
     FreeServer,
     Input,
-    PiecesReceived,
     ServerFailed,
 )
 from zincvale.dataplane.inference.exchange_reader import ExchangeReader, is_mismatch
 from zincvale.dataplane.inference.request_machine import RequestMachine
-from zincvale.dataplane.inference.request_record import RequestRecord
+from zincvale.dataplane.inference.request_trace import RequestTrace
 from zincvale.dataplane.inference.routing_state import PoolState, ServerState
 from zincvale.dataplane.inference.scheduler import work_tokens
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
 
-FIRST_PIECE_SILENCE_S = 10.0
-NEXT_PIECE_SILENCE_S = 3.0
-AT_MOST_ONCE_SILENCE_S = 15.0
+FIRST_CHUNK_TIMEOUT_S = 10.0
+NEXT_CHUNK_TIMEOUT_S = 3.0
+AT_MOST_ONCE_TIMEOUT_S = 15.0
 """An at-most-once stream cannot go on elsewhere, so its server is waited for longer."""
-SILENCE_OF_LOST_SERVER_S = 1.0
+LOST_SERVER_TIMEOUT_S = 1.0
 LINGER_S = 1.0
 """How long a whole stream's connection may take to close its last chunk."""
 
@@ -41,7 +41,7 @@
     context: NodeContext
     machine: RequestMachine
     pool: PoolState | None
-    record: RequestRecord
+    trace: RequestTrace
     feed: Callable[[Input], None]
     server: ServerState | None = None
     _placed_at: float = 0.0
@@ -67,9 +67,9 @@
             return False
         adapter = ADAPTER_BY_KIND[self.pool.spec.kind]
         reader = ExchangeReader(request, adapter, self._take, context.clock)
-        reader.started_at = reader.heard_at = context.clock()
+        reader.started_at = reader.last_received_at = context.clock()
         self._reader = reader
-        self.record.dispatched(self.server.row, effect.attempt, len(effect.prefix))
+        self.trace.start_dispatch(self.server.row, effect.attempt, len(effect.prefix))
         built = adapter.build(request, self.server.row.address, effect.prefix)
         guarded = attrs.evolve(built, may_send=functools.partial(self._may_leave, self.server))
         reader.exchange = context.client.start(guarded, reader)
@@ -97,7 +97,7 @@
         reader, self._reader = self._reader, None
         if server is None or self.pool is None:
             return
-        self.record.exchange_ended(effect.end, effect.units)
+        self.trace.end_dispatch(effect.end, effect.units)
         report = ExchangeReport(
             effect.end,
             self._placed_at if reader is None else reader.started_at,
@@ -110,27 +110,27 @@
         self._let_linger(reader)
         self.context.finish_exchange(self.machine.request, server, report)
 
-    def press(self, pressed: bool) -> None:
+    def set_backpressure(self, is_backpressured: bool) -> None:
         """Pause the server while the caller is slow, or let it go on."""
         reader = self._reader
         if reader is None or reader.exchange is None:
             return
-        if pressed:
+        if is_backpressured:
             reader.exchange.pause()
         else:
-            reader.heard_at = self.context.clock()
+            reader.last_received_at = self.context.clock()
             reader.exchange.resume()
 
-    def check_silence(self, now: float, pressed: bool) -> None:
+    def check_timeout(self, now: float, is_backpressured: bool) -> None:
         """Give up a stream whose server has gone silent, unless it was paused."""
         reader = self._reader
-        if reader is None or reader.stopped or not self.machine.request.question.stream:
+        if reader is None or reader.stopped or not self.machine.request.inference_request.stream:
             return
-        if pressed:
-            reader.heard_at = now
+        if is_backpressured:
+            reader.last_received_at = now
             return
-        limit_s = self._silence_limit_s(reader)
-        if now - reader.heard_at > limit_s:
+        limit_s = self._timeout_s(reader)
+        if now - reader.last_received_at > limit_s:
             self.give_up(f"no event for {limit_s:.0f} s")
 
     def on_server_lost(self, server: ServerState, now: float) -> None:
@@ -141,7 +141,7 @@
         reader = self._reader
         if self.server is not server or reader is None or self.machine.route.at_most_once:
             return
-        if now - reader.heard_at >= SILENCE_OF_LOST_SERVER_S:
+        if now - reader.last_received_at >= LOST_SERVER_TIMEOUT_S:
             self.give_up("the server is down")
 
     def give_up(self, reason: str) -> None:
@@ -154,20 +154,20 @@
         """Let go of the runner once the request is over, so that no reference cycle stays."""
         self.feed = _ignore
 
-    def _silence_limit_s(self, reader: ExchangeReader) -> float:
+    def _timeout_s(self, reader: ExchangeReader) -> float:
         if self.machine.route.at_most_once:
-            return AT_MOST_ONCE_SILENCE_S
-        return FIRST_PIECE_SILENCE_S if reader.first_piece_at is None else NEXT_PIECE_SILENCE_S
+            return AT_MOST_ONCE_TIMEOUT_S
+        return FIRST_CHUNK_TIMEOUT_S if reader.first_chunk_at is None else NEXT_CHUNK_TIMEOUT_S
 
     def _take(self, event: Input) -> None:
         if isinstance(event, ServerFailed) and is_mismatch(event):
-            self._note_mismatch()
-        elif isinstance(event, PiecesReceived) and not self.machine.pieces:
+            self._record_mismatch()
+        elif isinstance(event, ChunksReceived) and not self.machine.chunks:
             seconds = self.context.clock() - self.machine.request.received_at
             self.context.metrics.first_piece(self.machine.request.route, seconds)
         self.feed(event)
 
-    def _note_mismatch(self) -> None:
+    def _record_mismatch(self) -> None:
         self.context.metrics.mismatches.inc()
         self.context.log(
             log_events.RESPONSE_MISMATCHED,
@@ -179,7 +179,7 @@
         """A whole stream's connection closes its last chunk by itself, or is cut a bit later."""
         if reader is None or reader.stopped or reader.exchange is None:
             return
-        if self.machine.request.question.stream:
+        if self.machine.request.inference_request.stream:
             asyncio.get_running_loop().call_later(LINGER_S, reader.exchange.cancel)
 
 
--- a/src/zincvale/dataplane/inference/stream_relay.py
+++ b/src/zincvale/dataplane/inference/stream_relay.py
@@ -8,13 +8,13 @@
 
 import attrs
 
-from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference import responses
 from zincvale.dataplane.inference.dependencies import JournalAppend, StreamJournal
 from zincvale.model.identifiers import RequestId
 
-HIGH_WATER_PIECES = 64
+HIGH_WATER_CHUNKS = 64
 """The server is paused while more pieces than this wait for the caller."""
-LOW_WATER_PIECES = 16
+LOW_WATER_CHUNKS = 16
 
 
 class CallerLostError(Exception):
@@ -24,7 +24,7 @@
 class CallerSink(Protocol):
     """The caller's side of one request."""
 
-    def send_answer(self, status: int, headers: dict[str, str], body: bytes) -> None:
+    def send_response(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """Send a whole response."""
         ...
 
@@ -48,7 +48,7 @@
 @attrs.frozen
 class _Batch:
     first_index: int
-    pieces: list[str]
+    chunks: list[str]
     journal: bool
 
 
@@ -58,8 +58,8 @@
 
     Attributes
     ----------
-    on_pressure : called with True when the server should pause and False when it may go on.
-    on_caller_lost, on_taken_over : tell the request machine; the relay has stopped.
+    on_backpressure : called with True when the server should pause and False when it may go on.
+    on_caller_lost, on_fenced : tell the request machine; the relay has stopped.
     """
 
     request_id: RequestId
@@ -67,31 +67,31 @@
     epoch: int
     sink: CallerSink
     journal: StreamJournal
-    on_pressure: Callable[[bool], None]
+    on_backpressure: Callable[[bool], None]
     on_caller_lost: Callable[[], None]
-    on_taken_over: Callable[[], None]
-    pressed: bool = False
+    on_fenced: Callable[[], None]
+    is_backpressured: bool = False
     relayed: int = 0
     _batches: list[_Batch] = attrs.field(factory=list)
-    _waiting_pieces: int = 0
+    _pending_chunks: int = 0
     _end_count: int | None = None
     _break_event: bytes | None = None
     _wake: asyncio.Future[None] | None = None
     _stopped: bool = False
 
-    def push(self, first_index: int, pieces: list[str], journal: bool) -> None:
+    def push(self, first_index: int, chunks: list[str], journal: bool) -> None:
         """Queue pieces; consecutive ones are sent as one batch."""
         if self._stopped:
             return
         last = self._batches[-1] if self._batches else None
         if last is not None and last.journal == journal:
-            last.pieces.extend(pieces)
+            last.chunks.extend(chunks)
         else:
-            self._batches.append(_Batch(first_index, list(pieces), journal))
-        self._waiting_pieces += len(pieces)
-        if not self.pressed and self._waiting_pieces > HIGH_WATER_PIECES:
-            self.pressed = True
-            self.on_pressure(True)
+            self._batches.append(_Batch(first_index, list(chunks), journal))
+        self._pending_chunks += len(chunks)
+        if not self.is_backpressured and self._pending_chunks > HIGH_WATER_CHUNKS:
+            self.is_backpressured = True
+            self.on_backpressure(True)
         self._notify()
 
     def finish(self, count: int) -> None:
@@ -101,7 +101,7 @@
 
     def interrupt(self, resumable: bool, reason: str) -> None:
         """Send an error event once everything queued is written, then cut the connection."""
-        self._break_event = answers.error_event(resumable, reason)
+        self._break_event = responses.error_event(resumable, reason)
         self._notify()
 
     def abandon(self) -> None:
@@ -128,7 +128,7 @@
                 await self._send_break(self._break_event)
                 return
             elif self._end_count is not None:
-                await self.sink.write(answers.end_event(self._end_count))
+                await self.sink.write(responses.end_event(self._end_count))
                 await self.sink.end()
                 await self.journal.close(self.request_id, self._end_count, self.epoch)
                 return
@@ -139,24 +139,24 @@
     async def _relay_batches(self) -> bool:
         batches, self._batches = self._batches, []
         for batch in batches:
-            if batch.journal and not await self._keep(batch):
+            if batch.journal and not await self._replicate(batch):
                 return False
             await self.sink.write(_encode(batch))
-            self.relayed = batch.first_index + len(batch.pieces) - 1
-            self._waiting_pieces -= len(batch.pieces)
-            self._release_pressure()
+            self.relayed = batch.first_index + len(batch.chunks) - 1
+            self._pending_chunks -= len(batch.chunks)
+            self._release_backpressure()
         return True
 
-    async def _keep(self, batch: _Batch) -> bool:
+    async def _replicate(self, batch: _Batch) -> bool:
         appended = await self.journal.append(
-            self.request_id, self.digest, batch.first_index, batch.pieces, self.epoch
+            self.request_id, self.digest, batch.first_index, batch.chunks, self.epoch
         )
         if appended is not JournalAppend.FENCED:
             return True
         # Whoever resumed the stream sends these pieces; sending them here too would repeat them.
         self._stopped = True
-        self.on_taken_over()
-        await self._send_break(answers.error_event(True, "resumed at another node"))
+        self.on_fenced()
+        await self._send_break(responses.error_event(True, "resumed at another node"))
         return False
 
     async def _send_break(self, event: bytes) -> None:
@@ -165,10 +165,10 @@
         finally:
             self.sink.cut()
 
-    def _release_pressure(self) -> None:
-        if self.pressed and self._waiting_pieces <= LOW_WATER_PIECES:
-            self.pressed = False
-            self.on_pressure(False)
+    def _release_backpressure(self) -> None:
+        if self.is_backpressured and self._pending_chunks <= LOW_WATER_CHUNKS:
+            self.is_backpressured = False
+            self.on_backpressure(False)
 
     def _notify(self) -> None:
         if self._wake is not None and not self._wake.done():
@@ -176,5 +176,5 @@
 
 
 def _encode(batch: _Batch) -> bytes:
-    numbered = enumerate(batch.pieces, start=batch.first_index)
-    return b"".join([answers.event(number, text) for number, text in numbered])
+    numbered = enumerate(batch.chunks, start=batch.first_index)
+    return b"".join([responses.event(number, text) for number, text in numbered])
--- a/src/zincvale/dataplane/inference/verdicts.py
+++ b/src/zincvale/dataplane/inference/verdicts.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from zincvale.dataplane.inference.routing import PolicyNote
+from zincvale.dataplane.inference.routing import PolicyReason
 from zincvale.dataplane.inference.routing_state import ServerState
 from zincvale.dataplane.policies.base import Blocked
 from zincvale.model.outcomes import RefusalReason
@@ -19,7 +19,7 @@
 
     token: int
     server: ServerState
-    notes: tuple[PolicyNote, ...]
+    reasons: tuple[PolicyReason, ...]
     waited_s: float = 0.0
 
 
@@ -29,11 +29,11 @@
 
     token: int
     blocked: Blocked
-    notes: tuple[PolicyNote, ...]
+    reasons: tuple[PolicyReason, ...]
 
 
 @attrs.frozen
-class Refused:
+class Rejected:
     """Refuse at once; `retry_after_s` says when it is worth coming back."""
 
     token: int
@@ -42,12 +42,12 @@
     problem: str
 
 
-Verdict = Placed | Queued | Refused
+Verdict = Placed | Queued | Rejected
 
 
-def refused(
+def rejected(
     token: int, reason: RefusalReason, problem: str, retry_after_s: float = LEAST_RETRY_AFTER_S
-) -> Refused:
+) -> Rejected:
     """Return a refusal whose retry time is within its bounds."""
     bounded_s = min(LONGEST_RETRY_AFTER_S, max(LEAST_RETRY_AFTER_S, retry_after_s))
-    return Refused(token, reason, bounded_s, problem)
+    return Rejected(token, reason, bounded_s, problem)
--- a/src/zincvale/dataplane/policies/base.py
+++ b/src/zincvale/dataplane/policies/base.py
@@ -18,8 +18,8 @@
 
 import attrs
 
-from zincvale.dataplane.inference.requests import CallerRequest, Question
-from zincvale.dataplane.inference.routing_state import PoolState, ServerState, World
+from zincvale.dataplane.inference.requests import CallerRequest, InferenceRequest
+from zincvale.dataplane.inference.routing_state import PoolState, RoutingState, ServerState
 from zincvale.model.resources import RouteSpec, Stake
 
 
@@ -41,13 +41,13 @@
     request: CallerRequest
     route: RouteSpec
     pool: PoolState
-    world: World
+    world: RoutingState
     now: float
     excluded: frozenset[str] = frozenset()
     """Servers that already failed or refused this request."""
 
     @property
-    def question(self) -> Question:
+    def question(self) -> InferenceRequest:
         """The inference request."""
         return self.request.question
 
--- a/src/zincvale/dataplane/policies/filters.py
+++ b/src/zincvale/dataplane/policies/filters.py
@@ -104,7 +104,7 @@
         if query.now < server.backing_off_until and query.route.stake is not Stake.HIGH:
             return "backing off after a refusal"
         limit = server.concurrency_limit(query.now)
-        if query.now - query.pool.high_stake_seen_at < HIGH_STAKE_RESERVATION_S:
+        if query.now - query.pool.high_priority_seen_at < HIGH_STAKE_RESERVATION_S:
             limit = math.ceil(limit * LIMIT_FRACTION_BY_STAKE[query.route.stake])
         if server.outstanding + 1 > limit:
             return "concurrency limit"
--- a/src/zincvale/dataplane/policies/prefix_affinity.py
+++ b/src/zincvale/dataplane/policies/prefix_affinity.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from zincvale.dataplane.inference.requests import CHARACTERS_PER_TOKEN, Question
+from zincvale.dataplane.inference.requests import CHARACTERS_PER_TOKEN, InferenceRequest
 from zincvale.dataplane.inference.routing_state import ServerState
 from zincvale.dataplane.policies.base import Query, Scorer
 from zincvale.model.identifiers import ServerId
@@ -35,7 +35,7 @@
 
     def __init__(self) -> None:
         self._server_by_block: OrderedDict[int, ServerId] = OrderedDict()
-        self._keys_for: tuple[Question | None, list[int]] = (None, [])
+        self._keys_for: tuple[InferenceRequest | None, list[int]] = (None, [])
 
     def nominate(self, query: Query, servers: list[ServerState]) -> ServerState | None:
         """Return the server with the longest remembered prefix, else the rendezvous server."""
@@ -81,7 +81,7 @@
                 best, best_weight = server, weight
         return best
 
-    def _keys(self, question: Question) -> list[int]:
+    def _keys(self, question: InferenceRequest) -> list[int]:
         cached_for, keys = self._keys_for
         if cached_for is question:
             return keys
@@ -90,7 +90,7 @@
         return keys
 
 
-def prefix_keys(question: Question) -> list[int]:
+def prefix_keys(question: InferenceRequest) -> list[int]:
     """Return one chained hash for each complete block of the prompt, of model and adapter too."""
     prompt = question.prompt.encode()
     count = min(MAX_BLOCKS, len(prompt) // BLOCK_CHARACTERS)
--- a/src/zincvale/simulator/what_if/attempt.py
+++ b/src/zincvale/simulator/what_if/attempt.py
@@ -8,8 +8,8 @@
 import attrs
 import orjson
 
-from zincvale.dataplane.inference.events import SendAnswer
-from zincvale.dataplane.inference.requests import CallerRequest, Question
+from zincvale.dataplane.inference.events import SendResponse
+from zincvale.dataplane.inference.requests import CallerRequest, InferenceRequest
 from zincvale.model.identifiers import AdapterName, ModelName, RequestId
 from zincvale.model.outcomes import OUTCOME_HEADER, RETRY_AFTER_HEADER, Outcome
 from zincvale.model.resources import PoolKind
@@ -82,7 +82,7 @@
 
     # what the node says, when the bytes leave it
 
-    def on_answer(self, answer: SendAnswer) -> None:
+    def on_answer(self, answer: SendResponse) -> None:
         """Take a whole response."""
         self._later(0.0, lambda: self._take_answer(answer))
 
@@ -136,7 +136,7 @@
             caller_named_it=True,
             route=name,
             digest=plan.base_id,
-            question=_lookup_question(plan) if lookup else _question(plan),
+            inference_request=_lookup_request(plan) if lookup else _inference_request(plan),
             received_at=now,
             deadline_at=now + max(0.0, left_s),
             resume_after=self._request.pieces or None,
@@ -149,7 +149,7 @@
 
     # at the caller
 
-    def _take_answer(self, answer: SendAnswer) -> None:
+    def _take_answer(self, answer: SendResponse) -> None:
         result = _read_answer(answer)
         if result.outcome is AttemptOutcome.ANSWERED:
             self._request.heard_first()
@@ -202,8 +202,8 @@
         self._context.clock.call_later(delay_s + hop_s, action)
 
 
-def _question(plan: Plan) -> Question:
-    return Question(
+def _inference_request(plan: Plan) -> InferenceRequest:
+    return InferenceRequest(
         model=ModelName(plan.model),
         adapter=AdapterName(plan.adapter) if plan.adapter else None,
         prompt=plan.prompt,
@@ -212,11 +212,11 @@
     )
 
 
-def _lookup_question(plan: Plan) -> Question:
-    return Question(key=plan.prompt)
+def _lookup_request(plan: Plan) -> InferenceRequest:
+    return InferenceRequest(key=plan.prompt)
 
 
-def _read_answer(answer: SendAnswer) -> AttemptResult:
+def _read_answer(answer: SendResponse) -> AttemptResult:
     named = answer.headers.get(OUTCOME_HEADER, "")
     if named == Outcome.ANSWERED.value:
         return AttemptResult(AttemptOutcome.ANSWERED)
--- a/src/zincvale/simulator/what_if/exchange.py
+++ b/src/zincvale/simulator/what_if/exchange.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from zincvale.dataplane.inference.events import (
-    Answered,
+    ChunksReceived,
     Input,
-    PiecesReceived,
+    ResponseReceived,
     ServerFailed,
     ServerRefused,
     StreamEnded,
@@ -55,7 +55,7 @@
         if not server.up:
             self._hear(ServerFailed("connection refused", False))
             return
-        question = self._request.machine.request.question
+        question = self._request.machine.request.inference_request
         key = GenerationKey(
             question.model, question.adapter or "", question.prompt, question.max_tokens
         )
@@ -75,31 +75,31 @@
 
     def on_finished(self, count: int) -> None:
         """Take the whole answer."""
-        if self._request.machine.request.question.stream:
+        if self._request.machine.request.inference_request.stream:
             self._pieces(count)
             self._hear(StreamEnded(count))
         else:
-            self._hear(Answered(b"{}", count))
+            self._hear(ResponseReceived(b"{}", count))
 
     def on_broken(self, count: int, sent: bool) -> None:
         """Take a connection that broke."""
-        if self._request.machine.request.question.stream:
+        if self._request.machine.request.inference_request.stream:
             self._pieces(count)
         self._hear(ServerFailed("the connection broke", sent))
 
     def _pieces(self, count: int) -> None:
-        if not self._request.machine.request.question.stream or count <= self.count:
+        if not self._request.machine.request.inference_request.stream or count <= self.count:
             return
         first_index = self.count + 1
-        pieces = [""] * (count - self.count)
+        chunks = [""] * (count - self.count)
         self.count = count
-        self._hear(PiecesReceived(first_index, pieces))
+        self._hear(ChunksReceived(first_index, chunks))
 
     def _hear(self, event: Input) -> None:
         node = self._request.node
         node.clock.call_later(node.timings.server_hop_s, lambda: self._take(event))
 
     def _take(self, event: Input) -> None:
-        if isinstance(event, PiecesReceived) and not self.first_piece_s:
+        if isinstance(event, ChunksReceived) and not self.first_piece_s:
             self.first_piece_s = self._request.node.clock.now - self.started_at
         self._request.on_exchange(self, event)
--- a/src/zincvale/simulator/what_if/node.py
+++ b/src/zincvale/simulator/what_if/node.py
@@ -11,9 +11,9 @@
 from zincvale.dataplane.inference.events import NoServer, Refusal, ServerChosen, Started
 from zincvale.dataplane.inference.request_machine import RequestMachine
 from zincvale.dataplane.inference.requests import CallerRequest
-from zincvale.dataplane.inference.routing_state import NodeShare, ServerState, World
+from zincvale.dataplane.inference.routing_state import NodeShare, RoutingState, ServerState
 from zincvale.dataplane.inference.scheduler import Scheduler
-from zincvale.dataplane.inference.verdicts import Placed, Queued, Refused, Verdict
+from zincvale.dataplane.inference.verdicts import Placed, Queued, Rejected, Verdict
 from zincvale.dataplane.messages import DemandReport
 from zincvale.dataplane.policies.base import Blocked
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
@@ -34,7 +34,7 @@
 
 
 @attrs.define
-class RememberingWorld(World):
+class RememberingWorld(RoutingState):
     """A `World` that does again only what a delivery changes; its tables are the same.
 
     Nodes are ranked for a server once per member table, and a directory with the known servers in
@@ -46,7 +46,7 @@
     def apply_members(self, members: Members) -> bool:
         """Take a newer member table."""
         self._shares.clear()
-        return World.apply_members(self, members)
+        return RoutingState.apply_members(self, members)
 
     def apply_directory(self, directory: Directory, now: float) -> bool:
         """Take a newer directory."""
@@ -54,7 +54,7 @@
         if (directory.epoch, directory.version) < (known.epoch, known.version):
             return False
         if not self._has_same_places(directory):
-            return World.apply_directory(self, directory, now)
+            return RoutingState.apply_directory(self, directory, now)
         for server, row in directory.servers.items():
             # The ramp of a server without any model begins anew with each sight of it.
             empty = row.health is ServerHealth.COLD and not row.models
@@ -72,7 +72,7 @@
     def _share_of(self, server: ServerId) -> NodeShare:
         share = self._shares.get(server)
         if share is None:
-            share = self._shares[server] = World._share_of(self, server)
+            share = self._shares[server] = RoutingState._share_of(self, server)
         return share
 
 
@@ -144,7 +144,7 @@
         self.requests[token] = runner
         refused = self.scheduler.admit(request, route, token, self.clock.now)
         refusal = None
-        if isinstance(refused, Refused):
+        if isinstance(refused, Rejected):
             refusal = Refusal(refused.reason, refused.problem, retry_after_s=refused.retry_after_s)
         else:
             runner.admitted = True
@@ -218,7 +218,7 @@
                 request.feed(ServerChosen(server.row.server))
             case Queued(_, blocked, _):
                 request.on_queued(blocked is Blocked.NOT_RESIDENT)
-            case Refused(_, reason, retry_after_s, problem):
+            case Rejected(_, reason, retry_after_s, problem):
                 request.feed(NoServer(Refusal(reason, problem, retry_after_s=retry_after_s)))
 
     def finish_exchange(
--- a/src/zincvale/simulator/what_if/request.py
+++ b/src/zincvale/simulator/what_if/request.py
@@ -12,7 +12,7 @@
 from zincvale.dataplane.inference.dependencies import ClaimDecision, RecordedOutcome
 from zincvale.dataplane.inference.events import (
     BreakStream,
-    CallerGone,
+    CallerDisconnected,
     CancelChoice,
     CancelExchange,
     ChooseServer,
@@ -32,17 +32,17 @@
     RecordOutcome,
     RecordStream,
     Refusal,
-    RelayPieces,
+    RelayChunks,
     ReleaseClaim,
     RenewClaim,
-    SendAnswer,
+    SendResponse,
     ServerFailed,
     StreamFound,
 )
 from zincvale.dataplane.inference.request_machine import RequestMachine
 from zincvale.dataplane.inference.request_state import Phase
 from zincvale.dataplane.inference.routing_state import PoolState, ServerState
-from zincvale.dataplane.inference.runner import CONTINUATION_WAIT_S, LATE_ANSWER_S
+from zincvale.dataplane.inference.runner import CONTINUATION_TIMEOUT_S, LATE_RESPONSE_TIMEOUT_S
 from zincvale.dataplane.inference.scheduler import work_tokens
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
 from zincvale.model.outcomes import Outcome, RefusalReason
@@ -61,7 +61,7 @@
 
     hang_up_after: int
 
-    def on_answer(self, answer: SendAnswer) -> None:
+    def on_answer(self, answer: SendResponse) -> None:
         """Take a whole response."""
 
     def on_pieces(self, last_index: int, delay_s: float) -> None:
@@ -154,9 +154,9 @@
     def on_caller_lost(self) -> None:
         """Take note that the caller closed its connection."""
         self._caller = None
-        if self.machine.opened:
+        if self.machine.is_stream_open:
             self._keep_stream(False)
-        self.feed(CallerGone(self._sent))
+        self.feed(CallerDisconnected(self._sent))
 
     def on_node_lost(self) -> None:
         """Take note that this node ended: connections break, nothing is decided any more."""
@@ -164,7 +164,7 @@
         if self._exchange is not None:
             self._exchange.close()
         self._disarm()
-        if self.machine.opened:
+        if self.machine.is_stream_open:
             self._keep_stream(False)
         self.machine.phase = Phase.DONE
         self._effects.clear()
@@ -210,7 +210,7 @@
     def _carry_out(self, effect: Effect) -> bool:
         """Carry out one effect; True when the following ones have to wait for it."""
         match effect:
-            case RelayPieces():
+            case RelayChunks():
                 self._relay(effect)
             case ChooseServer(excluded, retry):
                 self._choose(excluded, retry)
@@ -218,7 +218,7 @@
                 self._dispatch(effect)
             case FreeServer():
                 self._free(effect)
-            case SendAnswer():
+            case SendResponse():
                 self._send_answer(effect)
             case Finish(outcome, reason):
                 self._finish(outcome, reason)
@@ -269,7 +269,7 @@
                 claims.record(request.request_id, outcome)
             case RecordStream():
                 headers = answers.stream_headers(request.request_id)
-                body = answers.whole_stream(self.machine.pieces)
+                body = answers.whole_stream(self.machine.chunks)
                 outcome = RecordedOutcome(Outcome.ANSWERED, OK_STATUS, headers, body)
                 claims.record(request.request_id, outcome)
             case ReleaseClaim():
@@ -288,8 +288,8 @@
             self._inputs.append(NoServer(refusal))
             return
         now = self.node.clock.now
-        if self.machine.opened:
-            request = attrs.evolve(request, deadline_at=now + CONTINUATION_WAIT_S)
+        if self.machine.is_stream_open:
+            request = attrs.evolve(request, deadline_at=now + CONTINUATION_TIMEOUT_S)
         self.node.deliver(scheduler.place(request, route, self._token, now, excluded))
 
     def _dispatch(self, effect: Dispatch) -> None:
@@ -315,9 +315,9 @@
         )
         self.node.finish_exchange(self.machine.request, server, report)
 
-    def _relay(self, effect: RelayPieces) -> None:
+    def _relay(self, effect: RelayChunks) -> None:
         if self._caller is not None:
-            last_index = effect.first_index + len(effect.pieces) - 1
+            last_index = effect.first_index + len(effect.chunks) - 1
             delay_s = self.node.timings.journal_s if effect.journal else 0.0
             self._caller.on_pieces(last_index, delay_s)
 
@@ -332,16 +332,16 @@
 
     def _keep_stream(self, complete: bool) -> None:
         request = self.machine.request
-        count = len(self.machine.pieces)
+        count = len(self.machine.chunks)
         if self._exchange is not None:
             count = max(count, self._exchange.count)
         self.node.claims.keep_stream(request.request_id, request.digest, count, complete)
 
-    def _send_answer(self, effect: SendAnswer) -> None:
+    def _send_answer(self, effect: SendResponse) -> None:
         if self._caller is not None:
             self._caller.on_answer(effect)
         if self.machine.phase is Phase.LATE:
-            self._arm(LATE_ANSWER_S, self._on_late_limit)
+            self._arm(LATE_RESPONSE_TIMEOUT_S, self._on_late_limit)
 
     def _finish(self, outcome: Outcome, reason: str) -> None:
         self._disarm()
@@ -365,7 +365,7 @@
         """Take what a server said, unless its exchange was given up."""
         if exchange is not self._exchange or exchange.closed or not self.node.up:
             return
-        if isinstance(event, ServerFailed) and self.machine.pieces and self._caller is not None:
+        if isinstance(event, ServerFailed) and self.machine.chunks and self._caller is not None:
             self._caller.on_stalled()
         self.feed(event)
 
--- a/tests/dataplane/builders.py
+++ b/tests/dataplane/inference/builders.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from zincvale.dataplane.inference.requests import CallerRequest, Question
-from zincvale.dataplane.inference.routing_state import World
+from zincvale.dataplane.inference.requests import CallerRequest, InferenceRequest
+from zincvale.dataplane.inference.routing_state import RoutingState
 from zincvale.model.identifiers import (
     AdapterName,
     Address,
@@ -33,8 +33,8 @@
     return RouteSpec(**{"path": "/v1/r", "pool": "lm", **changes})
 
 
-def question(**changes) -> Question:
-    return Question(**{"model": MODEL, "prompt": "one two", "max_tokens": 8, **changes})
+def inference_request(**changes) -> InferenceRequest:
+    return InferenceRequest(**{"model": MODEL, "prompt": "one two", "max_tokens": 8, **changes})
 
 
 def request(
@@ -45,7 +45,7 @@
         named,
         RouteName("r"),
         "digest",
-        asked or question(),
+        asked or inference_request(),
         received_at,
         deadline_at,
         after,
@@ -84,8 +84,8 @@
     return Directory(epoch, version, {row.server: row for row in rows})
 
 
-def world(*rows, **intent_changes) -> World:
-    made = World(ZoneName("a"))
+def world(*rows, **intent_changes) -> RoutingState:
+    made = RoutingState(ZoneName("a"))
     made.apply_intent(intent(**intent_changes))
     made.apply_directory(directory(*rows), 0.0)
     return made
--- a/tests/dataplane/node_harness.py
+++ b/tests/dataplane/inference/node_harness.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from tests.dataplane.builders import intent
+from tests.dataplane.inference.builders import intent
 from zincvale.dataplane.inference.dependencies import ClaimGranted, JournalAppend
 from zincvale.dataplane.inference.node_service import NodeService
 from zincvale.dataplane.inference.stream_relay import CallerLostError
@@ -134,8 +134,8 @@
         self.verdict = JournalAppend.REPLICATED
         self.state = None
 
-    async def append(self, request_id, digest, first_index, pieces, epoch=1):
-        self.harness.note(f"journal {request_id} epoch {epoch}: {first_index} {pieces}")
+    async def append(self, request_id, digest, first_index, chunks, epoch=1):
+        self.harness.note(f"journal {request_id} epoch {epoch}: {first_index} {chunks}")
         return self.verdict
 
     async def close(self, request_id, count, epoch=1):
@@ -199,7 +199,7 @@
     def note(self, text):
         self.harness.note(f"{self.name} > {text}")
 
-    def send_answer(self, status, headers, body):
+    def send_response(self, status, headers, body):
         again = f" retry after {headers['Retry-After']}" if "Retry-After" in headers else ""
         self.note(f"{status} {headers['Zincvale-Outcome']}{again} {body.decode()}")
 
--- a/tests/dataplane/machine_world.py
+++ b/tests/dataplane/inference/request_exploration.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference import responses
 from zincvale.dataplane.inference.dependencies import (
     ClaimGranted,
     ClaimRefusal,
@@ -21,12 +21,12 @@
     RecordedOutcome,
 )
 from zincvale.dataplane.inference.events import (
-    Answered,
     BreakStream,
-    CallerGone,
+    CallerDisconnected,
     CancelChoice,
     CancelExchange,
     ChooseServer,
+    ChunksReceived,
     Claim,
     ClaimDecided,
     ClaimRenewed,
@@ -37,23 +37,23 @@
     Finish,
     FreeServer,
     LookUpStream,
+    MarkMayHaveRun,
     NoServer,
-    NoteMayHaveRun,
-    PiecesReceived,
     RecordOutcome,
     RecordStream,
     Refusal,
-    RelayPieces,
+    RelayChunks,
     ReleaseClaim,
     RenewClaim,
-    SendAnswer,
+    ResponseReceived,
+    SendResponse,
     ServerChosen,
     ServerFailed,
     ServerRefused,
     Started,
     StreamEnded,
+    StreamFenced,
     StreamFound,
-    StreamTakenOver,
 )
 from zincvale.dataplane.inference.request_machine import RequestMachine
 from zincvale.dataplane.inference.request_state import Phase
@@ -68,7 +68,7 @@
     OutcomePending(),
 )
 RECORDED_STREAM = RecordedOutcome(
-    Outcome.ANSWERED, 200, {OUTCOME_HEADER: "answered"}, answers.whole_stream(["t1", "t2", "t3"])
+    Outcome.ANSWERED, 200, {OUTCOME_HEADER: "answered"}, responses.whole_stream(["t1", "t2", "t3"])
 )
 BUSY = Refusal(RefusalReason.OVERLOADED, "busy")
 STREAM_LENGTH = 3
@@ -122,11 +122,11 @@
                 self.places += 1
             case DeadlinePassed():
                 self.deadline_used = True
-            case CallerGone():
+            case CallerDisconnected():
                 self.caller_used = True
         if isinstance(event, (ClaimDecided, ClaimRenewed, StreamFound, ServerChosen, NoServer)):
             self.waits_for = ""
-        if isinstance(event, (Answered, ServerRefused, ServerFailed, StreamEnded)):
+        if isinstance(event, (ResponseReceived, ServerRefused, ServerFailed, StreamEnded)):
             self.waits_for = ""
 
     def _carry_out(self, effect) -> None:
@@ -147,14 +147,14 @@
                 self.waits_for = ""
             case FreeServer():
                 self.places -= 1
-            case SendAnswer(status, headers):
+            case SendResponse(status, headers):
                 self._respond(status, headers)
-            case NoteMayHaveRun():
+            case MarkMayHaveRun():
                 self.noted = True
             case RecordOutcome() | RecordStream() | ReleaseClaim():
                 self._settle(effect)
-            case RelayPieces(first, pieces):
-                self._relay(first, pieces)
+            case RelayChunks(first, chunks):
+                self._relay(first, chunks)
             case EndStream(count):
                 if self.relayed != list(range(1, count + 1)):
                     self.broken.append(f"a stream of {count} ended after {self.relayed}")
@@ -174,7 +174,7 @@
             self.broken.append("dispatched again after it may have run")
         if any(status != "end" for status in self.responses):
             self.broken.append("dispatched after the caller was answered")
-        if list(prefix) != self.machine.pieces:
+        if list(prefix) != self.machine.chunks:
             self.broken.append("a prefix that is not what was received")
 
     def _respond(self, status, headers) -> None:
@@ -192,8 +192,8 @@
         if isinstance(effect, RecordOutcome) and effect.outcome is Outcome.REFUSED:
             self.broken.append("recorded a refusal")
 
-    def _relay(self, first, pieces) -> None:
-        numbers = list(range(first, first + len(pieces)))
+    def _relay(self, first, chunks) -> None:
+        numbers = list(range(first, first + len(chunks)))
         if not self.relayed:
             self.relayed = list(range(1, first))
         expected = len(self.relayed) + 1
@@ -213,7 +213,7 @@
             self.broken.append(f"{self.places} places not given back")
         if self.granted and not self.settled:
             self.broken.append("the claim was left open")
-        known = self.noted or self.machine.route.at_most_once or self.machine.pieces
+        known = self.noted or self.machine.route.at_most_once or self.machine.chunks
         known = known or self.machine.request.resume_after
         if self.possible_runs and not known and outcome is not Outcome.ANSWERED:
             self.broken.append("a run that nobody else knows of")
@@ -229,7 +229,7 @@
         match self.waits_for:
             case "claim":
                 found += [ClaimDecided(answer) for answer in CLAIM_ANSWERS]
-                if self.machine.request.question.stream:
+                if self.machine.request.inference_request.stream:
                     found.append(ClaimDecided(RECORDED_STREAM))
             case "renewal":
                 found += [ClaimRenewed(True), ClaimRenewed(False)]
@@ -239,15 +239,15 @@
                 found += [ServerChosen(f"s{self.machine.attempts + 1}"), NoServer(BUSY)]
             case "exchange":
                 found += self._exchange_choices()
-        journalled = self.machine.opened and not self.machine.route.at_most_once
-        if journalled and self.machine.pieces and not self.finished:
-            found.append(StreamTakenOver())
+        journalled = self.machine.is_stream_open and not self.machine.route.at_most_once
+        if journalled and self.machine.chunks and not self.finished:
+            found.append(StreamFenced())
         if not self.finished:
             sent = self.waits_for == "exchange" and self.sent
             if not self.deadline_used:
                 found.append(DeadlinePassed(sent))
             if not self.caller_used:
-                found.append(CallerGone(sent))
+                found.append(CallerDisconnected(sent))
         return found
 
     def _exchange_choices(self) -> list:
@@ -257,17 +257,20 @@
                 found.append(DispatchForbidden())
             return found
         found = [ServerFailed("broke", sent=True)]
-        if not self.machine.request.question.stream:
-            found += [Answered(b"{}", 1), ServerRefused(ExchangeEnd.OVERLOADED, "overloaded")]
+        if not self.machine.request.inference_request.stream:
+            found += [
+                ResponseReceived(b"{}", 1),
+                ServerRefused(ExchangeEnd.OVERLOADED, "overloaded"),
+            ]
             return found
-        have = len(self.machine.pieces)
+        have = len(self.machine.chunks)
         if self.machine.phase is Phase.EXCHANGING and have == 0:
             found.append(ServerRefused(ExchangeEnd.OVERLOADED, "overloaded"))
         if have < STREAM_LENGTH:
-            found.append(PiecesReceived(have + 1, [f"t{have + 1}"]))
-            found.append(PiecesReceived(have + 2, ["skipped"]))
+            found.append(ChunksReceived(have + 1, [f"t{have + 1}"]))
+            found.append(ChunksReceived(have + 2, ["skipped"]))
             if have:
-                found.append(PiecesReceived(have, ["repeated"]))
+                found.append(ChunksReceived(have, ["repeated"]))
             found.append(StreamEnded(have + 1))
         else:
             found.append(StreamEnded(have))
--- a/tests/dataplane/test_backend_adapter.py
+++ b/tests/dataplane/inference/test_backend_adapter.py
@@ -5,24 +5,24 @@
 import orjson
 import testtools
 
-from tests.dataplane.builders import question, request, route
-from zincvale.dataplane.inference import responses as answers
+from tests.dataplane.inference.builders import inference_request, request, route
+from zincvale.dataplane.inference import responses
 from zincvale.dataplane.inference.backend_adapter import (
     LanguageModelAdapter,
     LookupAdapter,
     StreamReader,
 )
 from zincvale.dataplane.inference.events import (
-    Answered,
-    PiecesReceived,
+    ChunksReceived,
     Refusal,
+    ResponseReceived,
     ServerFailed,
     StreamEnded,
 )
 from zincvale.dataplane.inference.requests import (
-    Question,
+    InferenceRequest,
     read_deadline_s,
-    read_question,
+    read_inference_request,
     read_request_id,
     read_resume_after,
 )
@@ -46,7 +46,7 @@
         return LanguageModelAdapter().read_reply(request(), status, body)
 
     def test_a_whole_answer_to_this_request(self):
-        self.assertEqual(Answered(ANSWER, 3), self.read(200, ANSWER))
+        self.assertEqual(ResponseReceived(ANSWER, 3), self.read(200, ANSWER))
 
     def test_an_answer_to_another_request_proves_nothing(self):
         other = ANSWER.replace(b"q1", b"q2")
@@ -78,12 +78,12 @@
 
     def test_a_server_that_lacks_the_adapter_is_told_from_one_that_lacks_the_model(self):
         body = b'{"error":"not-resident","ran":false}'
-        asked = request(asked=question(adapter="fine"))
+        asked = request(asked=inference_request(adapter="fine"))
         self.assertEqual(("fine",), LanguageModelAdapter().read_reply(asked, 404, body).missing)
         self.assertEqual(("m",), self.read(404, body).missing)
 
     def test_a_lookup_is_a_get_with_its_key_escaped(self):
-        built = LookupAdapter().build(request(asked=Question(key="a b&c")), "s:1", ())
+        built = LookupAdapter().build(request(asked=InferenceRequest(key="a b&c")), "s:1", ())
         self.assertEqual("/v1/lookup?key=a+b%26c&request_id=q1", built.target)
         self.assertIsNone(built.body)
 
@@ -93,19 +93,19 @@
 
 
 class StreamReaderTest(testtools.TestCase):
-    BODY = answers.whole_stream(["a", "b"])
+    BODY = responses.whole_stream(["a", "b"])
 
-    def test_any_split_of_the_bytes_gives_the_same_pieces(self):
+    def test_any_split_of_the_bytes_gives_the_same_chunks(self):
         for cut in range(len(self.BODY) + 1):
             reader = StreamReader()
             read = reader.feed(self.BODY[:cut]) + reader.feed(self.BODY[cut:])
-            pieces = [p for r in read if isinstance(r, PiecesReceived) for p in r.pieces]
-            self.assertEqual((["a", "b"], StreamEnded(2)), (pieces, read[-1]))
+            chunks = [p for r in read if isinstance(r, ChunksReceived) for p in r.chunks]
+            self.assertEqual((["a", "b"], StreamEnded(2)), (chunks, read[-1]))
 
-    def test_consecutive_pieces_come_as_one_input_and_a_gap_does_not(self):
+    def test_consecutive_chunks_come_as_one_input_and_a_gap_does_not(self):
         body = self.BODY.replace(b"event: end", b'id: 4\ndata: {"text":"d"}\n\nevent: end')
         read = StreamReader().feed(body)
-        self.assertEqual([PiecesReceived(1, ["a", "b"]), PiecesReceived(4, ["d"])], read[:2])
+        self.assertEqual([ChunksReceived(1, ["a", "b"]), ChunksReceived(4, ["d"])], read[:2])
 
     def test_what_cannot_be_read_fails_the_stream(self):
         bad = [
@@ -122,9 +122,9 @@
         read = StreamReader().feed(self.BODY + self.BODY)
         self.assertIsInstance(read[2], ServerFailed)
 
-    def test_a_recorded_stream_gives_its_pieces_back(self):
-        pieces = ["a", "é\n\n", '"']
-        self.assertEqual(pieces, answers.pieces_of(answers.whole_stream(pieces)))
+    def test_a_recorded_stream_gives_its_chunks_back(self):
+        chunks = ["a", "é\n\n", '"']
+        self.assertEqual(chunks, responses.chunks_of(responses.whole_stream(chunks)))
 
 
 class CallerRequestTest(testtools.TestCase):
@@ -133,12 +133,12 @@
 
     def test_a_generation(self):
         body = orjson.dumps({"model": "m", "prompt": "p", "max_tokens": 3, "stream": True})
-        read = read_question(body, route(), PoolKind.LANGUAGE_MODEL)
-        self.assertEqual(Question(model="m", prompt="p", max_tokens=3, stream=True), read)
+        read = read_inference_request(body, route(), PoolKind.LANGUAGE_MODEL)
+        self.assertEqual(InferenceRequest(model="m", prompt="p", max_tokens=3, stream=True), read)
 
     def test_the_route_gives_the_defaults(self):
         spec = route(models=["only"], stream=True)
-        read = read_question(b'{"prompt":"p"}', spec, PoolKind.LANGUAGE_MODEL)
+        read = read_inference_request(b'{"prompt":"p"}', spec, PoolKind.LANGUAGE_MODEL)
         self.assertEqual(("only", True, 256), (read.model, read.stream, read.max_tokens))
 
     def test_errors_name_the_field_and_the_remedy(self):
@@ -152,16 +152,18 @@
             b'{"model":"m","prompt":"p","adapter":1}': "'adapter'",
         }
         for body, words in bodies.items():
-            error = self.invalid(read_question, body, route(), PoolKind.LANGUAGE_MODEL)
+            error = self.invalid(read_inference_request, body, route(), PoolKind.LANGUAGE_MODEL)
             self.assertIn(words, error.problem)
-        self.invalid(read_question, b"{}", route(), PoolKind.LOOKUP)
+        self.invalid(read_inference_request, b"{}", route(), PoolKind.LOOKUP)
         for body in (b"", b"[]", b"{"):
-            self.assertRaises(MalformedBodyError, read_question, body, route(), PoolKind.LOOKUP)
+            self.assertRaises(
+                MalformedBodyError, read_inference_request, body, route(), PoolKind.LOOKUP
+            )
 
     def test_a_model_that_the_route_does_not_serve(self):
         spec = route(models=["a", "b"])
         error = self.invalid(
-            read_question, b'{"model":"m","prompt":"p"}', spec, PoolKind.LANGUAGE_MODEL
+            read_inference_request, b'{"model":"m","prompt":"p"}', spec, PoolKind.LANGUAGE_MODEL
         )
         self.assertEqual("ask for one of a, b", error.remedy)
 
@@ -176,7 +178,7 @@
             self.invalid(read_request_id, {"X-Request-Id": bad})
 
     def test_a_refusal_says_when_to_come_back(self):
-        made = answers.refused("q1", Refusal(RefusalReason.OVERLOADED, "busy", retry_after_s=2.1))
+        made = responses.refused("q1", Refusal(RefusalReason.OVERLOADED, "busy", retry_after_s=2.1))
         self.assertEqual((503, "3"), (made.status, made.headers["Retry-After"]))
-        final = answers.refused("q1", Refusal(RefusalReason.INVALID, "bad"))
+        final = responses.refused("q1", Refusal(RefusalReason.INVALID, "bad"))
         self.assertEqual((422, None), (final.status, final.headers.get("Retry-After")))
--- a/tests/dataplane/test_caller_connection.py
+++ b/tests/dataplane/inference/test_caller_connection.py
@@ -8,8 +8,8 @@
 from tornado.httputil import HTTPHeaders, RequestStartLine
 from tornado.iostream import StreamClosedError
 
-from tests.dataplane.builders import server_row
-from tests.dataplane.node_harness import GENERATE, Harness
+from tests.dataplane.inference.builders import server_row
+from tests.dataplane.inference.node_harness import GENERATE, Harness
 from zincvale.dataplane.inference.caller_connection import CallerConnections
 
 ONE = b'{"request_id":"q1","text":"x","tokens":3}'
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/inference/test_node.py
@@ -9,8 +9,8 @@
 
 import testtools
 
-from tests.dataplane.builders import DOWN, server_row
-from tests.dataplane.node_harness import Harness
+from tests.dataplane.inference.builders import DOWN, server_row
+from tests.dataplane.inference.node_harness import Harness
 from zincvale.dataplane.inference.dependencies import (
     ClaimRefusal,
     ClaimRefused,
@@ -37,7 +37,7 @@
     def __init__(self, machine):
         self.request = machine.request
         self.phase = machine.phase
-        self.opened = False
+        self.is_stream_open = False
 
     def handle(self, event):
         raise ZeroDivisionError
@@ -55,7 +55,7 @@
         harness = asyncio.run(main())
         if expected is not None:
             self.assertEqual(textwrap.dedent(expected).strip(), "\n".join(harness.notes))
-        states = harness.node.context.world.servers.values()
+        states = harness.node.context.routing_state.servers.values()
         self.assertEqual({0}, {state.outstanding for state in states}, "places not given back")
         self.assertEqual(0, harness.node.active_requests)
         self.assertTrue(all(span.ended for span in harness.spans.spans))
@@ -182,13 +182,13 @@
             harness.claims.decision = ValueError("a defect next door")
             harness.post("/v1/quote", X_Request_Id="q2")
             await harness.settle()
-            answers = [note[:35] for note in harness.notes if note.startswith("caller")]
+            responses = [note[:35] for note in harness.notes if note.startswith("caller")]
             expected = [
                 "caller > 504 unknown retry after 2 ",
                 "caller > 503 refused retry after 2 ",
                 "caller > 504 unknown retry after 1 ",
             ]
-            self.assertEqual(expected, answers)
+            self.assertEqual(expected, responses)
             self.assertEqual([], harness.exchanges)
 
         self.run_scenario(scenario)
--- a/tests/dataplane/test_request_machine.py
+++ b/tests/dataplane/inference/test_request_machine.py
@@ -4,20 +4,20 @@
 
 import testtools
 
-from tests.dataplane.builders import question, request, route
-from tests.dataplane.machine_world import BUSY, explore
+from tests.dataplane.inference.builders import inference_request, request, route
+from tests.dataplane.inference.request_exploration import BUSY, explore
 from zincvale.dataplane.inference.dependencies import ClaimGranted
 from zincvale.dataplane.inference.events import (
-    Answered,
     ClaimDecided,
     DeadlinePassed,
     Dispatch,
     Finish,
     FreeServer,
     RecordOutcome,
-    RelayPieces,
+    RelayChunks,
     ReleaseClaim,
-    SendAnswer,
+    ResponseReceived,
+    SendResponse,
     ServerChosen,
     ServerFailed,
     Started,
@@ -29,12 +29,12 @@
 
 DEPTH = 14
 KINDS = {
-    "plain": (route(), question(), None),
-    "plain at most once": (route(at_most_once=True), question(), None),
-    "stream": (route(), question(stream=True), None),
-    "stream at most once": (route(at_most_once=True), question(stream=True), None),
-    "resumed stream": (route(), question(stream=True), 1),
-    "resumed stream at most once": (route(at_most_once=True), question(stream=True), 1),
+    "plain": (route(), inference_request(), None),
+    "plain at most once": (route(at_most_once=True), inference_request(), None),
+    "stream": (route(), inference_request(stream=True), None),
+    "stream at most once": (route(at_most_once=True), inference_request(stream=True), None),
+    "resumed stream": (route(), inference_request(stream=True), 1),
+    "resumed stream at most once": (route(at_most_once=True), inference_request(stream=True), 1),
 }
 
 
@@ -84,20 +84,20 @@
 
 
 class KeepsThePlace(RequestMachine):
-    def _handle_answered(self, event: Answered):
+    def _handle_answered(self, event: ResponseReceived):
         effects = super()._handle_answered(event)
         return [effect for effect in effects if not isinstance(effect, FreeServer)]
 
 
-class TakesPiecesInAnyOrder(RequestMachine):
-    def _handle_pieces(self, event):
-        self.pieces += event.pieces
-        return [*self._open(), RelayPieces(event.first_index, event.pieces)]
+class TakesChunksInAnyOrder(RequestMachine):
+    def _handle_chunks(self, event):
+        self.chunks += event.chunks
+        return [*self._open(), RelayChunks(event.first_index, event.chunks)]
 
 
 class EndsShort(RequestMachine):
     def _handle_stream_ended(self, count):
-        self.pieces = [*self.pieces, *[""] * (count - len(self.pieces))]
+        self.chunks = [*self.chunks, *[""] * (count - len(self.chunks))]
         return super()._handle_stream_ended(count)
 
 
@@ -108,7 +108,7 @@
 
 class ReleasesWhatRan(RequestMachine):
     def _release(self):
-        return [ReleaseClaim()] if self.claimed else []
+        return [ReleaseClaim()] if self.is_claimed else []
 
     def _record_unknown(self, problem):
         return self._release()
@@ -134,8 +134,8 @@
     def test_keeps_a_place(self):
         self.caught("plain", KeepsThePlace, "not given back")
 
-    def test_relays_skipped_pieces(self):
-        self.caught("stream", TakesPiecesInAnyOrder, "was due")
+    def test_relays_skipped_chunks(self):
+        self.caught("stream", TakesChunksInAnyOrder, "was due")
 
     def test_ends_a_stream_short(self):
         self.caught("stream", EndsShort, "ended after")
@@ -156,7 +156,7 @@
         (answer,) = machine.handle(DeadlinePassed(sent=True))
         self.assertEqual(504, answer.status)
         self.assertIs(Phase.LATE, machine.phase)
-        effects = machine.handle(Answered(b"{}", 1))
+        effects = machine.handle(ResponseReceived(b"{}", 1))
         self.assertEqual([FreeServer, RecordOutcome, Finish], [type(effect) for effect in effects])
         self.assertIs(Outcome.ANSWERED, effects[1].outcome)
-        self.assertNotIn(SendAnswer, [type(effect) for effect in effects])
+        self.assertNotIn(SendResponse, [type(effect) for effect in effects])
--- a/tests/dataplane/test_routing.py
+++ b/tests/dataplane/inference/test_routing.py
@@ -7,7 +7,14 @@
 
 import testtools
 
-from tests.dataplane.builders import DOWN, question, request, route, server_row, world
+from tests.dataplane.inference.builders import (
+    DOWN,
+    inference_request,
+    request,
+    route,
+    server_row,
+    world,
+)
 from zincvale.dataplane.inference.routing import Choice, NoChoice, build_chain
 from zincvale.dataplane.policies.base import Blocked, Filter, Query, Scorer
 from zincvale.dataplane.policies.prefix_affinity import prefix_keys
@@ -69,7 +76,7 @@
         tables, chain = self.made(*rows, evacuated=["b"])
         choice = chain.choose(self.query(tables), Random(1))
         self.assertEqual("s4", choice.server.server)
-        reasons = [(n.policy, n.reason, n.kept) for n in choice.notes if n.kind == "filter"]
+        reasons = [(n.policy, n.reason, n.kept) for n in choice.reasons if n.kind == "filter"]
         expected = [
             ("zone", "zone b is evacuated", 3),
             ("health", "down", 2),
@@ -85,7 +92,7 @@
         self.assertIsInstance(chain.choose(self.query(tables), Random(1)), Choice)
         tables, chain = self.made(server_row("s1"), drained=["s1"])
         found = chain.choose(self.query(tables), Random(1))
-        self.assertEqual(NoChoice(Blocked.NO_SERVER, found.notes), found)
+        self.assertEqual(NoChoice(Blocked.NO_SERVER, found.reasons), found)
 
     def test_an_ejected_server_is_excluded_while_others_are_in_service(self):
         tables, chain = self.made(server_row("s1"), server_row("s2"))
@@ -103,7 +110,7 @@
     def test_the_least_outstanding_work_wins_of_two_drawn(self):
         tables, chain = self.made(*[server_row(f"s{n}") for n in range(4)])
         tables.servers["s0"].outstanding_tokens = 5000
-        chosen = self.count(tables, chain, question(prompt="short"))
+        chosen = self.count(tables, chain, inference_request(prompt="short"))
         self.assertEqual(0, chosen["s0"])
         self.assertEqual(3, len([name for name in chosen if chosen[name] > 40]))
 
@@ -120,13 +127,13 @@
 
     def test_a_shared_prefix_stays_at_one_server_until_its_load_is_bounded(self):
         tables, chain = self.made(*[server_row(f"s{n}") for n in range(5)])
-        asked = question(prompt=SHARED + "tail")
+        asked = inference_request(prompt=SHARED + "tail")
         (chosen,) = self.count(tables, chain, asked)
         tables.servers[chosen].outstanding_tokens = 10_000
         self.assertNotIn(chosen, self.count(tables, chain, asked))
 
     def test_all_nodes_choose_the_same_server_without_messages(self):
-        asked = question(prompt=SHARED)
+        asked = inference_request(prompt=SHARED)
         servers = set()
         for _ in range(4):
             tables, chain = self.made(*[server_row(f"s{n}") for n in range(5)])
@@ -134,11 +141,13 @@
         self.assertEqual(1, len(servers))
 
     def test_prefix_keys_differ_by_model_and_adapter_and_share_the_common_blocks(self):
-        one = prefix_keys(question(prompt=SHARED + "x" * 600))
-        other = prefix_keys(question(prompt=SHARED + "y" * 600))
+        one = prefix_keys(inference_request(prompt=SHARED + "x" * 600))
+        other = prefix_keys(inference_request(prompt=SHARED + "y" * 600))
         self.assertEqual(one[:2], other[:2])
         self.assertNotEqual(one[2:], other[2:])
-        self.assertNotEqual(one, prefix_keys(question(prompt=SHARED + "x" * 600, adapter="a")))
+        self.assertNotEqual(
+            one, prefix_keys(inference_request(prompt=SHARED + "x" * 600, adapter="a"))
+        )
 
 
 class PluginTest(RoutingTestCase):
--- a/tests/dataplane/test_limits.py
+++ b/tests/dataplane/inference/test_routing_state.py
@@ -4,8 +4,8 @@
 
 import testtools
 
-from tests.dataplane.builders import COLD, DOWN, directory, intent, server_row, world
-from zincvale.dataplane.inference.routing_state import World
+from tests.dataplane.inference.builders import COLD, DOWN, directory, intent, server_row, world
+from zincvale.dataplane.inference.routing_state import RoutingState
 from zincvale.dataplane.resilience.exchange_evidence import (
     ExchangeEnd,
     ExchangeReport,
@@ -19,7 +19,7 @@
     return MemberRow(MemberId(name), Role.NODE, ZoneName("a"), "x:1", "x:2", ready=ready)
 
 
-class WorldTest(testtools.TestCase):
+class RoutingStateTest(testtools.TestCase):
     def test_older_tables_are_ignored(self):
         made = world(server_row("s1"), version=5)
         self.assertFalse(made.apply_intent(made.intent.__class__(4)))
@@ -46,7 +46,7 @@
         for seconds in (0.0, 2.0, 4.0, 7.9):
             limits = []
             for name in names:
-                made = World(ZoneName("a"), MemberId(name))
+                made = RoutingState(ZoneName("a"), MemberId(name))
                 made.apply_intent(intent(max_concurrent_per_server=16))
                 made.apply_members(Members(1, rows))
                 made.apply_directory(directory(server_row("s1", health=COLD)), 0.0)
@@ -66,7 +66,7 @@
         for told in (1, 2, 5):
             limits = []
             for name in rows:
-                made = World(ZoneName("a"), MemberId(name))
+                made = RoutingState(ZoneName("a"), MemberId(name))
                 made.apply_intent(intent(max_concurrent_per_server=16))
                 made.apply_members(Members(1, rows))
                 cold = server_row("s1", health=COLD, max_running=told)
--- a/tests/dataplane/test_scheduler.py
+++ b/tests/dataplane/inference/test_scheduler.py
@@ -6,9 +6,17 @@
 
 import testtools
 
-from tests.dataplane.builders import directory, intent, question, request, route, server_row, world
+from tests.dataplane.inference.builders import (
+    directory,
+    inference_request,
+    intent,
+    request,
+    route,
+    server_row,
+    world,
+)
 from zincvale.dataplane.inference.scheduler import Scheduler
-from zincvale.dataplane.inference.verdicts import Placed, Queued, Refused
+from zincvale.dataplane.inference.verdicts import Placed, Queued, Rejected
 from zincvale.dataplane.policies.base import Blocked
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd, ExchangeReport
 from zincvale.model.identifiers import ModelName, PoolName
@@ -16,7 +24,7 @@
 from zincvale.model.resources import Stake
 
 LM = PoolName("lm")
-RARE = question(model=ModelName("rare"))
+RARE = inference_request(model=ModelName("rare"))
 
 
 def scheduler(*rows, **changes) -> Scheduler:
@@ -60,7 +68,7 @@
     def test_a_drained_server_and_an_evacuated_zone_get_nothing_from_the_moment_of_the_change(self):
         rows = (server_row("s1"), server_row("s2", zone="b"), server_row("s3", zone="b"))
         made = scheduler(*rows)
-        made.world.apply_intent(intent(2, drained=["s2"], evacuated=["a"]))
+        made.routing_state.apply_intent(intent(2, drained=["s2"], evacuated=["a"]))
         chosen = {made.place(request(f"q{n}"), route(), n, 0.0)[0].server.server for n in range(16)}
         self.assertEqual({"s3"}, chosen)
 
@@ -74,7 +82,7 @@
 
     def test_a_server_that_said_not_resident_is_believed_over_the_directory(self):
         made = scheduler(server_row("s1"), server_row("s2"))
-        state = made.world.servers["s1"]
+        state = made.routing_state.servers["s1"]
         made.finish(request(), state, report(ExchangeEnd.NOT_RESIDENT, missing=("m",)))
         chosen = {made.place(request(f"q{n}"), route(), n, 1.0)[0].server.server for n in range(9)}
         self.assertEqual({"s2"}, chosen)
@@ -84,7 +92,7 @@
     def busy(self, **changes) -> tuple[Scheduler, Placed]:
         """One server that takes 2 s a request, and is taken."""
         made = scheduler(server_row("s1"), max_concurrent_per_server=1, **changes)
-        made.world.servers["s1"].on_latency(2.0)
+        made.routing_state.servers["s1"].on_latency(2.0)
         (placed,) = made.place(request("q0"), route(), 0, 0.0)
         return made, placed
 
@@ -114,11 +122,11 @@
         self.assertIs(RefusalReason.OVERLOADED, refused.reason)
         displaced, queued = made.place(request("q4"), route(stake=Stake.HIGH), 4, 0.0)
         self.assertEqual((2, 4), (displaced.token, queued.token))
-        self.assertIsInstance(displaced, Refused)
+        self.assertIsInstance(displaced, Rejected)
 
     def test_lower_stakes_leave_room_while_high_stakes_are_about(self):
         made = scheduler(server_row("s1"), max_concurrent_per_server=10)
-        made.world.servers["s1"].concurrency.limit = 10.0
+        made.routing_state.servers["s1"].concurrency.limit = 10.0
         high = route(stake=Stake.HIGH)
         self.assertIsNone(made.admit(request("h"), high, 0, 0.0))
         verdicts = [
@@ -155,7 +163,7 @@
             self.assertTrue(made.demand.urgent)
         rows = made.demand.report("n1", 0.0).rows
         self.assertEqual([("rare", 3, 3)], [(r.model, r.requests, r.waiting) for r in rows])
-        made.world.apply_directory(
+        made.routing_state.apply_directory(
             directory(server_row("s1", models=("m", "rare")), version=2), 1.0
         )
         self.assertEqual([0, 1, 2], [verdict.token for verdict in made.pump(1.0)])
@@ -175,11 +183,11 @@
         made = scheduler(server_row("s1"))
         made.place(request("q1", RARE, deadline_at=60.0), route(), 1, 0.0)
         self.assertEqual([], made.pump(5.9))
-        made.world.apply_directory(
+        made.routing_state.apply_directory(
             directory(server_row("s1", loading=frozenset({"rare"})), version=2), 5.9
         )
         self.assertEqual([], made.pump(6.0))
-        made.world.apply_directory(directory(server_row("s1"), version=3), 6.5)
+        made.routing_state.apply_directory(directory(server_row("s1"), version=3), 6.5)
         self.assertEqual([], made.pump(6.9))
         (refused,) = made.pump(7.0)
         self.assertIs(RefusalReason.NOT_RESIDENT, refused.reason)
@@ -189,13 +197,15 @@
         made = scheduler(server_row("s1"))
         verdicts = [made.place(request(f"q{n}", RARE), route(), n, 0.0)[0] for n in range(65)]
         self.assertIsInstance(verdicts[63], Queued)
-        self.assertIsInstance(verdicts[64], Refused)
+        self.assertIsInstance(verdicts[64], Rejected)
 
     def test_an_adapter_is_held_for_as_a_model_is(self):
         made = scheduler(server_row("s1", adapters=("fine",)))
-        (placed,) = made.place(request("q1", question(adapter="fine")), route(), 1, 0.0)
+        (placed,) = made.place(request("q1", inference_request(adapter="fine")), route(), 1, 0.0)
         self.assertIsInstance(placed, Placed)
-        (queued,) = made.place(request("q2", question(adapter="other"), 60.0), route(), 2, 0.0)
+        (queued,) = made.place(
+            request("q2", inference_request(adapter="other"), 60.0), route(), 2, 0.0
+        )
         self.assertIs(Blocked.NOT_RESIDENT, queued.blocked)
 
     def test_a_model_about_to_be_unloaded_gets_nothing_new(self):
--- a/tests/dataplane/resilience/test_exchange_evidence.py
+++ b/tests/dataplane/resilience/test_exchange_evidence.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from tests.dataplane.builders import server_row, world
+from tests.dataplane.inference.builders import server_row, world
 from zincvale.dataplane.resilience.exchange_evidence import (
     ExchangeEnd,
     ExchangeReport,
--- a/tests/golden/test_report_bytes.py
+++ b/tests/golden/test_report_bytes.py
@@ -16,7 +16,7 @@
 from tests.golden.message_samples import SampleBuilder
 from zincvale.dataplane.inference.dependencies import ClaimDecision
 from zincvale.dataplane.inference.events import ClaimDecided
-from zincvale.dataplane.inference.request_record import RequestRecord
+from zincvale.dataplane.inference.request_trace import RequestTrace
 from zincvale.fleet.figures import Figures
 from zincvale.fleet.invariants.findings import CheckResult
 from zincvale.fleet.processes import UnexpectedEnd
@@ -51,9 +51,9 @@
 def recorded_claims() -> list[tuple[str, dict[str, Any]]]:
     """Return the events that the decisions on a claim leave in a trace, in declared order."""
     root = RootSpan()
-    record = RequestRecord(typing.cast(Any, None), typing.cast(Any, root))
+    record = RequestTrace(typing.cast(Any, None), typing.cast(Any, root))
     for kind in typing.get_args(ClaimDecision):
-        record.input(ClaimDecided(full(kind)))
+        record.record_input(ClaimDecided(full(kind)))
     return root.events
 
 
--- a/tests/simulator/test_what_if_engine.py
+++ b/tests/simulator/test_what_if_engine.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from zincvale.dataplane.inference.routing_state import World
+from zincvale.dataplane.inference.routing_state import RoutingState
 from zincvale.model.identifiers import (
     Address,
     MemberId,
@@ -166,7 +166,7 @@
     def test_same_tables(self) -> None:
         source = random.Random(7)
         node = MemberId("node-1")
-        worlds = [World(ZoneName("a"), node), RememberingWorld(ZoneName("a"), node)]
+        worlds = [RoutingState(ZoneName("a"), node), RememberingWorld(ZoneName("a"), node)]
         names = [ServerId(f"server-{number}") for number in range(4)]
         rows = {name: _row(name, source) for name in names}
         for version in range(1, 60):
@@ -214,7 +214,7 @@
     return Members(version, rows)
 
 
-def _tables(world: World) -> object:
+def _tables(world: RoutingState) -> object:
     servers = {
         name: (
             state.row,
