--- a/src/zincvale/dataplane/inference/backend_adapter.py
+++ b/src/zincvale/dataplane/inference/backend_adapter.py
@@ -1,6 +1,6 @@
-"""The back ends' dialect: how a request is written, and what an answer proves.
+"""The back ends' dialect: how a request is written, and what a response proves.
 
-Another dialect is another `BackendAdapter`. Whatever an answer does not prove counts as "may have
+Another dialect is another `BackendAdapter`. Whatever a response does not prove counts as "may have
 run": only a 4xx or 503 whose body says `"ran": false` is a refusal.
 """
 
@@ -55,7 +55,7 @@
         ...
 
     def read_reply(self, request: CallerRequest, status: int, body: bytes) -> Reply:
-        """Return what a whole response proves."""
+        """Return what a complete response proves."""
         ...
 
 
@@ -84,7 +84,7 @@
         )
 
     def read_reply(self, request: CallerRequest, status: int, body: bytes) -> Reply:
-        """Return what a whole response proves."""
+        """Return what a complete response proves."""
         return _read_reply(request, status, body, units_field="tokens")
 
 
@@ -100,7 +100,7 @@
         return ClientRequest(address, f"/v1/lookup?{query}")
 
     def read_reply(self, request: CallerRequest, status: int, body: bytes) -> Reply:
-        """Return what a whole response proves."""
+        """Return what a complete response proves."""
         return _read_reply(request, status, body, units_field="")
 
 
@@ -118,7 +118,7 @@
     ended: bool = False
 
     def feed(self, data: bytes) -> list[StreamInput]:
-        """Return what `data` completes; consecutive pieces come as one input."""
+        """Return what `data` completes; consecutive chunks come as one input."""
         try:
             events = self._events.feed(data)
         except EventTooLargeError:
--- a/src/zincvale/dataplane/inference/caller_connection.py
+++ b/src/zincvale/dataplane/inference/caller_connection.py
@@ -43,7 +43,7 @@
 
 
 class CallerMessage(HTTPMessageDelegate):
-    """Receives one request and hands it over when it is whole."""
+    """Receives one request and hands it over when it is complete."""
 
     def __init__(self, ingress: RequestIngress, connection: Any) -> None:
         self._ingress = ingress
@@ -54,14 +54,14 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Keep the head."""
+        """Store the head."""
         assert isinstance(start_line, RequestStartLine)
         self._method = start_line.method
         self._path = start_line.path.partition("?")[0]
         self._headers = headers
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a part of the body; the server bounds its size."""
+        """Store a part of the body; the server bounds its size."""
         self._body.append(chunk)
 
     def finish(self) -> None:
@@ -78,7 +78,7 @@
             self._end_by_defect(sink, error)
 
     def on_connection_close(self) -> None:
-        """Forget a request that did not arrive whole; nothing was begun."""
+        """Forget a request that did not arrive completely; nothing was begun."""
         self._on_caller_disconnected()
 
     def _on_caller_disconnected(self) -> None:
@@ -110,7 +110,7 @@
     _waiting_head: HTTPHeaders | None = None
 
     def send_response(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Send a whole response."""
+        """Send a complete response."""
         if self.begun:
             return
         self.begun = True
@@ -135,7 +135,7 @@
             raise CallerLostError from None
 
     async def end(self) -> None:
-        """Close the response whole."""
+        """Close the response as complete."""
         try:
             self.connection.finish()
         except StreamClosedError:
--- a/src/zincvale/dataplane/inference/caller_side.py
+++ b/src/zincvale/dataplane/inference/caller_side.py
@@ -1,4 +1,4 @@
-"""The caller's side of one request: a whole answer, or a relayed stream."""
+"""The caller's side of one request: a complete response, or a relayed stream."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
     Attributes
     ----------
-    answered : the response is complete, or its caller is gone.
+    answered : the response is complete, or its caller has disconnected.
     on_backpressure, on_lost, on_fenced : see `StreamRelay`.
     """
 
@@ -44,7 +44,7 @@
         return self._relay is not None and self._relay.is_backpressured
 
     def send_response(self, effect: SendResponse) -> None:
-        """Send a whole response, unless there was one or the caller is gone."""
+        """Send a complete response, unless there was one or the caller has disconnected."""
         if self.is_response_complete:
             return
         self.is_response_complete = True
@@ -71,16 +71,16 @@
         loop = asyncio.get_running_loop()
         self._relaying = loop.create_task(self._run(self._relay))
 
-    # The relay may have ended before its stream did: its caller left, or it was taken over.
+    # The relay may have ended before its stream did: its caller left, or it was fenced.
 
     def relay(self, effect: RelayChunks) -> None:
-        """Pass pieces on."""
+        """Pass chunks on."""
         self.trace.record_chunks(effect.first_index, len(effect.chunks))
         if self._relay is not None:
             self._relay.push(effect.first_index, effect.chunks, effect.journal)
 
     def end_stream(self, count: int) -> None:
-        """Close the stream whole."""
+        """Close the stream as complete."""
         if self._relay is not None:
             self._relay.finish(count)
 
@@ -98,7 +98,7 @@
             self.on_backpressure = self.on_lost = self.on_fenced = _ignore
 
     def abandon(self) -> None:
-        """Stop sending: the caller is gone."""
+        """Stop sending: the caller has disconnected."""
         if self._relay is not None:
             self._relay.abandon()
         self.is_response_complete = True
@@ -113,4 +113,4 @@
 
 
 def _ignore(*_news: object) -> None:
-    """Take no more news: the request is over."""
+    """Ignore what comes late: the request is over."""
--- a/src/zincvale/dataplane/inference/context.py
+++ b/src/zincvale/dataplane/inference/context.py
@@ -39,17 +39,17 @@
         raise NotImplementedError
 
     def on_queued(self, verdict: Queued) -> None:
-        """Note that the request waits."""
+        """Record that the request waits."""
         raise NotImplementedError
 
     def on_placed(self, server: ServerState, waited_s: float) -> None:
-        """Note that a server's place is taken for the request."""
+        """Record that a server's slot is reserved for the request."""
         raise NotImplementedError
 
 
 @attrs.define(eq=False)
 class NodeContext:
-    """Tables, neighbours and the client, shared by the requests of one node."""
+    """Tables, dependencies and the client, shared by the requests of one node."""
 
     routing_state: RoutingState
     scheduler: Scheduler
@@ -113,7 +113,7 @@
     def finish_exchange(
         self, request: CallerRequest, server: ServerState, report: ExchangeReport
     ) -> None:
-        """Give a server's place back and serve who waited for it."""
+        """Give a server's slot back and serve who waited for it."""
         self.scheduler.may_place = self.ready()
         change, verdicts = self.scheduler.finish(request, server, report)
         if change is HealthChange.EJECTED:
--- a/src/zincvale/dataplane/inference/dependencies.py
+++ b/src/zincvale/dataplane/inference/dependencies.py
@@ -1,4 +1,4 @@
-"""What the request path needs from its neighbours: claims, stream journal and spans.
+"""What the request path needs from its dependencies: claims, stream journal and spans.
 
 The request path is written against these protocols only; `claims` and `stream_journal` implement
 the first two, the tracing plane the last. All times are seconds on the daemon's suspend-aware
@@ -21,7 +21,7 @@
     """Why a claim was not granted although no other attempt holds it."""
 
     UNAVAILABLE = "unavailable"
-    """No majority of the claim voters answered in time; nothing ran, nothing is held."""
+    """No majority of the claim voters responded in time; nothing ran, nothing is claimed."""
     OTHER_REQUEST = "other-request"
     """The identifier was used before for a request with another digest."""
 
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class RecordedOutcome:
-    """An earlier attempt finished; this is what its caller was answered."""
+    """An earlier attempt finished; this is what its caller was sent."""
 
     outcome: Outcome
     status: int
@@ -74,15 +74,15 @@
     def may_dispatch(self, request_id: RequestId) -> bool:
         """Whether the grant is fresh enough for a send at this very moment.
 
-        Asked right before every send, with no await in between. False after a freeze or a long
+        Checked right before every send, with no await in between. False after a freeze or a long
         wait: renew or release.
         """
         ...
 
     async def renew(self, request_id: RequestId, deadline_at: float) -> bool:
-        """Ask the majority again for this node's own granted claim.
+        """Request the majority's votes again for this node's own granted claim.
 
-        True: ask `may_dispatch` again and send. False: give the request up.
+        True: check `may_dispatch` again and send. False: give the request up.
         """
         ...
 
@@ -94,9 +94,9 @@
         headers: Mapping[str, str],
         body: bytes,
     ) -> bool:
-        """Keep the outcome for later resends; False when no majority confirmed it.
+        """Store the outcome for later resends; False when no majority confirmed it.
 
-        Never raises. The caller's answer waits for this only for a bounded time.
+        Never raises. The caller's response waits for this only for a bounded time.
         """
         ...
 
@@ -207,7 +207,7 @@
         ...
 
     def event(self, name: str, **attributes: AttributeValue) -> None:
-        """Note something that happened during the span."""
+        """Record something that happened during the span."""
         ...
 
     def error(self, message: str) -> None:
--- a/src/zincvale/dataplane/inference/dependency_calls.py
+++ b/src/zincvale/dataplane/inference/dependency_calls.py
@@ -1,4 +1,4 @@
-"""The waits of a request on its neighbours: claims and stream journal."""
+"""The waits of a request on its dependencies: claims and stream journal."""
 
 from __future__ import annotations
 
@@ -27,13 +27,14 @@
 from zincvale.model.outcomes import Outcome
 
 MARK_TIMEOUT_S = 1.0
+"""How long the voters may take to hear that a request without claim may have run."""
 
 
 @attrs.define(eq=False)
 class DependencyCalls:
     """Each call returns the input it results in, and never raises.
 
-    A neighbour that fails by a defect counts as one that did not answer.
+    A dependency that fails by a defect counts as one that did not respond.
     """
 
     context: NodeContext
@@ -65,7 +66,7 @@
         return ClaimRenewed(renewed)
 
     async def look_up(self, after: int) -> Input:
-        """Ask the journal for the stream that is resumed."""
+        """Request from the journal the stream that is resumed."""
         state: JournalState | None = None
         try:
             state = await self.context.journal.resume(self.machine.request.request_id, after)
@@ -74,7 +75,7 @@
         return StreamFound(state)
 
     async def record(self, effect: RecordOutcome) -> None:
-        """Keep an outcome for resends."""
+        """Store an outcome for resends."""
         await self._confirmed(
             "record",
             self.context.claims.record(
@@ -87,7 +88,7 @@
         )
 
     async def record_stream(self) -> None:
-        """Keep a whole stream for resends."""
+        """Store a complete stream for resends."""
         request_id = self.machine.request.request_id
         headers = responses.stream_headers(request_id)
         body = responses.whole_stream(self.machine.chunks)
--- a/src/zincvale/dataplane/inference/events.py
+++ b/src/zincvale/dataplane/inference/events.py
@@ -1,7 +1,7 @@
 """Inputs and effects of the request machine.
 
 Effects are carried out in order by the runner; each effect that waits for something outside is
-answered by one of the inputs.
+followed by one of the inputs.
 """
 
 from __future__ import annotations
@@ -38,47 +38,47 @@
 
 @attrs.frozen
 class ClaimDecided:
-    """Answers `Claim`."""
+    """Response to `Claim`."""
 
     decision: ClaimDecision
 
 
 @attrs.frozen
 class ClaimRenewed:
-    """Answers `RenewClaim`; without `renewed` the claim may be another attempt's by now."""
+    """Response to `RenewClaim`; without `renewed` the claim may be another attempt's by now."""
 
     renewed: bool
 
 
 @attrs.frozen
 class StreamFound:
-    """Answers `LookUpStream`; `state` is None when no reachable peer holds the stream."""
+    """Response to `LookUpStream`; `state` is None when no reachable peer holds the stream."""
 
     state: JournalState | None
 
 
 @attrs.frozen
 class ServerChosen:
-    """Answers `ChooseServer`: the server's place is taken for this request."""
+    """Response to `ChooseServer`: the server's slot is reserved for this request."""
 
     server: ServerId
 
 
 @attrs.frozen
 class NoServer:
-    """Answers `ChooseServer`: admission gave the request up."""
+    """Response to `ChooseServer`: admission gave the request up."""
 
     refusal: Refusal
 
 
 @attrs.frozen
 class DispatchForbidden:
-    """Answers `Dispatch`: the claim is too old to send now; nothing was sent."""
+    """Response to `Dispatch`: the claim is too old to send now; nothing was sent."""
 
 
 @attrs.frozen
 class ResponseReceived:
-    """A whole answer, checked to be this request's."""
+    """A complete response, checked to be this request's."""
 
     body: bytes
     units: int = 1
@@ -86,7 +86,7 @@
 
 @attrs.frozen
 class ChunksReceived:
-    """Pieces of a stream; the first has event number `first_index`."""
+    """Chunks of a stream; the first has event number `first_index`."""
 
     first_index: int
     chunks: list[str]
@@ -163,7 +163,7 @@
 class Claim:
     """Claim the request identifier across the nodes.
 
-    With `within_s` the answer is wanted by then, without it by the request's deadline.
+    With `within_s` the decision is needed by then, without it by the request's deadline.
     """
 
     within_s: float | None = None
@@ -171,7 +171,7 @@
 
 @attrs.frozen
 class MarkMayHaveRun:
-    """Tell the claim voters that the request may have run, so that no resend is refused.
+    """Notify the claim voters that the request may have run, so that no resend is refused.
 
     Used on routes that are not at-most-once, whose requests are not claimed before they run.
     """
@@ -184,7 +184,7 @@
 
 @attrs.frozen
 class LookUpStream:
-    """Ask the journal for the pieces of the stream that is resumed."""
+    """Request from the journal the chunks of the stream that is resumed."""
 
     after: int
 
@@ -219,7 +219,7 @@
 
 @attrs.frozen
 class FreeServer:
-    """Give the server's place back, with what the exchange told about it."""
+    """Give the server's slot back, with what the exchange showed about it."""
 
     end: ExchangeEnd
     units: int = 0
@@ -228,7 +228,7 @@
 
 @attrs.frozen
 class RecordOutcome:
-    """Keep the outcome for resends."""
+    """Store the outcome for resends."""
 
     outcome: Outcome
     status: int
@@ -243,14 +243,14 @@
 
 @attrs.frozen
 class RecordStream:
-    """Keep a whole stream as the outcome for resends."""
+    """Store a complete stream as the outcome for resends."""
 
     count: int
 
 
 @attrs.frozen
 class SendResponse:
-    """Send a whole response to the caller."""
+    """Send a complete response to the caller."""
 
     status: int
     headers: Mapping[str, str]
@@ -264,7 +264,7 @@
 
 @attrs.frozen
 class RelayChunks:
-    """Pass pieces on, after the journal took them when `journal` is set."""
+    """Pass chunks on, after the journal took them when `journal` is set."""
 
     first_index: int
     chunks: list[str]
@@ -273,7 +273,7 @@
 
 @attrs.frozen
 class EndStream:
-    """Close the stream whole."""
+    """Close the stream as complete."""
 
     count: int
 
--- a/src/zincvale/dataplane/inference/exchange_reader.py
+++ b/src/zincvale/dataplane/inference/exchange_reader.py
@@ -64,7 +64,7 @@
 
     @property
     def first_piece_s(self) -> float:
-        """How long the first piece took; 0 without one."""
+        """How long the first chunk took; 0 without one."""
         return 0.0 if self.first_chunk_at is None else self.first_chunk_at - self.started_at
 
     def on_connected(self) -> None:
@@ -95,7 +95,7 @@
             self.feed(read)
 
     def on_done(self, body: bytes) -> None:
-        """Read the whole response, or see that a stream had its explicit end."""
+        """Read the complete response, or see that a stream had its explicit end."""
         if self.stopped:
             return
         if self._stream is not None:
@@ -109,7 +109,7 @@
         self.feed(reply)
 
     def on_failed(self, failure: ExchangeFailure) -> None:
-        """Tell the machine, unless the stream had already ended whole."""
+        """Notify the machine, unless the stream had already ended complete."""
         if self.stopped or (self._stream is not None and self._stream.ended):
             return
         self.feed(ServerFailed(failure.reason, failure.sent))
@@ -133,5 +133,5 @@
 
 
 def is_mismatch(failure: ServerFailed) -> bool:
-    """Whether a failure means that the answer was another request's."""
+    """Whether a failure means that the response was another request's."""
     return failure.reason == MISMATCHED_RESPONSE
--- a/src/zincvale/dataplane/inference/ingress.py
+++ b/src/zincvale/dataplane/inference/ingress.py
@@ -47,7 +47,7 @@
         body: bytes,
         sink: CallerSink,
     ) -> RequestRunner | None:
-        """Start a request; None when it was answered at once because it cannot be read."""
+        """Start a request; None when it was refused at once because it cannot be read."""
         named = self.context.routing_state.route_by_path.get(path)
         if named is None:
             self._refuse_unrouted(path, headers, sink)
--- a/src/zincvale/dataplane/inference/load_shedding.py
+++ b/src/zincvale/dataplane/inference/load_shedding.py
@@ -1,4 +1,4 @@
-"""When a request that finds no server is refused rather than held, and until when it is held."""
+"""When a request that finds no server is refused rather than queued, and until when it may wait."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 """A pool without any server in service is waited for this long: a restart takes a second or two."""
 LOAD_MAX_WAIT_FACTOR = 2.0
 MIN_LOAD_MAX_WAIT_S = 5.0
-"""A load may take this many times its estimate, and at least so long, before those held for it are
-refused: the order, other loads and the server's warm-up come on top of the transfer."""
+"""A load may take this many times its estimate, and at least so long, before those that wait for it
+are refused: the order, other loads and the server's warm-up come on top of the transfer."""
 LOADING_WAIT_EXTENSION_S = 1.0
-"""While a server reports that it loads the model, those held for it wait on, so much at a time."""
+"""While a server reports that it loads the model, the wait is extended by so much at a time."""
 MAX_PENDING_PER_MODEL = 64
 QUEUED_ESTIMATE_TOLERANCE = 1.5
 """Those already queued are refused only when the estimate is clearly past their deadline."""
@@ -44,12 +44,12 @@
     _service_s: dict[RouteName, float] = attrs.field(factory=dict)
 
     def learn_service(self, route: RouteName, seconds: float) -> None:
-        """Take a measured time from dispatch to answer, or to a stream's first piece."""
+        """Take a measured time from dispatch to response, or to a stream's first chunk."""
         known = self._service_s.get(route, seconds)
         self._service_s[route] = known + SERVICE_WEIGHT * (seconds - known)
 
     def cannot_meet_deadline(self, pending: PendingRequest, now: float) -> bool:
-        """Whether too little time is left for a server to answer before the deadline."""
+        """Whether too little time is left for a server to respond before the deadline."""
         needed_s = self._service_s.get(pending.request.route, 0.0) * MIN_SERVICE_TIME_FRACTION
         return pending.request.deadline_at - now < needed_s
 
@@ -61,7 +61,7 @@
         blocked: Blocked,
         now: float,
     ) -> Rejected | None:
-        """Return the refusal of a newcomer that would wait in vain, None to hold it."""
+        """Return the refusal of a newcomer that would wait in vain, None to queue it."""
         left_s = pending.request.deadline_at - now
         if blocked is Blocked.NOT_RESIDENT:
             return self._load_refusal(pool, pending, left_s)
@@ -86,13 +86,13 @@
         return rejected(pending.token, RefusalReason.OVERLOADED, problem, wait_s)
 
     def times_out_at(self, pending: PendingRequest, blocked: Blocked, now: float) -> float:
-        """Return until when a request is held for this cause."""
+        """Return until when a request may wait for this cause."""
         return min(pending.request.deadline_at, now + self._max_wait_s(pending, blocked))
 
     def rejection_of_pending(
         self, pool: PoolState, pending: PendingRequest, position: int, now: float
     ) -> Rejected | None:
-        """Return the refusal of a queued request that is in vain by now, None to keep it."""
+        """Return the refusal of a queued request that is in vain by now, None to let it wait."""
         expired = self._expired(pool, pending, now)
         if expired is not None or pending.blocked is not Blocked.BUSY:
             return expired
--- a/src/zincvale/dataplane/inference/node_service.py
+++ b/src/zincvale/dataplane/inference/node_service.py
@@ -58,8 +58,8 @@
     settings : member_id, zone and address_map are read.
     random : source of every random draw of the request path.
     clock : seconds on the suspend-aware monotonic clock.
-    peers : kept for the neighbours that call other nodes; the request path itself calls none.
-    claims, journal, spans : neighbours, see `dataplane.interfaces`.
+    peers : for the dependencies that call other nodes; the request path itself calls none.
+    claims, journal, spans : dependencies, see `inference.dependencies`.
     ready : whether the node holds a fresh configuration.
     log : takes a declared event number and fields.
     """
@@ -144,7 +144,7 @@
         self.context.routing_state.apply_members(members)
 
     def tick(self, now: float) -> None:
-        """Look for silent streams and waiting requests; call it about ten times a second."""
+        """Look for unresponsive servers and pending requests; call it about ten times a second."""
         for runner in self._runners():
             runner.check_timeout(now)
         if self.context.scheduler.any_waiting():
@@ -162,7 +162,7 @@
     def on_urgent_demand(self, callback: Callable[[], None]) -> None:
         """Call `callback` when a demand report should not wait for its turn.
 
-        That is once a request begins to wait for a load that the last report did not ask for.
+        That is once a request begins to wait for a load that the last report did not contain.
         """
         self.context.on_urgent_demand = callback
 
--- a/src/zincvale/dataplane/inference/request_machine.py
+++ b/src/zincvale/dataplane/inference/request_machine.py
@@ -60,7 +60,9 @@
 from zincvale.model.outcomes import Outcome, RefusalReason
 
 MAX_CONTINUATIONS = 8
+"""A stream that breaks more often is interrupted: its request seems to bring servers down."""
 PENDING_RETRY_AFTER_S = 1.0
+"""Retry-After while an earlier attempt still runs; shorter, and resends poll the voters."""
 
 REASON_BY_END = {
     ExchangeEnd.OVERLOADED: RefusalReason.OVERLOADED,
@@ -265,7 +267,7 @@
         self.chunks += event.chunks
         if self.phase is Phase.LATE:
             return []
-        # An at-most-once stream never goes on elsewhere; its record is the whole outcome.
+        # An at-most-once stream never goes on elsewhere; what is recorded is the outcome.
         journal = not self.route.at_most_once
         relay = RelayChunks(event.first_index, event.chunks, journal)
         return [*self._open(), relay]
@@ -394,7 +396,7 @@
         return effects + self._interrupt(resumable=True, reason="resumed at another node")
 
     def _handle_when_done(self, event: Input) -> list[Effect]:
-        """A server that was chosen while the request ended gives its place back."""
+        """A server that was chosen while the request ended gives its slot back."""
         if isinstance(event, ServerChosen):
             return [FreeServer(ExchangeEnd.ABANDONED)]
         return []
--- a/src/zincvale/dataplane/inference/request_state.py
+++ b/src/zincvale/dataplane/inference/request_state.py
@@ -29,11 +29,20 @@
 PROOF_TIMEOUT_S = 0.5
 """How long a refusal may wait for the proof that no earlier attempt ran."""
 MAX_ATTEMPTS = 8
+"""Servers that one request tries; more would let few bad requests load all servers."""
 MAX_ATTEMPTS_HIGH_PRIORITY = 24
+"""The same for routes of high stake and for streams that have begun."""
 
 
 class Phase(enum.Enum):
-    """What the request waits for."""
+    """What the request waits for.
+
+    Legal transitions: NEW to CLAIMING (at most once), LOOKING_UP (resumed) and CHOOSING; CLAIMING
+    and LOOKING_UP to CHOOSING; CHOOSING to EXCHANGING; EXCHANGING to CHOOSING (another server),
+    CLAIMING (the claim is too old) and LATE; LATE to DONE. A refusal that needs the proof that no
+    earlier attempt ran leads from any of these but LATE to CLAIMING once. Every phase may end in
+    DONE, which is final.
+    """
 
     NEW = "new"
     CLAIMING = "claiming"
@@ -41,7 +50,7 @@
     CHOOSING = "choosing"
     EXCHANGING = "exchanging"
     LATE = "late"
-    """The caller has its `unknown` (or left); a late answer is still recorded for resends."""
+    """The caller has its `unknown` (or left); a late response is still recorded for resends."""
     DONE = "done"
 
 
@@ -69,7 +78,7 @@
     excluded: frozenset[str] = frozenset()
     pending_refusal: Refusal | None = None
     has_requested_proof: bool = False
-    """The claim voters were asked whether a request that is to be refused is fresh."""
+    """The claim voters had to say whether a request that is to be refused is fresh."""
     epoch: int = FIRST_STREAM_EPOCH
 
     def __attrs_post_init__(self) -> None:
@@ -102,7 +111,7 @@
         return not self.route.at_most_once
 
     def _mark_may_have_run(self) -> list[Effect]:
-        """A resend that finds no server must not be told that the request never ran."""
+        """Let no resend that finds no server be refused as if the request had never run."""
         if self.route.at_most_once or not self.request.caller_named_it:
             return []
         if not self.may_have_run or self.chunks or self.request.resume_after:
--- a/src/zincvale/dataplane/inference/requests.py
+++ b/src/zincvale/dataplane/inference/requests.py
@@ -1,4 +1,4 @@
-"""Reading of callers' requests: what is asked, by whom, until when."""
+"""Reading of callers' requests: what is requested, by whom, until when."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 from zincvale.model.resources import PoolKind, RouteSpec
 
 MAX_REQUEST_ID_LENGTH = 128
+"""Characters; identifiers are kept with every claim, whose table is bounded by rows."""
 MAX_TOKENS_LIMIT = 1_000_000
 DEFAULT_MAX_TOKENS = 256
 CHARACTERS_PER_TOKEN = 4
@@ -24,7 +25,7 @@
 
 @attrs.frozen
 class InferenceRequest:
-    """What a request asks of a back end.
+    """What a request wants of a back end.
 
     `model`, `adapter`, `prompt` and `max_tokens` belong to language models, `key` to lookups.
     """
@@ -107,7 +108,7 @@
 
 
 def read_inference_request(body: bytes, route: RouteSpec, kind: PoolKind) -> InferenceRequest:
-    """Return what the body asks; raises `MalformedBodyError` or `InvalidInputError`."""
+    """Return the body's inference request; raises `MalformedBodyError` or `InvalidInputError`."""
     try:
         data = orjson.loads(body)
     except orjson.JSONDecodeError as error:
--- a/src/zincvale/dataplane/inference/responses.py
+++ b/src/zincvale/dataplane/inference/responses.py
@@ -26,7 +26,7 @@
 
 
 def answered(request_id: RequestId, body: bytes) -> SendResponse:
-    """Return the response of a whole answer."""
+    """Return the response that carries a server's answer."""
     return SendResponse(200, _headers(Outcome.ANSWERED, request_id), body)
 
 
@@ -72,12 +72,12 @@
 
 
 def event(number: int, text: str) -> bytes:
-    """Return one piece as an event."""
+    """Return one chunk as an event."""
     return b"id: %d\ndata: %b\n\n" % (number, orjson.dumps({"text": text}))
 
 
 def end_event(count: int) -> bytes:
-    """Return the event that closes a whole stream."""
+    """Return the event that closes a complete stream."""
     return b'event: end\ndata: {"count": %d}\n\n' % count
 
 
@@ -88,13 +88,13 @@
 
 
 def whole_stream(chunks: list[str]) -> bytes:
-    """Return a finished stream as one body, for the record of outcomes."""
+    """Return a finished stream as one body, for the recorded outcomes."""
     events = [event(number, text) for number, text in enumerate(chunks, start=1)]
     return b"".join([*events, end_event(len(chunks))])
 
 
 def chunks_of(body: bytes) -> list[str]:
-    """Return the pieces of a body that `whole_stream` made."""
+    """Return the chunks of a body that `whole_stream` made."""
     events = EventReader().feed(body)
     return [orjson.loads(read.data)["text"] for read in events if read.number is not None]
 
--- a/src/zincvale/dataplane/inference/routing.py
+++ b/src/zincvale/dataplane/inference/routing.py
@@ -12,13 +12,14 @@
 from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import PoolSpec
 
+EVEN_ODDS = 0.5
 COMPARED_SERVERS = 2
 """Servers drawn at random for comparison (power of two choices), besides nominated ones."""
 
 
 @attrs.frozen
 class PolicyReason:
-    """What one policy did, for the record."""
+    """What one policy did, for traces."""
 
     policy: str
     kind: str
@@ -93,7 +94,7 @@
     ) -> list[ServerState]:
         if len(servers) <= COMPARED_SERVERS:
             compared = list(servers)
-            if len(servers) > 1 and random.random() < 0.5:
+            if len(servers) > 1 and random.random() < EVEN_ODDS:
                 compared.reverse()
         else:
             compared = random.sample(servers, COMPARED_SERVERS)
--- a/src/zincvale/dataplane/inference/routing_state.py
+++ b/src/zincvale/dataplane/inference/routing_state.py
@@ -19,7 +19,9 @@
 NOT_RESIDENT_MEMORY_S = 2.0
 """How long a server's own "not resident" outweighs a directory that still says otherwise."""
 LATENCY_WEIGHT = 0.1
+"""Weight of a new latency in the moving average."""
 COLD_PAUSE_S = 1.0
+"""Nothing is sent to a server for so long after it said that it is cold."""
 FIRST_RECONNECT_PAUSE_S = 0.1
 LONGEST_RECONNECT_PAUSE_S = 1.0
 LEAST_BACK_OFF_S = 0.05
@@ -31,7 +33,7 @@
 
 @attrs.frozen
 class NodeShare:
-    """This node's place among the nodes that share a server.
+    """This node's rank among the nodes that share a server.
 
     Every node ranks the nodes alike (rendezvous hash over the server), so that what is shared out
     adds up without a message.
@@ -77,7 +79,7 @@
         return self.row.server
 
     def holds(self, name: str, now: float) -> bool:
-        """Whether the model or adapter `name` can be asked for here now."""
+        """Whether the model or adapter `name` can be requested here now."""
         row = self.row
         if name not in row.models and name not in row.adapters:
             return False
@@ -86,7 +88,7 @@
         return not self.absent_until or now >= self.absent_until.get(name, -math.inf)
 
     def note_absent(self, name: str, now: float) -> None:
-        """Remember the server's own word that it does not hold `name`."""
+        """Remember the server's own statement that it does not hold `name`."""
         self.absent_until[name] = now + NOT_RESIDENT_MEMORY_S
 
     def back_off(self, now: float) -> None:
@@ -95,7 +97,7 @@
         self.backing_off_until = now + min(LONGEST_BACK_OFF_S, max(LEAST_BACK_OFF_S, pause_s))
 
     def on_cold(self, now: float) -> None:
-        """Take the server's own word that it is cold: its ramp begins again."""
+        """Take the server's own statement that it is cold: its ramp begins again."""
         self.ready_since = now
         self.paused_until = now + COLD_PAUSE_S
 
@@ -105,7 +107,7 @@
         self.paused_until = now + min(LONGEST_RECONNECT_PAUSE_S, pause_s)
 
     def concurrency_limit(self, now: float) -> float:
-        """Return how many requests this node may keep here now (slow start included).
+        """Return how many requests this node may have here now (slow start included).
 
         A server that warms up is shared out: all nodes together stay within its ramp, so while
         the ramp allows fewer requests than there are nodes, some nodes may send none.
@@ -167,7 +169,7 @@
         return True
 
     def apply_directory(self, directory: Directory, now: float) -> bool:
-        """Take a newer directory; local evidence is kept per incarnation of a server."""
+        """Take a newer directory; local evidence is retained per incarnation of a server."""
         if (directory.epoch, directory.version) < (self.directory.epoch, self.directory.version):
             return False
         first = not self.servers
@@ -216,7 +218,7 @@
             # Its ramp begins with the first model that it holds.
             state.ready_since = now
         elif row.health is ServerHealth.READY and state.row.health is ServerHealth.COLD:
-            # By its own word the ramp is over.
+            # By its own statement the ramp is over.
             state.ready_since = UNKNOWN_READY_SINCE
         if came_back or row.models != state.row.models or row.adapters != state.row.adapters:
             state.absent_until.clear()
--- a/src/zincvale/dataplane/inference/runner.py
+++ b/src/zincvale/dataplane/inference/runner.py
@@ -56,7 +56,7 @@
 from zincvale.model.resources import Stake
 
 LATE_RESPONSE_TIMEOUT_S = 15.0
-"""How long a late answer is still waited for, to be recorded for resends."""
+"""How long a late response is still waited for, to be recorded for resends."""
 CONTINUATION_TIMEOUT_S = 20.0
 """How long a broken stream may wait for another server."""
 
@@ -64,7 +64,7 @@
 class RequestRunner(VerdictReceiver):
     """One request under way.
 
-    Inputs are applied one after the other. An effect that waits for a neighbour holds back those
+    Inputs are applied one after the other. An effect that waits for a dependency delays those
     after it, and the inputs that come meanwhile.
     """
 
@@ -113,12 +113,12 @@
         self._arm(max(0.0, seconds), self._on_deadline)
 
     def on_caller_lost(self) -> None:
-        """Take note that the caller closed its connection."""
+        """Record that the caller closed its connection."""
         self._caller.abandon()
         self.feed(CallerDisconnected(self._server.sent))
 
     def check_timeout(self, now: float) -> None:
-        """Give up a stream whose server has gone silent."""
+        """Give up a stream whose server no longer responds."""
         if self.machine.phase in (Phase.EXCHANGING, Phase.LATE):
             self._server.check_timeout(now, self._caller.is_backpressured)
 
@@ -136,7 +136,7 @@
         self.trace.record_wait(verdict.blocked.value)
 
     def on_placed(self, server: ServerState, waited_s: float) -> None:
-        """Remember the server whose place is taken."""
+        """Remember the server whose slot is reserved."""
         self._server.on_placed(server)
         self.trace.record_wait_end(waited_s)
 
@@ -162,7 +162,7 @@
             self._end_by_defect(error)
 
     def _process(self) -> bool:
-        """Work off effects and inputs; False when an effect waits for a neighbour."""
+        """Work off effects and inputs; False when an effect waits for a dependency."""
         while self._effects or self._inputs:
             if self._effects:
                 call = self._carry_out(self._effects.popleft())
--- a/src/zincvale/dataplane/inference/scheduler.py
+++ b/src/zincvale/dataplane/inference/scheduler.py
@@ -118,7 +118,7 @@
         return self._enqueue(pool, queue, waiting, choice, now)
 
     def cancel(self, pool_name: PoolName, token: int) -> None:
-        """Take a request out of its queue: its caller is gone or its deadline passed."""
+        """Take a request out of its queue: its caller has disconnected or its deadline passed."""
         queue = self._queues.get(pool_name)
         if queue is not None:
             self._remove(pool_name, queue, token)
@@ -126,7 +126,7 @@
     def finish(
         self, request: CallerRequest, server: ServerState, report: ExchangeReport
     ) -> tuple[HealthChange, list[Verdict]]:
-        """Free the server's place; returns its change and the verdicts of those who waited."""
+        """Free the server's slot; returns its change and the verdicts of those who waited."""
         change = record_exchange_end(server, report)
         if report.end is ExchangeEnd.ANSWERED:
             self.load_shedder.learn_service(request.route, report.deadline_covers_s)
@@ -217,7 +217,7 @@
     def _reclassify(
         self, pool: PoolState, waiting: PendingRequest, blocked: Blocked, now: float
     ) -> None:
-        """A request that was held for a load now queues for the busy server, or the reverse."""
+        """A request that waited for a load now queues for the busy server, or the reverse."""
         if blocked is waiting.blocked:
             return
         key = _demand_key(waiting.request, pool)
--- a/src/zincvale/dataplane/inference/server_side.py
+++ b/src/zincvale/dataplane/inference/server_side.py
@@ -1,4 +1,4 @@
-"""The back end's side of one request: its place at a server and the exchange with it."""
+"""The back end's side of one request: its slot at a server and the exchange with it."""
 
 from __future__ import annotations
 
@@ -26,12 +26,15 @@
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
 
 FIRST_CHUNK_TIMEOUT_S = 10.0
+"""Until a stream's first chunk; shorter, and long prompts are prefilled at several servers."""
 NEXT_CHUNK_TIMEOUT_S = 3.0
+"""Between two chunks; shorter, and busy servers lose streams that they would have finished."""
 AT_MOST_ONCE_TIMEOUT_S = 15.0
 """An at-most-once stream cannot go on elsewhere, so its server is waited for longer."""
 LOST_SERVER_TIMEOUT_S = 1.0
+"""A server that the directory calls down may go on with a stream that moved so recently."""
 LINGER_S = 1.0
-"""How long a whole stream's connection may take to close its last chunk."""
+"""How long a complete stream's connection may take to close its last chunk."""
 
 
 @attrs.define(eq=False)
@@ -54,7 +57,7 @@
         return reader is not None and reader.exchange is not None and reader.exchange.sent
 
     def on_placed(self, server: ServerState) -> None:
-        """Remember the server whose place is taken."""
+        """Remember the server whose slot is reserved."""
         self.server = server
         self._placed_at = self.context.clock()
 
@@ -76,7 +79,7 @@
         return True
 
     def _may_leave(self, server: ServerState) -> bool:
-        """Whether the request may still be sent to `server`, asked when its first byte leaves.
+        """Whether the request may still be sent to `server`, checked when its first byte leaves.
 
         A freeze may lie between the choice of the server and this moment.
         """
@@ -92,7 +95,7 @@
             self._reader.stop()
 
     def free(self, effect: FreeServer) -> None:
-        """Give the server's place back, with what was learned about the server."""
+        """Give the server's slot back, with what was learned about the server."""
         server, self.server = self.server, None
         reader, self._reader = self._reader, None
         if server is None or self.pool is None:
@@ -122,7 +125,7 @@
             reader.exchange.resume()
 
     def check_timeout(self, now: float, is_backpressured: bool) -> None:
-        """Give up a stream whose server has gone silent, unless it was paused."""
+        """Give up a stream whose server no longer responds, unless it was paused."""
         reader = self._reader
         if reader is None or reader.stopped or not self.machine.request.inference_request.stream:
             return
@@ -134,9 +137,9 @@
             self.give_up(f"no event for {limit_s:.0f} s")
 
     def on_server_lost(self, server: ServerState, now: float) -> None:
-        """Give up an exchange with a silent server that the directory calls down.
+        """Give up an exchange with an unresponsive server that the directory calls down.
 
-        At-most-once requests wait on: their answer may still come.
+        At-most-once requests wait on: their response may still come.
         """
         reader = self._reader
         if self.server is not server or reader is None or self.machine.route.at_most_once:
@@ -145,7 +148,7 @@
             self.give_up("the server is down")
 
     def give_up(self, reason: str) -> None:
-        """Close the exchange and tell the machine that it failed."""
+        """Close the exchange and notify the machine of the failure."""
         sent = self.sent
         self.cancel()
         self.feed(ServerFailed(reason, sent))
@@ -176,7 +179,7 @@
         )
 
     def _let_linger(self, reader: ExchangeReader | None) -> None:
-        """A whole stream's connection closes its last chunk by itself, or is cut a bit later."""
+        """A complete stream's connection closes its last chunk by itself, or is cut a bit later."""
         if reader is None or reader.stopped or reader.exchange is None:
             return
         if self.machine.request.inference_request.stream:
--- a/src/zincvale/dataplane/inference/stream_relay.py
+++ b/src/zincvale/dataplane/inference/stream_relay.py
@@ -13,8 +13,9 @@
 from zincvale.model.identifiers import RequestId
 
 HIGH_WATER_CHUNKS = 64
-"""The server is paused while more pieces than this wait for the caller."""
+"""The server is paused while more chunks than this wait for the caller."""
 LOW_WATER_CHUNKS = 16
+"""It goes on when no more wait; nearer to the high mark, it would be paused and resumed often."""
 
 
 class CallerLostError(Exception):
@@ -25,7 +26,7 @@
     """The caller's side of one request."""
 
     def send_response(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Send a whole response."""
+        """Send a complete response."""
         ...
 
     def open_stream(self, headers: dict[str, str]) -> None:
@@ -37,7 +38,7 @@
         ...
 
     async def end(self) -> None:
-        """Close the response whole; raises `CallerLostError`."""
+        """Close the response as complete; raises `CallerLostError`."""
         ...
 
     def cut(self) -> None:
@@ -54,12 +55,12 @@
 
 @attrs.define(eq=False)
 class StreamRelay:
-    """Writes pieces in order; at most one batch is in the journal's or the caller's hands.
+    """Writes chunks in order; at most one batch is in the journal's or the caller's hands.
 
     Attributes
     ----------
     on_backpressure : called with True when the server should pause and False when it may go on.
-    on_caller_lost, on_fenced : tell the request machine; the relay has stopped.
+    on_caller_lost, on_fenced : notify the request machine; the relay has stopped.
     """
 
     request_id: RequestId
@@ -80,7 +81,7 @@
     _stopped: bool = False
 
     def push(self, first_index: int, chunks: list[str], journal: bool) -> None:
-        """Queue pieces; consecutive ones are sent as one batch."""
+        """Queue chunks; consecutive ones are sent as one batch."""
         if self._stopped:
             return
         last = self._batches[-1] if self._batches else None
@@ -95,7 +96,7 @@
         self._notify()
 
     def finish(self, count: int) -> None:
-        """End the stream whole once everything queued is written."""
+        """End the stream as complete once everything queued is written."""
         self._end_count = count
         self._notify()
 
@@ -105,13 +106,13 @@
         self._notify()
 
     def abandon(self) -> None:
-        """Stop: the caller is gone."""
+        """Stop: the caller has disconnected."""
         self._stopped = True
         self.journal.forget(self.request_id)
         self._notify()
 
     async def run(self) -> None:
-        """Relay until the stream ended, broke, or the caller is gone."""
+        """Relay until the stream ended, broke, or the caller has disconnected."""
         try:
             await self._relay()
         except CallerLostError:
@@ -153,7 +154,7 @@
         )
         if appended is not JournalAppend.FENCED:
             return True
-        # Whoever resumed the stream sends these pieces; sending them here too would repeat them.
+        # Whoever resumed the stream sends these chunks; sending them here too would repeat them.
         self._stopped = True
         self.on_fenced()
         await self._send_break(responses.error_event(True, "resumed at another node"))
--- a/src/zincvale/dataplane/inference/verdicts.py
+++ b/src/zincvale/dataplane/inference/verdicts.py
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class Placed:
-    """Dispatch to `server`, whose place is taken."""
+    """Dispatch to `server`, whose slot is reserved."""
 
     token: int
     server: ServerState
--- a/src/zincvale/dataplane/stream_journal/node_machine.py
+++ b/src/zincvale/dataplane/stream_journal/node_machine.py
@@ -136,7 +136,7 @@
                 self._handle_nodes(event, now)
             case BatchDue():
                 self._flush_at = float("inf")
-                self._carry_out(self._writers.flush_due(now), now)
+                self._carry_out(self._writers.flush_due(now))
             case CallReceived(_, token, message):
                 self._effects.append(Reply(token, self._reply_to(message, now)))
             case CallReplied(token, message):
@@ -165,14 +165,14 @@
             return
         writer.digest = writer.digest or event.digest
         effects = self._writers.append(event.token, writer, event.first_index, event.chunks, now)
-        self._carry_out(effects, now)
+        self._carry_out(effects)
 
     def _handle_end(self, event: EndRequested, now: float) -> None:
         writer = self._writers.find(event.request_id)
         if writer is None or event.epoch not in (NEWEST_STREAM_EPOCH, writer.fence.epoch):
             self._effects.append(AppendCompleted(event.token, JournalAppend.UNREPLICATED))
             return
-        self._carry_out(self._writers.end(event.token, writer, event.count, now), now)
+        self._carry_out(self._writers.end(event.token, writer, event.count, now))
 
     def _handle_resume(self, event: ResumeRequested, now: float) -> None:
         """Start a failover; one that comes before the nodes are known waits for them."""
@@ -196,13 +196,13 @@
             owner_name(member, incarnation) for member, incarnation in event.incarnations.items()
         }
         peers = journal_peers(self._member_id, self._zone, event.zones)
-        self._carry_out(self._writers.set_peers(peers, now), now)
+        self._carry_out(self._writers.set_peers(peers, now))
         pending, self._pending_resumes = self._pending_resumes, {}
         for resume, _ in pending.values():
             self._handle_resume(resume, now)
 
     def _handle_tick(self, now: float) -> None:
-        self._carry_out(self._writers.tick(now), now)
+        self._carry_out(self._writers.tick(now))
         self._store.sweep(now)
         self._copy_orphaned_streams(now)
         for token, (_, times_out_at) in list(self._pending_resumes.items()):
@@ -258,7 +258,7 @@
         if effects:
             fields = {"request_id": call.request_id}
             self._effects.append(Log(log_events.STREAM_FENCED, fields))
-        self._carry_out(effects, now)
+        self._carry_out(effects)
         if own is None:
             return stored
         contents = [reply.content for reply in (own, stored) if reply.content is not None]
@@ -277,9 +277,9 @@
         pending = self._pending.pop(token, None)
         match pending, message:
             case _PendingBatch(peer), AppendReply():
-                self._carry_out(self._writers.on_batch_reply(peer, message, now), now)
+                self._carry_out(self._writers.on_batch_reply(peer, message, now))
             case _PendingBatch(peer), _:
-                self._carry_out(self._writers.on_batch_failure(peer, now), now)
+                self._carry_out(self._writers.on_batch_failure(peer, now))
             case _PendingCopy(request_id), AppendReply():
                 self._store.mark_copied(request_id)
             case _PendingRequest(), _:
@@ -299,7 +299,7 @@
 
     # Effects of the parts
 
-    def _carry_out(self, effects: Iterable[WriterEffect], now: float) -> None:
+    def _carry_out(self, effects: Iterable[WriterEffect]) -> None:
         for effect in effects:
             match effect:
                 case AppendResult(token, result):
