--- a/src/zincvale/dataplane/inference/node_service.py
+++ b/src/zincvale/dataplane/inference/node_service.py
@@ -94,7 +94,7 @@
             ready=ready,
             log=log,
         )
-        self.entry = RequestIngress(self.context, random)
+        self.ingress = RequestIngress(self.context, random)
 
     @property
     def metrics(self) -> Any:
@@ -111,12 +111,12 @@
 
         The last one takes every path; put rules with paths of their own before it.
         """
-        shared = {"ingress": self.entry}
+        shared = {"ingress": self.ingress}
         return [
             (r"/ready", ReadyHandler, shared),
             (r"/healthz", HealthHandler, {}),
             (r"/metrics", MetricsHandler, shared),
-            (r"/.*", CallerConnections(self.entry)),
+            (r"/.*", CallerConnections(self.ingress)),
         ]
 
     def apply_intent(self, intent: Intent) -> None:
@@ -152,7 +152,7 @@
 
     def start_draining(self) -> None:
         """Turn unready (lame duck); requests under way and late comers are still served."""
-        self.entry.draining = True
+        self.ingress.draining = True
         self.context.log(log_events.DRAINING, active=self.active_requests)
 
     def demand_report(self) -> DemandReport:
--- a/src/zincvale/dataplane/inference/request_state.py
+++ b/src/zincvale/dataplane/inference/request_state.py
@@ -131,9 +131,9 @@
                 *self._interrupt(not self.route.at_most_once, problem),
             ]
         response = responses.unknown(self.request.request_id, problem, retry_after_s)
-        note = self._mark_may_have_run()
+        mark = self._mark_may_have_run()
         finish = self._finish(Outcome.UNKNOWN, problem)
-        return [*self._record_unknown(problem), response, *note, *finish]
+        return [*self._record_unknown(problem), response, *mark, *finish]
 
     def _record_unknown(self, problem: str) -> list[Effect]:
         if not self.is_claimed or not self.may_have_run:
@@ -142,8 +142,8 @@
         return [RecordOutcome(Outcome.UNKNOWN, response.status, response.headers, response.body)]
 
     def _interrupt(self, resumable: bool, reason: str) -> list[Effect]:
-        note = self._mark_may_have_run()
-        effects = [*self._open(), BreakStream(resumable, reason), *note]
+        mark = self._mark_may_have_run()
+        effects = [*self._open(), BreakStream(resumable, reason), *mark]
         return effects + self._finish(Outcome.INTERRUPTED, reason)
 
     def _finish(self, outcome: Outcome, reason: str = "") -> list[Effect]:
--- a/src/zincvale/dataplane/inference/routing_state.py
+++ b/src/zincvale/dataplane/inference/routing_state.py
@@ -87,7 +87,7 @@
             return False
         return not self.absent_until or now >= self.absent_until.get(name, -math.inf)
 
-    def note_absent(self, name: str, now: float) -> None:
+    def mark_absent(self, name: str, now: float) -> None:
         """Remember the server's own statement that it does not hold `name`."""
         self.absent_until[name] = now + NOT_RESIDENT_MEMORY_S
 
--- a/src/zincvale/dataplane/resilience/exchange_evidence.py
+++ b/src/zincvale/dataplane/resilience/exchange_evidence.py
@@ -129,7 +129,7 @@
             server.rate.on_refused(now)
         case ExchangeEnd.NOT_RESIDENT:
             for name in report.missing:
-                server.note_absent(name, now)
+                server.mark_absent(name, now)
 
 
 def _had_ample_time(server: ServerState, report: ExchangeReport) -> bool:
--- a/tests/dataplane/inference/builders.py
+++ b/tests/dataplane/inference/builders.py
@@ -84,7 +84,7 @@
     return Directory(epoch, version, {row.server: row for row in rows})
 
 
-def world(*rows, **intent_changes) -> RoutingState:
+def routing_state(*rows, **intent_changes) -> RoutingState:
     made = RoutingState(ZoneName("a"))
     made.apply_intent(intent(**intent_changes))
     made.apply_directory(directory(*rows), 0.0)
--- a/tests/dataplane/inference/node_harness.py
+++ b/tests/dataplane/inference/node_harness.py
@@ -262,7 +262,7 @@
     def post(self, path, body=GENERATE, name="caller", **headers):
         caller = FakeCaller(self, name)
         sent = {key.replace("_", "-"): value for key, value in headers.items()}
-        caller.runner = self.node.entry.begin(path, sent, body, caller)
+        caller.runner = self.node.ingress.begin(path, sent, body, caller)
         return caller
 
     async def settle(self):
--- a/tests/dataplane/inference/request_exploration.py
+++ b/tests/dataplane/inference/request_exploration.py
@@ -93,7 +93,7 @@
     never_ran: bool = False
     invalid: bool = False
     noted: bool = False
-    """The claim holders were told that an unclaimed request may have run."""
+    """The claim voters were notified that an unclaimed request may have run."""
     settled: bool = False
     """The claim was recorded or released."""
     finished: list = attrs.field(factory=list)
--- a/tests/dataplane/inference/test_caller_connection.py
+++ b/tests/dataplane/inference/test_caller_connection.py
@@ -60,7 +60,7 @@
         return asyncio.run(main())
 
     def send(self, harness, connection, path, body=GENERATE, method="POST"):
-        message = CallerConnections(harness.node.entry).start_request(None, connection)
+        message = CallerConnections(harness.node.ingress).start_request(None, connection)
         headers = HTTPHeaders({"X-Request-Id": "q1"})
         message.headers_received(RequestStartLine(method, path, "HTTP/1.1"), headers)
         message.data_received(body[:5])
--- a/tests/dataplane/inference/test_node.py
+++ b/tests/dataplane/inference/test_node.py
@@ -525,11 +525,11 @@
 
     def test_a_node_in_an_evacuated_zone_or_draining_is_not_ready_but_serves(self):
         async def scenario(harness):
-            self.assertEqual("", harness.node.entry.unready_reason())
+            self.assertEqual("", harness.node.ingress.unready_reason())
             harness.node.apply_intent(harness.intent(2, evacuated=["a"]))
-            self.assertEqual("zone a is evacuated", harness.node.entry.unready_reason())
+            self.assertEqual("zone a is evacuated", harness.node.ingress.unready_reason())
             harness.node.start_draining()
-            self.assertEqual("draining", harness.node.entry.unready_reason())
+            self.assertEqual("draining", harness.node.ingress.unready_reason())
             harness.post("/v1/sum", X_Request_Id="q1")
             harness.exchanges[0].answer(200, ONE)
             self.assertEqual("s2:1", harness.exchanges[0].request.address)
--- a/tests/dataplane/inference/test_routing.py
+++ b/tests/dataplane/inference/test_routing.py
@@ -12,8 +12,8 @@
     inference_request,
     request,
     route,
+    routing_state,
     server_row,
-    world,
 )
 from zincvale.dataplane.inference.routing import Choice, NoChoice, build_chain
 from zincvale.dataplane.policies.base import Blocked, Filter, Query, Scorer
@@ -49,7 +49,7 @@
 
 class RoutingTestCase(testtools.TestCase):
     def made(self, *rows, policies=(), **changes):
-        tables = world(*rows, policies=list(policies), **changes)
+        tables = routing_state(*rows, policies=list(policies), **changes)
         return tables, build_chain(tables.pools[PoolName("lm")].spec)
 
     def query(self, tables, asked=None, now=100.0, excluded=frozenset()):
--- a/tests/dataplane/inference/test_routing_state.py
+++ b/tests/dataplane/inference/test_routing_state.py
@@ -4,7 +4,14 @@
 
 import testtools
 
-from tests.dataplane.inference.builders import COLD, DOWN, directory, intent, server_row, world
+from tests.dataplane.inference.builders import (
+    COLD,
+    DOWN,
+    directory,
+    intent,
+    routing_state,
+    server_row,
+)
 from zincvale.dataplane.inference.routing_state import RoutingState
 from zincvale.dataplane.resilience.exchange_evidence import (
     ExchangeEnd,
@@ -21,13 +28,13 @@
 
 class RoutingStateTest(testtools.TestCase):
     def test_older_tables_are_ignored(self):
-        made = world(server_row("s1"), version=5)
+        made = routing_state(server_row("s1"), version=5)
         self.assertFalse(made.apply_intent(made.intent.__class__(4)))
         self.assertFalse(made.apply_directory(directory(version=0), 1.0))
         self.assertIn("s1", made.servers)
 
     def test_a_server_that_came_back_ramps_up_and_its_old_failures_are_forgotten(self):
-        made = world(server_row("s1", incarnation="one"), max_concurrent_per_server=20)
+        made = routing_state(server_row("s1", incarnation="one"), max_concurrent_per_server=20)
         state = made.servers["s1"]
         state.concurrency.limit = 20.0
         self.assertEqual(20.0, state.concurrency_limit(0.0))
@@ -56,7 +63,7 @@
         self.assertEqual([1.0, 4.0, 8.0, 15.0], limits_by_time)
 
     def test_the_ramp_of_a_cold_server_begins_with_its_first_model(self):
-        made = world(server_row("s1", health=COLD, models=()))
+        made = routing_state(server_row("s1", health=COLD, models=()))
         made.apply_directory(directory(server_row("s1", health=COLD), version=2), 50.0)
         made.apply_directory(directory(server_row("s1", health=COLD), version=3), 60.0)
         self.assertEqual(50.0, made.servers["s1"].ready_since)
@@ -77,22 +84,22 @@
         self.assertEqual(8.0, made.servers["s1"].concurrency_limit(101.0))
 
     def test_a_server_that_says_it_is_cold_is_left_alone_and_ramps_up_again(self):
-        made = world(server_row("s1"))
+        made = routing_state(server_row("s1"))
         state = made.servers["s1"]
         record_exchange_end(state, ExchangeReport(ExchangeEnd.COLD, 0.0, 5.0, 8))
         self.assertEqual((6.0, 1.0), (state.paused_until, state.concurrency_limit(5.0)))
 
     def test_a_server_that_was_down_ramps_up_too(self):
-        made = world(server_row("s1", health=DOWN))
+        made = routing_state(server_row("s1", health=DOWN))
         made.apply_directory(directory(server_row("s1"), version=2), 10.0)
         self.assertEqual(10.0, made.servers["s1"].ready_since)
 
     def test_the_server_limit_counts_when_it_is_lower_than_the_pool_limit(self):
-        made = world(server_row("s1", max_running=4), max_concurrent_per_server=16)
+        made = routing_state(server_row("s1", max_running=4), max_concurrent_per_server=16)
         self.assertEqual(4.0, made.servers["s1"].concurrency.ceiling)
 
     def test_rates_are_shared_by_the_ready_nodes(self):
-        made = world(server_row("s1"), max_requests_per_second_per_server=4.0)
+        made = routing_state(server_row("s1"), max_requests_per_second_per_server=4.0)
         rows = {MemberId(name): node_row(name, ready=name != "n3") for name in ("n1", "n2", "n3")}
         made.apply_members(Members(1, rows))
         self.assertEqual(2, made.servers["s1"].rate.nodes)
--- a/tests/dataplane/inference/test_scheduler.py
+++ b/tests/dataplane/inference/test_scheduler.py
@@ -12,8 +12,8 @@
     intent,
     request,
     route,
+    routing_state,
     server_row,
-    world,
 )
 from zincvale.dataplane.inference.scheduler import Scheduler
 from zincvale.dataplane.inference.verdicts import Placed, Queued, Rejected
@@ -28,7 +28,7 @@
 
 
 def scheduler(*rows, **changes) -> Scheduler:
-    return Scheduler(world(*rows, **changes), Random(1))
+    return Scheduler(routing_state(*rows, **changes), Random(1))
 
 
 def report(end=ExchangeEnd.ANSWERED, started=0.0, ended=1.0, missing=()) -> ExchangeReport:
--- a/tests/dataplane/resilience/test_exchange_evidence.py
+++ b/tests/dataplane/resilience/test_exchange_evidence.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from tests.dataplane.inference.builders import server_row, world
+from tests.dataplane.inference.builders import routing_state, server_row
 from zincvale.dataplane.resilience.exchange_evidence import (
     ExchangeEnd,
     ExchangeReport,
@@ -15,7 +15,7 @@
 
 class ExchangeEvidenceTest(testtools.TestCase):
     def test_a_timeout_is_a_failure_only_after_ample_time(self):
-        made = world(server_row("s1"))
+        made = routing_state(server_row("s1"))
         state = made.servers["s1"]
         for duration, counted in ((0.4, 0), (1.6, 1)):
             report = ExchangeReport(ExchangeEnd.TIMED_OUT, 0.0, duration, 8)
