--- a/tests/coordination/core/test_standby_machine.py
+++ b/tests/coordination/core/test_standby_machine.py
@@ -35,71 +35,71 @@
         config = StandbyConfig(MemberId(STANDBY), ZoneName("z1"), (Address("seed:1"),))
         self.machine = StandbyMachine(config, random.Random(1))
 
-    def asked(self, now: float) -> list[str]:
+    def requested(self, now: float) -> list[str]:
         effects = self.machine.handle(Tick(), now)
         return [each.to for each in effects if isinstance(each, Send)]
 
-    def told(self, sender: str, *cores: MemberInfo, now: float) -> list[Effect]:
+    def receive_redirect(self, sender: str, *cores: MemberInfo, now: float) -> list[Effect]:
         message = LeaseRedirect(list(cores), "asked")
         return self.machine.handle(MessageReceived(MemberId(sender), message), now)
 
-    def test_it_says_once_that_it_has_no_vote(self) -> None:
+    def test_it_logs_once_that_it_has_no_vote(self) -> None:
         first = [each for each in self.machine.handle(Tick(), 0.0) if isinstance(each, Log)]
         later = [each for each in self.machine.handle(Tick(), 9.0) if isinstance(each, Log)]
         self.assertEqual([log_events.CORE_STANDS_BY], [each.number for each in first])
         self.assertEqual([], later)
 
-    def test_it_asks_its_seeds_until_a_core_answers(self) -> None:
-        self.assertEqual(["@seed:1"], self.asked(0.0))
-        self.assertEqual([], self.asked(DISCOVERY_INTERVAL_S / 2))
-        self.assertEqual(["@seed:1"], self.asked(DISCOVERY_INTERVAL_S))
+    def test_it_requests_cores_of_its_seeds_until_one_responds(self) -> None:
+        self.assertEqual(["@seed:1"], self.requested(0.0))
+        self.assertEqual([], self.requested(DISCOVERY_INTERVAL_S / 2))
+        self.assertEqual(["@seed:1"], self.requested(DISCOVERY_INTERVAL_S))
 
-    def test_then_it_asks_one_core_seldom_the_one_of_its_zone(self) -> None:
-        self.asked(0.0)
+    def test_then_it_refreshes_from_one_core_of_its_zone(self) -> None:
+        self.requested(0.0)
         near, far = core("near", "z1"), core("far")
-        self.told("near", near, far, now=0.1)
-        self.told("far", near, far, now=0.1)
-        self.assertEqual(["near"], self.asked(DISCOVERY_INTERVAL_S))
-        self.assertEqual([], self.asked(DISCOVERY_INTERVAL_S + REFRESH_INTERVAL_S / 2))
+        self.receive_redirect("near", near, far, now=0.1)
+        self.receive_redirect("far", near, far, now=0.1)
+        self.assertEqual(["near"], self.requested(DISCOVERY_INTERVAL_S))
+        self.assertEqual([], self.requested(DISCOVERY_INTERVAL_S + REFRESH_INTERVAL_S / 2))
 
-    def test_what_it_was_told_is_all_that_it_tells(self) -> None:
+    def test_it_redirects_only_to_cores_that_were_named(self) -> None:
         ask = MessageReceived(MemberId("node-1"), RequestCores())
         self.assertEqual([], self.machine.handle(ask, 0.0))
-        self.told("a", core("a"), core("b"), now=0.1)
+        self.receive_redirect("a", core("a"), core("b"), now=0.1)
         (answer,) = self.machine.handle(ask, 0.2)
         self.assertEqual(["a", "b"], [info.member for info in answer.message.cores])
         self.assertFalse(answer.message.can_grant)
 
-    def test_operators_are_sent_to_a_core_that_answers(self) -> None:
+    def test_operators_are_redirected_to_a_responsive_core(self) -> None:
         self.assertIsNone(self.machine.core_for_operators(0.0))
-        self.told("a", core("a"), core("b"), now=0.0)
+        self.receive_redirect("a", core("a"), core("b"), now=0.0)
         self.assertEqual("a:api", self.machine.core_for_operators(1.0))
-        self.told("b", core("a"), core("b"), now=RESPONSIVE_WITHIN_S + 0.1)
+        self.receive_redirect("b", core("a"), core("b"), now=RESPONSIVE_WITHIN_S + 0.1)
         self.assertEqual("b:api", self.machine.core_for_operators(RESPONSIVE_WITHIN_S + 0.2))
 
-    def test_when_none_answers_operators_are_sent_to_any(self) -> None:
-        self.told("a", core("a"), now=0.0)
+    def test_without_a_responsive_core_operators_are_redirected_to_any(self) -> None:
+        self.receive_redirect("a", core("a"), now=0.0)
         self.assertEqual("a:api", self.machine.core_for_operators(100.0))
 
-    def test_the_word_of_another_process_is_no_sign_of_life(self) -> None:
-        self.told("node-1", core("a"), core("b"), now=0.0)
-        self.assertEqual({"a", "b", "@seed:1"}, set(self.asked(0.0)))
+    def test_a_core_named_by_another_process_is_not_responsive(self) -> None:
+        self.receive_redirect("node-1", core("a"), core("b"), now=0.0)
+        self.assertEqual({"a", "b", "@seed:1"}, set(self.requested(0.0)))
 
-    def test_a_core_that_left_is_forgotten(self) -> None:
-        self.told("a", core("a"), core("gone"), now=0.0)
-        self.told("a", core("a"), now=REMOVE_CORE_AFTER_S + 1.0)
-        self.asked(REMOVE_CORE_AFTER_S + 2.0)
+    def test_a_departed_core_is_removed(self) -> None:
+        self.receive_redirect("a", core("a"), core("gone"), now=0.0)
+        self.receive_redirect("a", core("a"), now=REMOVE_CORE_AFTER_S + 1.0)
+        self.requested(REMOVE_CORE_AFTER_S + 2.0)
         self.assertIsNone(self.machine.address_of(MemberId("gone")))
         self.assertEqual("a:peer", self.machine.address_of(MemberId("a")))
 
-    def test_cut_off_for_long_it_forgets_nobody(self) -> None:
-        self.told("a", core("a"), core("b"), now=0.0)
-        self.asked(10 * REMOVE_CORE_AFTER_S)
+    def test_a_long_partition_removes_no_core(self) -> None:
+        self.receive_redirect("a", core("a"), core("b"), now=0.0)
+        self.requested(10 * REMOVE_CORE_AFTER_S)
         self.assertEqual("b:peer", self.machine.address_of(MemberId("b")))
 
-    def test_exchanged_seeds_are_asked(self) -> None:
+    def test_replaced_seeds_get_requests(self) -> None:
         self.machine.use_seeds(("other:1",))
-        self.assertEqual(["@other:1"], self.asked(0.0))
+        self.assertEqual(["@other:1"], self.requested(0.0))
 
 
 class StandbyInClusterTest(testtools.TestCase):
@@ -108,17 +108,17 @@
         cluster.start_standby(STANDBY)
         return cluster.started()
 
-    def test_a_node_whose_only_seed_stands_by_gets_ready(self) -> None:
+    def test_a_node_whose_only_seed_is_a_standby_gets_ready(self) -> None:
         cluster = self.started()
         cluster.start_node("node-2", seeds=(STANDBY,))
         self.assertTrue(cluster.run_until(cluster.all_ready, 6.0))
 
-    def test_an_empty_core_whose_only_seed_stands_by_joins(self) -> None:
+    def test_an_empty_core_whose_only_seed_is_a_standby_joins(self) -> None:
         cluster = self.started(group_size=5)
         cluster.start_core("core-4", seeds=(STANDBY,))
         self.assertTrue(cluster.run_until(lambda: self.voters(cluster) == 4, 20.0))
 
-    def test_it_is_no_member_and_holds_no_vote_and_no_role(self) -> None:
+    def test_it_is_no_member_and_has_no_vote_and_no_role(self) -> None:
         cluster = self.started()
         cluster.run(20.0)
         for name in CORES:
@@ -127,7 +127,7 @@
             self.assertNotIn(STANDBY, str(machine.members(cluster.now)))
             self.assertNotIn(STANDBY, str(machine.role_holders(cluster.now)))
 
-    def test_its_death_holds_nothing_up(self) -> None:
+    def test_its_failure_delays_nothing(self) -> None:
         cluster = self.started()
         cluster.kill(STANDBY)
         result = cluster.change("core-1", "o1", {"a": "1"})
--- a/tests/coordination/registers/test_cluster_creation.py
+++ b/tests/coordination/registers/test_cluster_creation.py
@@ -66,7 +66,7 @@
         self.accept(FIRST_OWNER, 2, "core-1", "core-2", "core-3")
         self.assertEqual(2, self.context.sets.version)
 
-    def test_sets_that_were_never_chosen_are_taken_back(self) -> None:
+    def test_sets_that_were_never_chosen_are_rolled_back(self) -> None:
         """A cut owner's change reached its own disk alone; the next owner writes without it."""
         self.accept(FIRST_OWNER, 1, "core-1", "core-2")
         self.accept(FIRST_OWNER, 2, "core-1", "core-2", "core-3")
@@ -74,7 +74,7 @@
         self.assertEqual(1, self.context.sets.version)
         self.assertNotIn(MemberId("core-3"), self.context.sets.cores)
 
-    def test_sets_known_to_be_chosen_are_never_taken_back(self) -> None:
+    def test_sets_known_to_be_chosen_are_never_rolled_back(self) -> None:
         self.accept(FIRST_OWNER, 1, "core-1", "core-2")
         self.accept(FIRST_OWNER, 3, "core-1", "core-2", "core-3")
         chosen = VersionedTable()
--- a/tests/coordination/registers/test_register.py
+++ b/tests/coordination/registers/test_register.py
@@ -35,11 +35,11 @@
     def test_random_schedules_with_repeated_attempts_agree(self) -> None:
         self.assertGreater(self.walk_all(WALKS), WALKS)
 
-    def test_a_majority_of_one_is_found_out(self) -> None:
+    def test_a_majority_of_one_is_detected(self) -> None:
         with mock.patch.object(replica_config, "majority", lambda size: 1):
             self.assertRaises(AssertionError, self.walk_all, WALKS)
 
-    def test_a_forgotten_promise_is_found_out(self) -> None:
+    def test_a_forgotten_promise_is_detected(self) -> None:
         start = RegisterReplica._start_accept
 
         def forgetful(self, key, slot, sender, epoch, update):  # type: ignore[no-untyped-def]
@@ -55,36 +55,36 @@
         super().setUp()
         self.replica = RegisterReplica(RecoveredState("disk"), Timings())
 
-    def ask(self, request: Prepare | Accept) -> list[object]:
+    def request_replica(self, request: Prepare | Accept) -> list[object]:
         return list(self.replica.handle(MemberId("owner"), request, KEY))
 
     def promise(self, number: int) -> list[object]:
-        (write,) = self.ask(Prepare(KEY, Epoch(number, "owner/1")))
+        (write,) = self.request_replica(Prepare(KEY, Epoch(number, "owner/1")))
         assert isinstance(write, Write)
         return list(self.replica.handle_written(write.token, "", 0.0))
 
-    def test_nothing_is_answered_before_the_disk_took_it(self) -> None:
-        (write,) = self.ask(Prepare(KEY, Epoch(3, "owner/1")))
+    def test_no_response_leaves_before_the_disk_stored_it(self) -> None:
+        (write,) = self.request_replica(Prepare(KEY, Epoch(3, "owner/1")))
         assert isinstance(write, Write)
-        self.assertEqual([], self.ask(Prepare(KEY, Epoch(4, "owner/1"))))
-        answers = self.replica.handle_written(write.token, "", 0.0)
-        assert isinstance(answers[0], Send)
-        self.assertIsInstance(answers[0].message, Promise)
-        self.assertIsInstance(answers[1], Write)
-
-    def test_a_failed_write_is_never_answered(self) -> None:
-        (write,) = self.ask(Prepare(KEY, Epoch(3, "owner/1")))
+        self.assertEqual([], self.request_replica(Prepare(KEY, Epoch(4, "owner/1"))))
+        responses = self.replica.handle_written(write.token, "", 0.0)
+        assert isinstance(responses[0], Send)
+        self.assertIsInstance(responses[0].message, Promise)
+        self.assertIsInstance(responses[1], Write)
+
+    def test_a_failed_write_gets_no_response(self) -> None:
+        (write,) = self.request_replica(Prepare(KEY, Epoch(3, "owner/1")))
         assert isinstance(write, Write)
-        answers = self.replica.handle_written(write.token, "full", 0.0)
-        self.assertEqual([], [each for each in answers if isinstance(each, Send)])
+        responses = self.replica.handle_written(write.token, "full", 0.0)
+        self.assertEqual([], [each for each in responses if isinstance(each, Send)])
         self.assertEqual(StoredKeyState(), self.replica.state(KEY))
-        self.assertEqual([], self.ask(Prepare(KEY, Epoch(4, "owner/1"))))
+        self.assertEqual([], self.request_replica(Prepare(KEY, Epoch(4, "owner/1"))))
 
     def test_lower_epochs_are_refused(self) -> None:
         self.promise(5)
         record = Record().moved_to(Epoch(4, "other/1"), CONFIG)
         accept = Accept(KEY, Epoch(4, "other/1"), record.to_update(), 0)
         for request in (Prepare(KEY, Epoch(4, "other/1")), accept):
-            (answer,) = self.ask(request)
-            assert isinstance(answer, Send)
-            self.assertIsInstance(answer.message, Refused)
+            (response,) = self.request_replica(request)
+            assert isinstance(response, Send)
+            self.assertIsInstance(response.message, Refused)
--- a/tests/storage/test_version_files.py
+++ b/tests/storage/test_version_files.py
@@ -32,21 +32,21 @@
         self.folder = Path(folder.name) / "data"
         self.disk = FullDisk()
 
-    def opened(self, cluster_id: str = "c", seed: int = 1) -> VersionFiles:
+    def new_files(self, cluster_id: str = "c", seed: int = 1) -> VersionFiles:
         return VersionFiles(self.folder, self.disk, cluster_id, random.Random(seed))
 
     def test_a_restart_reads_the_newest_chain(self) -> None:
-        files = self.opened()
+        files = self.new_files()
         identity = files.load().disk
         for number, content in enumerate([b"Sone", b"Dtwo", b"Sthree", b"Dfour"], start=1):
             self.assertEqual("", files.write("role/a b", number, content))
-        state = self.opened().load()
+        state = self.new_files().load()
         self.assertEqual(identity, state.disk)
         self.assertEqual([b"Sthree", b"Dfour"], state.keys["role/a b"].contents)
         self.assertEqual(4, state.keys["role/a b"].last_file)
 
     def test_old_chains_are_pruned(self) -> None:
-        files = self.opened()
+        files = self.new_files()
         files.load()
         for number in range(1, 11):
             files.write("k", number, b"S" + bytes([number]))
@@ -55,13 +55,13 @@
         )
 
     def test_a_torn_file_costs_the_disk_its_identity(self) -> None:
-        files = self.opened()
+        files = self.new_files()
         identity = files.load().disk
         files.write("k", 1, b"Sone")
         files.write("k", 2, b"Dtwo")
         path = self.folder / "keys" / "k" / "000000000002"
         path.write_bytes(path.read_bytes()[:-1])
-        state = self.opened(seed=2).load()
+        state = self.new_files(seed=2).load()
         self.assertIn("torn", state.damaged["k"])
         self.assertEqual({}, state.keys)
         self.assertNotEqual(identity, state.disk)
@@ -69,50 +69,50 @@
             ["k.000000000001", "k.000000000002"],
             self.disk.list_files(self.folder / "quarantine"),
         )
-        self.assertEqual({}, self.opened().load().damaged)
+        self.assertEqual({}, self.new_files().load().damaged)
 
-    def test_a_torn_file_before_the_newest_snapshot_costs_nothing(self) -> None:
-        files = self.opened()
+    def test_a_torn_file_before_the_newest_snapshot_is_harmless(self) -> None:
+        files = self.new_files()
         files.load()
         files.write("k", 1, b"Sone")
         files.write("k", 2, b"Stwo")
         (self.folder / "keys" / "k" / "000000000001").write_bytes(b"")
-        state = self.opened().load()
+        state = self.new_files().load()
         self.assertEqual(([b"Stwo"], {}), (state.keys["k"].contents, state.damaged))
 
-    def test_a_missing_file_is_noticed(self) -> None:
-        files = self.opened()
+    def test_a_missing_file_is_detected(self) -> None:
+        files = self.new_files()
         files.load()
         for number, content in enumerate([b"Sone", b"Dtwo", b"Dthree"], start=1):
             files.write("k", number, content)
         (self.folder / "keys" / "k" / "000000000002").unlink()
-        self.assertIn("missing", self.opened(seed=2).load().damaged["k"])
+        self.assertIn("missing", self.new_files(seed=2).load().damaged["k"])
 
-    def test_a_file_left_aside_is_removed(self) -> None:
-        files = self.opened()
+    def test_a_temporary_file_is_removed(self) -> None:
+        files = self.new_files()
         files.load()
         files.write("k", 1, b"Sone")
         (self.folder / "keys" / "k" / "000000000002.aside").write_bytes(b"half")
-        state = self.opened().load()
+        state = self.new_files().load()
         self.assertEqual({}, state.damaged)
 
-    def test_a_full_disk_is_said_and_survived(self) -> None:
-        files = self.opened()
+    def test_a_full_disk_is_reported_and_survived(self) -> None:
+        files = self.new_files()
         files.load()
         self.disk.full = True
         self.assertIn("No space left", files.write("k", 1, b"Sone"))
         self.disk.full = False
         self.assertEqual("", files.write("k", 2, b"Stwo"))
-        self.assertEqual([b"Stwo"], self.opened().load().keys["k"].contents)
+        self.assertEqual([b"Stwo"], self.new_files().load().keys["k"].contents)
 
     def test_a_folder_of_another_cluster_is_refused(self) -> None:
-        self.opened().load()
-        error = self.assertRaises(WrongClusterError, self.opened("other").load)
+        self.new_files().load()
+        error = self.assertRaises(WrongClusterError, self.new_files("other").load)
         self.assertIn("'other'", error.remedy)
 
     def test_records_without_identity_are_refused(self) -> None:
-        files = self.opened()
+        files = self.new_files()
         files.load()
         files.write("k", 1, b"Sone")
         (self.folder / "identity").unlink()
-        self.assertRaises(StorageError, self.opened().load)
+        self.assertRaises(StorageError, self.new_files().load)
