--- a/src/zincvale/controlplane/placement/config.py
+++ b/src/zincvale/controlplane/placement/config.py
@@ -23,7 +23,7 @@
     takeover_limit_s : a new leader waits at most this long for unresponsive servers before it uses
         the stores.
     unresponsive_release_s : an unresponsive server's store slot is given up after this long.
-    demand_expiry_s : a node that has not reported for this long counts as gone.
+    demand_expiry_s : a node that has not reported for this long counts as departed.
     drain_notice_s : time for nodes to learn that a model is draining, before it is unloaded.
     drain_limit_s : longest wait for requests that still run on a draining model.
     max_loads_per_server, max_loads_per_cold_server : concurrent loads ordered to one server.
@@ -39,7 +39,8 @@
         replica is added, and below which the last replica counts as surplus.
     swap_gain : a replica displaces others without waiting requests only if worth this much more.
     foreseen_gain : as `swap_gain`, for loads before a daily change, by what earlier days show.
-    companion_share : room for adapters that is made together with a model, as a share of its size.
+    companion_share : memory for adapters that is freed together with a model, as a share of its
+        size.
     urgent_horizon_s : how far the cost of an eviction for waiting requests is looked at.
     urgent_age_s : waiting this long doubles the weight of the waiting requests.
     declaration_budget : changed models and adapters taken into the tables in one run.
@@ -50,23 +51,23 @@
     small_item_bytes, small_item_share : items up to this size may use that share of a store's
         rate while a large pull is still owed.
     retry_backoff_s, max_retry_backoff_s : pause after a failed load of one item, doubling.
-    prior_rate_per_s : assumed demand of a declared model that nobody asked for yet.
+    prior_rate_per_s : assumed demand of a declared model that was never requested.
     fill_free_memory : load what is declared but absent while memory is free.
-    finished_move_keep_s, finished_moves_kept : history that stays readable.
+    finished_move_retention_s, max_finished_moves : history that stays readable.
     status_interval_s : time between two status requests to a server that is not confirmed, or whose
         order has no response.
-    shortest_status_interval_s : as above, near the end of a load.
+    min_status_interval_s : as above, near the end of a load.
     undeclared_grace_s : a replica that no resource declares is unloaded after this long.
     one_status_confirms : orders carry the number of orders that the server's status showed, so that
         one status is enough to order on.
     servers_guard_unloads : servers themselves refuse requests for what they unload and let running
-        ones end, so that an unload needs no word of the nodes.
+        ones end, so that an unload needs no report of the nodes.
     adapters_add_replicas : a model gets more replicas when its adapters in demand do not fit beside
         the present ones.
     crowds_count_as_waiting : requests that crowd a model's replicas count like those that wait, and
         nothing else adds replicas at once; what nobody waits for is loaded while the store is idle.
     serial_orders : a server carries out one order at a time; the next waits for its end.
-    servers_keep_weights : a server keeps on its own disk what it held, and loads it from there in
+    servers_keep_weights : a server keeps on its own disk what it loaded, and loads it from there in
         another time than from the store.
     confirms_orders : the runtime learns the end of an order itself; no status is requested for it.
     """
@@ -111,10 +112,10 @@
     max_retry_backoff_s: float = 60.0
     prior_rate_per_s: float = 1e-7
     fill_free_memory: bool = True
-    finished_move_keep_s: float = 600.0
-    finished_moves_kept: int = 500
+    finished_move_retention_s: float = 600.0
+    max_finished_moves: int = 500
     status_interval_s: float = 0.2
-    shortest_status_interval_s: float = 0.1
+    min_status_interval_s: float = 0.1
     undeclared_grace_s: float = 30.0
     one_status_confirms: bool = False
     servers_guard_unloads: bool = False
--- a/src/zincvale/controlplane/placement/desired_replicas.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -42,7 +42,7 @@
 def _queue_unplaced(placement: PlacementState, now: float) -> None:
     """Look again at what found no server, after servers appeared or were confirmed."""
     for key in placement.unplaced.take(now):
-        placement.items[key].place_after = now
+        placement.items[key].placement_retry_at = now
         placement.queue_review(key)
 
 
@@ -178,7 +178,7 @@
     if not placement.leadership.is_leader:
         return
     reason = _reason(placement, item, ready, pending, now)
-    if now < item.place_after and reason is not MoveReason.WAITING_REQUESTS:
+    if now < item.placement_retry_at and reason is not MoveReason.WAITING_REQUESTS:
         return
     urgency = URGENCY_BY_REASON[reason]
     pending = item.shortage_stamp != 0 and item.shortage_urgency == urgency
--- a/src/zincvale/controlplane/placement/dispatch.py
+++ b/src/zincvale/controlplane/placement/dispatch.py
@@ -112,10 +112,10 @@
     if not planned:
         return
     planned.sort(key=lambda move: _order_key(placement, move, now))
-    stores_held_back: set[StoreName] = set()
+    blocked_stores: set[StoreName] = set()
     for move in planned:
         if move.move_id in placement.calendar.moves:
-            _advance_load(placement, move, stores_held_back, now)
+            _advance_load(placement, move, blocked_stores, now)
 
 
 def _order_key(placement: PlacementState, move: Move, now: float) -> tuple[float, ...]:
@@ -127,7 +127,7 @@
 
 
 def _advance_load(
-    placement: PlacementState, move: Move, stores_held_back: set[StoreName], now: float
+    placement: PlacementState, move: Move, blocked_stores: set[StoreName], now: float
 ) -> None:
     item = placement.items.get(move_item_key(move))
     server = placement.servers[move.server]
@@ -138,12 +138,12 @@
     if not placement.leadership.may_order(now) or not placement.leadership.stores_open:
         return
     small = item.weight_bytes <= placement.config.small_item_bytes
-    if move.store in stores_held_back and not small:
+    if move.store in blocked_stores and not small:
         return
     if not _may_order_now(placement, move, item, server, now):
         # A larger, less urgent pull must not overtake an urgent one and owe the store's rate.
         if is_missed(placement, item, now):
-            stores_held_back.add(move.store)
+            blocked_stores.add(move.store)
         return
     _order_load(placement, move, item, server, now)
 
--- a/src/zincvale/controlplane/placement/items.py
+++ b/src/zincvale/controlplane/placement/items.py
@@ -65,7 +65,8 @@
     shortage_stamp : the valid entry of this item in its store's shortage queue, 0 for none.
     shortage_urgency : urgency of that entry.
     retry_at : no load of it is planned before, after a failed one.
-    place_after : as `retry_at`, after no server was found; does not hold for waiting requests.
+    placement_retry_at : as `retry_at`, after no server was found; does not hold for waiting
+        requests.
     unplaced_logged_at : when it was last logged that nothing fits.
     failures : failed loads in a row.
     rate, rate_at : requests per second last expected, and when; see `replica_value.expected_rate`.
@@ -99,7 +100,7 @@
     shortage_stamp: int = 0
     shortage_urgency: int = 0
     retry_at: float = 0.0
-    place_after: float = 0.0
+    placement_retry_at: float = 0.0
     unplaced_logged_at: float = float("-inf")
     rate: float = 0.0
     rate_at: float = -1.0
--- a/src/zincvale/controlplane/placement/leadership.py
+++ b/src/zincvale/controlplane/placement/leadership.py
@@ -127,7 +127,7 @@
             soonest = min(soonest, last + config.status_interval_s)
             continue
         part_s = STATUS_LOAD_FRACTION * (move.expected_end - move.start_at)
-        interval_s = min(max(part_s, config.shortest_status_interval_s), MAX_STATUS_INTERVAL_S)
+        interval_s = min(max(part_s, config.min_status_interval_s), MAX_STATUS_INTERVAL_S)
         soonest = min(soonest, max(move.expected_end - part_s, last + interval_s))
     return soonest
 
--- a/src/zincvale/controlplane/placement/load_candidates.py
+++ b/src/zincvale/controlplane/placement/load_candidates.py
@@ -33,7 +33,7 @@
     may_drain = item.waiting > 0 and now - item.waiting_since > DRAIN_DELAY_S
     if placement.config.servers_keep_weights and item.kind is ItemKind.MODEL:
         choice = choose_by_disk(placement, Space(item, item.weight_bytes, may_drain), now)
-        if choice is not None and is_worth(placement, item, reason, choice, now):
+        if choice is not None and is_worth_loading(placement, item, reason, choice, now):
             return choice
     spread_first = reason is MoveReason.MIN_REPLICAS
     companions = _companion_bytes(placement, item)
@@ -56,7 +56,7 @@
     return min(total, limit)
 
 
-def is_worth(
+def is_worth_loading(
     placement: PlacementState, item: ItemRow, reason: MoveReason, choice: Choice, now: float
 ) -> bool:
     """Whether the load is worth more than what leaves for it."""
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -11,7 +11,7 @@
 from zincvale.controlplane.placement.choose_server import AllServersBusyError, Choice
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow
-from zincvale.controlplane.placement.load_candidates import find_candidate, is_worth
+from zincvale.controlplane.placement.load_candidates import find_candidate, is_worth_loading
 from zincvale.controlplane.placement.load_moves import LoadTerms, new_load
 from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import (
@@ -143,11 +143,11 @@
         choice = find_candidate(placement, item, reason, now)
     except AllServersBusyError:
         return Planning.BUSY
-    if choice is None or not is_worth(placement, item, reason, choice, now):
+    if choice is None or not is_worth_loading(placement, item, reason, choice, now):
         placement.unplaced.add(item.key)
         _log_unplaced(placement, item, reason, choice, now)
         if reason is not MoveReason.WAITING_REQUESTS:
-            item.place_after = now + placement.config.review_interval_s
+            item.placement_retry_at = now + placement.config.review_interval_s
         return Planning.NOWHERE
     add_load_moves(placement, item, reason, choice, now)
     if item.kind is ItemKind.MODEL:
--- a/src/zincvale/controlplane/placement/prefetch.py
+++ b/src/zincvale/controlplane/placement/prefetch.py
@@ -1,8 +1,8 @@
 """System: brings weights onto servers' own disks ahead of requests, while servers are idle.
 
-A server loads what it held before from its own disk. Where that takes much less time than a load
+A server loads what it had before from its own disk. Where that takes much less time than a load
 from the store, the first request for a model that no disk has is the expensive one; so models that
-no server ever held are loaded once, in one place of each idle server, and leave again for the next.
+no server ever loaded are loaded once, one at a time on each idle server, and evicted for the next.
 
 Whether disks are faster is tried first, by unloading and loading again a replica that is not
 needed. While nobody asks for anything every idle server takes part. Else most of a pool's servers
@@ -203,7 +203,7 @@
         (rank, key)
         for key, replica in server.replicas.items()
         if replica.item_bytes >= missing_bytes
-        and (rank := _rank_of_leaving(placement, server, key, replica)) is not None
+        and (rank := _eviction_rank(placement, server, key, replica)) is not None
     ]
     if not fitting:
         return None
@@ -212,7 +212,7 @@
     return Eviction((*adapters, model), 0.0)
 
 
-def _rank_of_leaving(
+def _eviction_rank(
     placement: PlacementState, server: ServerState, key: ItemKey, replica: Replica
 ) -> int | None:
     """Return which replicas leave first, 0 before 1; None for those that stay.
--- a/src/zincvale/controlplane/placement/publication.py
+++ b/src/zincvale/controlplane/placement/publication.py
@@ -10,12 +10,12 @@
 
 def trim_history(placement: PlacementState, now: float) -> None:
     """System: drop finished moves that are old or too many."""
-    oldest = now - placement.config.finished_move_keep_s
+    oldest = now - placement.config.finished_move_retention_s
     history = placement.calendar.finished
     while history:
         move_id, move = next(iter(history.items()))
         recent = move.finished_at is not None and move.finished_at > oldest
-        if recent and len(history) <= placement.config.finished_moves_kept:
+        if recent and len(history) <= placement.config.max_finished_moves:
             return
         del history[move_id]
         placement.calendar.changed.pop(move_id, None)
--- a/src/zincvale/controlplane/placement/state.py
+++ b/src/zincvale/controlplane/placement/state.py
@@ -210,8 +210,6 @@
         """Return requests that nodes reported as running on a replica."""
         return self.running.get((server.server, key), 0)
 
-    # Holdings
-
     def _record_disk_copy(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
         if replica.state is ReplicaState.LOADED and not is_adapter_key(key):
             self.disk_copies.record(key, server.address)
--- a/src/zincvale/controlplane/placement/stores.py
+++ b/src/zincvale/controlplane/placement/stores.py
@@ -40,7 +40,7 @@
     Attributes
     ----------
     in_flight : loads ordered and not seen over.
-    kept_until : ends of pulls by servers that left the directory.
+    slots_kept_until : ends of pulls by servers that left the directory.
     owed_bytes, owed_small_bytes : at the time `paid_at`.
     loads_per_window, window_s : loads that may begin in any time of this length; 0 means any.
     """
@@ -50,7 +50,7 @@
     bytes_per_second: int
     max_concurrent_loads: int
     in_flight: int = 0
-    kept_until: list[float] = attrs.field(factory=list)
+    slots_kept_until: list[float] = attrs.field(factory=list)
     owed_bytes: float = 0.0
     owed_small_bytes: float = 0.0
     paid_at: float = 0.0
@@ -103,13 +103,13 @@
     def keep_slot(self, until: float) -> None:
         """Keep a slot occupied until `until` for a pull that nobody can observe any more."""
         self.in_flight -= 1
-        self.kept_until.append(until)
+        self.slots_kept_until.append(until)
 
     def occupied_slots(self, now: float) -> int:
         """Return pulls that may be running."""
-        if self.kept_until:
-            self.kept_until = [until for until in self.kept_until if until > now]
-        return self.in_flight + len(self.kept_until)
+        if self.slots_kept_until:
+            self.slots_kept_until = [until for until in self.slots_kept_until if until > now]
+        return self.in_flight + len(self.slots_kept_until)
 
     def free_at(self, now: float, config: PlacementConfig) -> float:
         """Return when the owed bytes will be within the burst."""
--- a/src/zincvale/daemons/forwarding_placement.py
+++ b/src/zincvale/daemons/forwarding_placement.py
@@ -42,7 +42,7 @@
         review_interval_s=0.25,
         slow_half_life_s=20.0,
         status_interval_s=0.25,
-        finished_moves_kept=20,
+        max_finished_moves=20,
         undeclared_grace_s=600.0,
         serial_orders=True,
         confirms_orders=True,
