--- a/src/zincvale/fleet/clients.py
+++ b/src/zincvale/fleet/clients.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
+from http import HTTPStatus
 from typing import Any
 
 import attrs
@@ -10,13 +11,16 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPError, HTTPRequest
 
-NO_ANSWER = 0
+NO_RESPONSE = 0
+"""The status of a call that got no HTTP response: the effect of the request is unknown."""
+CLIENT_TIMEOUT_STATUS = 599
+"""What tornado's client reports when a connection fails or times out."""
 MAX_CLIENTS = 64
 CONNECT_TIMEOUT_S = 1.0
 
 
 @attrs.frozen
-class Answer:
+class RigResponse:
     """What came back; `status` 0 means that nothing did."""
 
     status: int
@@ -26,7 +30,7 @@
     @property
     def ok(self) -> bool:
         """Whether the status is 200."""
-        return self.status == 200
+        return self.status == HTTPStatus.OK
 
     def field(self, name: str) -> Any:
         """Return a field of a JSON object body, or None."""
@@ -34,12 +38,12 @@
 
 
 class RigClient:
-    """Calls daemons and stand-ins; a call that fails is an `Answer` with status 0."""
+    """Calls daemons and stand-ins; a call that fails is a `RigResponse` with status 0."""
 
     def __init__(self) -> None:
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=MAX_CLIENTS)
 
-    async def get(self, address: str, path: str, timeout_s: float = 1.0) -> Answer:
+    async def get(self, address: str, path: str, timeout_s: float = 1.0) -> RigResponse:
         """Send a GET."""
         return await self._fetch(HTTPRequest(f"http://{address}{path}"), timeout_s)
 
@@ -50,7 +54,7 @@
         body: Any,
         timeout_s: float = 1.0,
         headers: Mapping[str, str] | None = None,
-    ) -> Answer:
+    ) -> RigResponse:
         """Send JSON by POST."""
         return await self.send("POST", address, path, body, timeout_s, headers)
 
@@ -62,7 +66,7 @@
         body: Any = None,
         timeout_s: float = 1.0,
         headers: Mapping[str, str] | None = None,
-    ) -> Answer:
+    ) -> RigResponse:
         """Send JSON by any method."""
         request = HTTPRequest(
             f"http://{address}{path}",
@@ -73,16 +77,16 @@
         )
         return await self._fetch(request, timeout_s)
 
-    async def _fetch(self, request: HTTPRequest, timeout_s: float) -> Answer:
+    async def _fetch(self, request: HTTPRequest, timeout_s: float) -> RigResponse:
         request.connect_timeout = min(timeout_s, CONNECT_TIMEOUT_S)
         request.request_timeout = timeout_s
         try:
             response = await self._client.fetch(request, raise_error=False)
         except (HTTPError, OSError) as error:
-            return Answer(NO_ANSWER, problem=str(error))
-        if response.code in (NO_ANSWER, 599):
-            return Answer(NO_ANSWER, problem=str(response.error))
-        return Answer(response.code, _json_or_text(response.body or b""))
+            return RigResponse(NO_RESPONSE, problem=str(error))
+        if response.code in (NO_RESPONSE, CLIENT_TIMEOUT_STATUS):
+            return RigResponse(NO_RESPONSE, problem=str(response.error))
+        return RigResponse(response.code, _json_or_text(response.body or b""))
 
 
 def _json_or_text(body: bytes) -> Any:
--- a/src/zincvale/fleet/invariants/changes.py
+++ b/src/zincvale/fleet/invariants/changes.py
@@ -19,7 +19,7 @@
 
 
 def check(evidence: Evidence) -> CheckResult:
-    """Check the orders' answers against each other."""
+    """Check the orders' responses against each other."""
     result = CheckResult(NUMBER, TITLE)
     orders = operator_orders(evidence)
     result.facts = len(orders)
@@ -77,20 +77,22 @@
     first = order.acknowledgement
     if first is None:
         return
-    for answer in order.answers:
-        if answer.t < first.t and answer.status in REJECTED_STATUSES:
+    for response in order.responses:
+        if response.t < first.t and response.status in REJECTED_STATUSES:
             result.breach(
-                order.order_id, first.t, f"is in force though it was refused ({answer.status})"
+                order.order_id, first.t, f"is in force though it was refused ({response.status})"
             )
-        if answer.t <= first.t:
+        if response.t <= first.t:
             continue
-        if answer.status in REJECTED_STATUSES:
-            result.breach(order.order_id, answer.t, f"was refused ({answer.status}) when resent")
-        elif answer.status == HTTP_OK and answer.version != first.version:
+        if response.status in REJECTED_STATUSES:
+            result.breach(
+                order.order_id, response.t, f"was refused ({response.status}) when resent"
+            )
+        elif response.status == HTTP_OK and response.version != first.version:
             result.breach(
                 order.order_id,
-                answer.t,
-                f"got version {answer.version} when resent, not {first.version}",
+                response.t,
+                f"got version {response.version} when resent, not {first.version}",
             )
 
 
@@ -98,7 +100,9 @@
     result: CheckResult, order: OperatorOrder, acked: list[Acknowledged]
 ) -> None:
     """An order refused as a conflict, when no other change can have won, lost to itself."""
-    conflict = next((a for a in order.answers if a.status == HTTP_CONFLICT), None)
+    conflict = next(
+        (response for response in order.responses if response.status == HTTP_CONFLICT), None
+    )
     if conflict is None or order.base_version is None or len(order.sent_ts) < 2:
         return
     newer = [item for item in acked if item.version > order.base_version]
--- a/src/zincvale/fleet/invariants/drains.py
+++ b/src/zincvale/fleet/invariants/drains.py
@@ -158,8 +158,8 @@
     for order in orders:
         if order.rejected or not _reopens(order, kind, name, field):
             continue
-        answer = order.acknowledgement
-        if answer is not None and (answer.version or 0) < closed.version:
+        response = order.acknowledgement
+        if response is not None and (response.version or 0) < closed.version:
             continue
         times.append(max(order.first_sent_t, closed.order.first_sent_t))
     return min(times)
--- a/src/zincvale/fleet/invariants/operations.py
+++ b/src/zincvale/fleet/invariants/operations.py
@@ -1,4 +1,4 @@
-"""Operators' orders put together from what was sent and what was answered."""
+"""Operators' orders put together from the changes sent and their responses."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import attrs
 
 from zincvale.fleet.invariants.evidence import Evidence
-from zincvale.fleet.invariants.rows import ChangeAnswered, ChangeSent
+from zincvale.fleet.invariants.rows import ChangeResponse, ChangeSent
 
 HTTP_OK = 200
 HTTP_CONFLICT = 409
 REJECTED_STATUSES = frozenset({400, 404, 409, 413, 422})
-"""Answers that promise that nothing was changed."""
+"""Responses that promise that nothing was changed."""
 
 
 @attrs.define
@@ -24,7 +24,7 @@
     base_version: int | None
     change: dict[str, Any]
     sent_ts: list[float] = attrs.field(factory=list)
-    answers: list[ChangeAnswered] = attrs.field(factory=list)
+    responses: list[ChangeResponse] = attrs.field(factory=list)
 
     @property
     def first_sent_t(self) -> float:
@@ -32,16 +32,16 @@
         return self.sent_ts[0] if self.sent_ts else math.inf
 
     @property
-    def acknowledgement(self) -> ChangeAnswered | None:
-        """The first answer that said the change is in force."""
-        return next((answer for answer in self.answers if answer.status == HTTP_OK), None)
+    def acknowledgement(self) -> ChangeResponse | None:
+        """The first response that said the change is in force."""
+        return next((response for response in self.responses if response.status == HTTP_OK), None)
 
     @property
     def rejected(self) -> bool:
-        """Whether every answer said that nothing was changed, and each attempt was answered."""
-        if not self.answers or len(self.answers) < len(self.sent_ts):
+        """Whether each attempt got a response, and all said that nothing was changed."""
+        if not self.responses or len(self.responses) < len(self.sent_ts):
             return False
-        return all(answer.status in REJECTED_STATUSES for answer in self.answers)
+        return all(response.status in REJECTED_STATUSES for response in self.responses)
 
     @property
     def uncertain(self) -> bool:
@@ -77,9 +77,9 @@
             order = OperatorOrder(sent.order_id, sent.base_version, sent.change)
             orders[sent.order_id] = order
         order.sent_ts.append(sent.t)
-    for answered in evidence.of(ChangeAnswered):
-        if answered.order_id in orders:
-            orders[answered.order_id].answers.append(answered)
+    for response in evidence.of(ChangeResponse):
+        if response.order_id in orders:
+            orders[response.order_id].responses.append(response)
     return sorted(orders.values(), key=lambda order: order.first_sent_t)
 
 
@@ -87,9 +87,9 @@
     """Return the acknowledged orders by version."""
     found = []
     for order in orders:
-        answer = order.acknowledgement
-        if answer is not None and answer.version is not None:
-            found.append(Acknowledged(answer.t, answer.version, order))
+        response = order.acknowledgement
+        if response is not None and response.version is not None:
+            found.append(Acknowledged(response.t, response.version, order))
     return sorted(found, key=lambda acked: acked.version)
 
 
--- a/src/zincvale/fleet/invariants/rows.py
+++ b/src/zincvale/fleet/invariants/rows.py
@@ -182,8 +182,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class ChangeAnswered(Row):
-    """An operator's answer; `status` 0 means that none came."""
+class ChangeResponse(Row):
+    """The response to an operator's change; `status` 0 means that none came."""
 
     order_id: str
     status: int
@@ -278,7 +278,7 @@
     "send": RequestSent,
     "result": ResultReceived,
     "apply": ChangeSent,
-    "applied": ChangeAnswered,
+    "applied": ChangeResponse,
     "fault": FaultBegan,
     "fault-end": FaultEnded,
     "intent-read": IntentRead,
--- a/src/zincvale/fleet/observer.py
+++ b/src/zincvale/fleet/observer.py
@@ -10,7 +10,7 @@
 import attrs
 from tornado import gen
 
-from zincvale.fleet.clients import NO_ANSWER, Answer, RigClient
+from zincvale.fleet.clients import NO_RESPONSE, RigClient, RigResponse
 from zincvale.fleet.invariants.markers import marker_path
 from zincvale.fleet.machines import Fleet
 from zincvale.fleet.operators import Operators
@@ -83,24 +83,24 @@
     async def _read_intent(self, core: Machine, whole: bool) -> None:
         asked_t = boot_time_s()
         address = self.fleet.deployment.api_address(core)
-        answer = await self.client.get(address, "/v1/intent", READ_TIMEOUT_S)
+        response = await self.client.get(address, "/v1/intent", READ_TIMEOUT_S)
         self.journal.write(
             "intent-read",
             member=core.name,
             asked_t=asked_t,
-            status=answer.status,
-            version=answer.field("version"),
-            resources=answer.field("resources") if whole else None,
+            status=response.status,
+            version=response.field("version"),
+            resources=response.field("resources") if whole else None,
         )
 
     async def _poll_node(self, node: Machine) -> None:
         asked_t = boot_time_s()
-        answer = await self._ready(node)
-        if answer.ok:
+        response = await self._ready(node)
+        if response.ok:
             self.ready_nodes.add(node.name)
         else:
             self.ready_nodes.discard(node.name)
-        self.journal.write("ready", member=node.name, asked_t=asked_t, status=answer.status)
+        self.journal.write("ready", member=node.name, asked_t=asked_t, status=response.status)
 
     async def _probe(self, node: Machine, marker: int) -> None:
         """Ask for the marker's path with an empty body: 422 where it is in force, else 404."""
@@ -109,20 +109,20 @@
             return
         asked_t = boot_time_s()
         address = self.fleet.deployment.api_address(node)
-        answer = await self.client.post(address, marker_path(marker), {}, SHORT_TIMEOUT_S)
+        response = await self.client.post(address, marker_path(marker), {}, SHORT_TIMEOUT_S)
         answered_t = boot_time_s()
-        after = await self._ready(node) if answer.status != NO_ANSWER else before
+        after = await self._ready(node) if response.status != NO_RESPONSE else before
         self.journal.write(
             "probe",
             member=node.name,
             asked_t=asked_t,
             answered_t=answered_t,
             marker=marker,
-            status=answer.status,
-            reason=answer.field("reason") or "",
+            status=response.status,
+            reason=response.field("reason") or "",
             ready=after.ok,
         )
 
-    async def _ready(self, node: Machine) -> Answer:
+    async def _ready(self, node: Machine) -> RigResponse:
         address = self.fleet.deployment.api_address(node)
         return await self.client.get(address, "/ready", SHORT_TIMEOUT_S)
--- a/src/zincvale/fleet/operators.py
+++ b/src/zincvale/fleet/operators.py
@@ -1,6 +1,6 @@
-"""Operators as the rig drives them: declared changes, resends, races and lost answers.
+"""Operators as the rig drives them: declared changes, resends, races and lost responses.
 
-Everything sent and answered goes into the journal `operators.jsonl`, in the rows that the checks
+Every request and response goes into the journal `operators.jsonl`, in the rows that the checks
 read.
 """
 
@@ -14,7 +14,7 @@
 import orjson
 from tornado import gen
 
-from zincvale.fleet.clients import Answer, RigClient
+from zincvale.fleet.clients import NO_RESPONSE, RigClient, RigResponse
 from zincvale.fleet.invariants.markers import MARKER_ROUTE, marker_of, marker_path
 from zincvale.fleet.invariants.operations import HTTP_OK, REJECTED_STATUSES
 from zincvale.fleet.rig_journal import boot_time_s
@@ -93,26 +93,26 @@
 
     async def apply_marker_change(self, change: Change) -> bool:
         """Apply a change of the marker route, and remember the marker once acknowledged."""
-        answer = await self.apply(change)
-        version = answer.field("version") or 0
-        if answer.ok and version > self._marker_version:
+        response = await self.apply(change)
+        version = response.field("version") or 0
+        if response.ok and version > self._marker_version:
             self.newest_marker = marker_of(change.resources) or 0
             self._marker_version = version
-        return answer.ok
+        return response.ok
 
-    async def apply(self, change: Change, attempts: int = ATTEMPTS) -> Answer:
+    async def apply(self, change: Change, attempts: int = ATTEMPTS) -> RigResponse:
         """Send a change until it is acknowledged or refused for good."""
-        answer = Answer(0)
+        response = RigResponse(NO_RESPONSE)
         for attempt in range(1, attempts + 1):
-            answer = await self.attempt(change, attempt)
-            if answer.ok or answer.status in REJECTED_STATUSES:
-                return answer
+            response = await self.attempt(change, attempt)
+            if response.ok or response.status in REJECTED_STATUSES:
+                return response
             await gen.sleep(RESEND_PAUSE_S)
-        return answer
+        return response
 
     async def attempt(
         self, change: Change, attempt: int = 1, timeout_s: float = ATTEMPT_TIMEOUT_S
-    ) -> Answer:
+    ) -> RigResponse:
         """Send a change once, to the next core in turn."""
         core, address = self._next_core()
         self._write(
@@ -124,28 +124,28 @@
             core=core,
         )
         headers = {"Idempotency-Key": change.order_id}
-        answer = await self._client.post(address, "/v1/intent", change.body(), timeout_s, headers)
-        version = answer.field("version") if answer.status == HTTP_OK else None
+        response = await self._client.post(address, "/v1/intent", change.body(), timeout_s, headers)
+        version = response.field("version") if response.status == HTTP_OK else None
         self._write(
             "applied",
             order_id=change.order_id,
-            status=answer.status,
+            status=response.status,
             version=version,
-            body=answer.body if not answer.ok else None,
+            body=response.body if not response.ok else None,
             attempt=attempt,
             core=core,
         )
         if version is not None:
             self.newest_version = max(self.newest_version, version)
-        return answer
+        return response
 
     async def current_version(self) -> int | None:
-        """Return the version that a core shows now, or None when none answers."""
+        """Return the version that a core shows now, or None when none responds."""
         for _ in range(len(self._cores)):
             _, address = self._next_core()
-            answer = await self._client.get(address, "/v1/intent", 2.0)
-            if answer.ok:
-                return answer.field("version")
+            response = await self._client.get(address, "/v1/intent", 2.0)
+            if response.ok:
+                return response.field("version")
         return None
 
     def add_core(self, name: str, address: str) -> None:
--- a/src/zincvale/fleet/relay_control.py
+++ b/src/zincvale/fleet/relay_control.py
@@ -29,10 +29,11 @@
             own = {item.link.name for item in self.links[start : start + LINKS_PER_PROCESS]}
             for state, names in _by_state(changes, own):
                 body = {"links": names, "state": state.to_dict()}
-                answer = await self.client.post(address, "/links", body, RELAY_TIMEOUT_S)
-                if not answer.ok:
+                response = await self.client.post(address, "/links", body, RELAY_TIMEOUT_S)
+                if not response.ok:
                     raise UnavailableError(
-                        f"relay {address} did not take a change: {answer.body or answer.problem}",
+                        f"relay {address} did not take a change: "
+                        f"{response.body or response.problem}",
                         "see the relay's log in the run folder",
                     )
 
--- a/src/zincvale/fleet/replacement.py
+++ b/src/zincvale/fleet/replacement.py
@@ -9,7 +9,7 @@
 from zincvale.standins import assemble
 from zincvale.standins.deployment import Machine
 
-ANSWER_TIMEOUT_S = 5.0
+RESPONSE_TIMEOUT_S = 5.0
 ATTEMPTS = 20
 PAUSE_S = 0.5
 
@@ -79,11 +79,11 @@
     for attempt in range(ATTEMPTS):
         core = cores[attempt % len(cores)]
         address = context.fleet.deployment.api_address(core)
-        answer = await context.client.post(address, "/v1/replicas", body, ANSWER_TIMEOUT_S)
+        response = await context.client.post(address, "/v1/replicas", body, RESPONSE_TIMEOUT_S)
         context.journal.write(
-            "replace-answer", core=core.name, status=answer.status, body=answer.body
+            "replace-answer", core=core.name, status=response.status, body=response.body
         )
-        if answer.status in (200, 202):
+        if response.status in (200, 202):
             return True
         await gen.sleep(PAUSE_S)
     return False
--- a/src/zincvale/fleet/startup.py
+++ b/src/zincvale/fleet/startup.py
@@ -34,7 +34,7 @@
             await self._wait(f"relay {control}", control, "/ready")
 
     async def wait_for_stand_ins(self) -> None:
-        """Wait until back ends and platform answer."""
+        """Wait until back ends and platform respond."""
         deployment = self.fleet.deployment
         for server in deployment.servers:
             await self._wait(server.name, deployment.server_address(server), "/status")
@@ -56,22 +56,23 @@
         change = operators.new_change(resources)
         deadline = boot_time_s() + FIRST_INTENT_WITHIN_S
         while boot_time_s() < deadline:
-            answer = await operators.apply(change, attempts=1)
-            if answer.ok:
+            response = await operators.apply(change, attempts=1)
+            if response.ok:
                 return
-            if answer.status in (400, 409, 413, 422):
+            if response.status in (400, 409, 413, 422):
                 break
             await gen.sleep(POLL_INTERVAL_S)
         raise StartupError(
-            f"the first intent was not accepted: {answer.status} {answer.body or answer.problem}",
+            f"the first intent was not accepted: {response.status} "
+            f"{response.body or response.problem}",
             "see the cores' logs in the run folder (--keep-folder)",
         )
 
     async def _wait(self, name: str, address: str, path: str) -> None:
-        async def answers() -> bool:
+        async def is_responding() -> bool:
             return (await self.client.get(address, path, CALL_TIMEOUT_S)).ok
 
-        await wait_until(answers, name, self.fleet.table.unexpected_ends)
+        await wait_until(is_responding, name, self.fleet.table.unexpected_ends)
 
 
 async def wait_until(
