--- a/src/zincvale/coordination/leases/member_lease.py
+++ b/src/zincvale/coordination/leases/member_lease.py
@@ -163,7 +163,11 @@
 
 
 def _majority_requested_at(replicas: list[str], requested: dict[MemberId, float]) -> float:
-    """Return the latest instant since which a majority of `replicas` granted requests."""
+    """Return the latest instant since which a majority of `replicas` granted requests.
+
+    `node.partition_guard` counts nodes in the same way, but there an empty set needs no evidence;
+    here a lease never exists without grantors.
+    """
     members = [member_of(replica) for replica in replicas]
     times = sorted((requested[member] for member in members if member in requested), reverse=True)
     needed = majority(len(members))
--- a/src/zincvale/coordination/node/partition_guard.py
+++ b/src/zincvale/coordination/node/partition_guard.py
@@ -149,7 +149,8 @@
 def _majority_requested_at(registered: list[str], requested: dict[str, float]) -> float:
     """Return the latest instant since which a majority of `registered` gave requested evidence.
 
-    An empty set needs no evidence.
+    An empty set needs no evidence: a registry whose last nodes leave has an empty new set. The
+    count of grants in `leases.member_lease` never meets one.
     """
     if not registered:
         return float("inf")
