--- a/src/zincvale/dataplane/inference/caller_connection.py
+++ b/src/zincvale/dataplane/inference/caller_connection.py
@@ -74,7 +74,7 @@
                 return
             body = b"".join(self._body)
             self._runner = self._ingress.begin(self._path, self._headers, body, sink)
-        except Exception as error:
+        except Exception as error:  # a defect must not leave the caller without response
             self._end_by_defect(sink, error)
 
     def on_connection_close(self) -> None:
--- a/src/zincvale/dataplane/inference/dependency_calls.py
+++ b/src/zincvale/dataplane/inference/dependency_calls.py
@@ -51,7 +51,7 @@
             decision = await self.context.claims.claim(
                 request.request_id, request.digest, request.route, deadline_at
             )
-        except Exception as error:
+        except Exception as error:  # a defect there must not leave the request waiting
             self._log_defect("claim", error)
         return ClaimDecided(decision)
 
@@ -61,7 +61,7 @@
         renewed = False
         try:
             renewed = await self.context.claims.renew(request.request_id, request.deadline_at)
-        except Exception as error:
+        except Exception as error:  # a defect there must not leave the request waiting
             self._log_defect("renew", error)
         return ClaimRenewed(renewed)
 
@@ -70,7 +70,7 @@
         state: JournalState | None = None
         try:
             state = await self.context.journal.resume(self.machine.request.request_id, after)
-        except Exception as error:
+        except Exception as error:  # a defect there must not leave the request waiting
             self._log_defect("resume", error)
         return StreamFound(state)
 
@@ -116,7 +116,7 @@
     async def _confirmed(self, what: str, confirmation: Awaitable[bool]) -> None:
         try:
             await confirmation
-        except Exception as error:
+        except Exception as error:  # a defect there must not leave the request waiting
             self._log_defect(what, error)
 
     def _log_defect(self, what: str, error: Exception) -> None:
--- a/src/zincvale/dataplane/inference/runner.py
+++ b/src/zincvale/dataplane/inference/runner.py
@@ -158,7 +158,7 @@
         try:
             if self._process():
                 self._busy = False
-        except Exception as error:
+        except Exception as error:  # a defect must not keep the slots of its request
             self._end_by_defect(error)
 
     def _process(self) -> bool:
