--- a/src/zincvale/fleet/invariants/__init__.py
+++ b/src/zincvale/fleet/invariants/__init__.py
@@ -9,7 +9,6 @@
 from collections.abc import Callable
 
 from zincvale.fleet.invariants import (
-    answers,
     at_most_once,
     changes,
     drains,
@@ -17,9 +16,10 @@
     limits,
     refusals,
     repair,
+    responses,
     restarts,
-    silent_control,
     streams,
+    unresponsive_control,
 )
 from zincvale.fleet.invariants.evidence import Evidence, Expectations
 from zincvale.fleet.invariants.findings import Breach, CheckResult
@@ -28,12 +28,12 @@
 CHECKS: tuple[Callable[[Evidence], CheckResult], ...] = (
     at_most_once.check,
     refusals.check,
-    answers.check,
+    responses.check,
     streams.check,
     changes.check,
     in_force.check,
     drains.check,
-    silent_control.check,
+    unresponsive_control.check,
     repair.check,
     restarts.check,
     limits.check,
--- a/src/zincvale/fleet/invariants/journals.py
+++ b/src/zincvale/fleet/invariants/journals.py
@@ -18,7 +18,7 @@
 def read_journals(folder: Path, expectations: Expectations) -> Evidence:
     """Return the evidence in every journal of `folder`.
 
-    A line that cannot be read is listed in `Evidence.unreadable`, never skipped in silence: the
+    A line that cannot be read is listed in `Evidence.unreadable`, never skipped unreported: the
     last line of a killed process may be torn.
     """
     rows: list[Row] = []
--- a/src/zincvale/fleet/invariants/outages.py
+++ b/src/zincvale/fleet/invariants/outages.py
@@ -1,4 +1,4 @@
-"""Faults as intervals: who was silent, and when."""
+"""Faults as intervals: who was unresponsive, and when."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
     return found
 
 
-def silences(evidence: Evidence) -> list[Outage]:
-    """Return the faults that silenced a daemon: stopped ones, and cuts that isolated it."""
+def unresponsive_periods(evidence: Evidence) -> list[Outage]:
+    """Return the faults that made a daemon unresponsive: it was stopped, or cut off."""
     found = []
     for outage in outages(evidence):
         if outage.kind in STOPPING_KINDS:
--- a/src/zincvale/fleet/invariants/answers.py
+++ b/src/zincvale/fleet/invariants/responses.py
@@ -1,4 +1,4 @@
-"""Invariant 3: no caller gets another's answer, nor a partial one that looks whole."""
+"""Invariant 3: no caller gets another's response, nor a partial one that looks complete."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def check(evidence: Evidence) -> CheckResult:
-    """Hold every answer that looked whole against the text that its request must have."""
+    """Compare every response that looked complete with the text that its request must have."""
     result = CheckResult(NUMBER, TITLE)
     without_digest = 0
     for received in evidence.of(ResultReceived):
-        if not _looks_whole(received):
+        if not _looks_complete(received):
             continue
         result.facts += 1
         _check_identity(result, received)
@@ -34,15 +34,15 @@
     return result
 
 
-def _looks_whole(received: ResultReceived) -> bool:
+def _looks_complete(received: ResultReceived) -> bool:
     return received.complete or received.outcome == Outcome.ANSWERED.value
 
 
 def _check_identity(result: CheckResult, received: ResultReceived) -> None:
-    answered_id = received.answer_request_id
-    if answered_id is not None and answered_id != received.request_id:
+    response_id = received.answer_request_id
+    if response_id is not None and response_id != received.request_id:
         result.breach(
             received.request_id,
             received.t,
-            f"attempt {received.attempt} got the answer of {answered_id}",
+            f"attempt {received.attempt} got the answer of {response_id}",
         )
--- a/src/zincvale/fleet/invariants/restarts.py
+++ b/src/zincvale/fleet/invariants/restarts.py
@@ -13,7 +13,7 @@
     newest_acknowledged_version,
     operator_orders,
 )
-from zincvale.fleet.invariants.outages import Outage, silences
+from zincvale.fleet.invariants.outages import Outage, unresponsive_periods
 from zincvale.fleet.invariants.rows import IntentRead, ReadinessPolled
 
 NUMBER = 10
@@ -28,16 +28,16 @@
     """Follow every restarted daemon until it serves the newest acknowledged version."""
     result = CheckResult(NUMBER, TITLE)
     acked = acknowledged(operator_orders(evidence))
-    silent = silences(evidence)
+    unresponsive = unresponsive_periods(evidence)
     seats = evidence.expectations.seat_by_core
     daemons = {*seats, *evidence.expectations.zone_by_member}
-    for outage in silent:
+    for outage in unresponsive:
         is_restart = outage.kind in RESTARTING_KINDS and not math.isinf(outage.end)
         if not is_restart or outage.target not in daemons:
             continue
-        since = _majority_since(outage.end, silent, seats)
+        since = _majority_since(outage.end, unresponsive, seats)
         deadline = since + SERVES_WITHIN_S
-        reason = _why_not_checkable(outage, deadline, silent, seats, evidence.end_t())
+        reason = _why_not_checkable(outage, deadline, unresponsive, seats, evidence.end_t())
         if reason:
             result.not_checked.append(f"{outage.target} at {outage.end:.1f}: {reason}")
         elif outage.target in seats:
@@ -45,7 +45,10 @@
         else:
             _check_node(evidence, result, outage, since)
     if result.facts:
-        most = max((len([a for a in acked if a.t <= o.start]) for o in silent), default=0)
+        most = max(
+            (sum(change.t <= outage.start for change in acked) for outage in unresponsive),
+            default=0,
+        )
         result.not_checked.append(f"at most {most} changes came before a restart in this run")
     return result
 
@@ -90,28 +93,34 @@
     )
 
 
-def _majority_since(start: float, silent: list[Outage], seats: dict[str, str]) -> float:
+def _majority_since(start: float, unresponsive: list[Outage], seats: dict[str, str]) -> float:
     """Return when a majority of the cores was first up, from `start` on."""
-    moments = sorted({start, *(outage.end for outage in silent if outage.end > start)})
-    return next((moment for moment in moments if _majority_up(moment, silent, seats)), math.inf)
+    moments = sorted({start, *(outage.end for outage in unresponsive if outage.end > start)})
+    return next(
+        (moment for moment in moments if _majority_up(moment, unresponsive, seats)), math.inf
+    )
 
 
-def _majority_up(t: float, silent: list[Outage], seats: dict[str, str]) -> bool:
+def _majority_up(t: float, unresponsive: list[Outage], seats: dict[str, str]) -> bool:
     all_seats = set(seats.values())
-    down = {seats.get(outage.target) for outage in silent if outage.covers(t)}
+    down = {seats.get(outage.target) for outage in unresponsive if outage.covers(t)}
     return len(all_seats - down) > len(all_seats) // 2
 
 
 def _why_not_checkable(
-    outage: Outage, deadline: float, silent: list[Outage], seats: dict[str, str], end_t: float
+    outage: Outage,
+    deadline: float,
+    unresponsive: list[Outage],
+    seats: dict[str, str],
+    end_t: float,
 ) -> str:
     if deadline > end_t:
         return "the run ended before its 12 s were over, or no majority of cores was up"
-    for other in silent:
+    for other in unresponsive:
         overlaps = other.start < deadline and other.end > outage.end
         if other is not outage and overlaps and other.target == outage.target:
             return f"a second fault ({other.kind}) came within its 12 s"
-    moments = [other.start for other in silent if outage.end < other.start < deadline]
-    if not all(_majority_up(moment, silent, seats) for moment in moments):
+    moments = [other.start for other in unresponsive if outage.end < other.start < deadline]
+    if not all(_majority_up(moment, unresponsive, seats) for moment in moments):
         return "the majority of cores was lost again within its 12 s"
     return ""
--- a/src/zincvale/fleet/invariants/silent_control.py
+++ b/src/zincvale/fleet/invariants/unresponsive_control.py
@@ -1,7 +1,7 @@
-"""Invariant 8: a control machine silent for 20 s gives no orders on waking.
+"""Invariant 8: a core that was unresponsive for 20 s gives no orders when it resumes.
 
 Two rules. No order of an older epoch reaches a server once a newer epoch has given one; and a
-daemon that was silent for 20 s gives no order under an epoch that it held before.
+daemon that was unresponsive for 20 s gives no order under an epoch that it led before.
 """
 
 from __future__ import annotations
@@ -10,15 +10,16 @@
 
 from zincvale.fleet.invariants.evidence import Evidence
 from zincvale.fleet.invariants.findings import CheckResult
-from zincvale.fleet.invariants.outages import silences
+from zincvale.fleet.invariants.outages import unresponsive_periods
 from zincvale.fleet.invariants.rows import OrderRefused, OrderTaken
 
 NUMBER = 8
 TITLE = "a control machine silent for 20 s gives no orders on waking"
 
-SILENT_S = 20.0
+UNRESPONSIVE_S = 20.0
+"""What the invariant promises; orders after a shorter outage are checked by epoch only."""
 IN_FLIGHT_S = 1.0
-"""An order that left before a newer holder's first one may arrive this much later."""
+"""An order that left before a newer leader's first one may arrive this much later."""
 
 
 def check(evidence: Evidence) -> CheckResult:
@@ -29,7 +30,7 @@
     )
     result.facts = len(orders)
     _check_epochs(result, orders)
-    _check_wakings(evidence, result, orders)
+    _check_resumptions(evidence, result, orders)
     return result
 
 
@@ -49,23 +50,29 @@
             )
 
 
-def _check_wakings(evidence: Evidence, result: CheckResult, orders: list[OrderTaken]) -> None:
+def _check_resumptions(evidence: Evidence, result: CheckResult, orders: list[OrderTaken]) -> None:
     member_by_host = evidence.expectations.member_by_host
-    long_silences = [s for s in silences(evidence) if s.duration_s >= SILENT_S]
-    if long_silences and not any(order.sender for order in orders):
+    long_periods = [
+        period for period in unresponsive_periods(evidence) if period.duration_s >= UNRESPONSIVE_S
+    ]
+    if long_periods and not any(order.sender for order in orders):
         result.not_checked.append("the servers' journals do not tell who sent an order")
-    for silence in long_silences:
-        if math.isinf(silence.end):
+    for period in long_periods:
+        if math.isinf(period.end):
             continue
-        own = [o for o in orders if member_by_host.get(o.sender, o.sender) == silence.target]
-        held_before = {order.epoch for order in own if order.t <= silence.start + IN_FLIGHT_S}
+        own = [
+            order
+            for order in orders
+            if member_by_host.get(order.sender, order.sender) == period.target
+        ]
+        epochs_before = {order.epoch for order in own if order.t <= period.start + IN_FLIGHT_S}
         for order in own:
-            if order.t >= silence.end and order.epoch in held_before:
+            if order.t >= period.end and order.epoch in epochs_before:
                 result.breach(
-                    silence.target,
+                    period.target,
                     order.t,
                     f"gave order {order.order_id} under epoch {order.epoch}, "
-                    f"held before {silence.duration_s:.0f} s of silence",
+                    f"held before {period.duration_s:.0f} s of silence",
                 )
-    if not long_silences:
-        result.not_checked.append(f"no daemon was silent for {SILENT_S:.0f} s in this run")
+    if not long_periods:
+        result.not_checked.append(f"no daemon was silent for {UNRESPONSIVE_S:.0f} s in this run")
--- a/tests/fleet/test_change_invariants.py
+++ b/tests/fleet/test_change_invariants.py
@@ -121,7 +121,7 @@
         )
         self.assertEqual([], checked.breaches)
 
-    def test_a_node_that_is_not_ready_is_not_judged(self) -> None:
+    def test_a_node_that_is_not_ready_is_not_checked(self) -> None:
         checked = in_force.check(
             evidence(
                 *change(1, "o1", marker(1), None, ((2, 200, 6),)), self.probe(5, 1, 404, False)
--- a/tests/fleet/test_control_invariants.py
+++ b/tests/fleet/test_control_invariants.py
@@ -7,7 +7,7 @@
 import testtools
 
 from tests.fleet.journal_rows import change, evidence, row
-from zincvale.fleet.invariants import check_all, drains, limits, restarts, silent_control
+from zincvale.fleet.invariants import check_all, drains, limits, restarts, unresponsive_control
 from zincvale.fleet.invariants.rows import Row
 
 DRAINED = [{"kind": "Server", "name": "s1", "spec": {"drained": True}}]
@@ -74,7 +74,7 @@
         rows = [start(), *change(10, "o1", DRAINED, None, ((11, 503, None),)), run(30)]
         self.assertEqual("not exercised", drains.check(evidence(*rows)).verdict)
 
-    def test_bytes_held_back_by_a_freeze_are_named_not_judged(self) -> None:
+    def test_bytes_delayed_by_a_freeze_are_named_not_checked(self) -> None:
         rows = [
             start(),
             row(12, "send", request_id="r1", route="quotes"),
@@ -98,26 +98,26 @@
 
     def test_a_new_epoch_after_waking_holds(self) -> None:
         rows = [order(1), *self.freeze(2, 25), order(10, 2, "127.1.1.2"), order(40, 3)]
-        self.assertEqual("held", silent_control.check(evidence(*rows)).verdict)
+        self.assertEqual("held", unresponsive_control.check(evidence(*rows)).verdict)
 
     def test_an_old_epoch_after_waking_breaks(self) -> None:
         rows = [order(1), *self.freeze(2, 25), order(25.1)]
-        checked = silent_control.check(evidence(*rows))
+        checked = unresponsive_control.check(evidence(*rows))
         self.assertIn("held before 23 s of silence", checked.breaches[0].what)
 
     def test_an_old_epoch_beside_a_newer_holder_breaks(self) -> None:
         rows = [order(1), order(5, 2, "127.1.1.2"), order(7, 1)]
-        checked = silent_control.check(evidence(*rows))
+        checked = unresponsive_control.check(evidence(*rows))
         self.assertIn("2.0 s after the first of epoch 2", checked.breaches[0].what)
 
     def test_an_order_in_flight_at_the_change_is_no_breach(self) -> None:
         rows = [order(1), order(5, 2, "127.1.1.2"), order(5.4, 1)]
-        self.assertEqual([], silent_control.check(evidence(*rows)).breaches)
+        self.assertEqual([], unresponsive_control.check(evidence(*rows)).breaches)
 
-    def test_an_isolated_core_is_silent_too(self) -> None:
+    def test_an_isolated_core_is_unresponsive_too(self) -> None:
         cut = row(2, "fault", kind="cut", target="x", args={"isolated": ["core-a"]})
         healed = row(25, "fault-end", kind="cut", target="x")
-        checked = silent_control.check(evidence(order(1), cut, healed, order(26)))
+        checked = unresponsive_control.check(evidence(order(1), cut, healed, order(26)))
         self.assertEqual(["core-a"], [breach.subject for breach in checked.breaches])
 
 
--- a/tests/fleet/test_request_invariants.py
+++ b/tests/fleet/test_request_invariants.py
@@ -7,7 +7,7 @@
 import testtools
 
 from tests.fleet.journal_rows import evidence, row
-from zincvale.fleet.invariants import answers, at_most_once, refusals, streams
+from zincvale.fleet.invariants import at_most_once, refusals, responses, streams
 from zincvale.fleet.invariants.rows import Row
 
 
@@ -99,7 +99,7 @@
         self.assertEqual(1, len(checked.not_checked))
 
 
-class AnswerTest(testtools.TestCase):
+class ResponseTest(testtools.TestCase):
     def answered(self, **fields: Any) -> Row:
         good = {
             "answer_request_id": "r1",
@@ -109,22 +109,22 @@
         }
         return result(2, "r1", "answered", **{**good, **fields})
 
-    def test_the_own_whole_answer_holds(self) -> None:
-        self.assertEqual("held", answers.check(evidence(self.answered())).verdict)
+    def test_the_own_complete_response_holds(self) -> None:
+        self.assertEqual("held", responses.check(evidence(self.answered())).verdict)
 
-    def test_the_answer_of_another_request_breaks(self) -> None:
-        checked = answers.check(evidence(self.answered(answer_request_id="r2")))
+    def test_the_response_of_another_request_breaks(self) -> None:
+        checked = responses.check(evidence(self.answered(answer_request_id="r2")))
         self.assertIn("r2", checked.breaches[0].what)
 
     def test_a_part_that_looks_whole_breaks(self) -> None:
-        checked = answers.check(evidence(self.answered(text_digest="d0")))
+        checked = responses.check(evidence(self.answered(text_digest="d0")))
         self.assertIn("looked whole", checked.breaches[0].what)
 
     def test_a_part_that_says_so_is_no_breach(self) -> None:
         broken_off = result(
             2, "r1", "interrupted", text_digest="d0", expected_digest="d1", complete=False
         )
-        self.assertEqual("not exercised", answers.check(evidence(broken_off)).verdict)
+        self.assertEqual("not exercised", responses.check(evidence(broken_off)).verdict)
 
 
 class StreamTest(testtools.TestCase):
