--- a/src/zincvale/fleet/commands.py
+++ b/src/zincvale/fleet/commands.py
@@ -1,4 +1,4 @@
-"""`zincvale fleet`: real processes, load and faults on this machine, judged from journals."""
+"""`zincvale fleet`: real processes, load and faults on this machine, checked from journals."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from fire.decorators import SetParseFns
 
 from zincvale.fleet.fault_file import read_faults, ready_files
-from zincvale.fleet.judge import judge_journals
+from zincvale.fleet.invariant_checker import check_journals
 from zincvale.fleet.page import write_report
 from zincvale.fleet.progress import Progress
 from zincvale.fleet.report import build_report, summary_lines, verdict_lines
@@ -140,12 +140,12 @@
             if network:
                 declared = declared.moved_to(network)
             documents = load_intent(folder, declared)
-            judgement = judge_journals(Path(journals), declared, documents)
+            invariants = check_journals(Path(journals), declared, documents)
         except ZincvaleError as error:
             print(f"error: {error}", file=sys.stderr)
             sys.exit(EXIT_REFUSED)
-        print("\n".join(verdict_lines([check.to_json() for check in judgement.checks])))
-        broken = any(check.breaches for check in judgement.checks)
+        print("\n".join(verdict_lines([check.to_json() for check in invariants.checks])))
+        broken = any(check.breaches for check in invariants.checks)
         sys.exit(EXIT_BROKEN if broken else 0)
 
     def faults(self) -> None:
@@ -164,7 +164,7 @@
 
 def _suite_run(options: RunOptions) -> SuiteRow:
     try:
-        report = _judge(options, Progress(quiet=True))
+        report = _run_and_report(options, Progress(quiet=True))
     except ZincvaleError as error:
         return failed_row(options.deployment, options.faults, options.seed, str(error))
     except (KeyboardInterrupt, asyncio.CancelledError):
@@ -177,7 +177,7 @@
 
 def _run(options: RunOptions) -> int:
     try:
-        report = _judge(options, Progress(quiet=options.quiet))
+        report = _run_and_report(options, Progress(quiet=options.quiet))
     except ZincvaleError as error:
         print(f"error: {error}", file=sys.stderr)
         return EXIT_REFUSED
@@ -190,7 +190,7 @@
     return 0 if report["passed"] else EXIT_BROKEN
 
 
-def _judge(options: RunOptions, progress: Progress) -> dict[str, Any]:
+def _run_and_report(options: RunOptions, progress: Progress) -> dict[str, Any]:
     """Run a fleet, and return its report, which is written where the options say."""
     inputs = read_inputs(options)
     root = make_run_folder(options)
--- a/src/zincvale/fleet/judge.py
+++ b/src/zincvale/fleet/invariant_checker.py
@@ -1,4 +1,4 @@
-"""Judges a run from its journals alone."""
+"""Checks the invariants of a run, from its journals alone."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Judgement:
+class InvariantReport:
     """What the journals of a run say.
 
     Attributes
@@ -29,7 +29,9 @@
     load_started_t: float
 
 
-def judge_journals(journals: Path, deployment: Deployment, documents: list[Document]) -> Judgement:
+def check_journals(
+    journals: Path, deployment: Deployment, documents: list[Document]
+) -> InvariantReport:
     """Check the journals in a folder against what the deployment promises.
 
     Raises
@@ -47,4 +49,4 @@
     include_added_machines(expectations, evidence.of(MachineAdded))
     started = evidence.of(LoadStarted)
     load_started_t = started[-1].t if started else evidence.start_t()
-    return Judgement(evidence, check_all(evidence), load_started_t)
+    return InvariantReport(evidence, check_all(evidence), load_started_t)
--- a/src/zincvale/fleet/report.py
+++ b/src/zincvale/fleet/report.py
@@ -7,9 +7,9 @@
 
 import attrs
 
+from zincvale.fleet.environment import machine, versions
 from zincvale.fleet.figures import FaultSpan, Figures, Series, figures_of
 from zincvale.fleet.run import RunOutcome
-from zincvale.fleet.surroundings import machine, versions
 
 FORMAT = "zincvale-fleet-report-1"
 SHOWN_BREACHES = 5
@@ -26,7 +26,7 @@
 def build_report(outcome: RunOutcome) -> dict[str, Any]:
     """Return the report as plain JSON."""
     options = outcome.inputs.options
-    figures = figures_of(outcome.judgement.evidence, outcome.judgement.load_started_t)
+    figures = figures_of(outcome.invariants.evidence, outcome.invariants.load_started_t)
     return {
         "format": FORMAT,
         "passed": outcome.passed,
@@ -40,27 +40,27 @@
         "finished_at": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime()),
         "machine": machine(),
         "versions": versions(),
-        "invariants": [check.to_json() for check in outcome.judgement.checks],
+        "invariants": [check.to_json() for check in outcome.invariants.checks],
         "not_checked": not_checked(outcome),
         "figures": attrs.asdict(figures),
         "usage": {name: attrs.asdict(used) for name, used in sorted(outcome.usage.items())},
         "callers": outcome.caller_figures,
         "unexpected_ends": [attrs.asdict(ended) for ended in outcome.unexpected_ends],
         "processes_left": outcome.residue,
-        "unreadable_journal_lines": outcome.judgement.evidence.unreadable,
+        "unreadable_journal_lines": outcome.invariants.evidence.unreadable,
     }
 
 
 def not_checked(outcome: RunOutcome) -> list[str]:
     """Return everything that this run did not decide."""
     lines = []
-    for check in outcome.judgement.checks:
+    for check in outcome.invariants.checks:
         if not check.facts:
             lines.append(f"invariant {check.number} was not exercised: {check.title}")
         lines.extend(f"invariant {check.number}: {line}" for line in check.not_checked)
-    if outcome.judgement.evidence.unreadable:
+    if outcome.invariants.evidence.unreadable:
         lines.append(
-            f"{len(outcome.judgement.evidence.unreadable)} journal lines could not be read"
+            f"{len(outcome.invariants.evidence.unreadable)} journal lines could not be read"
         )
     return [*lines, *NEVER_CHECKED]
 
--- a/src/zincvale/fleet/run.py
+++ b/src/zincvale/fleet/run.py
@@ -1,4 +1,4 @@
-"""One run of a fleet: start everything, drive load, apply faults, end everything, judge."""
+"""One run of a fleet: start everything, drive load, apply faults, end everything, check."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from zincvale.fleet.clients import RigClient
 from zincvale.fleet.fault_context import FaultContext
 from zincvale.fleet.injector import Injector
-from zincvale.fleet.judge import Judgement, judge_journals
+from zincvale.fleet.invariant_checker import InvariantReport, check_journals
 from zincvale.fleet.link_plan import needed_pairs, plan_links
 from zincvale.fleet.machines import Fleet
 from zincvale.fleet.network_state import NetworkState
@@ -39,7 +39,7 @@
     """What a run left behind."""
 
     inputs: RunInputs
-    judgement: Judgement
+    invariants: InvariantReport
     unexpected_ends: list[UnexpectedEnd]
     residue: list[str]
     caller_figures: list[Any]
@@ -48,7 +48,7 @@
     @property
     def passed(self) -> bool:
         """Whether every invariant held, and no process ended by itself or was left behind."""
-        broken = any(check.breaches for check in self.judgement.checks)
+        broken = any(check.breaches for check in self.invariants.checks)
         return not (broken or self.unexpected_ends or self.residue)
 
 
@@ -69,7 +69,7 @@
             await run.close()
         finally:
             table.end_all()
-    return run.judge()
+    return run.check_invariants()
 
 
 class _Run:
@@ -180,14 +180,14 @@
         self.journal.close()
         self.operators.close()
 
-    def judge(self) -> RunOutcome:
+    def check_invariants(self) -> RunOutcome:
         """Check the journals; call it once every process has ended."""
-        judgement = judge_journals(
+        invariants = check_journals(
             self.folder.journals, self.inputs.deployment, self.inputs.documents
         )
         return RunOutcome(
             inputs=self.inputs,
-            judgement=judgement,
+            invariants=invariants,
             unexpected_ends=self.unexpected,
             residue=self.table.residue(),
             caller_figures=self.callers.figures(),
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -14,8 +14,8 @@
 from zincvale.fleet.fault_file import schedule_of
 from zincvale.fleet.fault_plan import Step
 from zincvale.fleet.figures import figures_of, percentiles
+from zincvale.fleet.invariant_checker import InvariantReport, check_journals
 from zincvale.fleet.invariants import check_all, read_journals
-from zincvale.fleet.judge import Judgement, judge_journals
 from zincvale.fleet.page import write_report
 from zincvale.fleet.processes import UnexpectedEnd, Usage
 from zincvale.fleet.progress import OutcomeTail
@@ -66,13 +66,13 @@
         steps=[],
         load=LoadSpec(callers=[]),
     )
-    judgement = Judgement(found, check_all(found), 10.0)
-    return RunOutcome(inputs, judgement, list(ends), [], [], USAGE)
+    invariants = InvariantReport(found, check_all(found), 10.0)
+    return RunOutcome(inputs, invariants, list(ends), [], [], USAGE)
 
 
 class ReportTest(testtools.TestCase):
     def test_figures_share_one_time_axis(self) -> None:
-        figures = figures_of(outcome().judgement.evidence, 10.0)
+        figures = figures_of(outcome().invariants.evidence, 10.0)
         self.assertEqual(10.0, figures.duration_s)
         self.assertEqual(1.0, figures.outcomes["answered"].y[0])
         self.assertEqual([150.0], figures.first_ms["quotes"].y)
@@ -128,7 +128,7 @@
     def test_a_machine_added_during_the_run_is_known(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             empty = self.assertRaises(
-                InvalidInputError, judge_journals, Path(folder), DEPLOYMENT, []
+                InvalidInputError, check_journals, Path(folder), DEPLOYMENT, []
             )
             self.assertIn("--keep-folder", str(empty))
             (Path(folder) / "rig.jsonl").write_text(
@@ -137,11 +137,11 @@
                 '"host":"127.90.2.41","zone":"zone-b"}\n',
                 encoding="utf-8",
             )
-            judgement = judge_journals(Path(folder), DEPLOYMENT, [])
-        expectations = judgement.evidence.expectations
+            invariants = check_journals(Path(folder), DEPLOYMENT, [])
+        expectations = invariants.evidence.expectations
         self.assertEqual("core-b", expectations.seat_by_core["core-b-r1"])
         self.assertEqual("core-b-r1", expectations.member_by_host["127.90.2.41"])
-        self.assertEqual(5.0, judgement.load_started_t)
+        self.assertEqual(5.0, invariants.load_started_t)
 
     def test_progress_counts_only_whole_lines(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
