--- a/src/zincvale/daemons/core_assembly.py
+++ b/src/zincvale/daemons/core_assembly.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 
 from zincvale.coordination.config import CoreConfig, InitialCore, Timings
+from zincvale.daemons.disk_setup import open_disk
 from zincvale.daemons.process import DaemonProcess
 from zincvale.daemons.roles import CORE_ROLES
-from zincvale.daemons.storage_setup import open_disk
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.runtime.clock import suspend_aware_now, wall_now
 from zincvale.runtime.logs import log
--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -34,10 +34,10 @@
 from zincvale.daemons.control_api_handler import ControlApiServer
 from zincvale.daemons.core_assembly import core_config, core_tracing, open_files
 from zincvale.daemons.core_view import LocalCoreView
-from zincvale.daemons.demand_translation import demand_reported
+from zincvale.daemons.demand_translation import to_demand_reported
 from zincvale.daemons.directory_runner import DirectoryRunner
 from zincvale.daemons.http_fetch import HttpFetcher
-from zincvale.daemons.leadership_guard import RoleGuard
+from zincvale.daemons.leadership_guard import LeadershipGuard
 from zincvale.daemons.order_spans import OrderSpans
 from zincvale.daemons.placement_runner import PlacementRunner
 from zincvale.daemons.process import NO_DRAIN, build_process
@@ -108,7 +108,7 @@
     def _build_systems(self) -> None:
         settings = self._settings
         fetcher = HttpFetcher(settings.address_map, settings.member_id, settings.peer_address)
-        guard = RoleGuard(self.machine, PLACEMENT_ROLE, self._clock)
+        guard = LeadershipGuard(self.machine, PLACEMENT_ROLE, self._clock)
         publisher = TopicPublisher(self.process.driver, guard)
         self._directory = DirectoryRunner(
             DirectoryMachine(MemberId(settings.member_id), self._random),
@@ -124,7 +124,7 @@
             publisher,
             self._clock,
             wall_now,
-            self._row_of,
+            self._find_row,
             OrderSpans(self._tracing.recorder),
         )
         self.process.router.add_service("dataplane", self._demand_received)
@@ -165,12 +165,12 @@
         status = StatusReport(report.row, report.requested_at, report.unloading)
         self._placement.feed(DirectoryChanged((status,)))
 
-    def _row_of(self, server: ServerId) -> ServerRow | None:
+    def _find_row(self, server: ServerId) -> ServerRow | None:
         row = self._directory.machine.rows().get(server)
         return row if row is not None else self._view.directory().servers.get(server)
 
     def _demand_received(self, sender: MemberId, message: Any) -> None:
-        self._placement.feed(demand_reported(message))
+        self._placement.feed(to_demand_reported(message))
 
     # --- time -----------------------------------------------------------------------------
 
--- a/src/zincvale/daemons/core_view.py
+++ b/src/zincvale/daemons/core_view.py
@@ -1,4 +1,4 @@
-"""What the control API reads of the core it runs in."""
+"""The control API's read access to the core in whose process it runs."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LocalCoreView:
-    """Implements `controlplane.api.core_view.CoreView` on the local machine."""
+    """Implements `controlplane.api.core_view.CoreView`; decodes only what changed."""
 
     def __init__(self, machine: CoreMachine, clock: Callable[[], float]) -> None:
         self._machine = machine
@@ -56,7 +56,7 @@
         return self._directory.directory
 
     def moves(self) -> Mapping[str, bytes]:
-        """Return the move calendar's rows."""
+        """Return the rows of planned and finished moves."""
         return self._machine.topic(MOVES_TOPIC).rows
 
     def roles(self) -> Sequence[RoleRow]:
--- a/src/zincvale/daemons/demand_translation.py
+++ b/src/zincvale/daemons/demand_translation.py
@@ -1,4 +1,4 @@
-"""Translation of the nodes' demand reports for the placement controller."""
+"""Translates the nodes' demand reports into inputs of the placement controller."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from zincvale.model.identifiers import AdapterName, MemberId, ModelName, ServerId
 
 
-def demand_reported(report: DemandReport) -> DemandReported:
+def to_demand_reported(report: DemandReport) -> DemandReported:
     """Return a node's report as the controller's input."""
     rows = tuple(
         DemandRow(
--- a/src/zincvale/daemons/directory_runner.py
+++ b/src/zincvale/daemons/directory_runner.py
@@ -1,4 +1,4 @@
-"""Runs the directory machine: probes, the platform's list and publications."""
+"""Runs the directory machine of a native deployment: probes, the platform's list, publications."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 
 
 class DirectoryRunner:
-    """Feeds the directory machine and carries out its effects.
+    """Feeds the directory machine and executes its effects.
 
     Parameters
     ----------
-    on_report : takes what the machine tells the placement controller.
+    on_report : called with each report for the placement controller.
     """
 
     def __init__(
@@ -64,11 +64,14 @@
         self._on_report = on_report
 
     def feed(self, event: DirectoryInput) -> None:
-        """Apply one input and carry out its effects."""
+        """Apply one input and execute its effects, in order.
+
+        HTTP requests and publications start in a later turn of the loop.
+        """
         for effect in self.machine.handle(event, self._clock()):
-            self._carry_out(effect)
+            self._execute(effect)
 
-    def _carry_out(self, effect: Any) -> None:
+    def _execute(self, effect: Any) -> None:
         loop = IOLoop.current()
         match effect:
             case FetchPlatformList(timeout_s):
--- a/src/zincvale/daemons/discovery_runner.py
+++ b/src/zincvale/daemons/discovery_runner.py
@@ -1,4 +1,4 @@
-"""Runs the leaderless directory: reads the list of servers and publishes what it shows."""
+"""Runs leaderless server discovery: reads the list of servers and publishes what it shows."""
 
 from __future__ import annotations
 
@@ -28,17 +28,19 @@
 from zincvale.runtime.logs import log
 
 LIST_TIMEOUT_S = 1.0
+"""Of one page."""
 MAX_PAGES = 200
+"""A list whose pages never end is given up; a list of more pages could not be read."""
 HTTP_OK = 200
 
 
 class DiscoveryRunner:
-    """Feeds the machine and carries out its effects.
+    """Feeds the machine and executes its effects.
 
     Parameters
     ----------
     send_to_cores : sends a one-way message to every other core.
-    on_seen : takes what was seen of the servers.
+    on_observed : called with each observation of the servers.
     """
 
     def __init__(
@@ -51,7 +53,7 @@
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
         send_to_cores: Callable[[Any], None],
-        on_seen: Callable[[ServersObserved], None],
+        on_observed: Callable[[ServersObserved], None],
     ) -> None:
         self.machine = machine
         self._dialect = dialect
@@ -61,28 +63,31 @@
         self._clock = clock
         self._wall_clock = wall_clock
         self._send_to_cores = send_to_cores
-        self._on_seen = on_seen
+        self._on_observed = on_observed
 
     def document_changed(self, document: ForwardingDocument) -> None:
         """Take a newer document."""
-        self._carry_out(self.machine.on_document_changed(document, self._clock()))
+        self._execute(self.machine.on_document_changed(document, self._clock()))
 
     def topic_changed(self, view: TopicView) -> None:
-        """Take what a core published."""
-        self._carry_out(self.machine.on_published(view, self._clock()))
+        """Take the newest state of the topic, whichever core published it."""
+        self._execute(self.machine.on_published(view, self._clock()))
 
     def message_received(self, sender: MemberId, message: Any) -> None:
-        """Take another core's message that it read the list."""
+        """Take another core's announcement that it read the list."""
         if isinstance(message, ListRead):
             self.machine.on_peer_read(message, self._clock())
 
     def tick(self, rank: int, epoch_seen: int, now: float) -> None:
-        """Read when it is this core's turn; `epoch_seen` is the newest that a node holds."""
+        """Read the list when it is this core's turn by its `rank`.
+
+        `epoch_seen` is the newest epoch of the topic that a node has reported.
+        """
         self.machine.on_epoch_seen(epoch_seen)
         if self._address:
-            self._carry_out(self.machine.tick(rank, now))
+            self._execute(self.machine.tick(rank, now))
 
-    def _carry_out(self, effects: list[Any]) -> None:
+    def _execute(self, effects: list[Any]) -> None:
         for effect in effects:
             match effect:
                 case FetchList():
@@ -92,7 +97,7 @@
                 case AnnounceRead(message):
                     self._send_to_cores(message)
                 case ServersObserved():
-                    self._on_seen(effect)
+                    self._on_observed(effect)
                 case Log(number, fields):
                     log(number, **fields)
 
@@ -121,10 +126,10 @@
             self._failed(f"more than {MAX_PAGES} pages", is_throttled=False)
             return
         now = self._clock()
-        self._carry_out(self.machine.on_list_read(servers, requested_at, now, self._wall_clock()))
+        self._execute(self.machine.on_list_read(servers, requested_at, now, self._wall_clock()))
 
     def _failed(self, why: str, *, is_throttled: bool) -> None:
-        self._carry_out(self.machine.on_list_failed(why, self._clock(), is_throttled=is_throttled))
+        self._execute(self.machine.on_list_failed(why, self._clock(), is_throttled=is_throttled))
 
     async def _publish(self, effect: PublishServers) -> None:
         reply = await self._driver.call_local(effect.message)
--- a/src/zincvale/daemons/storage_setup.py
+++ b/src/zincvale/daemons/disk_setup.py
@@ -1,4 +1,4 @@
-"""The disk that a core's settings name."""
+"""The disk on which a core stores its state, as its settings say."""
 
 from __future__ import annotations
 
--- a/src/zincvale/daemons/draining_replicas.py
+++ b/src/zincvale/daemons/draining_replicas.py
@@ -1,4 +1,4 @@
-"""Marks copies that the calendar is about to unload."""
+"""Marks replicas in the directory that planned moves are about to unload."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from zincvale.model.view import Directory
 
 
-def with_closing(directory: Directory, closing: Mapping[ServerId, frozenset[str]]) -> Directory:
-    """Return `directory` with `ServerRow.closing` set from `closing`."""
-    if not closing:
+def with_draining(directory: Directory, draining: Mapping[ServerId, frozenset[str]]) -> Directory:
+    """Return `directory` with `ServerRow.closing` set from `draining`."""
+    if not draining:
         return directory
     servers = dict(directory.servers)
-    for server, names in closing.items():
+    for server, names in draining.items():
         row = servers.get(server)
         if row is not None:
             servers[server] = attrs.evolve(row, closing=names)
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -34,16 +34,16 @@
 from zincvale.daemons.control_api_handler import ControlApiServer
 from zincvale.daemons.core_assembly import core_config, core_tracing, open_files
 from zincvale.daemons.core_view import LocalCoreView
-from zincvale.daemons.demand_translation import demand_reported
+from zincvale.daemons.demand_translation import to_demand_reported
 from zincvale.daemons.discovery_runner import DiscoveryRunner
 from zincvale.daemons.forwarding_dialects import ForwardingDialects
 from zincvale.daemons.forwarding_placement import placement_config
 from zincvale.daemons.http_fetch import HttpFetcher
-from zincvale.daemons.leadership_guard import RoleGuard
+from zincvale.daemons.leadership_guard import LeadershipGuard
 from zincvale.daemons.order_spans import OrderSpans
 from zincvale.daemons.placement_runner import PlacementRunner
 from zincvale.daemons.process import Drain, build_process
-from zincvale.daemons.residency_publication import ResidencyPublication
+from zincvale.daemons.residency_publisher import ResidencyPublisher
 from zincvale.daemons.roles import PLACEMENT_ROLE
 from zincvale.daemons.topic_publisher import TopicPublisher
 from zincvale.model.errors import ZincvaleError
@@ -60,10 +60,10 @@
 
 SYSTEMS_INTERVAL_MS = 50
 MACHINE_TICK_MS = 50
-SLOW_TICK_S = 0.25
+SLOW_TICK_INTERVAL_S = 0.25
 GRACE_MARGIN_S = 1.5
-UNREACHABLE_ASK_S = 1.0
-HAND_OVER_S = 0.6
+UNREACHABLE_RETRY_INTERVAL_S = 1.0
+HANDOVER_S = 0.6
 """A stopping core still answers for so long, so that others take over by its word."""
 
 
@@ -124,8 +124,8 @@
         self._build_systems()
         self._role_epoch = 0
         self._slow_due_at = 0.0
-        self._leaving_since = 0.0
-        self._ask_again_at: dict[ServerId, float] = {}
+        self._shutdown_started_at = 0.0
+        self._status_retry_at: dict[ServerId, float] = {}
         """Servers that could not be reached, and when they are asked again."""
         self._ticker = PeriodicCallback(self._tick, SYSTEMS_INTERVAL_MS)
 
@@ -135,17 +135,17 @@
         self._placement.start()
         self._ticker.start()
         limit_s = self._forwarding.grace_s - GRACE_MARGIN_S
-        self.process.run(Drain(self._start_leaving, self._may_go, limit_s))
+        self.process.run(Drain(self._start_shutdown, self._may_stop, limit_s))
         self._ticker.stop()
 
-    def _start_leaving(self) -> None:
+    def _start_shutdown(self) -> None:
         """Hand over ownership and leadership; go once a stand-in has the vote, if there is one."""
-        self._leaving_since = self._clock()
+        self._shutdown_started_at = self._clock()
         self.process.driver.submit(ShutdownRequested())
 
-    def _may_go(self) -> bool:
+    def _may_stop(self) -> bool:
         now = self._clock()
-        return now - self._leaving_since >= HAND_OVER_S and self.machine.may_stop(now)
+        return now - self._shutdown_started_at >= HANDOVER_S and self.machine.may_stop(now)
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take seeds that changed while the process runs."""
@@ -154,9 +154,9 @@
     def _build_systems(self) -> None:
         settings = self._settings
         fetcher = HttpFetcher(settings.address_map, settings.member_id, settings.peer_address)
-        guard = RoleGuard(self.machine, PLACEMENT_ROLE, self._clock)
+        guard = LeadershipGuard(self.machine, PLACEMENT_ROLE, self._clock)
         publisher = TopicPublisher(self.process.driver, guard)
-        self._list = DiscoveryRunner(
+        self._discovery = DiscoveryRunner(
             ServerDiscovery(self._name, self._forwarding.list_lag_s, self._clock()),
             self._dialects.server_list,
             fetcher,
@@ -164,8 +164,8 @@
             self.process.driver,
             self._clock,
             wall_now,
-            self._send_to_cores,
-            self._servers_seen,
+            self._send_to_other_cores,
+            self._on_servers_observed,
         )
         self._controller = PlacementController(
             self._random, placement_config(self._forwarding.order_quiet_s)
@@ -176,19 +176,19 @@
             publisher,
             self._clock,
             wall_now,
-            lambda server: self._list.machine.rows.get(server),
+            lambda server: self._discovery.machine.rows.get(server),
             OrderSpans(self._tracing.recorder),
             self._dialects.orders,
             settings.member_id,
             self._expected_load_s,
-            lambda server: self._residency.touch((server,)),
-            self._server_reached,
+            lambda server: self._residency.mark_changed((server,)),
+            self._on_server_reachability,
         )
-        self._residency = ResidencyPublication(
+        self._residency = ResidencyPublisher(
             lambda: self._controller.state.servers, self._placement.publish
         )
         self.process.router.add_service("dataplane", self._demand_received)
-        self.process.router.add_service("listed", self._list.message_received)
+        self.process.router.add_service("listed", self._discovery.message_received)
 
     # --- inputs of the systems ------------------------------------------------------------
 
@@ -199,7 +199,7 @@
         if changes.members:
             self._tracing.apply_members(self._view.members())
         if LISTED_TOPIC in changes.topics:
-            self._list.topic_changed(self.machine.topic(LISTED_TOPIC))
+            self._discovery.topic_changed(self.machine.topic(LISTED_TOPIC))
 
     def _document_changed(self) -> None:
         rows = self.machine.value(INTENT_KEY)
@@ -209,33 +209,33 @@
             log(log_events.INTENT_UNREADABLE, problem=str(error))
             return
         self._placement.feed(IntentChanged(self._intent.update(document)))
-        self._list.document_changed(document)
+        self._discovery.document_changed(document)
         self._api.intent_changed()
 
     @property
     def _document(self) -> ForwardingDocument:
         return self._decoder.document
 
-    def _servers_seen(self, seen: ServersObserved) -> None:
+    def _on_servers_observed(self, seen: ServersObserved) -> None:
         """Feed placement; a settled server's own holdings change only by our orders."""
         reports = tuple(
             StatusReport(
-                _for_placement(row),
-                self._told_at(seen.requested_at),
+                _down_if_draining(row),
+                self._known_not_older_than(seen.requested_at),
                 frozenset(),
                 is_from_server=False,
             )
             for row in seen.rows
             if row.draining
-            or not (self._is_settled(row.server) or row.server in self._ask_again_at)
+            or not (self._is_confirmed(row.server) or row.server in self._status_retry_at)
         )
         for server in seen.removed:
-            self._ask_again_at.pop(server, None)
+            self._status_retry_at.pop(server, None)
         self._placement.feed(DirectoryChanged(reports, seen.removed))
-        self._residency.touch(seen.removed)
-        self._residency.touch(row.server for row in seen.rows)
+        self._residency.mark_changed(seen.removed)
+        self._residency.mark_changed(row.server for row in seen.rows)
 
-    def _is_settled(self, server: ServerId) -> bool:
+    def _is_confirmed(self, server: ServerId) -> bool:
         state = self._controller.state.servers.get(server)
         return (
             state is not None
@@ -243,11 +243,11 @@
             and (state.confirmed_epoch == self._role_epoch)
         )
 
-    def _told_at(self, asked_at: float) -> float:
+    def _known_not_older_than(self, asked_at: float) -> float:
         """Return the time that a row of the list certainly is not older than, while leading."""
         return asked_at - self._forwarding.list_lag_s if self._role_epoch else float("-inf")
 
-    def _pass_on_demand(self, sender: MemberId, report: Any) -> None:
+    def _forward_demand(self, sender: MemberId, report: Any) -> None:
         """Hand a node's report to the leader; what another core passed on goes no further."""
         if sender != report.node:
             return
@@ -255,40 +255,40 @@
         if holder is not None and holder != self._settings.member_id:
             self.process.peers.send(holder, report)
 
-    def _server_reached(self, server: ServerId, reached: bool) -> None:
+    def _on_server_reachability(self, server: ServerId, reached: bool) -> None:
         """Take a server that cannot be reached out of placement until it answers again.
 
         The list shows a server that crashed for some seconds more.
         """
         if reached:
-            self._ask_again_at.pop(server, None)
+            self._status_retry_at.pop(server, None)
             return
-        row = self._list.machine.rows.get(server)
+        row = self._discovery.machine.rows.get(server)
         if row is None or not self._role_epoch:
             return
-        self._ask_again_at[server] = self._clock() + UNREACHABLE_ASK_S
+        self._status_retry_at[server] = self._clock() + UNREACHABLE_RETRY_INTERVAL_S
         down = attrs.evolve(row, health=ServerHealth.DOWN)
         self._placement.feed(DirectoryChanged((StatusReport(down, self._clock()),)))
 
-    def _ask_unreachable(self, now: float) -> None:
-        for server, ask_at in list(self._ask_again_at.items()):
-            if now >= ask_at:
-                self._ask_again_at[server] = now + UNREACHABLE_ASK_S
-                self._placement.ask(server)
+    def _retry_unreachable(self, now: float) -> None:
+        for server, retry_at in list(self._status_retry_at.items()):
+            if now >= retry_at:
+                self._status_retry_at[server] = now + UNREACHABLE_RETRY_INTERVAL_S
+                self._placement.request_status(server)
 
     def _demand_received(self, sender: MemberId, message: Any) -> None:
-        self._placement.feed(demand_reported(message))
+        self._placement.feed(to_demand_reported(message))
         if not self._role_epoch:
-            self._pass_on_demand(sender, message)
+            self._forward_demand(sender, message)
             return
         for name in message.unreachable:
             server = ServerId(name)
-            if server not in self._ask_again_at:
+            if server not in self._status_retry_at:
                 # One question by the leader tells whether the server or only the node's way failed.
-                self._ask_again_at[server] = self._clock() + UNREACHABLE_ASK_S
-                self._placement.ask(server)
+                self._status_retry_at[server] = self._clock() + UNREACHABLE_RETRY_INTERVAL_S
+                self._placement.request_status(server)
 
-    def _send_to_cores(self, message: Any) -> None:
+    def _send_to_other_cores(self, message: Any) -> None:
         for core in self.machine.live_cores(self._clock()):
             self.process.peers.send(core, message)
 
@@ -304,15 +304,15 @@
         now = self._clock()
         self._follow_role(now)
         epoch_seen = self.machine.topic_epoch_seen(LISTED_TOPIC)
-        self._list.tick(self._reader_rank(now), epoch_seen, now)
+        self._discovery.tick(self._reader_rank(now), epoch_seen, now)
         self._placement.feed(Tick())
         if self._role_epoch:
             self._residency.publish_changes(self._role_epoch)
         if now >= self._slow_due_at:
-            self._slow_due_at = now + SLOW_TICK_S
+            self._slow_due_at = now + SLOW_TICK_INTERVAL_S
             self._api.tick(now)
             self._tracing.tick(now)
-            self._ask_unreachable(now)
+            self._retry_unreachable(now)
 
     def _reader_rank(self, now: float) -> int:
         own = MemberId(self._settings.member_id)
@@ -334,11 +334,11 @@
     def _lose_role(self) -> None:
         if self._role_epoch:
             self._role_epoch = 0
-            self._ask_again_at.clear()
+            self._status_retry_at.clear()
             self._placement.feed(LeaderLost())
 
 
-def _for_placement(row: ServerRow) -> ServerRow:
+def _down_if_draining(row: ServerRow) -> ServerRow:
     """Return a row as placement takes it: a server that is about to leave gets no loads."""
     if not row.draining:
         return row
--- a/src/zincvale/daemons/forwarding_dialects.py
+++ b/src/zincvale/daemons/forwarding_dialects.py
@@ -1,4 +1,4 @@
-"""What a core of a forwarding deployment speaks: one object with every dialect."""
+"""The dialects of a forwarding core: operators' API, list of servers, orders and statuses."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
         ...
 
     def is_throttled(self, result: FetchResult) -> bool:
-        """Whether the list was asked too often."""
+        """Whether the list was requested too often."""
         ...
 
 
 @attrs.frozen
 class ForwardingDialects:
-    """Every dialect of a core."""
+    """Every dialect that a core of a forwarding deployment needs."""
 
     operators: OperatorDialect
     server_list: ServerListDialect
--- a/src/zincvale/daemons/forwarding_node.py
+++ b/src/zincvale/daemons/forwarding_node.py
@@ -16,7 +16,7 @@
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.daemons.node_assembly import node_config
 from zincvale.daemons.process import Drain, build_process
-from zincvale.daemons.residency_rows import RESIDENCY_TOPIC, ResidencyDecoder
+from zincvale.daemons.residency_row_codec import RESIDENCY_TOPIC, ResidencyDecoder
 from zincvale.dataplane.forwarding.dialect import ForwardingDialect
 from zincvale.dataplane.forwarding.fleet_budgets import RetryConfig, SlowStartConfig
 from zincvale.dataplane.forwarding.routing_state import FleetLimits
@@ -38,7 +38,7 @@
 NODE_TICK_MS = 100
 SERVICES_INTERVAL_MS = 250
 DEMAND_INTERVAL_S = 0.5
-QUIET_DEMAND_INTERVAL_S = 1.5
+IDLE_DEMAND_INTERVAL_S = 1.5
 """Without requests a report only says that the node is there."""
 NODE_TRACES_PER_S = 0.25
 """Sampled traces of ordinary requests; errors are kept beside them. One costs both ends about 3 ms
@@ -47,7 +47,7 @@
 """A stopping node goes on taking callers for so long: the platform asks for readiness each second
 and stops sending callers after two misses."""
 GRACE_MARGIN_S = 0.6
-LAST_ANSWERS_S = 0.4
+FINAL_REFUSALS_S = 0.4
 """So long before its end a stopping node refuses what still waits for a server."""
 MAX_CALLER_BODY_BYTES = 64 * 1024 * 1024
 TOPICS = (LISTED_TOPIC, RESIDENCY_TOPIC)
@@ -75,7 +75,7 @@
         self._directory = DirectoryDecoder()
         self._residencies = ResidencyDecoder()
         self._demand_due_at = 0.0
-        self._demand_urgent = False
+        self._is_demand_report_scheduled = False
         self._was_ready = False
         self._drain_began_at = 0.0
         self._drain_limit_s = 0.0
@@ -157,7 +157,7 @@
             spans=self._tracing.recorder,
             random=self._random,
             clock=self._clock,
-            on_urgent=self._report_soon,
+            on_urgent=self._schedule_demand_report,
         )
         self.process.router.add_service("tracing", self._tracing.handle_message)
 
@@ -207,16 +207,16 @@
         if now >= self._demand_due_at:
             self._report_demand()
 
-    def _report_soon(self) -> None:
-        if not self._demand_urgent:
-            self._demand_urgent = True
+    def _schedule_demand_report(self) -> None:
+        if not self._is_demand_report_scheduled:
+            self._is_demand_report_scheduled = True
             IOLoop.current().add_callback(self._report_demand)
 
     def _report_demand(self) -> None:
-        self._demand_urgent = False
+        self._is_demand_report_scheduled = False
         report = self._service.demand_report()
         is_quiet = not (report.rows or report.use)
-        interval_s = QUIET_DEMAND_INTERVAL_S if is_quiet else DEMAND_INTERVAL_S
+        interval_s = IDLE_DEMAND_INTERVAL_S if is_quiet else DEMAND_INTERVAL_S
         self._demand_due_at = self._clock() + interval_s
         core = self._core_for_demand()
         if core is not None:
@@ -236,7 +236,7 @@
 
     def _is_drained(self) -> bool:
         closing_s = self._clock() - self._drain_began_at
-        if closing_s >= self._drain_limit_s - LAST_ANSWERS_S:
+        if closing_s >= self._drain_limit_s - FINAL_REFUSALS_S:
             self._service.reject_pending()
         noticed = closing_s >= LAME_DUCK_S
         return noticed and not self._service.active_requests
--- a/src/zincvale/daemons/forwarding_placement.py
+++ b/src/zincvale/daemons/forwarding_placement.py
@@ -1,7 +1,7 @@
 """Tunables of placement in a forwarding deployment.
 
 Its engines load a model within a second to a few, guard their own unloads and carry out one order
-at a time; demand shifts within seconds. So copies follow short averages, and all items in demand
+at a time; demand shifts within seconds. So replicas follow short averages, and all items in demand
 are reviewed often.
 """
 
--- a/src/zincvale/daemons/forwarding_timings.py
+++ b/src/zincvale/daemons/forwarding_timings.py
@@ -1,8 +1,8 @@
 """Durations of the coordination machines in a forwarding deployment.
 
-A replaced core must bear the next loss soon after it came, so learners replace silent replicas
-quickly and leader leases are short: the replicas from before a change are given up only when every
-lease they granted has run out.
+A replaced core must bear the next loss soon after it came, so learners replace unresponsive
+replicas quickly and leader leases are short: the replicas from before a change are removed only
+when every lease they granted has expired.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 RENEWAL_COLLECT_S = 0.1
 """Each collection costs a message to every other granting core; a lease lasts 18 times as long."""
 EPHEMERAL_RESPONSES_PER_S = 60.0
-"""About 4% of a core, at 0.6 ms an answer."""
+"""About 4% of a core, at 0.6 ms a response."""
 
 
 def forwarding_timings() -> Timings:
--- a/src/zincvale/daemons/http_fetch.py
+++ b/src/zincvale/daemons/http_fetch.py
@@ -1,8 +1,9 @@
-"""Plain JSON exchanges of the core with servers and the platform.
+"""JSON requests of a core to servers and the platform.
 
-What was given up must not arrive later: a leader's order that a partition held up would reach its
-server under the next leader. So closing a connection resets it, which discards what the other side
-has not acknowledged, and the kernel gives a connection up whose bytes nobody acknowledges.
+A request that was given up must not arrive later: a leader's order that a partition delayed would
+reach its server under the next leader. So closing a connection resets it, which discards what the
+other side has not acknowledged, and the kernel aborts a connection whose bytes stay
+unacknowledged.
 """
 
 from __future__ import annotations
@@ -21,18 +22,18 @@
 from zincvale.transport.server_exchange import OutgoingRequest
 
 MEMBER_HEADER = "X-Zincvale-Member"
-"""Names the daemon behind an order or probe."""
+"""Header with the member id of the daemon that sends an order or probe."""
 UNACKNOWLEDGED_LIMIT_MS = 300
 """At most the margin by which a leader stops before its lease ends: when the lease ends, what it
 sent has arrived or never will."""
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""SO_LINGER, switched on, for no time at all."""
-NO_ANSWER_STATUS = 0
+"""Value of SO_LINGER: on, with 0 seconds."""
+NO_RESPONSE_STATUS = 0
 
 
 @attrs.frozen
 class FetchResult:
-    """An HTTP answer; status 0 means that none came, with the reason in `error`."""
+    """An HTTP response; status 0 means that none came, with the reason in `error`."""
 
     status: int
     body: bytes = b""
@@ -51,13 +52,13 @@
         self._client = ServerClient(time.monotonic, address_map, self._prepare)
 
     async def get(self, address: str, path: str, timeout_s: float) -> FetchResult:
-        """Return the answer to `GET path`."""
+        """Return the response to `GET path`."""
         return await self.call(address, "GET", path, None, {}, timeout_s)
 
     async def post(
         self, address: str, path: str, body: dict[str, object], timeout_s: float
     ) -> FetchResult:
-        """Return the answer to `POST path` with a JSON body."""
+        """Return the response to `POST path` with a JSON body."""
         return await self.call(address, "POST", path, orjson.dumps(body), {}, timeout_s)
 
     async def call(
@@ -69,23 +70,29 @@
         headers: Mapping[str, str],
         timeout_s: float,
     ) -> FetchResult:
-        """Return the answer to a call with further headers; a body is JSON."""
-        sent = {"Host": self._address_map.get(address, address), MEMBER_HEADER: self._member_id}
+        """Return the response to a request with further headers; a body is JSON.
+
+        A request is never sent twice: an order that may have been handled counts as unknown.
+        """
+        sent_headers = {
+            "Host": self._address_map.get(address, address),
+            MEMBER_HEADER: self._member_id,
+        }
         if body is not None:
-            sent["Content-Type"] = "application/json"
+            sent_headers["Content-Type"] = "application/json"
         request = OutgoingRequest(
             method,
             path,
-            list({**sent, **headers}.items()),
+            list({**sent_headers, **headers}.items()),
             body,
             _accept_any_response,
             may_repeat=False,
         )
         try:
-            answer = await fetch_response(self._client, address, request, timeout_s)
+            response = await fetch_response(self._client, address, request, timeout_s)
         except NoResponseError as error:
-            return FetchResult(NO_ANSWER_STATUS, error=str(error), connected=error.connected)
-        return FetchResult(answer.status, answer.body)
+            return FetchResult(NO_RESPONSE_STATUS, error=str(error), connected=error.connected)
+        return FetchResult(response.status, response.body)
 
     def close(self) -> None:
         """Close every connection."""
@@ -98,12 +105,12 @@
 
 
 def discard_on_close(connected: socket.socket) -> None:
-    """Let a connection lose what is on its way when it is given up."""
+    """Make closing discard unacknowledged bytes, and abort when bytes stay unacknowledged."""
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS)
 
 
 def _accept_any_response(status: int, headers: Mapping[str, str]) -> bool:
-    """A connection carries one call at a time, and its answer is the one that follows."""
+    """Accept every response: a connection carries one request at a time."""
     return True
--- a/src/zincvale/daemons/leadership_guard.py
+++ b/src/zincvale/daemons/leadership_guard.py
@@ -1,4 +1,4 @@
-"""The check at the moment an order or a publication leaves."""
+"""The fencing check at the moment an order or a publication is sent."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 @attrs.frozen
-class RoleGuard:
-    """Whether this process may act under an epoch of a role, asked at the moment of acting."""
+class LeadershipGuard:
+    """Whether this process may act under an epoch of a role, checked at the moment of acting."""
 
     machine: CoreMachine
     role: str
--- a/src/zincvale/daemons/node_daemon.py
+++ b/src/zincvale/daemons/node_daemon.py
@@ -13,7 +13,7 @@
 from zincvale.controlplane.placement.draining_row_codec import MOVES_TOPIC, DrainingReplicasDecoder
 from zincvale.coordination.node.machine import NodeMachine
 from zincvale.coordination.replication.replica_sets import INTENT_KEY, REGISTRY_KEY
-from zincvale.daemons.draining_replicas import with_closing
+from zincvale.daemons.draining_replicas import with_draining
 from zincvale.daemons.node_assembly import node_config
 from zincvale.daemons.process import Drain, build_process
 from zincvale.daemons.registry_rows import registered_zones
@@ -36,7 +36,7 @@
 """A renewal may come this much late in 600 ms; fewer ticks keep an idle node cheap."""
 SERVICES_INTERVAL_MS = 100
 DEMAND_INTERVAL_S = 0.5
-CLAIMS_WAIT_S = 9.0
+CLAIMS_READY_TIMEOUT_S = 9.0
 """A starting node takes callers without claims after this long: above the quarantine after a start
 of the whole fleet, and below the twelve seconds in which a restart must serve."""
 LAME_DUCK_S = 1.5
@@ -56,10 +56,10 @@
         self._member = MemberId(settings.member_id)
         self._intent = IntentDecoder()
         self._directory = DirectoryDecoder()
-        self._closing = DrainingReplicasDecoder()
+        self._draining_replicas = DrainingReplicasDecoder()
         self._demand_due_at = 0.0
-        self._first_fresh_at: float | None = None
-        self._claims_began = False
+        self._fresh_since: float | None = None
+        self._claims_settled_or_timed_out = False
         self._drain_began_at = 0.0
         self.machine = NodeMachine(node_config(settings, incarnation), self._random, self._clock())
         self.process = build_process(
@@ -130,12 +130,14 @@
         now = self._clock()
         if not self.machine.ready(now):
             return False
-        if self._first_fresh_at is None:
-            self._first_fresh_at = now
-        if not self._claims_began:
-            waited_s = now - self._first_fresh_at
-            self._claims_began = self._claims.is_ready or waited_s > CLAIMS_WAIT_S
-        return self._claims_began
+        if self._fresh_since is None:
+            self._fresh_since = now
+        if not self._claims_settled_or_timed_out:
+            waited_s = now - self._fresh_since
+            self._claims_settled_or_timed_out = (
+                self._claims.is_ready or waited_s > CLAIMS_READY_TIMEOUT_S
+            )
+        return self._claims_settled_or_timed_out
 
     # --- news from control ----------------------------------------------------------------
 
@@ -177,13 +179,15 @@
         topic = self.machine.topic(DIRECTORY_TOPIC)
         try:
             directory = self._directory.update(topic.epoch, topic.version, topic.rows)
-            self._service.apply_directory(self._with_closing(directory))
+            self._service.apply_directory(self._mark_draining(directory))
         except ZincvaleError as error:
             log(log_events.INTENT_UNREADABLE, problem=str(error))
 
-    def _with_closing(self, directory: Directory) -> Directory:
+    def _mark_draining(self, directory: Directory) -> Directory:
         """Mark what the calendar is about to unload, so that nothing new is sent to it."""
-        return with_closing(directory, self._closing.update(self.machine.topic(MOVES_TOPIC).rows))
+        return with_draining(
+            directory, self._draining_replicas.update(self.machine.topic(MOVES_TOPIC).rows)
+        )
 
     # --- time -----------------------------------------------------------------------------
 
--- a/src/zincvale/daemons/order_spans.py
+++ b/src/zincvale/daemons/order_spans.py
@@ -1,4 +1,4 @@
-"""Spans of orders: sent, and their completion as observed."""
+"""Trace spans of orders, from sending to observed completion."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 from zincvale.tracing.recorder.recorder import SpanRecorder
 
 MAX_OPEN_SPANS = 10_000
+"""Above it the oldest span ends early: bounds memory when completions are never observed."""
 DONE = "done"
+"""The outcome of a completed order; any other one marks its span as failed."""
 
 
 @attrs.define
 class OrderSpans:
-    """One span per order, from its sending to its observed end."""
+    """One open span for each order that was sent and whose completion was not observed yet."""
 
     recorder: SpanRecorder
     _open: dict[str, Any] = attrs.field(factory=dict)
 
-    def order_sent(self, fact: OrderRecorded) -> None:
+    def on_order_sent(self, fact: OrderRecorded) -> None:
         """Start the order's span."""
         order = fact.order
         span = self.recorder.start(
@@ -41,7 +43,7 @@
             self._open.pop(oldest).end()
         self._open[order.order_id] = span
 
-    def order_completed(self, fact: CompletionRecorded) -> None:
+    def on_order_completed(self, fact: CompletionRecorded) -> None:
         """End the order's span with its outcome."""
         span = self._open.pop(fact.order_id, None)
         if span is None:
--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -1,4 +1,9 @@
-"""Runs the placement controller: orders to servers, status questions, the published topics."""
+"""Runs the placement controller: orders to servers, status requests and published topics.
+
+An order goes out only under the leader lease of its epoch. A server whose dialect confirms by
+repeating is sent the same order again until it says that it is completed (see
+docs/design-placement.md).
+"""
 
 from __future__ import annotations
 
@@ -33,8 +38,8 @@
 from zincvale.controlplane.placement.move_row_codec import topic_rows
 from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.daemons.http_fetch import FetchResult, HttpFetcher
+from zincvale.daemons.order_durations import OrderDurations
 from zincvale.daemons.order_spans import OrderSpans
-from zincvale.daemons.order_times import OrderTimes
 from zincvale.daemons.server_orders import (
     NativeServerOrders,
     OrderReply,
@@ -52,34 +57,44 @@
 ORDER_TIMEOUT_S = 2.0
 """Below the controller's order lifetime, so that no order arrives after it was given up."""
 STATUS_TIMEOUT_S = 1.0
-FIRST_LOOK_PART = 0.97
-"""Part of a load's expected time after which the server is asked whether it is done."""
-FIRST_DISK_LOOK_PART = 0.1
-"""As above for weights on the server's own disk, until one such load was seen to end."""
-FIRST_STEP_S = 0.015
-LONGEST_STEP_S = 0.06
-CONFIRM_LIMIT_S = 30.0
-
-RowOf = Callable[[ServerId], ServerRow | None]
-ExpectedLoad = Callable[[Order], float]
-
-
-def _no_expectation(order: Order) -> float:
+"""Longer ones delay the finding that a server is unreachable."""
+LOAD_CHECK_FRACTION = 0.97
+"""Part of a load's declared time after which the server is first checked for completion."""
+DISK_LOAD_CHECK_FRACTION = 0.1
+"""As above for weights on the server's own disk, until one such load was seen to complete."""
+MIN_CONFIRM_INTERVAL_S = 0.015
+"""Between the first check and the second one; each check is one more order to the server."""
+MAX_CONFIRM_INTERVAL_S = 0.06
+"""Bounds how late completion is noticed."""
+CONFIRM_BACKOFF_FACTOR = 1.5
+CONFIRM_TIMEOUT_S = 30.0
+"""After it the order is unconfirmed, and only a status of the server tells its result."""
+
+FindRow = Callable[[ServerId], ServerRow | None]
+ExpectedLoadTime = Callable[[Order], float]
+
+
+def _no_expected_load(order: Order) -> float:
     return 0.0
 
 
 @attrs.define
 class PlacementRunner:
-    """Feeds the placement controller and carries out its effects.
+    """Feeds the placement controller and executes its effects.
 
     Parameters
     ----------
-    row_of : the directory's row of a server.
-    orders : how servers take orders.
-    holder : the name under which this process gives orders.
-    expected_load_s : how long a load of a model should take.
-    on_touched : called with each server whose holdings, or their closing marks, may have changed.
-    on_reached : called with a server and whether it could be reached just now.
+    find_row : returns the directory's row of a server.
+    orders : formats of orders and statuses.
+    order_issuer : the name under which this process gives orders.
+    expected_load_s : returns how long a load of a model should take; 0 when nothing is declared.
+    on_replicas_changed : called with each server whose replicas, or whose draining marks, may have
+        changed.
+    on_reachability : called with a server and whether a request just reached it.
+
+    Attributes
+    ----------
+    epoch : epoch of the newest leader lease, under which moves are published.
     """
 
     _controller: PlacementController
@@ -87,47 +102,47 @@
     _publisher: TopicPublisher
     _clock: Callable[[], float]
     _wall_clock: Callable[[], float]
-    _row_of: RowOf
+    _find_row: FindRow
     _spans: OrderSpans
     _orders: ServerOrders = attrs.field(factory=NativeServerOrders)
-    _holder: str = ""
-    _expected_load_s: ExpectedLoad = _no_expectation
-    _on_touched: Callable[[ServerId], None] = lambda server: None
-    _on_reached: Callable[[ServerId, bool], None] = lambda server, reached: None
+    _order_issuer: str = ""
+    _expected_load_s: ExpectedLoadTime = _no_expected_load
+    _on_replicas_changed: Callable[[ServerId], None] = lambda server: None
+    _on_reachability: Callable[[ServerId, bool], None] = lambda server, reached: None
     epoch: int = 0
     _publications: Queue[PublishTopic] = attrs.field(factory=Queue)
     _sequences: dict[ServerId, int] = attrs.field(factory=dict)
-    _carried_out: dict[ServerId, Order] = attrs.field(factory=dict)
-    _times: OrderTimes = attrs.field(factory=OrderTimes)
+    _active_orders: dict[ServerId, Order] = attrs.field(factory=dict)
+    _durations: OrderDurations = attrs.field(factory=OrderDurations)
 
     def start(self) -> None:
-        """Start the loop that publishes moves in order."""
+        """Start the task that publishes moves in order; it runs as long as the process."""
         IOLoop.current().add_callback(self._publish_forever)
 
     def feed(self, event: Input) -> None:
-        """Apply one input and carry out its effects."""
+        """Apply one input and execute its effects."""
         for effect in self._controller.handle(event, self._clock()):
-            self._carry_out(effect)
+            self._execute(effect)
 
     def publish(self, message: PublishTopic) -> None:
         """Publish in order with the moves."""
         self._publications.put_nowait(message)
 
-    def _carry_out(self, effect: Any) -> None:
+    def _execute(self, effect: Any) -> None:
         match effect:
             case SendOrder():
                 IOLoop.current().add_callback(self._send_order, effect)
             case RequestStatus():
-                IOLoop.current().add_callback(self._ask_status, effect)
+                IOLoop.current().add_callback(self._request_status, effect)
             case PublishMoves():
                 self._publications.put_nowait(self._publication(effect))
             case MarkDraining():
-                self._on_touched(effect.server)
+                self._on_replicas_changed(effect.server)
             case OrderRecorded():
-                self._spans.order_sent(effect)
+                self._spans.on_order_sent(effect)
             case CompletionRecorded():
-                self._on_touched(effect.server)
-                self._spans.order_completed(effect)
+                self._on_replicas_changed(effect.server)
+                self._spans.on_order_completed(effect)
             case Log(number, fields):
                 log(number, **fields)
 
@@ -145,29 +160,29 @@
 
     async def _send_order(self, effect: SendOrder) -> None:
         order = effect.order
-        row = self._row_of(effect.server)
+        row = self._find_row(effect.server)
         if not self._may_send(effect) or row is None:
             log(log_events.ORDER_FENCED, order_id=order.order_id, server=effect.server)
             self.feed(OrderRefused(order.order_id, OrderRefusal.WITHHELD))
             return
-        self._carried_out[effect.server] = order
-        reply = await self._give(effect, row, self._sequences.get(effect.server))
-        if reply is OrderReply.TAKEN and effect.server in self._sequences:
+        self._active_orders[effect.server] = order
+        reply = await self._post_order(effect, row, self._sequences.get(effect.server))
+        if reply is OrderReply.ACCEPTED and effect.server in self._sequences:
             self._sequences[effect.server] += 1
-        if reply is not OrderReply.TAKEN:
-            self._forget(effect.server, order)
+        if reply is not OrderReply.ACCEPTED:
+            self._clear_active_order(effect.server, order)
         self._feed_reply(order, reply)
         if reply in (OrderRefusal.NOT_CONNECTED, OrderReply.UNKNOWN):
-            self._on_reached(effect.server, False)
+            self._on_reachability(effect.server, False)
         if reply is OrderRefusal.BUSY and self._orders.confirms_by_repeating:
-            await self._ask_status(RequestStatus(effect.server, effect.address))
-        if reply is OrderReply.TAKEN and self._orders.confirms_by_repeating:
-            await self._confirm(effect, row)
+            await self._request_status(RequestStatus(effect.server, effect.address))
+        if reply is OrderReply.ACCEPTED and self._orders.confirms_by_repeating:
+            await self._confirm_by_repeating(effect, row)
 
-    async def _give(
+    async def _post_order(
         self, effect: SendOrder, row: ServerRow, sequence: int | None
     ) -> OrderReply | OrderRefusal:
-        call = self._orders.order_call(effect.order, row, self._holder, sequence)
+        call = self._orders.order_call(effect.order, row, self._order_issuer, sequence)
         result = await self._fetcher.call(
             effect.address, "POST", call.path, call.body, call.headers, ORDER_TIMEOUT_S
         )
@@ -179,95 +194,95 @@
 
     def _feed_reply(self, order: Order, reply: OrderReply | OrderRefusal) -> None:
         match reply:
-            case OrderReply.TAKEN:
+            case OrderReply.ACCEPTED:
                 self.feed(OrderAccepted(order.order_id))
-            case OrderReply.DONE:
+            case OrderReply.COMPLETED:
                 self.feed(OrderAccepted(order.order_id, done=True))
             case OrderReply.UNKNOWN:
                 self.feed(OrderUnknown(order.order_id))
             case OrderRefusal():
                 self.feed(OrderRefused(order.order_id, reply))
 
-    async def _confirm(self, effect: SendOrder, row: ServerRow) -> None:
-        """Send an order again until the server says that it holds: its own reports lag."""
+    async def _confirm_by_repeating(self, effect: SendOrder, row: ServerRow) -> None:
+        """Repeat an order until the server says that it is completed: its own reports lag."""
         order = effect.order
-        began_at = self._clock()
-        await gen.sleep(self._first_look_s(order))
-        step_s = FIRST_STEP_S
-        while self._clock() - began_at < CONFIRM_LIMIT_S:
+        started_at = self._clock()
+        await gen.sleep(self._first_check_s(order))
+        interval_s = MIN_CONFIRM_INTERVAL_S
+        while self._clock() - started_at < CONFIRM_TIMEOUT_S:
             if not self._publisher.guard.may_act(order.epoch):
-                self._forget(effect.server, order)
+                self._clear_active_order(effect.server, order)
                 return
-            reply = await self._give(effect, row, None)
-            if reply is OrderReply.DONE:
-                self._times.note_done(order, self._clock() - began_at)
-                self._forget(effect.server, order)
+            reply = await self._post_order(effect, row, None)
+            if reply is OrderReply.COMPLETED:
+                self._durations.record_completion(order, self._clock() - started_at)
+                self._clear_active_order(effect.server, order)
                 self._feed_reply(order, reply)
                 return
-            if reply not in (OrderRefusal.BUSY, OrderReply.TAKEN):
+            if reply not in (OrderRefusal.BUSY, OrderReply.ACCEPTED):
                 break
-            await gen.sleep(step_s)
-            step_s = min(LONGEST_STEP_S, step_s * 1.5)
-        self._forget(effect.server, order)
+            await gen.sleep(interval_s)
+            interval_s = min(MAX_CONFIRM_INTERVAL_S, interval_s * CONFIRM_BACKOFF_FACTOR)
+        self._clear_active_order(effect.server, order)
         self.feed(OrderUnknown(order.order_id))
 
-    def _forget(self, server: ServerId, order: Order) -> None:
-        """The order is not under way, as far as this process knows; a later one may be."""
-        if self._carried_out.get(server) is order:
-            del self._carried_out[server]
+    def _clear_active_order(self, server: ServerId, order: Order) -> None:
+        """Record that `order` is not executed, as far as this process knows; a later one may be."""
+        if self._active_orders.get(server) is order:
+            del self._active_orders[server]
 
-    def _first_look_s(self, order: Order) -> float:
-        learned_s = self._times.first_look_s(order)
+    def _first_check_s(self, order: Order) -> float:
+        learned_s = self._durations.first_check_s(order)
         if order.action is not OrderAction.LOAD or order.item_kind is not ItemKind.MODEL:
             return learned_s
         declared_s = self._expected_load_s(order)
-        if order.from_disk and not self._times.disk_s_per_byte:
-            return max(learned_s, declared_s * FIRST_DISK_LOOK_PART)
+        if order.from_disk and not self._durations.disk_s_per_byte:
+            return max(learned_s, declared_s * DISK_LOAD_CHECK_FRACTION)
         if order.from_disk or not declared_s:
             return learned_s
-        return declared_s * FIRST_LOOK_PART
+        return declared_s * LOAD_CHECK_FRACTION
 
-    def ask(self, server: ServerId) -> None:
-        """Ask a server for its status now."""
-        row = self._row_of(server)
+    def request_status(self, server: ServerId) -> None:
+        """Request a server's status in the next turn of the loop."""
+        row = self._find_row(server)
         if row is not None:
-            IOLoop.current().add_callback(self._ask_status, RequestStatus(server, row.address))
+            IOLoop.current().add_callback(self._request_status, RequestStatus(server, row.address))
 
     # --- statuses -------------------------------------------------------------------------
 
-    async def _ask_status(self, effect: RequestStatus) -> None:
-        row = self._row_of(effect.server)
+    async def _request_status(self, effect: RequestStatus) -> None:
+        row = self._find_row(effect.server)
         if row is None:
             return
-        asked_at = self._clock()
+        requested_at = self._clock()
         call = self._orders.status_call(row)
         result = await self._fetcher.call(
             effect.address, "GET", call.path, None, call.headers, STATUS_TIMEOUT_S
         )
         reading = self._read(row, result)
         if not result.status:
-            self._on_reached(effect.server, False)
+            self._on_reachability(effect.server, False)
         if reading is None:
             return
-        self._on_reached(effect.server, True)
-        own = self._order_under_way(effect.server)
+        self._on_reachability(effect.server, True)
+        own = self._active_order(effect.server)
         if reading.is_busy and own is None:
-            # Somebody else's order is under way: nothing can be told from this status. Its count of
-            # orders must not be taken either: the next order would pass as if its end were known.
+            # Another leader's order is executed: this status proves nothing. Its sequence must not
+            # be taken either: the next order would pass as if the result of that one were known.
             return
         if reading.sequence is not None:
             self._sequences[effect.server] = reading.sequence
-        self.feed(DirectoryChanged((_report(reading, own, asked_at),)))
+        self.feed(DirectoryChanged((_report(reading, own, requested_at),)))
 
-    def _order_under_way(self, server: ServerId) -> Order | None:
-        """Return the order that this process gave the server under the lease it still holds.
+    def _active_order(self, server: ServerId) -> Order | None:
+        """Return the order that this process gave the server under its present lease.
 
-        One from an earlier lease says nothing any more: another leader may have ordered since.
+        One from an earlier lease proves nothing any more: another leader may have ordered since.
         """
-        own = self._carried_out.get(server)
+        own = self._active_orders.get(server)
         if own is None or self._publisher.guard.may_act(own.epoch):
             return own
-        del self._carried_out[server]
+        del self._active_orders[server]
         return None
 
     def _read(self, row: ServerRow, result: FetchResult) -> StatusReading | None:
@@ -277,11 +292,11 @@
             return None
 
 
-def _report(reading: StatusReading, own: Order | None, asked_at: float) -> StatusReport:
-    """Return the reading as the controller's input; what is ordered counts as on its way."""
+def _report(reading: StatusReading, own: Order | None, requested_at: float) -> StatusReport:
+    """Return the reading as the controller's input; the active order counts as being executed."""
     row, unloading = reading.row, reading.unloading
     if own is not None and own.action is OrderAction.LOAD:
         row = attrs.evolve(row, loading=row.loading | {own.name})
     elif own is not None:
         unloading = unloading | {own.name}
-    return StatusReport(row, asked_at - reading.age_s, unloading)
+    return StatusReport(row, requested_at - reading.age_s, unloading)
--- a/src/zincvale/daemons/process.py
+++ b/src/zincvale/daemons/process.py
@@ -1,4 +1,4 @@
-"""What both daemons share: the peer endpoint, the machine driver, and an orderly stop."""
+"""What every daemon shares: the peer endpoint, the machine driver, signals and the drain."""
 
 from __future__ import annotations
 
@@ -24,15 +24,17 @@
 from zincvale.transport.peer_server import MAX_PEER_BODY_BYTES, PeerServer
 
 MAX_API_BODY_BYTES = 32 * 1024 * 1024
-DRAIN_LOOK_INTERVAL_S = 0.05
-COLLECT_AFTER_OBJECTS = 5_000
-"""Objects made beyond those freed between two looks for cycles. Python's default of 700 is passed
-several times a second by a node under load, which makes few cycles."""
+"""Larger bodies are refused: each one is buffered as a whole."""
+DRAIN_CHECK_INTERVAL_S = 0.05
+"""Longer ones delay the stop of a drained process."""
+GC_THRESHOLD_OBJECTS = 5_000
+"""Allocations minus deallocations between two collections of cycles. Python's default of 700 is
+passed several times a second by a node under load, which makes few cycles."""
 
 
 @attrs.frozen
 class Drain:
-    """How a daemon goes: begin, and go on serving until done or the limit is over."""
+    """How a daemon drains: `begin`, then serve on until `is_done` or `limit_s` have passed."""
 
     begin: Callable[[], None]
     is_done: Callable[[], bool]
@@ -48,7 +50,10 @@
 
 @attrs.define
 class DaemonProcess:
-    """The plumbing of one daemon around its coordination machine."""
+    """One daemon's peer endpoint, driver and HTTP servers around its coordination machine.
+
+    It owns the HTTP servers that it listens with and stops them when `run` returns.
+    """
 
     settings: DaemonSettings
     identity: PeerIdentity
@@ -85,7 +90,7 @@
         """Serve until SIGTERM or SIGINT, then drain."""
         loop = IOLoop.current()
         self.driver.start()
-        _settle_collector()
+        _tune_garbage_collector()
 
         def on_signal(number: int, frame: Any) -> None:
             loop.add_callback_from_signal(self._begin_drain, drain)
@@ -113,21 +118,21 @@
         drain.begin()
         self._stop_when_drained(drain, self._clock() + drain.limit_s)
 
-    def _stop_when_drained(self, drain: Drain, give_up_at: float) -> None:
+    def _stop_when_drained(self, drain: Drain, drain_deadline: float) -> None:
         loop = IOLoop.current()
-        if drain.is_done() or self._clock() >= give_up_at:
+        if drain.is_done() or self._clock() >= drain_deadline:
             loop.stop()
             return
-        loop.call_later(DRAIN_LOOK_INTERVAL_S, self._stop_when_drained, drain, give_up_at)
+        loop.call_later(DRAIN_CHECK_INTERVAL_S, self._stop_when_drained, drain, drain_deadline)
 
 
-def _settle_collector() -> None:
-    """Have the collector walk only what is made from here on: modules live as long as the process.
+def _tune_garbage_collector() -> None:
+    """Exempt all objects so far from garbage collection: modules live as long as the process.
 
     No collection comes first: it would take a tenth of a start to find about 2 MB.
     """
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER_OBJECTS)
+    gc.set_threshold(GC_THRESHOLD_OBJECTS)
     gc.enable()
 
 
@@ -141,7 +146,14 @@
     after_input: Callable[[], None],
     tick_interval_ms: float = TICK_INTERVAL_MS,
 ) -> DaemonProcess:
-    """Return the plumbing around `machine`."""
+    """Return the process around `machine`.
+
+    Parameters
+    ----------
+    storage : where `Write` effects go; None for a machine that writes nothing.
+    address_of : returns the peer address of a member, None while it is unknown.
+    after_input : called after each run of inputs.
+    """
     member = MemberId(settings.member_id)
     identity = PeerIdentity(settings.cluster_id, member, incarnation)
     replies = _Replies()
@@ -164,7 +176,7 @@
 
 @attrs.define
 class _Replies:
-    """Breaks the cycle between the driver and the peer server."""
+    """Sends replies to peers; breaks the construction cycle between driver and peer server."""
 
     server: PeerServer | None = None
 
--- a/src/zincvale/daemons/registry_rows.py
+++ b/src/zincvale/daemons/registry_rows.py
@@ -1,4 +1,4 @@
-"""The registered nodes with their zones, for the choice of claim holders."""
+"""The registered nodes with their zones, for the choice of claim voters."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def registered_zones(rows: Rows) -> dict[MemberId, ZoneName]:
-    """Return the zone of each node that is registered once the registry's change is closed.
+    """Return the zone of each node that stays registered once the pending change completes.
 
     Every version of the registry is a view of its own, so that two nodes with the same version
-    choose the same holders.
+    choose the same voters.
     """
     zones: dict[MemberId, ZoneName] = {}
     for name, content in rows.items():
--- a/src/zincvale/daemons/residency_publication.py
+++ b/src/zincvale/daemons/residency_publisher.py
@@ -1,4 +1,7 @@
-"""The leader's half of the topic `residency`: tells nodes what changed of the servers' holdings."""
+"""Publishes the topic `residency`: models and adapters for which servers may get requests.
+
+Only the placement leader publishes; `residency_row_codec` decodes the rows at the nodes.
+"""
 
 from __future__ import annotations
 
@@ -9,16 +12,16 @@
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.controlplane.placement.servers import ReplicaState, ServerState
 from zincvale.coordination.delivery.messages import PublishTopic
-from zincvale.daemons.residency_rows import RESIDENCY_TOPIC
+from zincvale.daemons.residency_row_codec import RESIDENCY_TOPIC
 from zincvale.model.identifiers import ServerId
 
 
-class ResidencyPublication:
-    """Rows that were published under one lease, and servers whose row may have changed since.
+class ResidencyPublisher:
+    """Remembers the rows published under one lease, and servers whose row may have changed since.
 
     Parameters
     ----------
-    servers : returns placement's table of servers.
+    servers : returns placement's states of servers.
     publish : publishes a change of the topic.
     """
 
@@ -29,24 +32,24 @@
     ) -> None:
         self._servers = servers
         self._publish = publish
-        self._touched: set[ServerId] = set()
+        self._changed: set[ServerId] = set()
         self._published: dict[str, bytes] = {}
 
-    def touch(self, servers: Iterable[ServerId]) -> None:
-        """Note servers whose holdings may have changed."""
-        self._touched.update(servers)
+    def mark_changed(self, servers: Iterable[ServerId]) -> None:
+        """Mark servers whose replicas may have changed."""
+        self._changed.update(servers)
 
     def restart(self) -> None:
-        """Publish everything again: a new lease begins."""
+        """Publish every row again with the next changes: a new lease begins."""
         self._published = {}
-        self._touched.update(self._servers())
+        self._changed.update(self._servers())
 
     def publish_changes(self, epoch: int) -> None:
-        """Publish what changed since the last call, under the lease of `epoch`."""
-        touched, self._touched = self._touched, set()
+        """Publish the rows that changed since the last call, under the lease of `epoch`."""
+        changed, self._changed = self._changed, set()
         puts: dict[str, bytes] = {}
         deletes: list[str] = []
-        for server in touched:
+        for server in changed:
             state = self._servers().get(server)
             if state is None:
                 if self._published.pop(server, None) is not None:
@@ -60,19 +63,19 @@
 
 
 def encode_residency(server: ServerState) -> bytes:
-    """Return the row of a server in placement's table: what requests may be sent for.
+    """Return a server's row: the loaded models and adapters, sorted.
 
-    What is about to be unloaded is left out as soon as that is planned.
+    A draining replica is left out as soon as its unload is planned.
     """
-    held: dict[str, list[str]] = {ItemKind.MODEL.value: [], ItemKind.ADAPTER.value: []}
+    names_by_kind: dict[str, list[str]] = {ItemKind.MODEL.value: [], ItemKind.ADAPTER.value: []}
     for key, replica in server.replicas.items():
         kind, _, name = key.partition("/")
         if replica.state is ReplicaState.LOADED and not replica.draining:
-            held[kind].append(name)
+            names_by_kind[kind].append(name)
     return orjson.dumps(
         {
             "incarnation": server.incarnation,
-            "models": sorted(held[ItemKind.MODEL.value]),
-            "adapters": sorted(held[ItemKind.ADAPTER.value]),
+            "models": sorted(names_by_kind[ItemKind.MODEL.value]),
+            "adapters": sorted(names_by_kind[ItemKind.ADAPTER.value]),
         }
     )
--- a/src/zincvale/daemons/residency_rows.py
+++ b/src/zincvale/daemons/residency_row_codec.py
@@ -1,4 +1,4 @@
-"""Rows of the topic `residency`: what the placement leader knows each server to hold."""
+"""Rows of the topic `residency`: models and adapters for which servers may get requests."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class ResidencyDecoder:
-    """Keeps the typed rows of the topic; decodes only rows that changed."""
+    """Stores the typed rows of the topic; decodes only rows that changed."""
 
     def __init__(self) -> None:
         self._rows: dict[str, bytes] = {}
         self._residencies: dict[ServerId, Residency] = {}
 
     def update(self, rows: Mapping[str, bytes]) -> dict[ServerId, Residency]:
-        """Return what each server holds."""
+        """Return each server's residency in the complete `rows` of the topic."""
         known = self._residencies
         self._residencies = {
             ServerId(server): known[ServerId(server)]
--- a/src/zincvale/daemons/roles.py
+++ b/src/zincvale/daemons/roles.py
@@ -1,4 +1,4 @@
-"""Singleton roles that cores stand for."""
+"""Singleton roles for which cores are candidates."""
 
 from __future__ import annotations
 
--- a/src/zincvale/daemons/server_orders.py
+++ b/src/zincvale/daemons/server_orders.py
@@ -1,6 +1,7 @@
-"""How servers take orders and report on themselves: the seam of placement towards back ends.
+"""The interface between placement and back ends: formats of orders and of status requests.
 
-`NativeServerOrders` is the product's own dialect; another one is another class with these methods.
+`NativeServerOrders` is the product's own dialect; another dialect is another class that implements
+`ServerOrders`.
 """
 
 from __future__ import annotations
@@ -36,27 +37,30 @@
 
 
 class OrderReply(enum.Enum):
-    """What a server's answer to an order proves."""
+    """What a server's response to an order proves; a proven refusal is an `OrderRefusal`.
 
-    TAKEN = "taken"
-    """It carries the order out; its end is not known yet."""
-    DONE = "done"
-    """What was ordered holds."""
+    An order goes from `ACCEPTED` to `COMPLETED`; after `UNKNOWN` only a status of the server tells.
+    """
+
+    ACCEPTED = "accepted"
+    """The server executes the order; whether it is completed is not known yet."""
+    COMPLETED = "completed"
+    """The server's state is as ordered."""
     UNKNOWN = "unknown"
     """Nothing: the order may run."""
 
 
 @attrs.frozen
 class StatusReading:
-    """A server's own word.
+    """The status that a server reports of itself.
 
     Attributes
     ----------
-    row : the directory's row with what the server said.
-    unloading : names on their way out.
-    age_s : how much older than its answer the word may be.
-    is_busy : an order is under way there.
-    sequence : orders that the server took; None when it does not count them.
+    row : the directory's row, updated from the response.
+    unloading : models and adapters that are being unloaded.
+    age_s : how much older than its response the status may be.
+    is_busy : the server executes an order.
+    sequence : number of orders that the server accepted; None when it does not count them.
     """
 
     row: ServerRow
@@ -71,26 +75,35 @@
 
     @property
     def confirms_by_repeating(self) -> bool:
-        """Whether an order that was taken can be sent again to learn that it is done."""
+        """Whether sending an accepted order again tells whether it is completed."""
         ...
 
     def order_call(
-        self, order: Order, row: ServerRow, holder: str, sequence: int | None
+        self, order: Order, row: ServerRow, issuer: str, sequence: int | None
     ) -> HttpCall:
-        """Return the call that gives an order."""
+        """Return the call that gives an order.
+
+        Parameters
+        ----------
+        issuer : the name under which this process gives orders.
+        sequence : number of orders that the server must have accepted before this one, else it
+            refuses; None asks for no such check.
+        """
         ...
 
     def order_reply(self, order: Order, result: FetchResult) -> OrderReply | OrderRefusal:
-        """Return what the answer proves."""
+        """Return what the response proves."""
         ...
 
     def status_call(self, row: ServerRow) -> HttpCall:
-        """Return the call (a GET) that asks for a server's status."""
+        """Return the call (a GET) that requests a server's status."""
         ...
 
     def read_status(self, row: ServerRow, result: FetchResult) -> StatusReading | None:
-        """Return the status in an answer, None when it is not this server's; may raise
-        `MalformedBodyError`."""
+        """Return the status in a response, None when it is not this server's.
+
+        Raises `MalformedBodyError`.
+        """
         ...
 
 
@@ -100,16 +113,16 @@
     confirms_by_repeating = False
 
     def order_call(
-        self, order: Order, row: ServerRow, holder: str, sequence: int | None
+        self, order: Order, row: ServerRow, issuer: str, sequence: int | None
     ) -> HttpCall:
         """Return the call that gives an order."""
         kind = "models" if order.item_kind is ItemKind.MODEL else "adapters"
         return HttpCall(f"/v1/{kind}/{order.action.value}", orjson.dumps(_order_body(order)))
 
     def order_reply(self, order: Order, result: FetchResult) -> OrderReply | OrderRefusal:
-        """Return what the answer proves: only a proven refusal frees a reservation."""
+        """Return what the response proves: only a proven refusal frees a reservation."""
         if result.status in (HTTP_OK, HTTP_ACCEPTED):
-            return OrderReply.TAKEN
+            return OrderReply.ACCEPTED
         if not result.connected:
             return OrderRefusal.NOT_CONNECTED
         if result.status == HTTP_CONFLICT:
@@ -124,11 +137,11 @@
         return OrderReply.UNKNOWN
 
     def status_call(self, row: ServerRow) -> HttpCall:
-        """Return the call that asks for a server's status."""
+        """Return the call that requests a server's status."""
         return HttpCall(STATUS_PATH, b"")
 
     def read_status(self, row: ServerRow, result: FetchResult) -> StatusReading | None:
-        """Return the status in an answer; raises `MalformedBodyError`."""
+        """Return the status in a response; raises `MalformedBodyError`."""
         if result.status != HTTP_OK:
             return None
         status = read_server_status(result.body)
--- a/src/zincvale/daemons/standby_daemon.py
+++ b/src/zincvale/daemons/standby_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon of a core role on a machine without a disk: it sends operators to the cores."""
+"""The daemon of a core role on a machine without a disk: it redirects operators to the cores."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from zincvale.runtime.incarnation import new_incarnation
 from zincvale.runtime.settings import DaemonSettings
 
-TICK_MS = 250
-"""A standby has nothing to do between its questions to the cores."""
+TICK_INTERVAL_MS = 250
+"""A standby has nothing to do between its requests to the cores."""
 TEMPORARY_REDIRECT = 307
 UNAVAILABLE = 503
 
@@ -39,11 +39,11 @@
             None,
             self.machine.address_of,
             _after_input,
-            TICK_MS,
+            TICK_INTERVAL_MS,
         )
 
     def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until SIGTERM or SIGINT."""
         self.process.listen(operator_application(self.machine))
         self.process.run(NO_DRAIN)
 
@@ -62,11 +62,11 @@
     """Every path and method: the same call at a core, or 503 while none is known."""
 
     def initialize(self, machine: StandbyMachine) -> None:
-        """Take the machine that knows the cores."""
+        """Set the machine that knows the cores."""
         self.machine = machine
 
     def prepare(self) -> None:
-        """Answer the request, whatever its method; tornado then runs no method of its own."""
+        """Respond to the request, whatever its method; tornado then runs no method of its own."""
         address = self.machine.core_for_operators(suspend_aware_now())
         if address is None:
             self.set_status(UNAVAILABLE)
@@ -78,7 +78,7 @@
 
 
 def _after_input() -> None:
-    """A standby keeps no views that follow its machine."""
+    """A standby has no views that follow its machine."""
 
 
 def _ignore_request(handler: Any) -> None:
--- a/src/zincvale/platform/servers.py
+++ b/src/zincvale/platform/servers.py
@@ -29,8 +29,8 @@
 MS_PER_S = 1000.0
 TOO_MANY = 429
 REPLY_BY_STATUS: dict[int, OrderReply | OrderRefusal] = {
-    200: OrderReply.DONE,
-    202: OrderReply.TAKEN,
+    200: OrderReply.COMPLETED,
+    202: OrderReply.ACCEPTED,
     400: OrderRefusal.OTHER,
     409: OrderRefusal.BUSY,
     412: OrderRefusal.STALE_EPOCH,
@@ -65,12 +65,12 @@
     confirms_by_repeating = True
 
     def order_call(
-        self, order: Order, row: ServerRow, holder: str, sequence: int | None
+        self, order: Order, row: ServerRow, issuer: str, sequence: int | None
     ) -> HttpCall:
         """Return the call that gives an order."""
         body: dict[str, Any] = {
             "operation": order.action.value,
-            "holder": holder,
+            "holder": issuer,
             "fencingToken": order.epoch,
         }
         if order.item_kind is ItemKind.MODEL:
@@ -82,17 +82,17 @@
         return HttpCall("/v1/order", orjson.dumps(body), {"Expect-Instance": row.incarnation})
 
     def order_reply(self, order: Order, result: FetchResult) -> OrderReply | OrderRefusal:
-        """Return what the answer proves."""
+        """Return what the response proves."""
         if not result.connected:
             return OrderRefusal.NOT_CONNECTED
         return REPLY_BY_STATUS.get(result.status, OrderReply.UNKNOWN)
 
     def status_call(self, row: ServerRow) -> HttpCall:
-        """Return the call that asks for a server's report."""
+        """Return the call that requests a server's report."""
         return HttpCall("/v1/report", b"", {"Expect-Instance": row.incarnation})
 
     def read_status(self, row: ServerRow, result: FetchResult) -> StatusReading | None:
-        """Return the report in an answer; raises `MalformedBodyError`."""
+        """Return the report in a response; raises `MalformedBodyError`."""
         if result.status != 200:
             return None
         try:
--- a/src/zincvale/simulator/what_if/control_machine.py
+++ b/src/zincvale/simulator/what_if/control_machine.py
@@ -52,8 +52,8 @@
 from zincvale.controlplane.placement.moves import Move, MoveKind
 from zincvale.coordination.changes import TopicView
 from zincvale.coordination.delivery.messages import PublishTopic
-from zincvale.daemons.demand_translation import demand_reported
-from zincvale.daemons.draining_replicas import with_closing
+from zincvale.daemons.demand_translation import to_demand_reported
+from zincvale.daemons.draining_replicas import with_draining
 from zincvale.dataplane.messages import DemandReport
 from zincvale.model.identifiers import MemberId, MoveId, ServerId, StoreName
 from zincvale.model.machine import Tick
@@ -118,7 +118,7 @@
 
     def take_report(self, report: DemandReport) -> None:
         """Take a node's demand."""
-        self._feed(demand_reported(report))
+        self._feed(to_demand_reported(report))
 
     def _tick(self) -> None:
         if self._clock.now >= self._renew_at:
@@ -174,7 +174,7 @@
         """Hand out the directory with the closing marks of the calendar."""
         self._version += 1
         directory = self._decoder.update(EPOCH, self._version, self._rows)
-        self._publish(with_closing(directory, draining_by_server(self._unloads.values())))
+        self._publish(with_draining(directory, draining_by_server(self._unloads.values())))
 
     # placement
 
--- a/tests/daemons/test_list_runner.py
+++ b/tests/daemons/test_discovery_runner.py
@@ -1,4 +1,4 @@
-"""Reading the list of servers: pages, failures, and what other cores are told."""
+"""Reading the list of servers: pages, failures, and what is announced to other cores."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from zincvale.model.errors import MalformedBodyError
 
 ADDRESS = "10.0.9.9:80"
-NO_ANSWER = FetchResult(0, b"", "nobody listens", False)
+NO_RESPONSE = FetchResult(0, b"", "nobody listens", False)
 
 
 class PagesDialect:
@@ -38,13 +38,13 @@
 
 
 class FakeFetcher:
-    def __init__(self, answers):
-        self.answers = answers
-        self.asked = []
+    def __init__(self, responses):
+        self.responses = responses
+        self.requested_paths = []
 
     async def get(self, address, path, timeout_s):
-        self.asked.append(path)
-        return self.answers(path) if callable(self.answers) else self.answers.pop(0)
+        self.requested_paths.append(path)
+        return self.responses(path) if callable(self.responses) else self.responses.pop(0)
 
 
 class FakeDriver:
@@ -56,18 +56,18 @@
         return TopicPublished(True, 1)
 
 
-def answer(body: str) -> FetchResult:
+def ok(body: str) -> FetchResult:
     return FetchResult(200, body.encode())
 
 
-class ListRunnerTest(testtools.TestCase):
-    def read_with(self, answers, readings: int = 1) -> DiscoveryRunner:
-        """Let one core read the list as often as it wants to within a few virtual seconds."""
+class DiscoveryRunnerTest(testtools.TestCase):
+    def read_with(self, responses, readings: int = 1) -> DiscoveryRunner:
+        """Let one core read the list as often as it may within a few virtual seconds."""
         self.now = 100.0
         self.driver = FakeDriver()
-        self.fetcher = FakeFetcher(answers)
-        self.told: list[object] = []
-        self.seen: list[object] = []
+        self.fetcher = FakeFetcher(responses)
+        self.announced: list[object] = []
+        self.observed: list[object] = []
         runner = DiscoveryRunner(
             ServerDiscovery("core-1/a", 0.8, self.now),
             PagesDialect(),
@@ -76,8 +76,8 @@
             self.driver,
             lambda: self.now,
             lambda: 1_000_000.0 + self.now,
-            self.told.append,
-            self.seen.append,
+            self.announced.append,
+            self.observed.append,
         )
 
         async def main() -> None:
@@ -94,30 +94,30 @@
         return sorted(runner.machine.rows)
 
     def test_every_page_is_read(self) -> None:
-        runner = self.read_with([answer("s1,s2|next"), answer("s3|")])
-        self.assertEqual(["/list/", "/list/next"], self.fetcher.asked)
+        runner = self.read_with([ok("s1,s2|next"), ok("s3|")])
+        self.assertEqual(["/list/", "/list/next"], self.fetcher.requested_paths)
         self.assertEqual(["s1", "s2", "s3"], self.names(runner))
 
-    def test_what_was_read_is_published_and_the_other_cores_are_told(self) -> None:
-        self.read_with([answer("s1|")])
+    def test_what_was_read_is_published_and_announced_to_the_other_cores(self) -> None:
+        self.read_with([ok("s1|")])
         self.assertIsInstance(self.driver.published[0], PublishTopic)
-        self.assertIn(ListRead, [type(each) for each in self.told])
+        self.assertIn(ListRead, [type(each) for each in self.announced])
 
-    def test_half_a_list_changes_nothing(self) -> None:
-        runner = self.read_with([answer("s1,s2|"), answer("s1|next"), NO_ANSWER], readings=2)
+    def test_an_incomplete_list_changes_nothing(self) -> None:
+        runner = self.read_with([ok("s1,s2|"), ok("s1|next"), NO_RESPONSE], readings=2)
         self.assertEqual(["s1", "s2"], self.names(runner))
 
     def test_a_page_that_cannot_be_read_changes_nothing(self) -> None:
-        runner = self.read_with([answer("s1,s2|"), answer("garbage")], readings=2)
+        runner = self.read_with([ok("s1,s2|"), ok("garbage")], readings=2)
         self.assertEqual(["s1", "s2"], self.names(runner))
 
     def test_pages_that_never_end_are_given_up(self) -> None:
-        runner = self.read_with(lambda path: answer("s1|again"))
-        self.assertEqual(MAX_PAGES, len(self.fetcher.asked))
+        runner = self.read_with(lambda path: ok("s1|again"))
+        self.assertEqual(MAX_PAGES, len(self.fetcher.requested_paths))
         self.assertEqual([], self.names(runner))
 
     def test_without_an_address_nothing_is_read(self) -> None:
-        runner = self.read_with([NO_ANSWER])
+        runner = self.read_with([NO_RESPONSE])
         runner._address = ""
         runner.tick(0, 0, self.now + 10.0)
-        self.assertEqual(1, len(self.fetcher.asked))
+        self.assertEqual(1, len(self.fetcher.requested_paths))
--- a/tests/daemons/test_http_fetch.py
+++ b/tests/daemons/test_http_fetch.py
@@ -1,4 +1,4 @@
-"""Calls of a core to servers: what is given up is lost, and does not arrive later."""
+"""Calls of a core to servers: what is given up is discarded, and does not arrive later."""
 
 import asyncio
 import socket
@@ -43,7 +43,7 @@
         self.assertGreaterEqual(self.socket.fileno(), 0)
         self.socket.getsockname()
 
-    def test_every_call_asks_for_it_and_leaves_from_the_daemons_own_address(self):
+    def test_every_connection_is_prepared_and_bound_to_the_daemons_own_address(self):
         with mock.patch.object(http_fetch, "ServerClient") as client:
             HttpFetcher({}, "core-1", "127.0.0.1:7000")
         prepare = client.call_args.args[2]
@@ -66,7 +66,7 @@
         return ServerExchange()
 
 
-def answers(listener):
+def respond(listener):
     listener.on_head(ResponseHead(202, "Accepted", [("Content-Length", "4")]))
     listener.on_content(b"do")
     listener.on_content(b"ne")
@@ -79,8 +79,8 @@
         fetcher._client = self.client = Scripted(script)
         return asyncio.run(fetcher.call("10.0.0.1:1", "POST", "/o", body, {"X-A": "b"}, timeout_s))
 
-    def test_an_answer_is_handed_on_whole(self):
-        self.assertEqual(FetchResult(202, b"done"), self.call(answers))
+    def test_a_response_is_returned_complete(self):
+        self.assertEqual(FetchResult(202, b"done"), self.call(respond))
         ((address, request),) = self.client.requests
         self.assertEqual(("10.0.0.1:1", "POST", "/o"), (address, request.method, request.target))
         self.assertIn(("X-Zincvale-Member", "core-1"), request.headers)
@@ -96,7 +96,7 @@
         result = self.call(lambda listener: listener.on_not_sent("refused"))
         self.assertEqual((0, False), (result.status, result.connected))
 
-    def test_a_call_without_an_answer_is_given_up(self):
+    def test_a_call_without_a_response_times_out(self):
         result = self.call(lambda listener: None, timeout_s=0.0)
         self.assertEqual(0, result.status)
         self.assertIn("no answer", result.error)
--- a/tests/daemons/test_residency_publication.py
+++ b/tests/daemons/test_residency_publisher.py
@@ -1,4 +1,4 @@
-"""What the leader tells nodes of the servers' holdings, and when."""
+"""What the leader publishes to nodes of the servers' residency, and when."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from zincvale.controlplane.placement.servers import Replica, ReplicaState, ServerState
 from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.daemons.forwarding_node import TOPICS
-from zincvale.daemons.residency_publication import ResidencyPublication
-from zincvale.daemons.residency_rows import RESIDENCY_TOPIC, ResidencyDecoder
+from zincvale.daemons.residency_publisher import ResidencyPublisher
+from zincvale.daemons.residency_row_codec import RESIDENCY_TOPIC, ResidencyDecoder
 from zincvale.model.identifiers import ServerId
 
 SERVER = ServerId("s1")
 
 
 def make_server(**replicas: Replica) -> ServerState:
-    """Return placement's row of a server that holds these models."""
+    """Return placement's state of a server with these replicas."""
     row = make_row(SERVER)
     state = ServerState(row.server, row.address, row.pool, row.zone, row.incarnation)
     for name, replica in replicas.items():
@@ -26,21 +26,21 @@
 
 
 def loaded(draining: bool = False) -> Replica:
-    """Return a copy in service, or about to be unloaded."""
+    """Return a loaded replica, or one about to be unloaded."""
     return Replica(ReplicaState.LOADED, 1, 0, 0.0, draining=draining)
 
 
-class PublicationTest(testtools.TestCase):
+class ResidencyPublisherTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.servers: dict[ServerId, ServerState] = {}
         self.published: list[PublishTopic] = []
-        self.publication = ResidencyPublication(lambda: self.servers, self.published.append)
+        self.publisher = ResidencyPublisher(lambda: self.servers, self.published.append)
 
-    def told(self) -> frozenset[str]:
-        """Publish what changed; return the models that nodes take the server to hold."""
-        self.publication.touch((SERVER,))
-        self.publication.publish_changes(1)
+    def published_models(self) -> frozenset[str]:
+        """Publish what changed; return the models that nodes take as resident on the server."""
+        self.publisher.mark_changed((SERVER,))
+        self.publisher.publish_changes(1)
         rows: dict[str, bytes] = {}
         for message in self.published:
             rows.update(message.puts)
@@ -48,20 +48,20 @@
 
     def test_what_is_about_to_be_unloaded_is_left_out_as_soon_as_that_is_planned(self) -> None:
         self.servers[SERVER] = make_server(a=loaded(), b=loaded())
-        self.assertEqual(frozenset({"a", "b"}), self.told())
+        self.assertEqual(frozenset({"a", "b"}), self.published_models())
         self.servers[SERVER].replicas[model_key("b")].draining = True
-        self.assertEqual(frozenset({"a"}), self.told())
+        self.assertEqual(frozenset({"a"}), self.published_models())
 
-    def test_an_unload_that_was_given_up_brings_the_copy_back(self) -> None:
+    def test_an_unload_that_was_given_up_brings_the_replica_back(self) -> None:
         self.servers[SERVER] = make_server(a=loaded(draining=True))
-        self.assertEqual(frozenset(), self.told())
+        self.assertEqual(frozenset(), self.published_models())
         self.servers[SERVER].replicas[model_key("a")].draining = False
-        self.assertEqual(frozenset({"a"}), self.told())
+        self.assertEqual(frozenset({"a"}), self.published_models())
 
     def test_what_did_not_change_is_not_published_again(self) -> None:
         self.servers[SERVER] = make_server(a=loaded())
-        self.told()
-        self.told()
+        self.published_models()
+        self.published_models()
         self.assertEqual(1, len(self.published))
 
     def test_nodes_follow_the_residency_and_not_the_calendar_of_moves(self) -> None:
--- a/tests/daemons/test_standby_daemon.py
+++ b/tests/daemons/test_standby_daemon.py
@@ -31,11 +31,11 @@
     def test_every_call_is_sent_to_a_core_with_its_path_and_query(self) -> None:
         self.learn_core()
         for method, body in (("GET", None), ("PUT", b"x" * 4096), ("DELETE", None)):
-            answer = self.fetch(PATH, method=method, body=body, follow_redirects=False)
-            self.assertEqual(307, answer.code)
-            self.assertEqual(f"http://10.0.0.1:8000{PATH}", answer.headers["Location"])
-
-    def test_without_a_known_core_the_caller_is_told_to_go_on(self) -> None:
-        answer = self.fetch(PATH, follow_redirects=False)
-        self.assertEqual(503, answer.code)
-        self.assertIn(b"send the same call to another", answer.body)
+            response = self.fetch(PATH, method=method, body=body, follow_redirects=False)
+            self.assertEqual(307, response.code)
+            self.assertEqual(f"http://10.0.0.1:8000{PATH}", response.headers["Location"])
+
+    def test_without_a_known_core_the_caller_is_sent_to_another_one(self) -> None:
+        response = self.fetch(PATH, follow_redirects=False)
+        self.assertEqual(503, response.code)
+        self.assertIn(b"send the same call to another", response.body)
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -276,8 +276,8 @@
 
     def test_what_answers_prove(self):
         replies = {
-            FetchResult(200): OrderReply.DONE,
-            FetchResult(202): OrderReply.TAKEN,
+            FetchResult(200): OrderReply.COMPLETED,
+            FetchResult(202): OrderReply.ACCEPTED,
             FetchResult(409): OrderRefusal.BUSY,
             FetchResult(412): OrderRefusal.STALE_EPOCH,
             FetchResult(421): OrderRefusal.OTHER,
