--- a/src/zincvale/cli/daemon_commands.py
+++ b/src/zincvale/cli/daemon_commands.py
@@ -26,7 +26,7 @@
     loaded = _load(settings, CORE_ROLE, overrides)
     from zincvale.daemons.core_daemon import CoreDaemon
 
-    CoreDaemon(loaded, bool(bootstrap), bool(recover)).run()
+    CoreDaemon(loaded, bootstrap=bool(bootstrap), recover=bool(recover)).run()
 
 
 def run_node(settings: str = "", **overrides: Any) -> None:
--- a/src/zincvale/daemons/core_assembly.py
+++ b/src/zincvale/daemons/core_assembly.py
@@ -1,16 +1,37 @@
-"""What every core daemon is assembled from, whatever its operators and servers speak."""
+"""The assembly of a core process, whatever its operators and servers speak.
+
+`CoreAssembly` holds what all deployments share: files, the coordination machine, the process around
+it, the operators' API, tracing and the tick. `CoreDaemon` (native) and `ForwardingCore` (forwarding
+by documents) add their own components and implement `CoreEventHandler`.
+"""
 
 from __future__ import annotations
 
 import random
+from collections.abc import Callable
 from pathlib import Path
+from typing import Any, Protocol
+
+import attrs
+from tornado.ioloop import PeriodicCallback
+from tornado.web import Application
 
+from zincvale.coordination.changes import Reducer
 from zincvale.coordination.config import CoreConfig, InitialCore, Timings
+from zincvale.coordination.core.machine import CoreMachine
+from zincvale.coordination.replication.replica_sets import INTENT_KEY
+from zincvale.daemons.control_api_handler import ControlApiServer, OperatorApi
+from zincvale.daemons.core_view import LocalCoreView
 from zincvale.daemons.disk_setup import open_disk
-from zincvale.daemons.process import DaemonProcess
-from zincvale.daemons.roles import CORE_ROLES
+from zincvale.daemons.http_fetch import HttpFetcher
+from zincvale.daemons.leadership_guard import LeadershipGuard
+from zincvale.daemons.placement_runner import PlacementRunner
+from zincvale.daemons.process import DaemonProcess, Drain, build_process
+from zincvale.daemons.roles import CORE_ROLES, PLACEMENT_ROLE
+from zincvale.daemons.topic_publisher import TopicPublisher
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.runtime.clock import suspend_aware_now, wall_now
+from zincvale.runtime.driver import TICK_INTERVAL_MS
 from zincvale.runtime.logs import log
 from zincvale.runtime.settings import DaemonSettings
 from zincvale.storage.version_files import VersionFiles
@@ -18,16 +39,122 @@
 from zincvale.tracing.service import TracingService
 
 DEFAULT_GROUP_SIZE = 3
+"""Replicas of the control state: one may be lost."""
+COMPONENTS_TICK_MS = 50
+"""Between two ticks of the components; longer ones delay orders to servers."""
+
+
+@attrs.frozen(kw_only=True)
+class CoreOptions:
+    """How a core starts.
+
+    Attributes
+    ----------
+    bootstrap : this start may create the cluster.
+    recover : with `bootstrap`: every disk was lost, and nodes return the state that they store.
+    timings : durations of the coordination machine.
+    group_size : replicas of the control state.
+    tick_interval_ms : between two ticks of the coordination machine.
+    """
+
+    bootstrap: bool
+    recover: bool = False
+    timings: Timings = attrs.field(factory=Timings)
+    group_size: int = DEFAULT_GROUP_SIZE
+    tick_interval_ms: float = TICK_INTERVAL_MS
+
+
+class CoreEventHandler(Protocol):
+    """What a deployment's core does when its state changes and when time passes."""
+
+    def on_intent_changed(self) -> None:
+        """A newer version of the intent was chosen."""
+        ...
+
+    def on_topics_changed(self, topics: set[str]) -> None:
+        """Newer states of these topics were published."""
+        ...
 
+    def on_tick(self, now: float) -> None:
+        """`COMPONENTS_TICK_MS` have passed."""
+        ...
 
-def core_config(
-    settings: DaemonSettings,
-    incarnation: str,
-    bootstrap: bool,
-    recover: bool = False,
-    timings: Timings | None = None,
-    group_size: int = DEFAULT_GROUP_SIZE,
-) -> CoreConfig:
+
+class CoreAssembly:
+    """What every core process consists of; it owns the HTTP connections to servers and the tick.
+
+    Parameters
+    ----------
+    settings : the checked settings.
+    incarnation : name of this run of the process; seeds the random source.
+    options : how this core starts.
+    reducer : applies operators' changes to the intent.
+    build_api : returns the operators' API on the view of this core.
+    handler : called with changes and ticks, first after `run` was called.
+    """
+
+    def __init__(
+        self,
+        settings: DaemonSettings,
+        incarnation: str,
+        options: CoreOptions,
+        reducer: Reducer,
+        build_api: Callable[[LocalCoreView], OperatorApi],
+        handler: CoreEventHandler,
+    ) -> None:
+        self.clock = suspend_aware_now
+        self.random = random.Random(incarnation)
+        self._handler = handler
+        files = open_files(settings, self.random)
+        recovered = files.load()
+        self.machine = CoreMachine(
+            core_config(settings, incarnation, options),
+            recovered,
+            {INTENT_KEY: reducer},
+            self.random,
+            self.clock(),
+        )
+        self.process = build_process(
+            settings,
+            incarnation,
+            self.machine,
+            self.clock,
+            files,
+            self.machine.address_of,
+            self._after_input,
+            options.tick_interval_ms,
+        )
+        self.view = LocalCoreView(self.machine, self.clock)
+        self.api = ControlApiServer(build_api(self.view), self.process.driver, self.clock)
+        self.tracing = core_tracing(settings, self.random, self.process)
+        self.fetcher = HttpFetcher(settings.address_map, settings.member_id, settings.peer_address)
+        guard = LeadershipGuard(self.machine, PLACEMENT_ROLE, self.clock)
+        self.publisher = TopicPublisher(self.process.driver, guard)
+        self._ticker = PeriodicCallback(self._tick, COMPONENTS_TICK_MS)
+
+    def run(self, placement: PlacementRunner, drain: Drain) -> None:
+        """Serve until SIGTERM or SIGINT, then drain; raises `StartupError`."""
+        self.process.listen(Application(self.api.routes(), log_function=_ignore_request))
+        placement.start()
+        self._ticker.start()
+        self.process.run(drain)
+        self._ticker.stop()
+        self.fetcher.close()
+
+    def _after_input(self) -> None:
+        changes = self.machine.take_changes()
+        if INTENT_KEY in changes.keys:
+            self._handler.on_intent_changed()
+        if changes.members:
+            self.tracing.apply_members(self.view.members())
+        if changes.topics:
+            self._handler.on_topics_changed(changes.topics)
+
+    def _tick(self) -> None:
+        self._handler.on_tick(self.clock())
+
+
+def core_config(settings: DaemonSettings, incarnation: str, options: CoreOptions) -> CoreConfig:
     """Return the coordination machine's configuration of a core."""
     return CoreConfig(
         cluster_id=settings.cluster_id,
@@ -38,8 +165,8 @@
         api_address=Address(settings.api_address),
         peer_address=Address(settings.peer_address),
         seeds=tuple(Address(seed) for seed in settings.seeds),
-        bootstrap=bootstrap,
-        recover=recover,
+        bootstrap=options.bootstrap,
+        recover=options.recover,
         initial_cores=tuple(
             InitialCore(
                 MemberId(core.member_id),
@@ -50,8 +177,8 @@
             for core in settings.bootstrap_cores
         ),
         roles=CORE_ROLES,
-        timings=timings or Timings(),
-        group_size=group_size,
+        timings=options.timings,
+        group_size=options.group_size,
     )
 
 
@@ -81,3 +208,7 @@
     )
     process.router.add_service("tracing", service.handle_message)
     return service
+
+
+def _ignore_request(handler: Any) -> None:
+    """Write no access log: requests are recorded as traces."""
--- a/src/zincvale/platform/main.py
+++ b/src/zincvale/platform/main.py
@@ -59,7 +59,7 @@
         settings.forwarding,
         ForwardingDialects(PlatformOperators(), PlatformServerList(), PlatformOrders()),
         forwarding_timings(),
-        settings.bootstrap,
+        bootstrap=settings.bootstrap,
     )
     _watch_settings("core", core.use_seeds, core.process)
     core.run()
--- /dev/null
+++ b/tests/daemons/test_core_assembly.py
@@ -0,0 +1,132 @@
+"""Cores of both deployments, assembled: order of their ticks, changes and stop."""
+
+from __future__ import annotations
+
+import tempfile
+from pathlib import Path
+from unittest import mock
+
+import testtools
+
+from zincvale.controlplane.directory.row_codec import DIRECTORY_TOPIC, LISTED_TOPIC
+from zincvale.coordination.changes import ChangeNotifications
+from zincvale.coordination.config import Timings
+from zincvale.coordination.replication.replica_sets import INTENT_KEY
+from zincvale.daemons.core_daemon import CoreDaemon
+from zincvale.daemons.forwarding_core import ForwardingCore
+from zincvale.daemons.forwarding_dialects import ForwardingDialects
+from zincvale.daemons.process import NO_DRAIN
+from zincvale.model.machine import Tick
+from zincvale.platform.operators import PlatformOperators
+from zincvale.platform.servers import PlatformOrders, PlatformServerList
+from zincvale.runtime.forwarding_settings import ForwardingSettings
+from zincvale.runtime.settings import DaemonSettings, InitialCore
+
+API, PEER = "127.0.0.1:9", "127.0.0.1:10"
+
+
+def make_settings(folder: str) -> DaemonSettings:
+    core = InitialCore("core-1", API, PEER, "z1")
+    return DaemonSettings(
+        "c1", "core-1", "core", "z1", API, PEER, data_folder=folder, bootstrap_cores=[core]
+    )
+
+
+class Recorder:
+    """Stands for a component; writes the names of the calls to one list."""
+
+    def __init__(self, name: str, calls: list[str]) -> None:
+        self._name = name
+        self._calls = calls
+
+    def __getattr__(self, method: str):
+        def call(*arguments: object) -> None:
+            suffix = " Tick" if arguments == (Tick(),) else ""
+            self._calls.append(f"{self._name}.{method}{suffix}")
+
+        return call
+
+
+class AssemblyTest(testtools.TestCase):
+    def setUp(self) -> None:
+        super().setUp()
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.settings = make_settings(str(Path(folder.name) / "data"))
+        self.calls: list[str] = []
+
+    def native(self) -> CoreDaemon:
+        return CoreDaemon(self.settings, bootstrap=True)
+
+    def forwarding(self) -> ForwardingCore:
+        dialects = ForwardingDialects(PlatformOperators(), PlatformServerList(), PlatformOrders())
+        settings = ForwardingSettings(grace_s=8.0)
+        return ForwardingCore(self.settings, settings, dialects, Timings(), bootstrap=True)
+
+    def record(self, core: CoreDaemon | ForwardingCore, *components: str) -> None:
+        """Replace components of a core by recorders."""
+        for name in components:
+            owner = core if hasattr(core, f"_{name}") else core._core
+            attribute = f"_{name}" if owner is core else name
+            setattr(owner, attribute, Recorder(name, self.calls))
+
+    def change(self, core: CoreDaemon | ForwardingCore, changes: ChangeNotifications) -> list[str]:
+        with mock.patch.object(core._core.machine, "take_changes", lambda: changes):
+            core._core._after_input()
+        return self.calls
+
+    def test_a_native_core_follows_its_lease_before_the_components_tick(self) -> None:
+        core = self.native()
+        self.record(core, "leadership", "directory", "placement", "api", "tracing")
+        core._core._tick()
+        expected = ["leadership.update", "directory.feed Tick", "placement.feed Tick"]
+        self.assertEqual([*expected, "api.tick", "tracing.tick"], self.calls)
+
+    def test_a_forwarding_core_ticks_slow_components_after_the_others(self) -> None:
+        core = self.forwarding()
+        self.record(core, "leadership", "discovery", "placement", "residency")
+        self.record(core, "api", "tracing", "unreachable")
+        core._leadership.epoch = 4
+        core.on_tick(100.0)
+        fast = ["leadership.update", "discovery.tick", "placement.feed Tick"]
+        fast.append("residency.publish_changes")
+        slow = ["api.tick", "tracing.tick", "unreachable.tick"]
+        self.assertEqual([*fast, *slow], self.calls)
+        core.on_tick(100.1)
+        self.assertEqual([*fast, *slow, *fast], self.calls)
+
+    def test_a_native_core_applies_the_intent_before_members_and_topics(self) -> None:
+        core = self.native()
+        self.record(core, "directory", "placement", "api", "tracing")
+        changes = ChangeNotifications({INTENT_KEY}, {DIRECTORY_TOPIC}, set(), True)
+        expected = ["directory.feed", "placement.feed", "api.intent_changed"]
+        expected += ["tracing.apply_members", "placement.feed"]
+        self.assertEqual(expected, self.change(core, changes))
+
+    def test_a_forwarding_core_applies_the_document_before_members_and_topics(self) -> None:
+        core = self.forwarding()
+        self.record(core, "discovery", "placement", "api", "tracing")
+        changes = ChangeNotifications({INTENT_KEY}, {LISTED_TOPIC}, set(), True)
+        expected = ["placement.feed", "discovery.document_changed", "api.intent_changed"]
+        expected += ["tracing.apply_members", "discovery.topic_changed"]
+        self.assertEqual(expected, self.change(core, changes))
+
+    def test_other_topics_reach_no_component(self) -> None:
+        for core in (self.native(), self.forwarding()):
+            self.record(core, "placement", "api", "tracing")
+            self.assertEqual([], self.change(core, ChangeNotifications(topics={"moves"})))
+
+    def test_a_core_that_leads_does_not_read_the_directory_that_it_publishes(self) -> None:
+        core = self.native()
+        self.record(core, "placement")
+        core._leadership.epoch = 2
+        self.assertEqual([], self.change(core, ChangeNotifications(topics={DIRECTORY_TOPIC})))
+
+    def test_connections_to_servers_are_closed_after_the_process_ended(self) -> None:
+        core = self.native()._core
+        core.process = Recorder("process", self.calls)
+        core._ticker = Recorder("ticker", self.calls)
+        core.fetcher = Recorder("fetcher", self.calls)
+        core.run(Recorder("placement", self.calls), NO_DRAIN)
+        expected = ["process.listen", "placement.start", "ticker.start", "process.run"]
+        self.assertEqual([*expected, "ticker.stop", "fetcher.close"], self.calls)
