--- a/src/zincvale/daemons/node_assembly.py
+++ b/src/zincvale/daemons/node_assembly.py
@@ -1,18 +1,126 @@
-"""What every node daemon is assembled from."""
+"""The assembly of a node process, whatever its callers and servers speak.
+
+`NodeAssembly` holds what all deployments share: the coordination machine, the process around it,
+tracing and the tick. `NodeDaemon` (native) and `ForwardingNode` (forwarding by documents) add their
+services and implement `NodeEventHandler`.
+"""
 
 from __future__ import annotations
 
+import random
+from typing import Any, Protocol
+
+import attrs
+from tornado.ioloop import PeriodicCallback
+from tornado.web import Application
+
+from zincvale.coordination.changes import ChangeNotifications
 from zincvale.coordination.config import NodeConfig, Timings
+from zincvale.coordination.node.machine import NodeMachine
+from zincvale.daemons.process import Drain, build_process
 from zincvale.model.identifiers import Address, MemberId, ZoneName
+from zincvale.runtime.clock import suspend_aware_now, wall_now
+from zincvale.runtime.incarnation import new_incarnation
+from zincvale.runtime.logs import log
 from zincvale.runtime.settings import DaemonSettings
+from zincvale.tracing.config import TracingConfig
+from zincvale.tracing.service import TracingService
+
+MACHINE_TICK_MS = 100
+"""Between two ticks of the coordination machine. A lease renewal may come this much late in 600 ms;
+fewer ticks keep an idle node cheap."""
+
+
+@attrs.frozen(kw_only=True)
+class NodeOptions:
+    """What differs between the nodes of two deployments, beside their services.
+
+    Attributes
+    ----------
+    topics : ephemeral topics that the node follows.
+    services_tick_ms : between two ticks of the services.
+    timings : durations of the coordination machine.
+    tracing : tunables of tracing.
+    """
+
+    topics: tuple[str, ...]
+    services_tick_ms: float
+    timings: Timings = attrs.field(factory=Timings)
+    tracing: TracingConfig = attrs.field(factory=TracingConfig)
+
+
+class NodeEventHandler(Protocol):
+    """What a deployment's node does when control state changes and when time passes."""
+
+    def on_changes(self, changes: ChangeNotifications) -> None:
+        """Apply what was delivered before the next message is sent.
+
+        The machine confirms a version in the messages it just asked to send; they leave in a later
+        turn of the loop, so that nothing is confirmed that is not applied here.
+        """
+        ...
 
+    def on_tick(self, now: float) -> None:
+        """`services_tick_ms` have passed."""
+        ...
 
-def node_config(
-    settings: DaemonSettings,
-    incarnation: str,
-    topics: tuple[str, ...] = ("directory", "moves"),
-    timings: Timings | None = None,
-) -> NodeConfig:
+
+class NodeAssembly:
+    """What every node process consists of; it owns the tick.
+
+    Parameters
+    ----------
+    handler : called with changes and ticks, first after `run` was called or peers are listened to.
+    """
+
+    def __init__(
+        self, settings: DaemonSettings, options: NodeOptions, handler: NodeEventHandler
+    ) -> None:
+        self.incarnation = new_incarnation()
+        self.clock = suspend_aware_now
+        self.random = random.Random(self.incarnation)
+        self.member = MemberId(settings.member_id)
+        self.zone = ZoneName(settings.zone)
+        self._handler = handler
+        self.machine = NodeMachine(
+            node_config(settings, self.incarnation, options), self.random, self.clock()
+        )
+        self.process = build_process(
+            settings,
+            self.incarnation,
+            self.machine,
+            self.clock,
+            None,
+            self.machine.address_of,
+            self._after_input,
+            MACHINE_TICK_MS,
+        )
+        self.tracing = TracingService(
+            self.member,
+            self.random,
+            self.clock,
+            wall_now,
+            self.process.peers.send,
+            options.tracing,
+            log,
+        )
+        self.process.router.add_service("tracing", self.tracing.handle_message)
+        self._ticker = PeriodicCallback(self._tick, options.services_tick_ms)
+
+    def run(self, drain: Drain) -> None:
+        """Serve until SIGTERM or SIGINT, then drain."""
+        self._ticker.start()
+        self.process.run(drain)
+        self._ticker.stop()
+
+    def _after_input(self) -> None:
+        self._handler.on_changes(self.machine.take_changes())
+
+    def _tick(self) -> None:
+        self._handler.on_tick(self.clock())
+
+
+def node_config(settings: DaemonSettings, incarnation: str, options: NodeOptions) -> NodeConfig:
     """Return the coordination machine's configuration of a node."""
     return NodeConfig(
         cluster_id=settings.cluster_id,
@@ -23,6 +131,15 @@
         api_address=Address(settings.api_address),
         peer_address=Address(settings.peer_address),
         seeds=tuple(Address(seed) for seed in settings.seeds),
-        topics=topics,
-        timings=timings or Timings(),
+        topics=options.topics,
+        timings=options.timings,
     )
+
+
+def without_access_log(routes: list[Any]) -> Application:
+    """Return the HTTP application of `routes`; requests are recorded as traces, not in a log."""
+    return Application(routes, log_function=_ignore_request)
+
+
+def _ignore_request(handler: Any) -> None:
+    """Write no access log."""
--- a/tests/daemons/test_core_assembly.py
+++ b/tests/daemons/test_core_assembly.py
@@ -8,6 +8,7 @@
 
 import testtools
 
+from tests.daemons.call_recorder import CallRecorder
 from zincvale.controlplane.directory.row_codec import DIRECTORY_TOPIC, LISTED_TOPIC
 from zincvale.coordination.changes import ChangeNotifications
 from zincvale.coordination.config import Timings
@@ -16,7 +17,6 @@
 from zincvale.daemons.forwarding_core import ForwardingCore
 from zincvale.daemons.forwarding_dialects import ForwardingDialects
 from zincvale.daemons.process import NO_DRAIN
-from zincvale.model.machine import Tick
 from zincvale.platform.operators import PlatformOperators
 from zincvale.platform.servers import PlatformOrders, PlatformServerList
 from zincvale.runtime.forwarding_settings import ForwardingSettings
@@ -32,22 +32,7 @@
     )
 
 
-class Recorder:
-    """Stands for a component; writes the names of the calls to one list."""
-
-    def __init__(self, name: str, calls: list[str]) -> None:
-        self._name = name
-        self._calls = calls
-
-    def __getattr__(self, method: str):
-        def call(*arguments: object) -> None:
-            suffix = " Tick" if arguments == (Tick(),) else ""
-            self._calls.append(f"{self._name}.{method}{suffix}")
-
-        return call
-
-
-class AssemblyTest(testtools.TestCase):
+class CoreAssemblyTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         folder = tempfile.TemporaryDirectory()
@@ -68,7 +53,7 @@
         for name in components:
             owner = core if hasattr(core, f"_{name}") else core._core
             attribute = f"_{name}" if owner is core else name
-            setattr(owner, attribute, Recorder(name, self.calls))
+            setattr(owner, attribute, CallRecorder(name, self.calls))
 
     def change(self, core: CoreDaemon | ForwardingCore, changes: ChangeNotifications) -> list[str]:
         with mock.patch.object(core._core.machine, "take_changes", lambda: changes):
@@ -124,9 +109,9 @@
 
     def test_connections_to_servers_are_closed_after_the_process_ended(self) -> None:
         core = self.native()._core
-        core.process = Recorder("process", self.calls)
-        core._ticker = Recorder("ticker", self.calls)
-        core.fetcher = Recorder("fetcher", self.calls)
-        core.run(Recorder("placement", self.calls), NO_DRAIN)
+        core.process = CallRecorder("process", self.calls)
+        core._ticker = CallRecorder("ticker", self.calls)
+        core.fetcher = CallRecorder("fetcher", self.calls)
+        core.run(CallRecorder("placement", self.calls), NO_DRAIN)
         expected = ["process.listen", "placement.start", "ticker.start", "process.run"]
         self.assertEqual([*expected, "ticker.stop", "fetcher.close"], self.calls)
--- /dev/null
+++ b/tests/daemons/test_node_assembly.py
@@ -0,0 +1,86 @@
+"""Nodes of both deployments, assembled: order of their ticks, changes and stop."""
+
+from __future__ import annotations
+
+from unittest import mock
+
+import testtools
+
+from tests.daemons.call_recorder import CallRecorder
+from zincvale.controlplane.directory.row_codec import DIRECTORY_TOPIC, LISTED_TOPIC
+from zincvale.coordination.changes import ChangeNotifications
+from zincvale.coordination.config import Timings
+from zincvale.coordination.replication.replica_sets import INTENT_KEY, REGISTRY_KEY
+from zincvale.daemons.forwarding_node import ForwardingNode
+from zincvale.daemons.node_daemon import NodeDaemon
+from zincvale.daemons.residency_row_codec import RESIDENCY_TOPIC
+from zincvale.platform.callers import PlatformForwarding
+from zincvale.runtime.forwarding_settings import ForwardingSettings
+from zincvale.runtime.settings import DaemonSettings
+
+SETTINGS = DaemonSettings("c1", "node-1", "node", "z1", "127.0.0.1:9", "127.0.0.1:10")
+EVERYTHING = ChangeNotifications(
+    {INTENT_KEY, REGISTRY_KEY}, {DIRECTORY_TOPIC, LISTED_TOPIC, RESIDENCY_TOPIC}, set(), True
+)
+
+
+class NodeAssemblyTest(testtools.TestCase):
+    def setUp(self) -> None:
+        super().setUp()
+        self.calls: list[str] = []
+
+    def native(self) -> NodeDaemon:
+        daemon = NodeDaemon(SETTINGS)
+        for name in ("service", "claims", "journal"):
+            setattr(daemon, f"_{name}", CallRecorder(name, self.calls))
+        daemon._node.tracing = CallRecorder("tracing", self.calls)
+        return daemon
+
+    def forwarding(self) -> ForwardingNode:
+        daemon = ForwardingNode(SETTINGS, ForwardingSettings(), PlatformForwarding(), Timings())
+        daemon._service = CallRecorder("service", self.calls)
+        daemon._node.tracing = CallRecorder("tracing", self.calls)
+        return daemon
+
+    def change(self, daemon: NodeDaemon | ForwardingNode) -> list[str]:
+        with mock.patch.object(daemon._node.machine, "take_changes", lambda: EVERYTHING):
+            daemon._node._after_input()
+        return self.calls
+
+    def test_a_native_node_applies_the_intent_before_the_directory(self) -> None:
+        expected = ["service.apply_intent", "tracing.apply_members", "claims.apply_members"]
+        expected += ["journal.apply_members", "service.apply_members", "claims.apply_registry"]
+        self.assertEqual([*expected, "service.apply_directory"], self.change(self.native()))
+
+    def test_a_forwarding_node_applies_the_document_before_the_servers(self) -> None:
+        expected = ["service.apply_document", "service.apply_directory"]
+        expected += ["service.apply_residencies", "tracing.apply_members"]
+        self.assertEqual([*expected, "service.apply_members"], self.change(self.forwarding()))
+
+    def test_a_native_node_ticks_its_services_before_it_reports_demand(self) -> None:
+        daemon = self.native()
+        daemon._node._tick()
+        expected = ["service.tick", "claims.tick", "journal.tick", "tracing.tick"]
+        self.assertEqual([*expected, "service.demand_report"], self.calls)
+        daemon.on_tick(daemon._demand_due_at - 0.1)
+        self.assertEqual([*expected, "service.demand_report", *expected], self.calls)
+
+    def test_a_forwarding_node_ticks_tracing_before_it_reports_demand(self) -> None:
+        daemon = self.forwarding()
+        daemon._demand_due_at = 100.0
+        daemon.on_tick(99.0)
+        self.assertEqual(["tracing.tick"], self.calls)
+        with mock.patch.object(daemon, "_report_demand", lambda: self.calls.append("report")):
+            daemon.on_tick(100.0)
+        self.assertEqual(["tracing.tick", "tracing.tick", "report"], self.calls)
+
+    def test_the_service_is_closed_after_the_process_ended(self) -> None:
+        daemon = self.forwarding()
+        daemon.process = daemon._node.process = CallRecorder("process", self.calls)
+        daemon._node._ticker = CallRecorder("ticker", self.calls)
+        server = CallRecorder("server", self.calls)
+        with mock.patch.object(daemon, "_listen", lambda: [server, server]):
+            daemon.run()
+        expected = ["process.listen_peers", "ticker.start", "process.run", "ticker.stop"]
+        expected += ["server.stop", "server.stop", "service.close"]
+        self.assertEqual(expected, self.calls)
