--- a/src/zincvale/runtime/__init__.py
+++ b/src/zincvale/runtime/__init__.py
@@ -1,1 +1,9 @@
-"""The event loop driver, settings, clock and structured logging of the daemons."""
+"""What every process needs to run: event loop driver, settings, clocks, listening and logs.
+
+It owns the daemons' clocks, settings and the destination of logs. It may import `model` and,
+for the interface of peers, `transport`.
+
+Read in this order: `driver` (feeds one state machine and executes its effects), `peer_router`
+(messages of peers to services or to the machine), `listening`, `settings` and
+`forwarding_settings`, `clock`, `incarnation`, `logs` with `log_events`.
+"""
