--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -123,7 +123,7 @@
         row = self._directory.machine.rows().get(server)
         return row if row is not None else self._core.view.directory().servers.get(server)
 
-    def _on_demand_report(self, sender: MemberId, message: Any) -> None:
+    def _on_demand_report(self, _sender: MemberId, message: Any) -> None:
         self._placement.feed(to_demand_reported(message))
 
     # --- time and leadership --------------------------------------------------------------
--- a/src/zincvale/daemons/directory_runner.py
+++ b/src/zincvale/daemons/directory_runner.py
@@ -117,7 +117,9 @@
     async def _publish(self, effect: PublishRows) -> None:
         try:
             accepted = await self._publisher.publish(effect.message)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
+            # A defect of the local core's machine must not end publishing: the directory machine
+            # publishes again after `PublishFailed`.
             self.feed(PublishFailed(repr(error)))
             return
         self.feed(Published(accepted))
--- a/src/zincvale/daemons/discovery_runner.py
+++ b/src/zincvale/daemons/discovery_runner.py
@@ -73,7 +73,7 @@
         """Take the newest state of the topic, whichever core published it."""
         self._execute(self.machine.on_published(view, self._clock()))
 
-    def message_received(self, sender: MemberId, message: Any) -> None:
+    def message_received(self, _sender: MemberId, message: Any) -> None:
         """Take another core's announcement that it read the list."""
         if isinstance(message, ListRead):
             self.machine.on_peer_read(message, self._clock())
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -155,7 +155,7 @@
         self._leadership = PlacementLeadership(
             core.machine,
             self._placement,
-            lambda epoch: self._residency.restart(),
+            lambda _epoch: self._residency.restart(),
             self._unreachable.clear,
         )
 
--- a/src/zincvale/daemons/http_fetch.py
+++ b/src/zincvale/daemons/http_fetch.py
@@ -111,6 +111,6 @@
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS)
 
 
-def _accept_any_response(status: int, headers: Mapping[str, str]) -> bool:
+def _accept_any_response(_status: int, _headers: Mapping[str, str]) -> bool:
     """Accept every response: a connection carries one request at a time."""
     return True
--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -74,7 +74,7 @@
 ExpectedLoadTime = Callable[[Order], float]
 
 
-def _no_expected_load(order: Order) -> float:
+def _no_expected_load(_order: Order) -> float:
     return 0.0
 
 
@@ -107,8 +107,8 @@
     _orders: ServerOrders = attrs.field(factory=NativeServerOrders)
     _order_issuer: str = ""
     _expected_load_s: ExpectedLoadTime = _no_expected_load
-    _on_replicas_changed: Callable[[ServerId], None] = lambda server: None
-    _on_reachability: Callable[[ServerId, bool], None] = lambda server, reached: None
+    _on_replicas_changed: Callable[[ServerId], None] = lambda _server: None
+    _on_reachability: Callable[[ServerId, bool], None] = lambda _server, _reached: None
     epoch: int = 0
     _publications: Queue[PublishTopic] = attrs.field(factory=Queue)
     _sequences: dict[ServerId, int] = attrs.field(factory=dict)
--- a/src/zincvale/daemons/process.py
+++ b/src/zincvale/daemons/process.py
@@ -92,10 +92,10 @@
         self.driver.start()
         _tune_garbage_collector()
 
-        def on_signal(number: int, frame: Any) -> None:
+        def on_signal(_number: int, _frame: Any) -> None:
             loop.add_callback_from_signal(self._begin_drain, drain)
 
-        def on_hang_up(number: int, frame: Any) -> None:
+        def on_hang_up(_number: int, _frame: Any) -> None:
             loop.add_callback_from_signal(self.on_reload)
 
         signal.signal(signal.SIGHUP, on_hang_up)
--- a/src/zincvale/daemons/server_orders.py
+++ b/src/zincvale/daemons/server_orders.py
@@ -113,7 +113,7 @@
     confirms_by_repeating = False
 
     def order_call(
-        self, order: Order, row: ServerRow, issuer: str, sequence: int | None
+        self, order: Order, _row: ServerRow, _issuer: str, _sequence: int | None
     ) -> HttpCall:
         """Return the call that gives an order."""
         kind = "models" if order.item_kind is ItemKind.MODEL else "adapters"
@@ -136,7 +136,7 @@
             return OrderRefusal.NOT_HELD
         return OrderReply.UNKNOWN
 
-    def status_call(self, row: ServerRow) -> HttpCall:
+    def status_call(self, _row: ServerRow) -> HttpCall:
         """Return the call that requests a server's status."""
         return HttpCall(STATUS_PATH, b"")
 
--- a/src/zincvale/model/field_types.py
+++ b/src/zincvale/model/field_types.py
@@ -60,7 +60,7 @@
 
 def _field_type(hint: Any) -> FieldType:
     if hint is Any:
-        return FieldType(lambda value: True, "anything", "")
+        return FieldType(lambda _value: True, "anything", "")
     origin = typing.get_origin(hint)
     if origin in (types.UnionType, typing.Union):
         return _optional_type(hint)
--- a/src/zincvale/platform/callers.py
+++ b/src/zincvale/platform/callers.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers as the platform's callers and servers write them."""
+"""Headers of requests and responses as the platform's callers and servers write them."""
 
 from __future__ import annotations
 
--- a/src/zincvale/platform/main.py
+++ b/src/zincvale/platform/main.py
@@ -18,7 +18,8 @@
 if TYPE_CHECKING:
     from zincvale.daemons.process import DaemonProcess
 
-SETTINGS_LOOK_MS = 2_000
+SETTINGS_POLL_INTERVAL_MS = 2_000
+"""Between two looks at the settings file; longer ones delay changed seeds."""
 EXIT_USAGE = 2
 
 
@@ -48,7 +49,7 @@
 
 
 def _run_core(settings: ProcessSettings) -> None:
-    # Imported here and below: each role needs only its own half.
+    # Imported here and below: each role needs only its own modules, and imports cost start time.
     from zincvale.daemons.forwarding_core import ForwardingCore
     from zincvale.daemons.forwarding_dialects import ForwardingDialects
     from zincvale.platform.operators import PlatformOperators
@@ -66,7 +67,7 @@
 
 
 def _run_standby(settings: ProcessSettings) -> None:
-    """A machine without a disk can hold no vote; its process stands by."""
+    """A machine without a disk cannot store votes; its process is a standby."""
     from zincvale.daemons.standby_daemon import StandbyDaemon
 
     standby = StandbyDaemon(settings.daemon)
@@ -88,10 +89,10 @@
 def _watch_settings(
     role: str, use_seeds: Callable[[tuple[str, ...]], None], process: DaemonProcess
 ) -> None:
-    """Take the seeds anew when the file changed, or when a signal says so."""
+    """Reload the seeds when the file changed or SIGHUP comes, as long as the process runs."""
     watch = SettingsWatch(_changed_at, lambda: tuple(load(role).daemon.seeds), use_seeds)
     process.on_reload = watch.reload
-    PeriodicCallback(watch.look, SETTINGS_LOOK_MS).start()
+    PeriodicCallback(watch.poll, SETTINGS_POLL_INTERVAL_MS).start()
 
 
 def _changed_at() -> int:
--- a/src/zincvale/platform/operators.py
+++ b/src/zincvale/platform/operators.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's operators: the configuration, and zones that are to get nothing."""
+"""Calls of the platform's operators: the configuration, and evacuated zones."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 CONFIGURATION = ["v1", "configuration"]
 EVACUATE = ["v1", "evacuate"]
 STATUS_BY_RESULT = {IN_FORCE: 200, CONFLICT: 412, INVALID: 400}
-UNCLEAR, BAD_REQUEST = 503, 400
+UNCONFIRMED, BAD_REQUEST = 503, 400
 BYTES_PER_MB = 1_000_000
 MS_PER_S = 1000.0
 OWN_FIELDS = ("version", "routes", "services", "limits")
@@ -61,8 +61,8 @@
                 raise InvalidInputError(
                     f"the configuration cannot be read: {error!r}", "correct it"
                 ) from error
-        if segments[:2] == EVACUATE and len(segments) == 3 and request.method in ("POST", "DELETE"):
-            return ChangeDocument(EvacuationChange(segments[2], request.method == "POST"))
+        if segments[:-1] == EVACUATE and request.method in ("POST", "DELETE"):
+            return ChangeDocument(EvacuationChange(segments[-1], request.method == "POST"))
         raise NotFoundError(f"no call {request.method} {request.path[:200]!r}", "see the pages")
 
     def document_response(self, token: str, document: SourceDocument) -> ApiResponse:
@@ -79,7 +79,7 @@
 
     def change_response(self, token: str, result: ChangeResult) -> ApiResponse:
         """Return the response to a change."""
-        status = STATUS_BY_RESULT.get(result.status, UNCLEAR)
+        status = STATUS_BY_RESULT.get(result.status, UNCONFIRMED)
         body = {"status": result.status, "problem": result.problem, "remedy": result.remedy}
         return json_response(token, status, body)
 
@@ -104,7 +104,7 @@
     limits = items.get("limits")
     return DocumentChange(
         base=int(request.header("If-Match").strip().strip('"')),
-        number=_whole_number(plain["version"]),
+        number=_integer(plain["version"]),
         is_complete=is_complete,
         routes=tuple(DeclaredRoute(_route(each), each) for each in items.get("routes") or ()),
         pools=tuple(DeclaredPool(_pool(each), each) for each in items.get("services") or ()),
@@ -186,7 +186,7 @@
     return value
 
 
-def _whole_number(value: Any) -> int:
+def _integer(value: Any) -> int:
     if not isinstance(value, int) or isinstance(value, bool):
         raise ValueError(f"version {value!r} is not a whole number")
     return value
--- a/src/zincvale/platform/servers.py
+++ b/src/zincvale/platform/servers.py
@@ -1,4 +1,4 @@
-"""The platform's list of servers, and how its servers take orders and report."""
+"""Formats of the platform's list of servers, and of its servers' orders and reports."""
 
 from __future__ import annotations
 
@@ -26,8 +26,11 @@
 from zincvale.model.view import ServerRow
 
 REPORT_LAG_S = 0.6
+"""A server's report may be so much older than its response; were this too short, a report from
+before an order would count as one from after it."""
 MS_PER_S = 1000.0
-TOO_MANY = 429
+HTTP_OK = 200
+HTTP_TOO_MANY_REQUESTS = 429
 REPLY_BY_STATUS: dict[int, OrderReply | OrderRefusal] = {
     200: OrderReply.COMPLETED,
     202: OrderReply.ACCEPTED,
@@ -49,14 +52,14 @@
         """Return a page; raises `MalformedBodyError`."""
         try:
             plain = orjson.loads(body)
-            servers = [_listed(each) for each in plain["instances"]]
+            servers = [_listed_server(each) for each in plain["instances"]]
             return ListPage(servers, plain.get("nextPageToken") or "")
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise MalformedBodyError(f"the list cannot be read: {error!r}", "ask again") from error
 
     def is_throttled(self, result: FetchResult) -> bool:
-        """Whether the list was asked too often."""
-        return result.status == TOO_MANY
+        """Whether the list was requested too often."""
+        return result.status == HTTP_TOO_MANY_REQUESTS
 
 
 class PlatformOrders:
@@ -81,7 +84,7 @@
             body["expectedRevision"] = sequence
         return HttpCall("/v1/order", orjson.dumps(body), {"Expect-Instance": row.incarnation})
 
-    def order_reply(self, order: Order, result: FetchResult) -> OrderReply | OrderRefusal:
+    def order_reply(self, _order: Order, result: FetchResult) -> OrderReply | OrderRefusal:
         """Return what the response proves."""
         if not result.connected:
             return OrderRefusal.NOT_CONNECTED
@@ -93,11 +96,11 @@
 
     def read_status(self, row: ServerRow, result: FetchResult) -> StatusReading | None:
         """Return the report in a response; raises `MalformedBodyError`."""
-        if result.status != 200:
+        if result.status != HTTP_OK:
             return None
         try:
             plain = orjson.loads(result.body)
-            models, adapters = _holdings(plain["models"])
+            models, adapters = _resident(plain["models"])
             return StatusReading(
                 attrs.evolve(row, models=models, adapters=adapters, running=plain["running"]),
                 age_s=REPORT_LAG_S,
@@ -110,8 +113,8 @@
             ) from error
 
 
-def _listed(plain: dict[str, Any]) -> ListedServer:
-    models, adapters = _holdings(plain.get("models") or ())
+def _listed_server(plain: dict[str, Any]) -> ListedServer:
+    models, adapters = _resident(plain.get("models") or ())
     return ListedServer(
         server=ServerId(plain["id"]),
         address=Address(plain["address"]),
@@ -125,7 +128,7 @@
     )
 
 
-def _holdings(models: Any) -> tuple[frozenset[ModelName], frozenset[AdapterName]]:
+def _resident(models: Any) -> tuple[frozenset[ModelName], frozenset[AdapterName]]:
     names = frozenset(ModelName(each["name"]) for each in models)
     adapters = frozenset(
         AdapterName(f"{each['name']}/{adapter}")
--- a/src/zincvale/platform/settings.py
+++ b/src/zincvale/platform/settings.py
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class ProcessSettings:
-    """Everything one process is told."""
+    """All settings of one process."""
 
     daemon: DaemonSettings
     forwarding: ForwardingSettings
@@ -30,7 +30,7 @@
 
 
 def settings_path() -> str:
-    """Return where the settings file lies."""
+    """Return the path of the settings file, empty when none is named."""
     return os.environ.get(SETTINGS_VARIABLE, "")
 
 
--- a/src/zincvale/platform/settings_watch.py
+++ b/src/zincvale/platform/settings_watch.py
@@ -1,4 +1,4 @@
-"""Takes the seeds anew while a process runs: after a signal, or when the settings file changed."""
+"""Reloads the seeds while a process runs: after a signal, or when the settings file changed."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class SettingsWatch:
-    """Remembers which state of the file is in use.
+    """Remembers when the file that is in use last changed.
 
     Parameters
     ----------
-    changed_at : tells when the file last changed, in any unit.
+    changed_at : returns when the file last changed, in any unit.
     load_seeds : reads the seeds; raises `ZincvaleError` when the file cannot be used.
-    use_seeds : takes them.
+    use_seeds : called with the seeds that were read.
     """
 
     def __init__(
@@ -27,17 +27,17 @@
         self._changed_at = changed_at
         self._load_seeds = load_seeds
         self._use_seeds = use_seeds
-        self._seen = changed_at()
+        self._last_changed_at = changed_at()
 
-    def look(self) -> None:
-        """Take the seeds anew if the file changed since the last look."""
+    def poll(self) -> None:
+        """Reload the seeds if the file changed since the last poll."""
         changed_at = self._changed_at()
-        if changed_at != self._seen:
-            self._seen = changed_at
+        if changed_at != self._last_changed_at:
+            self._last_changed_at = changed_at
             self.reload()
 
     def reload(self) -> None:
-        """Take the seeds anew; what was read before stays in use if the file cannot be read."""
+        """Reload the seeds; those in use stay if the file cannot be read."""
         try:
             seeds = self._load_seeds()
         except ZincvaleError as error:
--- a/src/zincvale/runtime/driver.py
+++ b/src/zincvale/runtime/driver.py
@@ -1,4 +1,4 @@
-"""Drives a state machine from the event loop: inputs in, effects out."""
+"""Drives a state machine from the event loop: feeds inputs and executes effects."""
 
 from __future__ import annotations
 
@@ -33,9 +33,11 @@
 from zincvale.transport.peer import PeerCaller, PeerCallError
 
 TICK_INTERVAL_MS = 50
+"""Longer ones delay every time-out of the machine."""
 CLOCK_JUMP_GAP_S = 0.9
-"""Half a member lease: a longer gap between two looks at the clock counts as a freeze."""
+"""Half a member lease: a longer gap between two readings of the clock counts as a freeze."""
 LOCAL_TOKEN_PREFIX = "local-"
+"""Keeps tokens of calls within the process apart from those of peers."""
 
 
 class Machine(Protocol):
@@ -55,7 +57,7 @@
 
 
 class MachineDriver:
-    """Feeds one machine and carries out its effects, in order, on the loop's thread.
+    """Feeds one machine and executes its effects, in order, on the loop's thread.
 
     Parameters
     ----------
@@ -63,9 +65,9 @@
     own_id : this process's member id, the sender of local calls.
     clock : the suspend-aware clock.
     storage : durable storage, or None for machines that write nothing.
-    reply_to_peer : answers a peer's call by token; returns whether it still waited.
+    reply_to_peer : replies to a peer's call by token; returns whether the call was still pending.
     after_input : called after each run of inputs, for readers of the machine's state.
-    tick_interval_ms : how often the machine is told that time went on.
+    tick_interval_ms : time between two `Tick` inputs.
     """
 
     def __init__(
@@ -86,8 +88,8 @@
         self._reply_to_peer = reply_to_peer
         self._after_input = after_input
         self._inputs: deque[Input] = deque()
-        self._running = False
-        self._last_seen = clock()
+        self._is_running = False
+        self._last_reading = clock()
         self._local_tokens = itertools.count(1)
         self._local_calls: dict[str, Future[Any]] = {}
         self._captured_sender: MemberId | None = None
@@ -103,14 +105,17 @@
         self._ticker.stop()
 
     def submit(self, event: Input) -> None:
-        """Feed one input; its effects are carried out before this returns."""
-        self._notice_clock_jump()
+        """Feed one input; its effects are executed before this returns.
+
+        When called from within an effect, the input is queued and handled after the present one.
+        """
+        self._detect_clock_jump()
         self._inputs.append(event)
         self._run()
 
     def submit_messages(self, sender: MemberId, messages: list[Any]) -> list[Any]:
         """Feed one-way messages; return what was sent back to `sender` meanwhile."""
-        if self._running:
+        if self._is_running:
             for message in messages:
                 self._inputs.append(MessageReceived(sender, message))
             return []
@@ -128,7 +133,7 @@
         self.submit(CallReceived(sender, token, message))
 
     def abandon_call(self, token: str) -> None:
-        """Tell the machine that nobody waits for `token` any more."""
+        """Feed that the caller of `token` went away."""
         self.submit(CallAbandoned(token))
 
     async def call_local(self, message: Any) -> Any:
@@ -139,38 +144,40 @@
         self.submit(CallReceived(self._own_id, token, message))
         return await future
 
-    def _notice_clock_jump(self) -> None:
-        """Feed `ClockJumped` ahead of whatever else arrived during a freeze."""
+    def _detect_clock_jump(self) -> None:
+        """Feed `ClockJumped` ahead of the inputs that arrived during a freeze."""
         now = self._clock()
-        gap = now - self._last_seen
-        self._last_seen = now
+        gap = now - self._last_reading
+        self._last_reading = now
         if gap > CLOCK_JUMP_GAP_S:
             log(log_events.CLOCK_JUMPED, gap_s=round(gap, 3))
             self._inputs.append(ClockJumped(gap))
 
     def _run(self) -> None:
-        if self._running:
+        if self._is_running:
             return
-        self._running = True
+        self._is_running = True
         try:
             while self._inputs:
                 self._handle_one(self._inputs.popleft())
         finally:
-            self._running = False
+            self._is_running = False
         self._after_input()
 
     def _handle_one(self, event: Input) -> None:
         try:
             effects = self.machine.handle(event, self._clock())
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
+            # A defect of the machine must not end the process: the input is dropped, its caller
+            # gets an empty reply, and the next inputs are handled.
             log(log_events.HANDLER_FAILED, input=type(event).__name__, error=repr(error))
             if isinstance(event, CallReceived):
                 self._reply(event.token, None)
             return
         for effect in effects:
-            self._carry_out(effect)
+            self._execute(effect)
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case Send(to, message):
                 self._send(to, message)
--- a/src/zincvale/runtime/peer_router.py
+++ b/src/zincvale/runtime/peer_router.py
@@ -1,4 +1,4 @@
-"""Routes peers' messages to the part of the daemon that speaks them, by name prefix."""
+"""Routes peers' messages to services by name prefix, all others to the coordination machine."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
     def __init__(self, driver: MachineDriver) -> None:
         self._driver = driver
         self._services: dict[str, ServiceHandler] = {}
-        self.reply: Callable[[str, Any], bool] = lambda token, message: False
+        self.reply: Callable[[str, Any], bool] = lambda _token, _message: False
 
     def add_service(self, prefix: str, handler: ServiceHandler) -> None:
-        """Hand messages whose name starts with `prefix` (up to the first dot) to `handler`."""
+        """Route messages whose name starts with `prefix` (up to the first dot) to `handler`."""
         self._services[prefix] = handler
 
     def messages_received(self, sender: MemberId, messages: list[Any]) -> list[Any]:
@@ -58,7 +58,7 @@
         self.reply(token, reply)
 
     def call_abandoned(self, token: str) -> None:
-        """Tell the machine that a caller went away."""
+        """Feed the machine that a caller went away."""
         self._driver.abandon_call(token)
 
     def _service_of(self, message: Any) -> ServiceHandler | None:
@@ -68,14 +68,16 @@
     def _run_service(self, handler: ServiceHandler, sender: MemberId, message: Any) -> Any:
         try:
             return handler(sender, message)
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
+            # A defect of one service must not fail the peer's batch: other messages are handled.
             log(log_events.HANDLER_FAILED, input=message.MESSAGE_NAME, error=repr(error))
             return None
 
     async def _reply_later(self, token: str, reply: Any) -> None:
         try:
             message = await reply
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001
+            # A defect of one service: its caller gets an empty reply instead of a time-out.
             log(log_events.HANDLER_FAILED, input="reply", error=repr(error))
             message = None
         self.reply(token, message)
--- a/tests/platform/test_settings_watch.py
+++ b/tests/platform/test_settings_watch.py
@@ -22,13 +22,13 @@
         return self.seeds
 
     def test_nothing_is_read_while_the_file_stays(self) -> None:
-        self.watch.look()
+        self.watch.poll()
         self.assertEqual([], self.used)
 
     def test_a_changed_file_is_read_once(self) -> None:
         self.changed_at, self.seeds = 2, ("10.0.0.2:7000",)
-        self.watch.look()
-        self.watch.look()
+        self.watch.poll()
+        self.watch.poll()
         self.assertEqual([("10.0.0.2:7000",)], self.used)
 
     def test_a_signal_reads_it_at_any_time(self) -> None:
@@ -37,8 +37,8 @@
 
     def test_a_file_that_cannot_be_read_changes_nothing_and_is_read_when_it_is_whole(self) -> None:
         self.changed_at, self.seeds = 2, None
-        self.watch.look()
+        self.watch.poll()
         self.assertEqual([], self.used)
         self.changed_at, self.seeds = 3, ("10.0.0.3:7000",)
-        self.watch.look()
+        self.watch.poll()
         self.assertEqual([("10.0.0.3:7000",)], self.used)
