--- a/src/zincvale/model/machine.py
+++ b/src/zincvale/model/machine.py
@@ -1,9 +1,13 @@
 """Inputs and effects shared by every state machine.
 
-A state machine is pure: `handle(event, now)` takes one typed input and the time, and returns what
-to send, write, answer and log, in order. It never reads a clock, opens a file or draws from a
-global random source. The daemon's event loop, the deterministic simulator and the transcript tests
-drive the same machines.
+A state machine is pure: `handle(event, now)` takes one typed input and the time, and returns the
+effects (messages, writes, replies, log events) in the order in which they must be executed. It
+never reads a clock, opens a file or draws from a global random source. The daemons' event loop
+(`runtime.driver`), the deterministic simulator and the transcript tests drive the same machines.
+
+A call goes `Call` -> `CallReplied` or `CallFailed`. At the called member it is `CallReceived` ->
+`Reply`, or `CallAbandoned`, after which a `Reply` is dropped. A write goes `Write` ->
+`WriteCompleted`. A token pairs the two ends of such an exchange.
 
 Times are seconds on a monotonic clock that counts suspension.
 """
@@ -19,7 +23,7 @@
 
 @attrs.frozen
 class MessageReceived:
-    """Input: `sender` sent `message` (a registered peer message)."""
+    """Input: `sender` sent `message` (a registered peer message) and waits for no reply."""
 
     sender: MemberId
     message: Any
@@ -27,7 +31,10 @@
 
 @attrs.frozen
 class CallReceived:
-    """Input: `sender` calls and waits; answer with `Reply(token, message)`, now or later."""
+    """Input: `sender` called with `message` and waits for `Reply(token, ...)`, now or later.
+
+    `sender` is this member itself for calls from within the process.
+    """
 
     sender: MemberId
     token: str
@@ -36,14 +43,14 @@
 
 @attrs.frozen
 class CallAbandoned:
-    """Input: the caller behind `token` went away; no reply is wanted any more."""
+    """Input: the caller of `token` disconnected; a later reply would be dropped."""
 
     token: str
 
 
 @attrs.frozen
 class CallReplied:
-    """Input: the call made by effect `Call(token, ...)` was answered with `message`."""
+    """Input: the effect `Call(token, ...)` got the reply `message`."""
 
     token: str
     message: Any
@@ -51,7 +58,10 @@
 
 @attrs.frozen
 class CallFailed:
-    """Input: the call `token` got no answer; whether it was handled is not known."""
+    """Input: the call `token` got no reply, or an empty one; it may have been handled.
+
+    `reason` is for people: it names the time-out or what broke.
+    """
 
     token: str
     reason: str
@@ -59,7 +69,10 @@
 
 @attrs.frozen
 class WriteCompleted:
-    """Input: the write `token` is durable (`error` is empty) or failed (`error` says why)."""
+    """Input: the write `token` is durable (`error` is empty) or failed (`error` says why).
+
+    After a failure the version may or may not be on the disk.
+    """
 
     token: str
     error: str = ""
@@ -67,24 +80,31 @@
 
 @attrs.frozen
 class Tick:
-    """Input: the periodic timer fired."""
+    """Input: the periodic timer fired; time-outs and renewals that are due happen now."""
 
 
 @attrs.frozen
 class ClockJumped:
-    """Input: the clock advanced by `gap_s` without a tick (a freeze); leases are no longer held."""
+    """Input: the clock advanced by `gap_s` seconds without an input (the process was frozen).
+
+    It comes before the inputs that arrived meanwhile. Leases may have expired: a machine drops its
+    own before it handles anything else.
+    """
 
     gap_s: float
 
 
 @attrs.frozen
 class ShutdownRequested:
-    """Input: the process was asked to stop and will; what it holds is handed over."""
+    """Input: the process was asked to stop and will; leases and ownership are handed over."""
 
 
 @attrs.frozen
 class Send:
-    """Effect: send `message` to `to`, once, without waiting; it may be lost."""
+    """Effect: send `message` to `to`, at most once, without waiting; it may be lost.
+
+    A message to this member itself becomes the next `MessageReceived`.
+    """
 
     to: MemberId
     message: Any
@@ -92,7 +112,7 @@
 
 @attrs.frozen
 class Write:
-    """Effect: make `content` durable as the newest version of `key`; answer `WriteCompleted`.
+    """Effect: make `content` durable as the newest version of `key`; `WriteCompleted` follows.
 
     `version` increases with each write of a key, so that one file holds one version.
     """
@@ -105,7 +125,7 @@
 
 @attrs.frozen
 class Call:
-    """Effect: call `to` and wait; `CallReplied` or `CallFailed` with `token` follows."""
+    """Effect: call `to`; `CallReplied` or `CallFailed` with `token` follows within `timeout_s`."""
 
     to: MemberId
     token: str
@@ -115,7 +135,7 @@
 
 @attrs.frozen
 class Reply:
-    """Effect: answer the call `token` with `message`."""
+    """Effect: reply to the call `token` with `message`; dropped when its caller went away."""
 
     token: str
     message: Any
