--- a/src/zincvale/controlplane/api/intent_changes.py
+++ b/src/zincvale/controlplane/api/intent_changes.py
@@ -72,6 +72,8 @@
         raise BodyTooLargeError(
             f"the body has {len(request.body)} bytes, more than {MAX_CHANGE_BYTES}",
             "apply the resources in several changes",
+            size_bytes=len(request.body),
+            limit_bytes=MAX_CHANGE_BYTES,
         )
     data = parse_json(request.body, "the body")
     if not isinstance(data, dict):
--- a/src/zincvale/controlplane/api/replica_changes.py
+++ b/src/zincvale/controlplane/api/replica_changes.py
@@ -31,6 +31,8 @@
         raise BodyTooLargeError(
             f"the body has {len(request.body)} bytes, more than {MAX_REPLACEMENT_BYTES}",
             'send {"remove", "add"}',
+            size_bytes=len(request.body),
+            limit_bytes=MAX_REPLACEMENT_BYTES,
         )
     replacement = read_checked(Replacement, parse_json(request.body, "the body"), "the body")
     if not replacement.remove and not replacement.add:
--- a/src/zincvale/controlplane/intent/reducer.py
+++ b/src/zincvale/controlplane/intent/reducer.py
@@ -63,6 +63,8 @@
             raise BodyTooLargeError(
                 f"the change has {len(change)} bytes, more than {MAX_CHANGE_BYTES}",
                 "apply the resources in several changes",
+                size_bytes=len(change),
+                limit_bytes=MAX_CHANGE_BYTES,
             )
         body = read_change_body(parse_json(change, "the change"))
         proposed = ProposedRows(rows, _apply_edits(rows, body))
--- a/src/zincvale/model/errors.py
+++ b/src/zincvale/model/errors.py
@@ -1,4 +1,8 @@
-"""Typed errors. Every message names the remedy."""
+"""Typed errors that reach operators and callers. Every message names the remedy.
+
+Fields beside `problem` and `remedy` say what failed, for code and tests; they are in neither the
+text nor the JSON body.
+"""
 
 from __future__ import annotations
 
@@ -48,7 +52,15 @@
 
 @attrs.frozen
 class BodyTooLargeError(ZincvaleError):
-    """A body is larger than its documented limit."""
+    """A body is larger than its documented limit.
+
+    Attributes
+    ----------
+    size_bytes, limit_bytes : of the body, and the most that is taken; 0 when not known.
+    """
+
+    size_bytes: int = attrs.field(default=0, repr=False, kw_only=True)
+    limit_bytes: int = attrs.field(default=0, repr=False, kw_only=True)
 
     kind = "too-large"
     http_status = 413
@@ -64,7 +76,12 @@
 
 @attrs.frozen
 class VersionConflictError(ZincvaleError):
-    """Another change won on the version this one was built on."""
+    """Another change won on the version this one was built on.
+
+    Attributes
+    ----------
+    current_version : the version to build on now.
+    """
 
     current_version: int = 0
 
@@ -74,7 +91,7 @@
 
 @attrs.frozen
 class NotConfirmedError(ZincvaleError):
-    """The change may or may not be in force; the same order can be sent again safely."""
+    """The change may or may not be in force; it can be sent again safely with the same key."""
 
     kind = "not-confirmed"
     http_status = 503
@@ -90,7 +107,15 @@
 
 @attrs.frozen
 class WrongClusterError(ZincvaleError):
-    """A message or data folder belongs to another cluster."""
+    """A message or data folder belongs to another cluster.
+
+    Attributes
+    ----------
+    expected_cluster, actual_cluster : this process's cluster id, and the one that was found.
+    """
+
+    expected_cluster: str = attrs.field(default="", repr=False, kw_only=True)
+    actual_cluster: str = attrs.field(default="", repr=False, kw_only=True)
 
     kind = "wrong-cluster"
     http_status = 421
@@ -98,7 +123,14 @@
 
 @attrs.frozen
 class StorageError(ZincvaleError):
-    """A data folder cannot be read or written."""
+    """A data folder cannot be read or written.
+
+    Attributes
+    ----------
+    path : the folder or file.
+    """
+
+    path: str = attrs.field(default="", repr=False, kw_only=True)
 
     kind = "storage"
     http_status = 507
@@ -106,7 +138,14 @@
 
 @attrs.frozen
 class StartupError(ZincvaleError):
-    """A daemon cannot start: an address is in use or a folder is not writable."""
+    """A daemon cannot start: an address is in use or a folder is not writable.
+
+    Attributes
+    ----------
+    address : `ip:port` that cannot be listened on; empty for other causes.
+    """
+
+    address: str = attrs.field(default="", repr=False, kw_only=True)
 
     kind = "start"
     http_status = 500
--- a/src/zincvale/runtime/listening.py
+++ b/src/zincvale/runtime/listening.py
@@ -15,8 +15,10 @@
 
 IDLE_CONNECTION_TIMEOUT_S = 75.0
 BODY_TIMEOUT_S = 10.0
+"""A slower body is cut off: bounds how long a slow sender occupies a connection."""
 MAX_HEADER_BYTES = 64 * 1024
 LISTEN_BACKLOG = 1_024
+"""Connections that wait to be accepted; a smaller one refuses bursts of callers."""
 
 
 def listen(
@@ -24,6 +26,7 @@
     address: str,
     field_name: str,
     max_body_bytes: int,
+    *,
     expands_bodies: bool = False,
 ) -> HTTPServer:
     """Serve `application` at `address`; raises `StartupError`.
@@ -51,7 +54,9 @@
         return bind_sockets(port, host, backlog=LISTEN_BACKLOG)
     except OSError as error:
         raise StartupError(
-            f"{field_name} {address} cannot be listened on: {error.strerror}", _remedy(error)
+            f"{field_name} {address} cannot be listened on: {error.strerror}",
+            _remedy(error),
+            address=address,
         ) from error
 
 
--- a/src/zincvale/storage/version_files.py
+++ b/src/zincvale/storage/version_files.py
@@ -103,6 +103,7 @@
             raise StorageError(
                 f"data folder {self._folder}: {error.strerror or error}",
                 "make it readable and writable, with free space",
+                path=str(self._folder),
             ) from error
 
     def write(self, key: str, number: int, content: bytes) -> str:
@@ -134,11 +135,14 @@
             raise StorageError(
                 f"{self._folder / IDENTITY_FILE} cannot be read",
                 "start this core on an empty folder: it then joins as a new replica",
+                path=str(self._folder / IDENTITY_FILE),
             ) from error
         if cluster_id != self._cluster_id:
             raise WrongClusterError(
                 f"data folder {self._folder} belongs to cluster {cluster_id!r}",
                 f"name a folder of cluster {self._cluster_id!r} or an empty one",
+                expected_cluster=self._cluster_id,
+                actual_cluster=cluster_id,
             )
         return str(disk_id)
 
@@ -153,6 +157,7 @@
             raise StorageError(
                 f"data folder {self._folder} has records but no identity file",
                 "start this core on an empty folder: it then joins as a new replica",
+                path=str(self._folder),
             )
 
     def _load_keys(self) -> RecoveredState:
--- a/src/zincvale/transport/peer_server.py
+++ b/src/zincvale/transport/peer_server.py
@@ -105,6 +105,8 @@
                 f"{batch.sender} is of cluster {batch.cluster_id!r}, this is "
                 f"{self.identity.cluster_id!r}",
                 "correct cluster_id or the seeds in its settings",
+                expected_cluster=self.identity.cluster_id,
+                actual_cluster=batch.cluster_id,
             )
             self._on_refused(str(refusal))
             raise refusal
