--- a/src/zincvale/bench/relay_process.py
+++ b/src/zincvale/bench/relay_process.py
@@ -21,6 +21,14 @@
 from zincvale.dataplane.claims.service import ClaimService
 from zincvale.dataplane.inference.node_service import NodeService
 from zincvale.dataplane.stream_journal.service import StreamJournalService
+from zincvale.model.control_tables import (
+    Directory,
+    Intent,
+    MemberRow,
+    Members,
+    Role,
+    ServerRow,
+)
 from zincvale.model.identifiers import (
     Address,
     MemberId,
@@ -31,14 +39,6 @@
     ZoneName,
 )
 from zincvale.model.resources import ModelSpec, PoolKind, PoolSpec, RouteSpec, ZoneSpec
-from zincvale.model.view import (
-    Directory,
-    Intent,
-    MemberRow,
-    Members,
-    Role,
-    ServerRow,
-)
 from zincvale.runtime.clock import suspend_aware_now, wall_now
 from zincvale.runtime.listening import listen
 from zincvale.runtime.settings import DaemonSettings
--- a/src/zincvale/bench/state_slopes.py
+++ b/src/zincvale/bench/state_slopes.py
@@ -14,9 +14,9 @@
 from zincvale.controlplane.directory.row_codec import encode_server_row
 from zincvale.controlplane.intent.reducer import IntentReducer
 from zincvale.controlplane.intent.row_codec import IntentDecoder, encode_spec
+from zincvale.model.control_tables import ServerRow
 from zincvale.model.identifiers import AdapterName, Address, ModelName, PoolName, ServerId, ZoneName
 from zincvale.model.resources import PoolKind
-from zincvale.model.view import ServerRow
 
 ADAPTER_COUNTS = (1_000, 10_000, 56_000)
 MODELS = 830
--- a/src/zincvale/bench/tracing_bench.py
+++ b/src/zincvale/bench/tracing_bench.py
@@ -22,8 +22,8 @@
 import orjson
 
 from zincvale.bench.tracing_fleet import RequestMix, TracingFleet, trace_request
+from zincvale.model.control_tables import MemberRow, Members, Role
 from zincvale.model.identifiers import Address, MemberId, ZoneName
-from zincvale.model.view import MemberRow, Members, Role
 from zincvale.tracing.chunks import ROW_OVERHEAD_BYTES
 from zincvale.tracing.config import TracingConfig
 from zincvale.tracing.recorder.recorder import SpanRecorder
--- a/src/zincvale/bench/tracing_fleet.py
+++ b/src/zincvale/bench/tracing_fleet.py
@@ -13,8 +13,8 @@
 
 import attrs
 
+from zincvale.model.control_tables import MemberRow, Members, Role
 from zincvale.model.identifiers import Address, MemberId, TraceId, ZoneName
-from zincvale.model.view import MemberRow, Members, Role
 from zincvale.tracing.config import TracingConfig
 from zincvale.tracing.service import TracingService
 
--- a/src/zincvale/controlplane/api/reads.py
+++ b/src/zincvale/controlplane/api/reads.py
@@ -18,9 +18,9 @@
 from zincvale.controlplane.status.cluster_snapshot import ClusterSnapshot
 from zincvale.controlplane.status.resource_status import conditions_of
 from zincvale.coordination.changes import KeyView
+from zincvale.model.control_tables import MemberRow, ServerRow
 from zincvale.model.errors import InvalidInputError, NotFoundError
 from zincvale.model.identifiers import MemberId, ServerId
-from zincvale.model.view import MemberRow, ServerRow
 
 DEFAULT_PAGE_ROWS = 1_000
 """Resources of a page when the client names no limit."""
--- a/src/zincvale/controlplane/core_view.py
+++ b/src/zincvale/controlplane/core_view.py
@@ -8,8 +8,8 @@
 import attrs
 
 from zincvale.coordination.changes import KeyView
+from zincvale.model.control_tables import Directory, Intent, Members
 from zincvale.model.identifiers import Address, MemberId, ZoneName
-from zincvale.model.view import Directory, Intent, Members
 
 
 @attrs.frozen
--- a/src/zincvale/controlplane/directory/backend_status.py
+++ b/src/zincvale/controlplane/directory/backend_status.py
@@ -13,10 +13,10 @@
 import orjson
 
 from zincvale.controlplane.addresses import is_address
+from zincvale.model.control_tables import ServerHealth
 from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import AdapterName, Address, ModelName, PoolName, ServerId, ZoneName
 from zincvale.model.resources import PoolKind
-from zincvale.model.view import ServerHealth
 
 STATUS_PATH = "/status"
 PLATFORM_LIST_PATH = "/v1/servers"
--- a/src/zincvale/controlplane/directory/events.py
+++ b/src/zincvale/controlplane/directory/events.py
@@ -7,9 +7,9 @@
 from zincvale.controlplane.directory.backend_status import PlatformServer, ServerStatus
 from zincvale.coordination.changes import TopicView
 from zincvale.coordination.delivery.messages import PublishTopic
+from zincvale.model.control_tables import Intent, ServerRow
 from zincvale.model.identifiers import Address, MemberId, ServerId
 from zincvale.model.machine import ClockJumped, Log, Tick
-from zincvale.model.view import Intent, ServerRow
 
 
 @attrs.frozen
--- a/src/zincvale/controlplane/directory/machine.py
+++ b/src/zincvale/controlplane/directory/machine.py
@@ -35,11 +35,11 @@
 from zincvale.controlplane.directory.row_codec import decode_server_row
 from zincvale.controlplane.directory.server_table import ServerTable, TableChange
 from zincvale.coordination.changes import TopicView
+from zincvale.model.control_tables import Intent, ServerRow
 from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import MemberId, ServerId
 from zincvale.model.machine import ClockJumped, Log, Tick
 from zincvale.model.resources import ServerSpec, ZoneSpec
-from zincvale.model.view import Intent, ServerRow
 
 LIST_INTERVAL_S = 2.0
 """Between two reads of the platform's list."""
--- a/src/zincvale/controlplane/directory/publication.py
+++ b/src/zincvale/controlplane/directory/publication.py
@@ -12,8 +12,8 @@
 
 from zincvale.controlplane.directory.row_codec import DIRECTORY_TOPIC, encode_server_row
 from zincvale.coordination.delivery.messages import PublishTopic
+from zincvale.model.control_tables import ServerRow
 from zincvale.model.identifiers import ServerId
-from zincvale.model.view import ServerRow
 
 LOAD_BYTES_PER_SECOND = 1_000
 """What load figures alone may cost each node, over all servers."""
--- a/src/zincvale/controlplane/directory/row_codec.py
+++ b/src/zincvale/controlplane/directory/row_codec.py
@@ -8,10 +8,10 @@
 import orjson
 
 from zincvale.coordination.delivery.ephemeral_topics import LEADERLESS_PREFIX
+from zincvale.model.control_tables import Directory, ServerHealth, ServerRow
 from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import AdapterName, Address, ModelName, PoolName, ServerId, ZoneName
 from zincvale.model.resources import PoolKind
-from zincvale.model.view import Directory, ServerHealth, ServerRow
 
 DIRECTORY_TOPIC = "directory"
 """Name of the published table of servers."""
--- a/src/zincvale/controlplane/directory/server_discovery.py
+++ b/src/zincvale/controlplane/directory/server_discovery.py
@@ -24,6 +24,7 @@
 )
 from zincvale.coordination.changes import TopicView
 from zincvale.coordination.delivery.messages import PublishTopic
+from zincvale.model.control_tables import ServerHealth, ServerRow
 from zincvale.model.errors import InvalidInputError
 from zincvale.model.forwarding import ForwardingDocument
 from zincvale.model.identifiers import (
@@ -37,7 +38,6 @@
 )
 from zincvale.model.machine import Log
 from zincvale.model.resources import PoolKind
-from zincvale.model.view import ServerHealth, ServerRow
 
 READ_INTERVAL_S = 0.8
 """Between two reads of the list by the reader."""
--- a/src/zincvale/controlplane/directory/server_prober.py
+++ b/src/zincvale/controlplane/directory/server_prober.py
@@ -15,9 +15,9 @@
 from zincvale.controlplane.directory.messages import ServerObservation, ServerObservations
 from zincvale.controlplane.directory.probe_schedule import PROBE_TIMEOUT_S, ProbeSchedule
 from zincvale.controlplane.directory.prober_assignment import assigned_to
+from zincvale.model.control_tables import Directory
 from zincvale.model.identifiers import Address, MemberId, ServerId
 from zincvale.model.machine import ClockJumped, Tick
-from zincvale.model.view import Directory
 
 REPORT_INTERVAL_S = 0.25
 """Observations are collected for this long before they are sent."""
--- a/src/zincvale/controlplane/directory/server_table.py
+++ b/src/zincvale/controlplane/directory/server_table.py
@@ -34,9 +34,9 @@
     new_candidate,
     restored_server,
 )
+from zincvale.model.control_tables import ServerRow
 from zincvale.model.identifiers import MemberId, ServerId
 from zincvale.model.machine import Log
-from zincvale.model.view import ServerRow
 
 UNREPORTED_TIMEOUT_S = 6.0
 """A server without a result of its prober for this long is probed by the publisher."""
--- a/src/zincvale/controlplane/directory/tracked_servers.py
+++ b/src/zincvale/controlplane/directory/tracked_servers.py
@@ -5,7 +5,7 @@
 import attrs
 
 from zincvale.controlplane.directory.backend_status import PlatformServer, ServerStatus
-from zincvale.model.view import ServerHealth, ServerRow
+from zincvale.model.control_tables import ServerHealth, ServerRow
 
 FAILURES_UNTIL_DOWN = 2
 """Failed probes in a row that make a server down; one is enough when the connection is refused.
--- a/src/zincvale/controlplane/documents/derived_intent.py
+++ b/src/zincvale/controlplane/documents/derived_intent.py
@@ -8,6 +8,7 @@
 
 import attrs
 
+from zincvale.model.control_tables import Intent
 from zincvale.model.forwarding import Engine, ForwardingDocument, ForwardPool
 from zincvale.model.identifiers import (
     AdapterName,
@@ -24,7 +25,6 @@
     StoreSpec,
     ZoneSpec,
 )
-from zincvale.model.view import Intent
 
 REQUESTS_PER_REPLICA = 8
 """Concurrent requests that one replica of a model serves within usual objectives; an engine has
--- a/src/zincvale/controlplane/intent/row_codec.py
+++ b/src/zincvale/controlplane/intent/row_codec.py
@@ -14,9 +14,9 @@
 import orjson
 
 from zincvale.model.checked import Checked
+from zincvale.model.control_tables import Intent
 from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import SPEC_BY_KIND
-from zincvale.model.view import Intent
 
 TABLE_BY_KIND = {
     "Zone": "zones",
--- a/src/zincvale/controlplane/placement/apply_intent.py
+++ b/src/zincvale/controlplane/placement/apply_intent.py
@@ -18,6 +18,7 @@
 from zincvale.controlplane.placement.servers import CountedAs, ServerState
 from zincvale.controlplane.placement.state import PlacementState
 from zincvale.controlplane.placement.stores import StoreState
+from zincvale.model.control_tables import Intent
 from zincvale.model.identifiers import (
     Address,
     PoolName,
@@ -26,7 +27,6 @@
     ZoneName,
 )
 from zincvale.model.resources import AdapterSpec, ModelSpec, PoolSpec, StoreSpec
-from zincvale.model.view import Intent
 
 UNDECLARED_STORE = StoreName("")
 """Of a new row, until its declaration is applied; no store has this name."""
--- a/src/zincvale/controlplane/placement/apply_status.py
+++ b/src/zincvale/controlplane/placement/apply_status.py
@@ -27,9 +27,9 @@
 )
 from zincvale.controlplane.placement.servers import NEVER, Replica, ReplicaState, ServerState
 from zincvale.controlplane.placement.state import PlacementState
+from zincvale.model.control_tables import ServerHealth, ServerRow
 from zincvale.model.identifiers import ServerId
 from zincvale.model.resources import PoolKind
-from zincvale.model.view import ServerHealth, ServerRow
 
 
 def apply_directory(placement: PlacementState, event: DirectoryChanged, now: float) -> None:
--- a/src/zincvale/controlplane/placement/events.py
+++ b/src/zincvale/controlplane/placement/events.py
@@ -8,6 +8,7 @@
 
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.controlplane.placement.moves import Move, MoveReason
+from zincvale.model.control_tables import Intent, ServerRow
 from zincvale.model.identifiers import (
     AdapterName,
     Address,
@@ -18,7 +19,6 @@
     StoreName,
 )
 from zincvale.model.machine import ClockJumped, Log, Tick
-from zincvale.model.view import Intent, ServerRow
 
 
 @attrs.frozen
--- a/src/zincvale/controlplane/placement/servers.py
+++ b/src/zincvale/controlplane/placement/servers.py
@@ -9,8 +9,8 @@
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.items import ItemKey, ItemKind
 from zincvale.controlplane.placement.moves import Reservation
+from zincvale.model.control_tables import ServerHealth
 from zincvale.model.identifiers import Address, MoveId, PoolName, ServerId, ZoneName
-from zincvale.model.view import ServerHealth
 
 NEVER = float("-inf")
 """Before every time on the controller's clock."""
--- a/src/zincvale/controlplane/placement/state.py
+++ b/src/zincvale/controlplane/placement/state.py
@@ -23,6 +23,7 @@
 from zincvale.controlplane.placement.stores import StoreState
 from zincvale.controlplane.placement.undeclared import UndeclaredReplicas
 from zincvale.controlplane.placement.unplaced import UnplacedItems
+from zincvale.model.control_tables import Intent
 from zincvale.model.identifiers import (
     MemberId,
     MoveId,
@@ -32,7 +33,6 @@
 )
 from zincvale.model.machine import Log
 from zincvale.model.resources import AdapterSpec, ModelSpec
-from zincvale.model.view import Intent
 
 
 @attrs.define
--- a/src/zincvale/controlplane/status/cluster_snapshot.py
+++ b/src/zincvale/controlplane/status/cluster_snapshot.py
@@ -8,9 +8,9 @@
 
 from zincvale.controlplane.core_view import CoreView
 from zincvale.controlplane.status.drain_progress import DrainProgress
+from zincvale.model.control_tables import Directory, Intent, ServerHealth, ServerRow
 from zincvale.model.identifiers import MemberId, PoolName, ServerId
 from zincvale.model.resources import ServerSpec, ZoneSpec
-from zincvale.model.view import Directory, Intent, ServerHealth, ServerRow
 
 _DEFAULT_SERVER = ServerSpec()
 _DEFAULT_ZONE = ZoneSpec()
--- a/src/zincvale/controlplane/status/drain_progress.py
+++ b/src/zincvale/controlplane/status/drain_progress.py
@@ -11,8 +11,8 @@
 
 import attrs
 
+from zincvale.model.control_tables import Directory, Intent, ServerHealth, ServerRow
 from zincvale.model.identifiers import ServerId
-from zincvale.model.view import Directory, Intent, ServerHealth, ServerRow
 
 IDLE_S = 2.5
 """How long a server must stay idle: more than a probe's interval, its time-out and the publication
--- a/src/zincvale/controlplane/status/resource_status.py
+++ b/src/zincvale/controlplane/status/resource_status.py
@@ -8,8 +8,8 @@
 from zincvale.controlplane.status.cluster_snapshot import ClusterSnapshot
 from zincvale.controlplane.status.conditions import Condition, known, unknown
 from zincvale.controlplane.status.server_status import server_conditions, zone_conditions
+from zincvale.model.control_tables import ServerRow
 from zincvale.model.identifiers import AdapterName, ModelName, PoolName, RouteName
-from zincvale.model.view import ServerRow
 
 MAX_NAMES_SHOWN = 5
 """Longest list of names inside a message; the rest is counted."""
--- a/src/zincvale/controlplane/status/server_status.py
+++ b/src/zincvale/controlplane/status/server_status.py
@@ -6,8 +6,8 @@
 from zincvale.controlplane.status.cluster_snapshot import ClusterSnapshot
 from zincvale.controlplane.status.conditions import Condition, known, unknown
 from zincvale.controlplane.status.drain_progress import may_run_requests
+from zincvale.model.control_tables import ServerHealth, ServerRow
 from zincvale.model.identifiers import ServerId, ZoneName
-from zincvale.model.view import ServerHealth, ServerRow
 
 _REASON_BY_HEALTH = {
     ServerHealth.READY: "Ready",
--- a/src/zincvale/coordination/core/context.py
+++ b/src/zincvale/coordination/core/context.py
@@ -21,9 +21,9 @@
     ReplicaSets,
     decode_replica_sets,
 )
+from zincvale.model.control_tables import Role
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Send
-from zincvale.model.view import Role
 
 
 @attrs.define
--- a/src/zincvale/coordination/core/machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -32,6 +32,7 @@
 from zincvale.coordination.registers.recovered_state import RecoveredState
 from zincvale.coordination.registers.replica import RegisterReplica
 from zincvale.coordination.replication.replica_sets import ReplicaSets
+from zincvale.model.control_tables import Members
 from zincvale.model.identifiers import Address, MemberId
 from zincvale.model.machine import (
     CallAbandoned,
@@ -48,7 +49,6 @@
     Tick,
     WriteCompleted,
 )
-from zincvale.model.view import Members
 
 
 class CoreMachine:
--- a/src/zincvale/coordination/leases/member_lease.py
+++ b/src/zincvale/coordination/leases/member_lease.py
@@ -16,8 +16,8 @@
 from zincvale.coordination.leases.messages import LeaseGranted, RenewLease
 from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.coordination.replication.replica_config import ReplicaConfig, majority, member_of
-from zincvale.model.identifiers import Address, MemberId, member_at
-from zincvale.model.view import Role
+from zincvale.model.control_tables import Role
+from zincvale.model.identifiers import Address, MemberId
 
 
 @attrs.frozen
--- a/src/zincvale/coordination/membership/member_codec.py
+++ b/src/zincvale/coordination/membership/member_codec.py
@@ -6,8 +6,8 @@
 
 from zincvale.coordination.changes import Rows
 from zincvale.coordination.membership.messages import MemberInfo
+from zincvale.model.control_tables import MemberRow, Members, Role
 from zincvale.model.identifiers import Address, MemberId, ZoneName
-from zincvale.model.view import MemberRow, Members, Role
 
 
 def encode_member(info: MemberInfo, ready: bool) -> bytes:
--- a/src/zincvale/coordination/node/machine.py
+++ b/src/zincvale/coordination/node/machine.py
@@ -34,6 +34,7 @@
 from zincvale.coordination.node.partition_guard import PartitionGuard
 from zincvale.coordination.registers.messages import ChosenValue, FetchValue
 from zincvale.coordination.replication.replica_sets import DELIVERED_KEYS, INTENT_KEY, REGISTRY_KEY
+from zincvale.model.control_tables import Members
 from zincvale.model.identifiers import Address, MemberId
 from zincvale.model.machine import (
     CallAbandoned,
@@ -48,7 +49,6 @@
     Send,
     Tick,
 )
-from zincvale.model.view import Members
 
 HEALTHY_LEASE_FRACTION = 0.5
 """With less than this part of the lease left, a renewal failed: renew at every core."""
--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -27,10 +27,10 @@
 from zincvale.daemons.placement_runner import PlacementRunner
 from zincvale.daemons.process import NO_DRAIN
 from zincvale.dataplane.policies.registry import policy_names
+from zincvale.model.control_tables import ServerRow
 from zincvale.model.errors import ZincvaleError
 from zincvale.model.identifiers import MemberId, ServerId
 from zincvale.model.machine import Tick
-from zincvale.model.view import ServerRow
 from zincvale.runtime import log_events
 from zincvale.runtime.clock import wall_now
 from zincvale.runtime.incarnation import new_incarnation
--- a/src/zincvale/daemons/core_view.py
+++ b/src/zincvale/daemons/core_view.py
@@ -11,8 +11,8 @@
 from zincvale.coordination.changes import KeyView
 from zincvale.coordination.core.machine import CoreMachine
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
+from zincvale.model.control_tables import Directory, Intent, Members
 from zincvale.model.identifiers import Address, MemberId, ZoneName
-from zincvale.model.view import Directory, Intent, Members
 
 
 class LocalCoreView:
--- a/src/zincvale/daemons/draining_replicas.py
+++ b/src/zincvale/daemons/draining_replicas.py
@@ -6,8 +6,8 @@
 
 import attrs
 
+from zincvale.model.control_tables import Directory
 from zincvale.model.identifiers import ServerId
-from zincvale.model.view import Directory
 
 
 def with_draining(directory: Directory, draining: Mapping[ServerId, frozenset[str]]) -> Directory:
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -37,10 +37,10 @@
 from zincvale.daemons.residency_publisher import ResidencyPublisher
 from zincvale.daemons.roles import PLACEMENT_ROLE
 from zincvale.daemons.unreachable_servers import UnreachableServers
+from zincvale.model.control_tables import ServerHealth, ServerRow
 from zincvale.model.errors import ZincvaleError
 from zincvale.model.identifiers import MemberId, ServerId
 from zincvale.model.machine import ShutdownRequested, Tick
-from zincvale.model.view import ServerHealth, ServerRow
 from zincvale.runtime import log_events
 from zincvale.runtime.clock import wall_now
 from zincvale.runtime.forwarding_settings import ForwardingSettings
--- a/src/zincvale/daemons/forwarding_node.py
+++ b/src/zincvale/daemons/forwarding_node.py
@@ -21,9 +21,9 @@
 from zincvale.dataplane.forwarding.fleet_budgets import RetryConfig, SlowStartConfig
 from zincvale.dataplane.forwarding.routing_state import FleetLimits
 from zincvale.dataplane.forwarding.service import ForwardingConfig, ForwardingService
+from zincvale.model.control_tables import Role
 from zincvale.model.errors import ZincvaleError
 from zincvale.model.identifiers import MemberId
-from zincvale.model.view import Role
 from zincvale.runtime import log_events
 from zincvale.runtime.forwarding_settings import ForwardingSettings
 from zincvale.runtime.listening import listen
--- a/src/zincvale/daemons/node_daemon.py
+++ b/src/zincvale/daemons/node_daemon.py
@@ -14,8 +14,8 @@
 from zincvale.dataplane.claims.service import ClaimService
 from zincvale.dataplane.inference.node_service import NodeService
 from zincvale.dataplane.stream_journal.service import StreamJournalService
+from zincvale.model.control_tables import Directory, Role
 from zincvale.model.errors import ZincvaleError
-from zincvale.model.view import Directory, Role
 from zincvale.runtime import log_events
 from zincvale.runtime.logs import log
 from zincvale.runtime.settings import DaemonSettings
--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -47,10 +47,10 @@
     StatusReading,
 )
 from zincvale.daemons.topic_publisher import TopicPublisher
+from zincvale.model.control_tables import ServerRow
 from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import ServerId
 from zincvale.model.machine import Log
-from zincvale.model.view import ServerRow
 from zincvale.runtime import log_events
 from zincvale.runtime.logs import log
 
--- a/src/zincvale/daemons/server_orders.py
+++ b/src/zincvale/daemons/server_orders.py
@@ -17,7 +17,7 @@
 from zincvale.controlplane.placement.events import Order, OrderAction, OrderRefusal
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.daemons.http_fetch import FetchResult
-from zincvale.model.view import ServerRow
+from zincvale.model.control_tables import ServerRow
 
 HTTP_OK = 200
 HTTP_ACCEPTED = 202
--- a/src/zincvale/dataplane/claims/service.py
+++ b/src/zincvale/dataplane/claims/service.py
@@ -27,10 +27,10 @@
 from zincvale.dataplane.claims.timings import ClaimTimings
 from zincvale.dataplane.inference.dependencies import ClaimDecision, ClaimGranted
 from zincvale.dataplane.machine_driver import MachineDriver, WriteLog, ignore_log
+from zincvale.model.control_tables import Members
 from zincvale.model.identifiers import MemberId, RequestId, RouteName, ZoneName
 from zincvale.model.machine import Call, CallFailed, CallReplied
 from zincvale.model.outcomes import Outcome
-from zincvale.model.view import Members
 from zincvale.transport.peer import PeerCaller
 
 
--- a/src/zincvale/dataplane/forwarding/routing_state.py
+++ b/src/zincvale/dataplane/forwarding/routing_state.py
@@ -18,9 +18,9 @@
 )
 from zincvale.dataplane.forwarding.route_table import RouteTable
 from zincvale.dataplane.forwarding.servers import Residency, ServerState
+from zincvale.model.control_tables import Directory, Members, Role, ServerRow
 from zincvale.model.forwarding import ForwardingDocument, ForwardPool
 from zincvale.model.identifiers import MemberId, PoolName, ServerId, ZoneName
-from zincvale.model.view import Directory, Members, Role, ServerRow
 
 SLOW_START_AFTER_EVACUATION_S = 1.5
 """How long a zone's servers are in slow start after its evacuation, until the directory says so."""
--- a/src/zincvale/dataplane/forwarding/servers.py
+++ b/src/zincvale/dataplane/forwarding/servers.py
@@ -9,8 +9,8 @@
 
 from zincvale.dataplane.forwarding.dialect import Prompt
 from zincvale.dataplane.forwarding.fleet_budgets import SlowStartLimiter
+from zincvale.model.control_tables import ServerRow
 from zincvale.model.identifiers import ServerId
-from zincvale.model.view import ServerRow
 
 INITIAL_BACKOFF_S = 0.25
 """After the first failure; doubles with each failure in a row."""
--- a/src/zincvale/dataplane/forwarding/service.py
+++ b/src/zincvale/dataplane/forwarding/service.py
@@ -19,9 +19,9 @@
 from zincvale.dataplane.forwarding.servers import Residency
 from zincvale.dataplane.inference.dependencies import Spans
 from zincvale.dataplane.messages import DemandReport
+from zincvale.model.control_tables import Directory, Members
 from zincvale.model.forwarding import ForwardingDocument, ForwardRoute
 from zincvale.model.identifiers import MemberId, ServerId, ZoneName
-from zincvale.model.view import Directory, Members
 from zincvale.transport.server_client import ServerClient
 
 NOT_FOUND = 404
--- a/src/zincvale/dataplane/inference/node_service.py
+++ b/src/zincvale/dataplane/inference/node_service.py
@@ -21,8 +21,8 @@
 from zincvale.dataplane.inference.scheduler import Scheduler
 from zincvale.dataplane.messages import DemandReport
 from zincvale.dataplane.metrics import Metrics
+from zincvale.model.control_tables import Directory, Intent, Members, ServerHealth
 from zincvale.model.identifiers import MemberId, ZoneName
-from zincvale.model.view import Directory, Intent, Members, ServerHealth
 from zincvale.transport.curl_client import CurlClient
 from zincvale.transport.peer import PeerCaller
 
--- a/src/zincvale/dataplane/inference/request_trace.py
+++ b/src/zincvale/dataplane/inference/request_trace.py
@@ -23,8 +23,8 @@
 )
 from zincvale.dataplane.inference.routing import PolicyReason
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
+from zincvale.model.control_tables import ServerRow
 from zincvale.model.outcomes import TRACE_ID_HEADER, Outcome, RefusalReason
-from zincvale.model.view import ServerRow
 
 MS_PER_S = 1000.0
 CLAIM_DECISION_TEXTS: dict[type[ClaimDecision], str] = {
--- a/src/zincvale/dataplane/inference/routing_state.py
+++ b/src/zincvale/dataplane/inference/routing_state.py
@@ -12,9 +12,17 @@
 from zincvale.dataplane.resilience.limits import AdaptiveConcurrency, AdaptiveRate, RetryBudget
 from zincvale.dataplane.resilience.outlier_detection import OutlierDetector, slow_start_factor
 from zincvale.dataplane.resilience.throughput import ThroughputMeter
+from zincvale.model.control_tables import (
+    Directory,
+    Intent,
+    MemberRow,
+    Members,
+    Role,
+    ServerHealth,
+    ServerRow,
+)
 from zincvale.model.identifiers import MemberId, PoolName, RouteName, ServerId, ZoneName
 from zincvale.model.resources import PoolSpec, RouteSpec
-from zincvale.model.view import Directory, Intent, MemberRow, Members, Role, ServerHealth, ServerRow
 
 NOT_RESIDENT_MEMORY_S = 2.0
 """How long a server's own "not resident" outweighs a directory that still says otherwise."""
--- a/src/zincvale/dataplane/policies/filters.py
+++ b/src/zincvale/dataplane/policies/filters.py
@@ -6,8 +6,8 @@
 
 from zincvale.dataplane.inference.routing_state import ServerState
 from zincvale.dataplane.policies.base import Blocked, Filter, Query
+from zincvale.model.control_tables import ServerHealth
 from zincvale.model.resources import Stake
-from zincvale.model.view import ServerHealth
 
 HIGH_STAKE_RESERVATION_S = 30.0
 """Capacity is reserved for high-stakes requests for so long after one was last seen in the pool."""
--- a/src/zincvale/dataplane/stream_journal/service.py
+++ b/src/zincvale/dataplane/stream_journal/service.py
@@ -31,9 +31,9 @@
     StreamJournalNode,
 )
 from zincvale.dataplane.stream_journal.timings import JournalTimings
+from zincvale.model.control_tables import Members, Role
 from zincvale.model.identifiers import MemberId, RequestId, ZoneName
 from zincvale.model.machine import Call, CallFailed, CallReplied
-from zincvale.model.view import Members, Role
 from zincvale.transport.peer import PeerCaller
 
 
--- a/src/zincvale/model/view.py
+++ b/src/zincvale/model/control_tables.py
@@ -1,7 +1,7 @@
-"""What a data-plane node knows of the world: tables that control delivers.
+"""Tables of the control state that nodes get: intent, server directory and members.
 
-`Intent` is durable and versioned; `Directory` is observed and rebuilt from its sources. Rows are
-keyed by typed ids.
+`Intent` is durable and versioned; `Directory` is observed and rebuilt from its sources; `Members`
+are those with live leases. Rows are keyed by typed ids.
 """
 
 from __future__ import annotations
@@ -48,10 +48,11 @@
 
 
 class ServerHealth(enum.Enum):
-    """What probes last said of a server."""
+    """What probes last showed of a server."""
 
     READY = "ready"
     COLD = "cold"
+    """It serves, but only a few requests at first: slow start."""
     DOWN = "down"
 
 
@@ -75,11 +76,11 @@
     running: int = 0
     max_running: int = 0
     closing: frozenset[str] = frozenset()
-    """Models and adapters about to be unloaded: send them nothing new."""
+    """Models and adapters about to be unloaded: no new request is sent for them."""
     draining: bool = False
-    """The server is about to leave: send it nothing new."""
+    """The server is about to leave: no new request is sent to it."""
     cold_remaining_s: float = 0.0
-    """How long it bears only a few requests, counted from when the row was first published so."""
+    """Seconds of slow start that remain, counted from when the row was first published so."""
 
 
 @attrs.frozen
@@ -92,7 +93,7 @@
 
 
 class Role(enum.Enum):
-    """What a daemon is."""
+    """The part that a daemon plays in the cluster."""
 
     CORE = "core"
     NODE = "node"
--- a/src/zincvale/platform/servers.py
+++ b/src/zincvale/platform/servers.py
@@ -14,6 +14,7 @@
 from zincvale.daemons.forwarding_dialects import ListPage
 from zincvale.daemons.http_fetch import FetchResult
 from zincvale.daemons.server_orders import HttpCall, OrderReply, StatusReading
+from zincvale.model.control_tables import ServerRow
 from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import (
     AdapterName,
@@ -23,7 +24,6 @@
     ServerId,
     ZoneName,
 )
-from zincvale.model.view import ServerRow
 
 REPORT_LAG_S = 0.6
 """A server's report may be so much older than its response; were this too short, a report from
--- a/src/zincvale/simulator/forwarding/model.py
+++ b/src/zincvale/simulator/forwarding/model.py
@@ -18,6 +18,14 @@
 from zincvale.dataplane.forwarding.native_dialect import NativeDialect
 from zincvale.dataplane.forwarding.routing_state import FleetLimits
 from zincvale.dataplane.forwarding.service import ForwardingConfig, ForwardingService
+from zincvale.model.control_tables import (
+    Directory,
+    MemberRow,
+    Members,
+    Role,
+    ServerHealth,
+    ServerRow,
+)
 from zincvale.model.forwarding import (
     ForwardingDocument,
     ForwardPool,
@@ -26,7 +34,6 @@
 )
 from zincvale.model.identifiers import Address, MemberId, PoolName, ServerId, ZoneName
 from zincvale.model.resources import PoolKind
-from zincvale.model.view import Directory, MemberRow, Members, Role, ServerHealth, ServerRow
 from zincvale.simulator.forwarding.checks import (
     ORDINARY_CHECKS,
     cold_within,
--- a/src/zincvale/simulator/placement/controller_policy.py
+++ b/src/zincvale/simulator/placement/controller_policy.py
@@ -27,6 +27,7 @@
     StatusReport,
     UseRow,
 )
+from zincvale.model.control_tables import Intent, ServerHealth, ServerRow
 from zincvale.model.identifiers import (
     AdapterName,
     Address,
@@ -46,7 +47,6 @@
     ServerSpec,
     StoreSpec,
 )
-from zincvale.model.view import Intent, ServerHealth, ServerRow
 from zincvale.simulator.placement.fleet import EmulatedServer, Fleet, ItemSpec, OrderResult
 
 STATUS_INTERVAL_S = 0.5
--- a/src/zincvale/simulator/placement_scale.py
+++ b/src/zincvale/simulator/placement_scale.py
@@ -34,6 +34,7 @@
     SendOrder,
     StatusReport,
 )
+from zincvale.model.control_tables import Intent, ServerHealth, ServerRow
 from zincvale.model.identifiers import (
     AdapterName,
     Address,
@@ -46,7 +47,6 @@
 )
 from zincvale.model.machine import Tick
 from zincvale.model.resources import AdapterSpec, ModelSpec, PoolKind, PoolSpec, StoreSpec
-from zincvale.model.view import Intent, ServerHealth, ServerRow
 
 GIGABYTE = 1_000_000_000
 SIZES = (10, 100, 1_000, 10_000)
--- a/src/zincvale/simulator/what_if/control_machine.py
+++ b/src/zincvale/simulator/what_if/control_machine.py
@@ -55,9 +55,9 @@
 from zincvale.daemons.demand_translation import to_demand_reported
 from zincvale.daemons.draining_replicas import with_draining
 from zincvale.dataplane.messages import DemandReport
+from zincvale.model.control_tables import Directory, Intent
 from zincvale.model.identifiers import MemberId, MoveId, ServerId, StoreName
 from zincvale.model.machine import Tick
-from zincvale.model.view import Directory, Intent
 from zincvale.simulator.what_if.clock import VirtualClock
 from zincvale.simulator.what_if.servers import VirtualServer
 from zincvale.simulator.what_if.stores import VirtualStore
--- a/src/zincvale/simulator/what_if/intent.py
+++ b/src/zincvale/simulator/what_if/intent.py
@@ -10,8 +10,8 @@
 from zincvale.controlplane.intent.reducer import IntentReducer
 from zincvale.controlplane.intent.row_codec import IntentDecoder
 from zincvale.dataplane.policies.registry import policy_names
+from zincvale.model.control_tables import Intent
 from zincvale.model.resources import Document
-from zincvale.model.view import Intent
 
 MERGE = "merge"
 
--- a/src/zincvale/simulator/what_if/lookup.py
+++ b/src/zincvale/simulator/what_if/lookup.py
@@ -8,7 +8,7 @@
 
 from zincvale.controlplane.directory.backend_status import ServerStatus
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
-from zincvale.model.view import ServerHealth
+from zincvale.model.control_tables import ServerHealth
 from zincvale.simulator.what_if.clock import Timer
 from zincvale.simulator.what_if.servers import Asker, VirtualServer, do_nothing
 from zincvale.standins.deployment import LookupProfile
--- a/src/zincvale/simulator/what_if/node.py
+++ b/src/zincvale/simulator/what_if/node.py
@@ -17,10 +17,10 @@
 from zincvale.dataplane.messages import DemandReport
 from zincvale.dataplane.policies.base import Blocked
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
+from zincvale.model.control_tables import Directory, Intent, Members, ServerHealth
 from zincvale.model.identifiers import MemberId, RouteName, ServerId, ZoneName
 from zincvale.model.outcomes import Outcome
 from zincvale.model.resources import RouteSpec
-from zincvale.model.view import Directory, Intent, Members, ServerHealth
 from zincvale.simulator.what_if.claims import ClaimTable
 from zincvale.simulator.what_if.clock import VirtualClock
 from zincvale.simulator.what_if.request import CallerSide, VirtualRequest
--- a/src/zincvale/simulator/what_if/run.py
+++ b/src/zincvale/simulator/what_if/run.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from zincvale.daemons.node_daemon import DEMAND_INTERVAL_S
+from zincvale.model.control_tables import Directory, Intent, MemberRow, Members, Role
 from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import (
     Address,
     ServerId,
 )
-from zincvale.model.view import Directory, Intent, MemberRow, Members, Role
 from zincvale.simulator.what_if.attempt import CallersContext
 from zincvale.simulator.what_if.callers import VirtualCallers, make_choice
 from zincvale.simulator.what_if.claims import ClaimTable
--- a/src/zincvale/simulator/what_if/servers.py
+++ b/src/zincvale/simulator/what_if/servers.py
@@ -12,8 +12,8 @@
 from zincvale.controlplane.placement.events import Order, OrderAction, OrderRefusal
 from zincvale.controlplane.placement.items import ItemKind
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
+from zincvale.model.control_tables import ServerHealth
 from zincvale.model.identifiers import AdapterName, ModelName, ServerId
-from zincvale.model.view import ServerHealth
 from zincvale.simulator.what_if.clock import Timer, VirtualClock
 from zincvale.simulator.what_if.engine import LeapingEngine
 from zincvale.simulator.what_if.stores import VirtualStore
--- a/src/zincvale/tracing/service.py
+++ b/src/zincvale/tracing/service.py
@@ -13,9 +13,9 @@
 
 import attrs
 
+from zincvale.model.control_tables import Members, Role
 from zincvale.model.identifiers import MemberId, TraceId
 from zincvale.model.machine import Log, Send
-from zincvale.model.view import Members, Role
 from zincvale.tracing.chunks import TraceChunk, decode_chunks
 from zincvale.tracing.collector.collector import Collector
 from zincvale.tracing.collector.effects import AcknowledgeChunks, ForwardChunk, RetainTrace
--- a/tests/controlplane/directory/directory_driver.py
+++ b/tests/controlplane/directory/directory_driver.py
@@ -23,6 +23,7 @@
 )
 from zincvale.controlplane.directory.machine import DirectoryMachine
 from zincvale.coordination.changes import TopicView
+from zincvale.model.control_tables import ServerHealth
 from zincvale.model.identifiers import (
     Address,
     MemberId,
@@ -34,7 +35,6 @@
 from zincvale.model.log_events import log_event
 from zincvale.model.machine import Log, Tick
 from zincvale.model.resources import PoolKind
-from zincvale.model.view import ServerHealth
 
 TICK_S = 0.05
 
--- a/tests/controlplane/directory/test_backend_status.py
+++ b/tests/controlplane/directory/test_backend_status.py
@@ -13,8 +13,8 @@
     read_platform_list,
     read_server_status,
 )
+from zincvale.model.control_tables import ServerHealth
 from zincvale.model.errors import MalformedBodyError
-from zincvale.model.view import ServerHealth
 
 ROW = {
     "server": "s1",
--- a/tests/controlplane/directory/test_machine.py
+++ b/tests/controlplane/directory/test_machine.py
@@ -28,11 +28,11 @@
     encode_server_row,
 )
 from zincvale.controlplane.directory.tracked_servers import RESPONDING_RETENTION_S
+from zincvale.model.control_tables import Intent, ServerHealth
 from zincvale.model.errors import InvalidInputError
 from zincvale.model.identifiers import MemberId, ServerId
 from zincvale.model.machine import ClockJumped
 from zincvale.model.resources import ServerSpec
-from zincvale.model.view import Intent, ServerHealth
 
 S1 = ServerId("s1")
 
--- a/tests/controlplane/directory/test_server_prober.py
+++ b/tests/controlplane/directory/test_server_prober.py
@@ -29,9 +29,9 @@
     ReportObservations,
     ServerProber,
 )
+from zincvale.model.control_tables import ServerHealth
 from zincvale.model.identifiers import MemberId, ServerId
 from zincvale.model.machine import ClockJumped, Tick
-from zincvale.model.view import ServerHealth
 
 PROBERS = tuple(MemberId(f"core-{number}") for number in range(1, 4))
 SERVERS = [ServerId(f"s{number}") for number in range(60)]
--- a/tests/controlplane/fake_view.py
+++ b/tests/controlplane/fake_view.py
@@ -12,6 +12,15 @@
 from zincvale.controlplane.placement.move_row_codec import encode_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveReason, MoveState
 from zincvale.coordination.changes import KeyView
+from zincvale.model.control_tables import (
+    Directory,
+    Intent,
+    MemberRow,
+    Members,
+    Role,
+    ServerHealth,
+    ServerRow,
+)
 from zincvale.model.identifiers import (
     AdapterName,
     Address,
@@ -23,15 +32,6 @@
     ZoneName,
 )
 from zincvale.model.resources import PoolKind
-from zincvale.model.view import (
-    Directory,
-    Intent,
-    MemberRow,
-    Members,
-    Role,
-    ServerHealth,
-    ServerRow,
-)
 
 
 def server(name: str, zone: str = "zone-a", **fields: object) -> ServerRow:
--- a/tests/controlplane/placement/chaos.py
+++ b/tests/controlplane/placement/chaos.py
@@ -33,9 +33,9 @@
     SendOrder,
     StatusReport,
 )
+from zincvale.model.control_tables import ServerHealth
 from zincvale.model.machine import Tick
 from zincvale.model.resources import ModelSpec, ServerSpec, StoreSpec
-from zincvale.model.view import ServerHealth
 
 STEP_S = 0.1
 ORDER_TIMEOUT_S = 2.0
--- a/tests/controlplane/placement/driver.py
+++ b/tests/controlplane/placement/driver.py
@@ -22,6 +22,7 @@
     StatusReport,
     UseRow,
 )
+from zincvale.model.control_tables import Intent, ServerHealth, ServerRow
 from zincvale.model.machine import Tick
 from zincvale.model.resources import (
     AdapterSpec,
@@ -30,7 +31,6 @@
     PoolSpec,
     StoreSpec,
 )
-from zincvale.model.view import Intent, ServerHealth, ServerRow
 
 GB = 1_000_000_000
 STORE_ADDRESS = "10.0.9.1:9100"
--- a/tests/controlplane/placement/test_residency.py
+++ b/tests/controlplane/placement/test_residency.py
@@ -24,8 +24,8 @@
     OrderRefused,
 )
 from zincvale.controlplane.placement.moves import MoveKind, MoveReason, MoveState
+from zincvale.model.control_tables import Intent, ServerHealth
 from zincvale.model.resources import ModelSpec, ServerSpec, Stake, ZoneSpec
-from zincvale.model.view import Intent, ServerHealth
 
 NO_FILL = PlacementConfig(fill_free_memory=False)
 ZONES = ("zone-a", "zone-b", "zone-c")
--- a/tests/controlplane/status/test_drain_progress.py
+++ b/tests/controlplane/status/test_drain_progress.py
@@ -8,8 +8,8 @@
 from tests.controlplane.api.api_driver import ApiDriver, set_resource
 from tests.controlplane.approval import verify
 from tests.controlplane.fake_view import FakeView, directory, server
+from zincvale.model.control_tables import ServerHealth
 from zincvale.model.identifiers import MemberId
-from zincvale.model.view import ServerHealth
 
 NODE_1, NODE_2 = MemberId("node-1"), MemberId("node-2")
 
--- a/tests/coordination/membership/test_member_codec.py
+++ b/tests/coordination/membership/test_member_codec.py
@@ -9,7 +9,7 @@
 from zincvale.coordination.membership import member_codec
 from zincvale.coordination.membership.member_codec import MemberTableDecoder, encode_member
 from zincvale.coordination.membership.messages import MemberInfo
-from zincvale.model.view import Role
+from zincvale.model.control_tables import Role
 
 
 def row(member: str, ready: bool = True) -> bytes:
--- a/tests/dataplane/claims/test_service.py
+++ b/tests/dataplane/claims/test_service.py
@@ -19,10 +19,10 @@
     ClaimRefused,
     RecordedOutcome,
 )
+from zincvale.model.control_tables import MemberRow, Members, Role
 from zincvale.model.identifiers import Address, MemberId, RequestId, RouteName, ZoneName
 from zincvale.model.machine import Call
 from zincvale.model.outcomes import Outcome
-from zincvale.model.view import MemberRow, Members, Role
 from zincvale.transport.peer import PeerCallError, PeerUnreachableError
 
 REQUEST = RequestId("request-1")
--- a/tests/dataplane/forwarding/builders.py
+++ b/tests/dataplane/forwarding/builders.py
@@ -4,6 +4,7 @@
 
 from zincvale.dataplane.forwarding.dialect import Prompt, PromptPart
 from zincvale.dataplane.forwarding.routing_state import FleetLimits, RoutingState
+from zincvale.model.control_tables import Directory, MemberRow, Members, Role, ServerRow
 from zincvale.model.forwarding import (
     Engine,
     EngineModel,
@@ -21,7 +22,6 @@
     ZoneName,
 )
 from zincvale.model.resources import PoolKind
-from zincvale.model.view import Directory, MemberRow, Members, Role, ServerRow
 
 
 def make_route(name="r", **fields):
--- a/tests/dataplane/inference/builders.py
+++ b/tests/dataplane/inference/builders.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-from zincvale.dataplane.inference.requests import CallerRequest, InferenceRequest
-from zincvale.dataplane.inference.routing_state import RoutingState
+from zincvale.dataplane.inference.requests import CallerRequest, Question
+from zincvale.dataplane.inference.routing_state import World
+from zincvale.model.control_tables import Directory, Intent, ServerHealth, ServerRow
 from zincvale.model.identifiers import (
     AdapterName,
     Address,
@@ -24,7 +25,6 @@
     StoreSpec,
     ZoneSpec,
 )
-from zincvale.model.view import Directory, Intent, ServerHealth, ServerRow
 
 MODEL = ModelName("m")
 
--- a/tests/dataplane/inference/node_harness.py
+++ b/tests/dataplane/inference/node_harness.py
@@ -11,9 +11,9 @@
 from zincvale.dataplane.inference.dependencies import ClaimGranted, JournalAppend
 from zincvale.dataplane.inference.node_service import NodeService
 from zincvale.dataplane.inference.stream_relay import CallerLostError
+from zincvale.model.control_tables import Directory
 from zincvale.model.identifiers import PoolName, RouteName
 from zincvale.model.resources import PoolKind, PoolSpec, RouteSpec
-from zincvale.model.view import Directory
 from zincvale.transport.curl_exchange import ExchangeFailure
 
 ROUTES = {
--- a/tests/dataplane/inference/test_routing_state.py
+++ b/tests/dataplane/inference/test_routing_state.py
@@ -18,8 +18,8 @@
     ExchangeReport,
     record_exchange_end,
 )
+from zincvale.model.control_tables import MemberRow, Members, Role
 from zincvale.model.identifiers import MemberId, ZoneName
-from zincvale.model.view import MemberRow, Members, Role
 
 
 def node_row(name, ready=True):
--- a/tests/golden/test_row_bytes.py
+++ b/tests/golden/test_row_bytes.py
@@ -52,9 +52,9 @@
 )
 from zincvale.fleet.invariants.rows import ROW_BY_EVENT
 from zincvale.model.checked import Checked
+from zincvale.model.control_tables import Intent, Role, ServerRow
 from zincvale.model.forwarding import CallerLimits, ForwardPool, ForwardRoute
 from zincvale.model.resources import SPEC_BY_KIND
-from zincvale.model.view import Intent, Role, ServerRow
 from zincvale.tracing.api.estimates import Estimate
 from zincvale.tracing.recorder.spans import Span, decode_spans, encode_rows
 
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -15,10 +15,10 @@
 from zincvale.daemons.http_fetch import FetchResult
 from zincvale.daemons.server_orders import OrderReply
 from zincvale.dataplane.forwarding.dialect import AttemptFacts
+from zincvale.model.control_tables import ServerRow
 from zincvale.model.errors import InvalidInputError, MalformedBodyError, NotFoundError
 from zincvale.model.identifiers import Address, PoolName, ServerId, StoreName, ZoneName
 from zincvale.model.resources import PoolKind
-from zincvale.model.view import ServerRow
 from zincvale.platform.callers import PlatformForwarding
 from zincvale.platform.operators import PlatformOperators
 from zincvale.platform.servers import PlatformOrders, PlatformServerList
--- a/tests/simulator/test_what_if_engine.py
+++ b/tests/simulator/test_what_if_engine.py
@@ -6,7 +6,16 @@
 
 import testtools
 
-from zincvale.dataplane.inference.routing_state import RoutingState
+from zincvale.dataplane.inference.routing_state import World
+from zincvale.model.control_tables import (
+    Directory,
+    Intent,
+    MemberRow,
+    Members,
+    Role,
+    ServerHealth,
+    ServerRow,
+)
 from zincvale.model.identifiers import (
     Address,
     MemberId,
@@ -16,15 +25,6 @@
     ZoneName,
 )
 from zincvale.model.resources import PoolKind, PoolSpec
-from zincvale.model.view import (
-    Directory,
-    Intent,
-    MemberRow,
-    Members,
-    Role,
-    ServerHealth,
-    ServerRow,
-)
 from zincvale.simulator.what_if.clock import VirtualClock
 from zincvale.simulator.what_if.engine import LeapingEngine
 from zincvale.simulator.what_if.node import RememberingWorld
