--- a/src/zincvale/model/forwarding.py
+++ b/src/zincvale/model/forwarding.py
@@ -1,7 +1,7 @@
 """What operators declare about forwarding: routes by host and path, pools, and their engines.
 
-A forwarding document is one numbered configuration that is replaced or patched as a whole. Bodies
-are opaque to it; what a request asks for is read from its head by a dialect. Times are seconds,
+A forwarding document is one numbered configuration that is replaced or patched in one change.
+Bodies are opaque to it; a dialect reads from the headers what a request needs. Times are seconds,
 sizes bytes, rates per second.
 """
 
@@ -37,7 +37,7 @@
     repeatable: bool = False
     """The request may run more than once."""
     resumable: bool = False
-    """A broken stream may go on at another server after its last event."""
+    """A broken stream may be resumed at another server after its last event."""
     attempts: int = MIN_ATTEMPTS
     """The most servers that one request of a caller may be sent to."""
     timeout_s: float = 30.0
@@ -84,7 +84,7 @@
 
 @dataclass
 class CallerLimits(Checked):
-    """What one caller may send, and how long a connection may take or rest."""
+    """What one caller may send, and how long a connection may take or be idle."""
 
     max_header_bytes: int = 65_536
     max_body_bytes: int = 33_554_432
--- a/src/zincvale/model/outcomes.py
+++ b/src/zincvale/model/outcomes.py
@@ -6,10 +6,10 @@
 
 
 class Outcome(enum.Enum):
-    """What became of a request, as its caller may rely on it."""
+    """What became of a request, as its caller may rely on it (docs/outcomes.md)."""
 
     ANSWERED = "answered"
-    """The whole answer was delivered."""
+    """The complete response was delivered."""
     REFUSED = "refused"
     """The request never ran and never will."""
     UNKNOWN = "unknown"
--- a/src/zincvale/model/resources.py
+++ b/src/zincvale/model/resources.py
@@ -14,7 +14,10 @@
 
 
 class Stake(enum.Enum):
-    """How much a caller loses when a request is not served."""
+    """Priority of requests by what a caller loses when one is not served.
+
+    The declared field and its values are called `stake` in files, so the class is too.
+    """
 
     LOW = "low"
     NORMAL = "normal"
@@ -60,7 +63,7 @@
 
 @dataclass
 class RouteSpec(Checked):
-    """Which requests go to which pool, and what they were promised."""
+    """Which requests go to which pool, and their objectives."""
 
     path: str
     """Exact HTTP path, for example `/v1/quotes`."""
--- a/src/zincvale/runtime/forwarding_settings.py
+++ b/src/zincvale/runtime/forwarding_settings.py
@@ -12,12 +12,12 @@
     """What a forwarding deployment allows and where its list of servers is. Times are seconds."""
 
     readiness_address: str = ""
-    """`ip:port` at which the platform asks whether a node takes callers."""
+    """`ip:port` of the platform's readiness probe of a node."""
     ready_path: str = "/ready"
     list_address: str = ""
     """`ip:port` of the list of servers."""
     list_lag_s: float = 1.0
-    """How far the list trails behind."""
+    """The list may be so much older than the time at which it is read."""
     retry_ratio: float = 0.2
     retry_slack: float = 20.0
     retry_window_s: float = 10.0
@@ -26,7 +26,7 @@
     store_window_s: float = 5.0
     store_over: float = 1.0
     order_quiet_s: float = 3.0
-    """Time between the orders of two holders to one server."""
+    """Time between the orders of two leaders to one server."""
     grace_s: float = 10.0
     """Time from a request to stop until the process is ended."""
     change_limit_s: float = 4.0
--- a/src/zincvale/runtime/logs.py
+++ b/src/zincvale/runtime/logs.py
@@ -1,4 +1,7 @@
-"""Structured logs: eliot messages with numbered events."""
+"""Structured logs: eliot messages with numbered events.
+
+The log file is opened once and stays open as long as the process.
+"""
 
 from __future__ import annotations
 
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -86,7 +86,7 @@
         body = {"version": 7, "routes": [ROUTE], "services": [SERVICE, {"name": "s2"}], **fields}
         return read("PUT", "/v1/configuration", body, If_Match="5").change
 
-    def test_a_whole_configuration(self):
+    def test_a_complete_configuration(self):
         change = self.whole(limits={"maxBodyBytes": 10, "idleTimeoutMs": 15000}, extra=3)
         self.assertIsInstance(change, DocumentChange)
         self.assertEqual((5, 7, True, {"extra": 3}), _head(change))
@@ -119,7 +119,7 @@
         self.assertEqual(EvacuationChange("z1", False), read("DELETE", "/v1/evacuate/z1").change)
         self.assertIsInstance(read("GET"), ReadDocument)
 
-    def test_what_cannot_be_read_is_refused(self):
+    def test_an_unreadable_call_is_refused(self):
         for body in (
             b'{"version": 7, "rou',
             b"[]",
@@ -136,14 +136,14 @@
                 body,
                 If_Match="5",
             )
-            answer = PlatformOperators().error_response("t1", error)
-            self.assertEqual(400, answer.status)
+            response = PlatformOperators().error_response("t1", error)
+            self.assertEqual(400, response.status)
         for broken in ({"name": "r1"}, {**ROUTE, "trafficSplit": [{"service": 3, "weight": 1}]}):
             self.assertRaises(InvalidInputError, self.whole, routes=[broken])
         self.assertRaises(InvalidInputError, read, "PUT", "/v1/configuration", {"version": 7})
         self.assertRaises(NotFoundError, read, "POST", "/v1/other")
 
-    def test_answers(self):
+    def test_responses(self):
         operators = PlatformOperators()
         statuses = {
             "in-force": 200,
@@ -152,8 +152,8 @@
             "not-confirmed": 503,
         }
         for result, status in statuses.items():
-            answer = operators.change_response("t1", ChangeResult(result))
-            self.assertEqual(status, answer.status)
+            response = operators.change_response("t1", ChangeResult(result))
+            self.assertEqual(status, response.status)
         document = SourceDocument(7, [ROUTE], [SERVICE], {"maxBodyBytes": 10}, {"extra": 3})
         body = orjson.loads(operators.document_response("t1", document).body)
         self.assertEqual(
@@ -181,7 +181,7 @@
 
 
 class CallersTest(testtools.TestCase):
-    def test_heads(self):
+    def test_headers(self):
         dialect = PlatformForwarding()
         facts = dialect.caller_facts(
             {
@@ -274,7 +274,7 @@
         self.assertNotIn("adapter", plain)
         self.assertNotIn("expectedRevision", plain)
 
-    def test_what_answers_prove(self):
+    def test_what_responses_prove(self):
         replies = {
             FetchResult(200): OrderReply.COMPLETED,
             FetchResult(202): OrderReply.ACCEPTED,
--- a/tests/platform/test_settings_watch.py
+++ b/tests/platform/test_settings_watch.py
@@ -35,7 +35,9 @@
         self.watch.reload()
         self.assertEqual([("10.0.0.1:7000",)], self.used)
 
-    def test_a_file_that_cannot_be_read_changes_nothing_and_is_read_when_it_is_whole(self) -> None:
+    def test_a_file_that_cannot_be_read_changes_nothing_and_is_read_when_it_is_complete(
+        self,
+    ) -> None:
         self.changed_at, self.seeds = 2, None
         self.watch.poll()
         self.assertEqual([], self.used)
--- a/tests/runtime/test_driver.py
+++ b/tests/runtime/test_driver.py
@@ -69,12 +69,12 @@
             self.machine.inputs, Equals([ClockJumped(25.0), MessageReceived(PEER, "late")])
         )
 
-    def test_a_failed_write_is_told(self) -> None:
+    def test_a_failed_write_is_reported(self) -> None:
         self.machine.effects[MessageReceived] = [Write("w1", "intent", 1, b"x")]
         self.driver.submit(MessageReceived(PEER, "go"))
         self.assertThat(self.machine.inputs[-1], Equals(WriteCompleted("w1", "disk full")))
 
-    def test_what_goes_back_to_the_sender_rides_on_the_answer(self) -> None:
+    def test_what_goes_back_to_the_sender_is_in_the_response(self) -> None:
         self.machine.effects[MessageReceived] = [Send(PEER, "answer")]
         self.assertThat(self.driver.submit_messages(PEER, ["question"]), Equals(["answer"]))
 
@@ -84,7 +84,7 @@
         self.assertThat(self.machine.inputs[-1], Equals(MessageReceived(OWN, "self")))
         self.assertThat(self.replies, Equals([("t", "done")]))
 
-    def test_a_defect_in_one_input_answers_its_call_and_goes_on(self) -> None:
+    def test_a_defect_in_one_input_replies_to_its_call_and_goes_on(self) -> None:
         class Defective(RecordingMachine):
             def handle(self, event: Input, now: float) -> list[Effect]:
                 super().handle(event, now)
