--- a/src/zincvale/coordination/leases/member_lease.py
+++ b/src/zincvale/coordination/leases/member_lease.py
@@ -17,7 +17,7 @@
 from zincvale.coordination.membership.messages import MemberInfo
 from zincvale.coordination.replication.replica_config import ReplicaConfig, majority, member_of
 from zincvale.model.control_tables import Role
-from zincvale.model.identifiers import Address, MemberId
+from zincvale.model.identifiers import Address, MemberId, member_at
 
 
 @attrs.frozen
--- a/src/zincvale/daemons/placement_leadership.py
+++ b/src/zincvale/daemons/placement_leadership.py
@@ -42,7 +42,7 @@
     def update(self, now: float) -> None:
         """Take the state of the lease at `now`; the controller learns of every renewal."""
         state = self._machine.role(PLACEMENT_ROLE, now)
-        if not state.held:
+        if not state.is_leader:
             self._end()
             return
         if state.epoch != self.epoch:
--- a/tests/dataplane/inference/builders.py
+++ b/tests/dataplane/inference/builders.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from zincvale.dataplane.inference.requests import CallerRequest, Question
-from zincvale.dataplane.inference.routing_state import World
+from zincvale.dataplane.inference.requests import CallerRequest, InferenceRequest
+from zincvale.dataplane.inference.routing_state import RoutingState
 from zincvale.model.control_tables import Directory, Intent, ServerHealth, ServerRow
 from zincvale.model.identifiers import (
     AdapterName,
--- a/tests/simulator/test_what_if_engine.py
+++ b/tests/simulator/test_what_if_engine.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from zincvale.dataplane.inference.routing_state import World
+from zincvale.dataplane.inference.routing_state import RoutingState
 from zincvale.model.control_tables import (
     Directory,
     Intent,
