--- a/src/zincvale/simulator/claims/callers.py
+++ b/src/zincvale/simulator/claims/callers.py
@@ -20,8 +20,8 @@
 from zincvale.model.identifiers import RequestId
 from zincvale.model.machine import Log, Tick
 from zincvale.model.outcomes import Outcome
-from zincvale.simulator.cluster.checks import Checks, InvariantViolationError
 from zincvale.simulator.cluster.cluster import Cluster
+from zincvale.simulator.cluster.invariant_checker import InvariantChecker, InvariantViolationError
 from zincvale.simulator.cluster.process import Process
 
 DEADLINE_S = 6.0
@@ -37,41 +37,47 @@
 class ClaimCallers:
     """Watches the nodes' claim services, dispatches what they grant and counts what ran."""
 
-    def __init__(self, cluster: Cluster, checks: Checks, random_source: random.Random) -> None:
+    def __init__(
+        self, cluster: Cluster, checker: InvariantChecker, random_source: random.Random
+    ) -> None:
         self.runs: Counter[str] = Counter()
         self.granted = 0
         self.decided = 0
         self.recorded = 0
         self._cluster = cluster
-        self._world = cluster.world
-        self._checks = checks
+        self._simulation = cluster.simulation
+        self._checker = checker
         self._random = random_source
         self._tokens = itertools.count(1)
-        self._on_token: dict[tuple[int, str], Callable[[Any], None]] = {}
-        self._answers: dict[str, bytes] = {}
+        self._callback_by_token: dict[tuple[int, str], Callable[[Any], None]] = {}
+        self._body_by_request: dict[str, bytes] = {}
 
     # --- observer -------------------------------------------------------------------------
 
     def after_input(self, process: Process) -> None:
         """Hold the invariants of control state; carry on what the claim service decided."""
-        self._checks.after_input(process)
+        self._checker.after_input(process)
         if process.kind != "node":
             return
         results, process.machine.results = process.machine.results, []
         for result in results:
-            action = self._on_token.pop((process.run, result.token), None)
+            action = self._callback_by_token.pop((process.run, result.token), None)
             if action is not None:
-                self._world.schedule(self._world.now, self._on, process, action, result)
+                self._simulation.schedule(
+                    self._simulation.now, self._run_within, process, action, result
+                )
         wakes, process.machine.wake_at = process.machine.wake_at, []
         for at in wakes:
-            wait_s = max(0.0, (at - process.local(self._world.now)) / process.clock.rate)
-            self._world.schedule(self._world.now + wait_s, self._world.feed, process, Tick())
+            wait_s = max(0.0, (at - process.local(self._simulation.now)) / process.clock.rate)
+            self._simulation.schedule(
+                self._simulation.now + wait_s, self._simulation.feed, process, Tick()
+            )
 
-    def woke(self, process: Process) -> None:
+    def on_resumed(self, process: Process) -> None:
         """See `Checks`."""
-        self._checks.woke(process)
+        self._checker.on_resumed(process)
 
-    def logged(self, process: Process, entry: Log) -> None:
+    def on_log(self, process: Process, entry: Log) -> None:
         """See `Checks`."""
 
     # --- requests -------------------------------------------------------------------------
@@ -80,26 +86,26 @@
         """Send one attempt of a request through a node."""
         process = self._cluster.running(member)
         if process is not None:
-            self._on(process, self._claim, process, RequestId(request))
+            self._run_within(process, self._claim, process, RequestId(request))
 
-    def _on(self, process: Process, action: Callable[..., None], *arguments: Any) -> None:
+    def _run_within(self, process: Process, action: Callable[..., None], *arguments: Any) -> None:
         """Run `action` within a process: not while it is frozen, never when it is gone."""
-        if not process.alive:
+        if not process.is_alive:
             return
-        if process.frozen:
-            process.keep(self._on, (process, action, *arguments))
+        if process.is_frozen:
+            process.add_to_backlog(self._run_within, (process, action, *arguments))
             return
         action(*arguments)
 
-    def _ask(self, process: Process, event: Any, then: Callable[[Any], None]) -> None:
-        self._on_token[(process.run, event.token)] = then
-        self._world.feed(process, event)
+    def _call_claims(self, process: Process, event: Any, then: Callable[[Any], None]) -> None:
+        self._callback_by_token[(process.run, event.token)] = then
+        self._simulation.feed(process, event)
 
     def _token(self) -> str:
         return f"local-{next(self._tokens)}"
 
     def _claim(self, process: Process, request: RequestId) -> None:
-        deadline_at = process.local(self._world.now) + DEADLINE_S
+        deadline_at = process.local(self._simulation.now) + DEADLINE_S
 
         def decided(result: Decided) -> None:
             self.decided += 1
@@ -108,16 +114,18 @@
                     self.granted += 1
                     self._dispatch_later(process, request, deadline_at)
                 case RecordedOutcome(Outcome.ANSWERED, _, _, body):
-                    self._check_answer(request, bytes(body))
+                    self._check_recorded_body(request, bytes(body))
 
-        self._ask(process, ClaimRequested(self._token(), request, "digest", deadline_at), decided)
+        self._call_claims(
+            process, ClaimRequested(self._token(), request, "digest", deadline_at), decided
+        )
 
     def _dispatch_later(self, process: Process, request: RequestId, deadline_at: float) -> None:
         is_late = self._random.random() < LATE_DISPATCHES
         delay_s = (LATE_S if is_late else SOON_S) * self._random.random()
-        self._world.schedule(
-            self._world.now + delay_s,
-            self._on,
+        self._simulation.schedule(
+            self._simulation.now + delay_s,
+            self._run_within,
             process,
             self._dispatch,
             process,
@@ -126,7 +134,7 @@
         )
 
     def _dispatch(self, process: Process, request: RequestId, deadline_at: float) -> None:
-        local = process.local(self._world.now)
+        local = process.local(self._simulation.now)
         if not process.machine.claims.may_dispatch(request, local):
             self._renew(process, request, deadline_at)
             return
@@ -138,8 +146,8 @@
             text = f"{request} ran a second time, dispatched by {process.member}"
             raise InvariantViolationError("ran-twice", text)
         took_s = self._random.uniform(*RUN_S)
-        self._world.schedule(
-            self._world.now + took_s, self._on, process, self._ended, process, request
+        self._simulation.schedule(
+            self._simulation.now + took_s, self._run_within, process, self._ended, process, request
         )
 
     def _renew(self, process: Process, request: RequestId, deadline_at: float) -> None:
@@ -149,23 +157,24 @@
             else:
                 self._release(process, request)
 
-        until = max(deadline_at, process.local(self._world.now) + 1.0)
-        self._ask(process, RenewalRequested(self._token(), request, until), renewed)
+        until = max(deadline_at, process.local(self._simulation.now) + 1.0)
+        self._call_claims(process, RenewalRequested(self._token(), request, until), renewed)
 
     def _release(self, process: Process, request: RequestId) -> None:
-        self._ask(process, ReleaseRequested(self._token(), request), lambda result: None)
+        self._call_claims(process, ReleaseRequested(self._token(), request), lambda result: None)
 
     def _ended(self, process: Process, request: RequestId) -> None:
         is_unknown = self._random.random() < UNKNOWN_OUTCOMES
         outcome = Outcome.UNKNOWN if is_unknown else Outcome.ANSWERED
         body = f"{request} by {process.member}/{process.run}".encode()
         if not is_unknown:
-            self._answers[request] = body
+            self._body_by_request[request] = body
         event = OutcomeReached(self._token(), request, outcome, 200, {}, body)
-        self._ask(process, event, lambda result: None)
+        self._call_claims(process, event, lambda result: None)
 
-    def _check_answer(self, request: str, body: bytes) -> None:
+    def _check_recorded_body(self, request: str, body: bytes) -> None:
         self.recorded += 1
-        if self._answers.get(request) != body:
-            text = f"{request} was answered {body!r}, its run gave {self._answers.get(request)!r}"
+        if self._body_by_request.get(request) != body:
+            ran = self._body_by_request.get(request)
+            text = f"{request} was answered {body!r}, its run gave {ran!r}"
             raise InvariantViolationError("other-answer", text)
--- a/src/zincvale/simulator/claims/run.py
+++ b/src/zincvale/simulator/claims/run.py
@@ -14,12 +14,12 @@
 
 from zincvale.simulator.claims.callers import ClaimCallers
 from zincvale.simulator.claims.machine import NodeWithClaims
-from zincvale.simulator.cluster.checks import Checks, InvariantViolationError
 from zincvale.simulator.cluster.cluster import Cluster
-from zincvale.simulator.cluster.event_loop import World
 from zincvale.simulator.cluster.faults import FAULTS
+from zincvale.simulator.cluster.invariant_checker import InvariantChecker, InvariantViolationError
 from zincvale.simulator.cluster.network import Network
 from zincvale.simulator.cluster.operators import Operators
+from zincvale.simulator.cluster.simulation import Simulation
 from zincvale.simulator.schedules.drawing import CORES
 from zincvale.simulator.schedules.run import ROLES
 from zincvale.simulator.schedules.schedule import Step
@@ -60,22 +60,22 @@
         source = random.Random(f"claims {seed}")
         self._seed = seed
         self._random = source
-        self.world = World(source, Network(source), uses_codec=seed % 4 == 0)
-        checks = Checks(self.world, ROLES)
-        self.cluster = Cluster(self.world, source, NODES, ROLES, NodeWithClaims)
-        self.callers = ClaimCallers(self.cluster, checks, source)
-        self.operators = Operators(self.cluster, checks, source)
-        self.world.observer = self.callers
+        self.simulation = Simulation(source, Network(source), uses_codec=seed % 4 == 0)
+        checker = InvariantChecker(self.simulation, ROLES)
+        self.cluster = Cluster(self.simulation, source, NODES, ROLES, NodeWithClaims)
+        self.callers = ClaimCallers(self.cluster, checker, source)
+        self.operators = Operators(self.cluster, checker, source)
+        self.simulation.observer = self.callers
         self._requests = 0
         self._recovery_s = 0.0
 
     def execute(self) -> ClaimsOutcome:
         """Run everything."""
         try:
-            if not self.world.run_until(START_LIMIT_S, self._all_vote):
+            if not self.simulation.run_until(START_LIMIT_S, self._all_vote):
                 raise InvariantViolationError("not-started", f"after {START_LIMIT_S:g} s")
             self._schedule_everything()
-            self.world.run_until(self.world.now + LENGTH_S)
+            self.simulation.run_until(self.simulation.now + LENGTH_S)
             self._heal()
         except InvariantViolationError as broken:
             return self._outcome(broken.invariant, str(broken))
@@ -105,9 +105,9 @@
         )
 
     def _schedule_everything(self) -> None:
-        start = self.world.now
+        start = self.simulation.now
         for step in self._faults():
-            self.world.schedule(
+            self.simulation.schedule(
                 start + step.at_s, FAULTS[step.action], self.operators, self.cluster, step
             )
         at_s = 0.1
@@ -122,7 +122,7 @@
         for _ in range(self._random.randint(1, ATTEMPTS)):
             member = self._random.choice(self.cluster.nodes)
             moment = at + spread_s * self._random.random()
-            self.world.schedule(moment, self.callers.send, request, member)
+            self.simulation.schedule(moment, self.callers.send, request, member)
 
     def _faults(self) -> list[Step]:
         source = self._random
@@ -153,46 +153,48 @@
 
     def _other_fault(self, at_s: float) -> Step:
         source = self._random
-        everyone = [*CORES, *self.cluster.nodes]
+        all_members = [*CORES, *self.cluster.nodes]
         for_s = source.uniform(0.3, LONGEST_CUT_S)
         match source.choice(("freeze", "cut", "pair", "storm", "slow", "kill", "lose-power")):
             case "freeze":
-                return Step(at_s, "freeze", (source.choice(everyone),), (), for_s)
+                return Step(at_s, "freeze", (source.choice(all_members),), (), for_s)
             case "cut":
-                return Step(at_s, "cut", (source.choice(everyone),), (), for_s)
+                return Step(at_s, "cut", (source.choice(all_members),), (), for_s)
             case "pair":
-                one, other = source.sample(everyone, 2)
+                one, other = source.sample(all_members, 2)
                 action = source.choice(("cut", "cut-one-way"))
                 return Step(at_s, action, (one,), (other,), for_s)
             case "storm":
                 return Step(at_s, "storm", (), (), for_s, source.uniform(0.05, 0.3))
             case "slow":
-                return Step(at_s, "slow", (source.choice(everyone),), (), for_s)
+                return Step(at_s, "slow", (source.choice(all_members),), (), for_s)
             case action:
                 cores = CORES if source.random() < 0.3 else (source.choice(CORES),)
                 return Step(at_s, action, cores, (), source.uniform(0.1, 3.0))
 
     def _heal(self) -> None:
-        self.world.network.heal()
-        for process in list(self.world.processes.values()):
-            self.world.thaw(process)
-        for member in self.cluster.everyone():
+        self.simulation.network.heal()
+        for process in list(self.simulation.processes.values()):
+            self.simulation.resume(process)
+        for member in self.cluster.all_members():
             self.cluster.start(member)
-        healed_at = self.world.now
+        healed_at = self.simulation.now
         granted = self.callers.granted
 
-        def is_whole() -> bool:
+        def is_recovered() -> bool:
             return self.callers.granted > granted and self._all_vote()
 
         for attempt in range(int(RECOVERY_LIMIT_S)):
             member = self.cluster.nodes[attempt % NODES]
-            self.world.schedule(healed_at + attempt, self.callers.send, f"late-{attempt}", member)
-        if not self.world.run_until(healed_at + RECOVERY_LIMIT_S, is_whole):
+            self.simulation.schedule(
+                healed_at + attempt, self.callers.send, f"late-{attempt}", member
+            )
+        if not self.simulation.run_until(healed_at + RECOVERY_LIMIT_S, is_recovered):
             raise InvariantViolationError(
                 "not-recovered", f"no claims {RECOVERY_LIMIT_S:g} s after healing"
             )
-        self._recovery_s = round(self.world.now - healed_at, 3)
-        self.world.run_until(self.world.now + 3.0)
+        self._recovery_s = round(self.simulation.now - healed_at, 3)
+        self.simulation.run_until(self.simulation.now + 3.0)
 
 
 def run_claims(seed: int) -> ClaimsOutcome:
--- a/src/zincvale/simulator/cluster/cluster.py
+++ b/src/zincvale/simulator/cluster/cluster.py
@@ -16,9 +16,9 @@
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
 from zincvale.model.errors import StorageError
 from zincvale.model.identifiers import Address, MemberId, ZoneName
-from zincvale.simulator.cluster.event_loop import World
 from zincvale.simulator.cluster.intent_log import reduce_intent_log
 from zincvale.simulator.cluster.process import MachineClock, Process
+from zincvale.simulator.cluster.simulation import Simulation
 from zincvale.simulator.cluster.virtual_disk import PowerLossError, VirtualDisk
 from zincvale.storage.version_files import VersionFiles
 
@@ -55,13 +55,13 @@
 
     def __init__(
         self,
-        world: World,
+        simulation: Simulation,
         random_source: random.Random,
         nodes: int,
         roles: tuple[str, ...],
         node_machine: type[NodeMachine] = NodeMachine,
     ) -> None:
-        self.world = world
+        self.simulation = simulation
         self.roles = roles
         self._node_machine = node_machine
         self.cores = list(FIRST_CORES)
@@ -72,13 +72,13 @@
         for member in [*self.cores, *self.nodes]:
             self.start(member)
 
-    def everyone(self) -> list[str]:
+    def all_members(self) -> list[str]:
         """Return every member that is to run."""
         return [*self.cores, *self.nodes]
 
     def running(self, member: str) -> Process | None:
         """Return the process of a member, if it runs."""
-        return self.world.processes.get(member)
+        return self.simulation.processes.get(member)
 
     def machine(self, member: str) -> Machine:
         """Return the machine of a member; a new one has an empty disk."""
@@ -95,14 +95,14 @@
 
         With `recover`, a core is told that every disk was lost.
         """
-        if member in self.world.processes:
+        if member in self.simulation.processes:
             return False
         machine = self.machine(member)
         is_core = member in self.cores
         process = self._core(machine, recover) if is_core else self._node(machine)
         if process is None:
             return False
-        self.world.add(process)
+        self.simulation.add(process)
         return True
 
     def kill(self, member: str) -> None:
@@ -112,7 +112,7 @@
             return
         if process.writes and process.files is not None:
             self._interrupt_write(process, self.machines[member].disk)
-        self.world.remove(process)
+        self.simulation.remove(process)
 
     def lose_power(self, member: str) -> None:
         """End a daemon and forget what its disk had not synced; the clock starts anew."""
@@ -141,7 +141,7 @@
     def has_quorum(self) -> bool:
         """Whether enough declared disks survive for changes to be accepted again."""
         newest = max(
-            (process for process in self.world.processes.values() if process.kind == CORE),
+            (process for process in self.simulation.processes.values() if process.kind == CORE),
             key=lambda process: process.machine.replica_sets().version,
             default=None,
         )
@@ -149,7 +149,7 @@
             return False
         surviving = {
             replica_id(process.member, process.disk)
-            for process in self.world.processes.values()
+            for process in self.simulation.processes.values()
             if process.kind == CORE
         }
         sets = newest.machine.replica_sets().grantors().quorum_sets()
@@ -189,7 +189,7 @@
             recovered = files.load()
         except StorageError:
             return None
-        now = machine.clock.local(self.world.now)
+        now = machine.clock.local(self.simulation.now)
         config = attrs.evolve(self._core_config(member), recover=recover)
         core = CoreMachine(config, recovered, {INTENT_KEY: reduce_intent_log}, self._random, now)
         return self._process(machine, CORE, core, now, files, recovered)
@@ -226,7 +226,7 @@
             peer_address=self.address(member),
             seeds=self._seeds(),
         )
-        now = machine.clock.local(self.world.now)
+        now = machine.clock.local(self.simulation.now)
         return self._process(machine, NODE, self._node_machine(config, self._random, now), now)
 
     def _process(
@@ -240,12 +240,12 @@
     ) -> Process:
         return Process(
             member=machine.member,
-            run=self.world.next_run(),
+            run=self.simulation.next_run(),
             kind=kind,
             address=self.address(machine.member),
             machine=state_machine,
             clock=machine.clock,
-            last_seen=now,
+            last_clock_reading=now,
             files=files,
             disk=recovered.disk if recovered is not None else "",
         )
--- a/src/zincvale/simulator/cluster/faults.py
+++ b/src/zincvale/simulator/cluster/faults.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from zincvale.simulator.cluster.cluster import Cluster
-from zincvale.simulator.cluster.network import Link, Weather, both_ways, one_way
+from zincvale.simulator.cluster.network import Link, LinkConditions, both_ways, one_way
 from zincvale.simulator.cluster.operations import members_of
 from zincvale.simulator.cluster.operators import Operators
 from zincvale.simulator.schedules.schedule import Step
@@ -17,56 +17,58 @@
 SLOW_DELAY_S = 0.25
 
 
-def _cut_for(cluster: Cluster, links: frozenset[Link], step: Step) -> None:
-    world = cluster.world
-    world.network.cut(links)
-    world.schedule(world.now + step.for_s, world.network.mend, links)
+def _block_for(cluster: Cluster, links: frozenset[Link], step: Step) -> None:
+    simulation = cluster.simulation
+    simulation.network.block(links)
+    simulation.schedule(simulation.now + step.for_s, simulation.network.unblock, links)
 
 
-def cut(operators: Operators, cluster: Cluster, step: Step) -> None:
+def partition(operators: Operators, cluster: Cluster, step: Step) -> None:
     """Cut `members` off from `others` (none named: everyone else), both ways."""
     inside = members_of(cluster, step.members)
-    others = members_of(cluster, step.others) or cluster.everyone()
+    others = members_of(cluster, step.others) or cluster.all_members()
     outside = [member for member in others if member not in inside]
-    _cut_for(cluster, both_ways(inside, outside), step)
+    _block_for(cluster, both_ways(inside, outside), step)
 
 
-def cut_one_way(operators: Operators, cluster: Cluster, step: Step) -> None:
+def partition_one_way(operators: Operators, cluster: Cluster, step: Step) -> None:
     """Lose everything that `members` send to `others` (none named: everyone else)."""
     inside = members_of(cluster, step.members)
-    others = members_of(cluster, step.others) or cluster.everyone()
+    others = members_of(cluster, step.others) or cluster.all_members()
     outside = [member for member in others if member not in inside]
-    _cut_for(cluster, one_way(inside, outside), step)
+    _block_for(cluster, one_way(inside, outside), step)
 
 
 def storm(operators: Operators, cluster: Cluster, step: Step) -> None:
     """Lose, repeat and reorder messages everywhere; `amount` is the probability."""
-    weather = Weather(step.amount, step.amount, jitter_s=STORM_JITTER_S)
-    _weather_for(cluster, None, weather, step)
+    conditions = LinkConditions(step.amount, step.amount, jitter_s=STORM_JITTER_S)
+    _degrade_for(cluster, None, conditions, step)
 
 
 def slow(operators: Operators, cluster: Cluster, step: Step) -> None:
     """Delay everything that `members` send."""
-    links = one_way(members_of(cluster, step.members), cluster.everyone())
-    _weather_for(cluster, links, Weather(delay_s=SLOW_DELAY_S, jitter_s=STORM_JITTER_S), step)
+    links = one_way(members_of(cluster, step.members), cluster.all_members())
+    _degrade_for(
+        cluster, links, LinkConditions(delay_s=SLOW_DELAY_S, jitter_s=STORM_JITTER_S), step
+    )
 
 
-def _weather_for(
-    cluster: Cluster, links: frozenset[Link] | None, weather: Weather, step: Step
+def _degrade_for(
+    cluster: Cluster, links: frozenset[Link] | None, conditions: LinkConditions, step: Step
 ) -> None:
-    world = cluster.world
-    token = world.network.set_weather(links, weather)
-    world.schedule(world.now + step.for_s, world.network.end_weather, token)
+    simulation = cluster.simulation
+    token = simulation.network.set_conditions(links, conditions)
+    simulation.schedule(simulation.now + step.for_s, simulation.network.clear_conditions, token)
 
 
 def freeze(operators: Operators, cluster: Cluster, step: Step) -> None:
     """Stop processes and let them run again."""
-    world = cluster.world
+    simulation = cluster.simulation
     for member in members_of(cluster, step.members):
         process = cluster.running(member)
         if process is not None:
-            world.freeze(process)
-            world.schedule(world.now + step.for_s, world.thaw, process)
+            simulation.freeze(process)
+            simulation.schedule(simulation.now + step.for_s, simulation.resume, process)
 
 
 def kill(operators: Operators, cluster: Cluster, step: Step) -> None:
@@ -103,10 +105,10 @@
 
 def lose_every_disk(operators: Operators, cluster: Cluster, step: Step) -> None:
     """Every core loses its disk at once; they start anew, told to take over what nodes hold."""
-    world = cluster.world
+    simulation = cluster.simulation
     for member in cluster.cores:
         cluster.lose_disk(member)
-        world.schedule(world.now + step.for_s, cluster.start, member, True)
+        simulation.schedule(simulation.now + step.for_s, cluster.start, member, True)
 
 
 def tear(operators: Operators, cluster: Cluster, step: Step) -> None:
@@ -128,26 +130,26 @@
 
 
 def _fail_disk(cluster: Cluster, step: Step, failure: int) -> None:
-    world = cluster.world
+    simulation = cluster.simulation
     for member in members_of(cluster, step.members):
         disk = cluster.machine(member).disk
         disk.failure = failure
-        world.schedule(world.now + step.for_s, setattr, disk, "failure", 0)
+        simulation.schedule(simulation.now + step.for_s, setattr, disk, "failure", 0)
 
 
 def _start_later(cluster: Cluster, member: str, step: Step) -> None:
-    world = cluster.world
-    world.schedule(world.now + step.for_s, _start_if_wanted, cluster, member)
+    simulation = cluster.simulation
+    simulation.schedule(simulation.now + step.for_s, _start_if_member, cluster, member)
 
 
-def _start_if_wanted(cluster: Cluster, member: str) -> None:
-    if member in cluster.everyone():
+def _start_if_member(cluster: Cluster, member: str) -> None:
+    if member in cluster.all_members():
         cluster.start(member)
 
 
 FAULTS: dict[str, Fault] = {
-    "cut": cut,
-    "cut-one-way": cut_one_way,
+    "cut": partition,
+    "cut-one-way": partition_one_way,
     "storm": storm,
     "slow": slow,
     "freeze": freeze,
--- a/src/zincvale/simulator/cluster/history.py
+++ b/src/zincvale/simulator/cluster/history.py
@@ -48,18 +48,18 @@
     attempts : in any order.
     log : the orders of the newest version that any copy of the value has.
     """
-    places = {order: place for place, order in enumerate(log, start=1)}
+    index_by_order = {order: log_index for log_index, order in enumerate(log, start=1)}
     problems = _check_log(attempts, log)
     for attempt in attempts:
-        problems.extend(_check_attempt(attempt, places))
-    return problems or _check_times(attempts, log, places)
+        problems.extend(_check_attempt(attempt, index_by_order))
+    return problems or _check_times(attempts, log, index_by_order)
 
 
 def _check_log(attempts: list[Attempt], log: list[int]) -> list[str]:
     problems = []
     if len(set(log)) != len(log):
-        twice = sorted({order for order in log if log.count(order) > 1})
-        problems.append(f"orders {twice} were applied twice")
+        repeated = sorted({order for order in log if log.count(order) > 1})
+        problems.append(f"orders {repeated} were applied twice")
     attempted = {attempt.order for attempt in attempts}
     for order in log:
         if order not in attempted:
@@ -67,28 +67,30 @@
     return problems
 
 
-def _check_attempt(attempt: Attempt, places: dict[int, int]) -> list[str]:
-    place = places.get(attempt.order)
+def _check_attempt(attempt: Attempt, index_by_order: dict[int, int]) -> list[str]:
+    log_index = index_by_order.get(attempt.order)
     name = f"order {attempt.order} through {attempt.through}"
     match attempt.status:
-        case status if status == IN_FORCE and place != attempt.version:
-            return [f"{name} was told version {attempt.version}, it is at {place}"]
+        case status if status == IN_FORCE and log_index != attempt.version:
+            return [f"{name} was told version {attempt.version}, it is at {log_index}"]
         case status if status == IN_FORCE and attempt.base not in (None, attempt.version - 1):
             return [f"{name} on base {attempt.base} was accepted as version {attempt.version}"]
         case status if status == CONFLICT and attempt.current_version == attempt.base:
             return [f"{name} conflicts with the version it was built on, {attempt.base}"]
         case status if status == INVALID and not attempt.is_bad:
             return [f"{name} was called invalid and is not"]
-    if attempt.is_bad and (place is not None or attempt.status == IN_FORCE):
+    if attempt.is_bad and (log_index is not None or attempt.status == IN_FORCE):
         return [f"{name} is invalid and was applied"]
     return []
 
 
-def _check_times(attempts: list[Attempt], log: list[int], places: dict[int, int]) -> list[str]:
+def _check_times(
+    attempts: list[Attempt], log: list[int], index_by_order: dict[int, int]
+) -> list[str]:
     lower = [0.0] * (len(log) + 2)
     upper = [NEVER] * (len(log) + 2)
-    for order, place in places.items():
-        lower[place] = min(attempt.began for attempt in attempts if attempt.order == order)
+    for order, log_index in index_by_order.items():
+        lower[log_index] = min(attempt.began for attempt in attempts if attempt.order == order)
     for attempt in attempts:
         if attempt.status == IN_FORCE:
             upper[attempt.version] = min(upper[attempt.version], attempt.ended)
@@ -98,7 +100,7 @@
                 return [f"order {attempt.order} conflicted with version {current}, never seen"]
             upper[current] = min(upper[current], attempt.ended)
             lower[current + 1] = max(lower[current + 1], attempt.began)
-            if places.get(attempt.order, NEVER) <= current:
+            if index_by_order.get(attempt.order, NEVER) <= current:
                 return [f"order {attempt.order} conflicted with {current}, which contains it"]
     reached = 0.0
     for version in range(1, len(log) + 1):
--- a/src/zincvale/simulator/cluster/checks.py
+++ b/src/zincvale/simulator/cluster/invariant_checker.py
@@ -9,10 +9,10 @@
 from zincvale.coordination.registers.change_messages import IN_FORCE, ChangeResult
 from zincvale.coordination.replication.replica_sets import INTENT_KEY, REGISTRY_KEY
 from zincvale.model.machine import Log
-from zincvale.simulator.cluster.event_loop import World
 from zincvale.simulator.cluster.intent_log import orders_in
 from zincvale.simulator.cluster.process import Process
 from zincvale.simulator.cluster.role_publisher import TOPIC
+from zincvale.simulator.cluster.simulation import Simulation
 
 DELIVERED = (INTENT_KEY, REGISTRY_KEY)
 
@@ -31,7 +31,7 @@
 
 
 @attrs.define
-class _Seen:
+class _LastObserved:
     """What a run of a process showed last."""
 
     versions: dict[str, int] = attrs.field(factory=dict)
@@ -39,39 +39,39 @@
     topic: tuple[int, int] = (0, 0)
 
 
-class Checks:
+class InvariantChecker:
     """Watches a world; raises `InvariantViolationError`."""
 
-    def __init__(self, world: World, roles: tuple[str, ...]) -> None:
+    def __init__(self, simulation: Simulation, roles: tuple[str, ...]) -> None:
         self.acknowledged = 0
         self.newest_log: list[int] = []
         self.ever_ready: set[str] = set()
-        self._world = world
+        self._simulation = simulation
         self._roles = roles
-        self._seen: dict[int, _Seen] = {}
+        self._observed: dict[int, _LastObserved] = {}
         self._rows_by_version: dict[tuple[str, int], dict[str, bytes]] = {}
         self._highest_role_epoch: dict[str, tuple[int, int]] = {}
 
     def after_input(self, process: Process) -> None:
         """Check what the input may have changed."""
-        seen = self._seen.setdefault(process.run, _Seen())
+        observed = self._observed.setdefault(process.run, _LastObserved())
         for key in DELIVERED:
-            self._check_versions(process, key, seen)
+            self._check_versions(process, key, observed)
         if process.kind == "node":
             self._check_served(process)
-            self._check_topic(process, seen)
+            self._check_topic(process, observed)
         else:
-            self._check_roles(process, seen)
+            self._check_roles(process, observed)
 
-    def woke(self, process: Process) -> None:
+    def on_resumed(self, process: Process) -> None:
         """Check what a process would do before it notices that it was frozen."""
         if process.kind == "node":
             self._check_served(process)
         else:
             for role in self._roles:
-                self._check_one_holder(role)
+                self._check_single_leader(role)
 
-    def logged(self, process: Process, entry: Log) -> None:
+    def on_log(self, process: Process, entry: Log) -> None:
         """Log events carry no invariant."""
 
     def acknowledged_change(self, result: ChangeResult) -> None:
@@ -79,19 +79,19 @@
         if result.status != IN_FORCE:
             return
         self.acknowledged = max(self.acknowledged, result.version)
-        for process in self._world.processes.values():
-            if process.kind == "node" and not process.frozen:
+        for process in self._simulation.processes.values():
+            if process.kind == "node" and not process.is_frozen:
                 self._check_served(process)
 
-    def _check_versions(self, process: Process, key: str, seen: _Seen) -> None:
+    def _check_versions(self, process: Process, key: str, observed: _LastObserved) -> None:
         view = process.machine.value(key)
-        before = seen.versions.get(key, 0)
+        before = observed.versions.get(key, 0)
         if view.version == before:
             return
         if view.version < before:
             text = f"{process.member} went from {key} {before} back to {view.version}"
             raise InvariantViolationError("version-backwards", text)
-        seen.versions[key] = view.version
+        observed.versions[key] = view.version
         self._check_same_content(process, key, view.version, view.rows)
 
     def _check_same_content(
@@ -119,7 +119,7 @@
 
     def _check_served(self, process: Process) -> None:
         machine: NodeMachine = process.machine
-        if not machine.ready(process.local(self._world.now)):
+        if not machine.ready(process.local(self._simulation.now)):
             return
         self.ever_ready.add(process.member)
         version = machine.intent().version
@@ -130,43 +130,43 @@
             )
             raise InvariantViolationError("not-in-force", text)
 
-    def _check_topic(self, process: Process, seen: _Seen) -> None:
+    def _check_topic(self, process: Process, observed: _LastObserved) -> None:
         """A node never goes back to what an earlier holder published."""
         topic = process.machine.topic(TOPIC)
         position = (topic.epoch, topic.version)
-        if position < seen.topic:
-            text = f"{process.member} went from {seen.topic} back to {position}"
+        if position < observed.topic:
+            text = f"{process.member} went from {observed.topic} back to {position}"
             raise InvariantViolationError("topic-backwards", text)
-        seen.topic = position
+        observed.topic = position
 
-    def _check_roles(self, process: Process, seen: _Seen) -> None:
+    def _check_roles(self, process: Process, observed: _LastObserved) -> None:
         machine: CoreMachine = process.machine
         for role in self._roles:
-            state = machine.role(role, process.local(self._world.now))
+            state = machine.role(role, process.local(self._simulation.now))
             if not state.is_leader:
-                seen.role_epochs.pop(role, None)
+                observed.role_epochs.pop(role, None)
                 continue
-            if seen.role_epochs.get(role) == state.epoch:
+            if observed.role_epochs.get(role) == state.epoch:
                 continue
-            seen.role_epochs[role] = state.epoch
+            observed.role_epochs[role] = state.epoch
             self._check_role_epoch(process, role, state.epoch)
-            self._check_one_holder(role)
+            self._check_single_leader(role)
 
     def _check_role_epoch(self, process: Process, role: str, epoch: int) -> None:
-        highest, holder = self._highest_role_epoch.get(role, (0, 0))
-        if epoch < highest or (epoch == highest and holder != process.run):
+        highest, leader_run = self._highest_role_epoch.get(role, (0, 0))
+        if epoch < highest or (epoch == highest and leader_run != process.run):
             text = f"{process.member} took {role} at epoch {epoch}, {highest} was used before"
             raise InvariantViolationError("epoch-not-growing", text)
         self._highest_role_epoch[role] = (epoch, process.run)
 
-    def _check_one_holder(self, role: str) -> None:
-        now = self._world.now
-        holders = [
+    def _check_single_leader(self, role: str) -> None:
+        now = self._simulation.now
+        leaders = [
             process.member
-            for process in self._world.processes.values()
+            for process in self._simulation.processes.values()
             if process.kind == "core"
-            and not process.frozen
+            and not process.is_frozen
             and process.machine.role(role, process.local(now)).is_leader
         ]
-        if len(holders) > 1:
-            raise InvariantViolationError("two-holders", f"{holders} may act as {role}")
+        if len(leaders) > 1:
+            raise InvariantViolationError("two-holders", f"{leaders} may act as {role}")
--- a/src/zincvale/simulator/cluster/network.py
+++ b/src/zincvale/simulator/cluster/network.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class Weather:
+class LinkConditions:
     """What a link does to messages: probabilities, and delays in seconds."""
 
     loss: float = 0.0
@@ -28,58 +28,61 @@
 
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
-        self._cuts: Counter[Link] = Counter()
-        self._weather: dict[int, tuple[frozenset[Link] | None, Weather]] = {}
+        self._blocks: Counter[Link] = Counter()
+        self._conditions: dict[int, tuple[frozenset[Link] | None, LinkConditions]] = {}
         self._tokens = itertools.count(1)
 
-    def cut(self, links: frozenset[Link]) -> None:
+    def block(self, links: frozenset[Link]) -> None:
         """Cut links; cuts nest."""
-        self._cuts.update(links)
+        self._blocks.update(links)
 
-    def mend(self, links: frozenset[Link]) -> None:
+    def unblock(self, links: frozenset[Link]) -> None:
         """Take one cut back."""
-        self._cuts.subtract(links)
+        self._blocks.subtract(links)
 
-    def is_cut(self, sender: str, receiver: str) -> bool:
+    def is_blocked(self, sender: str, receiver: str) -> bool:
         """Whether nothing passes from `sender` to `receiver`."""
-        return self._cuts[(sender, receiver)] > 0
+        return self._blocks[(sender, receiver)] > 0
 
-    def set_weather(self, links: frozenset[Link] | None, weather: Weather) -> int:
+    def set_conditions(self, links: frozenset[Link] | None, conditions: LinkConditions) -> int:
         """Give links (all of them: None) a weather; return a token that ends it."""
         token = next(self._tokens)
-        self._weather[token] = (links, weather)
+        self._conditions[token] = (links, conditions)
         return token
 
-    def end_weather(self, token: int) -> None:
+    def clear_conditions(self, token: int) -> None:
         """End one weather."""
-        self._weather.pop(token, None)
+        self._conditions.pop(token, None)
 
     def heal(self) -> None:
         """Mend and calm everything."""
-        self._cuts.clear()
-        self._weather.clear()
+        self._blocks.clear()
+        self._conditions.clear()
 
     def deliveries(self, sender: str, receiver: str) -> list[float]:
         """Return the delay of each copy that arrives, in seconds; empty when it is lost."""
-        if self.is_cut(sender, receiver):
+        if self.is_blocked(sender, receiver):
             return []
-        weather = self._weather_of((sender, receiver))
-        if weather.loss and self._random.random() < weather.loss:
+        conditions = self._conditions_of((sender, receiver))
+        if conditions.loss and self._random.random() < conditions.loss:
             return []
-        copies = 1
-        if weather.duplication and self._random.random() < weather.duplication:
-            copies = 2
-        return [weather.delay_s + weather.jitter_s * self._random.random() for _ in range(copies)]
-
-    def _weather_of(self, link: Link) -> Weather:
+        delivery_count = 1
+        if conditions.duplication and self._random.random() < conditions.duplication:
+            delivery_count = 2
+        return [
+            conditions.delay_s + conditions.jitter_s * self._random.random()
+            for _ in range(delivery_count)
+        ]
+
+    def _conditions_of(self, link: Link) -> LinkConditions:
         """Return the weather that was set last."""
-        for links, weather in reversed(self._weather.values()):
+        for links, conditions in reversed(self._conditions.values()):
             if links is None or link in links:
-                return weather
-        return CALM
+                return conditions
+        return NORMAL_CONDITIONS
 
 
-CALM = Weather()
+NORMAL_CONDITIONS = LinkConditions()
 
 
 def both_ways(some: list[str], others: list[str]) -> frozenset[Link]:
--- a/src/zincvale/simulator/cluster/operations.py
+++ b/src/zincvale/simulator/cluster/operations.py
@@ -9,7 +9,7 @@
 from zincvale.simulator.cluster.operators import Operators
 from zincvale.simulator.schedules.schedule import Step
 
-CORE_PLACE = "core:"
+CORE_INDEX_PREFIX = "core:"
 RACERS = 3
 BURST = 8
 BURST_INTERVAL_S = 0.004
@@ -21,9 +21,9 @@
     """Return members by name, or by place for cores, which come and go."""
     found = []
     for name in names:
-        if name.startswith(CORE_PLACE):
-            place = int(name.removeprefix(CORE_PLACE))
-            found.append(cluster.cores[place % len(cluster.cores)])
+        if name.startswith(CORE_INDEX_PREFIX):
+            index = int(name.removeprefix(CORE_INDEX_PREFIX))
+            found.append(cluster.cores[index % len(cluster.cores)])
         else:
             found.append(name)
     return list(dict.fromkeys(found))
@@ -53,10 +53,10 @@
 def burst(operators: Operators, cluster: Cluster, step: Step) -> None:
     """Send many changes within milliseconds through one core."""
     (core,) = members_of(cluster, step.members)
-    world = cluster.world
-    for place in range(BURST):
+    simulation = cluster.simulation
+    for index in range(BURST):
         order = operators.new_order(None)
-        world.schedule(world.now + place * BURST_INTERVAL_S, operators.send, order, core)
+        simulation.schedule(simulation.now + index * BURST_INTERVAL_S, operators.send, order, core)
 
 
 def bad_change(operators: Operators, cluster: Cluster, step: Step) -> None:
@@ -87,7 +87,7 @@
 def draw_operation(source: random.Random, at_s: float) -> Step:
     """Draw an operation."""
     action = source.choices(list(OPERATIONS), weights=(5, 5, 3, 1, 1, 3))[0]
-    member = f"{CORE_PLACE}{source.randrange(3)}"
+    member = f"{CORE_INDEX_PREFIX}{source.randrange(3)}"
     if action == "resend":
         return Step(at_s, action, amount=source.random())
     loss = source.choice((0.0, 0.0, 1.0))
--- a/src/zincvale/simulator/cluster/operators.py
+++ b/src/zincvale/simulator/cluster/operators.py
@@ -15,13 +15,13 @@
     ProposeChange,
 )
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
-from zincvale.simulator.cluster.checks import Checks
 from zincvale.simulator.cluster.cluster import Cluster
 from zincvale.simulator.cluster.history import Attempt
 from zincvale.simulator.cluster.intent_log import change_body
+from zincvale.simulator.cluster.invariant_checker import InvariantChecker
 from zincvale.simulator.cluster.process import Process
 
-ANSWER_LIMIT_S = 6.0
+RESPONSE_TIMEOUT_S = 6.0
 """After this an operator takes the answer for lost."""
 RESEND_AFTER_S = 0.5
 RESENDS = 2
@@ -50,13 +50,15 @@
 class Operators:
     """Every operator of the cluster, and the history of what they were told."""
 
-    def __init__(self, cluster: Cluster, checks: Checks, random_source: random.Random) -> None:
+    def __init__(
+        self, cluster: Cluster, checker: InvariantChecker, random_source: random.Random
+    ) -> None:
         self.attempts: list[Attempt] = []
         self.orders: list[Order] = []
         self.disks_lost_on_acknowledgement = 0
         """How many of the next cores to acknowledge a change lose their disk right after."""
         self._cluster = cluster
-        self._checks = checks
+        self._checker = checker
         self._random = random_source
 
     def new_order(self, base: int | None, is_bad: bool = False) -> Order:
@@ -80,42 +82,42 @@
         ----------
         loss : probability that the answer is lost on its way back.
         """
-        world = self._cluster.world
-        attempt = Attempt(order.number, order.base, order.is_bad, member, world.now)
+        simulation = self._cluster.simulation
+        attempt = Attempt(order.number, order.base, order.is_bad, member, simulation.now)
         self.attempts.append(attempt)
         sending = _Sending(order, attempt, resends)
         process = self._cluster.running(member)
         if process is None:
-            world.schedule(world.now + RESEND_AFTER_S, self._resend, sending)
+            simulation.schedule(simulation.now + RESEND_AFTER_S, self._resend, sending)
             return attempt
         is_lost = self._random.random() < loss
 
-        def answered(result: Any) -> None:
-            self._take(attempt, process, result)
+        def on_response(result: Any) -> None:
+            self._record_result(attempt, process, result)
             if not is_lost and attempt.status in FINAL:
                 sending.is_over = True
             else:
-                world.schedule(world.now + RESEND_AFTER_S, self._resend, sending)
+                simulation.schedule(simulation.now + RESEND_AFTER_S, self._resend, sending)
 
-        world.schedule(world.now + ANSWER_LIMIT_S, self._resend, sending)
+        simulation.schedule(simulation.now + RESPONSE_TIMEOUT_S, self._resend, sending)
         change = ProposeChange(INTENT_KEY, f"order-{order.number}", order.base, order.body)
-        world.call_local(process, change, answered)
+        simulation.call_local(process, change, on_response)
         return attempt
 
-    def _take(self, attempt: Attempt, process: Process, result: Any) -> None:
+    def _record_result(self, attempt: Attempt, process: Process, result: Any) -> None:
         """Note an answer as it leaves the core."""
         if not isinstance(result, ChangeResult):
             return
         if result.status in FINAL:
-            attempt.ended = self._cluster.world.now
+            attempt.ended = self._cluster.simulation.now
             attempt.status = result.status
             attempt.version = result.version
             attempt.current_version = result.current_version
-        self._checks.acknowledged_change(result)
+        self._checker.acknowledged_change(result)
         if result.status == IN_FORCE and self.disks_lost_on_acknowledgement:
             self.disks_lost_on_acknowledgement -= 1
-            world = self._cluster.world
-            world.schedule(world.now, self._cluster.lose_disk, process.member)
+            simulation = self._cluster.simulation
+            simulation.schedule(simulation.now, self._cluster.lose_disk, process.member)
 
     def _resend(self, sending: _Sending) -> None:
         """Repeat an order through the next core, once."""
@@ -126,5 +128,5 @@
             return
         cores = self._cluster.cores
         member = sending.attempt.through
-        place = cores.index(member) if member in cores else 0
-        self.send(sending.order, cores[(place + 1) % len(cores)], 0.0, sending.resends_left - 1)
+        index = cores.index(member) if member in cores else 0
+        self.send(sending.order, cores[(index + 1) % len(cores)], 0.0, sending.resends_left - 1)
--- a/src/zincvale/simulator/cluster/process.py
+++ b/src/zincvale/simulator/cluster/process.py
@@ -58,11 +58,11 @@
     address: str
     machine: Any
     clock: MachineClock
-    last_seen: float
+    last_clock_reading: float
     files: VersionFiles | None = None
     disk: str = ""
-    frozen: bool = False
-    alive: bool = True
+    is_frozen: bool = False
+    is_alive: bool = True
     writes: deque[Any] = attrs.field(factory=deque)
     backlog: list[tuple[Callable[..., None], tuple[Any, ...]]] = attrs.field(factory=list)
 
@@ -70,14 +70,14 @@
         """Return this process's clock."""
         return self.clock.local(true_now)
 
-    def look_at_clock(self, true_now: float) -> list[Input]:
+    def check_clock(self, true_now: float) -> list[Input]:
         """Return `ClockJumped` when the clock advanced too far since the last look."""
         now = self.local(true_now)
-        gap = now - self.last_seen
-        self.last_seen = now
+        gap = now - self.last_clock_reading
+        self.last_clock_reading = now
         return [ClockJumped(gap)] if gap > CLOCK_JUMP_GAP_S else []
 
-    def keep(self, handler: Callable[..., None], arguments: tuple[Any, ...]) -> None:
+    def add_to_backlog(self, handler: Callable[..., None], arguments: tuple[Any, ...]) -> None:
         """Keep an input for the time after the freeze; a timer fires once at most."""
         is_tick = any(isinstance(argument, Tick) for argument in arguments)
         if not is_tick and len(self.backlog) < BACKLOG_LIMIT:
--- a/src/zincvale/simulator/cluster/role_publisher.py
+++ b/src/zincvale/simulator/cluster/role_publisher.py
@@ -15,25 +15,25 @@
 
     def __init__(self, cluster: Cluster, role: str) -> None:
         self._cluster = cluster
-        self._world = cluster.world
+        self._simulation = cluster.simulation
         self._role = role
         self._count = 0
 
     def start(self) -> None:
         """Publish from now on."""
-        self._world.schedule(self._world.now + PUBLISH_INTERVAL_S, self._publish)
+        self._simulation.schedule(self._simulation.now + PUBLISH_INTERVAL_S, self._publish)
 
     def _publish(self) -> None:
-        self._world.schedule(self._world.now + PUBLISH_INTERVAL_S, self._publish)
-        for process in list(self._world.processes.values()):
-            if process.kind == "core" and not process.frozen:
+        self._simulation.schedule(self._simulation.now + PUBLISH_INTERVAL_S, self._publish)
+        for process in list(self._simulation.processes.values()):
+            if process.kind == "core" and not process.is_frozen:
                 self._publish_from(process)
 
     def _publish_from(self, process: Process) -> None:
-        state = process.machine.role(self._role, process.local(self._world.now))
+        state = process.machine.role(self._role, process.local(self._simulation.now))
         if not state.is_leader:
             return
         self._count += 1
         puts = {"row": f"{self._count}".encode()}
         message = PublishTopic(TOPIC, state.epoch, puts, [])
-        self._world.call_local(process, message, lambda reply: None)
+        self._simulation.call_local(process, message, lambda reply: None)
--- a/src/zincvale/simulator/cluster/event_loop.py
+++ b/src/zincvale/simulator/cluster/simulation.py
@@ -53,11 +53,11 @@
         """A process handled an input."""
         ...
 
-    def woke(self, process: Process) -> None:
+    def on_resumed(self, process: Process) -> None:
         """A frozen process runs again and has handled nothing yet."""
         ...
 
-    def logged(self, process: Process, entry: Log) -> None:
+    def on_log(self, process: Process, entry: Log) -> None:
         """A process wrote a log event."""
         ...
 
@@ -70,7 +70,7 @@
     callee_token: str
 
 
-class World:
+class Simulation:
     """Processes, time and the network between them."""
 
     def __init__(self, random_source: random.Random, network: Network, uses_codec: bool) -> None:
@@ -81,7 +81,7 @@
         self.observer: Observer | None = None
         self.steps = 0
         self._uses_codec = uses_codec
-        self._agenda: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
+        self._events: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
         self._sequence = itertools.count(1)
         self._tokens = itertools.count(1)
         self._runs = itertools.count(1)
@@ -94,15 +94,15 @@
 
     def schedule(self, at: float, action: Callable[..., object], *arguments: Any) -> None:
         """Run `action` at a true time."""
-        heapq.heappush(self._agenda, (at, next(self._sequence), action, arguments))
+        heapq.heappush(self._events, (at, next(self._sequence), action, arguments))
 
     def run_until(self, end: float, condition: Callable[[], bool] = lambda: False) -> bool:
         """Run to the time `end`, or until the condition holds; return whether it does."""
         while not condition():
-            if not self._agenda or self._agenda[0][0] > end:
+            if not self._events or self._events[0][0] > end:
                 self.now = max(self.now, end)
                 return condition()
-            at, _, action, arguments = heapq.heappop(self._agenda)
+            at, _, action, arguments = heapq.heappop(self._events)
             self.now = max(self.now, at)
             self.steps += 1
             action(*arguments)
@@ -122,7 +122,7 @@
 
     def remove(self, process: Process) -> None:
         """End a process: its connections break, its timers and writes are gone."""
-        process.alive = False
+        process.is_alive = False
         if self.processes.get(process.member) is process:
             del self.processes[process.member]
         if self._by_address.get(process.address) is process:
@@ -130,22 +130,22 @@
         for call in list(self._calls.values()):
             if call.callee is process:
                 self._drop_call(call)
-                self._later(process, call.caller, CallFailed(call.caller_token, "reset"))
+                self._deliver_once(process, call.caller, CallFailed(call.caller_token, "reset"))
             elif call.caller is process:
                 self._drop_call(call)
-                self._later(process, call.callee, CallAbandoned(call.callee_token))
+                self._deliver_once(process, call.callee, CallAbandoned(call.callee_token))
 
     def freeze(self, process: Process) -> None:
         """Stop a process; what is sent to it waits in its sockets."""
-        process.frozen = True
+        process.is_frozen = True
 
-    def thaw(self, process: Process) -> None:
+    def resume(self, process: Process) -> None:
         """Let a process run again: the clock first, then what waited."""
-        if not process.frozen or not process.alive:
+        if not process.is_frozen or not process.is_alive:
             return
-        process.frozen = False
+        process.is_frozen = False
         if self.observer is not None:
-            self.observer.woke(process)
+            self.observer.on_resumed(process)
         backlog, process.backlog = process.backlog, []
         self.feed(process, Tick())
         for handler, arguments in backlog:
@@ -155,13 +155,13 @@
 
     def feed(self, process: Process, event: Input, source: Process | None = None) -> None:
         """Give a process an input now, after a jump of its clock if there was one."""
-        if not process.alive:
+        if not process.is_alive:
             return
-        if process.frozen:
-            process.keep(self.feed, (process, event, source))
+        if process.is_frozen:
+            process.add_to_backlog(self.feed, (process, event, source))
             return
-        inputs = deque([*process.look_at_clock(self.now), event])
-        while inputs and process.alive:
+        inputs = deque([*process.check_clock(self.now), event])
+        while inputs and process.is_alive:
             self._handle(process, inputs.popleft(), source, inputs)
 
     def call_local(self, process: Process, message: Any, on_reply: Callable[[Any], None]) -> None:
@@ -171,7 +171,7 @@
         self.feed(process, CallReceived(MemberId(process.member), token, message))
 
     def _tick(self, process: Process) -> None:
-        if not process.alive:
+        if not process.is_alive:
             return
         self.schedule(self.now + TICK_S, self._tick, process)
         self.feed(process, Tick())
@@ -180,11 +180,11 @@
         self, process: Process, event: Input, source: Process | None, inputs: deque[Input]
     ) -> None:
         for effect in process.machine.handle(event, process.local(self.now)):
-            self._carry_out(process, effect, source, inputs)
+            self._execute(process, effect, source, inputs)
         if self.observer is not None:
             self.observer.after_input(process)
 
-    def _carry_out(
+    def _execute(
         self, process: Process, effect: Effect, source: Process | None, inputs: deque[Input]
     ) -> None:
         match effect:
@@ -199,7 +199,7 @@
             case Reply(token, message):
                 self._reply(process, token, message)
             case Log() if self.observer is not None:
-                self.observer.logged(process, effect)
+                self.observer.on_log(process, effect)
 
     # --- messages -------------------------------------------------------------------------
 
@@ -211,7 +211,7 @@
         return self._by_address.get(address) if address is not None else None
 
     def _send(self, process: Process, to: str, message: Any, source: Process | None) -> None:
-        if source is not None and source.member == to and source.alive:
+        if source is not None and source.member == to and source.is_alive:
             # Answered on the connection that the message came through.
             target: Process | None = source
         else:
@@ -227,7 +227,7 @@
             return message
         return decode_message(message.MESSAGE_NAME, encode_message(message))
 
-    def _later(self, sender: Process, receiver: Process, event: Input) -> None:
+    def _deliver_once(self, sender: Process, receiver: Process, event: Input) -> None:
         """Deliver a connection's event once, unless the link loses it."""
         for delay_s in self.network.deliveries(sender.member, receiver.member)[:1]:
             self.schedule(self.now + delay_s, self.feed, receiver, event)
@@ -238,7 +238,7 @@
             failed = CallFailed(effect.token, "no connection")
             self.schedule(self.now + REFUSED_AFTER_S, self.feed, process, failed)
             return
-        if self._is_cut_off(process, target):
+        if self._is_unreachable(process, target):
             wait_s = min(effect.timeout_s, CONNECT_TIMEOUT_S)
             failed = CallFailed(effect.token, "connect timeout")
             self.schedule(self.now + wait_s, self.feed, process, failed)
@@ -248,20 +248,20 @@
         self._calls_by_caller[(process.run, effect.token)] = call
         message = self._through_codec(effect.message)
         received = CallReceived(MemberId(process.member), call.callee_token, message)
-        self._later(process, target, received)
+        self._deliver_once(process, target, received)
         self.schedule(self.now + effect.timeout_s, self._time_out, call)
 
-    def _is_cut_off(self, one: Process, other: Process) -> bool:
+    def _is_unreachable(self, one: Process, other: Process) -> bool:
         """Whether a connection cannot be made: it needs both directions."""
-        cut = self.network.is_cut
-        return cut(one.member, other.member) or cut(other.member, one.member)
+        is_blocked = self.network.is_blocked
+        return is_blocked(one.member, other.member) or is_blocked(other.member, one.member)
 
     def _time_out(self, call: _OpenCall) -> None:
         if self._calls_by_caller.get((call.caller.run, call.caller_token)) is not call:
             return
         self._drop_call(call)
         self.feed(call.caller, CallFailed(call.caller_token, "timeout"))
-        self._later(call.caller, call.callee, CallAbandoned(call.callee_token))
+        self._deliver_once(call.caller, call.callee, CallAbandoned(call.callee_token))
 
     def _drop_call(self, call: _OpenCall) -> None:
         self._calls.pop((call.callee.run, call.callee_token), None)
@@ -273,13 +273,15 @@
             on_reply(message)
             return
         call = self._calls.pop((process.run, token), None)
-        if call is None or not call.caller.alive:
+        if call is None or not call.caller.is_alive:
             return
         delays = self.network.deliveries(process.member, call.caller.member)[:1]
         for delay_s in delays:
-            self.schedule(self.now + delay_s, self._replied, call, self._through_codec(message))
+            self.schedule(
+                self.now + delay_s, self._complete_call, call, self._through_codec(message)
+            )
 
-    def _replied(self, call: _OpenCall, message: Any) -> None:
+    def _complete_call(self, call: _OpenCall, message: Any) -> None:
         key = (call.caller.run, call.caller_token)
         if self._calls_by_caller.get(key) is not call:
             return
@@ -300,10 +302,10 @@
         self.schedule(self.now + took_s, self._finish_write, process)
 
     def _finish_write(self, process: Process) -> None:
-        if not process.alive or not process.writes:
+        if not process.is_alive or not process.writes:
             return
-        if process.frozen:
-            process.keep(self._finish_write, (process,))
+        if process.is_frozen:
+            process.add_to_backlog(self._finish_write, (process,))
             return
         write = process.writes.popleft()
         if process.files is None:
--- a/src/zincvale/simulator/commands.py
+++ b/src/zincvale/simulator/commands.py
@@ -97,8 +97,8 @@
         for outcome in broken:
             print(f"seed {outcome.seed}: {'; '.join(outcome.problems)}")
         endings = sum((outcome.endings for outcome in outcomes), Counter())
-        told = ", ".join(f"{count} {ending}" for ending, count in endings.most_common())
-        print(f"{len(outcomes)} seeds, {len(broken)} broke a promise; {told}")
+        endings_text = ", ".join(f"{count} {ending}" for ending, count in endings.most_common())
+        print(f"{len(outcomes)} seeds, {len(broken)} broke a promise; {endings_text}")
         if broken:
             sys.exit(EXIT_BROKEN)
 
@@ -138,10 +138,9 @@
         for name in names:
             if name not in MUTATIONS:
                 raise InvalidInputError(f"no mutation {name!r}", f"one of {', '.join(MUTATIONS)}")
-            told = _notice(MUTATIONS[name], chosen)
-            missed += not told
-            told = told or "NOT NOTICED"
-            print(f"{name:24} {told}", flush=True)
+            detection = _detect(MUTATIONS[name], chosen)
+            missed += not detection
+            print(f"{name:24} {detection or 'NOT NOTICED'}", flush=True)
         if missed:
             sys.exit(EXIT_BROKEN)
 
@@ -161,16 +160,16 @@
         """
         tries = starts if isinstance(starts, tuple) else tuple(map(int, str(starts).split(",")))
         found = explore_register(tuple(int(each) for each in tries), states)
-        whole = "all there are" if found.is_complete else "stopped at the bound"
-        print(f"{found.states} distinct states ({whole}), {found.transitions} steps")
+        extent = "all there are" if found.is_complete else "stopped at the bound"
+        print(f"{found.states} distinct states ({extent}), {found.transitions} steps")
         print(f"deepest {found.depth}; versions chosen: {found.chosen}")
         if found.problem:
             print(found.problem)
             sys.exit(EXIT_BROKEN)
 
 
-def _notice(mutation: Mutation, seeds: range) -> str:
-    """Return how a mistake was noticed; empty when it was not."""
+def _detect(mutation: Mutation, seeds: range) -> str:
+    """Return how a mistake was detected; empty when it was not."""
     with mutation.apply():
         found = walk_register(WALK_STARTS, WALKS, WALK_SEED)
     if found.problem:
--- a/src/zincvale/simulator/forwarding/checks.py
+++ b/src/zincvale/simulator/forwarding/checks.py
@@ -42,11 +42,11 @@
             yield f"{caller.request_id} was refused without a time to come back"
 
 
-def answers_are_whole(journal: ForwardingJournal) -> Iterator[str]:
+def responses_are_complete(journal: ForwardingJournal) -> Iterator[str]:
     """An answer that ends whole is the whole answer of a run of this request."""
     runs = runs_of(journal)
     for caller in journal.callers.values():
-        if caller.ending is not Ending.WHOLE or caller.status != 200 or caller.is_stream:
+        if caller.ending is not Ending.COMPLETE or caller.status != 200 or caller.is_stream:
             continue
         if caller.body not in [run.body for run in runs.get(caller.request_id, [])]:
             yield f"{caller.request_id} got {caller.body!r}"
@@ -60,7 +60,7 @@
         numbers = [line[4:] for line in caller.body.split(b"\n") if line.startswith(b"id: ")]
         if numbers != [str(each + 1).encode() for each in range(len(numbers))]:
             yield f"{caller.request_id} got events {numbers}"
-        if caller.ending is Ending.WHOLE and len(numbers) != STREAM_EVENTS:
+        if caller.ending is Ending.COMPLETE and len(numbers) != STREAM_EVENTS:
             yield f"{caller.request_id} ended whole after {len(numbers)} events"
 
 
@@ -91,7 +91,7 @@
         if caller.ending is not Ending.LEFT:
             continue
         for run in runs.get(caller.request_id, []):
-            ends = [at for at in (run.given_up_at, run.answered_at) if at is not None]
+            ends = [at for at in (run.cancelled_at, run.responded_at) if at is not None]
             if run.at > caller.ended_at + LATE_S:
                 yield f"{caller.request_id} began to run after its caller left"
             elif not ends or min(ends) > caller.ended_at + LATE_S:
@@ -118,12 +118,14 @@
             seen[arrival.request_id] += 1
             if seen[arrival.request_id] > 1:
                 repeats.append(arrival.at)
-        asked = [caller.asked_at for caller in journal.callers.values()]
+        requested = [caller.requested_at for caller in journal.callers.values()]
         for start in repeats:
             end = start + terms.window_s
             count = sum(start <= at < end for at in repeats)
             windows = (start, start - terms.window_s, start - terms.window_s / 2)
-            most = max(sum(at <= each < at + terms.window_s for each in asked) for at in windows)
+            most = max(
+                sum(at <= each < at + terms.window_s for each in requested) for at in windows
+            )
             if count > terms.ratio * most + terms.slack:
                 yield f"{count} second sends from {start:.2f} s on, for {most} requests"
                 return
@@ -131,15 +133,15 @@
     return check
 
 
-def cold_within(terms: SlowStartConfig, per_s: float) -> Check:
+def slow_start_within(terms: SlowStartConfig, per_s: float) -> Check:
     """Return the check of what a cold server gets from all nodes, in any second."""
 
     def check(journal: ForwardingJournal) -> Iterator[str]:
-        cold: dict[str, list[float]] = defaultdict(list)
+        arrivals: dict[str, list[float]] = defaultdict(list)
         for arrival in journal.arrivals:
-            if arrival.is_cold and not arrival.misdirected:
-                cold[arrival.incarnation].append(arrival.at)
-        for incarnation, times in cold.items():
+            if arrival.is_in_slow_start and not arrival.misdirected:
+                arrivals[arrival.incarnation].append(arrival.at)
+        for incarnation, times in arrivals.items():
             for start in times:
                 count = sum(start <= at < start + 1.0 for at in times)
                 if count > per_s * terms.factor + terms.slack:
@@ -152,7 +154,7 @@
 ORDINARY_CHECKS: dict[str, Check] = {
     "at-most-once": at_most_once,
     "refusals-are-promises": refusals_are_promises,
-    "answers-are-whole": answers_are_whole,
+    "answers-are-whole": responses_are_complete,
     "streams-are-unbroken": streams_are_unbroken,
     "attempts-are-bounded": attempts_are_bounded,
     "ends-in-time": ends_in_time,
--- a/src/zincvale/simulator/forwarding/journal.py
+++ b/src/zincvale/simulator/forwarding/journal.py
@@ -11,8 +11,8 @@
     """How a caller's request ended."""
 
     OPEN = "open"
-    WHOLE = "whole"
-    CUT = "cut"
+    COMPLETE = "whole"
+    BROKEN = "cut"
     LEFT = "left"
 
 
@@ -24,7 +24,7 @@
     attempts: int
     may_repeat: bool
     is_stream: bool
-    asked_at: float
+    requested_at: float
     limit_at: float
     """When the route's time-out or the caller's own deadline is over."""
     status: int = 0
@@ -44,7 +44,7 @@
     node: str
     sent_at: float
     at: float
-    is_cold: bool
+    is_in_slow_start: bool
     node_knew_draining: bool
     node_knew_evacuated: bool
     misdirected: bool
@@ -65,8 +65,8 @@
     at: float
     resumed_after: int
     body: bytes
-    given_up_at: float | None = None
-    answered_at: float | None = None
+    cancelled_at: float | None = None
+    responded_at: float | None = None
 
 
 @attrs.define
--- a/src/zincvale/simulator/forwarding/model.py
+++ b/src/zincvale/simulator/forwarding/model.py
@@ -36,13 +36,13 @@
 from zincvale.model.resources import PoolKind
 from zincvale.simulator.forwarding.checks import (
     ORDINARY_CHECKS,
-    cold_within,
     count_endings,
     first_problems,
     retries_within,
+    slow_start_within,
 )
 from zincvale.simulator.forwarding.journal import CallerRecord, Ending, ForwardingJournal
-from zincvale.simulator.forwarding.servers import Conduct, ModelClient, ModelServer
+from zincvale.simulator.forwarding.servers import Behavior, ModelClient, ModelServer
 from zincvale.simulator.virtual_loop import VirtualLoop
 from zincvale.tracing.recorder.no_spans import NoSpans
 from zincvale.transport.server_exchange import HeaderList
@@ -57,12 +57,12 @@
 """Beyond the last request: every one of them must have ended by then."""
 REQUESTS_PER_S = 12.0
 FAULTS = 26
-NEWS_DELAY_S = (0.05, 1.5)
-COLD_PER_S = 3.0
-COLD_S = 3.0
+UPDATE_DELAY_S = (0.05, 1.5)
+SLOW_START_PER_S = 3.0
+SLOW_START_S = 3.0
 RETRIES = RetryConfig(ratio=0.2, slack=8.0, window_s=5.0)
-COLD = SlowStartConfig(factor=1.5, slack=2.0)
-LEAVING_PART = 0.03
+SLOW_START = SlowStartConfig(factor=1.5, slack=2.0)
+LEAVING_SHARE = 0.03
 
 
 @attrs.frozen
@@ -77,12 +77,12 @@
 
 def run_forwarding(seed: int) -> ForwardingOutcome:
     """Play one seed; the same seed gives the same outcome."""
-    model = _Model(seed)
+    model = ForwardingModel(seed)
     model.play()
     checks = {
         **ORDINARY_CHECKS,
         "retries-within": retries_within(RETRIES),
-        "cold-within": cold_within(COLD, COLD_PER_S),
+        "cold-within": slow_start_within(SLOW_START, SLOW_START_PER_S),
     }
     callers = model.journal.callers
     problems = first_problems(model.journal, checks.items())
@@ -110,18 +110,20 @@
 )
 
 
-class _Model:
+class ForwardingModel:
+    """Nodes, servers and callers of one seed; `play` runs them and fills the journal."""
+
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
         self._loop = VirtualLoop()
         self.journal = ForwardingJournal()
         self._servers = [
-            ModelServer(f"s{place}", f"10.0.0.{place}:80", ZONES[place % len(ZONES)])
-            for place in range(SERVERS)
+            ModelServer(f"s{index}", f"10.0.0.{index}:80", ZONES[index % len(ZONES)])
+            for index in range(SERVERS)
         ]
         self._evacuated: frozenset[str] = frozenset()
         self._versions = 0
-        self._nodes = [self._node(place) for place in range(NODES)]
+        self._nodes = [self._node(index) for index in range(NODES)]
         self._directory_versions = [0] * NODES
 
     def play(self) -> None:
@@ -133,7 +135,7 @@
         at = 0.0
         while at < DAY_S:
             at += self._random.expovariate(REQUESTS_PER_S)
-            self._loop.call_at(at, self._ask)
+            self._loop.call_at(at, self._send_request)
         for _ in range(FAULTS):
             self._loop.call_at(self._random.uniform(0.0, DAY_S), self._fault)
         self._loop.run_until(DAY_S + AFTER_S)
@@ -141,13 +143,13 @@
 
     # --- nodes ----------------------------------------------------------------------------
 
-    def _node(self, place: int) -> ForwardingService:
-        name = f"n{place}"
+    def _node(self, index: int) -> ForwardingService:
+        name = f"n{index}"
         service = ForwardingService(
             ForwardingConfig(
                 MemberId(name),
-                ZoneName(ZONES[place % len(ZONES)]),
-                FleetLimits(RETRIES, COLD),
+                ZoneName(ZONES[index % len(ZONES)]),
+                FleetLimits(RETRIES, SLOW_START),
             ),
             NativeDialect(),
             spans=NoSpans(),
@@ -175,21 +177,21 @@
         service.context.client = client
         return service
 
-    def _tell(self, what: str) -> None:
+    def _broadcast(self, what: str) -> None:
         """Bring news to every node, to each at another moment and never out of order."""
         document, directory = self._document(), self._directory()
-        for place, node in enumerate(self._nodes):
-            delay_s = self._random.uniform(*NEWS_DELAY_S)
+        for index, node in enumerate(self._nodes):
+            delay_s = self._random.uniform(*UPDATE_DELAY_S)
             if what == "document":
                 self._loop.call_later(delay_s, node.apply_document, document)
             else:
-                self._loop.call_later(delay_s, self._apply_newer, place, directory)
+                self._loop.call_later(delay_s, self._apply_newer, index, directory)
 
-    def _apply_newer(self, place: int, directory: Directory) -> None:
+    def _apply_newer(self, index: int, directory: Directory) -> None:
         """Bring a directory to a node, unless a newer one overtook it."""
-        if directory.version > self._directory_versions[place]:
-            self._directory_versions[place] = directory.version
-            self._nodes[place].apply_directory(directory)
+        if directory.version > self._directory_versions[index]:
+            self._directory_versions[index] = directory.version
+            self._nodes[index].apply_directory(directory)
 
     def _document(self) -> ForwardingDocument:
         self._versions += 1
@@ -197,7 +199,7 @@
             self._versions,
             self._versions,
             {route.name: route for route in ROUTES},
-            {POOL: ForwardPool(name=POOL, cold_start_s=COLD_S, cold_per_s=COLD_PER_S)},
+            {POOL: ForwardPool(name=POOL, cold_start_s=SLOW_START_S, cold_per_s=SLOW_START_PER_S)},
             evacuated=frozenset(ZoneName(zone) for zone in self._evacuated),
         )
 
@@ -208,20 +210,20 @@
 
     def _members(self) -> Members:
         rows = {
-            MemberId(f"n{place}"): MemberRow(
-                MemberId(f"n{place}"),
+            MemberId(f"n{index}"): MemberRow(
+                MemberId(f"n{index}"),
                 Role.NODE,
-                ZoneName(ZONES[place % len(ZONES)]),
+                ZoneName(ZONES[index % len(ZONES)]),
                 Address("10.1.0.1:1"),
                 Address("10.1.0.1:2"),
             )
-            for place in range(NODES)
+            for index in range(NODES)
         }
         return Members(1, rows)
 
     # --- callers --------------------------------------------------------------------------
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         route = self._random.choice(ROUTES)
         node = self._random.choice(self._nodes)
         now = self._loop.time()
@@ -242,9 +244,9 @@
             ("X-Deadline-Ms", str(int(deadline_s * 1000))),
         ]
         target = f"{route.path_prefix}x"
-        sink = _Sink(record, self._loop)
+        sink = CallerSink(record, self._loop)
         handle = node.handle_request(IncomingRequest("POST", target, headers, b"", now), sink)
-        if handle is not None and self._random.random() < LEAVING_PART:
+        if handle is not None and self._random.random() < LEAVING_SHARE:
             self._loop.call_later(0.1, sink.leave, handle)
 
     # --- faults ---------------------------------------------------------------------------
@@ -259,24 +261,24 @@
             self._restart(server)
         elif draw < 0.3:
             server.draining = not server.draining
-            self._tell("directory")
+            self._broadcast("directory")
         elif draw < 0.4:
             self._evacuated = frozenset() if self._evacuated else frozenset({server.zone})
-            self._tell("document")
+            self._broadcast("document")
         else:
-            server.conduct = self._random.choice(list(Conduct))
+            server.behavior = self._random.choice(list(Behavior))
             self._loop.call_later(self._random.uniform(0.2, 4.0), _recover, server)
 
     def _restart(self, server: ModelServer) -> None:
         """The server is gone and comes back cold, as another incarnation."""
         server.starts += 1
-        server.conduct = Conduct.WELL
-        server.cold_until = self._loop.time() + COLD_S
-        self._tell("directory")
+        server.behavior = Behavior.WELL
+        server.slow_start_until = self._loop.time() + SLOW_START_S
+        self._broadcast("directory")
 
 
 def _recover(server: ModelServer) -> None:
-    server.conduct = Conduct.WELL
+    server.behavior = Behavior.WELL
 
 
 def _row(server: ModelServer, now: float) -> ServerRow:
@@ -289,11 +291,11 @@
         health=ServerHealth.READY,
         incarnation=server.incarnation,
         draining=server.draining,
-        cold_remaining_s=max(0.0, server.cold_until - now),
+        cold_remaining_s=max(0.0, server.slow_start_until - now),
     )
 
 
-class _Sink:
+class CallerSink:
     """A caller that reads everything at once."""
 
     unsent_bytes = 0
@@ -313,11 +315,11 @@
 
     def end(self) -> None:
         """The answer is whole."""
-        self._close(Ending.WHOLE)
+        self._close(Ending.COMPLETE)
 
     def abort(self) -> None:
         """The connection broke."""
-        self._close(Ending.CUT)
+        self._close(Ending.BROKEN)
 
     def respond(self, status: int, headers: HeaderList, body: bytes) -> None:
         """Take a whole answer of the node."""
--- a/src/zincvale/simulator/forwarding/servers.py
+++ b/src/zincvale/simulator/forwarding/servers.py
@@ -21,7 +21,7 @@
 WORK_S = (0.01, 0.4)
 
 
-class Conduct(enum.Enum):
+class Behavior(enum.Enum):
     """How a server behaves at a time."""
 
     WELL = "well"
@@ -47,8 +47,8 @@
     address: str
     zone: str
     starts: int = 1
-    conduct: Conduct = Conduct.WELL
-    cold_until: float = 0.0
+    behavior: Behavior = Behavior.WELL
+    slow_start_until: float = 0.0
     draining: bool = False
 
     @property
@@ -68,8 +68,8 @@
     def cancel(self) -> None:
         """Give it up: nothing more is told."""
         self.is_cancelled = True
-        if self.run is not None and self.run.answered_at is None:
-            self.run.given_up_at = asyncio.get_running_loop().time()
+        if self.run is not None and self.run.responded_at is None:
+            self.run.cancelled_at = asyncio.get_running_loop().time()
 
     def pause(self) -> None:
         """Model callers read as fast as they are written to."""
@@ -102,7 +102,7 @@
         task = _Visit(self, self.servers[address], request, listener, exchange)
         loop = asyncio.get_running_loop()
         server = self.servers[address]
-        if server.conduct is Conduct.DARK:
+        if server.behavior is Behavior.DARK:
             loop.call_later(CONNECT_LIMIT_S, task.not_connected)
         else:
             loop.call_later(self.random.uniform(*DELAY_S), task.arrive, loop.time())
@@ -134,7 +134,7 @@
         self._request_id = self._headers[REQUEST_ID]
         self._is_stream = request.target.startswith("/stream")
         self._incarnation = server.incarnation
-        self._knew = (client.knows_draining(server), client.knows_evacuated(server))
+        self._node_knew = (client.knows_draining(server), client.knows_evacuated(server))
         self._resumed_after = int(self._headers.get(LAST_EVENT_ID, "") or 0)
 
     def not_connected(self) -> None:
@@ -147,7 +147,7 @@
         if self._exchange.is_cancelled:
             return
         server = self._server
-        if server.conduct in (Conduct.DOWN, Conduct.DARK):
+        if server.behavior in (Behavior.DOWN, Behavior.DARK):
             self._listener.on_not_sent("refused")
             return
         now = self._loop.time()
@@ -160,15 +160,15 @@
                 self._client.node,
                 sent_at,
                 now,
-                now < server.cold_until,
-                *self._knew,
+                now < server.slow_start_until,
+                *self._node_knew,
                 misdirected,
             )
         )
         if misdirected:
             self._head(421)
             self._end()
-        elif server.conduct is Conduct.FULL:
+        elif server.behavior is Behavior.FULL:
             self._head(503, (NEVER_RAN, "1"))
             self._end()
         else:
@@ -184,7 +184,7 @@
         self._client.journal.runs.append(run)
         self._exchange.run = run
         work_s = self._client.random.uniform(*WORK_S)
-        self._loop.call_later(work_s, self._answer, self._pieces(body))
+        self._loop.call_later(work_s, self._respond, self._chunks_of(body))
 
     def _body(self) -> bytes:
         """Return an answer that no other run has: incarnation and request are in each event."""
@@ -194,47 +194,54 @@
         numbers = range(self._resumed_after + 1, STREAM_EVENTS + 1)
         return b"".join(f"id: {each}\ndata: {name}\n\n".encode() for each in numbers)
 
-    def _pieces(self, body: bytes) -> list[bytes]:
+    def _chunks_of(self, body: bytes) -> list[bytes]:
         if not self._is_stream:
             return [body]
         return [event + b"\n\n" for event in body.split(b"\n\n") if event]
 
-    def _answer(self, pieces: list[bytes]) -> None:
-        conduct = self._server.conduct
-        if self._exchange.is_cancelled or conduct is Conduct.SILENT:
+    def _respond(self, chunks: list[bytes]) -> None:
+        behavior = self._server.behavior
+        if self._exchange.is_cancelled or behavior is Behavior.SILENT:
             return
-        if self._server.incarnation != self._incarnation or conduct in (Conduct.DOWN, Conduct.DARK):
-            self._note_answered()
+        if self._server.incarnation != self._incarnation or behavior in (
+            Behavior.DOWN,
+            Behavior.DARK,
+        ):
+            self._mark_responded()
             self._listener.on_broken("reset")
-        elif conduct is Conduct.GREY:
+        elif behavior is Behavior.GREY:
             self._head(500)
             self._end()
         else:
             self._head(200)
-            self._write(pieces)
+            self._write(chunks)
 
-    def _write(self, pieces: list[bytes]) -> None:
-        if self._exchange.is_cancelled or self._server.conduct is Conduct.SILENT:
+    def _write(self, chunks: list[bytes]) -> None:
+        if self._exchange.is_cancelled or self._server.behavior is Behavior.SILENT:
             return
-        gone = self._server.incarnation != self._incarnation
-        if gone or self._server.conduct in (Conduct.BREAKS, Conduct.DOWN, Conduct.DARK):
-            self._break_off(pieces)
+        has_restarted = self._server.incarnation != self._incarnation
+        if has_restarted or self._server.behavior in (
+            Behavior.BREAKS,
+            Behavior.DOWN,
+            Behavior.DARK,
+        ):
+            self._break_off(chunks)
             return
-        if not pieces:
+        if not chunks:
             self._end()
             return
-        self._listener.on_content(pieces[0])
-        self._loop.call_later(EVENT_GAP_S if self._is_stream else 0.0, self._write, pieces[1:])
+        self._listener.on_content(chunks[0])
+        self._loop.call_later(EVENT_GAP_S if self._is_stream else 0.0, self._write, chunks[1:])
 
-    def _note_answered(self) -> None:
+    def _mark_responded(self) -> None:
         run = self._exchange.run
-        if run is not None and run.answered_at is None:
-            run.answered_at = self._loop.time()
+        if run is not None and run.responded_at is None:
+            run.responded_at = self._loop.time()
 
-    def _break_off(self, pieces: list[bytes]) -> None:
-        self._note_answered()
-        if pieces:
-            self._listener.on_content(pieces[0][: self._client.random.randrange(len(pieces[0]))])
+    def _break_off(self, chunks: list[bytes]) -> None:
+        self._mark_responded()
+        if chunks:
+            self._listener.on_content(chunks[0][: self._client.random.randrange(len(chunks[0]))])
         if not self._exchange.is_cancelled:
             self._listener.on_broken("reset")
 
@@ -244,6 +251,6 @@
         self._listener.on_head(ResponseHead(status, "", named))
 
     def _end(self) -> None:
-        self._note_answered()
+        self._mark_responded()
         if not self._exchange.is_cancelled:
             self._listener.on_complete()
--- a/src/zincvale/simulator/register_exploration.py
+++ b/src/zincvale/simulator/register_exploration.py
@@ -65,7 +65,7 @@
 
 
 @attrs.frozen
-class World:
+class ModelState:
     """Everything at one moment, as indices into the explorer's tables."""
 
     actors: tuple[int, ...]
@@ -149,17 +149,17 @@
     def explore(self, starts: tuple[int, ...], limit: int) -> Exploration:
         """Visit every state, depth first, up to `limit`."""
         found = Exploration()
-        first = self._first_world(starts)
+        first = self._first_state(starts)
         seen = {first}
         pending = [(first, 0)]
         while pending and len(seen) < limit:
-            world, depth = pending.pop()
+            state, depth = pending.pop()
             found.depth = max(found.depth, depth)
-            for after in self._successors(world):
+            for after in self._successors(state):
                 found.transitions += 1
                 if after in seen:
                     continue
-                found.problem = self._problem(after)
+                found.problem = self._find_problem(after)
                 if found.problem:
                     return self._finish(found, seen)
                 seen.add(after)
@@ -172,30 +172,32 @@
         found = Exploration()
         source = random.Random(seed)
         for _ in range(walks):
-            world = self._first_world(starts)
+            state = self._first_state(starts)
             depth = 0
-            while successors := list(self._successors(world)):
-                world = source.choice(successors)
+            while successors := list(self._successors(state)):
+                state = source.choice(successors)
                 depth += 1
-                found.problem = self._problem(world)
+                found.problem = self._find_problem(state)
                 if found.problem:
                     return self._finish(found, set())
             found.transitions += depth
             found.depth = max(found.depth, depth)
         return self._finish(found, set())
 
-    def _finish(self, found: Exploration, seen: set[World]) -> Exploration:
+    def _finish(self, found: Exploration, seen: set[ModelState]) -> Exploration:
         found.states = len(seen)
         found.chosen = max(len({each.position for each in chosen}) for chosen in self._chosen)
         return found
 
     # --- steps ----------------------------------------------------------------------------
 
-    def _first_world(self, starts: tuple[int, ...]) -> World:
+    def _first_state(self, starts: tuple[int, ...]) -> ModelState:
         actors: list[Any] = [self._proposer(name) for name in PROPOSERS]
         actors += [_Replica(RegisterReplica(RecoveredState(DISK), Timings())) for _ in REPLICAS]
-        indices = tuple(self._intern_actor(place, each) for place, each in enumerate(actors))
-        return World(indices, (), 0, starts)
+        indices = tuple(
+            self._intern_actor(actor_index, each) for actor_index, each in enumerate(actors)
+        )
+        return ModelState(indices, (), 0, starts)
 
     def _proposer(self, name: str) -> RegisterOwner:
         owner = RegisterOwner(KEY, f"{name}/1", _append, Timings())
@@ -204,37 +206,44 @@
             owner.submit(f"{name}:{order}", change, 0.0)
         return owner
 
-    def _successors(self, world: World) -> Iterator[World]:
-        for place, left in enumerate(world.starts_left):
+    def _successors(self, state: ModelState) -> Iterator[ModelState]:
+        for actor_index, left in enumerate(state.starts_left):
             if left:
-                starts = tuple(each - (at == place) for at, each in enumerate(world.starts_left))
-                step = self._step(world, place, START)
-                yield self._apply(world, place, step, None, starts)
-        for place in range(len(PROPOSERS), len(NAMES)):
-            step = self._step(world, place, RESTART)
-            if step.actor != world.actors[place]:
-                yield self._apply(world, place, step, None, world.starts_left)
-        for index in world.flights:
-            place = self._flights[index].receiver
-            step = self._step(world, place, index)
-            yield self._apply(world, place, step, index, world.starts_left)
-            if place >= len(PROPOSERS):
-                crashed = self._step(world, place, -index + CRASH)
+                starts = tuple(
+                    each - (at == actor_index) for at, each in enumerate(state.starts_left)
+                )
+                step = self._step(state, actor_index, START)
+                yield self._apply(state, actor_index, step, None, starts)
+        for actor_index in range(len(PROPOSERS), len(NAMES)):
+            step = self._step(state, actor_index, RESTART)
+            if step.actor != state.actors[actor_index]:
+                yield self._apply(state, actor_index, step, None, state.starts_left)
+        for index in state.flights:
+            actor_index = self._flights[index].receiver
+            step = self._step(state, actor_index, index)
+            yield self._apply(state, actor_index, step, index, state.starts_left)
+            if actor_index >= len(PROPOSERS):
+                crashed = self._step(state, actor_index, -index + CRASH)
                 if crashed.sent:
-                    yield self._apply(world, place, crashed, index, world.starts_left)
+                    yield self._apply(state, actor_index, crashed, index, state.starts_left)
 
     def _apply(
-        self, world: World, place: int, step: _Step, taken: int | None, starts: tuple[int, ...]
-    ) -> World:
-        actors = (*world.actors[:place], step.actor, *world.actors[place + 1 :])
-        flights = set(world.flights) | set(step.sent)
+        self,
+        state: ModelState,
+        actor_index: int,
+        step: _Step,
+        taken: int | None,
+        starts: tuple[int, ...],
+    ) -> ModelState:
+        actors = (*state.actors[:actor_index], step.actor, *state.actors[actor_index + 1 :])
+        flights = set(state.flights) | set(step.sent)
         if taken is not None and taken not in step.sent:
             flights.discard(taken)
         alive = sorted(each for each in flights if not self._is_dead(each, actors, starts))
-        chosen = world.chosen
+        chosen = state.chosen
         if step.chosen:
             chosen = self._intern_chosen(self._chosen[chosen] | frozenset(step.chosen))
-        return World(actors, tuple(alive), chosen, starts)
+        return ModelState(actors, tuple(alive), chosen, starts)
 
     def _is_dead(self, index: int, actors: tuple[int, ...], starts: tuple[int, ...]) -> bool:
         """Whether a message will never have an effect: its receiver has moved on for good."""
@@ -251,15 +260,15 @@
                 return bool(position.epoch < epoch)
         return False
 
-    def _step(self, world: World, place: int, event: int) -> _Step:
-        key = (world.actors[place], place, event)
+    def _step(self, state: ModelState, actor_index: int, event: int) -> _Step:
+        key = (state.actors[actor_index], actor_index, event)
         known = self._steps.get(key)
         if known is None:
-            known = self._work_out(world.actors[place], place, event)
+            known = self._compute_step(state.actors[actor_index], actor_index, event)
             self._steps[key] = known
         return known
 
-    def _work_out(self, actor: int, place: int, event: int) -> _Step:
+    def _compute_step(self, actor: int, actor_index: int, event: int) -> _Step:
         machine = pickle.loads(self._actors[actor])
         effects: list[Effect] = []
         if event == RESTART:
@@ -272,17 +281,21 @@
             sender = NAMES[flight.sender]
             if event < 0:
                 effects = machine.handle_and_crash(sender, message)
-            elif place < len(PROPOSERS):
+            elif actor_index < len(PROPOSERS):
                 effects = machine.handle(MemberId(sender), message, 0.0)
             else:
                 effects = machine.handle(sender, message)
-        chosen = _take_chosen(machine) if place < len(PROPOSERS) else ()
-        sent = [self._fly(place, effect) for effect in effects if isinstance(effect, Send)]
-        return _Step(self._intern_actor(place, machine), tuple(sent), chosen)
+        chosen = _take_chosen(machine) if actor_index < len(PROPOSERS) else ()
+        sent = [
+            self._intern_flight(actor_index, effect)
+            for effect in effects
+            if isinstance(effect, Send)
+        ]
+        return _Step(self._intern_actor(actor_index, machine), tuple(sent), chosen)
 
     # --- tables ---------------------------------------------------------------------------
 
-    def _fly(self, sender: int, effect: Send) -> int:
+    def _intern_flight(self, sender: int, effect: Send) -> int:
         text = repr(effect.message)
         if text not in self._message_index:
             self._message_index[text] = len(self._messages)
@@ -299,10 +312,10 @@
             self._chosen.append(chosen)
         return self._chosen_index[chosen]
 
-    def _intern_actor(self, place: int, machine: Any) -> int:
-        is_proposer = place < len(PROPOSERS)
+    def _intern_actor(self, actor_index: int, machine: Any) -> int:
+        is_proposer = actor_index < len(PROPOSERS)
         state = _proposer_text(machine) if is_proposer else _replica_text(machine)
-        text = f"{place} {state}"
+        text = f"{actor_index} {state}"
         if text not in self._actor_index:
             self._actor_index[text] = len(self._actors)
             self._actors.append(pickle.dumps(machine))
@@ -313,8 +326,8 @@
 
     # --- the claim ------------------------------------------------------------------------
 
-    def _problem(self, world: World) -> str:
-        chosen = sorted(self._chosen[world.chosen], key=lambda each: each.position)
+    def _find_problem(self, state: ModelState) -> str:
+        chosen = sorted(self._chosen[state.chosen], key=lambda each: each.position)
         for one, later in zip(chosen, chosen[1:], strict=False):
             if one.position.version == later.position.version and one.text != later.text:
                 return f"version {one.position.version} is {one.text!r} and {later.text!r}"
@@ -325,9 +338,11 @@
                 return f"an order was applied twice: {each.text!r}"
         if chosen:
             newest = chosen[-1].position
-            holders = [at for at in world.actors[len(PROPOSERS) :] if self._durable[at] >= newest]
-            if len(holders) < MAJORITY:
-                return f"{newest} was chosen and is on {len(holders)} disks"
+            durable_at = [
+                at for at in state.actors[len(PROPOSERS) :] if self._durable[at] >= newest
+            ]
+            if len(durable_at) < MAJORITY:
+                return f"{newest} was chosen and is on {len(durable_at)} disks"
         return ""
 
 
--- a/src/zincvale/simulator/schedules/directed.py
+++ b/src/zincvale/simulator/schedules/directed.py
@@ -20,58 +20,58 @@
 _NODES = tuple(f"node-{index + 1}" for index in range(NODES))
 
 
-def _others(place: int) -> tuple[str, ...]:
-    return tuple(core for core in CORES if core != CORES[place])
+def _others(core_index: int) -> tuple[str, ...]:
+    return tuple(core for core in CORES if core != CORES[core_index])
 
 
 def _change(at_s: float, core: str) -> Step:
     return Step(at_s, "change", (core,))
 
 
-def cut_holder_and_restarted_grantors(place: int) -> tuple[Step, ...]:
+def cut_holder_and_restarted_grantors(core_index: int) -> tuple[Step, ...]:
     """The role's holder is cut off and the other cores restart at once."""
-    one = CORES[place]
+    one = CORES[core_index]
     return (
         Step(3.0, "cut", (one,), CORES, 9.0),
-        Step(3.05, "kill", _others(place), (), 0.1),
+        Step(3.05, "kill", _others(core_index), (), 0.1),
     )
 
 
-def cut_node_and_restarted_cores(place: int) -> tuple[Step, ...]:
+def cut_node_and_restarted_cores(core_index: int) -> tuple[Step, ...]:
     """A node is cut off, every core restarts, and a change comes at once."""
     return (
-        _change(0.5, CORES[place]),
-        Step(2.0, "cut", (_NODES[place],), (), 4.0),
+        _change(0.5, CORES[core_index]),
+        Step(2.0, "cut", (_NODES[core_index],), (), 4.0),
         Step(2.02, "kill", CORES, (), 0.03),
-        _change(2.1, CORES[place]),
-        _change(2.4, CORES[(place + 1) % 3]),
+        _change(2.1, CORES[core_index]),
+        _change(2.4, CORES[(core_index + 1) % 3]),
     )
 
 
-def cut_node_and_restarted_majority(place: int) -> tuple[Step, ...]:
+def cut_node_and_restarted_majority(core_index: int) -> tuple[Step, ...]:
     """A node is cut off, two cores restart, and a change comes at once through the third."""
     return (
-        _change(0.5, CORES[place]),
-        Step(2.0, "cut", (_NODES[place],), (), 4.0),
-        Step(2.01, "kill", _others(place), (), 0.02),
-        _change(2.05, CORES[place]),
-        _change(2.3, CORES[place]),
+        _change(0.5, CORES[core_index]),
+        Step(2.0, "cut", (_NODES[core_index],), (), 4.0),
+        Step(2.01, "kill", _others(core_index), (), 0.02),
+        _change(2.05, CORES[core_index]),
+        _change(2.3, CORES[core_index]),
     )
 
 
-def stale_node_and_restarted_cores(place: int) -> tuple[Step, ...]:
+def stale_node_and_restarted_cores(core_index: int) -> tuple[Step, ...]:
     """A node misses a change, every core restarts, and the node comes back at that moment."""
     return (
-        _change(0.5, CORES[place]),
-        Step(2.0, "cut", (_NODES[place],), (), 4.0),
-        _change(2.1, CORES[place]),
+        _change(0.5, CORES[core_index]),
+        Step(2.0, "cut", (_NODES[core_index],), (), 4.0),
+        _change(2.1, CORES[core_index]),
         Step(5.85, "kill", CORES, (), 0.05),
     )
 
 
-def disk_lost_after_acknowledgement(place: int) -> tuple[Step, ...]:
+def disk_lost_after_acknowledgement(core_index: int) -> tuple[Step, ...]:
     """One core misses a change, and one that has it loses its disk after the acknowledgement."""
-    one, (other, third) = CORES[place], _others(place)
+    one, (other, third) = CORES[core_index], _others(core_index)
     return (
         _change(0.5, one),
         Step(1.0, "cut", (third,), (), 3.0),
@@ -83,22 +83,22 @@
     )
 
 
-def change_below_a_majority(place: int) -> tuple[Step, ...]:
+def change_below_a_majority(core_index: int) -> tuple[Step, ...]:
     """An owner's change reaches itself alone; then it goes silent and the others go on."""
-    one = CORES[place]
+    one = CORES[core_index]
     return (
         _change(0.5, one),
         Step(1.999, "cut", (one,), CORES, 4.0),
         _change(2.0, one),
         _change(2.3, one),
-        _change(3.2, _others(place)[0]),
-        _change(4.5, _others(place)[1]),
+        _change(3.2, _others(core_index)[0]),
+        _change(4.5, _others(core_index)[1]),
     )
 
 
-def second_loss_after_repair(place: int) -> tuple[Step, ...]:
+def second_loss_after_repair(core_index: int) -> tuple[Step, ...]:
     """A lost disk is replaced; the moment this is done, a second one is lost."""
-    one, (other, third) = CORES[place], _others(place)
+    one, (other, third) = CORES[core_index], _others(core_index)
     return (
         _change(0.5, one),
         Step(1.0, "lose-disk", (one,), (), 0.5),
@@ -110,64 +110,65 @@
     )
 
 
-def seeds_replaced_one_by_one(place: int) -> tuple[Step, ...]:
+def seeds_replaced_one_by_one(core_index: int) -> tuple[Step, ...]:
     """Every first core is replaced by an empty one at a new address."""
     replacements = tuple(
         Step(1.0 + 16.0 * turn, "replace", ("core:0",), (), 1.0) for turn in (0, 1, 2)
     )
-    changes = tuple(_change(0.5 + 8.0 * turn, CORES[(place + turn) % 3]) for turn in range(6))
+    changes = tuple(_change(0.5 + 8.0 * turn, CORES[(core_index + turn) % 3]) for turn in range(6))
     return (*replacements, *changes)
 
 
-def twenty_silent_seconds(place: int) -> tuple[Step, ...]:
+def twenty_silent_seconds(core_index: int) -> tuple[Step, ...]:
     """A core freezes for 20 s while changes go on."""
     return (
-        Step(1.0, "freeze", (CORES[place],), (), 20.0),
-        *(_change(at_s, _others(place)[0]) for at_s in (2.0, 5.0, 10.0, 15.0)),
-        Step(21.01, "change-on-base", (CORES[place],)),
+        Step(1.0, "freeze", (CORES[core_index],), (), 20.0),
+        *(_change(at_s, _others(core_index)[0]) for at_s in (2.0, 5.0, 10.0, 15.0)),
+        Step(21.01, "change-on-base", (CORES[core_index],)),
     )
 
 
-def cut_in_two(place: int) -> tuple[Step, ...]:
+def cut_in_two(core_index: int) -> tuple[Step, ...]:
     """The core and the nodes are cut in two; changes are tried on both sides."""
-    inside = (CORES[place], _NODES[place])
+    inside = (CORES[core_index], _NODES[core_index])
     return (
         Step(1.0, "cut", inside, (), 6.0),
         *(_change(at_s, CORES[turn]) for turn, at_s in enumerate((1.5, 1.6, 1.7))),
-        Step(3.0, "race", (CORES[place],)),
+        Step(3.0, "race", (CORES[core_index],)),
     )
 
 
-def power_lost_everywhere(place: int) -> tuple[Step, ...]:
+def power_lost_everywhere(core_index: int) -> tuple[Step, ...]:
     """Every machine loses its power right after acknowledgements."""
     return (
-        _change(0.5, CORES[place]),
-        Step(1.0, "burst", (CORES[place],)),
+        _change(0.5, CORES[core_index]),
+        Step(1.0, "burst", (CORES[core_index],)),
         Step(1.1, "lose-power", (*CORES, *_NODES), (), 0.3),
-        _change(2.5, CORES[(place + 1) % 3]),
+        _change(2.5, CORES[(core_index + 1) % 3]),
         Step(5.5, "resend", amount=0.1),
         Step(6.0, "lose-power", (*CORES, *_NODES), (), 0.1),
     )
 
 
-def orders_resent_to_new_owners(place: int) -> tuple[Step, ...]:
+def orders_resent_to_new_owners(core_index: int) -> tuple[Step, ...]:
     """Cores die one after the other while racing and old orders come through all of them."""
     kills = tuple(
-        Step(1.5 + 3.0 * turn, "kill", (CORES[(place + turn) % 3],), (), 2.5) for turn in range(3)
+        Step(1.5 + 3.0 * turn, "kill", (CORES[(core_index + turn) % 3],), (), 2.5)
+        for turn in range(3)
     )
     resends = tuple(Step(3.0 + turn, "resend", amount=0.07 * turn) for turn in range(7))
     return (
-        Step(0.5, "burst", (CORES[place],)),
-        Step(1.0, "race", (CORES[place],)),
+        Step(0.5, "burst", (CORES[core_index],)),
+        Step(1.0, "race", (CORES[core_index],)),
         *kills,
         *resends,
-        Step(10.5, "race", (CORES[place],)),
+        Step(10.5, "race", (CORES[core_index],)),
     )
 
 
-def owner_returns(place: int) -> tuple[Step, ...]:
+def owner_returns(core_index: int) -> tuple[Step, ...]:
     """An owner is cut off while changes go on, returns, and owns again what it once owned."""
-    one, (other, third) = CORES[place], _others(place)
+    one, (other, third) = CORES[core_index], _others(core_index)
     return (
         _change(0.5, one),
         Step(1.0, "cut", (one,), (), 4.0),
@@ -180,14 +181,14 @@
     )
 
 
-def every_disk_lost(place: int) -> tuple[Step, ...]:
+def every_disk_lost(core_index: int) -> tuple[Step, ...]:
     """Every core loses its disk; the nodes give back what was acknowledged."""
     return (
-        _change(0.5, CORES[place]),
-        _change(1.0, CORES[place]),
+        _change(0.5, CORES[core_index]),
+        _change(1.0, CORES[core_index]),
         Step(3.0, "lose-every-disk", for_s=0.5),
-        _change(16.0, CORES[place]),
-        _change(18.0, CORES[(place + 1) % 3]),
+        _change(16.0, CORES[core_index]),
+        _change(18.0, CORES[(core_index + 1) % 3]),
     )
 
 
@@ -214,8 +215,8 @@
     what."""
     schedules = []
     for turn in range(len(CORES) * SEEDS_PER_CORE):
-        place = turn % len(CORES)
-        steps = SCENARIOS[name](place)
+        core_index = turn % len(CORES)
+        steps = SCENARIOS[name](core_index)
         length_s = max(step.at_s + step.for_s for step in steps) + 0.5
         ordered = tuple(sorted(steps, key=lambda step: step.at_s))
         schedules.append(Schedule(FIRST_SEED + turn, NODES, length_s, False, ordered))
--- a/src/zincvale/simulator/schedules/drawing.py
+++ b/src/zincvale/simulator/schedules/drawing.py
@@ -7,10 +7,10 @@
 
 import attrs
 
-from zincvale.simulator.cluster.operations import CORE_PLACE, draw_operation
+from zincvale.simulator.cluster.operations import CORE_INDEX_PREFIX, draw_operation
 from zincvale.simulator.schedules.schedule import Schedule, Step
 
-CORES = tuple(f"{CORE_PLACE}{place}" for place in range(3))
+CORES = tuple(f"{CORE_INDEX_PREFIX}{index}" for index in range(3))
 NODE_COUNTS = (2, 3, 4, 5, 5)
 OPERATION_INTERVAL_S = 0.6
 FAULTS_FROM_S = 1.0
@@ -84,25 +84,25 @@
     return (source.choice([*CORES, *nodes]),)
 
 
-def _draw_cut(source: random.Random, nodes: list[str], at_s: float) -> Step:
+def _draw_partition(source: random.Random, nodes: list[str], at_s: float) -> Step:
     """Cut off one process, a group, or nodes from all cores."""
     action = source.choice(("cut", "cut", "cut-one-way"))
-    everyone = [*CORES, *nodes]
+    all_members = [*CORES, *nodes]
     match source.choice(("one", "group", "island", "core-from-cores", "pair")):
         case "one":
             return Step(at_s, action, _one_of_all(source, nodes), (), _seconds(source))
         case "group":
-            return Step(at_s, action, _some(source, everyone), (), _seconds(source))
+            return Step(at_s, action, _some(source, all_members), (), _seconds(source))
         case "island":
             return Step(at_s, action, _some(source, nodes), CORES, _seconds(source))
         case "core-from-cores":
             return Step(at_s, action, _one_core(source), CORES, _seconds(source))
         case _:
-            one, other = source.sample(everyone, 2)
+            one, other = source.sample(all_members, 2)
             return Step(at_s, action, (one,), (other,), _seconds(source))
 
 
-def _draw_weather(source: random.Random, nodes: list[str], at_s: float) -> Step:
+def _draw_link_conditions(source: random.Random, nodes: list[str], at_s: float) -> Step:
     if source.random() < 0.5:
         return Step(at_s, "slow", _one_of_all(source, nodes), (), _seconds(source))
     return Step(at_s, "storm", for_s=_seconds(source), amount=round(source.uniform(0.02, 0.4), 3))
@@ -139,8 +139,8 @@
 
 
 KINDS: tuple[tuple[DrawFault, int], ...] = (
-    (_draw_cut, 5),
-    (_draw_weather, 2),
+    (_draw_partition, 5),
+    (_draw_link_conditions, 2),
     (_draw_freeze, 3),
     (_draw_kill, 3),
     (_draw_disk, 2),
--- a/src/zincvale/simulator/schedules/schedule.py
+++ b/src/zincvale/simulator/schedules/schedule.py
@@ -55,14 +55,14 @@
         f"{', through the codec' if schedule.uses_codec else ''}"
     ]
     for step in schedule.steps:
-        parts = [f"{step.at_s:7.3f} s  {step.action}"]
+        columns = [f"{step.at_s:7.3f} s  {step.action}"]
         if step.members:
-            parts.append(" ".join(step.members))
+            columns.append(" ".join(step.members))
         if step.others:
-            parts.append(f"| {' '.join(step.others)}")
+            columns.append(f"| {' '.join(step.others)}")
         if step.for_s:
-            parts.append(f"for {step.for_s:.2f} s")
+            columns.append(f"for {step.for_s:.2f} s")
         if step.amount:
-            parts.append(f"amount {step.amount:g}")
-        lines.append("  ".join(parts))
+            columns.append(f"amount {step.amount:g}")
+        lines.append("  ".join(columns))
     return lines
--- a/src/zincvale/simulator/schedules/shrink.py
+++ b/src/zincvale/simulator/schedules/shrink.py
@@ -40,22 +40,22 @@
 
     def _without_steps(self, schedule: Schedule) -> Schedule:
         """Leave out ever smaller parts (ddmin)."""
-        parts = 2
-        while schedule.steps and parts <= 2 * len(schedule.steps):
-            parts = min(parts, len(schedule.steps))
-            shorter = self._without_one_part(schedule, parts)
+        granularity = 2
+        while schedule.steps and granularity <= 2 * len(schedule.steps):
+            granularity = min(granularity, len(schedule.steps))
+            shorter = self._without_one_subset(schedule, granularity)
             if shorter is not None:
                 schedule = shorter
-                parts = max(parts - 1, 2)
-            elif parts == len(schedule.steps):
+                granularity = max(granularity - 1, 2)
+            elif granularity == len(schedule.steps):
                 break
             else:
-                parts *= 2
+                granularity *= 2
         return schedule
 
-    def _without_one_part(self, schedule: Schedule, parts: int) -> Schedule | None:
+    def _without_one_subset(self, schedule: Schedule, granularity: int) -> Schedule | None:
         steps = schedule.steps
-        bounds = [len(steps) * part // parts for part in range(parts + 1)]
+        bounds = [len(steps) * subset // granularity for subset in range(granularity + 1)]
         for first, last in zip(bounds, bounds[1:], strict=False):
             candidate = schedule.with_steps((*steps[:first], *steps[last:]))
             if self._try(candidate):
@@ -64,17 +64,17 @@
 
     def _with_fewer_members(self, schedule: Schedule) -> Schedule:
         """Leave out members of faults that concern several."""
-        for place in range(len(schedule.steps)):
-            for member in schedule.steps[place].members:
-                step = schedule.steps[place]
+        for index in range(len(schedule.steps)):
+            for member in schedule.steps[index].members:
+                step = schedule.steps[index]
                 rest = tuple(each for each in step.members if each != member)
                 if not rest:
                     break
-                candidate = _with_step(schedule, place, attrs.evolve(step, members=rest))
+                candidate = _with_step(schedule, index, attrs.evolve(step, members=rest))
                 if self._try(candidate):
                     schedule = candidate
         return schedule
 
 
-def _with_step(schedule: Schedule, place: int, step: Step) -> Schedule:
-    return schedule.with_steps((*schedule.steps[:place], step, *schedule.steps[place + 1 :]))
+def _with_step(schedule: Schedule, index: int, step: Step) -> Schedule:
+    return schedule.with_steps((*schedule.steps[:index], step, *schedule.steps[index + 1 :]))
--- a/tests/golden/decisions_of_cluster.py
+++ b/tests/golden/decisions_of_cluster.py
@@ -10,7 +10,7 @@
 from tests.golden.decision_log import DecisionLog, watched
 from zincvale.dataplane.claims.node_machine import ClaimsNode
 from zincvale.simulator.claims.run import ClaimsRun
-from zincvale.simulator.cluster.event_loop import World
+from zincvale.simulator.cluster.simulation import Simulation
 from zincvale.simulator.register_exploration import Explorer
 from zincvale.simulator.schedules.drawing import draw_schedule
 from zincvale.simulator.schedules.run import Run
@@ -25,12 +25,12 @@
 def _watched_world(log: DecisionLog) -> Any:
     """Note every effect of every process: who, when by the true and by its own clock, what."""
 
-    def carried_out(world: World, process: Any, effect: Any, source: Any, inputs: Any) -> None:
+    def carried_out(world: Simulation, process: Any, effect: Any, source: Any, inputs: Any) -> None:
         came_through = source.member if source is not None else ""
         now = world.now
         log.effect(effect, process.member, process.run, now, process.local(now), came_through)
 
-    return watched(World, World._carry_out, carried_out)
+    return watched(Simulation, Simulation._execute, carried_out)
 
 
 def cluster_digest(seed: int) -> str:
--- a/tests/golden/decisions_of_forwarding.py
+++ b/tests/golden/decisions_of_forwarding.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tests.golden.decision_log import DecisionLog, watched
-from zincvale.simulator.forwarding.model import _Model, _Sink
+from zincvale.simulator.forwarding.model import CallerSink, ForwardingModel
 from zincvale.simulator.forwarding.servers import ModelClient, ModelExchange
 
 FORWARDING_SEEDS = range(1, 201)
@@ -34,9 +34,9 @@
     with (
         watched(ModelClient, ModelClient.start, started),
         watched(ModelExchange, ModelExchange.cancel, cancelled),
-        watched(_Sink, _Sink.open, opened),
-        watched(_Sink, _Sink.write, wrote),
-        watched(_Sink, _Sink._close, closed),
+        watched(CallerSink, CallerSink.open, opened),
+        watched(CallerSink, CallerSink.write, wrote),
+        watched(CallerSink, CallerSink._close, closed),
     ):
         yield
 
@@ -44,7 +44,7 @@
 def forwarding_digest(seed: int) -> str:
     log = DecisionLog()
     with _watched_edges(log):
-        model = _Model(seed)
+        model = ForwardingModel(seed)
         model.play()
     log.add("callers", model.journal.callers)
     log.add("arrivals", model.journal.arrivals)
--- a/tests/simulator/test_parts.py
+++ b/tests/simulator/test_parts.py
@@ -12,7 +12,7 @@
 from zincvale.coordination.registers.change_messages import CONFLICT, IN_FORCE
 from zincvale.model.errors import InvalidInputError
 from zincvale.simulator.cluster.history import Attempt, check_history
-from zincvale.simulator.cluster.network import Network, Weather, both_ways, one_way
+from zincvale.simulator.cluster.network import LinkConditions, Network, both_ways, one_way
 from zincvale.simulator.cluster.virtual_disk import PowerLossError, VirtualDisk
 from zincvale.simulator.schedules.drawing import draw_schedule
 from zincvale.simulator.schedules.exploring import parse_seeds
@@ -123,15 +123,15 @@
     def test_cuts_nest_and_weather_ends(self) -> None:
         network = Network(random.Random(1))
         links = both_ways(["a"], ["b"])
-        network.cut(links)
-        network.cut(one_way(["a"], ["b"]))
-        network.mend(links)
+        network.block(links)
+        network.block(one_way(["a"], ["b"]))
+        network.unblock(links)
         self.assertEqual([], network.deliveries("a", "b"))
         self.assertEqual(1, len(network.deliveries("b", "a")))
         network.heal()
-        token = network.set_weather(None, Weather(duplication=1.0))
+        token = network.set_conditions(None, LinkConditions(duplication=1.0))
         self.assertEqual(2, len(network.deliveries("a", "b")))
-        network.end_weather(token)
+        network.clear_conditions(token)
         self.assertEqual(1, len(network.deliveries("a", "b")))
 
 
