--- a/src/zincvale/simulator/claims/callers.py
+++ b/src/zincvale/simulator/claims/callers.py
@@ -28,7 +28,7 @@
 SOON_S = 0.005
 LATE_S = 3.0
 LATE_DISPATCHES = 0.2
-"""Part of the granted requests that wait long before they are dispatched."""
+"""Share of the granted requests that wait long before they are dispatched."""
 REFUSALS = 0.15
 UNKNOWN_OUTCOMES = 0.15
 RUN_S = (0.01, 1.5)
@@ -55,7 +55,7 @@
     # --- observer -------------------------------------------------------------------------
 
     def after_input(self, process: Process) -> None:
-        """Hold the invariants of control state; carry on what the claim service decided."""
+        """Check the invariants of control state; continue what the claim service decided."""
         self._checker.after_input(process)
         if process.kind != "node":
             return
@@ -89,7 +89,7 @@
             self._run_within(process, self._claim, process, RequestId(request))
 
     def _run_within(self, process: Process, action: Callable[..., None], *arguments: Any) -> None:
-        """Run `action` within a process: not while it is frozen, never when it is gone."""
+        """Run `action` within a process: not while it is frozen, never when it has ended."""
         if not process.is_alive:
             return
         if process.is_frozen:
--- a/src/zincvale/simulator/claims/machine.py
+++ b/src/zincvale/simulator/claims/machine.py
@@ -48,7 +48,7 @@
 
     Attributes
     ----------
-    results : decisions and confirmations that nobody took yet.
+    results : decisions and confirmations that the callers have not taken yet.
     wake_at : when the claim service wants a tick of its own.
     """
 
@@ -108,7 +108,7 @@
         return effects
 
     def _call_itself(self, call: Call, now: float) -> list[Effect]:
-        """Answer a call to this very node."""
+        """Handle a call of this node to itself."""
         effects: list[Effect] = []
         received = CallReceived(MemberId(self._member), call.token, call.message)
         for effect in self._feed_claims(received, now):
--- a/src/zincvale/simulator/claims/run.py
+++ b/src/zincvale/simulator/claims/run.py
@@ -1,6 +1,6 @@
 """At-most-once claims over the real control state: seeds, faults they survive, checks.
 
-What a claim's voters remember lives in memory. The faults drawn here keep to what the claims are
+What a claim's voters know is in memory. The faults drawn here keep to what the claims are
 made for: nodes die one at a time, with time to read back what they knew; freezes, cuts, losses and
 everything that happens to cores are free.
 """
--- a/src/zincvale/simulator/cluster/cluster.py
+++ b/src/zincvale/simulator/cluster/cluster.py
@@ -93,7 +93,7 @@
     def start(self, member: str, recover: bool = False) -> bool:
         """Start a member's daemon; return whether it came up.
 
-        With `recover`, a core is told that every disk was lost.
+        With `recover`, a core starts as after the loss of every disk.
         """
         if member in self.simulation.processes:
             return False
@@ -127,7 +127,7 @@
         self.machine(member).disk = VirtualDisk(self._random)
 
     def replace_core(self, member: str) -> str:
-        """End a core for ever; return the name of the empty one that takes its place."""
+        """Remove a core for good; return the name of the empty one that takes its place."""
         self.kill(member)
         self.machines.pop(member, None)
         self.cores.remove(member)
--- a/src/zincvale/simulator/cluster/faults.py
+++ b/src/zincvale/simulator/cluster/faults.py
@@ -24,7 +24,7 @@
 
 
 def partition(operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Cut `members` off from `others` (none named: everyone else), both ways."""
+    """Partition `members` from `others` (none named: all other members), both ways."""
     inside = members_of(cluster, step.members)
     others = members_of(cluster, step.others) or cluster.all_members()
     outside = [member for member in others if member not in inside]
@@ -32,7 +32,7 @@
 
 
 def partition_one_way(operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Lose everything that `members` send to `others` (none named: everyone else)."""
+    """Lose everything that `members` send to `others` (none named: all other members)."""
     inside = members_of(cluster, step.members)
     others = members_of(cluster, step.others) or cluster.all_members()
     outside = [member for member in others if member not in inside]
@@ -98,13 +98,13 @@
 
 
 def replace(operators: Operators, cluster: Cluster, step: Step) -> None:
-    """A core is gone for ever; an empty one starts at a new address."""
+    """A core is removed for good; an empty one starts at a new address."""
     for member in members_of(cluster, step.members):
         _start_later(cluster, cluster.replace_core(member), step)
 
 
 def lose_every_disk(operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Every core loses its disk at once; they start anew, told to take over what nodes hold."""
+    """Every core loses its disk at once; they start anew in recovery mode."""
     simulation = cluster.simulation
     for member in cluster.cores:
         cluster.lose_disk(member)
@@ -125,7 +125,7 @@
 
 
 def break_disk(operators: Operators, cluster: Cluster, step: Step) -> None:
-    """A core's disk answers with I/O errors for a while."""
+    """A core's disk fails with I/O errors for a while."""
     _fail_disk(cluster, step, errno.EIO)
 
 
--- a/src/zincvale/simulator/cluster/history.py
+++ b/src/zincvale/simulator/cluster/history.py
@@ -1,11 +1,13 @@
-"""What operators asked and were told, and the check that it is linearizable.
+"""What operators requested and got reported, and the check that it is linearizable.
 
 The register's value names every order that led to it (`intent_log`), so the linearization is known
-but for its times: the order at place v of the log took effect as version v. What remains is whether
-instants t(1) <= t(2) <= ... exist that respect every operation's interval. Each answer bounds them:
+but for its times: the order at index v of the log took effect as version v. What remains is whether
+instants t(1) <= t(2) <= ... exist that respect every operation's interval. Each response
+bounds them:
 
 - an order was not applied before its first attempt began;
-- an order answered `in-force` at v was applied when the answer came, and so was every earlier one;
+- an order answered `in-force` at v was applied when the response came, and so was every
+  earlier one;
 - a `conflict` with current version c saw version c and not c + 1 somewhere within its interval.
 
 The instants exist exactly when the running maximum of the lower bounds stays under the upper ones.
@@ -26,7 +28,7 @@
 
     Attributes
     ----------
-    status : what the operator was told; empty when unknown.
+    status : what was reported to the operator; empty when unknown.
     """
 
     order: int
@@ -46,7 +48,7 @@
     Parameters
     ----------
     attempts : in any order.
-    log : the orders of the newest version that any copy of the value has.
+    log : the orders of the newest version that any replica of the value has.
     """
     index_by_order = {order: log_index for log_index, order in enumerate(log, start=1)}
     problems = _check_log(attempts, log)
--- a/src/zincvale/simulator/cluster/intent_log.py
+++ b/src/zincvale/simulator/cluster/intent_log.py
@@ -1,7 +1,7 @@
 """The value that simulated operators change: every version carries the list of its orders.
 
-Row `log` lists the orders that were applied, in fixed-width numbers, so that any copy of the value,
-anywhere, tells the whole history that led to it. Other rows are put and deleted as intents are.
+Row `log` lists the orders that were applied, in fixed-width numbers, so that any replica of the
+value contains the complete history that led to it. Other rows are put and deleted as intents are.
 """
 
 from __future__ import annotations
--- a/src/zincvale/simulator/cluster/invariant_checker.py
+++ b/src/zincvale/simulator/cluster/invariant_checker.py
@@ -32,7 +32,7 @@
 
 @attrs.define
 class _LastObserved:
-    """What a run of a process showed last."""
+    """What a run of a process showed last: its versions, role epochs and topic position."""
 
     versions: dict[str, int] = attrs.field(factory=dict)
     role_epochs: dict[str, int] = attrs.field(factory=dict)
@@ -40,7 +40,7 @@
 
 
 class InvariantChecker:
-    """Watches a world; raises `InvariantViolationError`."""
+    """Watches a simulation; raises `InvariantViolationError`."""
 
     def __init__(self, simulation: Simulation, roles: tuple[str, ...]) -> None:
         self.acknowledged = 0
@@ -75,7 +75,7 @@
         """Log events carry no invariant."""
 
     def acknowledged_change(self, result: ChangeResult) -> None:
-        """A core answered a change: from now on it is in force everywhere."""
+        """A core reported a change: from now on it is in force everywhere."""
         if result.status != IN_FORCE:
             return
         self.acknowledged = max(self.acknowledged, result.version)
@@ -131,7 +131,7 @@
             raise InvariantViolationError("not-in-force", text)
 
     def _check_topic(self, process: Process, observed: _LastObserved) -> None:
-        """A node never goes back to what an earlier holder published."""
+        """A node never goes back to what an earlier leader published."""
         topic = process.machine.topic(TOPIC)
         position = (topic.epoch, topic.version)
         if position < observed.topic:
--- a/src/zincvale/simulator/cluster/network.py
+++ b/src/zincvale/simulator/cluster/network.py
@@ -1,4 +1,4 @@
-"""The network of a simulated cluster: cuts and weather per directed link, from one seed."""
+"""The network of a simulated cluster: blocked links and link conditions, from one seed."""
 
 from __future__ import annotations
 
@@ -33,34 +33,34 @@
         self._tokens = itertools.count(1)
 
     def block(self, links: frozenset[Link]) -> None:
-        """Cut links; cuts nest."""
+        """Block links; blocks nest."""
         self._blocks.update(links)
 
     def unblock(self, links: frozenset[Link]) -> None:
-        """Take one cut back."""
+        """Undo one block of links."""
         self._blocks.subtract(links)
 
     def is_blocked(self, sender: str, receiver: str) -> bool:
-        """Whether nothing passes from `sender` to `receiver`."""
+        """Whether nothing is delivered from `sender` to `receiver`."""
         return self._blocks[(sender, receiver)] > 0
 
     def set_conditions(self, links: frozenset[Link] | None, conditions: LinkConditions) -> int:
-        """Give links (all of them: None) a weather; return a token that ends it."""
+        """Set the conditions of links (None: all of them); return a token that ends them."""
         token = next(self._tokens)
         self._conditions[token] = (links, conditions)
         return token
 
     def clear_conditions(self, token: int) -> None:
-        """End one weather."""
+        """End the conditions of one token."""
         self._conditions.pop(token, None)
 
     def heal(self) -> None:
-        """Mend and calm everything."""
+        """Unblock every link and restore normal conditions."""
         self._blocks.clear()
         self._conditions.clear()
 
     def deliveries(self, sender: str, receiver: str) -> list[float]:
-        """Return the delay of each copy that arrives, in seconds; empty when it is lost."""
+        """Return the delay of each delivery, in seconds; empty when the message is lost."""
         if self.is_blocked(sender, receiver):
             return []
         conditions = self._conditions_of((sender, receiver))
@@ -75,7 +75,7 @@
         ]
 
     def _conditions_of(self, link: Link) -> LinkConditions:
-        """Return the weather that was set last."""
+        """Return the conditions that were set last."""
         for links, conditions in reversed(self._conditions.values()):
             if links is None or link in links:
                 return conditions
--- a/src/zincvale/simulator/cluster/operations.py
+++ b/src/zincvale/simulator/cluster/operations.py
@@ -1,4 +1,4 @@
-"""Operations that a schedule can ask of the operators."""
+"""Operations that a schedule can request of the operators."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def members_of(cluster: Cluster, names: tuple[str, ...]) -> list[str]:
-    """Return members by name, or by place for cores, which come and go."""
+    """Return members by name, or by index for cores, which are replaced."""
     found = []
     for name in names:
         if name.startswith(CORE_INDEX_PREFIX):
@@ -30,7 +30,7 @@
 
 
 def change(operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Send one change, on no base, through a core; `amount` is the loss of answers."""
+    """Send one change, on no base, through a core; `amount` is the loss of responses."""
     (core,) = members_of(cluster, step.members)
     operators.send(operators.new_order(None), core, step.amount)
 
--- a/src/zincvale/simulator/cluster/operators.py
+++ b/src/zincvale/simulator/cluster/operators.py
@@ -22,7 +22,7 @@
 from zincvale.simulator.cluster.process import Process
 
 RESPONSE_TIMEOUT_S = 6.0
-"""After this an operator takes the answer for lost."""
+"""After this an operator counts the response as lost."""
 RESEND_AFTER_S = 0.5
 RESENDS = 2
 ROWS = 6
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class Order:
-    """A change as an operator wrote it; resends repeat it word for word."""
+    """A change as an operator wrote it; resends repeat it byte for byte."""
 
     number: int
     base: int | None
@@ -48,7 +48,7 @@
 
 
 class Operators:
-    """Every operator of the cluster, and the history of what they were told."""
+    """Every operator of the cluster, and the history of the responses they got."""
 
     def __init__(
         self, cluster: Cluster, checker: InvariantChecker, random_source: random.Random
@@ -76,11 +76,11 @@
         return process.machine.value(INTENT_KEY).version if process is not None else 0
 
     def send(self, order: Order, member: str, loss: float = 0.0, resends: int = RESENDS) -> Attempt:
-        """Send an order through a core; unless it gets a final answer, again through others.
+        """Send an order through a core; unless it gets a final response, again through others.
 
         Parameters
         ----------
-        loss : probability that the answer is lost on its way back.
+        loss : probability that the response is lost.
         """
         simulation = self._cluster.simulation
         attempt = Attempt(order.number, order.base, order.is_bad, member, simulation.now)
@@ -105,7 +105,7 @@
         return attempt
 
     def _record_result(self, attempt: Attempt, process: Process, result: Any) -> None:
-        """Note an answer as it leaves the core."""
+        """Record a response as it leaves the core."""
         if not isinstance(result, ChangeResult):
             return
         if result.status in FINAL:
--- a/src/zincvale/simulator/cluster/process.py
+++ b/src/zincvale/simulator/cluster/process.py
@@ -13,7 +13,7 @@
 from zincvale.storage.version_files import VersionFiles
 
 BACKLOG_LIMIT = 400
-"""Inputs that socket buffers keep for a frozen process; later ones are lost."""
+"""Inputs that socket buffers hold for a frozen process; later ones are lost."""
 
 
 class SimulatedMachine(Protocol):
@@ -49,7 +49,7 @@
     run : number of this run; inputs for an earlier run are dropped.
     kind : `core` or `node`.
     disk : identity of the disk that was found at the start, empty for nodes.
-    last_seen : local time of the last look at the clock, as `runtime.driver` keeps it.
+    last_seen : local time of the last clock reading, as in `runtime.driver`.
     """
 
     member: str
@@ -71,14 +71,14 @@
         return self.clock.local(true_now)
 
     def check_clock(self, true_now: float) -> list[Input]:
-        """Return `ClockJumped` when the clock advanced too far since the last look."""
+        """Return `ClockJumped` when the clock advanced too far since the last reading."""
         now = self.local(true_now)
         gap = now - self.last_clock_reading
         self.last_clock_reading = now
         return [ClockJumped(gap)] if gap > CLOCK_JUMP_GAP_S else []
 
     def add_to_backlog(self, handler: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        """Keep an input for the time after the freeze; a timer fires once at most."""
+        """Store an input for after the freeze, but no tick: a timer fires once at most."""
         is_tick = any(isinstance(argument, Tick) for argument in arguments)
         if not is_tick and len(self.backlog) < BACKLOG_LIMIT:
             self.backlog.append((handler, arguments))
--- a/src/zincvale/simulator/cluster/role_publisher.py
+++ b/src/zincvale/simulator/cluster/role_publisher.py
@@ -1,4 +1,4 @@
-"""What the singleton role's holder does in the simulator: it publishes under its fencing epoch."""
+"""The leader of the singleton role in the simulator: it publishes under its fencing epoch."""
 
 from __future__ import annotations
 
--- a/src/zincvale/simulator/cluster/simulation.py
+++ b/src/zincvale/simulator/cluster/simulation.py
@@ -1,4 +1,4 @@
-"""The event loop of the simulator: virtual time, and the effects of every process's machine.
+"""The simulation loop: virtual time, and the effects of every process's machine.
 
 Does for many processes what `runtime.driver`, `transport` and `storage` do for one: sends, calls
 with their replies and timeouts, writes to version files, ticks, and the clock-jump rule.
@@ -71,7 +71,7 @@
 
 
 class Simulation:
-    """Processes, time and the network between them."""
+    """Processes, virtual time and the network between them; runs effects in order."""
 
     def __init__(self, random_source: random.Random, network: Network, uses_codec: bool) -> None:
         self.now = 0.0
@@ -121,7 +121,7 @@
         self.schedule(self.now + TICK_S * self.random.random(), self._tick, process)
 
     def remove(self, process: Process) -> None:
-        """End a process: its connections break, its timers and writes are gone."""
+        """End a process: its connections break, its timers and writes are dropped."""
         process.is_alive = False
         if self.processes.get(process.member) is process:
             del self.processes[process.member]
@@ -136,11 +136,11 @@
                 self._deliver_once(process, call.callee, CallAbandoned(call.callee_token))
 
     def freeze(self, process: Process) -> None:
-        """Stop a process; what is sent to it waits in its sockets."""
+        """Stop a process; what is sent to it waits in its backlog."""
         process.is_frozen = True
 
     def resume(self, process: Process) -> None:
-        """Let a process run again: the clock first, then what waited."""
+        """Let a process run again: the clock first, then the backlog."""
         if not process.is_frozen or not process.is_alive:
             return
         process.is_frozen = False
@@ -212,7 +212,7 @@
 
     def _send(self, process: Process, to: str, message: Any, source: Process | None) -> None:
         if source is not None and source.member == to and source.is_alive:
-            # Answered on the connection that the message came through.
+            # The response takes the connection that the message came through.
             target: Process | None = source
         else:
             target = self.resolve(process, to)
--- a/src/zincvale/simulator/forwarding/checks.py
+++ b/src/zincvale/simulator/forwarding/checks.py
@@ -31,7 +31,7 @@
 
 
 def refusals_are_promises(journal: ForwardingJournal) -> Iterator[str]:
-    """What was refused did not run and never does; the caller learns when to come back."""
+    """What was refused did not run and never does; the caller learns when to retry."""
     runs = runs_of(journal)
     for caller in journal.callers.values():
         if caller.status not in PROMISES:
@@ -43,7 +43,7 @@
 
 
 def responses_are_complete(journal: ForwardingJournal) -> Iterator[str]:
-    """An answer that ends whole is the whole answer of a run of this request."""
+    """A response that ends complete is the complete response of a run of this request."""
     runs = runs_of(journal)
     for caller in journal.callers.values():
         if caller.ending is not Ending.COMPLETE or caller.status != 200 or caller.is_stream:
@@ -53,7 +53,7 @@
 
 
 def streams_are_unbroken(journal: ForwardingJournal) -> Iterator[str]:
-    """No event is missing or comes twice, and one that ends whole has its last event."""
+    """No event is missing or comes twice, and one that ends complete has its last event."""
     for caller in journal.callers.values():
         if not caller.is_stream or caller.status != 200:
             continue
@@ -76,7 +76,7 @@
 
 
 def ends_in_time(journal: ForwardingJournal) -> Iterator[str]:
-    """Every request has its final answer when its time is over."""
+    """Every request has its final response when its time is over."""
     for caller in journal.callers.values():
         if caller.ending is Ending.OPEN:
             yield f"{caller.request_id} never ended"
@@ -106,7 +106,7 @@
 
 
 def retries_within(terms: RetryConfig) -> Check:
-    """Return the check of second arrivals over all nodes, in windows that slide.
+    """Return the check of retries over all nodes, in sliding windows.
 
     Every arrival beyond a request's first counts, also one that its server turned away.
     """
@@ -134,7 +134,7 @@
 
 
 def slow_start_within(terms: SlowStartConfig, per_s: float) -> Check:
-    """Return the check of what a cold server gets from all nodes, in any second."""
+    """Return the check of what a server in slow start gets from all nodes, in any second."""
 
     def check(journal: ForwardingJournal) -> Iterator[str]:
         arrivals: dict[str, list[float]] = defaultdict(list)
--- a/src/zincvale/simulator/forwarding/journal.py
+++ b/src/zincvale/simulator/forwarding/journal.py
@@ -52,12 +52,12 @@
 
 @attrs.define
 class Run:
-    """A server began to work on a request; `body` is what its whole answer holds.
+    """A server began to work on a request; `body` is what its complete response contains.
 
     Attributes
     ----------
-    given_up_at : when its node closed the exchange, which ends the work.
-    answered_at : when the server had answered, or broke off.
+    given_up_at : when its node cancelled the exchange, which ends the work.
+    answered_at : when the server had responded, or broke off.
     """
 
     request_id: str
--- a/src/zincvale/simulator/forwarding/model.py
+++ b/src/zincvale/simulator/forwarding/model.py
@@ -127,7 +127,7 @@
         self._directory_versions = [0] * NODES
 
     def play(self) -> None:
-        """Run the whole day and what is left of it."""
+        """Run the day, and what is open after its last request."""
         for node in self._nodes:
             node.apply_members(self._members())
             node.apply_document(self._document())
@@ -178,7 +178,7 @@
         return service
 
     def _broadcast(self, what: str) -> None:
-        """Bring news to every node, to each at another moment and never out of order."""
+        """Send an update to every node, to each at another moment and never out of order."""
         document, directory = self._document(), self._directory()
         for index, node in enumerate(self._nodes):
             delay_s = self._random.uniform(*UPDATE_DELAY_S)
@@ -270,7 +270,7 @@
             self._loop.call_later(self._random.uniform(0.2, 4.0), _recover, server)
 
     def _restart(self, server: ModelServer) -> None:
-        """The server is gone and comes back cold, as another incarnation."""
+        """Replace the server by another incarnation, which is in slow start."""
         server.starts += 1
         server.behavior = Behavior.WELL
         server.slow_start_until = self._loop.time() + SLOW_START_S
@@ -314,7 +314,7 @@
         self._record.body += data
 
     def end(self) -> None:
-        """The answer is whole."""
+        """The response is complete."""
         self._close(Ending.COMPLETE)
 
     def abort(self) -> None:
@@ -322,7 +322,7 @@
         self._close(Ending.BROKEN)
 
     def respond(self, status: int, headers: HeaderList, body: bytes) -> None:
-        """Take a whole answer of the node."""
+        """Take a complete response of the node."""
         self.open(status, "", headers)
         self.write(body)
         self.end()
--- a/src/zincvale/simulator/forwarding/servers.py
+++ b/src/zincvale/simulator/forwarding/servers.py
@@ -30,9 +30,9 @@
     GREY = "grey"
     """It fails some requests after it ran them."""
     BREAKS = "breaks"
-    """It breaks its answers off."""
+    """It breaks its responses off."""
     SILENT = "silent"
-    """It runs requests and says nothing."""
+    """It runs requests and sends nothing."""
     DOWN = "down"
     """Connections are refused."""
     DARK = "dark"
@@ -59,14 +59,14 @@
 
 @attrs.define(eq=False)
 class ModelExchange:
-    """The node's hold on one exchange."""
+    """The node's handle of one exchange."""
 
     is_cancelled: bool = False
     run: Run | None = None
     """What the server does of it, once it began."""
 
     def cancel(self) -> None:
-        """Give it up: nothing more is told."""
+        """Cancel it: the listener is not called again."""
         self.is_cancelled = True
         if self.run is not None and self.run.responded_at is None:
             self.run.cancelled_at = asyncio.get_running_loop().time()
@@ -84,7 +84,7 @@
 
     Parameters
     ----------
-    knows_draining, knows_evacuated : tell what this node knows of a server now, for the journal.
+    knows_draining, knows_evacuated : return what this node knows of a server now, for the journal.
     """
 
     node: str
@@ -109,10 +109,10 @@
         return exchange
 
     def keep_only(self, targets: set[tuple[str, str]]) -> None:
-        """Model connections do not rest."""
+        """Model connections are not pooled."""
 
     def close(self) -> None:
-        """Nothing is kept."""
+        """Nothing is open."""
 
 
 class _Visit:
@@ -187,7 +187,7 @@
         self._loop.call_later(work_s, self._respond, self._chunks_of(body))
 
     def _body(self) -> bytes:
-        """Return an answer that no other run has: incarnation and request are in each event."""
+        """Return a body that no other run has: incarnation and request are in each event."""
         name = f"{self._server.incarnation}/{self._request_id}"
         if not self._is_stream:
             return f"{name} answered".encode()
--- a/src/zincvale/simulator/schedules/directed.py
+++ b/src/zincvale/simulator/schedules/directed.py
@@ -15,7 +15,7 @@
 SEEDS_PER_CORE = 3
 
 Scenario = Callable[[int], tuple[Step, ...]]
-"""Steps, with the core at a place in the main part."""
+"""Returns the steps in which the core of that index has the main part."""
 
 _NODES = tuple(f"node-{index + 1}" for index in range(NODES))
 
@@ -84,7 +84,7 @@
 
 
 def change_below_a_majority(core_index: int) -> tuple[Step, ...]:
-    """An owner's change reaches itself alone; then it goes silent and the others go on."""
+    """An owner's change reaches itself alone; then it becomes unresponsive and the others go on."""
     one = CORES[core_index]
     return (
         _change(0.5, one),
@@ -211,8 +211,9 @@
 
 
 def directed_schedules(name: str) -> list[Schedule]:
-    """Return a scenario with each core in its main part, under several seeds: they decide who owns
-    what."""
+    """Return a scenario with each core in its main part, under several seeds.
+
+    The seeds decide who owns what."""
     schedules = []
     for turn in range(len(CORES) * SEEDS_PER_CORE):
         core_index = turn % len(CORES)
--- a/src/zincvale/simulator/schedules/exploring.py
+++ b/src/zincvale/simulator/schedules/exploring.py
@@ -1,4 +1,7 @@
-"""Runs many seeds, in this process or dealt out to a few."""
+"""Runs many seeds, in this process or in a few worker processes.
+
+A worker is this module run as a program: first seed, end and step as arguments, one outcome as a
+JSON line each on its output."""
 
 from __future__ import annotations
 
@@ -37,7 +40,7 @@
 
 
 def explore_with_jobs(seeds: range, jobs: int) -> Iterator[Outcome]:
-    """Deal seeds out to processes of this program and collect what they print."""
+    """Spread seeds over worker processes and yield the outcomes that they print."""
     workers = [_start_worker(seeds[job::jobs]) for job in range(jobs)]
     selector = selectors.DefaultSelector()
     try:
--- a/src/zincvale/simulator/schedules/run.py
+++ b/src/zincvale/simulator/schedules/run.py
@@ -1,4 +1,4 @@
-"""Runs one schedule and judges it."""
+"""Runs one schedule and checks its invariants."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 RECOVERY_LIMIT_S = 12.0
 """After everything is healed, changes are accepted and every node is ready within this."""
 ROLE_LIMIT_S = 16.0
-"""After everything is healed, every singleton role has a holder within this: a lease may have to
+"""After everything is healed, every singleton role has a leader within this: a lease may have to
 run out, restarted grantors wait as long, and candidates take turns."""
 SETTLE_S = 2.0
 
--- a/src/zincvale/simulator/schedules/schedule.py
+++ b/src/zincvale/simulator/schedules/schedule.py
@@ -13,7 +13,7 @@
     ----------
     at_s : when, counted from when the cluster was ready.
     action : name in `faults.FAULTS` or `operations.OPERATIONS`.
-    members, others : whom it concerns; cores by place (`core:0`), since they are replaced.
+    members, others : whom it concerns; cores by index (`core:0`), since they are replaced.
     for_s : how long the fault lasts, or until the restart.
     amount : a probability, or an order's number, by action.
     """
--- a/src/zincvale/simulator/schedules/shrink.py
+++ b/src/zincvale/simulator/schedules/shrink.py
@@ -39,7 +39,7 @@
         return self._fails(candidate)
 
     def _without_steps(self, schedule: Schedule) -> Schedule:
-        """Leave out ever smaller parts (ddmin)."""
+        """Leave out ever smaller subsets (ddmin; Zeller and Hildebrandt 2002)."""
         granularity = 2
         while schedule.steps and granularity <= 2 * len(schedule.steps):
             granularity = min(granularity, len(schedule.steps))
