--- a/src/zincvale/simulator/what_if/attempt.py
+++ b/src/zincvale/simulator/what_if/attempt.py
@@ -38,17 +38,17 @@
     """Arrivals whose last turn is not over."""
 
 
-class Asking(Protocol):
+class AttemptOwner(Protocol):
     """The request over all of its attempts."""
 
     context: CallersContext
     plan: Plan
     row: RequestRow
-    pieces: int
+    chunks: int
     """Pieces of a stream that are here."""
     deadline_at: float
 
-    def heard_first(self) -> None:
+    def mark_first_byte(self) -> None:
         """Take note of the first byte or piece."""
 
 
@@ -57,10 +57,10 @@
 
     def __init__(
         self,
-        request: Asking,
+        request: AttemptOwner,
         node: str,
         request_id: str,
-        ended: Callable[[AttemptResult], None],
+        on_ended: Callable[[AttemptResult], None],
     ) -> None:
         plan = request.plan
         self.hang_up_after = plan.hang_up_after if plan.stream else 0
@@ -68,62 +68,62 @@
         self._context = request.context
         self._node = request.context.nodes[node]
         self._request_id = request_id
-        self._ended = ended
-        self._over = False
+        self._on_ended = on_ended
+        self._is_over = False
         self._at_node: VirtualRequest | None = None
-        self._had_pieces = False
-        self._silence: Timer | None = None
+        self._has_chunks = False
+        self._idle_timer: Timer | None = None
 
     def start(self) -> None:
         """Send the request to the node."""
         caller = self._request.plan.caller
-        self._await_sound(caller.first_byte_timeout_s)
+        self._arm_idle_timer(caller.first_byte_timeout_s)
         self._context.clock.call_later(self._context.timings.caller_hop_s, self._arrive)
 
     # what the node says, when the bytes leave it
 
-    def on_answer(self, answer: SendResponse) -> None:
+    def on_response(self, response: SendAnswer) -> None:
         """Take a whole response."""
-        self._later(0.0, lambda: self._take_answer(answer))
+        self._deliver_later(0.0, lambda: self._on_response(response))
 
-    def on_pieces(self, last_index: int, delay_s: float) -> None:
+    def on_chunks(self, last_index: int, delay_s: float) -> None:
         """Take pieces."""
-        self._later(delay_s, lambda: self._take_pieces(last_index))
+        self._deliver_later(delay_s, lambda: self._on_chunks(last_index))
 
     def on_end(self, count: int, delay_s: float) -> None:
         """Take a stream's end."""
         answered = AttemptResult(AttemptOutcome.ANSWERED)
-        self._later(delay_s, lambda: self._finish(answered))
+        self._deliver_later(delay_s, lambda: self._finish(answered))
 
     def on_break(self, resumable: bool) -> None:
         """Take a stream that broke, marked as such."""
         broken = AttemptResult(AttemptOutcome.INTERRUPTED, resumable=resumable)
-        self._later(0.0, lambda: self._finish(broken))
+        self._deliver_later(0.0, lambda: self._finish(broken))
 
     def on_stalled(self) -> None:
         """Bear the silence of a stream for a while."""
-        if not self._over:
-            self._await_sound(self._request.plan.caller.idle_timeout_s)
+        if not self._is_over:
+            self._arm_idle_timer(self._request.plan.caller.idle_timeout_s)
 
     def on_reset(self) -> None:
         """Take the loss of the connection."""
-        outcome = AttemptOutcome.INTERRUPTED if self._had_pieces else AttemptOutcome.LOST
-        self._later(0.0, lambda: self._finish(AttemptResult(outcome)))
+        outcome = AttemptOutcome.INTERRUPTED if self._has_chunks else AttemptOutcome.LOST
+        self._deliver_later(0.0, lambda: self._finish(AttemptResult(outcome)))
 
     # at the node
 
     def _arrive(self) -> None:
-        if self._over:
+        if self._is_over:
             return
         node = self._node
-        named = node.route_at(self._request.plan.path) if node.up else None
-        if not node.up:
+        named = node.route_at(self._request.plan.path) if node.is_up else None
+        if not node.is_up:
             self._finish(AttemptResult(AttemptOutcome.NOT_CONNECTED))
             return
         if named is None:
             reason = "not-ready" if node.world.intent.version == 0 else "no-route"
             refusal = AttemptResult(AttemptOutcome.REFUSED, reason, 1.0)
-            self._later(0.0, lambda: self._finish(refusal))
+            self._deliver_later(0.0, lambda: self._finish(refusal))
             return
         name, route = named
         now = self._context.clock.now
@@ -139,52 +139,52 @@
             inference_request=_lookup_request(plan) if lookup else _inference_request(plan),
             received_at=now,
             deadline_at=now + max(0.0, left_s),
-            resume_after=self._request.pieces or None,
+            resume_after=self._request.chunks or None,
         )
         if not lookup and route.models and plan.model not in route.models:
             refusal = AttemptResult(AttemptOutcome.REFUSED, "invalid")
-            self._later(0.0, lambda: self._finish(refusal))
+            self._deliver_later(0.0, lambda: self._finish(refusal))
             return
         self._at_node = node.begin(request, route, self)
 
     # at the caller
 
-    def _take_answer(self, answer: SendResponse) -> None:
-        result = _read_answer(answer)
+    def _on_response(self, response: SendAnswer) -> None:
+        result = _result_of(response)
         if result.outcome is AttemptOutcome.ANSWERED:
-            self._request.heard_first()
+            self._request.mark_first_byte()
         self._finish(result)
 
-    def _take_pieces(self, last_index: int) -> None:
-        if self._over:
+    def _on_chunks(self, last_index: int) -> None:
+        if self._is_over:
             return
-        self._had_pieces = True
-        self._request.heard_first()
-        self._request.pieces = max(self._request.pieces, last_index)
-        if self._silence is not None:
-            self._silence.cancel()
-            self._silence = None
-        if 0 < self.hang_up_after <= self._request.pieces:
+        self._has_chunks = True
+        self._request.mark_first_byte()
+        self._request.chunks = max(self._request.chunks, last_index)
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+            self._idle_timer = None
+        if 0 < self.hang_up_after <= self._request.chunks:
             self._close()
             self._finish(AttemptResult(AttemptOutcome.HUNG_UP))
 
-    def _on_silence(self) -> None:
-        self._silence = None
-        if self._over:
+    def _on_idle_timeout(self) -> None:
+        self._idle_timer = None
+        if self._is_over:
             return
         self._close()
-        outcome = AttemptOutcome.INTERRUPTED if self._had_pieces else AttemptOutcome.LOST
+        outcome = AttemptOutcome.INTERRUPTED if self._has_chunks else AttemptOutcome.LOST
         self._finish(AttemptResult(outcome))
 
     def _finish(self, result: AttemptResult) -> None:
-        if self._over:
+        if self._is_over:
             return
-        self._over = True
-        if self._silence is not None:
-            self._silence.cancel()
+        self._is_over = True
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
         if self._at_node is not None:
-            self._request.row.add_node_counts(self._at_node)
-        self._ended(result)
+            self._request.row.add_node_stats(self._at_node.stats)
+        self._on_ended(result)
 
     def _close(self) -> None:
         at_node = self._at_node
@@ -192,12 +192,12 @@
             hop_s = self._context.timings.caller_hop_s
             self._context.clock.call_later(hop_s, at_node.on_caller_lost)
 
-    def _await_sound(self, seconds: float) -> None:
-        if self._silence is not None:
-            self._silence.cancel()
-        self._silence = self._context.clock.call_later(seconds, self._on_silence)
+    def _arm_idle_timer(self, seconds: float) -> None:
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        self._idle_timer = self._context.clock.call_later(seconds, self._on_idle_timeout)
 
-    def _later(self, delay_s: float, action: Callable[[], None]) -> None:
+    def _deliver_later(self, delay_s: float, action: Callable[[], None]) -> None:
         hop_s = self._context.timings.caller_hop_s
         self._context.clock.call_later(delay_s + hop_s, action)
 
@@ -216,12 +216,12 @@
     return InferenceRequest(key=plan.prompt)
 
 
-def _read_answer(answer: SendResponse) -> AttemptResult:
-    named = answer.headers.get(OUTCOME_HEADER, "")
+def _result_of(response: SendAnswer) -> AttemptResult:
+    named = response.headers.get(OUTCOME_HEADER, "")
     if named == Outcome.ANSWERED.value:
         return AttemptResult(AttemptOutcome.ANSWERED)
     if named == Outcome.UNKNOWN.value:
         return AttemptResult(AttemptOutcome.UNKNOWN)
-    body = orjson.loads(answer.body)
-    retry_after_s = float(answer.headers.get(RETRY_AFTER_HEADER, "0"))
+    body = orjson.loads(response.body)
+    retry_after_s = float(response.headers.get(RETRY_AFTER_HEADER, "0"))
     return AttemptResult(AttemptOutcome.REFUSED, str(body.get("reason", "")), retry_after_s)
--- a/src/zincvale/simulator/what_if/callers.py
+++ b/src/zincvale/simulator/what_if/callers.py
@@ -58,7 +58,7 @@
         self._next()
         self._context.open_conversations += 1
         conversation = self._context.planner.conversation(arrival)
-        _Turns(self._context, conversation).say(0, "")
+        _Turns(self._context, conversation).send_turn(0, "")
 
 
 @attrs.define(eq=False)
@@ -68,7 +68,7 @@
     context: CallersContext
     conversation: Conversation
 
-    def say(self, turn: int, history: str) -> None:
+    def send_turn(self, turn: int, history: str) -> None:
         """Send the request of a turn."""
         plan = self.context.planner.plan(self.conversation, turn, history)
 
@@ -78,7 +78,7 @@
                 return
             text = plan.prompt + "".join(plan.expected)
             think_s = self.conversation.caller.think_s
-            self.context.clock.call_later(think_s, lambda: self.say(turn + 1, text))
+            self.context.clock.call_later(think_s, lambda: self.send_turn(turn + 1, text))
 
         CallerRequestRun(self.context, plan, then).begin()
 
@@ -90,7 +90,7 @@
         now = context.clock.now
         self.context = context
         self.plan = plan
-        self.pieces = 0
+        self.chunks = 0
         self.first_at: float | None = None
         self.deadline_at = now + plan.deadline_s
         self.row = RequestRow(plan.route, now - context.started_at)
@@ -100,65 +100,65 @@
         self._request_id = plan.base_id
         self._renamed = 0
         self._last_node = ""
-        self._lost_answer = False
-        self._duplicated = False
+        self._has_lost_response = False
+        self._is_duplicated = False
 
     def begin(self) -> None:
         """Send the request for the first time."""
         self.context.figures.offered(self.row)
         self._attempt()
 
-    def heard_first(self) -> None:
+    def mark_first_byte(self) -> None:
         """Take note of the first byte or piece."""
         if self.first_at is None:
             self.first_at = self.context.clock.now
 
-    def ended(self, result: AttemptResult) -> None:
+    def on_attempt_ended(self, result: AttemptResult) -> None:
         """Take what an attempt came to, and do what a caller does next."""
-        if result.outcome is AttemptOutcome.ANSWERED and self._loses_answer():
+        if result.outcome is AttemptOutcome.ANSWERED and self._loses_response():
             result = AttemptResult(AttemptOutcome.LOST)
         self.context.figures.attempted(self.row, result)
-        step = self._retry.after(result, self.pieces > 0, self.context.clock.now)
+        step = self._retry.after(result, self.chunks > 0, self.context.clock.now)
         if not isinstance(step, Resend):
-            self._settle(result)
+            self._complete(result)
             return
         if step.new_id:
             self._renamed += 1
             self._request_id = f"{self.plan.base_id}.{self._renamed}"
         self.context.clock.call_later(step.delay_s, self._attempt)
 
-    def _loses_answer(self) -> bool:
-        if self._lost_answer or not self.plan.loses_answer:
+    def _loses_response(self) -> bool:
+        if self._has_lost_response or not self.plan.loses_answer:
             return False
-        self._lost_answer = True
+        self._has_lost_response = True
         return True
 
     def _attempt(self) -> None:
         picked = self.context.choice.pick(self._last_node)
         if picked is None:
-            self.ended(AttemptResult(AttemptOutcome.NO_NODE))
+            self.on_attempt_ended(AttemptResult(AttemptOutcome.NO_NODE))
             return
         self._last_node = picked[0]
         self.row.attempts += 1
-        CallerAttempt(self, picked[0], self._request_id, self.ended).start()
-        if self.plan.duplicated and not self._duplicated:
-            self._duplicated = True
-            self._send_twin()
+        CallerAttempt(self, picked[0], self._request_id, self.on_attempt_ended).start()
+        if self.plan.duplicated and not self._is_duplicated:
+            self._is_duplicated = True
+            self._send_duplicate()
 
-    def _send_twin(self) -> None:
+    def _send_duplicate(self) -> None:
         """Send the same request to another node too; what comes of it only counts."""
         picked = self.context.choice.pick(self._last_node)
         if picked is not None:
             CallerAttempt(self, picked[0], self._request_id, _ignore).start()
 
-    def _settle(self, result: AttemptResult) -> None:
+    def _complete(self, result: AttemptResult) -> None:
         now = self.context.clock.now
         self.row.outcome = result.outcome.value
         self.row.reason = result.reason
         self.row.total_s = now - self._started_at
         if self.first_at is not None:
             self.row.first_s = self.first_at - self._started_at
-        self.context.figures.settled(self.row)
+        self.context.figures.completed(self.row)
         self._then(result.outcome is AttemptOutcome.ANSWERED)
 
 
--- a/src/zincvale/simulator/what_if/claims.py
+++ b/src/zincvale/simulator/what_if/claims.py
@@ -22,7 +22,7 @@
 from zincvale.model.identifiers import RequestId
 from zincvale.simulator.what_if.clock import VirtualClock
 
-KEPT_S = 120.0
+RETENTION_S = 120.0
 """Claims and streams are forgotten this long after they began."""
 
 
@@ -37,7 +37,7 @@
 class _StreamRow:
     digest: str
     count: int
-    complete: bool
+    is_complete: bool
 
 
 class ClaimTable:
@@ -59,7 +59,7 @@
         row = self._claims.get(request_id)
         if row is None:
             self._claims[request_id] = _ClaimRow(digest)
-            self._clock.call_later(KEPT_S, lambda: self._forget(request_id))
+            self._clock.call_later(RETENTION_S, lambda: self._forget(request_id))
             decide(ClaimGranted())
         elif row.digest != digest:
             decide(ClaimRefused(ClaimRefusal.OTHER_REQUEST))
@@ -88,17 +88,19 @@
         self._claims[request_id] = _ClaimRow(row.digest, None, others)
         first(ClaimGranted())
 
-    def keep_stream(self, request_id: RequestId, digest: str, count: int, complete: bool) -> None:
+    def record_stream(
+        self, request_id: RequestId, digest: str, count: int, is_complete: bool
+    ) -> None:
         """Keep how far a broken stream came."""
-        self._streams[request_id] = _StreamRow(digest, count, complete)
-        self._clock.call_later(KEPT_S, lambda: self._forget_stream(request_id))
+        self._streams[request_id] = _StreamRow(digest, count, is_complete)
+        self._clock.call_later(RETENTION_S, lambda: self._forget_stream(request_id))
 
     def stream(self, request_id: RequestId) -> JournalState | None:
         """Return what is held of a stream."""
         row = self._streams.get(request_id)
         if row is None:
             return None
-        return JournalState(row.digest, ("",) * row.count, row.complete)
+        return JournalState(row.digest, ("",) * row.count, row.is_complete)
 
     def _stop_waiting(self, row: _ClaimRow, decide: Callable[[ClaimDecision], None]) -> None:
         if decide in row.waiting:
--- a/src/zincvale/simulator/what_if/comparison.py
+++ b/src/zincvale/simulator/what_if/comparison.py
@@ -9,9 +9,9 @@
 
 import attrs
 
-from zincvale.simulator.what_if.figures import WorldFigures
+from zincvale.simulator.what_if.figures import RunFigures
 from zincvale.simulator.what_if.inputs import WhatIfInputs
-from zincvale.simulator.what_if.machines import Question
+from zincvale.simulator.what_if.machines import WhatIfScenario
 from zincvale.simulator.what_if.report import Comparison
 from zincvale.simulator.what_if.run import VirtualFleet
 
@@ -21,46 +21,46 @@
 
 
 @attrs.frozen
-class World:
+class RunResult:
     """What one world came to."""
 
-    figures: WorldFigures
+    figures: RunFigures
     refused_changes: tuple[str, ...]
 
 
 def compare(inputs: WhatIfInputs, jobs: int = 1) -> Comparison:
     """Run the world without the change, and the one with it where there is a change."""
     begun = time.perf_counter()
-    questions = [attrs.evolve(inputs.question, change=())]
-    if inputs.question.change:
-        questions.append(inputs.question)
-    if jobs > 1 and len(questions) > 1 and inputs.question.seconds >= LONG_RUN_S:
-        worlds = _run_side_by_side(questions)
+    scenarios = [attrs.evolve(inputs.scenario, change=())]
+    if inputs.scenario.change:
+        scenarios.append(inputs.scenario)
+    if jobs > 1 and len(scenarios) > 1 and inputs.scenario.seconds >= LONG_RUN_S:
+        results = _run_in_processes(scenarios)
     else:
-        worlds = [run_world(question) for question in questions]
+        results = [run_scenario(scenario) for scenario in scenarios]
     return Comparison(
         inputs=inputs,
-        before=worlds[0].figures,
-        after=worlds[1].figures if len(worlds) > 1 else None,
+        before=results[0].figures,
+        after=results[1].figures if len(results) > 1 else None,
         wall_s=time.perf_counter() - begun,
-        refused_changes=worlds[-1].refused_changes,
+        refused_changes=results[-1].refused_changes,
     )
 
 
-def run_world(question: Question) -> World:
+def run_scenario(scenario: WhatIfScenario) -> RunResult:
     """Run one world; the same question gives the same figures, wall time aside."""
     thresholds = gc.get_threshold()
     # Few of the model's objects are in cycles: look for them rarely.
     gc.set_threshold(COLLECT_AFTER_OBJECTS, *thresholds[1:])
     try:
-        fleet = VirtualFleet(question)
+        fleet = VirtualFleet(scenario)
         figures = fleet.run()
     finally:
         gc.set_threshold(*thresholds)
-    return World(figures, tuple(fleet.refused_changes))
+    return RunResult(figures, tuple(fleet.refused_changes))
 
 
-def _run_side_by_side(questions: list[Question]) -> list[World]:
+def _run_in_processes(scenarios: list[WhatIfScenario]) -> list[RunResult]:
     context = multiprocessing.get_context("spawn")
-    with ProcessPoolExecutor(len(questions), mp_context=context) as pool:
-        return list(pool.map(run_world, questions))
+    with ProcessPoolExecutor(len(scenarios), mp_context=context) as pool:
+        return list(pool.map(run_scenario, scenarios))
--- a/src/zincvale/simulator/what_if/control_machine.py
+++ b/src/zincvale/simulator/what_if/control_machine.py
@@ -66,7 +66,7 @@
 EPOCH = 1
 LEASE_S = 10.0
 RENEWAL_S = 2.0
-HOLDER = MemberId("core")
+LEADER = MemberId("core")
 
 Publish = Callable[[Directory], None]
 
@@ -96,7 +96,7 @@
         self._servers = servers
         self._stores = stores
         self._publish = publish
-        self._directory = DirectoryMachine(HOLDER, random)
+        self._directory = DirectoryMachine(LEADER, random)
         self._controller = PlacementController(random, PlacementConfig())
         self._rows: dict[str, bytes] = {}
         self._version = 0
@@ -111,12 +111,12 @@
         self._feed_directory(DirectoryRoleGained(EPOCH, TopicView()))
         self._clock.every(self._timings.systems_tick_s, self._tick)
 
-    def take_intent(self, intent: Intent) -> None:
+    def apply_intent(self, intent: Intent) -> None:
         """Take a newer intent."""
         self._feed_directory(DirectoryIntentChanged(intent))
         self._feed(IntentChanged(intent))
 
-    def take_report(self, report: DemandReport) -> None:
+    def apply_report(self, report: DemandReport) -> None:
         """Take a node's demand."""
         self._feed(to_demand_reported(report))
 
@@ -137,30 +137,30 @@
                 case ProbeServer():
                     self._probe(effect)
                 case PublishRows(message):
-                    self._take_publication(message)
-                case ServerReported(row, asked_at, unloading):
-                    self._feed(DirectoryChanged((StatusReport(row, asked_at, unloading),)))
+                    self._apply_publication(message)
+                case ServerReported(row, requested_at, unloading):
+                    self._feed(DirectoryChanged((StatusReport(row, requested_at, unloading),)))
                 case ServerRemoved(server):
                     self._feed(DirectoryChanged(departed=(server,)))
 
     def _list(self) -> None:
-        rows = [server.place for server in self._servers.values()]
+        rows = [server.platform_row for server in self._servers.values()]
         self._feed_directory(PlatformListed(rows))
 
     def _probe(self, effect: ProbeServer) -> None:
-        asked_at = self._clock.now
+        requested_at = self._clock.now
         hop_s = self._timings.probe_hop_s
         server = self._servers[effect.server]
 
-        def answer() -> None:
-            event: DirectoryInput = StatusFailed(effect.server, "refused", True, asked_at)
-            if server.up:
-                event = StatusObserved(effect.server, server.status(), asked_at)
+        def response() -> None:
+            event: DirectoryInput = StatusFailed(effect.server, "refused", True, requested_at)
+            if server.is_up:
+                event = StatusObserved(effect.server, server.status(), requested_at)
             self._later(hop_s, lambda: self._feed_directory(event))
 
-        self._later(hop_s, answer)
+        self._later(hop_s, response)
 
-    def _take_publication(self, message: PublishTopic) -> None:
+    def _apply_publication(self, message: PublishTopic) -> None:
         if message.replace:
             self._rows = {}
         self._rows = {**self._rows, **message.puts}
@@ -180,16 +180,16 @@
 
     def _feed(self, event: Input) -> None:
         for effect in self._controller.handle(event, self._clock.now):
-            self._carry_out(effect)
+            self._execute(effect)
 
-    def _carry_out(self, effect: Any) -> None:
+    def _execute(self, effect: Any) -> None:
         match effect:
             case SendOrder():
                 self._later(self._timings.order_hop_s, lambda: self._order(effect))
             case RequestStatus(server, _):
-                self._ask_status(server)
+                self._request_status(server)
             case PublishMoves():
-                self._take_moves(effect)
+                self._apply_moves(effect)
             case OrderRecorded():
                 what = f"{effect.order.action.value} {effect.order.item_kind.value}"
                 self._reasons[effect.order.order_id] = f"{what}: {effect.reason.value}"
@@ -206,30 +206,32 @@
         server = self._servers[effect.server]
         self.orders[(effect.server, order.action)] += 1
         self.first_order_at = min(self.first_order_at, self._clock.now)
-        answer: Input = OrderRefused(order.order_id, OrderRefusal.NOT_CONNECTED)
-        if server.up:
+        response: Input = OrderRefused(order.order_id, OrderRefusal.NOT_CONNECTED)
+        if server.is_up:
             refusal = server.order(order, self._stores.get(order.store))
-            answer = OrderAccepted(order.order_id)
+            response = OrderAccepted(order.order_id)
             if refusal is not None:
-                answer = OrderRefused(order.order_id, refusal)
-        self._later(self._timings.order_hop_s, lambda: self._feed(answer))
+                response = OrderRefused(order.order_id, refusal)
+        self._later(self._timings.order_hop_s, lambda: self._feed(response))
 
-    def _ask_status(self, name: ServerId) -> None:
-        asked_at = self._clock.now
+    def _request_status(self, name: ServerId) -> None:
+        requested_at = self._clock.now
         hop_s = self._timings.order_hop_s
         server = self._servers[name]
 
-        def answer() -> None:
+        def response() -> None:
             row = self._directory.rows().get(name)
-            if not server.up or row is None:
+            if not server.is_up or row is None:
                 return
             status = server.status()
-            report = StatusReport(observed_row(row, server.status()), asked_at, status.unloading)
+            report = StatusReport(
+                observed_row(row, server.status()), requested_at, status.unloading
+            )
             self._later(hop_s, lambda: self._feed(DirectoryChanged((report,))))
 
-        self._later(hop_s, answer)
+        self._later(hop_s, response)
 
-    def _take_moves(self, effect: PublishMoves) -> None:
+    def _apply_moves(self, effect: PublishMoves) -> None:
         before = draining_by_server(self._unloads.values())
         if effect.is_complete:
             self._unloads.clear()
--- a/src/zincvale/simulator/what_if/engine.py
+++ b/src/zincvale/simulator/what_if/engine.py
@@ -26,7 +26,7 @@
     event: TokenEmitted | Finished
 
 
-class LeapingEngine(Engine):
+class StepSkippingEngine(Engine):
     """An `Engine` whose equal steps are counted in one go.
 
     Attributes
@@ -52,8 +52,8 @@
         """End every step that is due; tokens between a first and a last one are left out."""
         moments: list[EngineMoment] = []
         while self._step is not None and self._step.ends_at <= now + EARLY_S:
-            leaped = self._leap(now)
-            if leaped:
+            has_skipped = self._skip_equal_steps(now)
+            if has_skipped:
                 continue
             ends_at = self._step.ends_at
             for event in self.advance(ends_at):
@@ -67,15 +67,15 @@
             return None
         if not self._is_plain(step):
             return step.ends_at
-        return step.ends_at + (self._fewest_left() - 1) * self._step_s(len(step.decoding))
+        return step.ends_at + (self._steps_to_next_change() - 1) * self._step_s(len(step.decoding))
 
-    def _leap(self, now: float) -> bool:
+    def _skip_equal_steps(self, now: float) -> bool:
         step = self._step
         if step is None or not self._is_plain(step):
             return False
         step_s = self._step_s(len(step.decoding))
         ended = math.floor((now - step.ends_at) / step_s + ROUNDING) + 1
-        count = min(ended, self._fewest_left() - 1)
+        count = min(ended, self._steps_to_next_change() - 1)
         if count < 2:
             return False
         for request in self._running.values():
@@ -92,7 +92,7 @@
     def _step_s(self, batch: int) -> float:
         return self._decode_s(batch) * self.slow_factor
 
-    def _fewest_left(self) -> int:
+    def _steps_to_next_change(self) -> int:
         """Return the steps until some request ends or reaches its mark."""
         fewest = math.inf
         for run_id, request in self._running.items():
--- a/src/zincvale/simulator/what_if/exchange.py
+++ b/src/zincvale/simulator/what_if/exchange.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from zincvale.dataplane.inference.events import (
     ChunksReceived,
@@ -13,13 +13,56 @@
     ServerRefused,
     StreamEnded,
 )
+from zincvale.dataplane.inference.request_machine import RequestMachine
 from zincvale.dataplane.inference.routing_state import ServerState
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
+from zincvale.model.identifiers import ServerId
+from zincvale.simulator.what_if.clock import VirtualClock
 from zincvale.simulator.what_if.servers import VirtualServer
+from zincvale.simulator.what_if.timings import Timings
 from zincvale.standins.generation import GenerationKey
 
-if TYPE_CHECKING:
-    from zincvale.simulator.what_if.request import VirtualRequest as ExchangeOwner
+
+class ExchangeNode(Protocol):
+    """What an exchange uses of the node."""
+
+    @property
+    def clock(self) -> VirtualClock:
+        """Virtual time."""
+        ...
+
+    @property
+    def timings(self) -> Timings:
+        """Modelled delays."""
+        ...
+
+    @property
+    def servers(self) -> dict[ServerId, VirtualServer]:
+        """Every back end, by name."""
+        ...
+
+
+class ExchangeOwner(Protocol):
+    """The request that an exchange is for (`request.VirtualRequest`)."""
+
+    @property
+    def node(self) -> ExchangeNode:
+        """The request's node."""
+        ...
+
+    @property
+    def machine(self) -> RequestMachine:
+        """The state machine of the request."""
+        ...
+
+    @property
+    def hang_up_after(self) -> int:
+        """After how many chunks the caller hangs up; 0 means never."""
+        ...
+
+    def on_exchange(self, exchange: VirtualExchange, event: Input) -> None:
+        """Handle what the server sent."""
+        ...
 
 
 class VirtualExchange:
@@ -27,8 +70,8 @@
 
     def __init__(self, request: ExchangeOwner, prefix_tokens: int, started_at: float) -> None:
         self.started_at = started_at
-        self.first_piece_s = 0.0
-        self.closed = False
+        self.first_chunk_s = 0.0
+        self.is_closed = False
         self.count = prefix_tokens
         self._request = request
         self._prefix_tokens = prefix_tokens
@@ -42,24 +85,24 @@
 
     def close(self) -> None:
         """Close the connection; nothing more is heard of it."""
-        if self.closed:
+        if self.is_closed:
             return
-        self.closed = True
+        self.is_closed = True
         if self._close_at_server is not None:
             node = self._request.node
             node.clock.call_later(node.timings.server_hop_s, self._close_at_server)
 
     def _arrive(self, server: VirtualServer) -> None:
-        if self.closed:
+        if self.is_closed:
             return
-        if not server.up:
-            self._hear(ServerFailed("connection refused", False))
+        if not server.is_up:
+            self._notify(ServerFailed("connection refused", False))
             return
         question = self._request.machine.request.inference_request
         key = GenerationKey(
             question.model, question.adapter or "", question.prompt, question.max_tokens
         )
-        self._close_at_server = server.ask(
+        self._close_at_server = server.submit(
             self, key, self._prefix_tokens, self._request.hang_up_after
         )
 
@@ -67,39 +110,39 @@
 
     def on_refused(self, end: ExchangeEnd, missing: tuple[str, ...], final: bool) -> None:
         """Take a refusal: nothing ran."""
-        self._hear(ServerRefused(end, end.value, missing, final))
+        self._notify(ServerRefused(end, end.value, missing, final))
 
     def on_tokens(self, count: int) -> None:
         """Take the tokens that came since the last call."""
-        self._pieces(count)
+        self._forward_chunks(count)
 
     def on_finished(self, count: int) -> None:
         """Take the whole answer."""
-        if self._request.machine.request.inference_request.stream:
-            self._pieces(count)
-            self._hear(StreamEnded(count))
+        if self._request.machine.request.question.stream:
+            self._forward_chunks(count)
+            self._notify(StreamEnded(count))
         else:
-            self._hear(ResponseReceived(b"{}", count))
+            self._notify(Answered(b"{}", count))
 
     def on_broken(self, count: int, sent: bool) -> None:
         """Take a connection that broke."""
-        if self._request.machine.request.inference_request.stream:
-            self._pieces(count)
-        self._hear(ServerFailed("the connection broke", sent))
+        if self._request.machine.request.question.stream:
+            self._forward_chunks(count)
+        self._notify(ServerFailed("the connection broke", sent))
 
-    def _pieces(self, count: int) -> None:
-        if not self._request.machine.request.inference_request.stream or count <= self.count:
+    def _forward_chunks(self, count: int) -> None:
+        if not self._request.machine.request.question.stream or count <= self.count:
             return
         first_index = self.count + 1
         chunks = [""] * (count - self.count)
         self.count = count
-        self._hear(ChunksReceived(first_index, chunks))
+        self._notify(PiecesReceived(first_index, chunks))
 
-    def _hear(self, event: Input) -> None:
+    def _notify(self, event: Input) -> None:
         node = self._request.node
-        node.clock.call_later(node.timings.server_hop_s, lambda: self._take(event))
+        node.clock.call_later(node.timings.server_hop_s, lambda: self._on_event(event))
 
-    def _take(self, event: Input) -> None:
-        if isinstance(event, ChunksReceived) and not self.first_piece_s:
-            self.first_piece_s = self._request.node.clock.now - self.started_at
+    def _on_event(self, event: Input) -> None:
+        if isinstance(event, PiecesReceived) and not self.first_chunk_s:
+            self.first_chunk_s = self._request.node.clock.now - self.started_at
         self._request.on_exchange(self, event)
--- a/src/zincvale/simulator/what_if/fault_plan.py
+++ b/src/zincvale/simulator/what_if/fault_plan.py
@@ -19,7 +19,7 @@
 from zincvale.fleet.fault_plan import Step
 from zincvale.standins.behaviours import BehaviourKind
 
-IN_THE_LOAD = (CrowdComes, PopularityShifts, RareModelsWanted)
+PART_OF_THE_LOAD = (CrowdComes, PopularityShifts, RareModelsWanted)
 """Read into the load file before the run."""
 
 
@@ -33,23 +33,23 @@
 
 def plan_faults(steps: list[Step], daemons: frozenset[str]) -> FaultPlan:
     """Part the steps of a fault file; `daemons` are the machines that are not back ends."""
-    kept: list[Step] = []
+    modelled: list[Step] = []
     left_out: dict[str, None] = {}
     for step in steps:
-        reason = _why_not(step)
+        reason = _exclusion_reason(step)
         if reason:
             left_out[f"{step.fault.kind}: {reason}"] = None
         else:
-            kept.append(step)
+            modelled.append(step)
             for target in step.targets:
                 if target in daemons and target.startswith("core"):
                     left_out[f"{step.fault.kind} of {target}: the control machines are one"] = None
-    return FaultPlan(tuple(kept), tuple(left_out))
+    return FaultPlan(tuple(modelled), tuple(left_out))
 
 
-def _why_not(step: Step) -> str:
+def _exclusion_reason(step: Step) -> str:
     fault = step.fault
-    if isinstance(fault, IN_THE_LOAD):
+    if isinstance(fault, PART_OF_THE_LOAD):
         return ""
     if isinstance(fault, Kill | Restart | Drain | Evacuate | Apply | ChangeBurst):
         return ""
--- a/src/zincvale/simulator/what_if/figures.py
+++ b/src/zincvale/simulator/what_if/figures.py
@@ -5,16 +5,13 @@
 import math
 from array import array
 from collections import Counter
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import attrs
 import numpy
 
 from zincvale.standins.caller_retry import AttemptOutcome, AttemptResult
 
-if TYPE_CHECKING:
-    from zincvale.simulator.what_if.request import VirtualRequest
-
 PERCENTILES = (50, 95, 99)
 ANSWERED = AttemptOutcome.ANSWERED.value
 MILLISECONDS_PER_S = 1000.0
@@ -29,6 +26,16 @@
     return array("d")
 
 
+@attrs.define(eq=False)
+class RequestStats:
+    """What the node saw of one request."""
+
+    load_wait_s: float = 0.0
+    waited_for_load: bool = False
+    queue_wait_s: float = 0.0
+    server_attempts: int = 0
+
+
 @attrs.define(eq=False)
 class RequestRow:
     """One request as its caller saw it; times are seconds, `at_s` from the load's start."""
@@ -45,12 +52,11 @@
     load_wait_s: float = 0.0
     queue_wait_s: float = 0.0
 
-    def add_node_counts(self, at_node: VirtualRequest) -> None:
+    def add_node_stats(self, stats: RequestStats) -> None:
         """Add what one attempt waited for at its node."""
-        counts = at_node.counts
-        self.waited_for_load |= counts.waited_for_load
-        self.load_wait_s += counts.load_wait_s
-        self.queue_wait_s += counts.queue_wait_s
+        self.waited_for_load |= stats.waited_for_load
+        self.load_wait_s += stats.load_wait_s
+        self.queue_wait_s += stats.queue_wait_s
 
 
 @attrs.define(eq=False)
@@ -149,7 +155,7 @@
             route.refused_attempts += 1
             route.refusal_reasons[result.reason] += 1
 
-    def settled(self, row: RequestRow) -> None:
+    def completed(self, row: RequestRow) -> None:
         """Add a request that is over."""
         self.routes[row.route].add(row)
         self._interval(row).add(row)
@@ -209,7 +215,7 @@
 
 
 @attrs.frozen
-class WorldFigures:
+class RunFigures:
     """One world of a comparison."""
 
     routes: dict[str, RouteFigures]
--- a/src/zincvale/simulator/what_if/inputs.py
+++ b/src/zincvale/simulator/what_if/inputs.py
@@ -12,7 +12,7 @@
 from zincvale.model.errors import InvalidInputError
 from zincvale.simulator.what_if.fault_plan import plan_faults
 from zincvale.simulator.what_if.intent import IntentStore, resources_of
-from zincvale.simulator.what_if.machines import Question
+from zincvale.simulator.what_if.machines import WhatIfScenario
 from zincvale.standins.deployment import read_documents
 
 ALWAYS_LEFT_OUT = (
@@ -33,7 +33,7 @@
     """
 
     run: RunInputs
-    question: Question
+    scenario: WhatIfScenario
     change_file: str
     not_modelled: tuple[str, ...]
 
@@ -56,7 +56,7 @@
     change = _read_change(run, change_file)
     machines = frozenset(machine.name for machine in run.deployment.machines)
     faults = plan_faults(run.steps, machines)
-    question = Question(
+    scenario = WhatIfScenario(
         deployment=run.deployment,
         documents=run.documents,
         load=run.load,
@@ -68,7 +68,7 @@
         apply_at_s=apply_at_s,
     )
     left_out = (*faults.not_modelled, *ALWAYS_LEFT_OUT)
-    return WhatIfInputs(run, question, change_file, left_out)
+    return WhatIfInputs(run, scenario, change_file, left_out)
 
 
 def _read_change(run: RunInputs, change_file: str) -> tuple[dict[str, Any], ...]:
--- a/src/zincvale/simulator/what_if/lookup.py
+++ b/src/zincvale/simulator/what_if/lookup.py
@@ -10,7 +10,7 @@
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.control_tables import ServerHealth
 from zincvale.simulator.what_if.clock import Timer
-from zincvale.simulator.what_if.servers import Asker, VirtualServer, do_nothing
+from zincvale.simulator.what_if.servers import ExchangeListener, VirtualServer, do_nothing
 from zincvale.standins.deployment import LookupProfile
 from zincvale.standins.generation import GenerationKey
 from zincvale.standins.lookup import LookupLimiter
@@ -22,7 +22,7 @@
 
     profile: LookupProfile = attrs.field(kw_only=True)
     limiter: LookupLimiter = attrs.field(init=False)
-    _askers: dict[int, tuple[Asker, Timer]] = attrs.field(factory=dict)
+    _exchanges: dict[int, tuple[ExchangeListener, Timer]] = attrs.field(factory=dict)
     _run_count: int = 0
 
     def __attrs_post_init__(self) -> None:
@@ -45,30 +45,30 @@
             unloading=frozenset(),
         )
 
-    def ask(
-        self, asker: Asker, key: GenerationKey, prefix_tokens: int, mark: int
+    def submit(
+        self, listener: ExchangeListener, key: GenerationKey, prefix_tokens: int, mark: int
     ) -> Callable[[], None]:
         """Run one lookup, or refuse it by rate."""
         if not self.limiter.begin(self.clock.now):
-            self.counts.refusals += 1
-            asker.on_refused(ExchangeEnd.RATE_LIMITED, (), False)
+            self.stats.refusals += 1
+            listener.on_refused(ExchangeEnd.RATE_LIMITED, (), False)
             return do_nothing
         self._began()
         self._run_count += 1
         number = self._run_count
         timer = self.clock.call_later(self.profile.service_s, lambda: self._finish(number))
-        self._askers[number] = (asker, timer)
+        self._exchanges[number] = (listener, timer)
         return do_nothing
 
     def crash(self) -> None:
         """End the process."""
-        if not self.up:
+        if not self.is_up:
             return
-        self.up = False
-        askers, self._askers = self._askers, {}
-        for asker, timer in askers.values():
+        self.is_up = False
+        exchanges, self._exchanges = self._exchanges, {}
+        for listener, timer in exchanges.values():
             timer.cancel()
-            asker.on_broken(0, True)
+            listener.on_broken(0, True)
 
     def start(self) -> None:
         """Start the process again."""
@@ -76,6 +76,6 @@
         self.limiter = LookupLimiter(self.profile, self.clock.now)
 
     def _finish(self, number: int) -> None:
-        asker, _ = self._askers.pop(number)
+        listener, _ = self._exchanges.pop(number)
         self.limiter.end()
-        asker.on_finished(1)
+        listener.on_finished(1)
--- a/src/zincvale/simulator/what_if/machines.py
+++ b/src/zincvale/simulator/what_if/machines.py
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Question:
+class WhatIfScenario:
     """What a run is asked.
 
     Attributes
@@ -54,34 +54,36 @@
     timings: Timings = Timings()
 
 
-def make_stores(question: Question, clock: VirtualClock) -> dict[StoreName, VirtualStore]:
+def make_stores(scenario: WhatIfScenario, clock: VirtualClock) -> dict[StoreName, VirtualStore]:
     """Return the weight stores, with the limits that the intent declares."""
     limits = {
         document.name: int(
             (document.spec or {}).get("max_concurrent_loads", DEFAULT_MAX_CONCURRENT_LOADS)
         )
-        for document in question.documents
+        for document in scenario.documents
         if document.kind == "Store"
     }
     return {
         StoreName(store.name): VirtualStore(
             clock, store.bytes_per_second, limits.get(store.name, DEFAULT_MAX_CONCURRENT_LOADS)
         )
-        for store in question.deployment.stores
+        for store in scenario.deployment.stores
     }
 
 
-def make_servers(question: Question, clock: VirtualClock) -> dict[ServerId, VirtualServer]:
+def make_servers(scenario: WhatIfScenario, clock: VirtualClock) -> dict[ServerId, VirtualServer]:
     """Return the back ends, cold and empty."""
     return {
-        ServerId(server.name): _make_server(question, server, clock)
-        for server in question.deployment.servers
+        ServerId(server.name): _make_server(scenario, server, clock)
+        for server in scenario.deployment.servers
     }
 
 
-def _make_server(question: Question, server: BackEndServer, clock: VirtualClock) -> VirtualServer:
-    deployment = question.deployment
-    place = PlatformServer(
+def _make_server(
+    scenario: WhatIfScenario, server: BackEndServer, clock: VirtualClock
+) -> VirtualServer:
+    deployment = scenario.deployment
+    platform_row = PlatformServer(
         ServerId(server.name),
         Address(deployment.server_address(server)),
         PoolName(server.pool),
@@ -89,17 +91,17 @@
         server.kind,
     )
     if server.kind is PoolKind.LOOKUP:
-        return VirtualLookup(place, clock, profile=deployment.lookup_profiles[server.pool])
+        return VirtualLookup(platform_row, clock, profile=deployment.lookup_profiles[server.pool])
     return VirtualLanguageModel(
-        place,
+        platform_row,
         clock,
         profile=deployment.language_model_profiles[server.pool],
-        pull_overhead_s=question.timings.pull_overhead_s,
+        pull_overhead_s=scenario.timings.pull_overhead_s,
     )
 
 
 def make_nodes(
-    question: Question,
+    scenario: WhatIfScenario,
     clock: VirtualClock,
     servers: dict[ServerId, VirtualServer],
     claims: ClaimTable,
@@ -110,15 +112,15 @@
             MemberId(machine.name),
             ZoneName(machine.zone),
             clock,
-            question.timings,
+            scenario.timings,
             servers,
             claims,
-            Random(f"{question.seed}/{machine.name}"),
-            _keep_nothing,
+            Random(f"{scenario.seed}/{machine.name}"),
+            _ignore_end,
         )
-        for machine in question.deployment.nodes()
+        for machine in scenario.deployment.nodes()
     }
 
 
-def _keep_nothing(request: VirtualRequest, outcome: Outcome, reason: str) -> None:
+def _ignore_end(request: VirtualRequest, outcome: Outcome, reason: str) -> None:
     """Callers' rows say it all."""
--- a/src/zincvale/simulator/what_if/node.py
+++ b/src/zincvale/simulator/what_if/node.py
@@ -34,7 +34,7 @@
 
 
 @attrs.define
-class RememberingWorld(RoutingState):
+class IncrementalRoutingState(World):
     """A `World` that does again only what a delivery changes; its tables are the same.
 
     Nodes are ranked for a server once per member table, and a directory with the known servers in
@@ -53,8 +53,8 @@
         known = self.directory
         if (directory.epoch, directory.version) < (known.epoch, known.version):
             return False
-        if not self._has_same_places(directory):
-            return RoutingState.apply_directory(self, directory, now)
+        if not self._has_same_servers(directory):
+            return World.apply_directory(self, directory, now)
         for server, row in directory.servers.items():
             # The ramp of a server without any model begins anew with each sight of it.
             empty = row.health is ServerHealth.COLD and not row.models
@@ -63,7 +63,7 @@
         self.directory = directory
         return True
 
-    def _has_same_places(self, directory: Directory) -> bool:
+    def _has_same_servers(self, directory: Directory) -> bool:
         known = self.directory.servers
         if not known or known.keys() != directory.servers.keys():
             return False
@@ -76,7 +76,7 @@
         return share
 
 
-class WatchfulScheduler(Scheduler):
+class ObservableScheduler(Scheduler):
     """A `Scheduler` that tells whether time alone may let a waiting request go on."""
 
     def all_wait_for_tables(self) -> bool:
@@ -121,7 +121,7 @@
         self.servers = servers
         self.claims = claims
         self.observe = observe
-        self.up = True
+        self.is_up = True
         self.requests: dict[int, VirtualRequest] = {}
         self.on_urgent_demand: Callable[[VirtualNode], None] | None = None
         self._random = random
@@ -132,7 +132,7 @@
     @property
     def ready(self) -> bool:
         """Whether the platform's poll finds the node ready."""
-        fresh = self.up and self.world.intent.version > 0
+        fresh = self.is_up and self.world.intent.version > 0
         return fresh and not self.world.zone_evacuated(self.zone)
 
     def begin(self, request: CallerRequest, route: RouteSpec, caller: CallerSide) -> VirtualRequest:
@@ -147,7 +147,7 @@
         if isinstance(refused, Rejected):
             refusal = Refusal(refused.reason, refused.problem, retry_after_s=refused.retry_after_s)
         else:
-            runner.admitted = True
+            runner.is_admitted = True
         runner.start_deadline(request.deadline_at - self.clock.now)
         runner.feed(Started(refusal))
         return runner
@@ -160,17 +160,17 @@
 
     def apply_intent(self, intent: Intent) -> None:
         """Take a newer intent into force."""
-        if self.up and self.world.apply_intent(intent):
+        if self.is_up and self.world.apply_intent(intent):
             self.pump()
 
     def apply_directory(self, directory: Directory) -> None:
         """Take a newer directory."""
-        if self.up and self.world.apply_directory(directory, self.clock.now):
+        if self.is_up and self.world.apply_directory(directory, self.clock.now):
             self.pump()
 
     def apply_members(self, members: Members) -> None:
         """Take a newer member table."""
-        if self.up:
+        if self.is_up:
             self.world.apply_members(members)
 
     def demand_report(self) -> DemandReport:
@@ -181,9 +181,9 @@
 
     def crash(self) -> None:
         """End the process: every connection breaks, nothing is remembered."""
-        if not self.up:
+        if not self.is_up:
             return
-        self.up = False
+        self.is_up = False
         requests, self.requests = self.requests, {}
         for request in requests.values():
             request.on_node_lost()
@@ -191,11 +191,11 @@
     def start(self) -> None:
         """Start the process again with empty tables."""
         self._make_empty()
-        self.up = True
+        self.is_up = True
 
     def _make_empty(self) -> None:
-        self.world = RememberingWorld(self.zone, self.member)
-        self.scheduler = WatchfulScheduler(self.world, self._random)
+        self.world = IncrementalRoutingState(self.zone, self.member)
+        self.scheduler = ObservableScheduler(self.world, self._random)
 
     # verdicts
 
@@ -231,7 +231,7 @@
 
     def pump(self) -> None:
         """Serve and expire the queues."""
-        if self.up and self.scheduler.any_waiting():
+        if self.is_up and self.scheduler.any_waiting():
             self.deliver(self.scheduler.pump(self.clock.now))
 
     def _schedule_pump(self) -> None:
--- a/src/zincvale/simulator/what_if/plot.py
+++ b/src/zincvale/simulator/what_if/plot.py
@@ -11,7 +11,7 @@
 from matplotlib.backends.backend_agg import FigureCanvasAgg
 from matplotlib.figure import Figure
 
-from zincvale.simulator.what_if.figures import WorldFigures
+from zincvale.simulator.what_if.figures import RunFigures
 from zincvale.simulator.what_if.report import Comparison
 
 SIZE_INCHES = (11.0, 11.0)
@@ -38,16 +38,18 @@
 
 
 def _draw(axes: Axes, comparison: Comparison, name: str, title: str) -> None:
-    worlds = [("without the change", comparison.before)]
+    runs = [("without the change", comparison.before)]
     if comparison.after is not None:
-        worlds.append(("with the change", comparison.after))
-    for (label, world), colour in zip(worlds, COLOURS, strict=False):
-        axes.step(world.series["at_s"], world.series[name], where="post", label=label, color=colour)
+        runs.append(("with the change", comparison.after))
+    for (label, figures), colour in zip(runs, COLOURS, strict=False):
+        axes.step(
+            figures.series["at_s"], figures.series[name], where="post", label=label, color=colour
+        )
     axes.set_title(f"{title}, each {_interval(comparison.before)}", fontsize="medium")
     axes.set_ylim(bottom=0)
     if comparison.after is not None:
-        axes.axvline(comparison.inputs.question.apply_at_s, color="#868e96", linestyle=":")
+        axes.axvline(comparison.inputs.scenario.apply_at_s, color="#868e96", linestyle=":")
 
 
-def _interval(world: WorldFigures) -> str:
-    return f"{world.interval_s:.0f} s"
+def _interval(figures: RunFigures) -> str:
+    return f"{figures.interval_s:.0f} s"
--- a/src/zincvale/simulator/what_if/report.py
+++ b/src/zincvale/simulator/what_if/report.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from zincvale.simulator.what_if.figures import RouteFigures, WorldFigures
+from zincvale.simulator.what_if.figures import RouteFigures, RunFigures
 from zincvale.simulator.what_if.inputs import WhatIfInputs
 
 FORMAT = "zincvale-what-if-1"
@@ -22,46 +22,46 @@
     """Both worlds of a run; `after` is None when there is no change to compare."""
 
     inputs: WhatIfInputs
-    before: WorldFigures
-    after: WorldFigures | None
+    before: RunFigures
+    after: RunFigures | None
     wall_s: float
     refused_changes: tuple[str, ...] = ()
 
     def to_json(self) -> dict[str, Any]:
         """Return everything as plain JSON."""
-        question = self.inputs.question
+        scenario = self.inputs.scenario
         return {
             "format": FORMAT,
-            "deployment": question.deployment.name,
+            "deployment": scenario.deployment.name,
             "load": self.inputs.run.options.load,
             "faults": self.inputs.run.schedule.name,
-            "seconds": question.seconds,
-            "seed": question.seed,
-            "rate_factor": question.rate_factor,
-            "change": list(question.change),
-            "apply_at_s": question.apply_at_s,
+            "seconds": scenario.seconds,
+            "seed": scenario.seed,
+            "rate_factor": scenario.rate_factor,
+            "change": list(scenario.change),
+            "apply_at_s": scenario.apply_at_s,
             "without": self.before.to_json(),
             "with": None if self.after is None else self.after.to_json(),
             "wall_s": round(self.wall_s, 2),
             "refused_changes": list(self.refused_changes),
             "not_modelled": list(self.inputs.not_modelled),
-            "assumed_delays_s": attrs.asdict(question.timings),
+            "assumed_delays_s": attrs.asdict(scenario.timings),
         }
 
 
 def comparison_lines(comparison: Comparison) -> list[str]:
     """Return the comparison as lines for a terminal."""
-    question = comparison.inputs.question
+    scenario = comparison.inputs.scenario
     options = comparison.inputs.run.options
     lines = [
-        f"{question.deployment.name}, load {options.load}, "
+        f"{scenario.deployment.name}, load {options.load}, "
         f"faults {comparison.inputs.run.schedule.name}, "
-        f"{question.seconds:.0f} s of load, seed {question.seed}",
+        f"{scenario.seconds:.0f} s of load, seed {scenario.seed}",
     ]
     if comparison.after is not None:
         lines.append(
-            f"change {comparison.inputs.change_file} ({len(question.change)} resources) "
-            f"applied {question.apply_at_s:.0f} s after the load began"
+            f"change {comparison.inputs.change_file} ({len(scenario.change)} resources) "
+            f"applied {scenario.apply_at_s:.0f} s after the load began"
         )
     lines += ["", _row("", "without", "with", "difference")]
     lines += _route_lines(comparison)
@@ -133,13 +133,13 @@
 
 
 def _speed_lines(comparison: Comparison) -> list[str]:
-    worlds = [world for world in (comparison.before, comparison.after) if world is not None]
-    virtual_s = sum(world.virtual_s for world in worlds)
-    processor_s = sum(world.processor_s for world in worlds)
+    runs = [run for run in (comparison.before, comparison.after) if run is not None]
+    virtual_s = sum(run.virtual_s for run in runs)
+    processor_s = sum(run.processor_s for run in runs)
     return [
         f"{virtual_s:,.0f} virtual seconds in {comparison.wall_s:,.1f} s: "
         f"{virtual_s / max(comparison.wall_s, 1e-9):.0f} times real time "
-        f"(each world {min(world.speed_up for world in worlds):.0f} times; "
+        f"(each world {min(run.speed_up for run in runs):.0f} times; "
         f"{virtual_s / max(processor_s, 1e-9):.0f} virtual seconds a second of processor time)"
     ]
 
--- a/src/zincvale/simulator/what_if/request.py
+++ b/src/zincvale/simulator/what_if/request.py
@@ -4,11 +4,11 @@
 
 from collections import deque
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 import attrs
 
-from zincvale.dataplane.inference import responses as answers
+from zincvale.dataplane.inference import responses as responses
 from zincvale.dataplane.inference.dependencies import ClaimDecision, RecordedOutcome
 from zincvale.dataplane.inference.events import (
     BreakStream,
@@ -41,17 +41,17 @@
 )
 from zincvale.dataplane.inference.request_machine import RequestMachine
 from zincvale.dataplane.inference.request_state import Phase
+from zincvale.dataplane.inference.requests import CallerRequest
 from zincvale.dataplane.inference.routing_state import PoolState, ServerState
-from zincvale.dataplane.inference.runner import CONTINUATION_TIMEOUT_S, LATE_RESPONSE_TIMEOUT_S
-from zincvale.dataplane.inference.scheduler import work_tokens
+from zincvale.dataplane.inference.runner import CONTINUATION_WAIT_S, LATE_ANSWER_S
+from zincvale.dataplane.inference.scheduler import Scheduler, work_tokens
+from zincvale.dataplane.inference.verdicts import Verdict
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
 from zincvale.model.outcomes import Outcome, RefusalReason
+from zincvale.simulator.what_if.claims import ClaimTable
 from zincvale.simulator.what_if.clock import Timer
-from zincvale.simulator.what_if.exchange import VirtualExchange
-
-if TYPE_CHECKING:
-    from zincvale.simulator.what_if.node import VirtualNode
-
+from zincvale.simulator.what_if.exchange import ExchangeNode, VirtualExchange
+from zincvale.simulator.what_if.figures import RequestStats
 
 OK_STATUS = 200
 
@@ -61,10 +61,10 @@
 
     hang_up_after: int
 
-    def on_answer(self, answer: SendResponse) -> None:
+    def on_response(self, answer: SendAnswer) -> None:
         """Take a whole response."""
 
-    def on_pieces(self, last_index: int, delay_s: float) -> None:
+    def on_chunks(self, last_index: int, delay_s: float) -> None:
         """Take the pieces of a stream up to `last_index`."""
 
     def on_end(self, count: int, delay_s: float) -> None:
@@ -80,14 +80,42 @@
         """Take the loss of the connection."""
 
 
-@attrs.define(eq=False)
-class RequestCounts:
-    """What the node saw of one request."""
+class RequestNode(ExchangeNode, Protocol):
+    """What a request uses of its node (`node.VirtualNode`)."""
+
+    @property
+    def is_up(self) -> bool:
+        """Whether the node's process runs."""
+        ...
+
+    @property
+    def claims(self) -> ClaimTable:
+        """Claims and streams of all nodes."""
+        ...
 
-    load_wait_s: float = 0.0
-    waited_for_load: bool = False
-    queue_wait_s: float = 0.0
-    server_attempts: int = 0
+    @property
+    def scheduler(self) -> Scheduler:
+        """The node's queues and admission."""
+        ...
+
+    @property
+    def requests(self) -> dict[int, VirtualRequest]:
+        """The node's open requests, by token."""
+        ...
+
+    def deliver(self, verdicts: list[Verdict]) -> None:
+        """Apply verdicts of the scheduler to the requests they are about."""
+        ...
+
+    def finish_exchange(
+        self, request: CallerRequest, server: ServerState, report: ExchangeReport
+    ) -> None:
+        """Release a server's slot and serve who waited for it."""
+        ...
+
+    def observe(self, request: VirtualRequest, outcome: Outcome, reason: str, /) -> None:
+        """Report the end of a request."""
+        ...
 
 
 class VirtualRequest:
@@ -95,7 +123,7 @@
 
     def __init__(
         self,
-        node: VirtualNode,
+        node: RequestNode,
         machine: RequestMachine,
         pool: PoolState | None,
         caller: CallerSide,
@@ -103,15 +131,15 @@
     ) -> None:
         self.node = node
         self.machine = machine
-        self.admitted = False
-        self.counts = RequestCounts()
+        self.is_admitted = False
+        self.stats = RequestStats()
         self.queued_for_load = False
         self._pool = pool
         self._caller: CallerSide | None = caller
         self._token = token
         self._inputs: deque[Input] = deque()
         self._effects: deque[Effect] = deque()
-        self._busy = False
+        self._is_busy = False
         self._timer: Timer | None = None
         self._server: ServerState | None = None
         self._exchange: VirtualExchange | None = None
@@ -122,7 +150,7 @@
     def feed(self, event: Input) -> None:
         """Apply an input and carry out what follows, in order."""
         self._inputs.append(event)
-        if not self._busy:
+        if not self._is_busy:
             self._advance()
 
     def start_deadline(self, seconds: float) -> None:
@@ -133,30 +161,30 @@
         """Note that the request waits."""
         self._queued_at = self.node.clock.now
         self.queued_for_load = for_load
-        self.counts.waited_for_load |= for_load
+        self.stats.waited_for_load |= for_load
 
     def on_placed(self, server: ServerState) -> None:
         """Remember the server whose place is taken."""
         self._server = server
-        self.note_wait()
+        self.record_wait()
 
-    def note_wait(self) -> None:
+    def record_wait(self) -> None:
         """Count the wait that ends now."""
         if self._queued_at is None:
             return
         waited_s = self.node.clock.now - self._queued_at
         self._queued_at = None
         if self.queued_for_load:
-            self.counts.load_wait_s += waited_s
+            self.stats.load_wait_s += waited_s
         else:
-            self.counts.queue_wait_s += waited_s
+            self.stats.queue_wait_s += waited_s
 
     def on_caller_lost(self) -> None:
         """Take note that the caller closed its connection."""
         self._caller = None
-        if self.machine.is_stream_open:
-            self._keep_stream(False)
-        self.feed(CallerDisconnected(self._sent))
+        if self.machine.opened:
+            self._record_stream(False)
+        self.feed(CallerGone(self._sent))
 
     def on_node_lost(self) -> None:
         """Take note that this node ended: connections break, nothing is decided any more."""
@@ -164,18 +192,18 @@
         if self._exchange is not None:
             self._exchange.close()
         self._disarm()
-        if self.machine.is_stream_open:
-            self._keep_stream(False)
+        if self.machine.opened:
+            self._record_stream(False)
         self.machine.phase = Phase.DONE
         self._effects.clear()
         self._inputs.clear()
-        self._busy = True
+        self._is_busy = True
         if caller is not None:
             caller.on_reset()
 
     @property
     def _sent(self) -> bool:
-        return self._exchange is not None and not self._exchange.closed
+        return self._exchange is not None and not self._exchange.is_closed
 
     def _on_deadline(self) -> None:
         self._timer = None
@@ -190,24 +218,24 @@
     # effects
 
     def _advance(self) -> None:
-        self._busy = True
+        self._is_busy = True
         while self._effects or self._inputs:
             if self._effects:
-                if self._carry_out(self._effects.popleft()):
+                if self._execute(self._effects.popleft()):
                     return
                 continue
             self._effects.extend(self.machine.handle(self._inputs.popleft()))
-        self._busy = False
+        self._is_busy = False
 
-    def _go_on(self, event: Input | None = None) -> None:
+    def _resume(self, event: Input | None = None) -> None:
         """Continue after a wait for a neighbour."""
-        if not self.node.up:
+        if not self.node.is_up:
             return
         if event is not None:
             self._inputs.append(event)
         self._advance()
 
-    def _carry_out(self, effect: Effect) -> bool:
+    def _execute(self, effect: Effect) -> bool:
         """Carry out one effect; True when the following ones have to wait for it."""
         match effect:
             case RelayChunks():
@@ -218,8 +246,8 @@
                 self._dispatch(effect)
             case FreeServer():
                 self._free(effect)
-            case SendResponse():
-                self._send_answer(effect)
+            case SendAnswer():
+                self._send_response(effect)
             case Finish(outcome, reason):
                 self._finish(outcome, reason)
             case OpenStream():
@@ -229,21 +257,21 @@
             case BreakStream(resumable, _):
                 self._break_stream(resumable)
             case CancelChoice():
-                self.note_wait()
+                self.record_wait()
                 if self._pool is not None:
                     self.node.scheduler.cancel(self._pool.name, self._token)
             case CancelExchange():
                 if self._exchange is not None:
                     self._exchange.close()
             case _:
-                self._call_neighbour(effect)
+                self._call_dependency(effect)
                 return True
         return False
 
-    def _call_neighbour(self, effect: Effect) -> None:
+    def _call_dependency(self, effect: Effect) -> None:
         request = self.machine.request
         claims = self.node.claims
-        after: Callable[[], None] = self._go_on
+        after: Callable[[], None] = self._resume
         match effect:
             case Claim():
 
@@ -255,12 +283,12 @@
             case RenewClaim():
 
                 def after() -> None:
-                    self._go_on(ClaimRenewed(True))
+                    self._resume(ClaimRenewed(True))
 
             case LookUpStream():
 
                 def after() -> None:
-                    self._go_on(StreamFound(claims.stream(request.request_id)))
+                    self._resume(StreamFound(claims.stream(request.request_id)))
 
             case RecordOutcome():
                 outcome = RecordedOutcome(
@@ -268,8 +296,8 @@
                 )
                 claims.record(request.request_id, outcome)
             case RecordStream():
-                headers = answers.stream_headers(request.request_id)
-                body = answers.whole_stream(self.machine.chunks)
+                headers = responses.stream_headers(request.request_id)
+                body = responses.whole_stream(self.machine.pieces)
                 outcome = RecordedOutcome(Outcome.ANSWERED, OK_STATUS, headers, body)
                 claims.record(request.request_id, outcome)
             case ReleaseClaim():
@@ -277,7 +305,7 @@
         self.node.clock.call_later(self.node.timings.claim_s, after)
 
     def _claimed(self, decision: ClaimDecision) -> None:
-        self._go_on(ClaimDecided(decision))
+        self._resume(ClaimDecided(decision))
 
     def _choose(self, excluded: frozenset[str], retry: bool) -> None:
         request = self.machine.request
@@ -294,7 +322,7 @@
 
     def _dispatch(self, effect: Dispatch) -> None:
         assert self._server is not None
-        self.counts.server_attempts += 1
+        self.stats.server_attempts += 1
         self._exchange = VirtualExchange(self, len(effect.prefix), self.node.clock.now)
         self._exchange.start(self._server)
 
@@ -311,7 +339,7 @@
             work_tokens(self.machine.request, self._pool.spec.kind),
             effect.units,
             effect.missing,
-            0.0 if exchange is None else exchange.first_piece_s,
+            0.0 if exchange is None else exchange.first_chunk_s,
         )
         self.node.finish_exchange(self.machine.request, server, report)
 
@@ -319,35 +347,35 @@
         if self._caller is not None:
             last_index = effect.first_index + len(effect.chunks) - 1
             delay_s = self.node.timings.journal_s if effect.journal else 0.0
-            self._caller.on_pieces(last_index, delay_s)
+            self._caller.on_chunks(last_index, delay_s)
 
     def _end_stream(self, count: int) -> None:
         if self._caller is not None:
             self._caller.on_end(count, self.node.timings.journal_s)
 
     def _break_stream(self, resumable: bool) -> None:
-        self._keep_stream(False)
+        self._record_stream(False)
         if self._caller is not None:
             self._caller.on_break(resumable)
 
-    def _keep_stream(self, complete: bool) -> None:
+    def _record_stream(self, is_complete: bool) -> None:
         request = self.machine.request
         count = len(self.machine.chunks)
         if self._exchange is not None:
             count = max(count, self._exchange.count)
-        self.node.claims.keep_stream(request.request_id, request.digest, count, complete)
+        self.node.claims.record_stream(request.request_id, request.digest, count, is_complete)
 
-    def _send_answer(self, effect: SendResponse) -> None:
+    def _send_response(self, effect: SendAnswer) -> None:
         if self._caller is not None:
-            self._caller.on_answer(effect)
+            self._caller.on_response(effect)
         if self.machine.phase is Phase.LATE:
             self._arm(LATE_RESPONSE_TIMEOUT_S, self._on_late_limit)
 
     def _finish(self, outcome: Outcome, reason: str) -> None:
         self._disarm()
-        self.note_wait()
-        if self.admitted:
-            self.admitted = False
+        self.record_wait()
+        if self.is_admitted:
+            self.is_admitted = False
             self.node.scheduler.leave(self.machine.request)
         self.node.requests.pop(self._token, None)
         self.node.observe(self, outcome, reason)
@@ -363,7 +391,7 @@
 
     def on_exchange(self, exchange: VirtualExchange, event: Input) -> None:
         """Take what a server said, unless its exchange was given up."""
-        if exchange is not self._exchange or exchange.closed or not self.node.up:
+        if exchange is not self._exchange or exchange.is_closed or not self.node.is_up:
             return
         if isinstance(event, ServerFailed) and self.machine.chunks and self._caller is not None:
             self._caller.on_stalled()
--- a/src/zincvale/simulator/what_if/run.py
+++ b/src/zincvale/simulator/what_if/run.py
@@ -23,17 +23,22 @@
 from zincvale.simulator.what_if.figures import (
     FigureTable,
     MoveFigures,
-    WorldFigures,
+    RunFigures,
 )
 from zincvale.simulator.what_if.intent import IntentStore, resources_of
-from zincvale.simulator.what_if.machines import Question, make_nodes, make_servers, make_stores
+from zincvale.simulator.what_if.machines import (
+    WhatIfScenario,
+    make_nodes,
+    make_servers,
+    make_stores,
+)
 from zincvale.simulator.what_if.node import VirtualNode
 from zincvale.simulator.what_if.servers import VirtualLanguageModel
 from zincvale.standins.platform_state import NodeReadiness
 from zincvale.standins.request_plan import Planner
 from zincvale.standins.settings import PolledNode
 
-SETTLE_S = 60.0
+DRAIN_LIMIT_S = 60.0
 """How long open requests are followed after the last arrival."""
 FIRST_INTENT_S = 1.0
 """The first intent comes when the directory knows its servers."""
@@ -42,79 +47,79 @@
 class VirtualFleet:
     """Every machine of a deployment in virtual time."""
 
-    def __init__(self, question: Question) -> None:
-        self.question = question
+    def __init__(self, scenario: WhatIfScenario) -> None:
+        self.scenario = scenario
         self.clock = VirtualClock()
-        self.timings = question.timings
-        self.figures = FigureTable(question.seconds)
+        self.timings = scenario.timings
+        self.figures = FigureTable(scenario.seconds)
         self.refused_changes: list[str] = []
         self.directory = Directory()
-        self._random = Random(question.seed)
-        self.stores = make_stores(question, self.clock)
-        self.servers = make_servers(question, self.clock)
+        self._random = Random(scenario.seed)
+        self.stores = make_stores(scenario, self.clock)
+        self.servers = make_servers(scenario, self.clock)
         self.claims = ClaimTable(self.clock)
-        self.nodes = make_nodes(question, self.clock, self.servers, self.claims)
+        self.nodes = make_nodes(scenario, self.clock, self.servers, self.claims)
         self.control = ControlMachine(
             self.clock,
             self.timings,
             self.servers,
             self.stores,
-            Random(f"{question.seed}/control"),
+            Random(f"{scenario.seed}/control"),
             self._publish,
         )
         self.intent = IntentStore(self._intent_changed)
         self._members_version = 0
         self._platform = NodeReadiness(
             [PolledNode(name, name) for name in self.nodes],
-            question.deployment.platform.unready_after_polls,
+            scenario.deployment.platform.unready_after_polls,
         )
-        self.choice = make_choice(question.seed)
+        self.choice = make_choice(scenario.seed)
 
-    def run(self) -> WorldFigures:
+    def run(self) -> RunFigures:
         """Run the whole question and return the figures."""
         begun = time.perf_counter()
         cpu_begun = time.process_time()
-        question = self.question
+        scenario = self.scenario
         self.control.start()
         self._publish_members()
-        resources = resources_of(question.documents)
+        resources = resources_of(scenario.documents)
         self.clock.call_at(FIRST_INTENT_S, lambda: self.declare_all(resources))
         self._start_reports()
         self._start_platform()
         started_at = self.timings.warm_up_s
-        schedule_faults(self, question.faults, started_at)
-        if question.change:
-            change = list(question.change)
-            at = started_at + question.apply_at_s
+        schedule_faults(self, scenario.faults, started_at)
+        if scenario.change:
+            change = list(scenario.change)
+            at = started_at + scenario.apply_at_s
             self.clock.call_at(at, lambda: self._apply_change(change))
         callers = self._start_callers(started_at)
-        self.clock.run_until(started_at + question.seconds)
-        self._settle(callers)
+        self.clock.run_until(started_at + scenario.seconds)
+        self._drain(callers)
         wall_s = time.perf_counter() - begun
-        return self._world_figures(wall_s, time.process_time() - cpu_begun)
+        return self._run_figures(wall_s, time.process_time() - cpu_begun)
 
     # what faults and changes do
 
-    def switch(self, name: str, up: bool) -> None:
+    def set_running(self, name: str, is_up: bool) -> None:
         """Kill or start a node or back end."""
         server = self.servers.get(ServerId(name))
         if server is not None:
-            if up and not server.up:
+            if is_up and not server.is_up:
                 server.start()
-            elif not up:
+            elif not is_up:
                 server.crash()
             return
         node = self.nodes.get(name)
         if node is None:
             return
-        if not up:
+        if not is_up:
             node.crash()
             self.clock.call_later(self.timings.lease_s, self._publish_members)
-        elif not node.up:
+        elif not node.is_up:
             node.start()
             self.clock.call_later(self.timings.node_start_s, lambda: self._join(node))
 
-    def slow(self, name: str, factor: float) -> None:
+    def set_slow_factor(self, name: str, factor: float) -> None:
         """Make a language-model server work slower by a factor."""
         server = self.servers.get(ServerId(name))
         if isinstance(server, VirtualLanguageModel):
@@ -139,7 +144,7 @@
 
     def _intent_changed(self, intent: Intent) -> None:
         self.clock.call_later(
-            self.timings.intent_to_core_s, lambda: self.control.take_intent(intent)
+            self.timings.intent_to_core_s, lambda: self.control.apply_intent(intent)
         )
         for node in self.nodes.values():
             self._deliver(self.timings.intent_to_node_s, _later_intent(node, intent))
@@ -151,7 +156,7 @@
 
     def _publish_members(self) -> None:
         self._members_version += 1
-        rows = {node.member: _member_row(node) for node in self.nodes.values() if node.up}
+        rows = {node.member: _member_row(node) for node in self.nodes.values() if node.is_up}
         members = Members(self._members_version, rows)
         for node in self.nodes.values():
             node.apply_members(members)
@@ -176,13 +181,13 @@
         return lambda: self.clock.every(DEMAND_INTERVAL_S, lambda: self._report(node))
 
     def _report(self, node: VirtualNode) -> None:
-        if not node.up:
+        if not node.is_up:
             return
         report = node.demand_report()
-        self.clock.call_later(self.timings.report_hop_s, lambda: self.control.take_report(report))
+        self.clock.call_later(self.timings.report_hop_s, lambda: self.control.apply_report(report))
 
     def _start_platform(self) -> None:
-        interval_s = self.question.deployment.platform.poll_interval_s
+        interval_s = self.scenario.deployment.platform.poll_interval_s
         self.clock.every(interval_s, self._poll_nodes)
 
     def _poll_nodes(self) -> None:
@@ -190,52 +195,52 @@
             self._platform.polled(name, node.ready)
         ready = [(row.node, row.address) for row in self._platform.ready_nodes()]
         # Callers read the platform's list about half an interval later.
-        lag_s = self.question.deployment.platform.poll_interval_s / 2
+        lag_s = self.scenario.deployment.platform.poll_interval_s / 2
         self.clock.call_later(lag_s, lambda: self.choice.replace(ready))
 
     def _start_callers(self, started_at: float) -> CallersContext:
-        question = self.question
+        scenario = self.scenario
         context = CallersContext(
             clock=self.clock,
             timings=self.timings,
             nodes=self.nodes,
             choice=self.choice,
             figures=self.figures,
-            planner=Planner(question.load, question.documents, question.seed),
+            planner=Planner(scenario.load, scenario.documents, scenario.seed),
             started_at=started_at,
         )
         callers = VirtualCallers(
-            context, question.load, question.seconds, question.seed, question.rate_factor
+            context, scenario.load, scenario.seconds, scenario.seed, scenario.rate_factor
         )
         self.clock.call_at(started_at, callers.start)
         return context
 
-    def _settle(self, callers: CallersContext) -> None:
-        end = self.clock.now + SETTLE_S
+    def _drain(self, callers: CallersContext) -> None:
+        end = self.clock.now + DRAIN_LIMIT_S
         while self.clock.now < end and callers.open_conversations:
             self.clock.run_until(self.clock.now + 1.0)
 
     # figures
 
-    def _world_figures(self, wall_s: float, processor_s: float) -> WorldFigures:
-        counts = [server.counts for server in self.servers.values()]
+    def _run_figures(self, wall_s: float, processor_s: float) -> RunFigures:
+        stats = [server.stats for server in self.servers.values()]
         moves = MoveFigures(
-            loads=sum(count.loads for count in counts),
-            unloads=sum(count.unloads for count in counts),
-            refused_orders=sum(count.refused_orders for count in counts),
+            loads=sum(count.loads for count in stats),
+            unloads=sum(count.unloads for count in stats),
+            refused_orders=sum(count.refused_orders for count in stats),
             pulled_bytes=int(sum(store.pulled_bytes for store in self.stores.values())),
             moves=dict(sorted(self.control.moves_done.items())),
-            runs=sum(count.runs for count in counts),
-            refusals_by_servers=sum(count.refusals for count in counts),
+            runs=sum(count.runs for count in stats),
+            refusals_by_servers=sum(count.refusals for count in stats),
         )
-        return WorldFigures(
+        return RunFigures(
             routes=self.figures.route_figures(),
             moves=moves,
             servers={
                 str(name): {
-                    "runs": server.counts.runs,
-                    "loads": server.counts.loads,
-                    "loaded_bytes": server.counts.loaded_bytes,
+                    "runs": server.stats.runs,
+                    "loads": server.stats.loads,
+                    "loaded_bytes": server.stats.loaded_bytes,
                 }
                 for name, server in self.servers.items()
             },
--- a/src/zincvale/simulator/what_if/servers.py
+++ b/src/zincvale/simulator/what_if/servers.py
@@ -15,7 +15,7 @@
 from zincvale.model.control_tables import ServerHealth
 from zincvale.model.identifiers import AdapterName, ModelName, ServerId
 from zincvale.simulator.what_if.clock import Timer, VirtualClock
-from zincvale.simulator.what_if.engine import LeapingEngine
+from zincvale.simulator.what_if.engine import StepSkippingEngine
 from zincvale.simulator.what_if.stores import VirtualStore
 from zincvale.standins.deployment import LanguageModelProfile
 from zincvale.standins.engine import Finished, Refusal
@@ -35,7 +35,7 @@
 }
 
 
-class Asker(Protocol):
+class ExchangeListener(Protocol):
     """The node's side of one request at a server; called at the server's time."""
 
     def on_refused(self, end: ExchangeEnd, missing: tuple[str, ...], final: bool) -> None:
@@ -52,7 +52,7 @@
 
 
 @attrs.define(eq=False)
-class ServerCounts:
+class ServerStats:
     """What a server did, for the figures and checks."""
 
     runs: int = 0
@@ -69,23 +69,23 @@
 class VirtualServer:
     """What both kinds of server share: place, state of the process, counts."""
 
-    place: PlatformServer
+    platform_row: PlatformServer
     clock: VirtualClock
-    up: bool = True
+    is_up: bool = True
     incarnation: int = 1
-    counts: ServerCounts = attrs.field(factory=ServerCounts)
+    stats: ServerStats = attrs.field(factory=ServerStats)
 
     @property
     def name(self) -> ServerId:
         """The server's identifier."""
-        return self.place.server
+        return self.platform_row.server
 
     def status(self) -> ServerStatus:
         """Return what `GET /status` would say now."""
         raise NotImplementedError
 
-    def ask(
-        self, asker: Asker, key: GenerationKey, prefix_tokens: int, mark: int
+    def submit(
+        self, listener: ExchangeListener, key: GenerationKey, prefix_tokens: int, mark: int
     ) -> Callable[[], None]:
         """Take a request; returns what closes its connection."""
         raise NotImplementedError
@@ -100,20 +100,20 @@
 
     def start(self) -> None:
         """Start the process again, cold and empty."""
-        self.up = True
+        self.is_up = True
         self.incarnation += 1
 
     def _began(self) -> None:
-        self.counts.runs += 1
-        self.counts.run_times.append(self.clock.now)
+        self.stats.runs += 1
+        self.stats.run_times.append(self.clock.now)
 
 
 @attrs.define(eq=False)
 class _Run:
-    asker: Asker
+    listener: ExchangeListener
     model: str
     adapter: str
-    had_tokens: bool = False
+    has_tokens: bool = False
 
 
 @attrs.define(eq=False)
@@ -122,7 +122,7 @@
 
     profile: LanguageModelProfile = attrs.field(kw_only=True)
     pull_overhead_s: float = attrs.field(kw_only=True)
-    engine: LeapingEngine = attrs.field(init=False)
+    engine: StepSkippingEngine = attrs.field(init=False)
     residency: Residency = attrs.field(init=False)
     _runs: dict[str, _Run] = attrs.field(factory=dict)
     _run_count: int = 0
@@ -165,28 +165,28 @@
             ),
         )
 
-    def ask(
-        self, asker: Asker, key: GenerationKey, prefix_tokens: int, mark: int
+    def submit(
+        self, listener: ExchangeListener, key: GenerationKey, prefix_tokens: int, mark: int
     ) -> Callable[[], None]:
         """Take a generation, or refuse it."""
         self._sync()
         if not self.residency.serves(key.model, key.adapter):
-            self.counts.refusals += 1
+            self.stats.refusals += 1
             missing = tuple(name for name in (key.model, key.adapter) if self._lacks(name))
-            asker.on_refused(ExchangeEnd.NOT_RESIDENT, missing, False)
+            listener.on_refused(ExchangeEnd.NOT_RESIDENT, missing, False)
             return do_nothing
         self._run_count += 1
         run_id = f"run-{self._run_count}"
         refusal = self.engine.submit(run_id, key, [""] * prefix_tokens, self.clock.now)
         if refusal is not None:
-            self.counts.refusals += 1
+            self.stats.refusals += 1
             final = refusal is Refusal.TOO_LARGE
-            asker.on_refused(END_BY_REFUSAL[refusal], (), final)
+            listener.on_refused(END_BY_REFUSAL[refusal], (), final)
             return do_nothing
         self.residency.acquire(key.model, key.adapter)
         if mark:
             self.engine.marks[run_id] = mark
-        self._runs[run_id] = _Run(asker, key.model, key.adapter)
+        self._runs[run_id] = _Run(listener, key.model, key.adapter)
         self._began()
         self._set_timer()
         return lambda: self._abandon(run_id)
@@ -195,28 +195,28 @@
         """Begin a load or unload."""
         self._sync()
         if order.action is OrderAction.LOAD:
-            answer = self._order_load(order, store)
+            response = self._order_load(order, store)
         elif order.item_kind is ItemKind.MODEL:
-            answer = self.residency.order_model_unload(order.name)
+            response = self.residency.order_model_unload(order.name)
         else:
-            answer = self.residency.order_adapter_unload(order.name)
-        self._weights_left(answer.removed)
-        if answer.error is None:
+            response = self.residency.order_adapter_unload(order.name)
+        self._on_weights_removed(response.removed)
+        if response.error is None:
             return None
-        self.counts.refused_orders += 1
-        return REFUSAL_BY_ORDER_ERROR[answer.error]
+        self.stats.refused_orders += 1
+        return REFUSAL_BY_ORDER_ERROR[response.error]
 
     def crash(self) -> None:
         """End the process."""
-        if not self.up:
+        if not self.is_up:
             return
         self._sync()
-        self.up = False
+        self.is_up = False
         runs, self._runs = self._runs, {}
         for store, pull_id in self._pulls.values():
             store.abandon(pull_id)
         for run_id, run in runs.items():
-            run.asker.on_broken(self.engine.generated(run_id), True)
+            run.listener.on_broken(self.engine.generated(run_id), True)
         self._make_empty()
 
     def set_slow_factor(self, factor: float) -> None:
@@ -230,7 +230,7 @@
             self._timer.cancel()
             self._timer = None
         self._pulls.clear()
-        self.engine = LeapingEngine(self.profile)
+        self.engine = StepSkippingEngine(self.profile)
         self.residency = Residency(self.profile.memory_bytes, self.profile.max_concurrent_loads)
         self._memory_changed()
 
@@ -239,21 +239,21 @@
     def _sync(self) -> None:
         """Bring the engine up to now and hand out what came of it."""
         for moment in self.engine.advance_to(self.clock.now):
-            self._hand_out(moment.event.run_id, moment.event)
+            self._dispatch_event(moment.event.run_id, moment.event)
         self._set_timer()
 
-    def _hand_out(self, run_id: str, event: object) -> None:
+    def _dispatch_event(self, run_id: str, event: object) -> None:
         run = self._runs.get(run_id)
         if run is None:
             return
         if isinstance(event, Finished):
             self._end(run_id)
-            run.asker.on_finished(event.count)
+            run.listener.on_finished(event.count)
             return
         count = self.engine.generated(run_id) or 1
-        if not run.had_tokens or count == self.engine.marks.get(run_id):
-            run.had_tokens = True
-            run.asker.on_tokens(count)
+        if not run.has_tokens or count == self.engine.marks.get(run_id):
+            run.has_tokens = True
+            run.listener.on_tokens(count)
 
     def _abandon(self, run_id: str) -> None:
         if run_id not in self._runs:
@@ -266,7 +266,7 @@
     def _end(self, run_id: str) -> None:
         run = self._runs.pop(run_id)
         self.engine.marks.pop(run_id, None)
-        self._weights_left(self.residency.release(run.model, run.adapter))
+        self._on_weights_removed(self.residency.release(run.model, run.adapter))
 
     def _set_timer(self) -> None:
         due = self.engine.next_change_at()
@@ -287,15 +287,15 @@
     def _order_load(self, order: Order, store: VirtualStore | None) -> OrderAnswer:
         pinned = self.engine.cache.pinned_bytes()
         if order.item_kind is ItemKind.MODEL:
-            answer = self.residency.order_model_load(order.name, order.item_bytes, pinned)
+            response = self.residency.order_model_load(order.name, order.item_bytes, pinned)
         else:
-            answer = self.residency.order_adapter_load(
+            response = self.residency.order_adapter_load(
                 order.name, order.base_model, order.item_bytes, pinned
             )
-        if answer.error is None and not answer.already:
+        if response.error is None and not response.already:
             self._memory_changed()
             self._pull(order, store)
-        return answer
+        return response
 
     def _pull(self, order: Order, store: VirtualStore | None) -> None:
         name, incarnation = order.name, self.incarnation
@@ -316,19 +316,19 @@
         self._pulls[name] = (store, pull_id)
 
     def _loaded(self, order: Order, incarnation: int) -> None:
-        if incarnation != self.incarnation or not self.up:
+        if incarnation != self.incarnation or not self.is_up:
             return
         self._sync()
         if not self.residency.load_completed(order.name):
             return
         self.engine.begin_warm_up(self.clock.now)
         self._memory_changed()
-        self.counts.loads += 1
-        self.counts.loaded_bytes += order.item_bytes
+        self.stats.loads += 1
+        self.stats.loaded_bytes += order.item_bytes
 
-    def _weights_left(self, names: tuple[str, ...]) -> None:
+    def _on_weights_removed(self, names: tuple[str, ...]) -> None:
         for name in names:
-            self.counts.unloads += 1
+            self.stats.unloads += 1
             pulling = self._pulls.pop(name, None)
             if pulling is not None:
                 pulling[0].abandon(pulling[1])
--- a/tests/golden/decisions_of_placement.py
+++ b/tests/golden/decisions_of_placement.py
@@ -29,7 +29,7 @@
 from zincvale.simulator.what_if.fault_plan import plan_faults
 from zincvale.simulator.what_if.figures import FigureTable
 from zincvale.simulator.what_if.inputs import read_what_if
-from zincvale.simulator.what_if.machines import Question
+from zincvale.simulator.what_if.machines import WhatIfScenario
 from zincvale.simulator.what_if.run import VirtualFleet
 
 EMULATED_S = 300.0
@@ -108,35 +108,35 @@
     return log.digest()
 
 
-def _question(seed: int, faults: tuple[dict[str, Any], ...] = ()) -> Question:
+def _scenario(seed: int, faults: tuple[dict[str, Any], ...] = ()) -> WhatIfScenario:
     options = RunOptions("nilebridge", "steady", seconds=WHAT_IF_S, seed=seed)
-    question = read_what_if(options, "", 0.0).question
+    scenario = read_what_if(options, "", 0.0).scenario
     steps = plan_steps(
-        schedule_of({"faults": list(faults)}, "test"), inventory_of(question.deployment), seed
+        schedule_of({"faults": list(faults)}, "test"), inventory_of(scenario.deployment), seed
     )
-    return attrs.evolve(question, faults=plan_faults(steps, frozenset())) if faults else question
+    return attrs.evolve(scenario, faults=plan_faults(steps, frozenset())) if faults else scenario
 
 
-def what_if_digest(question: Callable[[], Question]) -> str:
+def what_if_digest(scenario: Callable[[], WhatIfScenario]) -> str:
     log = DecisionLog()
 
-    def settled(table: FigureTable, row: Any) -> None:
+    def completed(table: FigureTable, row: Any) -> None:
         log.add("request", row)
 
     with (
         _watched_effects(log, PlacementController, DirectoryMachine),
-        watched(FigureTable, FigureTable.settled, settled),
+        watched(FigureTable, FigureTable.completed, completed),
     ):
-        figures = VirtualFleet(question()).run()
+        figures = VirtualFleet(scenario()).run()
     routes = [[name, route] for name, route in figures.routes.items()]
     log.add("figures", routes, figures.moves, figures.virtual_s, list(figures.series.values()))
     log.add("servers", [[name, list(row.values())] for name, row in figures.servers.items()])
     return log.digest()
 
 
-def _changed() -> Question:
+def _changed() -> WhatIfScenario:
     change = ({"kind": "Server", "name": "overnight-1", "spec": {"drained": True}},)
-    return attrs.evolve(_question(2), change=change, apply_at_s=3.0)
+    return attrs.evolve(_scenario(2), change=change, apply_at_s=3.0)
 
 
 PLACEMENT_RUNS = {
@@ -147,7 +147,7 @@
 }
 HOLLOW_RUNS = {str(servers): partial(hollow_digest, servers) for servers in HOLLOW_SIZES}
 WHAT_IF_RUNS = {
-    "plain": partial(what_if_digest, partial(_question, 1)),
+    "plain": partial(what_if_digest, partial(_scenario, 1)),
     "changed": partial(what_if_digest, _changed),
-    "faults": partial(what_if_digest, partial(_question, 3, WHAT_IF_FAULTS)),
+    "faults": partial(what_if_digest, partial(_scenario, 3, WHAT_IF_FAULTS)),
 }
--- a/tests/simulator/test_what_if.py
+++ b/tests/simulator/test_what_if.py
@@ -24,9 +24,9 @@
 from zincvale.simulator.what_if.commands import what_if
 from zincvale.simulator.what_if.comparison import compare
 from zincvale.simulator.what_if.fault_plan import plan_faults
-from zincvale.simulator.what_if.figures import WorldFigures
+from zincvale.simulator.what_if.figures import RunFigures
 from zincvale.simulator.what_if.inputs import WhatIfInputs, read_what_if
-from zincvale.simulator.what_if.machines import Question
+from zincvale.simulator.what_if.machines import WhatIfScenario
 from zincvale.simulator.what_if.report import comparison_lines
 from zincvale.simulator.what_if.run import VirtualFleet
 
@@ -41,13 +41,13 @@
     return read_what_if(run, change_file, 0.0)
 
 
-def _question(faults: list[dict[str, Any]] | None = None, **changes: Any) -> Question:
-    question = attrs.evolve(_inputs().question, **changes)
+def _scenario(faults: list[dict[str, Any]] | None = None, **changes: Any) -> WhatIfScenario:
+    scenario = attrs.evolve(_inputs().scenario, **changes)
     if faults:
-        inventory = inventory_of(question.deployment)
-        steps = plan_steps(schedule_of({"faults": faults}, "test"), inventory, question.seed)
-        question = attrs.evolve(question, faults=plan_faults(steps, frozenset()))
-    return question
+        inventory = inventory_of(scenario.deployment)
+        steps = plan_steps(schedule_of({"faults": faults}, "test"), inventory, scenario.seed)
+        scenario = attrs.evolve(scenario, faults=plan_faults(steps, frozenset()))
+    return scenario
 
 
 def _document(kind: str, name: str, **spec: Any) -> dict[str, Any]:
@@ -60,7 +60,7 @@
     return replace(document, spec={**(document.spec or {}), **patch["spec"]})
 
 
-def _plain(figures: WorldFigures) -> dict[str, Any]:
+def _plain(figures: RunFigures) -> dict[str, Any]:
     plain = figures.to_json()
     return {name: value for name, value in plain.items() if name not in MEASURED}
 
@@ -69,19 +69,19 @@
     """What a change does to a world."""
 
     def test_the_same_seed_gives_the_same_figures(self) -> None:
-        first = VirtualFleet(_question()).run()
-        second = VirtualFleet(_question()).run()
-        other = VirtualFleet(_question(seed=2)).run()
+        first = VirtualFleet(_scenario()).run()
+        second = VirtualFleet(_scenario()).run()
+        other = VirtualFleet(_scenario(seed=2)).run()
         self.assertEqual(_plain(first), _plain(second))
         self.assertNotEqual(_plain(first), _plain(other))
 
     def test_every_request_is_answered_and_none_runs_twice(self) -> None:
-        fleet = VirtualFleet(_question())
+        fleet = VirtualFleet(_scenario())
         figures = fleet.run()
         quotes = figures.routes["quotes"]
         self.assertEqual(quotes.offered, quotes.answered)
         self.assertGreater(quotes.attempts, quotes.offered)
-        runs = sum(server.counts.runs for name, server in fleet.servers.items() if "quotes" in name)
+        runs = sum(server.stats.runs for name, server in fleet.servers.items() if "quotes" in name)
         self.assertEqual(quotes.offered, runs)
 
     def test_closing_zones_makes_it_worse_and_opening_them_better(self) -> None:
@@ -89,16 +89,16 @@
         # 10 lookups a second come; each zone's server takes 4.5.
         closed = [_document("Zone", zone, evacuated=True) for zone in ("zone-a", "zone-b")]
         opened = [_document("Zone", zone, evacuated=False) for zone in ("zone-a", "zone-b")]
-        question = _question(rate_factor=2.0)
-        without = VirtualFleet(question).run().routes["quotes"]
-        worse = VirtualFleet(attrs.evolve(question, change=tuple(closed))).run().routes["quotes"]
+        scenario = _scenario(rate_factor=2.0)
+        without = VirtualFleet(scenario).run().routes["quotes"]
+        worse = VirtualFleet(attrs.evolve(scenario, change=tuple(closed))).run().routes["quotes"]
         self.assertGreater(worse.refused_attempts, without.refused_attempts + 20)
         self.assertLess(worse.answered, 0.9 * without.answered)
         self.assertGreater(worse.total_ms["p50"], 1.5 * without.total_ms["p50"])
-        documents = question.documents
+        documents = scenario.documents
         for patch in closed:
             documents = [_merged(document, patch) for document in documents]
-        reopening = attrs.evolve(question, documents=documents, change=tuple(opened))
+        reopening = attrs.evolve(scenario, documents=documents, change=tuple(opened))
         better = VirtualFleet(reopening).run().routes["quotes"]
         self.assertLess(better.refused_attempts, worse.refused_attempts)
         self.assertGreater(better.answered, worse.answered)
@@ -106,47 +106,47 @@
 
     def test_a_drained_server_gets_nothing_after_the_delivery(self) -> None:
         change = (_document("Server", "overnight-1", drained=True),)
-        question = _question(change=change, apply_at_s=4.0)
-        fleet = VirtualFleet(question)
+        scenario = _scenario(change=change, apply_at_s=4.0)
+        fleet = VirtualFleet(scenario)
         fleet.run()
-        timings = question.timings
+        timings = scenario.timings
         longest_s = timings.intent_to_node_s * (1 + timings.delivery_jitter)
         closed_at = timings.warm_up_s + 4.0 + longest_s + timings.server_hop_s
-        run_times = fleet.servers[ServerId("overnight-1")].counts.run_times
+        run_times = fleet.servers[ServerId("overnight-1")].stats.run_times
         self.assertGreater(len(run_times), 0)
         self.assertLessEqual(max(run_times), closed_at)
-        other_times = fleet.servers[ServerId("overnight-2")].counts.run_times
+        other_times = fleet.servers[ServerId("overnight-2")].stats.run_times
         self.assertGreater(max(other_times), closed_at)
 
     def test_an_evacuated_zone_gets_nothing(self) -> None:
         faults = [{"kind": "evacuate", "at_s": 4.0, "target": "zone-a"}]
-        question = _question(faults)
-        fleet = VirtualFleet(question)
+        scenario = _scenario(faults)
+        fleet = VirtualFleet(scenario)
         figures = fleet.run()
-        closed_at = question.timings.warm_up_s + 4.0 + 0.5
+        closed_at = scenario.timings.warm_up_s + 4.0 + 0.5
         for server in fleet.servers.values():
-            if server.place.zone == "zone-a":
-                self.assertEqual([], [at for at in server.counts.run_times if at > closed_at])
+            if server.platform_row.zone == "zone-a":
+                self.assertEqual([], [at for at in server.stats.run_times if at > closed_at])
         self.assertEqual(figures.total("offered"), figures.total("answered"))
         self.assertFalse(fleet.nodes["node-1"].ready)
 
     def test_a_killed_server_comes_back_cold_and_streams_go_on(self) -> None:
         faults = [{"kind": "kill", "at_s": 5.0, "for_s": 3.0, "target": "conversation-1"}]
-        fleet = VirtualFleet(_question(faults))
+        fleet = VirtualFleet(_scenario(faults))
         chats = fleet.run().routes["chats"]
         self.assertEqual(chats.offered, chats.answered)
         self.assertEqual(2, fleet.servers[ServerId("conversation-1")].incarnation)
 
     def test_a_whole_stream_asked_for_again_comes_from_the_record(self) -> None:
         run = RunOptions("surtido", "steady", seconds=SECONDS, seed=1)
-        fleet = VirtualFleet(read_what_if(run, "", 0.0).question)
+        fleet = VirtualFleet(read_what_if(run, "", 0.0).scenario)
         slots = fleet.run().routes["picker-slots"]
         self.assertNotIn("interrupted", slots.outcomes)
         self.assertGreater(slots.attempts, slots.offered + slots.refused_attempts)
 
     def test_callers_of_a_killed_node_go_elsewhere(self) -> None:
         faults = [{"kind": "restart", "at_s": 5.0, "down_s": 1.0, "target": "node-1"}]
-        fleet = VirtualFleet(_question(faults))
+        fleet = VirtualFleet(_scenario(faults))
         figures = fleet.run()
         self.assertTrue(fleet.nodes["node-1"].ready)
         summaries = figures.routes["summaries"]
@@ -161,8 +161,8 @@
                 "behaviour": {"kind": "slow", "factor": 3.0},
             }
         ]
-        without = VirtualFleet(_question()).run().routes["chats"]
-        slowed = VirtualFleet(_question(slow)).run().routes["chats"]
+        without = VirtualFleet(_scenario()).run().routes["chats"]
+        slowed = VirtualFleet(_scenario(slow)).run().routes["chats"]
         self.assertGreater(slowed.total_ms["p50"], 1.5 * without.total_ms["p50"])
 
 
--- a/tests/simulator/test_what_if_engine.py
+++ b/tests/simulator/test_what_if_engine.py
@@ -26,8 +26,8 @@
 )
 from zincvale.model.resources import PoolKind, PoolSpec
 from zincvale.simulator.what_if.clock import VirtualClock
-from zincvale.simulator.what_if.engine import LeapingEngine
-from zincvale.simulator.what_if.node import RememberingWorld
+from zincvale.simulator.what_if.engine import StepSkippingEngine
+from zincvale.simulator.what_if.node import IncrementalRoutingState
 from zincvale.simulator.what_if.stores import VirtualStore
 from zincvale.standins.deployment import LanguageModelProfile
 from zincvale.standins.engine import Engine, Finished, Refusal
@@ -78,7 +78,7 @@
 
 
 class _Leaping(_StepByStep):
-    engine: LeapingEngine
+    engine: StepSkippingEngine
 
     def advance(self, now: float) -> None:
         while (due := self.engine.next_change_at()) is not None and due <= now:
@@ -108,12 +108,12 @@
     def test_same_first_tokens_ends_and_refusals(self) -> None:
         for seed in range(5):
             stepped = self._run(_StepByStep(Engine(PROFILE)), seed)
-            leaped = self._run(_Leaping(LeapingEngine(PROFILE)), seed)
+            leaped = self._run(_Leaping(StepSkippingEngine(PROFILE)), seed)
             self.assertEqual(sorted(stepped), sorted(leaped))
             self.assertIn("end", {kind for kind, _, _ in leaped})
 
     def test_a_marked_token_is_not_leaped_over(self) -> None:
-        engine = LeapingEngine(PROFILE)
+        engine = StepSkippingEngine(PROFILE)
         engine.set_free_memory(10 * GIGABYTE)
         engine.submit("run", GenerationKey("model", "", "some words", 80), [], 0.0)
         engine.marks["run"] = 9
@@ -166,7 +166,7 @@
     def test_same_tables(self) -> None:
         source = random.Random(7)
         node = MemberId("node-1")
-        worlds = [RoutingState(ZoneName("a"), node), RememberingWorld(ZoneName("a"), node)]
+        worlds = [World(ZoneName("a"), node), IncrementalRoutingState(ZoneName("a"), node)]
         names = [ServerId(f"server-{number}") for number in range(4)]
         rows = {name: _row(name, source) for name in names}
         for version in range(1, 60):
