--- a/src/zincvale/simulator/what_if/attempt.py
+++ b/src/zincvale/simulator/what_if/attempt.py
@@ -45,11 +45,11 @@
     plan: Plan
     row: RequestRow
     chunks: int
-    """Pieces of a stream that are here."""
+    """Chunks of a stream that the caller has received."""
     deadline_at: float
 
     def mark_first_byte(self) -> None:
-        """Take note of the first byte or piece."""
+        """Record the time of the first byte or chunk."""
 
 
 class CallerAttempt:
@@ -83,11 +83,11 @@
     # what the node says, when the bytes leave it
 
     def on_response(self, response: SendAnswer) -> None:
-        """Take a whole response."""
+        """Handle a complete response."""
         self._deliver_later(0.0, lambda: self._on_response(response))
 
     def on_chunks(self, last_index: int, delay_s: float) -> None:
-        """Take pieces."""
+        """Handle chunks of a stream."""
         self._deliver_later(delay_s, lambda: self._on_chunks(last_index))
 
     def on_end(self, count: int, delay_s: float) -> None:
@@ -101,7 +101,7 @@
         self._deliver_later(0.0, lambda: self._finish(broken))
 
     def on_stalled(self) -> None:
-        """Bear the silence of a stream for a while."""
+        """Restart the idle timeout while a stream moves to another server."""
         if not self._is_over:
             self._arm_idle_timer(self._request.plan.caller.idle_timeout_s)
 
--- a/src/zincvale/simulator/what_if/callers.py
+++ b/src/zincvale/simulator/what_if/callers.py
@@ -63,7 +63,7 @@
 
 @attrs.define(eq=False)
 class _Turns:
-    """The turns of one arrival, each after the whole answer to the one before."""
+    """The turns of one arrival, each after the complete response to the one before."""
 
     context: CallersContext
     conversation: Conversation
@@ -109,7 +109,7 @@
         self._attempt()
 
     def mark_first_byte(self) -> None:
-        """Take note of the first byte or piece."""
+        """Record the time of the first byte or chunk."""
         if self.first_at is None:
             self.first_at = self.context.clock.now
 
--- a/src/zincvale/simulator/what_if/claims.py
+++ b/src/zincvale/simulator/what_if/claims.py
@@ -1,6 +1,6 @@
 """Claims and stream journal of all nodes as one table: what they decide when all is well.
 
-The protocol between the holders is not modelled (the explorer does that); its delay is, and its
+The protocol between the voters is not modelled (the explorer does that); its delay is, and its
 decisions: one attempt runs, a resend gets the recorded outcome or waits for it.
 """
 
@@ -41,7 +41,7 @@
 
 
 class ClaimTable:
-    """Claims by request identifier, and the streams whose pieces a peer holds."""
+    """Claims by request identifier, and the streams whose chunks a peer has journaled."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self._clock = clock
@@ -55,7 +55,7 @@
         deadline_at: float,
         decide: Callable[[ClaimDecision], None],
     ) -> None:
-        """Decide a claim, now or when the attempt that holds it has its outcome."""
+        """Decide a claim, now or when the attempt that was granted it has its outcome."""
         row = self._claims.get(request_id)
         if row is None:
             self._claims[request_id] = _ClaimRow(digest)
@@ -70,7 +70,7 @@
             self._clock.call_at(deadline_at, lambda: self._stop_waiting(row, decide))
 
     def record(self, request_id: RequestId, outcome: RecordedOutcome) -> None:
-        """Keep an outcome and answer those who wait for it."""
+        """Store an outcome and report it to the attempts that wait for it."""
         row = self._claims.get(request_id)
         if row is None:
             return
@@ -91,12 +91,12 @@
     def record_stream(
         self, request_id: RequestId, digest: str, count: int, is_complete: bool
     ) -> None:
-        """Keep how far a broken stream came."""
+        """Store the length of a broken stream."""
         self._streams[request_id] = _StreamRow(digest, count, is_complete)
         self._clock.call_later(RETENTION_S, lambda: self._forget_stream(request_id))
 
     def stream(self, request_id: RequestId) -> JournalState | None:
-        """Return what is held of a stream."""
+        """Return what is journaled of a stream."""
         row = self._streams.get(request_id)
         if row is None:
             return None
--- a/src/zincvale/simulator/what_if/comparison.py
+++ b/src/zincvale/simulator/what_if/comparison.py
@@ -1,4 +1,4 @@
-"""Runs the worlds of a what-if question: without the change, and with it."""
+"""Runs a what-if scenario without its change, and with it."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @attrs.frozen
 class RunResult:
-    """What one world came to."""
+    """The result of one run."""
 
     figures: RunFigures
     refused_changes: tuple[str, ...]
 
 
 def compare(inputs: WhatIfInputs, jobs: int = 1) -> Comparison:
-    """Run the world without the change, and the one with it where there is a change."""
+    """Run the scenario without its change, and with it when there is one."""
     begun = time.perf_counter()
     scenarios = [attrs.evolve(inputs.scenario, change=())]
     if inputs.scenario.change:
@@ -48,7 +48,7 @@
 
 
 def run_scenario(scenario: WhatIfScenario) -> RunResult:
-    """Run one world; the same question gives the same figures, wall time aside."""
+    """Run a scenario once; the same scenario gives the same figures, wall time aside."""
     thresholds = gc.get_threshold()
     # Few of the model's objects are in cycles: look for them rarely.
     gc.set_threshold(COLLECT_AFTER_OBJECTS, *thresholds[1:])
--- a/src/zincvale/simulator/what_if/control_machine.py
+++ b/src/zincvale/simulator/what_if/control_machine.py
@@ -1,7 +1,7 @@
-"""The control machine that holds the placement role, in virtual time.
+"""The control machine that leads placement, in virtual time.
 
 The directory machine and the placement controller are the daemon's own; probes, orders and
-publications take their modelled delays. One holder leads from the start to the end: elections and
+publications take their modelled delays. One leader acts from the start to the end: elections and
 what follows them are the explorer's subject.
 """
 
--- a/src/zincvale/simulator/what_if/engine.py
+++ b/src/zincvale/simulator/what_if/engine.py
@@ -1,7 +1,7 @@
 """The stand-in's engine, run step by step only where a step can change something.
 
 While every running request only decodes and none waits, steps are alike until the first request
-ends. Those are counted, not carried out: the state afterwards is the same, to rounding of times.
+ends. Those are counted, not executed: the state afterwards is the same, to rounding of times.
 """
 
 from __future__ import annotations
--- a/src/zincvale/simulator/what_if/exchange.py
+++ b/src/zincvale/simulator/what_if/exchange.py
@@ -84,7 +84,7 @@
         node.clock.call_later(node.timings.server_hop_s, lambda: self._arrive(server))
 
     def close(self) -> None:
-        """Close the connection; nothing more is heard of it."""
+        """Close the connection; later events of it are dropped."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -117,7 +117,7 @@
         self._forward_chunks(count)
 
     def on_finished(self, count: int) -> None:
-        """Take the whole answer."""
+        """Handle the complete response."""
         if self._request.machine.request.question.stream:
             self._forward_chunks(count)
             self._notify(StreamEnded(count))
--- a/src/zincvale/simulator/what_if/figures.py
+++ b/src/zincvale/simulator/what_if/figures.py
@@ -130,7 +130,7 @@
 
 
 class FigureTable:
-    """What callers experienced, by route and by interval; rows are not kept.
+    """What callers experienced, by route and by interval; rows are not retained.
 
     Parameters
     ----------
@@ -216,7 +216,7 @@
 
 @attrs.frozen
 class RunFigures:
-    """One world of a comparison."""
+    """The figures of one run of a comparison."""
 
     routes: dict[str, RouteFigures]
     moves: MoveFigures
--- a/src/zincvale/simulator/what_if/inputs.py
+++ b/src/zincvale/simulator/what_if/inputs.py
@@ -24,11 +24,11 @@
 
 @attrs.frozen
 class WhatIfInputs:
-    """A checked question.
+    """A validated scenario and what it leaves out.
 
     Attributes
     ----------
-    question : the world with the change.
+    scenario : with the change.
     not_modelled : what the figures do not show.
     """
 
--- a/src/zincvale/simulator/what_if/intent.py
+++ b/src/zincvale/simulator/what_if/intent.py
@@ -21,7 +21,7 @@
 
     Parameters
     ----------
-    changed : told of each new version.
+    changed : called with each new version.
     """
 
     def __init__(self, changed: Callable[[Intent], None]) -> None:
--- a/src/zincvale/simulator/what_if/machines.py
+++ b/src/zincvale/simulator/what_if/machines.py
@@ -1,4 +1,4 @@
-"""What a what-if run is asked, and the machines of its deployment."""
+"""The scenario of a what-if run, and the machines of its deployment."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 @attrs.frozen
 class WhatIfScenario:
-    """What a run is asked.
+    """The inputs of one run.
 
     Attributes
     ----------
     change : resources that are merged when the load begins, or after `apply_at_s`; empty for the
-        world without the change.
+        run without the change.
     """
 
     deployment: Deployment
@@ -123,4 +123,4 @@
 
 
 def _ignore_end(request: VirtualRequest, outcome: Outcome, reason: str) -> None:
-    """Callers' rows say it all."""
+    """Drop the end of a request: the callers' rows have its outcome."""
--- a/src/zincvale/simulator/what_if/node.py
+++ b/src/zincvale/simulator/what_if/node.py
@@ -28,14 +28,14 @@
 from zincvale.simulator.what_if.timings import Timings
 
 IDLE_PUMP_INTERVAL_S = 0.2
-"""How often queues are looked at in which everybody waits for news."""
+"""How often queues are checked in which every request waits for a table update."""
 
 Observer = Callable[[VirtualRequest, Outcome, str], None]
 
 
 @attrs.define
 class IncrementalRoutingState(World):
-    """A `World` that does again only what a delivery changes; its tables are the same.
+    """A `World` that recomputes only what an update changes; its tables are the same.
 
     Nodes are ranked for a server once per member table, and a directory with the known servers in
     their known pools touches the rows that differ.
@@ -77,10 +77,10 @@
 
 
 class ObservableScheduler(Scheduler):
-    """A `Scheduler` that tells whether time alone may let a waiting request go on."""
+    """A `Scheduler` that reports whether time alone can unblock a pending request."""
 
     def all_wait_for_tables(self) -> bool:
-        """Whether everybody waits for a load or a server: for news, which pump at once."""
+        """Whether every request waits for a load or a server: a table update pumps at once."""
         return not any(
             waiting.blocked is Blocked.BUSY
             for queue in self._queues.values()
@@ -100,7 +100,7 @@
     servers : every back end, by name.
     claims : claims and streams of all nodes.
     random : draws of the routing policies.
-    observe : told of the end of each request.
+    observe : called at the end of each request.
     """
 
     def __init__(
@@ -224,7 +224,7 @@
     def finish_exchange(
         self, request: CallerRequest, server: ServerState, report: ExchangeReport
     ) -> None:
-        """Give a server's place back and serve who waited for it."""
+        """Release a server's slot and serve who waited for it."""
         _, verdicts = self.scheduler.finish(request, server, report)
         if verdicts:
             self.deliver(verdicts)
--- a/src/zincvale/simulator/what_if/plot.py
+++ b/src/zincvale/simulator/what_if/plot.py
@@ -1,4 +1,4 @@
-"""Plot of a what-if run: both worlds over the time of the load.
+"""Plot of a what-if run: both runs over the time of the load.
 
 This module imports matplotlib; import it where a plot is wanted only.
 """
--- a/src/zincvale/simulator/what_if/report.py
+++ b/src/zincvale/simulator/what_if/report.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Comparison:
-    """Both worlds of a run; `after` is None when there is no change to compare."""
+    """Both runs of a comparison; `after` is None when there is no change to compare."""
 
     inputs: WhatIfInputs
     before: RunFigures
--- a/src/zincvale/simulator/what_if/request.py
+++ b/src/zincvale/simulator/what_if/request.py
@@ -62,10 +62,10 @@
     hang_up_after: int
 
     def on_response(self, answer: SendAnswer) -> None:
-        """Take a whole response."""
+        """Handle a complete response."""
 
     def on_chunks(self, last_index: int, delay_s: float) -> None:
-        """Take the pieces of a stream up to `last_index`."""
+        """Handle the chunks of a stream up to `last_index`."""
 
     def on_end(self, count: int, delay_s: float) -> None:
         """Take a stream's explicit end."""
@@ -74,7 +74,7 @@
         """Take a stream that breaks off, marked as such."""
 
     def on_stalled(self) -> None:
-        """Take note that no piece comes until the stream goes on elsewhere."""
+        """Handle that no chunk comes until the stream goes on at another server."""
 
     def on_reset(self) -> None:
         """Take the loss of the connection."""
@@ -158,13 +158,13 @@
         self._arm(max(0.0, seconds), self._on_deadline)
 
     def on_queued(self, for_load: bool) -> None:
-        """Note that the request waits."""
+        """Record that the request is queued."""
         self._queued_at = self.node.clock.now
         self.queued_for_load = for_load
         self.stats.waited_for_load |= for_load
 
     def on_placed(self, server: ServerState) -> None:
-        """Remember the server whose place is taken."""
+        """Record the server whose slot the request has."""
         self._server = server
         self.record_wait()
 
@@ -180,14 +180,14 @@
             self.stats.queue_wait_s += waited_s
 
     def on_caller_lost(self) -> None:
-        """Take note that the caller closed its connection."""
+        """Handle that the caller closed its connection."""
         self._caller = None
         if self.machine.opened:
             self._record_stream(False)
         self.feed(CallerGone(self._sent))
 
     def on_node_lost(self) -> None:
-        """Take note that this node ended: connections break, nothing is decided any more."""
+        """Handle that this node ended: connections break, nothing is decided any more."""
         caller, self._caller = self._caller, None
         if self._exchange is not None:
             self._exchange.close()
@@ -228,7 +228,7 @@
         self._is_busy = False
 
     def _resume(self, event: Input | None = None) -> None:
-        """Continue after a wait for a neighbour."""
+        """Continue after a call to a dependency."""
         if not self.node.is_up:
             return
         if event is not None:
@@ -390,7 +390,7 @@
             self._timer = None
 
     def on_exchange(self, exchange: VirtualExchange, event: Input) -> None:
-        """Take what a server said, unless its exchange was given up."""
+        """Handle what a server sent, unless its exchange was cancelled."""
         if exchange is not self._exchange or exchange.is_closed or not self.node.is_up:
             return
         if isinstance(event, ServerFailed) and self.machine.chunks and self._caller is not None:
@@ -399,5 +399,5 @@
 
     @property
     def hang_up_after(self) -> int:
-        """After how many pieces the caller hangs up; 0 means never."""
+        """After how many chunks the caller hangs up; 0 means never."""
         return 0 if self._caller is None else self._caller.hang_up_after
--- a/src/zincvale/simulator/what_if/run.py
+++ b/src/zincvale/simulator/what_if/run.py
@@ -1,4 +1,4 @@
-"""One world of a what-if run: the deployment's machines, assembled in virtual time."""
+"""One what-if run: the deployment's machines, assembled in virtual time."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
         self.choice = make_choice(scenario.seed)
 
     def run(self) -> RunFigures:
-        """Run the whole question and return the figures."""
+        """Run the scenario to its end and return the figures."""
         begun = time.perf_counter()
         cpu_begun = time.process_time()
         scenario = self.scenario
@@ -166,7 +166,7 @@
         self.clock.call_later(delay_s * self._random.uniform(1 - jitter, 1 + jitter), action)
 
     def _join(self, node: VirtualNode) -> None:
-        """A restarted node becomes fresh: it holds what is newest."""
+        """Give a restarted node the newest intent, directory and members."""
         node.apply_intent(self.intent.intent)
         node.apply_directory(self.directory)
         self._publish_members()
--- a/src/zincvale/simulator/what_if/servers.py
+++ b/src/zincvale/simulator/what_if/servers.py
@@ -42,13 +42,13 @@
         """Take a refusal: nothing ran."""
 
     def on_tokens(self, count: int) -> None:
-        """Take note that the answer has `count` tokens by now, the prefix included."""
+        """Handle that the response has `count` tokens by now, the prefix included."""
 
     def on_finished(self, count: int) -> None:
-        """Take note that the answer is whole."""
+        """Handle that the response is complete."""
 
     def on_broken(self, count: int, sent: bool) -> None:
-        """Take note that the connection broke after `count` tokens."""
+        """Handle that the connection broke after `count` tokens."""
 
 
 @attrs.define(eq=False)
@@ -67,7 +67,7 @@
 
 @attrs.define(eq=False)
 class VirtualServer:
-    """What both kinds of server share: place, state of the process, counts."""
+    """What both kinds of server share: the platform's row, state of the process, stats."""
 
     platform_row: PlatformServer
     clock: VirtualClock
--- a/src/zincvale/simulator/what_if/stores.py
+++ b/src/zincvale/simulator/what_if/stores.py
@@ -47,7 +47,7 @@
         return pull.pull_id
 
     def abandon(self, pull_id: int) -> None:
-        """Break off a pull: its server is gone or wants it no longer."""
+        """Break off a pull: its server has ended or unloaded the item."""
         self._advance()
         found = self._pulls.pop(pull_id, None)
         if found is None:
--- a/tests/simulator/test_parts.py
+++ b/tests/simulator/test_parts.py
@@ -120,7 +120,7 @@
 
 
 class NetworkTest(testtools.TestCase):
-    def test_cuts_nest_and_weather_ends(self) -> None:
+    def test_blocks_nest_and_conditions_end(self) -> None:
         network = Network(random.Random(1))
         links = both_ways(["a"], ["b"])
         network.block(links)
--- a/tests/simulator/test_what_if.py
+++ b/tests/simulator/test_what_if.py
@@ -66,7 +66,7 @@
 
 
 class WhatIfRunTest(testtools.TestCase):
-    """What a change does to a world."""
+    """What a change does to a run."""
 
     def test_the_same_seed_gives_the_same_figures(self) -> None:
         first = VirtualFleet(_scenario()).run()
@@ -137,7 +137,7 @@
         self.assertEqual(chats.offered, chats.answered)
         self.assertEqual(2, fleet.servers[ServerId("conversation-1")].incarnation)
 
-    def test_a_whole_stream_asked_for_again_comes_from_the_record(self) -> None:
+    def test_a_complete_stream_requested_again_comes_from_the_record(self) -> None:
         run = RunOptions("surtido", "steady", seconds=SECONDS, seed=1)
         fleet = VirtualFleet(read_what_if(run, "", 0.0).scenario)
         slots = fleet.run().routes["picker-slots"]
--- a/tests/simulator/test_what_if_engine.py
+++ b/tests/simulator/test_what_if_engine.py
@@ -77,7 +77,7 @@
             self.seen.append((refusal.value, run_id, round(at, 6)))
 
 
-class _Leaping(_StepByStep):
+class _StepSkipping(_StepByStep):
     engine: StepSkippingEngine
 
     def advance(self, now: float) -> None:
@@ -90,7 +90,7 @@
             self.note(moment.event, moment.at)
 
 
-class LeapingEngineTest(testtools.TestCase):
+class StepSkippingEngineTest(testtools.TestCase):
     """Counting equal steps gives the times that carrying them out gives."""
 
     def _run(self, driver: _StepByStep, seed: int) -> list[tuple[str, str, float]]:
@@ -108,11 +108,11 @@
     def test_same_first_tokens_ends_and_refusals(self) -> None:
         for seed in range(5):
             stepped = self._run(_StepByStep(Engine(PROFILE)), seed)
-            leaped = self._run(_Leaping(StepSkippingEngine(PROFILE)), seed)
-            self.assertEqual(sorted(stepped), sorted(leaped))
-            self.assertIn("end", {kind for kind, _, _ in leaped})
+            skipped = self._run(_StepSkipping(StepSkippingEngine(PROFILE)), seed)
+            self.assertEqual(sorted(stepped), sorted(skipped))
+            self.assertIn("end", {kind for kind, _, _ in skipped})
 
-    def test_a_marked_token_is_not_leaped_over(self) -> None:
+    def test_a_marked_token_is_not_skipped(self) -> None:
         engine = StepSkippingEngine(PROFILE)
         engine.set_free_memory(10 * GIGABYTE)
         engine.submit("run", GenerationKey("model", "", "some words", 80), [], 0.0)
@@ -160,13 +160,13 @@
         self.assertEqual(5 * GIGABYTE, round(self.store.pulled_bytes))
 
 
-class RememberingWorldTest(testtools.TestCase):
+class IncrementalRoutingStateTest(testtools.TestCase):
     """A node's tables are the same as the daemon's after any sequence of deliveries."""
 
     def test_same_tables(self) -> None:
         source = random.Random(7)
         node = MemberId("node-1")
-        worlds = [World(ZoneName("a"), node), IncrementalRoutingState(ZoneName("a"), node)]
+        states = [World(ZoneName("a"), node), IncrementalRoutingState(ZoneName("a"), node)]
         names = [ServerId(f"server-{number}") for number in range(4)]
         rows = {name: _row(name, source) for name in names}
         for version in range(1, 60):
@@ -175,12 +175,12 @@
             if version % 20 == 0:
                 rows.pop(names[-1], None)
             directory = Directory(1, version, dict(rows))
-            for world in worlds:
+            for routing_state in states:
                 if version % 15 == 1:
-                    world.apply_intent(_intent(version))
-                    world.apply_members(_members(version))
-                world.apply_directory(directory, float(version))
-            self.assertEqual(_tables(worlds[0]), _tables(worlds[1]))
+                    routing_state.apply_intent(_intent(version))
+                    routing_state.apply_members(_members(version))
+                routing_state.apply_directory(directory, float(version))
+            self.assertEqual(_tables(states[0]), _tables(states[1]))
 
 
 def _row(name: ServerId, source: random.Random) -> ServerRow:
@@ -214,7 +214,7 @@
     return Members(version, rows)
 
 
-def _tables(world: RoutingState) -> object:
+def _tables(routing_state: World) -> object:
     servers = {
         name: (
             state.row,
@@ -225,9 +225,10 @@
             state.drained,
             state.failures,
         )
-        for name, state in world.servers.items()
+        for name, state in routing_state.servers.items()
     }
     pools = {
-        name: sorted(state.server for state in pool.servers) for name, pool in world.pools.items()
+        name: sorted(state.server for state in pool.servers)
+        for name, pool in routing_state.pools.items()
     }
-    return servers, pools, world.directory.version
+    return servers, pools, routing_state.directory.version
