--- a/src/zincvale/simulator/claims/callers.py
+++ b/src/zincvale/simulator/claims/callers.py
@@ -22,7 +22,7 @@
 from zincvale.model.outcomes import Outcome
 from zincvale.simulator.cluster.cluster import Cluster
 from zincvale.simulator.cluster.invariant_checker import InvariantChecker, InvariantViolationError
-from zincvale.simulator.cluster.process import Process
+from zincvale.simulator.cluster.process import Process, ProcessKind
 
 DEADLINE_S = 6.0
 SOON_S = 0.005
@@ -57,7 +57,7 @@
     def after_input(self, process: Process) -> None:
         """Check the invariants of control state; continue what the claim service decided."""
         self._checker.after_input(process)
-        if process.kind != "node":
+        if process.kind is not ProcessKind.NODE:
             return
         results, process.machine.results = process.machine.results, []
         for result in results:
@@ -161,7 +161,7 @@
         self._call_claims(process, RenewalRequested(self._token(), request, until), renewed)
 
     def _release(self, process: Process, request: RequestId) -> None:
-        self._call_claims(process, ReleaseRequested(self._token(), request), lambda result: None)
+        self._call_claims(process, ReleaseRequested(self._token(), request), lambda _result: None)
 
     def _ended(self, process: Process, request: RequestId) -> None:
         is_unknown = self._random.random() < UNKNOWN_OUTCOMES
@@ -170,7 +170,7 @@
         if not is_unknown:
             self._body_by_request[request] = body
         event = OutcomeReached(self._token(), request, outcome, 200, {}, body)
-        self._call_claims(process, event, lambda result: None)
+        self._call_claims(process, event, lambda _result: None)
 
     def _check_recorded_body(self, request: str, body: bytes) -> None:
         self.recorded += 1
--- a/src/zincvale/simulator/claims/run.py
+++ b/src/zincvale/simulator/claims/run.py
@@ -32,6 +32,12 @@
 SPREADS_S = (0.003, 0.3, 3.0)
 NODE_DEATHS_S = (3.0, 14.0)
 """When nodes die; a voter that restarted reads back for up to 8 s before it votes."""
+DEATH_SHARE = 0.8
+"""Probability that a node dies at each of `NODE_DEATHS_S`."""
+PLAIN_DEATH_SHARE = 0.3
+"""Share of the deaths that are not surrounded by partitions."""
+ALL_CORES_SHARE = 0.3
+"""Share of the core faults that concern every core."""
 MISSED_S = 2.0
 LONGEST_CUT_S = 5.0
 """Shorter than the time after which a voter without sources votes again."""
@@ -80,6 +86,7 @@
         except InvariantViolationError as broken:
             return self._outcome(broken.invariant, str(broken))
         except Exception as error:
+            # A defect of a machine under test may raise anything: it is the finding of the run.
             return self._outcome("handler-failed", f"{error!r}\n{traceback.format_exc(limit=-4)}")
         return self._outcome()
 
@@ -128,7 +135,7 @@
         source = self._random
         steps = []
         for at_s in NODE_DEATHS_S:
-            if source.random() < 0.8:
+            if source.random() < DEATH_SHARE:
                 steps.extend(self._death(at_s))
         for _ in range(source.randint(2, 8)):
             steps.append(self._other_fault(source.uniform(0.5, LENGTH_S - 6.0)))
@@ -142,7 +149,7 @@
         source = self._random
         dying, *missed = source.sample(self.cluster.nodes, 3)
         death = Step(at_s, "kill", (dying,), (), source.uniform(0.05, 0.4))
-        if source.random() < 0.3:
+        if source.random() < PLAIN_DEATH_SHARE:
             return [death]
         knowing = tuple(node for node in self.cluster.nodes if node not in (dying, *missed))
         return [
@@ -169,7 +176,7 @@
             case "slow":
                 return Step(at_s, "slow", (source.choice(all_members),), (), for_s)
             case action:
-                cores = CORES if source.random() < 0.3 else (source.choice(CORES),)
+                cores = CORES if source.random() < ALL_CORES_SHARE else (source.choice(CORES),)
                 return Step(at_s, action, cores, (), source.uniform(0.1, 3.0))
 
     def _heal(self) -> None:
--- a/src/zincvale/simulator/cluster/cluster.py
+++ b/src/zincvale/simulator/cluster/cluster.py
@@ -17,14 +17,12 @@
 from zincvale.model.errors import StorageError
 from zincvale.model.identifiers import Address, MemberId, ZoneName
 from zincvale.simulator.cluster.intent_log import reduce_intent_log
-from zincvale.simulator.cluster.process import MachineClock, Process
+from zincvale.simulator.cluster.process import MachineClock, Process, ProcessKind
 from zincvale.simulator.cluster.simulation import Simulation
 from zincvale.simulator.cluster.virtual_disk import PowerLossError, VirtualDisk
 from zincvale.storage.version_files import VersionFiles
 
 CLUSTER_ID = "simulated"
-CORE = "core"
-NODE = "node"
 FIRST_CORES = ("core-1", "core-2", "core-3")
 DATA_FOLDER = Path("/data")
 CLOCK_OFFSETS_S = (500.0, 5000.0)
@@ -66,7 +64,7 @@
         self._node_machine = node_machine
         self.cores = list(FIRST_CORES)
         """Members that are to run, also while they are down."""
-        self.nodes = [f"{NODE}-{index + 1}" for index in range(nodes)]
+        self.nodes = [f"{ProcessKind.NODE.value}-{index + 1}" for index in range(nodes)]
         self.machines: dict[str, Machine] = {}
         self._random = random_source
         for member in [*self.cores, *self.nodes]:
@@ -132,7 +130,7 @@
         self.machines.pop(member, None)
         self.cores.remove(member)
         numbers = [int(core.rpartition("-")[2]) for core in [*self.cores, member, *FIRST_CORES]]
-        replacement = f"{CORE}-{max(numbers) + 1}"
+        replacement = f"{ProcessKind.CORE.value}-{max(numbers) + 1}"
         self.cores.append(replacement)
         return replacement
 
@@ -141,7 +139,11 @@
     def has_quorum(self) -> bool:
         """Whether enough declared disks survive for changes to be accepted again."""
         newest = max(
-            (process for process in self.simulation.processes.values() if process.kind == CORE),
+            (
+                process
+                for process in self.simulation.processes.values()
+                if process.kind is ProcessKind.CORE
+            ),
             key=lambda process: process.machine.replica_sets().version,
             default=None,
         )
@@ -150,7 +152,7 @@
         surviving = {
             replica_id(process.member, process.disk)
             for process in self.simulation.processes.values()
-            if process.kind == CORE
+            if process.kind is ProcessKind.CORE
         }
         sets = newest.machine.replica_sets().grantors().quorum_sets()
         return all(each and has_majority(each, surviving) for each in sets)
@@ -173,7 +175,7 @@
     def address(self, member: str) -> Address:
         """Return where a member listens."""
         kind, _, number = member.rpartition("-")
-        return Address(f"10.0.{1 if kind == CORE else 2}.{number}:7000")
+        return Address(f"10.0.{1 if kind == ProcessKind.CORE.value else 2}.{number}:7000")
 
     def _seeds(self) -> tuple[Address, ...]:
         """Return first contacts that are not there for ever, as settings files name them."""
@@ -192,7 +194,7 @@
         now = machine.clock.local(self.simulation.now)
         config = attrs.evolve(self._core_config(member), recover=recover)
         core = CoreMachine(config, recovered, {INTENT_KEY: reduce_intent_log}, self._random, now)
-        return self._process(machine, CORE, core, now, files, recovered)
+        return self._process(machine, ProcessKind.CORE, core, now, files, recovered)
 
     def _core_config(self, member: str) -> CoreConfig:
         is_first = member in FIRST_CORES
@@ -227,12 +229,14 @@
             seeds=self._seeds(),
         )
         now = machine.clock.local(self.simulation.now)
-        return self._process(machine, NODE, self._node_machine(config, self._random, now), now)
+        return self._process(
+            machine, ProcessKind.NODE, self._node_machine(config, self._random, now), now
+        )
 
     def _process(
         self,
         machine: Machine,
-        kind: str,
+        kind: ProcessKind,
         state_machine: CoreMachine | NodeMachine,
         now: float,
         files: VersionFiles | None = None,
--- a/src/zincvale/simulator/cluster/faults.py
+++ b/src/zincvale/simulator/cluster/faults.py
@@ -23,7 +23,7 @@
     simulation.schedule(simulation.now + step.for_s, simulation.network.unblock, links)
 
 
-def partition(operators: Operators, cluster: Cluster, step: Step) -> None:
+def partition(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """Partition `members` from `others` (none named: all other members), both ways."""
     inside = members_of(cluster, step.members)
     others = members_of(cluster, step.others) or cluster.all_members()
@@ -31,7 +31,7 @@
     _block_for(cluster, both_ways(inside, outside), step)
 
 
-def partition_one_way(operators: Operators, cluster: Cluster, step: Step) -> None:
+def partition_one_way(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """Lose everything that `members` send to `others` (none named: all other members)."""
     inside = members_of(cluster, step.members)
     others = members_of(cluster, step.others) or cluster.all_members()
@@ -39,13 +39,13 @@
     _block_for(cluster, one_way(inside, outside), step)
 
 
-def storm(operators: Operators, cluster: Cluster, step: Step) -> None:
+def storm(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """Lose, repeat and reorder messages everywhere; `amount` is the probability."""
     conditions = LinkConditions(step.amount, step.amount, jitter_s=STORM_JITTER_S)
     _degrade_for(cluster, None, conditions, step)
 
 
-def slow(operators: Operators, cluster: Cluster, step: Step) -> None:
+def slow(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """Delay everything that `members` send."""
     links = one_way(members_of(cluster, step.members), cluster.all_members())
     _degrade_for(
@@ -61,7 +61,7 @@
     simulation.schedule(simulation.now + step.for_s, simulation.network.clear_conditions, token)
 
 
-def freeze(operators: Operators, cluster: Cluster, step: Step) -> None:
+def freeze(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """Stop processes and let them run again."""
     simulation = cluster.simulation
     for member in members_of(cluster, step.members):
@@ -71,39 +71,39 @@
             simulation.schedule(simulation.now + step.for_s, simulation.resume, process)
 
 
-def kill(operators: Operators, cluster: Cluster, step: Step) -> None:
+def kill(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """Kill processes and start them again."""
     for member in members_of(cluster, step.members):
         cluster.kill(member)
         _start_later(cluster, member, step)
 
 
-def lose_power(operators: Operators, cluster: Cluster, step: Step) -> None:
+def lose_power(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """Cut the power of machines and start them again."""
     for member in members_of(cluster, step.members):
         cluster.lose_power(member)
         _start_later(cluster, member, step)
 
 
-def lose_disk(operators: Operators, cluster: Cluster, step: Step) -> None:
+def lose_disk(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """Kill cores; they return with empty disks."""
     for member in members_of(cluster, step.members):
         cluster.lose_disk(member)
         _start_later(cluster, member, step)
 
 
-def lose_disk_on_acknowledgement(operators: Operators, cluster: Cluster, step: Step) -> None:
+def lose_disk_on_acknowledgement(operators: Operators, _cluster: Cluster, _step: Step) -> None:
     """The next core that acknowledges a change loses its disk in the same instant."""
     operators.disks_lost_on_acknowledgement += 1
 
 
-def replace(operators: Operators, cluster: Cluster, step: Step) -> None:
+def replace(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """A core is removed for good; an empty one starts at a new address."""
     for member in members_of(cluster, step.members):
         _start_later(cluster, cluster.replace_core(member), step)
 
 
-def lose_every_disk(operators: Operators, cluster: Cluster, step: Step) -> None:
+def lose_every_disk(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """Every core loses its disk at once; they start anew in recovery mode."""
     simulation = cluster.simulation
     for member in cluster.cores:
@@ -111,7 +111,7 @@
         simulation.schedule(simulation.now + step.for_s, cluster.start, member, True)
 
 
-def tear(operators: Operators, cluster: Cluster, step: Step) -> None:
+def tear(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """Cut the power of a core and damage a file that it wrote last."""
     for member in members_of(cluster, step.members):
         cluster.lose_power(member)
@@ -119,12 +119,12 @@
         _start_later(cluster, member, step)
 
 
-def fill_disk(operators: Operators, cluster: Cluster, step: Step) -> None:
+def fill_disk(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """A core's disk is full for a while."""
     _fail_disk(cluster, step, errno.ENOSPC)
 
 
-def break_disk(operators: Operators, cluster: Cluster, step: Step) -> None:
+def break_disk(_operators: Operators, cluster: Cluster, step: Step) -> None:
     """A core's disk fails with I/O errors for a while."""
     _fail_disk(cluster, step, errno.EIO)
 
--- a/src/zincvale/simulator/cluster/invariant_checker.py
+++ b/src/zincvale/simulator/cluster/invariant_checker.py
@@ -10,7 +10,7 @@
 from zincvale.coordination.replication.replica_sets import INTENT_KEY, REGISTRY_KEY
 from zincvale.model.machine import Log
 from zincvale.simulator.cluster.intent_log import orders_in
-from zincvale.simulator.cluster.process import Process
+from zincvale.simulator.cluster.process import Process, ProcessKind
 from zincvale.simulator.cluster.role_publisher import TOPIC
 from zincvale.simulator.cluster.simulation import Simulation
 
@@ -57,7 +57,7 @@
         observed = self._observed.setdefault(process.run, _LastObserved())
         for key in DELIVERED:
             self._check_versions(process, key, observed)
-        if process.kind == "node":
+        if process.kind is ProcessKind.NODE:
             self._check_served(process)
             self._check_topic(process, observed)
         else:
@@ -65,7 +65,7 @@
 
     def on_resumed(self, process: Process) -> None:
         """Check what a process would do before it notices that it was frozen."""
-        if process.kind == "node":
+        if process.kind is ProcessKind.NODE:
             self._check_served(process)
         else:
             for role in self._roles:
@@ -80,7 +80,7 @@
             return
         self.acknowledged = max(self.acknowledged, result.version)
         for process in self._simulation.processes.values():
-            if process.kind == "node" and not process.is_frozen:
+            if process.kind is ProcessKind.NODE and not process.is_frozen:
                 self._check_served(process)
 
     def _check_versions(self, process: Process, key: str, observed: _LastObserved) -> None:
@@ -164,7 +164,7 @@
         leaders = [
             process.member
             for process in self._simulation.processes.values()
-            if process.kind == "core"
+            if process.kind is ProcessKind.CORE
             and not process.is_frozen
             and process.machine.role(role, process.local(now)).is_leader
         ]
--- a/src/zincvale/simulator/cluster/operators.py
+++ b/src/zincvale/simulator/cluster/operators.py
@@ -26,6 +26,8 @@
 RESEND_AFTER_S = 0.5
 RESENDS = 2
 ROWS = 6
+DELETION_SHARE = 0.2
+"""Share of the changes that delete their row."""
 FINAL = (IN_FORCE, CONFLICT, INVALID)
 
 
@@ -65,7 +67,7 @@
         """Write a new change."""
         number = len(self.orders) + 1
         row = f"row-{self._random.randrange(ROWS)}"
-        text = None if self._random.random() < 0.2 else f"order {number}"
+        text = None if self._random.random() < DELETION_SHARE else f"order {number}"
         order = Order(number, base, change_body(number, {row: text}, is_bad), is_bad)
         self.orders.append(order)
         return order
--- a/src/zincvale/simulator/cluster/process.py
+++ b/src/zincvale/simulator/cluster/process.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import enum
 from collections import deque
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -16,6 +17,13 @@
 """Inputs that socket buffers hold for a frozen process; later ones are lost."""
 
 
+class ProcessKind(enum.Enum):
+    """Which daemon a process runs; the value is the prefix of its member name."""
+
+    CORE = "core"
+    NODE = "node"
+
+
 class SimulatedMachine(Protocol):
     """A state machine that also resolves its peers' addresses."""
 
@@ -47,14 +55,13 @@
     Attributes
     ----------
     run : number of this run; inputs for an earlier run are dropped.
-    kind : `core` or `node`.
     disk : identity of the disk that was found at the start, empty for nodes.
     last_seen : local time of the last clock reading, as in `runtime.driver`.
     """
 
     member: str
     run: int
-    kind: str
+    kind: ProcessKind
     address: str
     machine: Any
     clock: MachineClock
--- a/src/zincvale/simulator/cluster/role_publisher.py
+++ b/src/zincvale/simulator/cluster/role_publisher.py
@@ -4,7 +4,7 @@
 
 from zincvale.coordination.delivery.messages import PublishTopic
 from zincvale.simulator.cluster.cluster import Cluster
-from zincvale.simulator.cluster.process import Process
+from zincvale.simulator.cluster.process import Process, ProcessKind
 
 TOPIC = "directory"
 PUBLISH_INTERVAL_S = 0.5
@@ -26,7 +26,7 @@
     def _publish(self) -> None:
         self._simulation.schedule(self._simulation.now + PUBLISH_INTERVAL_S, self._publish)
         for process in list(self._simulation.processes.values()):
-            if process.kind == "core" and not process.is_frozen:
+            if process.kind is ProcessKind.CORE and not process.is_frozen:
                 self._publish_from(process)
 
     def _publish_from(self, process: Process) -> None:
@@ -36,4 +36,4 @@
         self._count += 1
         puts = {"row": f"{self._count}".encode()}
         message = PublishTopic(TOPIC, state.epoch, puts, [])
-        self._simulation.call_local(process, message, lambda reply: None)
+        self._simulation.call_local(process, message, lambda _reply: None)
--- a/src/zincvale/simulator/forwarding/checks.py
+++ b/src/zincvale/simulator/forwarding/checks.py
@@ -4,6 +4,7 @@
 
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterable, Iterator
+from http import HTTPStatus
 
 from zincvale.dataplane.forwarding.fleet_budgets import RetryConfig, SlowStartConfig
 from zincvale.simulator.forwarding.journal import CallerRecord, Ending, ForwardingJournal, Run
@@ -38,7 +39,7 @@
             continue
         if runs.get(caller.request_id) and not caller.may_repeat:
             yield f"{caller.request_id} was refused with {caller.status} and ran"
-        if not caller.retry_after and caller.status == 503:
+        if not caller.retry_after and caller.status == HTTPStatus.SERVICE_UNAVAILABLE:
             yield f"{caller.request_id} was refused without a time to come back"
 
 
@@ -46,7 +47,11 @@
     """A response that ends complete is the complete response of a run of this request."""
     runs = runs_of(journal)
     for caller in journal.callers.values():
-        if caller.ending is not Ending.COMPLETE or caller.status != 200 or caller.is_stream:
+        if (
+            caller.ending is not Ending.COMPLETE
+            or caller.status != HTTPStatus.OK
+            or caller.is_stream
+        ):
             continue
         if caller.body not in [run.body for run in runs.get(caller.request_id, [])]:
             yield f"{caller.request_id} got {caller.body!r}"
@@ -55,7 +60,7 @@
 def streams_are_unbroken(journal: ForwardingJournal) -> Iterator[str]:
     """No event is missing or comes twice, and one that ends complete has its last event."""
     for caller in journal.callers.values():
-        if not caller.is_stream or caller.status != 200:
+        if not caller.is_stream or caller.status != HTTPStatus.OK:
             continue
         numbers = [line[4:] for line in caller.body.split(b"\n") if line.startswith(b"id: ")]
         if numbers != [str(each + 1).encode() for each in range(len(numbers))]:
--- a/src/zincvale/simulator/forwarding/model.py
+++ b/src/zincvale/simulator/forwarding/model.py
@@ -63,6 +63,8 @@
 RETRIES = RetryConfig(ratio=0.2, slack=8.0, window_s=5.0)
 SLOW_START = SlowStartConfig(factor=1.5, slack=2.0)
 LEAVING_SHARE = 0.03
+RESTART_ALL_BELOW, RESTART_BELOW, DRAIN_BELOW, EVACUATE_BELOW = 0.05, 0.2, 0.3, 0.4
+"""Bounds of a uniform draw that select a fault; above the last a server's behavior changes."""
 
 
 @attrs.frozen
@@ -254,15 +256,15 @@
     def _fault(self) -> None:
         server = self._random.choice(self._servers)
         draw = self._random.random()
-        if draw < 0.05:
+        if draw < RESTART_ALL_BELOW:
             for each in self._servers:
                 self._restart(each)
-        elif draw < 0.2:
+        elif draw < RESTART_BELOW:
             self._restart(server)
-        elif draw < 0.3:
+        elif draw < DRAIN_BELOW:
             server.draining = not server.draining
             self._broadcast("directory")
-        elif draw < 0.4:
+        elif draw < EVACUATE_BELOW:
             self._evacuated = frozenset() if self._evacuated else frozenset({server.zone})
             self._broadcast("document")
         else:
--- a/src/zincvale/simulator/forwarding/servers.py
+++ b/src/zincvale/simulator/forwarding/servers.py
@@ -5,6 +5,7 @@
 import asyncio
 import enum
 from collections.abc import Callable
+from http import HTTPStatus
 from random import Random
 
 import attrs
@@ -246,7 +247,7 @@
             self._listener.on_broken("reset")
 
     def _head(self, status: int, *headers: tuple[str, str]) -> None:
-        kind = "text/event-stream" if self._is_stream and status == 200 else "text/plain"
+        kind = "text/event-stream" if self._is_stream and status == HTTPStatus.OK else "text/plain"
         named = [(REQUEST_ID, self._request_id), ("Content-Type", kind), *headers]
         self._listener.on_head(ResponseHead(status, "", named))
 
--- a/src/zincvale/simulator/schedules/drawing.py
+++ b/src/zincvale/simulator/schedules/drawing.py
@@ -16,6 +16,11 @@
 FAULTS_FROM_S = 1.0
 FAULT_WINDOW_S = 7.0
 LONGEST_S = 30.0
+SLOW_LINK_SHARE = 0.5
+"""Share of the link faults that delay one member; the others are storms."""
+LONG_FREEZE_SHARE = 0.08
+LONG_FREEZE_S = 20.0
+GROUP_FREEZE_SHARE = 0.25
 CODEC_EVERY = 5
 """One run in so many passes every message through the codec."""
 
@@ -103,15 +108,15 @@
 
 
 def _draw_link_conditions(source: random.Random, nodes: list[str], at_s: float) -> Step:
-    if source.random() < 0.5:
+    if source.random() < SLOW_LINK_SHARE:
         return Step(at_s, "slow", _one_of_all(source, nodes), (), _seconds(source))
     return Step(at_s, "storm", for_s=_seconds(source), amount=round(source.uniform(0.02, 0.4), 3))
 
 
 def _draw_freeze(source: random.Random, nodes: list[str], at_s: float) -> Step:
-    for_s = 20.0 if source.random() < 0.08 else _seconds(source)
+    for_s = LONG_FREEZE_S if source.random() < LONG_FREEZE_SHARE else _seconds(source)
     members = _one_of_all(source, nodes)
-    if source.random() < 0.25:
+    if source.random() < GROUP_FREEZE_SHARE:
         members = _some(source, [*CORES, *nodes])
     return Step(at_s, "freeze", members, (), for_s)
 
@@ -126,12 +131,12 @@
     return Step(at_s, action, members, (), for_s)
 
 
-def _draw_disk(source: random.Random, nodes: list[str], at_s: float) -> Step:
+def _draw_disk(source: random.Random, _nodes: list[str], at_s: float) -> Step:
     action = source.choice(("fill-disk", "break-disk"))
     return Step(at_s, action, _some(source, list(CORES)), (), _seconds(source))
 
 
-def _draw_loss(source: random.Random, nodes: list[str], at_s: float) -> Step:
+def _draw_loss(source: random.Random, _nodes: list[str], at_s: float) -> Step:
     action = source.choice(("lose-disk", "replace", "tear", "lose-disk-on-acknowledgement"))
     if action == "lose-disk-on-acknowledgement":
         return Step(at_s, action)
--- a/src/zincvale/simulator/schedules/run.py
+++ b/src/zincvale/simulator/schedules/run.py
@@ -16,6 +16,7 @@
 from zincvale.simulator.cluster.network import Network
 from zincvale.simulator.cluster.operations import OPERATIONS
 from zincvale.simulator.cluster.operators import Operators
+from zincvale.simulator.cluster.process import ProcessKind
 from zincvale.simulator.cluster.role_publisher import RolePublisher
 from zincvale.simulator.cluster.simulation import Simulation
 from zincvale.simulator.schedules.schedule import Schedule, Step
@@ -75,6 +76,7 @@
         except InvariantViolationError as broken:
             return self._outcome(broken.invariant, str(broken))
         except Exception as error:
+            # A defect of a machine under test may raise anything: it is the finding of the run.
             stack = traceback.format_exc(limit=-4)
             return self._outcome("handler-failed", f"{error!r}\n{stack}")
         return self._outcome()
@@ -151,7 +153,9 @@
         return True
 
     def _all_roles_led(self) -> bool:
-        cores = [each for each in self.simulation.processes.values() if each.kind == "core"]
+        cores = [
+            each for each in self.simulation.processes.values() if each.kind is ProcessKind.CORE
+        ]
         return all(
             any(core.machine.role(role, core.local(self.simulation.now)).is_leader for core in cores)
             for role in ROLES
@@ -162,7 +166,7 @@
         unready = [
             member
             for member, process in self.simulation.processes.items()
-            if process.kind == "node"
+            if process.kind is ProcessKind.NODE
             and not process.machine.ready(process.local(self.simulation.now))
         ]
         return f"{RECOVERY_LIMIT_S:g} s after healing: change {accepted}, unready {unready}"
