--- a/src/zincvale/fleet/invariants/at_most_once.py
+++ b/src/zincvale/fleet/invariants/at_most_once.py
@@ -15,11 +15,11 @@
     result = CheckResult(NUMBER, TITLE)
     route_by_request = {sent.request_id: sent.route for sent in evidence.of(RequestSent)}
     runs_by_request: dict[str, list[RequestRan]] = {}
-    unasked = 0
+    without_caller = 0
     for run in evidence.of(RequestRan):
         route = route_by_request.get(run.request_id)
         if route is None:
-            unasked += 1
+            without_caller += 1
         elif evidence.expectations.routes.get(route, RoutePromise()).at_most_once:
             runs_by_request.setdefault(run.request_id, []).append(run)
     result.facts = len(runs_by_request)
@@ -27,15 +27,15 @@
         if len(runs) > 1:
             where = ", ".join(f"{run.server_id} at {run.t:.3f}" for run in runs)
             result.breach(request_id, runs[1].t, f"ran {len(runs)} times: {where}")
-    _note_gaps(evidence, result, route_by_request, unasked)
+    _list_unchecked(evidence, result, route_by_request, without_caller)
     return result
 
 
-def _note_gaps(
-    evidence: Evidence, result: CheckResult, route_by_request: dict[str, str], unasked: int
+def _list_unchecked(
+    evidence: Evidence, result: CheckResult, route_by_request: dict[str, str], without_caller: int
 ) -> None:
-    if unasked:
-        result.not_checked.append(f"{unasked} runs carry a request id that no caller sent")
+    if without_caller:
+        result.not_checked.append(f"{without_caller} runs carry a request id that no caller sent")
     unknown = set(route_by_request.values()) - set(evidence.expectations.routes)
     for route in sorted(unknown):
         result.not_checked.append(f"route {route!r} is not in the deployment's intent")
--- a/src/zincvale/fleet/invariants/drains.py
+++ b/src/zincvale/fleet/invariants/drains.py
@@ -34,7 +34,7 @@
 EVACUATION_WITHIN_S = 5.0
 PLATFORM = "platform"
 LINK_KINDS = frozenset({"cut", "delay", "slow"})
-HELD_BACK_S = 2.0
+DELAYED_ARRIVAL_S = 2.0
 """After a freeze or cut, bytes sent before it may still arrive for this long."""
 
 
@@ -61,7 +61,7 @@
 
 
 def check(evidence: Evidence) -> CheckResult:
-    """Hold every arrival at a server against the acknowledged drains and evacuations."""
+    """Check every arrival at a server against the acknowledged drains and evacuations."""
     result = CheckResult(NUMBER, TITLE)
     closures = list(_closures(operator_orders(evidence)))
     arrivals = _arrivals(evidence)
@@ -69,7 +69,7 @@
     zone_by_server |= {row.server_id: row.zone for row in evidence.of(ServerStarted)}
     sent_by_request = {sent.request_id: sent.t for sent in evidence.of(RequestSent)}
     faults = outages(evidence)
-    held_back = 0
+    delayed = 0
     for closed in closures:
         if closed.start >= min(closed.end, evidence.end_t()):
             result.not_checked.append(f"{closed.kind} {closed.name} was reopened or the run ended")
@@ -78,13 +78,13 @@
         for arrival in arrivals:
             if not _is_inside(closed, arrival, zone_by_server):
                 continue
-            asked_t = sent_by_request.get(arrival.request_id, math.inf)
-            if _may_have_been_held_back(arrival, asked_t, closed, faults):
-                held_back += 1
+            sent_t = sent_by_request.get(arrival.request_id, math.inf)
+            if _may_have_been_delayed(arrival, sent_t, closed, faults):
+                delayed += 1
                 continue
             _breach(result, closed, arrival)
-    if held_back:
-        result.not_checked.append(f"{held_back} arrivals may have been sent before a freeze or cut")
+    if delayed:
+        result.not_checked.append(f"{delayed} arrivals may have been sent before a freeze or cut")
     return result
 
 
@@ -106,10 +106,10 @@
     return zone_by_server.get(arrival.server) == closed.name
 
 
-def _may_have_been_held_back(
-    arrival: Arrival, asked_t: float, closed: Closed, faults: list[Outage]
+def _may_have_been_delayed(
+    arrival: Arrival, sent_t: float, closed: Closed, faults: list[Outage]
 ) -> bool:
-    """Whether a fault on the way can have kept this arrival's bytes since before the deadline.
+    """Whether a fault on the link can have delayed this arrival from before the deadline.
 
     Callers go on with the nodes they know while the platform is away.
     """
@@ -118,12 +118,12 @@
             fault.target == PLATFORM and fault.start <= arrival.t and fault.end > closed.start
             for fault in faults
         )
-    if asked_t >= closed.start:
+    if sent_t >= closed.start:
         return False
     for fault in faults:
         on_the_way = fault.target == arrival.server or fault.kind in LINK_KINDS
         spans_deadline = fault.start <= closed.start and fault.end <= arrival.t
-        if on_the_way and spans_deadline and arrival.t - fault.end < HELD_BACK_S:
+        if on_the_way and spans_deadline and arrival.t - fault.end < DELAYED_ARRIVAL_S:
             return True
     return False
 
--- a/src/zincvale/fleet/invariants/in_force.py
+++ b/src/zincvale/fleet/invariants/in_force.py
@@ -1,8 +1,8 @@
 """Invariant 6: an acknowledged change is in force everywhere in about 2 s, never rolled back.
 
-Evidence is behaviour: the rig moves the path of a marker route, and asks every ready node for the
-newest acknowledged path. A node without the change answers `no-route`. Reads of the intent at any
-daemon must not show a version below the newest acknowledged one either.
+Evidence is behaviour: the rig moves the path of a marker route, and requests the newest
+acknowledged path of every ready node. A node without the change responds with `no-route`. Reads of
+the intent at any daemon must not show a version below the newest acknowledged one either.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
     acked: list[Acknowledged],
 ) -> None:
     acked_t_by_marker = _acknowledged_markers(acked)
-    unanswered = 0
+    not_ready = 0
     for probe in evidence.of(MarkerProbed):
         acked_t = acked_t_by_marker.get(probe.marker)
         if acked_t is None or probe.asked_t < acked_t + IN_FORCE_WITHIN_S:
@@ -55,7 +55,7 @@
         if probe.t >= _moved_on_t(orders, probe.marker, acked_t):
             continue
         if not probe.ready or probe.status == 0:
-            unanswered += 1
+            not_ready += 1
             continue
         result.facts += 1
         if probe.status == NO_ROUTE_STATUS:
@@ -65,8 +65,8 @@
                 f"has no marker {probe.marker}, "
                 f"{probe.asked_t - acked_t:.1f} s after it was acknowledged",
             )
-    if unanswered:
-        result.not_checked.append(f"{unanswered} probes met nodes that were not ready")
+    if not_ready:
+        result.not_checked.append(f"{not_ready} probes met nodes that were not ready")
 
 
 def _check_reads(evidence: Evidence, result: CheckResult, acked: list[Acknowledged]) -> None:
--- a/src/zincvale/fleet/invariants/limits.py
+++ b/src/zincvale/fleet/invariants/limits.py
@@ -1,7 +1,8 @@
 """Invariant 11: nothing ordered that does not fit, no store overdrawn, no cold server flooded.
 
-Memory counts what is held and what was ordered but not yet confirmed. A `cold` or `memory` refusal
-by a server is itself a sign that the order or request should not have been sent.
+Memory counts what is loaded, and what is reserved by an order that is not yet confirmed. A `cold`
+or `memory` refusal by a server is itself a sign that the order or request should not have been
+sent.
 """
 
 from __future__ import annotations
@@ -37,16 +38,16 @@
 
 @attrs.define
 class ServerMemory:
-    """What one server holds or was ordered to hold, in bytes by name."""
+    """What one server has loaded or was ordered to load, in bytes by name."""
 
     capacity_bytes: int = 0
-    held: dict[str, int] = attrs.field(factory=dict)
+    memory_bytes_by_name: dict[str, int] = attrs.field(factory=dict)
     cold_refusals: int = 0
 
     def restart(self, capacity_bytes: int) -> None:
         """Forget everything: the server came back empty."""
         self.capacity_bytes = capacity_bytes
-        self.held.clear()
+        self.memory_bytes_by_name.clear()
         self.cold_refusals = 0
 
 
@@ -74,9 +75,11 @@
                 unsized += not memory.capacity_bytes
                 _take_order(result, memory, row)
             case WeightsLoaded():
-                memory.held[row.name] = row.bytes or memory.held.get(row.name, 0)
+                memory.memory_bytes_by_name[row.name] = (
+                    row.bytes or memory.memory_bytes_by_name.get(row.name, 0)
+                )
             case WeightsUnloaded():
-                memory.held.pop(row.name, None)
+                memory.memory_bytes_by_name.pop(row.name, None)
             case RequestRefused():
                 _check_cold_refusal(result, memory, row)
     if unsized:
@@ -87,8 +90,8 @@
     result.facts += 1
     if "unload" in order.action:
         return
-    memory.held[order.name] = order.bytes
-    total = sum(memory.held.values())
+    memory.memory_bytes_by_name[order.name] = order.bytes
+    total = sum(memory.memory_bytes_by_name.values())
     if memory.capacity_bytes and total > memory.capacity_bytes:
         result.breach(
             order.server_id,
--- a/src/zincvale/fleet/invariants/refusals.py
+++ b/src/zincvale/fleet/invariants/refusals.py
@@ -22,7 +22,7 @@
 
 
 def check(evidence: Evidence) -> CheckResult:
-    """Hold every refusal against the servers' runs of its request id."""
+    """Check every refusal against the servers' runs of its request id."""
     result = CheckResult(NUMBER, TITLE)
     runs = _runs_by_request(evidence)
     sends = _send_times_by_request(evidence)
@@ -46,11 +46,11 @@
     runs: dict[str, list[RequestRan]],
     sends: dict[str, list[float]],
 ) -> None:
-    asked_again_t = min(
+    resent_t = min(
         (t for t in sends.get(refusal.request_id, []) if t > refusal.t), default=math.inf
     )
     for run in runs.get(refusal.request_id, []):
-        if run.t < asked_again_t:
+        if run.t < resent_t:
             when = "before" if run.t <= refusal.t else "after"
             result.breach(
                 refusal.request_id,
--- a/src/zincvale/fleet/invariants/repair.py
+++ b/src/zincvale/fleet/invariants/repair.py
@@ -1,7 +1,7 @@
 """Invariant 9: after a repair, an immediate second loss erases nothing acknowledged.
 
 All acknowledged changes are applied again in the order of their versions; the intent that the
-cores show at the end of the run must hold the result. Fields that an unanswered order may have
+cores show at the end of the run must hold the result. Fields that an unconfirmed order may have
 changed are left out.
 """
 
@@ -36,8 +36,8 @@
 class ReplayedIntent:
     """What the acknowledged changes add up to.
 
-    `fields` holds a spec by kind and name, `deleted` what is gone, `doubtful` what an order
-    without an answer may have touched (an empty field name means the whole resource).
+    `fields` holds a spec by kind and name, `deleted` what was removed, `doubtful` what an
+    unconfirmed order may have touched (an empty field name means the complete resource).
     """
 
     fields: dict[ResourceKey, dict[str, Any]] = attrs.field(factory=dict)
@@ -60,7 +60,7 @@
                 self.deleted.discard(key)
 
     def doubt(self, order: OperatorOrder) -> None:
-        """Leave out what an unanswered order may have changed."""
+        """Leave out what an unconfirmed order may have changed."""
         if order.replaces_all:
             self.fields.clear()
             self.deleted.clear()
@@ -77,7 +77,7 @@
     result = CheckResult(NUMBER, TITLE)
     orders = operator_orders(evidence)
     acked = acknowledged(orders)
-    for read in _last_whole_reads(evidence):
+    for read in _last_complete_reads(evidence):
         if read.asked_t < max((item.t for item in acked), default=0.0):
             result.not_checked.append(f"{read.member} was last read before the last change")
             continue
@@ -156,7 +156,7 @@
     return any(doubtful_key == key for doubtful_key, _ in replayed.doubtful)
 
 
-def _last_whole_reads(evidence: Evidence) -> list[IntentRead]:
+def _last_complete_reads(evidence: Evidence) -> list[IntentRead]:
     last: dict[str, IntentRead] = {}
     for read in evidence.of(IntentRead):
         if read.status == HTTP_OK and read.resources is not None:
--- a/src/zincvale/fleet/invariants/rows.py
+++ b/src/zincvale/fleet/invariants/rows.py
@@ -46,7 +46,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServerCrashed(ServerRow):
-    """A server lost all that it held."""
+    """A server lost all that it had loaded."""
 
 
 @attrs.frozen(kw_only=True)
@@ -129,7 +129,7 @@
 
 @attrs.frozen(kw_only=True)
 class PullEnded(PullStarted):
-    """A store stopped sending weights, whole or not."""
+    """A store stopped sending weights, complete or not."""
 
 
 @attrs.frozen(kw_only=True)
@@ -145,9 +145,9 @@
 
 @attrs.frozen(kw_only=True)
 class ResultReceived(Row):
-    """What a caller made of the answer to one attempt.
+    """What a caller made of the response to one attempt.
 
-    `pieces_in_all` and the counts of wrong pieces run over all attempts of the request. `final`
+    `pieces_in_all` and the counts of wrong chunks run over all attempts of the request. `final`
     says that the caller will not send this request again.
     """
 
@@ -174,7 +174,7 @@
 
 @attrs.frozen(kw_only=True)
 class ChangeSent(Row):
-    """An operator sent a change; `change` is the whole body."""
+    """An operator sent a change; `change` is the complete body."""
 
     order_id: str
     base_version: int | None = None
@@ -209,7 +209,7 @@
 
 @attrs.frozen(kw_only=True)
 class IntentRead(Row):
-    """The rig read the intent as an operator does; asked at `asked_t`, answered at `t`."""
+    """The rig read the intent as an operator does; requested at `asked_t`, responded to at `t`."""
 
     member: str
     asked_t: float
@@ -220,7 +220,7 @@
 
 @attrs.frozen(kw_only=True)
 class MarkerProbed(Row):
-    """The rig asked a node for the path of marker `marker`; an empty body never runs.
+    """The rig requested the path of marker `marker` from a node; an empty body never runs.
 
     `ready` says that the node called itself ready both before and after.
     """
@@ -235,7 +235,7 @@
 
 @attrs.frozen(kw_only=True)
 class ReadinessPolled(Row):
-    """The rig asked a daemon whether it is ready."""
+    """The rig requested the readiness of a daemon."""
 
     member: str
     asked_t: float
--- a/src/zincvale/fleet/invariants/streams.py
+++ b/src/zincvale/fleet/invariants/streams.py
@@ -1,7 +1,7 @@
-"""Invariant 4: no stream skips, repeats or splices; no chat is lost mid-answer.
+"""Invariant 4: no stream skips, repeats or splices; no chat is lost mid-response.
 
-A chat is lost when its caller got at least one piece, gave up, and the whole answer never came,
-although the caller went on resuming while the run lasted. A stream refused before its first piece
+A chat is lost when its caller got at least one chunk, gave up, and the response never completed,
+although the caller went on resuming while the run lasted. A stream refused before its first chunk
 is over: its caller starts again under a new id.
 """
 
@@ -17,7 +17,7 @@
 
 
 def check(evidence: Evidence) -> CheckResult:
-    """Check the pieces of every streamed attempt, and the end of every stream."""
+    """Check the chunks of every streamed attempt, and the end of every stream."""
     result = CheckResult(NUMBER, TITLE)
     streamed = {sent.request_id for sent in evidence.of(RequestSent) if sent.stream}
     attempts: dict[str, list[ResultReceived]] = {}
@@ -27,14 +27,14 @@
             continue
         result.facts += 1
         attempts.setdefault(received.request_id, []).append(received)
-        _check_pieces(result, received)
+        _check_chunks(result, received)
         unnumbered += received.splices is None
     unfinished = sum(_check_end(result, received) for received in attempts.values())
-    _note_gaps(result, unnumbered, unfinished, len(streamed) - len(attempts))
+    _list_unchecked(result, unnumbered, unfinished, len(streamed) - len(attempts))
     return result
 
 
-def _check_pieces(result: CheckResult, received: ResultReceived) -> None:
+def _check_chunks(result: CheckResult, received: ResultReceived) -> None:
     wrong = {
         "skipped": received.skips,
         "repeated": received.repeats,
@@ -53,24 +53,26 @@
     if any(received.complete for received in attempts):
         return 0
     last = attempts[-1]
-    pieces = max(received.pieces_in_all for received in attempts)
-    if not pieces and last.outcome == Outcome.REFUSED.value:
+    chunks = max(received.pieces_in_all for received in attempts)
+    if not chunks and last.outcome == Outcome.REFUSED.value:
         return 0
     if not last.final:
         return 1
-    if pieces:
+    if chunks:
         result.breach(
             last.request_id,
             last.t,
-            f"lost after {pieces} pieces and {len(attempts)} attempts ({last.outcome})",
+            f"lost after {chunks} pieces and {len(attempts)} attempts ({last.outcome})",
         )
     return 0
 
 
-def _note_gaps(result: CheckResult, unnumbered: int, unfinished: int, unanswered: int) -> None:
+def _list_unchecked(
+    result: CheckResult, unnumbered: int, unfinished: int, without_result: int
+) -> None:
     if unnumbered:
         result.not_checked.append(f"{unnumbered} streamed attempts journal no piece check")
     if unfinished:
         result.not_checked.append(f"{unfinished} streams had not ended when the run did")
-    if unanswered:
-        result.not_checked.append(f"{unanswered} streams have no result at all")
+    if without_result:
+        result.not_checked.append(f"{without_result} streams have no result at all")
--- a/tests/fleet/journal_rows.py
+++ b/tests/fleet/journal_rows.py
@@ -51,13 +51,13 @@
     order_id: str,
     resources: list[dict[str, Any]],
     base_version: int | None = None,
-    answers: tuple[tuple[float, int, int | None], ...] = (),
+    responses: tuple[tuple[float, int, int | None], ...] = (),
     mode: str = "merge",
 ) -> list[Row]:
-    """Return the rows of one order: a send before each answer (`t`, status, version)."""
+    """Return the rows of one order: a send before each response (`t`, status, version)."""
     body = {"baseVersion": base_version, "mode": mode, "resources": resources}
     rows: list[Row] = []
-    for t, status, version in answers or ((sent_t, 0, None),):
+    for t, status, version in responses or ((sent_t, 0, None),):
         sent = min(sent_t, t)
         rows.append(row(sent, "apply", order_id=order_id, base_version=base_version, change=body))
         rows.append(row(t, "applied", order_id=order_id, status=status, version=version, body=None))
