--- a/src/zincvale/fleet/back_end_faults.py
+++ b/src/zincvale/fleet/back_end_faults.py
@@ -16,7 +16,7 @@
 
 @attrs.define
 class BehaviourHandler:
-    """Back ends that drop, delay, cross or cut answers."""
+    """Back ends that drop, delay, cross or cut responses."""
 
     context: FaultContext
 
--- a/src/zincvale/fleet/change_faults.py
+++ b/src/zincvale/fleet/change_faults.py
@@ -1,4 +1,4 @@
-"""Operators' changes as timed events: drains, bursts, races, lost answers, invalid files."""
+"""Operators' changes as timed events: drains, bursts, races, lost responses, invalid files."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     context: FaultContext
 
     async def begin(self, step: Step) -> None:
-        """Send the changes and wait for their answers."""
+        """Send the changes and wait for their responses."""
         self.context.began(step, "operators")
         operators = self.context.operators
         match step.fault:
@@ -96,7 +96,7 @@
 
 
 async def _lose_acknowledgement(operators: Operators, pause_s: float, changes_between: int) -> None:
-    """Hang up before the answer, let time and other changes pass, send the same order again."""
+    """Hang up before the response, let time and other changes pass, send the same order again."""
     _, resource = operators.marker_resource()
     change = operators.new_change([resource], await operators.current_version())
     await operators.attempt(change, timeout_s=HANG_UP_AFTER_S)
--- a/src/zincvale/fleet/fault_context.py
+++ b/src/zincvale/fleet/fault_context.py
@@ -49,6 +49,6 @@
         """Journal that the step's fault was lifted from a target."""
         self.journal.write("fault-end", kind=step.fault.kind, target=target)
 
-    async def tell_relays(self) -> None:
-        """Bring the relays to the present state of the network."""
-        await self.relays.tell(self.network.changes())
+    async def update_relays(self) -> None:
+        """Send the relays the links whose state has changed."""
+        await self.relays.update(self.network.take_changes())
--- a/src/zincvale/fleet/fault_kinds.py
+++ b/src/zincvale/fleet/fault_kinds.py
@@ -101,7 +101,7 @@
 
     `how`: `lost` (packets vanish, both ways), `refused` (connections are reset), `one-way` (the
     first group cannot call the others, they can call it), `replies-lost` (what the first group asks
-    arrives, the answers do not).
+    arrives, the responses do not).
     """
 
     how: str = "lost"
@@ -172,7 +172,7 @@
 
 @dataclass(kw_only=True)
 class LostAcknowledgement(Fault):
-    """An operator hangs up before the answer, and sends the same order again after `pause_s`.
+    """An operator hangs up before the response, and sends the same order again after `pause_s`.
 
     `changes_between` other changes are applied before it is sent again.
     """
--- a/src/zincvale/fleet/figures.py
+++ b/src/zincvale/fleet/figures.py
@@ -157,7 +157,7 @@
 def _residency(evidence: Evidence, started_t: float, duration_s: float) -> dict[str, Series]:
     """Number of models and adapters loaded, per server, as steps."""
     series: dict[str, Series] = {}
-    held: dict[str, set[str]] = {}
+    loaded_by_server: dict[str, set[str]] = {}
     rows = sorted(
         [
             *evidence.of(ServerStarted),
@@ -171,7 +171,7 @@
         server = row.server_id
         if server not in with_weights:
             continue
-        names = held.setdefault(server, set())
+        names = loaded_by_server.setdefault(server, set())
         match row:
             case ServerStarted():
                 names.clear()
--- a/src/zincvale/fleet/link_plan.py
+++ b/src/zincvale/fleet/link_plan.py
@@ -68,7 +68,7 @@
 
 
 def addresses_by_name(deployment: Deployment) -> dict[str, list[str]]:
-    """Return the addresses that daemons dial, by the name of what answers there."""
+    """Return the addresses that daemons dial, by the name of what listens there."""
     addresses: dict[str, list[str]] = {}
     for machine in deployment.machines:
         addresses[machine.name] = _daemon_addresses(deployment, machine)
--- a/src/zincvale/fleet/machines.py
+++ b/src/zincvale/fleet/machines.py
@@ -1,4 +1,4 @@
-"""The processes of one fleet: how each is started, and where it answers."""
+"""The processes of one fleet: how each is started, and its address."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     ----------
     deployment : grows when machines or servers are replaced.
     documents : the first intent, which the stores' limits come from.
-    max_seconds : when stand-ins stop by themselves, should the rig be gone.
+    max_seconds : when stand-ins stop by themselves, should the rig have ended.
     """
 
     deployment: Deployment
@@ -78,7 +78,7 @@
         self._start(self._stand_in(assemble.PLATFORM_PROCESS, "platform"))
 
     def start_server(self, server: BackEndServer) -> None:
-        """Write a back-end server's settings and start it, cold."""
+        """Write a back-end server's settings and start it, with no weights loaded."""
         command = assemble.standin_command(server)
         if command == "lookup":
             save_settings(
--- a/src/zincvale/fleet/network_faults.py
+++ b/src/zincvale/fleet/network_faults.py
@@ -20,12 +20,12 @@
         network = self.context.network
         network.begin(step)
         self.context.began(step, sides(step), **self._arguments(step))
-        await self.context.tell_relays()
+        await self.context.update_relays()
 
     async def end(self, step: Step) -> None:
         """Lift the fault."""
         self.context.network.end(step.fault_id)
-        await self.context.tell_relays()
+        await self.context.update_relays()
         self.context.ended(step, sides(step))
 
     def _arguments(self, step: Step) -> dict[str, object]:
@@ -49,7 +49,7 @@
     async def begin(self, step: Step) -> None:
         """Heal the network, and journal the end of each fault."""
         lifted = self.context.network.heal()
-        await self.context.tell_relays()
+        await self.context.update_relays()
         for faulted in lifted:
             self.context.ended(faulted, sides(faulted))
 
--- a/src/zincvale/fleet/network_state.py
+++ b/src/zincvale/fleet/network_state.py
@@ -23,7 +23,7 @@
     links: list[PlannedLink]
     _in_force: dict[int, Step] = attrs.field(factory=dict)
     _down: set[str] = attrs.field(factory=set)
-    _told: dict[str, LinkState] = attrs.field(factory=dict)
+    _sent_states: dict[str, LinkState] = attrs.field(factory=dict)
 
     def begin(self, step: Step) -> None:
         """Put a link fault in force."""
@@ -39,21 +39,21 @@
         self._in_force.clear()
         return lifted
 
-    def set_down(self, name: str, is_down: bool) -> None:
-        """Say whether a process is down."""
+    def set_down(self, name: str, *, is_down: bool) -> None:
+        """Record whether a process is down."""
         if is_down:
             self._down.add(name)
         else:
             self._down.discard(name)
 
-    def changes(self) -> dict[str, LinkState]:
-        """Return the links whose state is not the one told last, and take it as told."""
+    def take_changes(self) -> dict[str, LinkState]:
+        """Return the links whose state is not the one returned last, and remember it as sent."""
         changed: dict[str, LinkState] = {}
         for planned in self.links:
             state = self._state_of(planned)
-            if state != self._told.get(planned.link.name, LinkState()):
+            if state != self._sent_states.get(planned.link.name, LinkState()):
                 changed[planned.link.name] = state
-                self._told[planned.link.name] = state
+                self._sent_states[planned.link.name] = state
         return changed
 
     def isolated(self, cores: Iterable[str]) -> list[str]:
@@ -108,15 +108,15 @@
     rates = [rate for rate in (one.bytes_per_second, other.bytes_per_second) if rate]
     return LinkState(
         connecting=max(one.connecting, other.connecting, key=_SEVERITY.index),
-        request=_held_if_any(one.request, other.request),
-        reply=_held_if_any(one.reply, other.reply),
+        request=_hold_if_any(one.request, other.request),
+        reply=_hold_if_any(one.reply, other.reply),
         delay_s=one.delay_s + other.delay_s,
         jitter_s=one.jitter_s + other.jitter_s,
         bytes_per_second=min(rates, default=0.0),
     )
 
 
-def _held_if_any(one: Passing, other: Passing) -> Passing:
+def _hold_if_any(one: Passing, other: Passing) -> Passing:
     return Passing.HOLD if Passing.HOLD in (one, other) else Passing.PASS
 
 
--- a/src/zincvale/fleet/observer.py
+++ b/src/zincvale/fleet/observer.py
@@ -26,11 +26,11 @@
 
 @attrs.define
 class Observer:
-    """Polls every daemon until it is told to stop.
+    """Polls every daemon until `stop`.
 
     Attributes
     ----------
-    ready_nodes : the nodes that were ready when last asked.
+    ready_nodes : the nodes that were ready when last polled.
     """
 
     fleet: Fleet
@@ -52,10 +52,10 @@
         """End the polling loops."""
         self._stopped = True
 
-    async def read_whole_intents(self) -> None:
-        """Read the whole intent at every core, for the last comparison."""
+    async def read_complete_intents(self) -> None:
+        """Read the complete intent at every core, for the last comparison."""
         await gen.multi(
-            [self._read_intent(core, whole=True) for core in self.fleet.deployment.cores()]
+            [self._read_intent(core, is_complete=True) for core in self.fleet.deployment.cores()]
         )
 
     async def _repeat(self, poll: Callable[[], Awaitable[None]], interval_s: float) -> None:
@@ -66,7 +66,7 @@
 
     async def _poll_cores(self) -> None:
         await gen.multi(
-            [self._read_intent(core, whole=False) for core in self.fleet.deployment.cores()]
+            [self._read_intent(core, is_complete=False) for core in self.fleet.deployment.cores()]
         )
 
     async def _poll_nodes(self) -> None:
@@ -80,7 +80,7 @@
             nodes = self.fleet.deployment.nodes()
             await gen.multi([self._probe(node, marker) for node in nodes])
 
-    async def _read_intent(self, core: Machine, whole: bool) -> None:
+    async def _read_intent(self, core: Machine, *, is_complete: bool) -> None:
         asked_t = boot_time_s()
         address = self.fleet.deployment.api_address(core)
         response = await self.client.get(address, "/v1/intent", READ_TIMEOUT_S)
@@ -90,7 +90,7 @@
             asked_t=asked_t,
             status=response.status,
             version=response.field("version"),
-            resources=response.field("resources") if whole else None,
+            resources=response.field("resources") if is_complete else None,
         )
 
     async def _poll_node(self, node: Machine) -> None:
@@ -103,7 +103,7 @@
         self.journal.write("ready", member=node.name, asked_t=asked_t, status=response.status)
 
     async def _probe(self, node: Machine, marker: int) -> None:
-        """Ask for the marker's path with an empty body: 422 where it is in force, else 404."""
+        """Request the marker's path with an empty body: 422 where it is in force, else 404."""
         before = await self._ready(node)
         if not before.ok:
             return
--- a/src/zincvale/fleet/process_faults.py
+++ b/src/zincvale/fleet/process_faults.py
@@ -28,8 +28,8 @@
         for target in step.targets:
             self.context.began(step, target)
             self.context.fleet.table.kill(target)
-            self.context.network.set_down(target, True)
-        await self.context.tell_relays()
+            self.context.network.set_down(target, is_down=True)
+        await self.context.update_relays()
         if isinstance(step.fault, DiskLost):
             self._empty_disks(step)
 
@@ -37,9 +37,9 @@
         """Start the targets again."""
         for target in step.targets:
             self.context.fleet.start_again(target)
-            self.context.network.set_down(target, False)
+            self.context.network.set_down(target, is_down=False)
             self.context.ended(step, target)
-        await self.context.tell_relays()
+        await self.context.update_relays()
 
     def _empty_disks(self, step: Step) -> None:
         for target in step.targets:
@@ -94,7 +94,7 @@
 
 @attrs.define
 class ReplaceHandler:
-    """Processes that are gone for good; empty ones at new addresses take their place."""
+    """Processes that are removed for good; empty ones at new addresses take their place."""
 
     context: FaultContext
 
--- a/src/zincvale/fleet/processes.py
+++ b/src/zincvale/fleet/processes.py
@@ -1,7 +1,8 @@
 """Processes that the rig starts, signals and ends: only these, by their ids.
 
 Every child leads a process group of its own, is killed by the kernel when the rig dies, and carries
-the run's mark in its environment, so that a residue can be told from anything else on the machine.
+the run's mark in its environment, so that a residue can be distinguished from other
+processes on the machine.
 """
 
 from __future__ import annotations
@@ -126,7 +127,7 @@
         return self._by_name.get(name)
 
     def kill(self, name: str) -> None:
-        """End a process at once, as a crash does, and wait until it is gone."""
+        """End a process at once, as a crash does, and wait until it has ended."""
         process = self._by_name[name]
         process.ended_by_rig = True
         _signal_group(process, signal.SIGKILL)
--- a/src/zincvale/fleet/relay.py
+++ b/src/zincvale/fleet/relay.py
@@ -52,7 +52,7 @@
             listener.close()
             raise
         self._listener = listener
-        self._answer_connections()
+        self._accept_connections()
 
     def close(self) -> None:
         """Stop listening and reset every connection."""
@@ -84,17 +84,17 @@
         return bool(self.state.delay_s or self.state.jitter_s or self.state.bytes_per_second)
 
     def draw_delay_s(self) -> float:
-        """Return the delay of the next piece."""
+        """Return the delay of the next chunk."""
         return self.state.delay_s + self.random.uniform(0.0, self.state.jitter_s)
 
     def transfer_s(self, size_bytes: int) -> float:
-        """Return how long a piece occupies the link."""
+        """Return how long a chunk occupies the link."""
         if not self.state.bytes_per_second:
             return 0.0
         return size_bytes / self.state.bytes_per_second
 
     def forget(self, pump: Pump) -> None:
-        """A connection's side is gone."""
+        """Remove the pump of a lost connection."""
         self._pumps.discard(pump)
 
     def _change_connecting(self, before: Connecting, after: Connecting) -> None:
@@ -102,13 +102,13 @@
             self.open()
         elif before is Connecting.IGNORE:
             self._drop_fillers()
-            self._answer_connections()
+            self._accept_connections()
         if after is Connecting.REFUSE:
             self.close()
         elif after is Connecting.IGNORE:
             self._ignore_connections()
 
-    def _answer_connections(self) -> None:
+    def _accept_connections(self) -> None:
         if self._listener is None:
             return
         self._listener.listen(ACCEPT_BACKLOG)
--- a/src/zincvale/fleet/relay_control.py
+++ b/src/zincvale/fleet/relay_control.py
@@ -1,4 +1,4 @@
-"""Tells the relay processes what their links are to do."""
+"""Sends the relay processes the states of their links."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     addresses: list[str]
     links: list[PlannedLink]
 
-    async def tell(self, changes: Mapping[str, LinkState]) -> None:
-        """Give links their states; raises `UnavailableError` when a relay does not take them."""
+    async def update(self, changes: Mapping[str, LinkState]) -> None:
+        """Send links their states; raises `UnavailableError` when a relay does not take them."""
         for index, address in enumerate(self.addresses):
             start = index * LINKS_PER_PROCESS
             own = {item.link.name for item in self.links[start : start + LINKS_PER_PROCESS]}
--- a/src/zincvale/fleet/relay_links.py
+++ b/src/zincvale/fleet/relay_links.py
@@ -1,4 +1,4 @@
-"""What a relay is told: its links, and the state that a fault gives a link."""
+"""What a relay receives: its links, and the state that a fault gives a link."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
     ACCEPT = "accept"
     IGNORE = "ignore"
-    """The connection attempt gets no answer, as when packets are lost."""
+    """The connection attempt gets no response, as when packets are lost."""
     REFUSE = "refuse"
     """The connection attempt is reset, and so are the open connections."""
 
--- a/src/zincvale/fleet/relay_main.py
+++ b/src/zincvale/fleet/relay_main.py
@@ -29,7 +29,7 @@
     """Says that every listener is open."""
 
     def get(self) -> None:
-        """Answer 200: the control server starts after the listeners."""
+        """Respond with 200: the control server starts after the listeners."""
         self.finish({"ready": True})
 
 
@@ -59,14 +59,14 @@
 
 
 async def serve(settings: RelaySettings) -> None:
-    """Open every link and the control address, and run until told to end."""
+    """Open every link and the control address, and run until a signal ends it."""
     generator = random.Random(settings.seed)
     links = {link.name: RelayedLink(link, generator) for link in settings.links}
     for link in links.values():
         _open(link)
     application = tornado.web.Application(
         [("/ready", ReadyHandler), ("/links", LinksHandler, {"links": links})],
-        log_function=lambda handler: None,
+        log_function=lambda _handler: None,
     )
     host, port = split_address(settings.control_address)
     tornado.httpserver.HTTPServer(application).listen(port, host)
--- a/src/zincvale/fleet/relay_pump.py
+++ b/src/zincvale/fleet/relay_pump.py
@@ -18,7 +18,7 @@
 
 
 class PumpedLink(Protocol):
-    """What a pump asks of its link."""
+    """What a pump needs from its link."""
 
     @property
     def shapes(self) -> bool:
@@ -30,20 +30,20 @@
         ...
 
     def draw_delay_s(self) -> float:
-        """Return the delay of the next piece."""
+        """Return the delay of the next chunk."""
         ...
 
     def transfer_s(self, size_bytes: int) -> float:
-        """Return how long a piece occupies the link."""
+        """Return how long a chunk occupies the link."""
         ...
 
     def forget(self, pump: Pump) -> None:
-        """The pump's connection is gone."""
+        """Remove a pump whose connection was lost."""
         ...
 
 
 @attrs.frozen
-class Piece:
+class Chunk:
     """Bytes that leave at `due` (seconds on the loop's clock); no bytes mean the end."""
 
     due: float
@@ -61,11 +61,12 @@
     is_request: bool
     transport: asyncio.Transport | None = None
     other: Pump | None = None
-    _pieces: deque[Piece] = attrs.field(factory=deque)
+    _chunks: deque[Chunk] = attrs.field(factory=deque)
     _waiting_bytes: int = 0
     _link_free_at: float = 0.0
     _timer: asyncio.TimerHandle | None = None
-    _other_is_full: bool = False
+    other_is_full: bool = False
+    """Whether the other side's write buffer is full; set by the other pump."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the connection; it reads only once its other side is there."""
@@ -83,7 +84,7 @@
         """Read or stop reading, as the link's state and the buffers say."""
         if self.other is None or self.transport is None or self.transport.is_closing():
             return
-        is_full = self._other_is_full or self._waiting_bytes > HIGH_WATER_BYTES
+        is_full = self.other_is_full or self._waiting_bytes > HIGH_WATER_BYTES
         if is_full or self.link.holds(self.is_request):
             self.transport.pause_reading()
         else:
@@ -91,14 +92,14 @@
 
     def data_received(self, data: bytes) -> None:
         """Pass bytes on, at once or after the link's delay."""
-        if self._pieces or self.link.shapes:
+        if self._chunks or self.link.shapes:
             self._delay(data)
         else:
             self._write(data)
 
     def eof_received(self) -> bool:
         """Pass the end of this direction on, behind the bytes before it."""
-        if self._pieces:
+        if self._chunks:
             self._delay(b"")
         else:
             self._write(b"")
@@ -107,13 +108,13 @@
     def pause_writing(self) -> None:
         """The buffer towards this side is full: stop reading on the other one."""
         if self.other is not None:
-            self.other._other_is_full = True
+            self.other.other_is_full = True
             self.other.refresh()
 
     def resume_writing(self) -> None:
         """The buffer towards this side has room again."""
         if self.other is not None:
-            self.other._other_is_full = False
+            self.other.other_is_full = False
             self.other.refresh()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -124,11 +125,11 @@
             return
         if error is not None:
             other.abort()
-        elif not self._pieces:
+        elif not self._chunks:
             other.transport.close()
 
     def abort(self) -> None:
-        """Reset this connection: an orderly end could pass for a whole answer."""
+        """Reset this connection: an orderly end could pass for a complete response."""
         if self.transport is None:
             return
         connection = self.transport.get_extra_info("socket")
@@ -140,20 +141,20 @@
         loop = asyncio.get_running_loop()
         arrives_at = max(loop.time() + self.link.draw_delay_s(), self._link_free_at)
         self._link_free_at = arrives_at + self.link.transfer_s(len(data))
-        self._pieces.append(Piece(self._link_free_at, data))
+        self._chunks.append(Chunk(self._link_free_at, data))
         self._waiting_bytes += len(data)
         if self._timer is None:
             self._timer = loop.call_at(self._link_free_at, self._release)
         self.refresh()
 
     def _release(self) -> None:
-        piece = self._pieces.popleft()
-        self._waiting_bytes -= len(piece.data)
-        self._write(piece.data)
+        chunk = self._chunks.popleft()
+        self._waiting_bytes -= len(chunk.data)
+        self._write(chunk.data)
         self._timer = None
-        if self._pieces:
+        if self._chunks:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_at(self._pieces[0].due, self._release)
+            self._timer = loop.call_at(self._chunks[0].due, self._release)
         self.refresh()
 
     def _write(self, data: bytes) -> None:
--- a/src/zincvale/fleet/replacement.py
+++ b/src/zincvale/fleet/replacement.py
@@ -20,8 +20,8 @@
     number = next(context.replacement_numbers)
     context.began(step, target, replacement=f"{target}-r{number}")
     fleet.table.kill(target)
-    context.network.set_down(target, True)
-    await context.tell_relays()
+    context.network.set_down(target, is_down=True)
+    await context.update_relays()
     if fleet.server(target) is not None:
         await _replace_server(context, target, number)
     elif fleet.is_core(target):
@@ -73,7 +73,7 @@
 
 
 async def _declare_replacement(context: FaultContext, old: str, machine: Machine) -> bool:
-    """Ask the cores in turn until one says that the replica set has changed."""
+    """Request the change from the cores in turn, until one accepts it."""
     cores = [core for core in context.fleet.deployment.cores() if core.name != machine.name]
     body = {"remove": old, "add": machine.name}
     for attempt in range(ATTEMPTS):
--- a/src/zincvale/fleet/run.py
+++ b/src/zincvale/fleet/run.py
@@ -29,7 +29,7 @@
 from zincvale.fleet.startup import Startup
 from zincvale.fleet.timeline import Timeline
 
-LONGEST_SETTLE_S = 30.0
+MAX_OPEN_REQUESTS_S = 30.0
 STAND_INS_OUTLIVE_S = 180.0
 TICK_S = 1.0
 
@@ -62,7 +62,7 @@
     try:
         await run.start()
         await run.drive()
-        await run.settle()
+        await run.finish_open_requests()
     finally:
         progress.say("ending all processes")
         try:
@@ -127,7 +127,7 @@
         say(f"intent version {self.operators.newest_version} is in force; all nodes are ready")
 
     async def drive(self) -> None:
-        """Let callers come for the asked time, with the faults at their moments."""
+        """Let callers come for the requested time, with the faults at their moments."""
         options = self.inputs.options
         self.callers.start()
         self.load_started_t = boot_time_s()
@@ -148,7 +148,7 @@
         next_tick_s = TICK_S
         while (elapsed_s := boot_time_s() - self.load_started_t) < options.seconds:
             timeline.advance(elapsed_s)
-            self._note_ends()
+            self._record_unexpected_ends()
             if elapsed_s >= next_tick_s:
                 next_tick_s += TICK_S
                 self._tick(elapsed_s, tail)
@@ -156,21 +156,21 @@
         await timeline.finish()
         self._tick(options.seconds, tail)
 
-    async def settle(self) -> None:
+    async def finish_open_requests(self) -> None:
         """Let callers finish what they began, then look at the fleet once more."""
         self.progress.say("no new requests; waiting for open ones")
-        deadline = boot_time_s() + LONGEST_SETTLE_S
+        deadline = boot_time_s() + MAX_OPEN_REQUESTS_S
         while boot_time_s() < deadline and self.callers.running():
-            self._note_ends()
+            self._record_unexpected_ends()
             await asyncio.sleep(0.1)
         self.observer.stop()
         if self._polling is not None:
             await self._polling
             self._polling = None
-        await self.observer.read_whole_intents()
+        await self.observer.read_complete_intents()
         self.journal.write("run-end")
         self.usage = self.table.usage()
-        self._note_ends()
+        self._record_unexpected_ends()
 
     async def close(self) -> None:
         """Close the rig's files; its connections end with the process, as some may be in use."""
@@ -194,7 +194,7 @@
             usage=self.usage,
         )
 
-    def _note_ends(self) -> None:
+    def _record_unexpected_ends(self) -> None:
         for ended in self.table.unexpected_ends():
             self.unexpected.append(ended)
             self.journal.write("unexpected-end", process=ended.name, exit_code=ended.exit_code)
--- a/src/zincvale/fleet/run_folder.py
+++ b/src/zincvale/fleet/run_folder.py
@@ -52,7 +52,7 @@
 
 
 def make_run_folder(options: RunOptions) -> Path:
-    """Return the folder of a run; raises `StartupError` when the wanted one is in use."""
+    """Return the folder of a run; raises `StartupError` when the requested one is in use."""
     if not options.keep_folder:
         return Path(tempfile.mkdtemp(prefix="zincvale-fleet-"))
     root = Path(options.keep_folder).absolute()
@@ -63,6 +63,6 @@
 
 
 def remove_run_folder(options: RunOptions, root: Path) -> None:
-    """Remove the run's files unless they were asked for."""
+    """Remove the run's files unless the options keep them."""
     if not options.keep_folder:
         shutil.rmtree(root, ignore_errors=True)
--- a/src/zincvale/fleet/run_options.py
+++ b/src/zincvale/fleet/run_options.py
@@ -1,4 +1,4 @@
-"""What a run is asked to do."""
+"""What a run is to do: the options of the command line."""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_faults.py
+++ b/tests/fleet/test_faults.py
@@ -144,24 +144,24 @@
         step = self.cut("lost", ["core-a"], ["core-b"])
         network = self.network(step)
         network.begin(step)
-        held = network.changes().values()
-        self.assertEqual({Connecting.IGNORE}, {state.connecting for state in held})
-        self.assertEqual({}, network.changes())
+        states = network.take_changes().values()
+        self.assertEqual({Connecting.IGNORE}, {state.connecting for state in states})
+        self.assertEqual({}, network.take_changes())
         network.end(step.fault_id)
-        healed = list(network.changes().values())
-        self.assertEqual([LinkState()] * len(held), healed)
+        healed = list(network.take_changes().values())
+        self.assertEqual([LinkState()] * len(states), healed)
 
     def test_one_way_touches_calls_of_the_first_group_only(self) -> None:
         step = self.cut("one-way", ["core-a"], ["core-b"])
         network = self.network(step)
         network.begin(step)
-        self.assertEqual({"core-a"}, {name.split(">")[0] for name in network.changes()})
+        self.assertEqual({"core-a"}, {name.split(">")[0] for name in network.take_changes()})
 
     def test_lost_replies_let_requests_pass(self) -> None:
         step = self.cut("replies-lost", ["node-1"], ["lookup-1"])
         network = self.network(step)
         network.begin(step)
-        (state,) = network.changes().values()
+        (state,) = network.take_changes().values()
         self.assertEqual((Passing.PASS, Passing.HOLD), (state.request, state.reply))
 
     def test_the_worst_of_two_faults_holds(self) -> None:
@@ -173,14 +173,14 @@
         network = self.network(cut)
         network.begin(cut)
         network.begin(delay)
-        state = next(iter(network.changes().values()))
+        state = next(iter(network.take_changes().values()))
         self.assertEqual((Connecting.REFUSE, 0.05), (state.connecting, state.delay_s))
         self.assertEqual([cut, delay], network.heal())
 
     def test_a_link_to_a_dead_process_refuses(self) -> None:
         network = self.network(self.cut("lost", ["core-a"], ["core-b"]))
-        network.set_down("core-b", True)
-        changed = network.changes()
+        network.set_down("core-b", is_down=True)
+        changed = network.take_changes()
         self.assertEqual({"core-a"}, {name.split(">")[0] for name in changed})
         self.assertEqual({Connecting.REFUSE}, {state.connecting for state in changed.values()})
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -39,7 +39,7 @@
         second = self.table.start(Command("one", MODULE))
         self.assertEqual({"one": second.popen.pid}, self.table.pids())
 
-    def test_a_process_that_ends_by_itself_is_told_once(self) -> None:
+    def test_a_process_that_ends_by_itself_is_reported_once(self) -> None:
         process = self.table.start(Command("one", MODULE, ("3",)))
         process.popen.wait()
         (ended,) = self.table.unexpected_ends()
--- a/tests/fleet/test_relay_pump.py
+++ b/tests/fleet/test_relay_pump.py
@@ -53,11 +53,11 @@
     """A link whose state the test sets."""
 
     shapes: bool = False
-    held: set[bool] = attrs.field(factory=set)
+    held_directions: set[bool] = attrs.field(factory=set)
     forgotten: list[Pump] = attrs.field(factory=list)
 
     def holds(self, is_request: bool) -> bool:
-        return is_request in self.held
+        return is_request in self.held_directions
 
     def draw_delay_s(self) -> float:
         return 0.0
@@ -99,7 +99,7 @@
 
     def test_a_held_direction_is_not_read(self) -> None:
         self.start()
-        self.link.held = {False}
+        self.link.held_directions = {False}
         self.near.refresh()
         self.far.refresh()
         self.assertTrue(self.near_transport.reading)
