--- a/src/zincvale/simulator/schedules/run.py
+++ b/src/zincvale/simulator/schedules/run.py
@@ -157,7 +157,9 @@
             each for each in self.simulation.processes.values() if each.kind is ProcessKind.CORE
         ]
         return all(
-            any(core.machine.role(role, core.local(self.simulation.now)).is_leader for core in cores)
+            any(
+                core.machine.role(role, core.local(self.simulation.now)).is_leader for core in cores
+            )
             for role in ROLES
         )
 
