--- a/src/zincvale/coordination/membership/messages.py
+++ b/src/zincvale/coordination/membership/messages.py
@@ -9,7 +9,8 @@
 class MemberInfo:
     """Who a process is and how it is reached.
 
-    `role` is a value of `zincvale.model.control_tables.Role`; `incarnation` is random, one per process start.
+    `role` is a value of `zincvale.model.control_tables.Role`; `incarnation` is random, one per
+    process start.
     """
 
     member: str
--- a/src/zincvale/simulator/what_if/attempt.py
+++ b/src/zincvale/simulator/what_if/attempt.py
@@ -82,7 +82,7 @@
 
     # what the node says, when the bytes leave it
 
-    def on_response(self, response: SendAnswer) -> None:
+    def on_response(self, response: SendResponse) -> None:
         """Handle a complete response."""
         self._deliver_later(0.0, lambda: self._on_response(response))
 
@@ -149,7 +149,7 @@
 
     # at the caller
 
-    def _on_response(self, response: SendAnswer) -> None:
+    def _on_response(self, response: SendResponse) -> None:
         result = _result_of(response)
         if result.outcome is AttemptOutcome.ANSWERED:
             self._request.mark_first_byte()
@@ -216,7 +216,7 @@
     return InferenceRequest(key=plan.prompt)
 
 
-def _result_of(response: SendAnswer) -> AttemptResult:
+def _result_of(response: SendResponse) -> AttemptResult:
     named = response.headers.get(OUTCOME_HEADER, "")
     if named == Outcome.ANSWERED.value:
         return AttemptResult(AttemptOutcome.ANSWERED)
--- a/src/zincvale/simulator/what_if/exchange.py
+++ b/src/zincvale/simulator/what_if/exchange.py
@@ -122,7 +122,7 @@
             self._forward_chunks(count)
             self._notify(StreamEnded(count))
         else:
-            self._notify(Answered(b"{}", count))
+            self._notify(ResponseReceived(b"{}", count))
 
     def on_broken(self, count: int, sent: bool) -> None:
         """Take a connection that broke."""
@@ -136,13 +136,13 @@
         first_index = self.count + 1
         chunks = [""] * (count - self.count)
         self.count = count
-        self._notify(PiecesReceived(first_index, chunks))
+        self._notify(ChunksReceived(first_index, chunks))
 
     def _notify(self, event: Input) -> None:
         node = self._request.node
         node.clock.call_later(node.timings.server_hop_s, lambda: self._on_event(event))
 
     def _on_event(self, event: Input) -> None:
-        if isinstance(event, PiecesReceived) and not self.first_chunk_s:
+        if isinstance(event, ChunksReceived) and not self.first_chunk_s:
             self.first_chunk_s = self._request.node.clock.now - self.started_at
         self._request.on_exchange(self, event)
--- a/src/zincvale/simulator/what_if/node.py
+++ b/src/zincvale/simulator/what_if/node.py
@@ -34,8 +34,8 @@
 
 
 @attrs.define
-class IncrementalRoutingState(World):
-    """A `World` that recomputes only what an update changes; its tables are the same.
+class IncrementalRoutingState(RoutingState):
+    """A `RoutingState` that recomputes only what an update changes; its tables are the same.
 
     Nodes are ranked for a server once per member table, and a directory with the known servers in
     their known pools touches the rows that differ.
@@ -54,7 +54,7 @@
         if (directory.epoch, directory.version) < (known.epoch, known.version):
             return False
         if not self._has_same_servers(directory):
-            return World.apply_directory(self, directory, now)
+            return RoutingState.apply_directory(self, directory, now)
         for server, row in directory.servers.items():
             # The ramp of a server without any model begins anew with each sight of it.
             empty = row.health is ServerHealth.COLD and not row.models
--- a/src/zincvale/simulator/what_if/request.py
+++ b/src/zincvale/simulator/what_if/request.py
@@ -43,7 +43,7 @@
 from zincvale.dataplane.inference.request_state import Phase
 from zincvale.dataplane.inference.requests import CallerRequest
 from zincvale.dataplane.inference.routing_state import PoolState, ServerState
-from zincvale.dataplane.inference.runner import CONTINUATION_WAIT_S, LATE_ANSWER_S
+from zincvale.dataplane.inference.runner import CONTINUATION_TIMEOUT_S, LATE_RESPONSE_TIMEOUT_S
 from zincvale.dataplane.inference.scheduler import Scheduler, work_tokens
 from zincvale.dataplane.inference.verdicts import Verdict
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
@@ -61,7 +61,7 @@
 
     hang_up_after: int
 
-    def on_response(self, answer: SendAnswer) -> None:
+    def on_response(self, answer: SendResponse) -> None:
         """Handle a complete response."""
 
     def on_chunks(self, last_index: int, delay_s: float) -> None:
@@ -182,9 +182,9 @@
     def on_caller_lost(self) -> None:
         """Handle that the caller closed its connection."""
         self._caller = None
-        if self.machine.opened:
+        if self.machine.is_stream_open:
             self._record_stream(False)
-        self.feed(CallerGone(self._sent))
+        self.feed(CallerDisconnected(self._sent))
 
     def on_node_lost(self) -> None:
         """Handle that this node ended: connections break, nothing is decided any more."""
@@ -192,7 +192,7 @@
         if self._exchange is not None:
             self._exchange.close()
         self._disarm()
-        if self.machine.opened:
+        if self.machine.is_stream_open:
             self._record_stream(False)
         self.machine.phase = Phase.DONE
         self._effects.clear()
@@ -246,7 +246,7 @@
                 self._dispatch(effect)
             case FreeServer():
                 self._free(effect)
-            case SendAnswer():
+            case SendResponse():
                 self._send_response(effect)
             case Finish(outcome, reason):
                 self._finish(outcome, reason)
@@ -297,7 +297,7 @@
                 claims.record(request.request_id, outcome)
             case RecordStream():
                 headers = responses.stream_headers(request.request_id)
-                body = responses.whole_stream(self.machine.pieces)
+                body = responses.whole_stream(self.machine.chunks)
                 outcome = RecordedOutcome(Outcome.ANSWERED, OK_STATUS, headers, body)
                 claims.record(request.request_id, outcome)
             case ReleaseClaim():
@@ -365,7 +365,7 @@
             count = max(count, self._exchange.count)
         self.node.claims.record_stream(request.request_id, request.digest, count, is_complete)
 
-    def _send_response(self, effect: SendAnswer) -> None:
+    def _send_response(self, effect: SendResponse) -> None:
         if self._caller is not None:
             self._caller.on_response(effect)
         if self.machine.phase is Phase.LATE:
--- a/tests/simulator/what_if/test_what_if_engine.py
+++ b/tests/simulator/what_if/test_what_if_engine.py
@@ -166,7 +166,7 @@
     def test_same_tables(self) -> None:
         source = random.Random(7)
         node = MemberId("node-1")
-        states = [World(ZoneName("a"), node), IncrementalRoutingState(ZoneName("a"), node)]
+        states = [RoutingState(ZoneName("a"), node), IncrementalRoutingState(ZoneName("a"), node)]
         names = [ServerId(f"server-{number}") for number in range(4)]
         rows = {name: _row(name, source) for name in names}
         for version in range(1, 60):
@@ -214,7 +214,7 @@
     return Members(version, rows)
 
 
-def _tables(routing_state: World) -> object:
+def _tables(routing_state: RoutingState) -> object:
     servers = {
         name: (
             state.row,
