--- a/src/zincvale/simulator/what_if/exchange.py
+++ b/src/zincvale/simulator/what_if/exchange.py
@@ -118,7 +118,7 @@
 
     def on_finished(self, count: int) -> None:
         """Handle the complete response."""
-        if self._request.machine.request.question.stream:
+        if self._request.machine.request.inference_request.stream:
             self._forward_chunks(count)
             self._notify(StreamEnded(count))
         else:
@@ -126,12 +126,12 @@
 
     def on_broken(self, count: int, sent: bool) -> None:
         """Take a connection that broke."""
-        if self._request.machine.request.question.stream:
+        if self._request.machine.request.inference_request.stream:
             self._forward_chunks(count)
         self._notify(ServerFailed("the connection broke", sent))
 
     def _forward_chunks(self, count: int) -> None:
-        if not self._request.machine.request.question.stream or count <= self.count:
+        if not self._request.machine.request.inference_request.stream or count <= self.count:
             return
         first_index = self.count + 1
         chunks = [""] * (count - self.count)
