--- a/src/zincvale/fleet/fault_context.py
+++ b/src/zincvale/fleet/fault_context.py
@@ -20,11 +20,11 @@
 class FaultHandler(Protocol):
     """Begins and lifts the faults of one family."""
 
-    async def begin(self, step: Step) -> None:
+    async def begin(self, step: Step, /) -> None:
         """Begin the step's fault and journal it."""
         ...
 
-    async def end(self, step: Step) -> None:
+    async def end(self, step: Step, /) -> None:
         """Lift the step's fault and journal its end."""
         ...
 
--- a/src/zincvale/fleet/invariants/__init__.py
+++ b/src/zincvale/fleet/invariants/__init__.py
@@ -2,6 +2,10 @@
 
 The journals are those of the stand-ins (what really ran, was sent and was received) and of the rig
 (faults, and reads as an operator or caller would make them). The daemons' own claims are not used.
+
+It imports `zincvale.model` and no other part of the rig. Read `rows` (the journals' events),
+`journals`, `evidence` and `findings`, then `operations` and `outages`, which join rows into orders
+and intervals, then any check: each module has its number, its title and one function `check`.
 """
 
 from __future__ import annotations
--- a/src/zincvale/fleet/invariants/changes.py
+++ b/src/zincvale/fleet/invariants/changes.py
@@ -103,7 +103,7 @@
     conflict = next(
         (response for response in order.responses if response.status == HTTP_CONFLICT), None
     )
-    if conflict is None or order.base_version is None or len(order.sent_ts) < 2:
+    if conflict is None or order.base_version is None or not order.was_resent:
         return
     newer = [item for item in acked if item.version > order.base_version]
     if any(item.order.first_sent_t <= conflict.t for item in newer):
--- a/src/zincvale/fleet/invariants/operations.py
+++ b/src/zincvale/fleet/invariants/operations.py
@@ -31,6 +31,11 @@
         """When the order first left the operator."""
         return self.sent_ts[0] if self.sent_ts else math.inf
 
+    @property
+    def was_resent(self) -> bool:
+        """Whether the operator sent the order more than once."""
+        return len(self.sent_ts) > 1
+
     @property
     def acknowledgement(self) -> ChangeResponse | None:
         """The first response that said the change is in force."""
--- a/src/zincvale/fleet/network_faults.py
+++ b/src/zincvale/fleet/network_faults.py
@@ -46,14 +46,14 @@
 
     context: FaultContext
 
-    async def begin(self, step: Step) -> None:
+    async def begin(self, _step: Step) -> None:
         """Heal the network, and journal the end of each fault."""
         lifted = self.context.network.heal()
         await self.context.update_relays()
         for faulted in lifted:
             self.context.ended(faulted, sides(faulted))
 
-    async def end(self, step: Step) -> None:
+    async def end(self, _step: Step) -> None:
         """Healing has no end."""
 
 
--- a/src/zincvale/fleet/operators.py
+++ b/src/zincvale/fleet/operators.py
@@ -21,6 +21,7 @@
 
 OPERATORS_JOURNAL = "operators.jsonl"
 ATTEMPT_TIMEOUT_S = 5.0
+READ_TIMEOUT_S = 2.0
 HANG_UP_AFTER_S = 0.02
 RESEND_PAUSE_S = 0.3
 ATTEMPTS = 12
@@ -143,9 +144,10 @@
         """Return the version that a core shows now, or None when none responds."""
         for _ in range(len(self._cores)):
             _, address = self._next_core()
-            response = await self._client.get(address, "/v1/intent", 2.0)
+            response = await self._client.get(address, "/v1/intent", READ_TIMEOUT_S)
             if response.ok:
-                return response.field("version")
+                version: int | None = response.field("version")
+                return version
         return None
 
     def add_core(self, name: str, address: str) -> None:
--- a/src/zincvale/fleet/relay_main.py
+++ b/src/zincvale/fleet/relay_main.py
@@ -9,6 +9,7 @@
 import random
 import signal
 import sys
+from http import HTTPStatus
 from pathlib import Path
 
 import fire
@@ -50,7 +51,7 @@
                     f"no link {unknown[0]!r}", "name a link of the settings file"
                 )
         except (ZincvaleError, ValueError) as error:
-            self.set_status(422)
+            self.set_status(HTTPStatus.UNPROCESSABLE_ENTITY)
             self.finish({"problem": str(error)})
             return
         for name in change.links:
--- a/src/zincvale/fleet/replacement.py
+++ b/src/zincvale/fleet/replacement.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 from tornado import gen
 
 from zincvale.fleet.fault_context import FaultContext
@@ -10,6 +12,8 @@
 from zincvale.standins.deployment import Machine
 
 RESPONSE_TIMEOUT_S = 5.0
+ACCEPTED_STATUSES = frozenset({HTTPStatus.OK, HTTPStatus.ACCEPTED})
+"""The change is done, or accepted and still to be completed (RFC 9110, 15.3.3)."""
 ATTEMPTS = 20
 PAUSE_S = 0.5
 
@@ -83,7 +87,7 @@
         context.journal.write(
             "replace-answer", core=core.name, status=response.status, body=response.body
         )
-        if response.status in (200, 202):
+        if response.status in ACCEPTED_STATUSES:
             return True
         await gen.sleep(PAUSE_S)
     return False
--- a/src/zincvale/fleet/startup.py
+++ b/src/zincvale/fleet/startup.py
@@ -19,6 +19,8 @@
 POLL_INTERVAL_S = 0.2
 CALL_TIMEOUT_S = 1.0
 FIRST_INTENT_WITHIN_S = 30.0
+FIRST_INTENT_REJECTED_STATUSES = frozenset({400, 409, 413, 422})
+"""Sending it again cannot help. Unlike `REJECTED_STATUSES` without 404, which is tried again."""
 
 
 @attrs.define
@@ -59,7 +61,7 @@
             response = await operators.apply(change, attempts=1)
             if response.ok:
                 return
-            if response.status in (400, 409, 413, 422):
+            if response.status in FIRST_INTENT_REJECTED_STATUSES:
                 break
             await gen.sleep(POLL_INTERVAL_S)
         raise StartupError(
