--- a/src/zincvale/bench/capacity_model.py
+++ b/src/zincvale/bench/capacity_model.py
@@ -29,6 +29,8 @@
 """One changed row with its framing, as delivered (assumed: one resource a change)."""
 LOAD_ROW_UPDATES = 2
 """A load changes a server's row when it begins and when it ends (assumed)."""
+POINTS_OF_A_LINE = 2
+"""With fewer measured points no idle share can be separated from the cost of a renewal."""
 RESIDENCY_DELTA_BYTES = 60
 """A row update that names only the model or adapter that changed (assumed)."""
 
@@ -68,11 +70,15 @@
 
 def node_lines(results: CapacityResults) -> list[CapacityLine]:
     """Return what control costs one node."""
-    largest = results.points[-1]
-    intent_bytes = _intent_bytes(results)
-    directory_rate = _directory_bytes_per_s(results)
-    changes_rate = CHANGES_PER_DAY / SECONDS_PER_DAY * CHANGE_BYTES
-    scoped = directory_rate / REGIONS * RESIDENCY_DELTA_BYTES / _server_row_bytes(results)
+    return [
+        *_node_lease_lines(results.points[-1]),
+        _node_change_line(),
+        *_node_directory_lines(results),
+        *_node_memory_lines(results),
+    ]
+
+
+def _node_lease_lines(largest: NodePoint) -> list[CapacityLine]:
     return [
         CapacityLine(
             "processor for leases and polls",
@@ -90,14 +96,25 @@
             NODE_BYTES_BUDGET_PER_S,
             "leases of 1.8 s, renewed every 0.6 s through a home core",
         ),
-        CapacityLine(
-            "bytes for configuration changes",
-            changes_rate,
-            "B/s",
-            Origin.ASSUMED,
-            NODE_BYTES_BUDGET_PER_S,
-            "row deltas by long poll",
-        ),
+    ]
+
+
+def _node_change_line() -> CapacityLine:
+    changes_rate = CHANGES_PER_DAY / SECONDS_PER_DAY * CHANGE_BYTES
+    return CapacityLine(
+        "bytes for configuration changes",
+        changes_rate,
+        "B/s",
+        Origin.ASSUMED,
+        NODE_BYTES_BUDGET_PER_S,
+        "row deltas by long poll",
+    )
+
+
+def _node_directory_lines(results: CapacityResults) -> list[CapacityLine]:
+    directory_rate = _directory_bytes_per_s(results)
+    scoped = directory_rate / REGIONS * RESIDENCY_DELTA_BYTES / _server_row_bytes(results)
+    return [
         CapacityLine(
             "bytes for the directory, whole rows to every node",
             directory_rate,
@@ -114,9 +131,14 @@
             NODE_BYTES_BUDGET_PER_S,
             "topics by region and field deltas (not built)",
         ),
+    ]
+
+
+def _node_memory_lines(results: CapacityResults) -> list[CapacityLine]:
+    return [
         CapacityLine(
             "memory for the intent",
-            intent_bytes,
+            _intent_bytes(results),
             "B",
             Origin.MEASURED,
             NODE_MEMORY_BUDGET_BYTES,
@@ -178,7 +200,7 @@
     """Return a core's idle share, and its share per renewal per second, fitted."""
     rates = [point.nodes * RENEWALS_PER_S for point in points]
     shares = [point.core_cpu_share for point in points]
-    if len(points) < 2:
+    if len(points) < POINTS_OF_A_LINE:
         return 0.0, shares[0] / rates[0]
     slope, base = numpy.polyfit(rates, shares, 1)
     return max(0.0, float(base)), float(slope)
