--- a/src/zincvale/bench/capacity_page.py
+++ b/src/zincvale/bench/capacity_page.py
@@ -16,7 +16,7 @@
 
 
 def write_page(results: CapacityResults, raw: Path, page: Path) -> None:
-    """Write both files; what stands below the page's mark was written by hand and is kept."""
+    """Write both files; what stands below the page's mark was written by hand and is retained."""
     raw.write_text(json.dumps(attrs.asdict(results), indent=1) + "\n", encoding="utf-8")
     by_hand = ""
     if page.exists():
--- a/src/zincvale/bench/capacity_run.py
+++ b/src/zincvale/bench/capacity_run.py
@@ -142,7 +142,7 @@
         wave_end = min(count, cluster.node_count + WAVE_NODES)
         cluster.add_nodes(wave_end)
         ready_s = cluster.wait_until(
-            lambda wanted=wave_end: cluster.ready_count() == wanted, READY_LIMIT_S
+            lambda desired=wave_end: cluster.ready_count() == desired, READY_LIMIT_S
         )
         longest_s = max(longest_s, ready_s)
     return longest_s
--- a/src/zincvale/bench/hollow_cluster.py
+++ b/src/zincvale/bench/hollow_cluster.py
@@ -24,7 +24,7 @@
 PEER_PORT = 9000
 NODES_PER_PROCESS = 250
 START_LIMIT_S = 20.0
-LOOK_INTERVAL_S = 0.05
+POLL_INTERVAL_S = 0.05
 STOP_TIMEOUT_S = 5.0
 CHANGE_TIMEOUT_S = 15.0
 
@@ -86,11 +86,11 @@
             assert process.stdin is not None
             process.stdin.write("status\n")
             process.stdin.flush()
-        answers = []
+        statuses = []
         for process in self.hollow:
             assert process.stdout is not None
-            answers.append(json.loads(process.stdout.readline()))
-        return answers
+            statuses.append(json.loads(process.stdout.readline()))
+        return statuses
 
     def ready_count(self) -> int:
         """Return how many hollow nodes are ready."""
@@ -102,7 +102,7 @@
         while time.perf_counter() - begin < limit_s:
             if condition():
                 return time.perf_counter() - begin
-            time.sleep(LOOK_INTERVAL_S)
+            time.sleep(POLL_INTERVAL_S)
         raise TimeoutError(f"not reached within {limit_s} s")
 
     def change(self, *resources: dict[str, Any], host: str = CORE_HOSTS[0]) -> float:
@@ -115,8 +115,8 @@
         )
         begin = time.perf_counter()
         try:
-            with urllib.request.urlopen(request, timeout=CHANGE_TIMEOUT_S) as answer:
-                answer.read()
+            with urllib.request.urlopen(request, timeout=CHANGE_TIMEOUT_S) as response:
+                response.read()
         except (urllib.error.URLError, OSError):
             return -1.0
         return time.perf_counter() - begin
--- a/src/zincvale/bench/hollow_process.py
+++ b/src/zincvale/bench/hollow_process.py
@@ -4,7 +4,7 @@
 connections; only callers' traffic is missing. They listen nowhere, so that cores cannot call back
 and peers cannot relay.
 
-Commands are lines on standard input (`status`, `stop`); each is answered by one JSON line.
+Commands are lines on standard input (`status`, `stop`); the response to each is one JSON line.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
             self.machine.address_of,
             {},
             self._deliver,
-            lambda member, reachable, reason: None,
+            lambda _member, _reachable, _reason: None,
             connections,
         )
         self.driver.peers = self.peers
@@ -77,8 +77,8 @@
             self.peers.send(sender, message)
 
     def _after_input(self) -> None:
-        notes = self.machine.take_changes()
-        self.changes_seen += len(notes.keys)
+        changes = self.machine.take_changes()
+        self.changes_seen += len(changes.keys)
 
 
 class HollowFleet:
@@ -123,12 +123,12 @@
         self._turn = (self._turn + 1) % self._slices
 
 
-def _no_reply(token: str, message: Any) -> bool:
+def _no_reply(_token: str, _message: Any) -> bool:
     return False
 
 
-def _answer_commands(fleet: HollowFleet, loop: IOLoop) -> Callable[[Any, int], None]:
-    def on_input(source: Any, events: int) -> None:
+def _handle_commands(fleet: HollowFleet, loop: IOLoop) -> Callable[[Any, int], None]:
+    def on_input(_source: Any, _events: int) -> None:
         line = sys.stdin.readline().strip()
         if line == "status":
             print(json.dumps(fleet.status()), flush=True)
@@ -139,11 +139,11 @@
 
 
 def main(first: str, count: str, cluster_id: str, *seeds: str) -> None:
-    """Run until told to stop, until standard input ends, or until the time is over."""
+    """Run until `stop` is read, until standard input ends, or until the time is over."""
     fleet = HollowFleet(int(first), int(count), cluster_id, list(seeds))
     loop = IOLoop.current()
     fleet.start()
-    loop.add_handler(sys.stdin.fileno(), _answer_commands(fleet, loop), IOLoop.READ)
+    loop.add_handler(sys.stdin.fileno(), _handle_commands(fleet, loop), IOLoop.READ)
     loop.call_later(MAX_SECONDS, loop.stop)
     loop.start()
 
--- a/src/zincvale/bench/http_load.py
+++ b/src/zincvale/bench/http_load.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 load client over kept-alive connections, cheap enough to outrun a node.
+"""A small HTTP/1.1 load client over persistent connections, cheap enough to outrun a node.
 
 Load is closed loop (as fast as the connections allow) or open loop (Poisson arrivals at a rate).
 It stops by itself.
@@ -28,10 +28,11 @@
 
     Attributes
     ----------
-    latency_us : whole exchanges, in microseconds; in open loop counted from the planned arrival.
+    latency_us : complete exchanges, in microseconds; in open loop counted from the planned arrival.
     """
 
-    answered: int = 0
+    succeeded: int = 0
+    """Exchanges that ended with a 200."""
     failed: int = 0
     elapsed_s: float = 0.0
     latency_us: HdrHistogram = attrs.field(
@@ -40,8 +41,8 @@
 
     @property
     def per_second(self) -> float:
-        """Answered exchanges per second."""
-        return self.answered / self.elapsed_s if self.elapsed_s else 0.0
+        """Exchanges with response 200, per second."""
+        return self.succeeded / self.elapsed_s if self.elapsed_s else 0.0
 
     def quantile_ms(self, percent: float) -> float:
         """Return a latency quantile in milliseconds."""
@@ -49,7 +50,7 @@
 
 
 class _Connection:
-    """One kept-alive connection, one exchange at a time."""
+    """One persistent connection, one exchange at a time."""
 
     def __init__(self, host: str, port: int) -> None:
         self._host = host
@@ -58,7 +59,7 @@
         self._writer: asyncio.StreamWriter | None = None
 
     async def exchange(self, request: bytes) -> bool:
-        """Send one request and read its whole answer; whether it was a 200."""
+        """Send one request and read its complete response; whether it was a 200."""
         if self._writer is None:
             self._reader, self._writer = await asyncio.open_connection(self._host, self._port)
         assert self._reader is not None
@@ -168,6 +169,6 @@
     if not is_ok:
         result.failed += 1
         return
-    result.answered += 1
+    result.succeeded += 1
     elapsed_us = int((time.perf_counter() - since) * US_PER_S)
     result.latency_us.record_value(max(LOWEST_US, elapsed_us))
--- a/src/zincvale/bench/relay_bench.py
+++ b/src/zincvale/bench/relay_bench.py
@@ -90,21 +90,19 @@
         """Alternate the relays over rounds, so that noise of the machine meets both."""
         for _ in range(ROUNDS):
             for name, address in _relays():
-                result, cpu_s = self._measured(name, closed_loop, address, short_body)
+                result, cpu_s = self._measured(name, address, short_body)
                 figures[name].per_second += result.per_second / ROUNDS
-                figures[name].per_cpu_second += result.answered / cpu_s / ROUNDS
+                figures[name].per_cpu_second += result.succeeded / cpu_s / ROUNDS
 
     def _measured(
         self,
         name: str,
-        load: Callable[..., object],
         address: str,
         body_of: Callable[[int], bytes],
         connections: int = CONNECTIONS,
     ) -> tuple[LoadResult, float]:
         before = self._cpu_s(name)
-        path = PATH
-        result = asyncio.run(closed_loop(address, path, body_of, connections, self._seconds))
+        result = asyncio.run(closed_loop(address, PATH, body_of, connections, self._seconds))
         return result, max(self._cpu_s(name) - before, 1e-9)
 
     def _latency(self, figures: dict[str, RelayFigures]) -> None:
@@ -119,10 +117,8 @@
 
     def _tokens(self, figures: dict[str, RelayFigures]) -> None:
         for name, address in _relays():
-            result, cpu_s = self._measured(
-                name, closed_loop, address, fast_stream_body, FAST_STREAMS
-            )
-            figures[name].tokens_per_cpu_second = result.answered * FAST_TOKENS / cpu_s
+            result, cpu_s = self._measured(name, address, fast_stream_body, FAST_STREAMS)
+            figures[name].tokens_per_cpu_second = result.succeeded * FAST_TOKENS / cpu_s
 
     def _gaps(self, figures: dict[str, RelayFigures]) -> None:
         direct = _paced(BACK_ENDS[0], "/v1/generate")
--- a/src/zincvale/bench/relay_process.py
+++ b/src/zincvale/bench/relay_process.py
@@ -57,10 +57,10 @@
 
 
 class GenerateHandler(RequestHandler):
-    """A back end that answers at once, or streams tokens at an interval or as fast as it can."""
+    """A back end that responds at once, or streams tokens at an interval or as fast as it can."""
 
-    async def post(self, *path: str) -> None:
-        """Answer one generation; the prompt `paced` or `fast` chooses the stream."""
+    async def post(self, *_path: str) -> None:
+        """Respond to one generation; the prompt `paced` or `fast` chooses the stream."""
         request = orjson.loads(self.request.body)
         if not request.get("stream"):
             self.finish(
@@ -84,7 +84,7 @@
     client: CurlAsyncHTTPClient
     back_ends: list[str]
 
-    async def post(self, *path: str) -> None:
+    async def post(self, *_path: str) -> None:
         """Relay one exchange."""
         back_end = random.choice(self.back_ends)
         body = self.request.body
@@ -106,10 +106,11 @@
 
 
 class NoPeers:
-    """A node alone: nobody answers."""
+    """A node alone: no peer responds."""
 
     async def call(self, member: MemberId, message: Any, timeout_s: float) -> Any:
         """Fail at once."""
+        del message, timeout_s  # the port names them; nothing is sent
         raise PeerUnreachableError(str(member))
 
     def send(self, member: MemberId, message: Any) -> None:
@@ -135,7 +136,7 @@
 
 
 def serve_node(address: str, back_ends: list[str]) -> None:
-    """Serve one node's request path, with its record, on a fixed world."""
+    """Serve one node's request path, with its traces, on a fixed state."""
     member = MemberId("bench-node")
     zone = ZoneName("zone-a")
     settings = DaemonSettings("bench", member, "node", zone, address, address)
--- a/src/zincvale/bench/stream_load.py
+++ b/src/zincvale/bench/stream_load.py
@@ -1,4 +1,4 @@
-"""Paced token streams: the gaps between pieces as a caller sees them."""
+"""Paced token streams: the gaps between chunks as a caller sees them."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 STREAMS = 200
 SPREAD_S = 1.0
 """The streams start evenly over this time, as callers do."""
-PIECE_MARK = b"data: "
+CHUNK_MARK = b"data: "
 
 
 @attrs.define
 class StreamResult:
-    """Gaps between pieces, in microseconds."""
+    """Gaps between chunks, in microseconds."""
 
-    pieces: int = 0
+    chunks: int = 0
     gaps_us: HdrHistogram = attrs.field(
         factory=lambda: HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
     )
@@ -66,14 +66,14 @@
         chunk = await reader.readexactly(size + 2)
         if size == 0:
             break
-        last = _note(result, chunk, last)
+        last = _record_gap(result, chunk, last)
     writer.close()
 
 
-def _note(result: StreamResult, chunk: bytes, last: float) -> float:
+def _record_gap(result: StreamResult, chunk: bytes, last: float) -> float:
     now = time.perf_counter()
-    count = chunk.count(PIECE_MARK)
-    result.pieces += count
+    count = chunk.count(CHUNK_MARK)
+    result.chunks += count
     if last and count:
         result.gaps_us.record_value(max(LOWEST_US, int((now - last) * US_PER_S)))
     return now
--- a/src/zincvale/bench/tracing_bench.py
+++ b/src/zincvale/bench/tracing_bench.py
@@ -122,7 +122,7 @@
         for variant, row in NodeCost(rounds, seconds).run().items():
             print(f"node {variant}: {_spread(row.cpu_us)} us per request")
             print(
-                f"  tracing on the stack {row.tracing_share:.2%} of {row.looks} looks, gc"
+                f"  tracing on the stack {row.tracing_share:.2%} of {row.samples} looks, gc"
                 f" {row.gc_share:.2%} of its processor time at {row.per_second:.0f} requests/s"
             )
 
@@ -162,16 +162,19 @@
     def crash(self, seeds: int = 10, nodes: int = 8, per_second: int = 80) -> None:
         """Share of ERROR traces kept when one node crashes, and while every process lives."""
         for crashed in (False, True):
-            kept = failed = 0
+            retained = failed = 0
             worst = 1.0
             for seed in range(seeds):
-                seed_kept, seed_failed = _crash_run(seed, nodes, per_second, crashed)
-                kept += seed_kept
+                seed_retained, seed_failed = _crash_run(seed, nodes, per_second, crashed)
+                retained += seed_retained
                 failed += seed_failed
-                worst = min(worst, seed_kept / seed_failed)
+                worst = min(worst, seed_retained / seed_failed)
             state = "one node crashes" if crashed else "every process lives"
-            share = kept / failed
-            print(f"{state}: {kept} of {failed} ERROR traces kept ({share:.3%}, worst {worst:.3%})")
+            share = retained / failed
+            print(
+                f"{state}: {retained} of {failed} ERROR traces kept"
+                f" ({share:.3%}, worst {worst:.3%})"
+            )
 
     def run(self) -> None:
         """Run every measurement."""
--- a/src/zincvale/bench/tracing_cost.py
+++ b/src/zincvale/bench/tracing_cost.py
@@ -34,14 +34,14 @@
     ----------
     cpu_us : processor time per request, round by round.
     per_second : requests a second in the last round.
-    looks : stack samples taken.
+    samples : stack samples taken.
     tracing_share : share of the node's processor time with the tracing plane on the stack.
     gc_share : share of it in the garbage collector (part of it with tracing on the stack).
     """
 
     cpu_us: list[float] = attrs.field(factory=list)
     per_second: float = 0.0
-    looks: int = 0
+    samples: int = 0
     tracing_share: float = 0.0
     gc_share: float = 0.0
 
@@ -76,8 +76,8 @@
         for _ in range(self._rounds):
             cpu_us, row.per_second = self._round(variant)
             row.cpu_us.append(cpu_us)
-        looks, tracing, collecting = self._stop(variant).split()
-        row.looks = int(looks)
+        samples, tracing, collecting = self._stop(variant).split()
+        row.samples = int(samples)
         row.tracing_share = float(tracing)
         row.gc_share = float(collecting)
 
@@ -94,7 +94,7 @@
         address = ADDRESS_BY_VARIANT[variant]
         result = asyncio.run(closed_loop(address, PATH, short_body, CONNECTIONS, self._seconds))
         cpu_s = self._cpu_s(variant) - before
-        return cpu_s / max(result.answered, 1) * US_PER_S, result.per_second
+        return cpu_s / max(result.succeeded, 1) * US_PER_S, result.per_second
 
     def _cpu_s(self, variant: str) -> float:
         pid = self._processes[variant].pid
--- a/src/zincvale/bench/tracing_fleet.py
+++ b/src/zincvale/bench/tracing_fleet.py
@@ -1,4 +1,4 @@
-"""Many tracing services over a virtual clock and network, for measurements and tests of the record.
+"""Many tracing services over a virtual clock and network, for measurements and tests of tracing.
 
 Nothing here reads a clock or opens a socket: time moves by `run_until`, messages take `delay_s` and
 may be lost, members crash, restart, join and leave. Every run is a function of its seed.
@@ -21,7 +21,7 @@
 TICK_S = 0.25
 DELAY_S = 0.002
 DETECTION_S = 2.0
-"""From a crash until the members hear that the lease is gone."""
+"""From a crash until the members learn that the lease has expired."""
 WALL_START_S = 1_750_000_000.0
 
 
@@ -32,7 +32,7 @@
     Attributes
     ----------
     loss : share of messages that are lost.
-    on_the_way : applied to every message between sending and delivery.
+    transform_message : applied to every message between sending and delivery.
     """
 
     seed: int
@@ -43,7 +43,7 @@
     incarnations: dict[MemberId, int] = attrs.field(factory=dict)
     leaving: set[MemberId] = attrs.field(factory=set)
     lost_messages: int = 0
-    on_the_way: Callable[[Any], Any] = lambda message: message
+    transform_message: Callable[[Any], Any] = lambda message: message
     _random: random.Random = attrs.field(init=False)
     _events: list[tuple[float, int, Callable[[], None]]] = attrs.field(factory=list)
     _event_count: int = 0
@@ -64,12 +64,12 @@
         self.announce()
 
     def crash(self, member: MemberId) -> None:
-        """Lose a node and all it holds; the others hear of it `DETECTION_S` later."""
+        """Lose a node and all its traces; the others learn of it `DETECTION_S` later."""
         del self.services[member]
         self.at(self.now + DETECTION_S, self.announce)
 
     def leave(self, member: MemberId, drain_s: float) -> None:
-        """Stop a node in order: it hands over what it holds and is gone after `drain_s`."""
+        """Stop a node in order: it hands over its traces and is removed after `drain_s`."""
         self.services[member].leave()
         self.leaving.add(member)
         self.at(self.now + drain_s, lambda: self._remove(member))
@@ -99,7 +99,7 @@
         return self.services[self._random.choice(sorted(set(self.services) - self.leaving))]
 
     def is_retained_anywhere(self, trace_id: TraceId) -> bool:
-        """Whether a live member keeps the trace."""
+        """Whether a live member has retained the trace."""
         return any(service.store.get(trace_id) for service in self.services.values())
 
     def _start_service(self, member: MemberId) -> None:
@@ -137,7 +137,7 @@
         self.at(self.now + TICK_S, lambda: self._tick(member, service))
 
     def _send_of(self, service: TracingService, to: MemberId, message: Any) -> None:
-        # What a crashed node still had open ends in this process; nobody may hear of it.
+        # Requests of a crashed node still end in this process; none of its messages may be sent.
         if self.services.get(service.member_id) is service:
             self._send(service.member_id, to, message)
 
@@ -145,7 +145,7 @@
         if self._random.random() < self.loss:
             self.lost_messages += 1
             return
-        arriving = self.on_the_way(message)
+        arriving = self.transform_message(message)
         self.at(self.now + DELAY_S, lambda: self._deliver(sender, to, arriving))
 
     def _deliver(self, sender: MemberId, to: MemberId, message: Any) -> None:
--- a/src/zincvale/bench/tracing_node.py
+++ b/src/zincvale/bench/tracing_node.py
@@ -4,9 +4,9 @@
 `untraced` records nothing; `traced` samples as many traces as one of `FLEET_NODES` nodes does, and
 collects as many as it samples; `alone` samples the whole fleet's target.
 
-Every `SAMPLE_S` of processor time the node looks at its own stack; on SIGTERM it writes the
-number of looks, the share of them that met the tracing plane, and the share of time in the garbage
-collector since SIGUSR1 to standard output.
+Every `SAMPLE_S` of processor time the node samples its own stack; on SIGTERM it writes to standard
+output, counted since SIGUSR1: the number of samples, the share of them that met the tracing plane,
+and the share of time in the garbage collector.
 """
 
 from __future__ import annotations
@@ -57,9 +57,9 @@
 
 @attrs.define(eq=False)
 class StackSampler:
-    """Looks at the stack at even steps of processor time."""
+    """Samples the stack at even steps of processor time."""
 
-    looks: int = 0
+    samples: int = 0
     in_tracing: int = 0
     gc_s: float = 0.0
     _gc_began_at: float = 0.0
@@ -67,35 +67,35 @@
 
     def start(self) -> None:
         """Look from now on; report and exit on SIGTERM."""
-        signal.signal(signal.SIGPROF, self._look)
+        signal.signal(signal.SIGPROF, self._sample_stack)
         signal.setitimer(signal.ITIMER_PROF, SAMPLE_S, SAMPLE_S)
         gc.callbacks.append(self._time_gc)
         signal.signal(signal.SIGTERM, self._report)
         signal.signal(signal.SIGUSR1, self._begin)
 
-    def _begin(self, number: int, frame: FrameType | None) -> None:
+    def _begin(self, _number: int, _frame: FrameType | None) -> None:
         """Forget the start and the warm-up."""
-        self.looks = self.in_tracing = 0
+        self.samples = self.in_tracing = 0
         self.gc_s = 0.0
         self._began_at = time.process_time()
 
-    def _look(self, number: int, frame: FrameType | None) -> None:
-        self.looks += 1
+    def _sample_stack(self, _number: int, frame: FrameType | None) -> None:
+        self.samples += 1
         while frame is not None:
             if TRACING_FOLDER in frame.f_code.co_filename:
                 self.in_tracing += 1
                 return
             frame = frame.f_back
 
-    def _time_gc(self, phase: str, info: dict[str, int]) -> None:
+    def _time_gc(self, phase: str, _info: dict[str, int]) -> None:
         if phase == "start":
             self._gc_began_at = time.process_time()
         else:
             self.gc_s += time.process_time() - self._gc_began_at
 
-    def _report(self, number: int, frame: FrameType | None) -> None:
+    def _report(self, _number: int, _frame: FrameType | None) -> None:
         gc_share = self.gc_s / (time.process_time() - self._began_at)
-        print(f"{self.looks} {self.in_tracing / max(self.looks, 1)} {gc_share}", flush=True)
+        print(f"{self.samples} {self.in_tracing / max(self.samples, 1)} {gc_share}", flush=True)
         sys.exit(0)
 
 
--- a/tests/tracing/test_fleet.py
+++ b/tests/tracing/test_fleet.py
@@ -173,7 +173,7 @@
             seen.add(name)
             return copy
 
-        fleet.on_the_way = through_codec
+        fleet.transform_message = through_codec
         fleet.start(3)
         draw = random.Random(1)
         for _ in range(60):
