--- a/src/zincvale/bench/relay_process.py
+++ b/src/zincvale/bench/relay_process.py
@@ -135,7 +135,9 @@
     listen(application, address, "pass-through", MAX_BODY_BYTES)
 
 
-def serve_node(address: str, back_ends: list[str]) -> None:
+def serve_node(
+    address: str, back_ends: list[str], tracing_type: type[TracingService] = TracingService
+) -> None:
     """Serve one node's request path, with its traces, on a fixed state."""
     member = MemberId("bench-node")
     zone = ZoneName("zone-a")
@@ -143,7 +145,7 @@
     source = random.Random(1)
     peers = NoPeers()
     clock = suspend_aware_now
-    tracing = TracingService(member, source, clock, wall_now, peers.send)
+    tracing = tracing_type(member, source, clock, wall_now, peers.send)
     claims = ClaimService(member, "1", source, clock, peers)
     journal = StreamJournalService(member, "1", zone, clock, peers)
     service = NodeService(
@@ -200,14 +202,16 @@
     """Write no access log."""
 
 
-def main(role: str, address: str, *back_ends: str) -> None:
-    """Run one role until it is ended or its time is over."""
+def main(
+    role: str, address: str, *back_ends: str, tracing_type: type[TracingService] = TracingService
+) -> None:
+    """Run one role until it is ended or its time is over; a node traces by `tracing_type`."""
     if role == "back-end":
         serve_back_end(address)
     elif role == "pass-through":
         serve_pass_through(address, list(back_ends))
     else:
-        serve_node(address, list(back_ends))
+        serve_node(address, list(back_ends), tracing_type)
     loop = IOLoop.current()
     loop.call_later(MAX_SECONDS, loop.stop)
     print(f"ready {time.monotonic()}", flush=True)
--- a/src/zincvale/bench/tracing_node.py
+++ b/src/zincvale/bench/tracing_node.py
@@ -55,6 +55,13 @@
         self.recorder.divide_target(FLEET_NODES)
 
 
+TRACING_TYPE_BY_VARIANT: dict[str, type[TracingService]] = {
+    UNTRACED: UntracedService,
+    TRACED: FleetShareService,
+}
+"""Any other variant (`alone`) runs the tracing plane as it is."""
+
+
 @attrs.define(eq=False)
 class StackSampler:
     """Samples the stack at even steps of processor time."""
@@ -101,12 +108,9 @@
 
 def main(variant: str, address: str, *back_ends: str) -> None:
     """Serve the relay bench's node in one of the variants."""
-    if variant == UNTRACED:
-        relay_process.TracingService = UntracedService  # type: ignore[misc]
-    elif variant == TRACED:
-        relay_process.TracingService = FleetShareService  # type: ignore[misc]
     StackSampler().start()
-    relay_process.main("node", address, *back_ends)
+    tracing_type = TRACING_TYPE_BY_VARIANT.get(variant, TracingService)
+    relay_process.main("node", address, *back_ends, tracing_type=tracing_type)
 
 
 if __name__ == "__main__":
