--- a/src/zincvale/fleet/invariants/repair.py
+++ b/src/zincvale/fleet/invariants/repair.py
@@ -117,7 +117,13 @@
         for item in read.resources or []
     }
     for key, fields in replayed.fields.items():
-        _check_resource(result, read, key, fields, shown, replayed)
+        if (key, "") not in replayed.doubtful:
+            certain = {
+                name: value
+                for name, value in fields.items()
+                if (key, name) not in replayed.doubtful
+            }
+            _check_resource(result, read, key, certain, shown.get(key))
     for key in sorted(replayed.deleted):
         if key in shown and not _is_doubtful(replayed, key):
             result.breach(read.member, read.t, f"{key[0]} {key[1]} is back after its deletion")
@@ -132,23 +138,19 @@
     result: CheckResult,
     read: IntentRead,
     key: ResourceKey,
-    fields: dict[str, Any],
-    shown: dict[ResourceKey, dict[str, Any]],
-    replayed: ReplayedIntent,
+    certain: dict[str, Any],
+    shown: dict[str, Any] | None,
 ) -> None:
-    if (key, "") in replayed.doubtful:
-        return
-    if key not in shown:
+    """Compare the fields that only acknowledged orders set with those that the member showed."""
+    if shown is None:
         result.breach(read.member, read.t, f"{key[0]} {key[1]} is missing")
         return
-    for name, value in fields.items():
-        if (key, name) in replayed.doubtful:
-            continue
-        if shown[key].get(name) != value:
+    for name, value in certain.items():
+        if shown.get(name) != value:
             result.breach(
                 read.member,
                 read.t,
-                f"{key[0]} {key[1]}: {name} is {shown[key].get(name)!r}, not {value!r}",
+                f"{key[0]} {key[1]}: {name} is {shown.get(name)!r}, not {value!r}",
             )
 
 
