--- a/src/zincvale/simulator/mutations/leases.py
+++ b/src/zincvale/simulator/mutations/leases.py
@@ -9,8 +9,8 @@
 
 from zincvale.coordination.delivery import rollout
 from zincvale.coordination.delivery.rollout import RolloutTracker
-from zincvale.coordination.election import leader_lease
 from zincvale.coordination.election.leader_lease import LeaderLeaseGrantor, LeaderLeaseHolder
+from zincvale.coordination.election.messages import LeadershipGranted
 from zincvale.coordination.leases import catch_up, lease_grantor
 from zincvale.coordination.leases.core_leases import MemberLeases
 from zincvale.coordination.leases.lease_grantor import LeaseGrantor
@@ -138,7 +138,7 @@
     def generous(
         self: Any, sender: Any, request: Any, newest_epoch: int, config_version: int, now: float
     ) -> Any:
-        granted = leader_lease.LeadershipGranted(
+        granted = LeadershipGranted(
             request.role, request.epoch, request.requested_at, config_version
         )
         return Send(sender, granted)
