--- a/src/zincvale/simulator/what_if/attempt.py
+++ b/src/zincvale/simulator/what_if/attempt.py
@@ -18,7 +18,7 @@
 from zincvale.simulator.what_if.node import VirtualNode
 from zincvale.simulator.what_if.request import VirtualRequest
 from zincvale.simulator.what_if.timings import Timings
-from zincvale.standins.caller_progress import NodeChoice
+from zincvale.standins.caller_progress import NodePicker
 from zincvale.standins.caller_retry import AttemptOutcome, AttemptResult
 from zincvale.standins.request_plan import Plan, Planner
 
@@ -30,7 +30,7 @@
     clock: VirtualClock
     timings: Timings
     nodes: dict[str, VirtualNode]
-    choice: NodeChoice
+    choice: NodePicker
     figures: FigureTable
     planner: Planner
     started_at: float
@@ -63,7 +63,7 @@
         on_ended: Callable[[AttemptResult], None],
     ) -> None:
         plan = request.plan
-        self.hang_up_after = plan.hang_up_after if plan.stream else 0
+        self.hang_up_after = plan.hang_up_after_chunks if plan.stream else 0
         self._request = request
         self._context = request.context
         self._node = request.context.nodes[node]
--- a/src/zincvale/simulator/what_if/callers.py
+++ b/src/zincvale/simulator/what_if/callers.py
@@ -10,7 +10,7 @@
 from zincvale.simulator.what_if.attempt import CallerAttempt, CallersContext
 from zincvale.simulator.what_if.figures import RequestRow
 from zincvale.standins.arrivals import Arrival, arrivals
-from zincvale.standins.caller_progress import NodeChoice
+from zincvale.standins.caller_progress import NodePicker
 from zincvale.standins.caller_retry import (
     AttemptOutcome,
     AttemptResult,
@@ -73,7 +73,7 @@
         plan = self.context.planner.plan(self.conversation, turn, history)
 
         def then(answered: bool) -> None:
-            if not answered or turn + 1 >= len(self.conversation.said):
+            if not answered or turn + 1 >= len(self.conversation.prompts):
                 self.context.open_conversations -= 1
                 return
             text = plan.prompt + "".join(plan.expected)
@@ -128,7 +128,7 @@
         self.context.clock.call_later(step.delay_s, self._attempt)
 
     def _loses_response(self) -> bool:
-        if self._has_lost_response or not self.plan.loses_answer:
+        if self._has_lost_response or not self.plan.discards_response:
             return False
         self._has_lost_response = True
         return True
@@ -141,7 +141,7 @@
         self._last_node = picked[0]
         self.row.attempts += 1
         CallerAttempt(self, picked[0], self._request_id, self.on_attempt_ended).start()
-        if self.plan.duplicated and not self._is_duplicated:
+        if self.plan.is_duplicated and not self._is_duplicated:
             self._is_duplicated = True
             self._send_duplicate()
 
@@ -162,9 +162,9 @@
         self._then(result.outcome is AttemptOutcome.ANSWERED)
 
 
-def make_choice(seed: int) -> NodeChoice:
+def make_choice(seed: int) -> NodePicker:
     """Return the choice of nodes that the real callers make with this seed."""
-    return NodeChoice(random.Random(f"{seed}/nodes"))
+    return NodePicker(random.Random(f"{seed}/nodes"))
 
 
 def _ignore(result: AttemptResult) -> None:
--- a/src/zincvale/standins/caller_client.py
+++ b/src/zincvale/standins/caller_client.py
@@ -20,7 +20,7 @@
     UNKNOWN_HTTP_STATUS,
     Outcome,
 )
-from zincvale.standins.answer_check import StreamCheck
+from zincvale.standins.answer_check import ResponseCheck
 from zincvale.standins.caller_retry import AttemptOutcome, AttemptResult
 from zincvale.standins.event_stream import EventStreamReader, StreamEvent
 from zincvale.standins.request_plan import Plan
@@ -41,12 +41,12 @@
     node: str
     status: int = 0
     result: AttemptResult = AttemptResult(AttemptOutcome.LOST)
-    answer_request_id: str = ""
+    response_request_id: str = ""
     error: str = ""
     first_at: float | None = None
-    last_piece_at: float | None = None
-    pieces: int = 0
-    ended: bool = False
+    last_chunk_at: float | None = None
+    chunks: int = 0
+    is_complete: bool = False
     gaps_s: list[float] = attrs.field(factory=list)
 
 
@@ -67,20 +67,20 @@
         )
 
     async def attempt(
-        self, plan: Plan, request_id: str, address: str, check: StreamCheck, deadline_at: float
+        self, plan: Plan, request_id: str, address: str, check: ResponseCheck, deadline_at: float
     ) -> Attempt:
-        """Send `plan` once to the node at `address`; pieces go into `check`."""
+        """Send `plan` once to the node at `address`; its chunks go into `check`."""
         attempt = Attempt(request_id, address)
         exchange = _Exchange(plan, attempt, check, self._clock, deadline_at)
         request = exchange.request(dialled_address(address, self._address_map))
         try:
             response = await self._client.fetch(request, raise_error=False)
         except CurlError as error:
-            exchange.broke_off(error)
+            exchange.on_broken(error)
         except (HTTPClientError, OSError) as error:
             attempt.error = str(error)
         else:
-            exchange.answered(response)
+            exchange.on_response(response)
         return attempt
 
     async def get_json(self, address: str, path: str, timeout_s: float) -> Any:
@@ -100,7 +100,7 @@
         self,
         plan: Plan,
         attempt: Attempt,
-        check: StreamCheck,
+        check: ResponseCheck,
         clock: Callable[[], float],
         deadline_at: float,
     ) -> None:
@@ -123,8 +123,8 @@
             REQUEST_ID_HEADER: self._attempt.request_id,
             DEADLINE_HEADER: str(int(left_s * 1000)),
         }
-        if self._plan.stream and self._check.last_id:
-            headers[LAST_EVENT_ID_HEADER] = str(self._check.last_id)
+        if self._plan.stream and self._check.last_event_id:
+            headers[LAST_EVENT_ID_HEADER] = str(self._check.last_event_id)
         return HTTPRequest(
             f"http://{target}{self._plan.path}",
             method="POST",
@@ -132,19 +132,19 @@
             body=orjson.dumps(self._plan.body),
             connect_timeout=CONNECT_TIMEOUT_S,
             request_timeout=left_s + CONNECT_TIMEOUT_S,
-            streaming_callback=self._chunk,
-            prepare_curl_callback=self._watch,
+            streaming_callback=self._on_body_bytes,
+            prepare_curl_callback=self._configure_curl,
         )
 
-    def answered(self, response: HTTPResponse) -> None:
-        """Take a response that came whole."""
+    def on_response(self, response: HTTPResponse) -> None:
+        """Take a response that arrived in full."""
         attempt = self._attempt
         attempt.status = response.code
         named = response.headers.get(OUTCOME_HEADER, "")
         if response.code == OK_STATUS and self._plan.stream:
             attempt.result = self._stream_result()
         elif response.code == OK_STATUS:
-            self._read_answer()
+            self._read_response()
         elif named == Outcome.REFUSED.value:
             attempt.result = self._refusal(response)
         elif named == Outcome.UNKNOWN.value or response.code == UNKNOWN_HTTP_STATUS:
@@ -153,31 +153,31 @@
             attempt.result = AttemptResult(AttemptOutcome.LOST)
             attempt.error = f"status {response.code} without an outcome"
 
-    def broke_off(self, error: CurlError) -> None:
-        """Take an exchange that ended without a whole response."""
+    def on_broken(self, error: CurlError) -> None:
+        """Take an exchange that ended without a full response."""
         self._attempt.error = str(error)
-        if self._hangs_up():
+        if self._should_hang_up():
             self._attempt.result = AttemptResult(AttemptOutcome.HUNG_UP)
         elif error.errno == CURL_COULD_NOT_CONNECT:
             self._attempt.result = AttemptResult(AttemptOutcome.NOT_CONNECTED)
-        elif self._plan.stream and self._attempt.pieces + int(bool(self._interruption)):
+        elif self._plan.stream and self._attempt.chunks + int(bool(self._interruption)):
             self._attempt.status = OK_STATUS
             self._attempt.result = self._stream_result()
 
     def _stream_result(self) -> AttemptResult:
-        if self._attempt.ended:
+        if self._attempt.is_complete:
             return AttemptResult(AttemptOutcome.ANSWERED)
         if self._interruption is not None:
             return self._interruption
         return AttemptResult(AttemptOutcome.INTERRUPTED)
 
-    def _read_answer(self) -> None:
-        answer = _json_object(self._body)
+    def _read_response(self) -> None:
+        response = _json_object(self._body)
         self._attempt.first_at = self._attempt.first_at or self._clock()
-        self._attempt.answer_request_id = str(answer.get("request_id", ""))
-        self._attempt.pieces = 1
-        self._attempt.ended = True
-        self._check.whole_text(str(answer.get("text", answer.get("value", ""))))
+        self._attempt.response_request_id = str(response.get("request_id", ""))
+        self._attempt.chunks = 1
+        self._attempt.is_complete = True
+        self._check.on_full_text(str(response.get("text", response.get("value", ""))))
         self._attempt.result = AttemptResult(AttemptOutcome.ANSWERED)
 
     def _refusal(self, response: HTTPResponse) -> AttemptResult:
@@ -188,65 +188,65 @@
     def _reason(self) -> str:
         return str(_json_object(self._body).get("reason", ""))
 
-    def _chunk(self, chunk: bytes) -> None:
+    def _on_body_bytes(self, chunk: bytes) -> None:
         if not self._plan.stream:
             self._body += chunk
             return
-        self._body = (self._body + chunk)[:_KEPT_BODY_BYTES]
+        self._body = (self._body + chunk)[:_RETAINED_BODY_BYTES]
         for event in self._reader.feed(chunk):
-            self._event(event)
+            self._on_event(event)
 
-    def _event(self, event: StreamEvent) -> None:
+    def _on_event(self, event: StreamEvent) -> None:
         data = _json_object(event.data.encode())
         if event.event == "end":
-            self._attempt.ended = True
-            self._check.ended(int(data.get("count", -1)))
+            self._attempt.is_complete = True
+            self._check.on_end(int(data.get("count", -1)))
         elif event.event == "error":
             resumable = bool(data.get("resumable", False))
             self._interruption = AttemptResult(AttemptOutcome.INTERRUPTED, resumable=resumable)
         elif event.event_id.isdigit():
-            self._piece(int(event.event_id), str(data.get("text", "")))
+            self._on_chunk(int(event.event_id), str(data.get("text", "")))
 
-    def _piece(self, index: int, text: str) -> None:
+    def _on_chunk(self, index: int, text: str) -> None:
         now = self._clock()
         attempt = self._attempt
-        if attempt.last_piece_at is None:
+        if attempt.last_chunk_at is None:
             attempt.first_at = now
         else:
-            attempt.gaps_s.append(now - attempt.last_piece_at)
-        attempt.last_piece_at = now
-        attempt.pieces += 1
-        self._check.piece(index, text)
+            attempt.gaps_s.append(now - attempt.last_chunk_at)
+        attempt.last_chunk_at = now
+        attempt.chunks += 1
+        self._check.on_chunk(index, text)
 
-    def _watch(self, curl: Any) -> None:
-        """Let curl ask again and again whether the node is silent for too long."""
+    def _configure_curl(self, curl: Any) -> None:
+        """Let curl poll the timeouts while the exchange runs, also when no byte arrives."""
         curl.setopt(pycurl.NOPROGRESS, 0)
-        # The speed check, though never reached, makes curl look at a silent connection each second.
+        # The speed check, though never reached, makes curl call back on an idle connection.
         curl.setopt(pycurl.LOW_SPEED_LIMIT, 1)
         curl.setopt(pycurl.LOW_SPEED_TIME, SPEED_CHECK_NEVER_S)
-        curl.setopt(pycurl.XFERINFOFUNCTION, self._progress)
+        curl.setopt(pycurl.XFERINFOFUNCTION, self._on_curl_progress)
         # Curl handles are used again for other requests: the limit is set each time.
         curl.setopt(pycurl.MAX_RECV_SPEED_LARGE, self._plan.caller.read_bytes_per_second)
 
-    def _hangs_up(self) -> bool:
-        hang_up_after = self._plan.hang_up_after
-        return 0 < hang_up_after <= self._check.pieces and not self._attempt.ended
+    def _should_hang_up(self) -> bool:
+        hang_up_after_chunks = self._plan.hang_up_after_chunks
+        return 0 < hang_up_after_chunks <= self._check.chunks and not self._attempt.is_complete
 
-    def _progress(self, *sizes: float) -> int:
+    def _on_curl_progress(self, *sizes: float) -> int:
         """Return 1 to let curl close the connection."""
-        if self._hangs_up():
+        if self._should_hang_up():
             return 1
         now = self._clock()
         caller = self._plan.caller
-        if self._attempt.last_piece_at is not None:
-            silent = now - self._attempt.last_piece_at > caller.idle_timeout_s
+        if self._attempt.last_chunk_at is not None:
+            is_timed_out = now - self._attempt.last_chunk_at > caller.idle_timeout_s
         else:
-            silent = now - self._started_at > caller.first_byte_timeout_s
-        return int(silent)
+            is_timed_out = now - self._started_at > caller.first_byte_timeout_s
+        return int(is_timed_out)
 
 
-_KEPT_BODY_BYTES = 4096
-"""How much of a stream's body is kept, to read a refusal from it."""
+_RETAINED_BODY_BYTES = 4096
+"""How much of a stream's body is retained, to read the reason of a refusal from it."""
 
 
 def _json_object(body: bytes) -> dict[str, Any]:
--- a/src/zincvale/standins/caller_progress.py
+++ b/src/zincvale/standins/caller_progress.py
@@ -1,4 +1,4 @@
-"""Where one request of a caller stands, and which node it goes to next. Pure."""
+"""Progress of one request over its attempts, and the node of the next attempt. Pure."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 import attrs
 
-from zincvale.standins.answer_check import StreamCheck
+from zincvale.standins.answer_check import ResponseCheck
 from zincvale.standins.caller_client import Attempt
 from zincvale.standins.caller_retry import CallerRetry
 from zincvale.standins.request_plan import Plan
 
 
-class NodeChoice:
+class NodePicker:
     """The nodes that the platform hands out.
 
     Parameters
@@ -40,23 +40,23 @@
     """One request over its attempts; times are seconds on `CLOCK_BOOTTIME`."""
 
     plan: Plan
-    check: StreamCheck
+    check: ResponseCheck
     retry: CallerRetry
     started_at: float
     deadline_at: float
     request_id: str
     attempts: int = 0
-    renamed: int = 0
+    id_changes: int = 0
     last_node: str = ""
     first_at: float | None = None
-    last_piece_at: float | None = None
-    lost_answer: bool = False
+    last_chunk_at: float | None = None
+    has_discarded_response: bool = False
 
-    def heard(self, attempt: Attempt) -> None:
+    def record_attempt(self, attempt: Attempt) -> None:
         """Take the times of an attempt; the wait for a resumed stream is a gap like any other."""
-        if self.last_piece_at is not None and attempt.first_at is not None:
-            attempt.gaps_s.append(attempt.first_at - self.last_piece_at)
+        if self.last_chunk_at is not None and attempt.first_at is not None:
+            attempt.gaps_s.append(attempt.first_at - self.last_chunk_at)
         if self.first_at is None:
             self.first_at = attempt.first_at
-        if attempt.last_piece_at is not None:
-            self.last_piece_at = attempt.last_piece_at
+        if attempt.last_chunk_at is not None:
+            self.last_chunk_at = attempt.last_chunk_at
--- a/src/zincvale/standins/caller_retry.py
+++ b/src/zincvale/standins/caller_retry.py
@@ -1,8 +1,8 @@
-"""What a caller does after an attempt: be content, send again, or give up. Pure.
+"""What a caller does after an attempt: finish, send again, or give up. Pure.
 
-A lost or unknown answer is asked for again with the same request id, on another node. A refusal
+A lost or unknown response is requested again with the same request id, on another node. A refusal
 means that the request never ran and never will, so the caller starts over with a new id, once the
-time in `Retry-After` has passed. A broken stream is resumed with the same id from the last piece.
+time in `Retry-After` has passed. A broken stream is resumed with the same id from its last chunk.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from zincvale.model.outcomes import RefusalReason
 
-FIRST_RESEND_DELAY_S = 0.1
-LONGEST_RESEND_DELAY_S = 1.0
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 1.0
 IN_PROGRESS_DELAY_S = 0.5
 FINAL_REASONS = frozenset({RefusalReason.INVALID.value, RefusalReason.NO_ROUTE.value})
 
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen
-class Settled:
+class RequestDone:
     """The request is over."""
 
     gave_up: bool = False
@@ -74,22 +74,22 @@
         self._deadline_at = deadline_at
         self._attempts = 0
 
-    def after(self, result: AttemptResult, has_pieces: bool, now: float) -> Resend | Settled:
-        """Return the next step; `has_pieces` tells that part of a stream is here."""
+    def after(self, result: AttemptResult, has_chunks: bool, now: float) -> Resend | RequestDone:
+        """Return the next step; `has_chunks` says that part of the stream has arrived."""
         self._attempts += 1
         if result.outcome in (AttemptOutcome.ANSWERED, AttemptOutcome.HUNG_UP):
-            return Settled()
+            return RequestDone()
         if result.reason in FINAL_REASONS or not result.resumable:
-            return Settled()
-        resend = self._resend(result, has_pieces)
+            return RequestDone()
+        resend = self._resend(result, has_chunks)
         if self._attempts >= self._max_attempts or now + resend.delay_s >= self._deadline_at:
-            return Settled(gave_up=True)
+            return RequestDone(gave_up=True)
         return resend
 
-    def _resend(self, result: AttemptResult, has_pieces: bool) -> Resend:
-        delay_s = min(LONGEST_RESEND_DELAY_S, FIRST_RESEND_DELAY_S * 2 ** (self._attempts - 1))
+    def _resend(self, result: AttemptResult, has_chunks: bool) -> Resend:
+        delay_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** (self._attempts - 1))
         if result.outcome is not AttemptOutcome.REFUSED:
             return Resend(delay_s, new_id=False)
         if result.reason == RefusalReason.IN_PROGRESS.value:
             return Resend(max(result.retry_after_s, IN_PROGRESS_DELAY_S), new_id=False)
-        return Resend(max(result.retry_after_s, delay_s), new_id=not has_pieces)
+        return Resend(max(result.retry_after_s, delay_s), new_id=not has_chunks)
--- a/src/zincvale/standins/caller_summary.py
+++ b/src/zincvale/standins/caller_summary.py
@@ -7,7 +7,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from zincvale.standins.answer_check import StreamCheck, StreamFaults
+from zincvale.standins.answer_check import ResponseCheck, StreamFaults
 from zincvale.standins.caller_client import Attempt
 from zincvale.standins.caller_retry import AttemptOutcome
 from zincvale.standins.request_plan import Plan
@@ -18,7 +18,7 @@
 PERCENTILES = (50, 95, 99)
 
 
-class _Times:
+class _LatencyHistogram:
     """A histogram of durations."""
 
     def __init__(self) -> None:
@@ -44,32 +44,32 @@
         self._outcomes: Counter[str] = Counter()
         self._reasons: Counter[str] = Counter()
         self._faults = StreamFaults()
-        self._wrong_answers = 0
-        self._crossed_answers = 0
-        self._lost_mid_answer = 0
-        self._pieces = 0
-        self._first = _Times()
-        self._total = _Times()
-        self._gap = _Times()
-
-    def offered(self) -> None:
+        self._wrong_responses = 0
+        self._swapped_responses = 0
+        self._lost_mid_response = 0
+        self._chunks = 0
+        self._first = _LatencyHistogram()
+        self._total = _LatencyHistogram()
+        self._gap = _LatencyHistogram()
+
+    def record_request(self) -> None:
         """Count one request."""
         self._offered += 1
 
-    def attempted(self, attempt: Attempt) -> None:
+    def record_attempt(self, attempt: Attempt) -> None:
         """Count one attempt."""
         self._attempts[attempt.result.outcome.value] += 1
-        self._pieces += attempt.pieces
+        self._chunks += attempt.chunks
         if attempt.result.reason:
             self._reasons[attempt.result.reason] += 1
         for gap_s in attempt.gaps_s:
             self._gap.add(gap_s)
-        answered_id = attempt.answer_request_id
-        if answered_id and answered_id != attempt.request_id:
-            self._crossed_answers += 1
+        response_id = attempt.response_request_id
+        if response_id and response_id != attempt.request_id:
+            self._swapped_responses += 1
 
-    def finished(
-        self, plan: Plan, outcome: str, check: StreamCheck, first_s: float | None, total_s: float
+    def record_outcome(
+        self, plan: Plan, outcome: str, check: ResponseCheck, first_s: float | None, total_s: float
     ) -> None:
         """Count one request that is over."""
         self._outcomes[outcome] += 1
@@ -81,10 +81,10 @@
             self._total.add(total_s)
             if first_s is not None:
                 self._first.add(first_s)
-            if not check.correct():
-                self._wrong_answers += 1
-        elif plan.stream and check.pieces and outcome != AttemptOutcome.HUNG_UP.value:
-            self._lost_mid_answer += 1
+            if not check.is_correct():
+                self._wrong_responses += 1
+        elif plan.stream and check.chunks and outcome != AttemptOutcome.HUNG_UP.value:
+            self._lost_mid_response += 1
 
     def to_json(self) -> dict[str, Any]:
         """Return the figures; times are milliseconds."""
@@ -94,10 +94,10 @@
             "outcomes": dict(self._outcomes),
             "attempts": dict(self._attempts),
             "reasons": dict(self._reasons),
-            "pieces": self._pieces,
-            "wrong_answers": self._wrong_answers,
-            "crossed_answers": self._crossed_answers,
-            "lost_mid_answer": self._lost_mid_answer,
+            "pieces": self._chunks,
+            "wrong_answers": self._wrong_responses,
+            "crossed_answers": self._swapped_responses,
+            "lost_mid_answer": self._lost_mid_response,
             "skips": self._faults.skips,
             "repeats": self._faults.repeats,
             "splices": self._faults.splices,
--- a/src/zincvale/standins/callers.py
+++ b/src/zincvale/standins/callers.py
@@ -10,17 +10,17 @@
 import attrs
 from tornado.httpclient import HTTPClientError
 
-from zincvale.standins.answer_check import StreamCheck
+from zincvale.standins.answer_check import ResponseCheck
 from zincvale.standins.arrivals import Arrival, arrivals
 from zincvale.standins.caller_client import Attempt
 from zincvale.standins.caller_journal import CallerJournal
-from zincvale.standins.caller_progress import NodeChoice, RequestProgress
+from zincvale.standins.caller_progress import NodePicker, RequestProgress
 from zincvale.standins.caller_retry import (
     AttemptOutcome,
     AttemptResult,
     CallerRetry,
+    RequestDone,
     Resend,
-    Settled,
 )
 from zincvale.standins.caller_summary import Summary
 from zincvale.standins.journal import JournalWriter
@@ -30,15 +30,15 @@
 
 NODE_LIST_INTERVAL_S = 0.5
 PLATFORM_TIMEOUT_S = 1.0
-LONGEST_DRAIN_S = 60.0
-ANSWER_THROWN_AWAY = "whole, but lost on its last metres"
+DRAIN_TIMEOUT_S = 60.0
+RESPONSE_DISCARDED_ERROR = "whole, but lost on its last metres"
 
 
 class Client(Protocol):
     """How requests reach nodes; `CallerClient` is the real one."""
 
     async def attempt(
-        self, plan: Plan, request_id: str, address: str, check: StreamCheck, deadline_at: float
+        self, plan: Plan, request_id: str, address: str, check: ResponseCheck, deadline_at: float
     ) -> Attempt:
         """Send a request once."""
         ...
@@ -80,18 +80,18 @@
         self._journal = journal
         self._rows = CallerJournal(journal, clock)
         self._clock = clock
-        self.nodes = NodeChoice(random.Random(f"{settings.seed}/nodes"))
+        self.nodes = NodePicker(random.Random(f"{settings.seed}/nodes"))
         self._tasks: set[asyncio.Task[None]] = set()
         self.summary = Summary()
 
     async def run(self, stop: asyncio.Event) -> None:
         """Send everything that is due until the run is over or `stop` is set."""
-        listing = asyncio.ensure_future(self._follow_node_list())
+        node_list_task = asyncio.ensure_future(self._follow_node_list())
         try:
             await self._send_all(stop)
             await self._drain(stop)
         finally:
-            listing.cancel()
+            node_list_task.cancel()
             for task in self._tasks:
                 task.cancel()
 
@@ -103,7 +103,7 @@
         for position, arrival in enumerate(schedule):
             if position % settings.share_count != settings.share_index:
                 continue
-            await _sleep_unless(stop, started_at + arrival.at_s - self._clock())
+            await _sleep_until_stopped(stop, started_at + arrival.at_s - self._clock())
             if stop.is_set():
                 return
             self._spawn(arrival)
@@ -115,56 +115,56 @@
         stopped = asyncio.ensure_future(stop.wait())
         finished = asyncio.ensure_future(asyncio.wait(self._tasks))
         await asyncio.wait(
-            [stopped, finished], timeout=LONGEST_DRAIN_S, return_when=asyncio.FIRST_COMPLETED
+            [stopped, finished], timeout=DRAIN_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
         )
         stopped.cancel()
         finished.cancel()
 
     def _spawn(self, arrival: Arrival) -> None:
-        self._keep(asyncio.ensure_future(self.converse(arrival)))
+        self._own_task(asyncio.ensure_future(self.run_conversation(arrival)))
 
-    def _keep(self, task: asyncio.Task[None]) -> None:
+    def _own_task(self, task: asyncio.Task[None]) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def converse(self, arrival: Arrival) -> None:
-        """Send the requests of one arrival, each after the whole answer to the one before."""
+    async def run_conversation(self, arrival: Arrival) -> None:
+        """Send the requests of one arrival, each after the full response to the one before."""
         conversation = self._planner.conversation(arrival)
         history = ""
-        for turn in range(len(conversation.said)):
+        for turn in range(len(conversation.prompts)):
             if turn:
                 await self._sleep(conversation.caller.think_s)
             plan = self._planner.plan(conversation, turn, history)
             check = await self._request(plan)
-            if check is None or not check.correct():
+            if check is None or not check.is_correct():
                 return
             history = plan.prompt + check.text
 
-    async def _request(self, plan: Plan) -> StreamCheck | None:
-        """Send one request until it is settled; returns its answer, or None without one."""
+    async def _request(self, plan: Plan) -> ResponseCheck | None:
+        """Send one request until it is done; return its checked response, or None without one."""
         now = self._clock()
         deadline_at = now + plan.deadline_s
         progress = RequestProgress(
             plan=plan,
-            check=StreamCheck(plan.expected),
+            check=ResponseCheck(plan.expected),
             retry=CallerRetry(plan.caller.max_attempts, deadline_at),
             started_at=now,
             deadline_at=deadline_at,
             request_id=plan.base_id,
         )
-        self.summary.caller(plan.caller.name).offered()
+        self.summary.caller(plan.caller.name).record_request()
         while True:
             attempt = await self._attempt(progress)
-            self._lose_answer(progress, attempt)
-            step = progress.retry.after(attempt.result, progress.check.pieces > 0, self._clock())
-            # Who hung up does not know how the answer would have ended: no final result.
+            self._discard_response(progress, attempt)
+            step = progress.retry.after(attempt.result, progress.check.chunks > 0, self._clock())
+            # A caller that hung up cannot know how the response would have ended: not final.
             hung_up = attempt.result.outcome is AttemptOutcome.HUNG_UP
-            self._received(progress, attempt, not hung_up and isinstance(step, Settled))
+            self._record_attempt(progress, attempt, not hung_up and isinstance(step, RequestDone))
             if not isinstance(step, Resend):
-                return self._settle(progress, attempt)
+                return self._finish_request(progress, attempt)
             if step.new_id:
-                progress.renamed += 1
-                progress.request_id = f"{plan.base_id}.{progress.renamed}"
+                progress.id_changes += 1
+                progress.request_id = f"{plan.base_id}.{progress.id_changes}"
             await self._sleep(step.delay_s)
 
     async def _attempt(self, progress: RequestProgress) -> Attempt:
@@ -176,41 +176,41 @@
             return attempt
         progress.last_node, address = picked
         self._rows.sent(progress)
-        if progress.plan.duplicated and progress.attempts == 1:
-            self._keep(asyncio.ensure_future(self._duplicate(progress)))
+        if progress.plan.is_duplicated and progress.attempts == 1:
+            self._own_task(asyncio.ensure_future(self._duplicate(progress)))
         attempt = await self._client.attempt(
             progress.plan, progress.request_id, address, progress.check, progress.deadline_at
         )
         attempt.node = progress.last_node
-        progress.heard(attempt)
+        progress.record_attempt(attempt)
         return attempt
 
     async def _duplicate(self, first: RequestProgress) -> None:
-        """Send a request that is under way to another node too, and take what comes of it."""
-        twin = attrs.evolve(first, check=StreamCheck(first.plan.expected), attempts=0)
-        twin.plan = attrs.evolve(first.plan, duplicated=False)
+        """Send a request that is under way to another node too, and journal its result."""
+        twin = attrs.evolve(first, check=ResponseCheck(first.plan.expected), attempts=0)
+        twin.plan = attrs.evolve(first.plan, is_duplicated=False)
         attempt = await self._attempt(twin)
-        self._received(twin, attempt, final=False)
+        self._record_attempt(twin, attempt, final=False)
 
-    def _lose_answer(self, progress: RequestProgress, attempt: Attempt) -> None:
-        """Throw a whole answer away once, where the plan says so."""
+    def _discard_response(self, progress: RequestProgress, attempt: Attempt) -> None:
+        """Discard a full response once, where the plan says so: the caller then retries."""
         answered = attempt.result.outcome is AttemptOutcome.ANSWERED
-        if not answered or progress.lost_answer or not progress.plan.loses_answer:
+        if not answered or progress.has_discarded_response or not progress.plan.discards_response:
             return
-        progress.lost_answer = True
+        progress.has_discarded_response = True
         attempt.result = AttemptResult(AttemptOutcome.LOST)
-        attempt.error = ANSWER_THROWN_AWAY
+        attempt.error = RESPONSE_DISCARDED_ERROR
 
-    def _received(self, progress: RequestProgress, attempt: Attempt, final: bool) -> None:
-        self.summary.caller(progress.plan.caller.name).attempted(attempt)
+    def _record_attempt(self, progress: RequestProgress, attempt: Attempt, final: bool) -> None:
+        self.summary.caller(progress.plan.caller.name).record_attempt(attempt)
         self._rows.received(progress, attempt, final)
 
-    def _settle(self, progress: RequestProgress, attempt: Attempt) -> StreamCheck | None:
+    def _finish_request(self, progress: RequestProgress, attempt: Attempt) -> ResponseCheck | None:
         answered = attempt.result.outcome is AttemptOutcome.ANSWERED
         first_s = None
         if progress.first_at is not None:
             first_s = progress.first_at - progress.started_at
-        self.summary.caller(progress.plan.caller.name).finished(
+        self.summary.caller(progress.plan.caller.name).record_outcome(
             progress.plan,
             attempt.result.outcome.value,
             progress.check,
@@ -222,17 +222,17 @@
     async def _follow_node_list(self) -> None:
         while True:
             try:
-                answer: Any = await self._client.get_json(
+                response: Any = await self._client.get_json(
                     self._settings.platform_address, "/v1/nodes", PLATFORM_TIMEOUT_S
                 )
-                self.nodes.replace([(row["node"], row["address"]) for row in answer["nodes"]])
+                self.nodes.replace([(row["node"], row["address"]) for row in response["nodes"]])
             except (HTTPClientError, OSError, KeyError, ValueError):
-                # The platform does not answer: callers go on with the nodes they know.
+                # The platform does not respond: callers go on with the nodes they know.
                 pass
             await self._sleep(NODE_LIST_INTERVAL_S)
 
 
-async def _sleep_unless(stop: asyncio.Event, seconds: float) -> None:
+async def _sleep_until_stopped(stop: asyncio.Event, seconds: float) -> None:
     if seconds <= 0:
         await asyncio.sleep(0)
         return
--- a/src/zincvale/standins/generation.py
+++ b/src/zincvale/standins/generation.py
@@ -46,7 +46,7 @@
     """
 
     def __init__(self, key: GenerationKey, prefix: list[str] | None = None) -> None:
-        self.length = answer_length(key)
+        self.length = response_length(key)
         self._seed = key.seed()
         given = prefix or []
         self.generated = len(given)
@@ -76,17 +76,17 @@
     return text + " "
 
 
-def answer_length(key: GenerationKey) -> int:
+def response_length(key: GenerationKey) -> int:
     """Return how many tokens the whole answer has, from half of `max_tokens` to all of it."""
     shortest = max(1, int(key.max_tokens * SHORTEST_SHARE))
     spread = max(1, key.max_tokens) - shortest + 1
     return shortest + _mix(key.seed(), "length") % spread
 
 
-def whole_answer(key: GenerationKey) -> list[str]:
+def full_response(key: GenerationKey) -> list[str]:
     """Return every token of an answer."""
     seed = key.seed()
-    return [token_text(seed, index) for index in range(1, answer_length(key) + 1)]
+    return [token_text(seed, index) for index in range(1, response_length(key) + 1)]
 
 
 def lookup_value(key: str) -> str:
--- a/src/zincvale/standins/request_plan.py
+++ b/src/zincvale/standins/request_plan.py
@@ -1,4 +1,4 @@
-"""What each request says, and what its answer must be. Pure and seeded."""
+"""The content of each request and its expected response. Pure and seeded."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     RouteSpec,
 )
 from zincvale.standins.arrivals import Arrival
-from zincvale.standins.generation import GenerationKey, lookup_value, token_text, whole_answer
+from zincvale.standins.generation import GenerationKey, full_response, lookup_value, token_text
 from zincvale.standins.load_spec import Between, CallerSpec, LoadSpec
 from zincvale.standins.popularity import ModelPopularity
 
@@ -32,7 +32,7 @@
     ----------
     base_id : names the request over all of its attempts.
     body : JSON body.
-    expected : tokens of the right answer; a lookup has one, the value.
+    expected : tokens of the correct response; a lookup has one, the value.
     """
 
     base_id: str
@@ -47,23 +47,23 @@
     prompt: str
     body: dict[str, Any]
     expected: list[str]
-    loses_answer: bool = False
-    """The caller loses the first whole answer and asks for it again."""
-    hang_up_after: int = 0
-    """The caller hangs up after so many pieces; 0 means never."""
-    duplicated: bool = False
+    discards_response: bool = False
+    """The caller discards the first full response and requests it again."""
+    hang_up_after_chunks: int = 0
+    """The caller hangs up after so many chunks; 0 means never."""
+    is_duplicated: bool = False
     """The first attempt is sent to two nodes at once."""
 
 
 @attrs.frozen
 class Conversation:
-    """The turns that follow an arrival: what is said in each, and how long its answers are."""
+    """The turns that follow an arrival: the prompt of each, and the longest response to it."""
 
     arrival: Arrival
     caller: CallerSpec
     model: str
     adapter: str
-    said: list[str]
+    prompts: list[str]
     max_tokens: list[int]
 
 
@@ -89,7 +89,7 @@
         }
 
     def conversation(self, arrival: Arrival) -> Conversation:
-        """Return what the caller of an arrival will ask, turn by turn."""
+        """Return the requests of an arrival's caller, turn by turn."""
         caller = self._spec.caller(arrival.caller)
         source = random.Random(f"{self._seed}/request/{caller.name}/{arrival.number}")
         if self._is_lookup(caller):
@@ -98,17 +98,17 @@
         popularity = self._popularity[caller.name]
         choice = popularity.choose(source, arrival.at_s, caller.adapter_share, arrival.tail_share)
         turns = _draw(source, caller.turns)
-        said = [words(source, _draw(source, caller.prompt_words)) for _ in range(turns)]
-        said[0] = self._shared_prefix(caller, choice.model) + said[0]
+        prompts = [words(source, _draw(source, caller.prompt_words)) for _ in range(turns)]
+        prompts[0] = self._shared_prefix(caller, choice.model) + prompts[0]
         max_tokens = [_draw(source, caller.max_tokens) for _ in range(turns)]
-        return Conversation(arrival, caller, choice.model, choice.adapter, said, max_tokens)
+        return Conversation(arrival, caller, choice.model, choice.adapter, prompts, max_tokens)
 
     def plan(self, conversation: Conversation, turn: int, history: str) -> Plan:
-        """Return the request of `turn` (from 0); `history` is all that was said before."""
+        """Return the request of `turn` (from 0); `history` is all earlier prompts and responses."""
         caller = conversation.caller
         route = self._tables.route(caller.route)
         base_id = f"{caller.name}-{self._seed}-{conversation.arrival.number}-{turn + 1}"
-        prompt = history + conversation.said[turn]
+        prompt = history + conversation.prompts[turn]
         if self._is_lookup(caller):
             body: dict[str, Any] = {"key": prompt}
             expected = [lookup_value(prompt)]
@@ -120,7 +120,7 @@
                 "max_tokens": conversation.max_tokens[turn],
                 "stream": route.stream,
             }
-            expected = whole_answer(
+            expected = full_response(
                 GenerationKey(
                     conversation.model,
                     conversation.adapter,
@@ -128,6 +128,7 @@
                     conversation.max_tokens[turn],
                 )
             )
+        faults = _draw_client_faults(base_id, caller, route.stream)
         return Plan(
             base_id=base_id,
             caller=caller,
@@ -141,7 +142,9 @@
             prompt=prompt,
             body=body,
             expected=expected,
-            **_mishaps(base_id, caller, route.stream),
+            discards_response=faults.discards_response,
+            hang_up_after_chunks=faults.hang_up_after_chunks,
+            is_duplicated=faults.is_duplicated,
         )
 
     def _is_lookup(self, caller: CallerSpec) -> bool:
@@ -217,18 +220,31 @@
             self.adapters_by_model.setdefault(spec.base_model, []).append(document.name)
 
 
-def _mishaps(base_id: str, caller: CallerSpec, stream: bool) -> dict[str, Any]:
-    """Draw what goes wrong on the caller's side with one request."""
+@attrs.frozen
+class _ClientFaults:
+    """What goes wrong on the caller's side with one request; the fields are those of `Plan`."""
+
+    discards_response: bool
+    hang_up_after_chunks: int
+    is_duplicated: bool
+
+
+def _draw_client_faults(base_id: str, caller: CallerSpec, stream: bool) -> _ClientFaults:
+    """Draw what goes wrong on the caller's side with one request.
+
+    Every share is drawn for every request, also where it cannot apply, so that changing one share
+    does not move the other draws.
+    """
     source = random.Random(f"mishaps/{base_id}")
-    loses_answer = source.random() < caller.lost_answer_share
+    discards_response = source.random() < caller.lost_answer_share
     hangs_up = source.random() < caller.hang_up_share
-    duplicated = source.random() < caller.duplicate_share
-    hang_up_after = source.randint(1, caller.max_tokens.least)
-    return {
-        "loses_answer": loses_answer,
-        "hang_up_after": hang_up_after if hangs_up and stream else 0,
-        "duplicated": duplicated and not stream,
-    }
+    is_duplicated = source.random() < caller.duplicate_share
+    hang_up_after_chunks = source.randint(1, caller.max_tokens.least)
+    return _ClientFaults(
+        discards_response=discards_response,
+        hang_up_after_chunks=hang_up_after_chunks if hangs_up and stream else 0,
+        is_duplicated=is_duplicated and not stream,
+    )
 
 
 def words(source: random.Random, count: int) -> str:
--- a/tests/standins/test_callers.py
+++ b/tests/standins/test_callers.py
@@ -19,32 +19,32 @@
 ANSWERED = AttemptResult(AttemptOutcome.ANSWERED)
 
 
-def pieces(count):
+def chunks(count):
     """Return a step that sends `count` further pieces and breaks off."""
 
     def step(plan, attempt, check):
-        for index in range(check.last_id + 1, check.last_id + 1 + count):
-            check.piece(index, plan.expected[index - 1])
-        attempt.pieces = count
-        attempt.first_at = attempt.last_piece_at = float(check.last_id)
+        for index in range(check.last_event_id + 1, check.last_event_id + 1 + count):
+            check.on_chunk(index, plan.expected[index - 1])
+        attempt.chunks = count
+        attempt.first_at = attempt.last_chunk_at = float(check.last_event_id)
         attempt.result = AttemptResult(AttemptOutcome.INTERRUPTED)
 
     return step
 
 
-def whole(plan, attempt, check):
+def full_response(plan, attempt, check):
     """Send what is missing, and the end."""
-    pieces(len(plan.expected) - check.last_id)(plan, attempt, check)
-    check.ended(len(plan.expected))
-    attempt.ended = True
+    chunks(len(plan.expected) - check.last_event_id)(plan, attempt, check)
+    check.on_end(len(plan.expected))
+    attempt.is_complete = True
     attempt.result = ANSWERED
 
 
 def value(plan, attempt, check):
     """Answer a lookup."""
-    check.whole_text(plan.expected[0])
-    attempt.answer_request_id = attempt.request_id
-    attempt.ended = True
+    check.on_full_text(plan.expected[0])
+    attempt.response_request_id = attempt.request_id
+    attempt.is_complete = True
     attempt.result = ANSWERED
 
 
@@ -90,11 +90,11 @@
         callers = Callers(settings, spec, planner, ScriptedNodes(steps), self.journal, clock, sleep)
         callers.nodes.replace([(row["node"], row["address"]) for row in NODES])
 
-        async def converse():
-            await callers.converse(Arrival(0.0, route, 1))
+        async def run_conversation():
+            await callers.run_conversation(Arrival(0.0, route, 1))
             await asyncio.sleep(0)
 
-        asyncio.run(converse())
+        asyncio.run(run_conversation())
         return callers.summary.to_json()[route]
 
     def sent(self):
@@ -104,8 +104,8 @@
     def last_result(self):
         return [row for row in self.journal.rows if row["event"] == "result"][-1]
 
-    def test_a_broken_stream_is_resumed_elsewhere_from_the_last_piece(self):
-        figures = self.run_callers([pieces(3), outcome(AttemptOutcome.LOST), whole])
+    def test_a_broken_stream_is_resumed_elsewhere_from_the_last_chunk(self):
+        figures = self.run_callers([chunks(3), outcome(AttemptOutcome.LOST), full_response])
         self.assertEqual([("chats-6-1-1", 0), ("chats-6-1-1", 3), ("chats-6-1-1", 3)], self.sent())
         nodes = [row["node"] for row in self.journal.rows if row["event"] == "send"]
         self.assertTrue(all(first != second for first, second in itertools.pairwise(nodes)))
@@ -116,28 +116,28 @@
 
     def test_a_refused_request_starts_over_with_a_new_id(self):
         refused = outcome(AttemptOutcome.REFUSED, reason="overloaded", retry_after_s=2.0)
-        self.run_callers([refused, whole])
+        self.run_callers([refused, full_response])
         self.assertEqual([("chats-6-1-1", 0), ("chats-6-1-1.1", 0)], self.sent())
         self.assertIn(2.0, self.waits)
 
-    def test_an_unknown_outcome_is_asked_for_again_with_the_same_id(self):
+    def test_an_unknown_outcome_is_requested_again_with_the_same_id(self):
         self.run_callers([outcome(AttemptOutcome.UNKNOWN), value], "scans")
         self.assertEqual([("scans-6-1-1", 0), ("scans-6-1-1", 0)], self.sent())
 
-    def test_an_answer_lost_on_its_last_metres_is_asked_for_again(self):
+    def test_a_response_lost_on_the_last_hop_is_requested_again(self):
         figures = self.run_callers([value], "scans", lost_answer_share=1.0)
         self.assertEqual([("scans-6-1-1", 0)] * 2, self.sent())
         self.assertEqual({"lost": 1, "answered": 1}, figures["attempts"])
         self.assertEqual(0, figures["wrong_answers"])
 
-    def test_the_lost_end_of_a_stream_is_asked_for_from_its_last_piece(self):
-        self.run_callers([whole], lost_answer_share=1.0)
+    def test_the_lost_end_of_a_stream_is_requested_from_its_last_chunk(self):
+        self.run_callers([full_response], lost_answer_share=1.0)
         ids = [last_event_id for _, last_event_id in self.sent()]
         self.assertEqual([0, self.last_result()["last_event_id"]], ids)
         self.assertTrue(self.last_result()["correct"])
 
-    def test_a_stream_that_is_given_up_counts_as_lost_mid_answer(self):
-        figures = self.run_callers([pieces(1)], max_attempts=3)
+    def test_a_stream_that_is_given_up_counts_as_lost_mid_response(self):
+        figures = self.run_callers([chunks(1)], max_attempts=3)
         self.assertEqual(3, len(self.sent()))
         self.assertEqual((1, 0), (figures["lost_mid_answer"], figures["wrong_answers"]))
         self.assertFalse(self.last_result()["correct"])
@@ -153,13 +153,13 @@
 
     def test_who_hangs_up_does_not_come_back(self):
         hung_up = outcome(AttemptOutcome.HUNG_UP)
-        figures = self.run_callers([hung_up, whole])
+        figures = self.run_callers([hung_up, full_response])
         self.assertEqual(1, len(self.sent()))
         self.assertFalse(self.last_result()["final"])
         self.assertEqual(0, figures["lost_mid_answer"])
 
-    def test_turns_follow_whole_answers_only(self):
-        self.run_callers([whole], turns=Between(2, 2), think_s=7.0)
+    def test_turns_follow_full_responses_only(self):
+        self.run_callers([full_response], turns=Between(2, 2), think_s=7.0)
         self.assertEqual(["chats-6-1-1", "chats-6-1-2"], [row[0] for row in self.sent()])
         self.assertIn(7.0, self.waits)
         self.run_callers([outcome(AttemptOutcome.LOST)], turns=Between(2, 2), max_attempts=1)
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -2,7 +2,7 @@
 
 from zincvale.standins.deployment import LanguageModelProfile
 from zincvale.standins.engine import Engine, Finished, Refusal, TokenEmitted
-from zincvale.standins.generation import GenerationKey, answer_length, whole_answer
+from zincvale.standins.generation import GenerationKey, full_response, response_length
 from zincvale.standins.kv_cache import KvCache
 
 PREFIX = " ".join(f"shared{number}" for number in range(64))
@@ -51,12 +51,12 @@
         engine = make_engine()
         self.assertIsNone(engine.submit("r1", key("a b c d e f g h i j"), [], 0.0))
         events = run_to_end(engine)
-        length = answer_length(key("a b c d e f g h i j"))
+        length = response_length(key("a b c d e f g h i j"))
         self.assertAlmostEqual(0.010, events[0][0])
         self.assertAlmostEqual(0.010 + 0.02 * (length - 1), events[-1][0])
         self.assertEqual(Finished("r1", length), events[-1][1])
         texts = [event.text for _, event in events if isinstance(event, TokenEmitted)]
-        self.assertEqual(whole_answer(key("a b c d e f g h i j")), texts)
+        self.assertEqual(full_response(key("a b c d e f g h i j")), texts)
 
     def test_a_batch_slows_every_request_down(self):
         alone = make_engine()
@@ -85,7 +85,7 @@
 
     def test_a_continuation_prefills_its_prefix_and_numbers_on(self):
         engine = make_engine()
-        whole = whole_answer(key("one two"))
+        whole = full_response(key("one two"))
         engine.submit("r1", key("one two"), whole[:2], 0.0)
         events = run_to_end(engine)
         self.assertAlmostEqual(0.004, events[0][0])
@@ -94,7 +94,7 @@
 
     def test_a_whole_prefix_ends_at_once(self):
         engine = make_engine()
-        whole = whole_answer(key("one two"))
+        whole = full_response(key("one two"))
         engine.submit("r1", key("one two"), whole, 0.0)
         self.assertEqual([Finished("r1", len(whole))], [e for _, e in run_to_end(engine)])
 
--- a/tests/standins/test_generation.py
+++ b/tests/standins/test_generation.py
@@ -3,9 +3,9 @@
 from zincvale.standins.generation import (
     Generation,
     GenerationKey,
-    answer_length,
+    full_response,
     lookup_value,
-    whole_answer,
+    response_length,
 )
 
 KEY = GenerationKey("loan-explainer", "", "what does it cost", 40)
@@ -17,10 +17,10 @@
         tokens = []
         while not generation.finished():
             tokens.append(generation.next_token())
-        self.assertEqual(whole_answer(KEY), tokens)
+        self.assertEqual(full_response(KEY), tokens)
 
     def test_answer_is_stable_across_releases(self):
-        self.assertEqual(["pogezi ", "lagiro ", "keziso "], whole_answer(KEY)[:3])
+        self.assertEqual(["pogezi ", "lagiro ", "keziso "], full_response(KEY)[:3])
         self.assertEqual("dfd9ff5ce138", lookup_value("scan-1"))
 
     def test_model_adapter_and_prompt_each_change_the_answer(self):
@@ -29,11 +29,11 @@
             GenerationKey(KEY.model, "loan-explainer-north", KEY.prompt, 40),
             GenerationKey(KEY.model, "", "what does it cost now", 40),
         ]
-        answers = {tuple(whole_answer(key)[:10]) for key in [KEY, *others]}
+        answers = {tuple(full_response(key)[:10]) for key in [KEY, *others]}
         self.assertEqual(4, len(answers))
 
     def test_continuation_after_the_true_prefix_is_exact(self):
-        whole = whole_answer(KEY)
+        whole = full_response(KEY)
         generation = Generation(KEY, whole[:7])
         rest = []
         while not generation.finished():
@@ -42,13 +42,13 @@
         self.assertEqual(len(whole), generation.generated)
 
     def test_continuation_after_a_wrong_prefix_differs(self):
-        whole = whole_answer(KEY)
+        whole = full_response(KEY)
         generation = Generation(KEY, [*whole[:6], "spliced "])
         self.assertNotEqual(whole[7], generation.next_token())
 
     def test_length_is_between_half_and_all_of_max_tokens(self):
         lengths = {
-            answer_length(GenerationKey("m", "", f"prompt {number}", 40)) for number in range(200)
+            response_length(GenerationKey("m", "", f"prompt {number}", 40)) for number in range(200)
         }
         self.assertGreaterEqual(min(lengths), 20)
         self.assertLessEqual(max(lengths), 40)
--- a/tests/standins/test_http.py
+++ b/tests/standins/test_http.py
@@ -13,7 +13,7 @@
 from zincvale.standins import language_model_server, lookup_server, weight_store
 from zincvale.standins.back_end import Place
 from zincvale.standins.deployment import LanguageModelProfile, LookupProfile
-from zincvale.standins.generation import GenerationKey, lookup_value, whole_answer
+from zincvale.standins.generation import GenerationKey, full_response, lookup_value
 from zincvale.standins.language_model import LanguageModel
 from zincvale.standins.settings import ResidentModel
 from zincvale.standins.weight_puller import PullError
@@ -96,7 +96,7 @@
     def test_a_whole_answer(self):
         async def exchange():
             status, answer = await self.call("POST", "/v1/generate", self.generate("r1"))
-            whole = whole_answer(KEY)
+            whole = full_response(KEY)
             expected = {"request_id": "r1", "text": "".join(whole), "tokens": len(whole)}
             self.assertEqual((200, expected), (status, answer))
             self.assertEqual(["run", "done"], self.journal.events()[-2:])
@@ -105,7 +105,7 @@
 
     def test_a_stream_numbers_its_pieces_and_ends(self):
         async def exchange():
-            whole = whole_answer(KEY)
+            whole = full_response(KEY)
             body = self.generate("r1", stream=True, prefix=whole[:4])
             blocks = (await self.text("/v1/generate", body)).strip().split("\n\n")
             self.assertEqual(f'id: 5\ndata: {{"text":"{whole[4]}"}}', blocks[0])
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -7,7 +7,7 @@
 from zincvale.model.errors import InvalidInputError
 from zincvale.model.resources import Document
 from zincvale.standins.arrivals import arrivals
-from zincvale.standins.generation import GenerationKey, whole_answer
+from zincvale.standins.generation import GenerationKey, full_response
 from zincvale.standins.load_spec import (
     Between,
     CallerSpec,
@@ -121,7 +121,7 @@
     def test_the_expected_answer_is_the_models(self):
         plan = self.planner.plan(self.planner.conversation(self.chats[0]), 0, "")
         key = GenerationKey(plan.model, plan.adapter, plan.prompt, plan.body["max_tokens"])
-        self.assertEqual(whole_answer(key), plan.expected)
+        self.assertEqual(full_response(key), plan.expected)
         self.assertTrue(plan.stream)
 
     def test_prompts_for_one_model_share_their_prefix(self):
@@ -153,10 +153,12 @@
             caller: [planner.plan(planner.conversation(a), 0, "") for a in rows[:100]]
             for caller, rows in (("chats", self.chats), ("scans", self.scans))
         }
-        self.assertAlmostEqual(50, sum(p.hang_up_after > 0 for p in plans["chats"]), delta=16)
-        self.assertEqual(0, sum(p.duplicated for p in plans["chats"]))
-        self.assertAlmostEqual(50, sum(p.duplicated for p in plans["scans"]), delta=16)
-        self.assertEqual(0, sum(p.hang_up_after for p in plans["scans"]))
+        self.assertAlmostEqual(
+            50, sum(p.hang_up_after_chunks > 0 for p in plans["chats"]), delta=16
+        )
+        self.assertEqual(0, sum(p.is_duplicated for p in plans["chats"]))
+        self.assertAlmostEqual(50, sum(p.is_duplicated for p in plans["scans"]), delta=16)
+        self.assertEqual(0, sum(p.hang_up_after_chunks for p in plans["scans"]))
 
     def test_an_unknown_route_is_named(self):
         bad = LoadSpec([CallerSpec("chats", "chat", 1.0)])
