--- a/src/zincvale/simulator/what_if/run.py
+++ b/src/zincvale/simulator/what_if/run.py
@@ -192,7 +192,7 @@
 
     def _poll_nodes(self) -> None:
         for name, node in self.nodes.items():
-            self._platform.polled(name, node.ready)
+            self._platform.record_poll(name, node.ready)
         ready = [(row.node, row.address) for row in self._platform.ready_nodes()]
         # Callers read the platform's list about half an interval later.
         lag_s = self.scenario.deployment.platform.poll_interval_s / 2
--- a/src/zincvale/simulator/what_if/servers.py
+++ b/src/zincvale/simulator/what_if/servers.py
@@ -20,7 +20,7 @@
 from zincvale.standins.deployment import LanguageModelProfile
 from zincvale.standins.engine import Finished, Refusal
 from zincvale.standins.generation import GenerationKey
-from zincvale.standins.residency import OrderAnswer, OrderError, Residency, WeightState
+from zincvale.standins.residency import OrderError, OrderResult, Residency, WeightState
 
 END_BY_REFUSAL = {
     Refusal.OVERLOADED: ExchangeEnd.OVERLOADED,
@@ -31,7 +31,7 @@
     OrderError.MEMORY: OrderRefusal.MEMORY,
     OrderError.BUSY: OrderRefusal.BUSY,
     OrderError.BASE_MODEL: OrderRefusal.BASE_MODEL,
-    OrderError.NOT_HELD: OrderRefusal.NOT_HELD,
+    OrderError.NOT_RESIDENT: OrderRefusal.NOT_HELD,
 }
 
 
@@ -284,7 +284,7 @@
 
     # weights
 
-    def _order_load(self, order: Order, store: VirtualStore | None) -> OrderAnswer:
+    def _order_load(self, order: Order, store: VirtualStore | None) -> OrderResult:
         pinned = self.engine.cache.pinned_bytes()
         if order.item_kind is ItemKind.MODEL:
             response = self.residency.order_model_load(order.name, order.item_bytes, pinned)
@@ -292,7 +292,7 @@
             response = self.residency.order_adapter_load(
                 order.name, order.base_model, order.item_bytes, pinned
             )
-        if response.error is None and not response.already:
+        if response.error is None and not response.is_already_done:
             self._memory_changed()
             self._pull(order, store)
         return response
--- a/src/zincvale/standins/back_end.py
+++ b/src/zincvale/standins/back_end.py
@@ -17,13 +17,13 @@
 from zincvale.standins.behaviours import Behaviour, BehaviourKind, BehaviourTable
 from zincvale.standins.journal import JournalWriter
 
-CROSSING_WAIT_S = 0.5
+SWAP_TIMEOUT_S = 0.5
 JSON_CONTENT_TYPE = "application/json"
 
 
 @attrs.frozen
-class Place:
-    """Which server this is and where it stands."""
+class ServerIdentity:
+    """Identity of one server process: its name, pool, zone and incarnation."""
 
     server: str
     pool: str
@@ -31,51 +31,55 @@
     incarnation: str
 
 
-def new_place(server: str, pool: str, zone: str) -> Place:
-    """Return the place of a server that has just started: cold, with a new incarnation."""
-    return Place(server, pool, zone, uuid.uuid4().hex)
+def new_identity(server: str, pool: str, zone: str) -> ServerIdentity:
+    """Return the identity of a server that has just started: a new incarnation."""
+    return ServerIdentity(server, pool, zone, uuid.uuid4().hex)
 
 
-class Crossing:
-    """Swaps the answers of two requests that finish at about the same time."""
+class ResponseSwap:
+    """Swaps the responses of two requests that finish at about the same time."""
 
     def __init__(self) -> None:
-        self._waiting: tuple[Any, asyncio.Future[Any]] | None = None
-
-    async def swap(self, answer: Any) -> Any:
-        """Return the answer of another request, or the own one when no other comes in time."""
-        if self._waiting is not None:
-            other, future = self._waiting
-            self._waiting = None
-            future.set_result(answer)
+        self._pending: tuple[Any, asyncio.Future[Any]] | None = None
+
+    async def swap(self, response: Any) -> Any:
+        """Return the response of another request, or `response` itself after the timeout."""
+        if self._pending is not None:
+            other, future = self._pending
+            self._pending = None
+            future.set_result(response)
             return other
         future = asyncio.get_running_loop().create_future()
-        self._waiting = (answer, future)
-        done, _ = await asyncio.wait([future], timeout=CROSSING_WAIT_S)
+        self._pending = (response, future)
+        done, _ = await asyncio.wait([future], timeout=SWAP_TIMEOUT_S)
         if done:
             return future.result()
-        self._waiting = None
-        return answer
+        self._pending = None
+        return response
 
 
 class BackEnd:
     """State that every handler of one server shares."""
 
     def __init__(
-        self, place: Place, journal: JournalWriter, clock: Callable[[], float], seed: int
+        self,
+        identity: ServerIdentity,
+        journal: JournalWriter,
+        clock: Callable[[], float],
+        seed: int,
     ) -> None:
-        self.place = place
+        self.identity = identity
         self.journal = journal
         self.clock = clock
         self.behaviours = BehaviourTable(random.Random(seed))
-        self.crossing = Crossing()
+        self.response_swap = ResponseSwap()
 
-    def strike(self, kind: BehaviourKind) -> Behaviour | None:
+    def draw(self, kind: BehaviourKind) -> Behaviour | None:
         """Return the behaviour of `kind` if it touches the request at hand."""
-        return self.behaviours.strike(kind, self.clock())
+        return self.behaviours.draw(kind, self.clock())
 
     def add_behaviour(self, behaviour: Behaviour) -> None:
-        """Put a behaviour in force."""
+        """Activate a behaviour."""
         self.behaviours.add(behaviour, self.clock())
         self.journal.write("behaviour", kind=behaviour.kind.value, seconds=behaviour.seconds)
 
@@ -84,12 +88,12 @@
     """Base of the handlers of a back end."""
 
     def initialize(self, back_end: Any) -> None:
-        """Keep the server's state."""
+        """Store the server's state."""
         self.back_end = back_end
 
     async def prepare(self) -> None:
-        """Hold every call of a server that is dark, status included."""
-        if self.back_end.strike(BehaviourKind.DARK):
+        """Never respond while the server is dark, not even to status calls."""
+        if self.back_end.draw(BehaviourKind.DARK):
             await asyncio.Event().wait()
 
     def body(self) -> dict[str, Any]:
@@ -104,46 +108,46 @@
             raise MalformedBodyError("the body is not a JSON object", "send a JSON object")
         return data
 
-    def answer(self, status: int, payload: dict[str, Any]) -> None:
-        """Answer with JSON."""
+    def respond(self, status: int, payload: dict[str, Any]) -> None:
+        """Respond with JSON."""
         self.set_status(status)
         self.set_header("Content-Type", JSON_CONTENT_TYPE)
         self.finish(orjson.dumps(payload))
 
     def refuse(self, status: int, request_id: str, error: str) -> None:
-        """Answer that a request did not run and will not, and journal it."""
+        """Respond that a request did not run and will not, and journal it."""
         self.back_end.journal.write("refuse", request_id=request_id, error=error)
-        self.answer(status, {"request_id": request_id, "error": error, "ran": False})
+        self.respond(status, {"request_id": request_id, "error": error, "ran": False})
 
     def cut(self) -> None:
-        """Close the connection without finishing the answer."""
+        """Close the connection before the response is complete."""
         connection = self.request.connection
         stream = getattr(connection, "stream", None) or self.detach()
         stream.close()
 
     async def deliver(self, request_id: str, payload: dict[str, Any]) -> None:
-        """Send the answer of a request that ran, or misbehave with it."""
+        """Send the response of a request that ran, or misbehave with it."""
         back_end = self.back_end
-        if back_end.strike(BehaviourKind.DROP_ANSWER):
+        if back_end.draw(BehaviourKind.DROP_RESPONSE):
             back_end.journal.write("dropped", request_id=request_id)
             self.cut()
             return
-        if back_end.strike(BehaviourKind.ERROR_AFTER_RUN):
+        if back_end.draw(BehaviourKind.ERROR_AFTER_RUN):
             back_end.journal.write("failed", request_id=request_id)
-            self.answer(500, {"error": "internal"})
+            self.respond(500, {"error": "internal"})
             return
-        late = back_end.strike(BehaviourKind.LATE_ANSWER)
+        late = back_end.draw(BehaviourKind.LATE_RESPONSE)
         if late:
             await asyncio.sleep(late.delay_s)
-        if back_end.strike(BehaviourKind.CROSSED_ANSWER):
-            payload = await back_end.crossing.swap(payload)
+        if back_end.draw(BehaviourKind.SWAPPED_RESPONSE):
+            payload = await back_end.response_swap.swap(payload)
             if payload["request_id"] != request_id:
                 other = payload["request_id"]
                 back_end.journal.write("crossed", request_id=request_id, sent_request_id=other)
-        self.answer(200, payload)
+        self.respond(200, payload)
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer an error of this stand-in; a request that fails its checks never ran."""
+        """Respond with an error of this stand-in; a request that fails its checks never ran."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if isinstance(error, (InvalidInputError, MalformedBodyError)):
             self.set_status(error.http_status)
@@ -152,7 +156,7 @@
         super().write_error(status_code, **kwargs)
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Log defects only: a bad request is answered, not logged."""
+        """Log defects only: a bad request gets a response and no log line."""
         if not isinstance(value, (InvalidInputError, MalformedBodyError)):
             super().log_exception(typ, value, tb)
 
@@ -161,10 +165,10 @@
     """`/admin/behaviour`: the rig switches misbehaviour on and off."""
 
     async def prepare(self) -> None:
-        """Answer the rig also while the server is dark."""
+        """Respond to the rig also while the server is dark."""
 
     def post(self) -> None:
-        """Put the behaviour in the body in force."""
+        """Activate the behaviour in the body."""
         behaviour = read_checked(Behaviour, self.body(), "behaviour")
         self.back_end.add_behaviour(behaviour)
         self.get()
@@ -176,6 +180,6 @@
         self.get()
 
     def get(self) -> None:
-        """List what is in force."""
-        rows = self.back_end.behaviours.in_force(self.back_end.clock())
-        self.answer(200, {"behaviours": [row.to_dict() for row in rows]})
+        """List the active behaviours."""
+        rows = self.back_end.behaviours.active(self.back_end.clock())
+        self.respond(200, {"behaviours": [row.to_dict() for row in rows]})
--- a/src/zincvale/standins/bandwidth.py
+++ b/src/zincvale/standins/bandwidth.py
@@ -63,10 +63,10 @@
             (pull for pull in self._pulls.values() if not pull.complete()),
             key=lambda pull: (pull.cap_bytes_per_second, pull.pull_id),
         )
-        left = self._bytes_per_second
+        remaining = self._bytes_per_second
         rates = {}
         for position, pull in enumerate(waiting):
-            share = left / (len(waiting) - position)
+            share = remaining / (len(waiting) - position)
             rates[pull.pull_id] = min(share, pull.cap_bytes_per_second)
-            left -= rates[pull.pull_id]
+            remaining -= rates[pull.pull_id]
         return rates
--- a/src/zincvale/standins/behaviours.py
+++ b/src/zincvale/standins/behaviours.py
@@ -17,14 +17,14 @@
 class BehaviourKind(enum.Enum):
     """What the back end does wrong."""
 
-    DROP_ANSWER = "drop-answer"
-    """Run the request, then close the connection without an answer."""
-    LATE_ANSWER = "late-answer"
-    """Run the request, then hold the answer back for `delay_s`."""
-    CROSSED_ANSWER = "crossed-answer"
-    """Send the answer of another request that finished at about the same time."""
+    DROP_RESPONSE = "drop-answer"
+    """Run the request, then close the connection without a response."""
+    LATE_RESPONSE = "late-answer"
+    """Run the request, then delay the response by `delay_s`."""
+    SWAPPED_RESPONSE = "crossed-answer"
+    """Send the response of another request that finished at about the same time."""
     ERROR_AFTER_RUN = "error-after-run"
-    """Run the request, then answer 500."""
+    """Run the request, then respond with status 500."""
     REFUSE = "refuse"
     """Refuse without running."""
     STALL = "stall"
@@ -33,14 +33,14 @@
     """Close the connection after `after_tokens` tokens of a stream."""
     PAUSE_STREAM = "pause-stream"
     """Send nothing for `delay_s` after `after_tokens` tokens of a stream."""
-    SKIP_PIECE = "skip-piece"
-    """Leave one piece out of a stream, after `after_tokens` tokens."""
-    REPEAT_PIECE = "repeat-piece"
-    """Send one piece of a stream twice, after `after_tokens` tokens."""
+    SKIP_CHUNK = "skip-piece"
+    """Leave one chunk out of a stream, after `after_tokens` tokens."""
+    REPEAT_CHUNK = "repeat-piece"
+    """Send one chunk of a stream twice, after `after_tokens` tokens."""
     SLOW = "slow"
     """Work `factor` times slower."""
     DARK = "dark"
-    """Take connections and answer nothing at all, status included."""
+    """Accept connections and respond to nothing, status included."""
 
 
 @dataclass
@@ -59,7 +59,7 @@
 
 
 class BehaviourTable:
-    """The behaviours in force on one back end.
+    """The active behaviours of one back end.
 
     Parameters
     ----------
@@ -71,7 +71,7 @@
         self._rows: list[_Row] = []
 
     def add(self, behaviour: Behaviour, now: float) -> None:
-        """Put a behaviour in force from now on."""
+        """Activate a behaviour from now on."""
         ends_at = now + behaviour.seconds if behaviour.seconds > 0 else float("inf")
         self._rows.append(_Row(behaviour, ends_at, behaviour.count))
 
@@ -79,26 +79,26 @@
         """End every behaviour."""
         self._rows.clear()
 
-    def in_force(self, now: float) -> list[Behaviour]:
-        """Return the behaviours in force."""
+    def active(self, now: float) -> list[Behaviour]:
+        """Return the active behaviours."""
         self._rows = [row for row in self._rows if row.ends_at > now and not row.used_up()]
         return [row.behaviour for row in self._rows]
 
-    def strike(self, kind: BehaviourKind, now: float) -> Behaviour | None:
+    def draw(self, kind: BehaviourKind, now: float) -> Behaviour | None:
         """Return the behaviour of `kind` if it touches the request at hand, and count it."""
         for row in self._rows:
             if row.behaviour.kind is not kind or row.ends_at <= now or row.used_up():
                 continue
             if self._random.random() >= row.behaviour.probability:
                 continue
-            row.left -= 1
+            row.remaining -= 1
             return row.behaviour
         return None
 
     def slow_factor(self, now: float) -> float:
         """Return how many times slower everything runs now."""
         factor = 1.0
-        for behaviour in self.in_force(now):
+        for behaviour in self.active(now):
             if behaviour.kind is BehaviourKind.SLOW:
                 factor *= behaviour.factor
         return factor
@@ -108,7 +108,7 @@
 class _Row:
     behaviour: Behaviour
     ends_at: float
-    left: int
+    remaining: int
 
     def used_up(self) -> bool:
-        return self.behaviour.count != UNLIMITED and self.left <= 0
+        return self.behaviour.count != UNLIMITED and self.remaining <= 0
--- a/src/zincvale/standins/core_client.py
+++ b/src/zincvale/standins/core_client.py
@@ -9,7 +9,7 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPClientError, HTTPRequest
 
-from zincvale.standins.operator_retry import NO_ANSWER
+from zincvale.standins.operator_retry import NO_RESPONSE
 from zincvale.standins.settings import dialled_address
 
 CONNECT_TIMEOUT_S = 1.0
@@ -20,8 +20,8 @@
 
 
 @attrs.frozen
-class Answer:
-    """What a core answered; status 0 means nothing came."""
+class CoreResponse:
+    """Response of a core; status 0 means that none arrived."""
 
     status: int
     body: dict[str, Any]
@@ -29,14 +29,14 @@
 
 
 class CoreClient(Protocol):
-    """What operators ask of a core, by its API address."""
+    """Calls of operators to a core, by its API address."""
 
-    async def apply(self, core: str, order_id: str, body: dict[str, Any]) -> Answer:
+    async def apply(self, core: str, order_id: str, body: dict[str, Any]) -> CoreResponse:
         """Send a change once."""
         ...
 
     async def version(self, core: str) -> int | None:
-        """Return the version a core shows, or None when it does not answer."""
+        """Return the version a core shows, or None when it does not respond."""
         ...
 
 
@@ -52,7 +52,7 @@
         self._address_map = address_map
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=MAX_CONCURRENT_CALLS)
 
-    async def apply(self, core: str, order_id: str, body: dict[str, Any]) -> Answer:
+    async def apply(self, core: str, order_id: str, body: dict[str, Any]) -> CoreResponse:
         """Send a change once."""
         headers = {
             "Content-Type": "application/json",
@@ -70,11 +70,11 @@
         try:
             response = await self._client.fetch(request, raise_error=False)
         except (HTTPClientError, OSError) as error:
-            return Answer(NO_ANSWER, {}, str(error))
-        return Answer(response.code, _object(response.body))
+            return CoreResponse(NO_RESPONSE, {}, str(error))
+        return CoreResponse(response.code, _object(response.body))
 
     async def version(self, core: str) -> int | None:
-        """Return the version a core shows, or None when it does not answer."""
+        """Return the version a core shows, or None when it does not respond."""
         request = HTTPRequest(
             f"http://{dialled_address(core, self._address_map)}/v1/intent",
             connect_timeout=READ_TIMEOUT_S,
--- a/src/zincvale/standins/engine.py
+++ b/src/zincvale/standins/engine.py
@@ -14,12 +14,12 @@
 
 from zincvale.standins.deployment import LanguageModelProfile
 from zincvale.standins.generation import Generation, GenerationKey
-from zincvale.standins.kv_cache import KvCache, KvClaim
+from zincvale.standins.kv_cache import KvAllocation, KvCache
 
 PREFILL_CHUNK_TOKENS = 512
-LATENESS_FORGIVEN_S = 0.05
-"""A step that ends later than this was held up (a freeze): the next one starts from now."""
-COLD_LEAST_RUNNING = 1
+MAX_LATENESS_S = 0.05
+"""A step that ends later than this was delayed by a freeze: the next one starts from now."""
+COLD_MIN_RUNNING = 1
 
 
 class Refusal(enum.Enum):
@@ -55,7 +55,7 @@
     prompt_tokens: list[str]
     total_tokens: int
     prefix_tokens: int
-    claim: KvClaim | None = None
+    claim: KvAllocation | None = None
     prefill_left: int = 0
 
 
@@ -84,7 +84,7 @@
         self._warm_from: float | None = None
 
     def set_free_memory(self, free_bytes: int) -> None:
-        """Tell how much memory weights leave; the KV cache takes its share of it at most."""
+        """Set the memory that weights leave free: a bound on the KV cache beside its profile's."""
         self.cache.set_capacity(min(free_bytes, self.profile.kv_cache_bytes))
 
     def begin_warm_up(self, now: float) -> None:
@@ -152,7 +152,7 @@
         self._step = None
         emitted = self._end_step(step)
         self._admit()
-        late = now - step.ends_at > LATENESS_FORGIVEN_S
+        late = now - step.ends_at > MAX_LATENESS_S
         self._start_step(now if late else step.ends_at)
         return emitted
 
@@ -166,9 +166,9 @@
 
     def _ramped_limit(self, now: float) -> int:
         if self._warm_from is None or self.profile.ramp_s <= 0:
-            return COLD_LEAST_RUNNING
+            return COLD_MIN_RUNNING
         share = (now - self._warm_from) / self.profile.ramp_s
-        return max(COLD_LEAST_RUNNING, int(self.profile.max_running * share))
+        return max(COLD_MIN_RUNNING, int(self.profile.max_running * share))
 
     def _admit(self) -> None:
         while self._queued and len(self._running) < self.profile.max_running:
--- a/src/zincvale/standins/generation.py
+++ b/src/zincvale/standins/generation.py
@@ -1,9 +1,9 @@
-"""Deterministic generation: what a language model or a lookup server answers, as a pure function.
+"""Deterministic generation: the response of a language model or lookup server, as a pure function.
 
-Token N is a function of model, adapter, prompt and N alone, so that every server gives the same
-answer and a caller can check each piece of a stream that was continued elsewhere. A prefix that is
-not what the model would have generated changes every later token, as it would in a real model, so
-that a spliced stream shows.
+Token N is a function of model, adapter, prompt and N alone, so that every server gives the
+same response and a caller can check each chunk of a stream that was continued elsewhere. A prefix
+that is not what the model would have generated changes every later token, as it would in a real
+model, so that a spliced stream shows.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 SYLLABLES_PER_TOKEN = 3
 LOOKUP_VALUE_HEX_DIGITS = 12
 SHORTEST_SHARE = 0.5
-"""The shortest answer, as a share of `max_tokens`."""
+"""The shortest response, as a share of `max_tokens`."""
 
 
 @attrs.frozen
 class GenerationKey:
-    """What an answer depends on."""
+    """All that a response depends on."""
 
     model: str
     adapter: str
@@ -28,7 +28,7 @@
     max_tokens: int
 
     def seed(self) -> int:
-        """Return the 64-bit seed of the answer; `max_tokens` only cuts, it does not steer."""
+        """Return the 64-bit seed of the response; `max_tokens` only cuts, it does not steer."""
         digest = xxhash.xxh3_64()
         for part in (self.model, self.adapter, self.prompt):
             digest.update(part.encode())
@@ -37,12 +37,12 @@
 
 
 class Generation:
-    """One answer, token by token.
+    """One response, token by token.
 
     Parameters
     ----------
-    key : what the answer depends on.
-    prefix : tokens that were already generated elsewhere; the answer continues after them.
+    key : all that the response depends on.
+    prefix : tokens that were already generated elsewhere; the response continues after them.
     """
 
     def __init__(self, key: GenerationKey, prefix: list[str] | None = None) -> None:
@@ -54,7 +54,7 @@
             self._seed = _mix(self._seed, "".join(given))
 
     def finished(self) -> bool:
-        """Return whether the answer is whole."""
+        """Return whether the response is complete."""
         return self.generated >= self.length
 
     def next_token(self) -> str:
@@ -67,7 +67,7 @@
 
 
 def token_text(seed: int, index: int) -> str:
-    """Return the token at `index` (from 1) of the answer with `seed`: a word and a blank."""
+    """Return the token at `index` (from 1) of the response with `seed`: a word and a blank."""
     value = xxhash.xxh3_64_intdigest(index.to_bytes(4, "big"), seed=seed)
     text = ""
     for _ in range(SYLLABLES_PER_TOKEN):
@@ -77,14 +77,14 @@
 
 
 def response_length(key: GenerationKey) -> int:
-    """Return how many tokens the whole answer has, from half of `max_tokens` to all of it."""
+    """Return how many tokens the full response has, from half of `max_tokens` to all of it."""
     shortest = max(1, int(key.max_tokens * SHORTEST_SHARE))
     spread = max(1, key.max_tokens) - shortest + 1
     return shortest + _mix(key.seed(), "length") % spread
 
 
 def full_response(key: GenerationKey) -> list[str]:
-    """Return every token of an answer."""
+    """Return every token of a response."""
     seed = key.seed()
     return [token_text(seed, index) for index in range(1, response_length(key) + 1)]
 
@@ -95,7 +95,7 @@
 
 
 def text_digest(text: str) -> str:
-    """Return the digest that journals carry in place of prompts and answers."""
+    """Return the digest that journals carry in place of prompts and responses."""
     return xxhash.xxh3_64_hexdigest(text.encode())
 
 
--- a/src/zincvale/standins/kv_cache.py
+++ b/src/zincvale/standins/kv_cache.py
@@ -2,7 +2,7 @@
 
 A block is named by the hash of everything up to its end, so two prompts share exactly the blocks of
 their common prefix. Blocks of running requests are pinned; blocks nobody uses stay cached until the
-room is needed.
+memory is needed.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 
 @attrs.frozen
-class KvClaim:
-    """The blocks one running request holds.
+class KvAllocation:
+    """The blocks that are pinned for one running request.
 
     Attributes
     ----------
@@ -49,7 +49,7 @@
         self._capacity_blocks = 0
 
     def set_capacity(self, capacity_bytes: int) -> None:
-        """Change the room, dropping idle blocks that no longer fit."""
+        """Change the capacity, evicting idle blocks that no longer fit."""
         self._capacity_blocks = max(0, capacity_bytes) // self._block_bytes
         self._evict_down_to(self._capacity_blocks)
 
@@ -58,37 +58,37 @@
         return self._used_blocks() * self._block_bytes
 
     def pinned_bytes(self) -> int:
-        """Return the bytes of blocks that running requests hold."""
+        """Return the bytes of blocks that are pinned for running requests."""
         return (len(self._users) + self._private_blocks) * self._block_bytes
 
     def fits_ever(self, tokens: int) -> bool:
         """Return whether a request of `tokens` could run in an empty cache."""
         return self._blocks_for(tokens) <= self._capacity_blocks
 
-    def claim(self, owner: str, prompt_tokens: list[str], total_tokens: int) -> KvClaim | None:
-        """Pin the blocks of a request; None when there is no room now.
+    def claim(self, owner: str, prompt_tokens: list[str], total_tokens: int) -> KvAllocation | None:
+        """Pin the blocks of a request; None when the capacity does not allow it now.
 
         Parameters
         ----------
         owner : what a cached block belongs to: model and adapter.
         prompt_tokens : the prompt, token by token.
-        total_tokens : prompt and longest answer together.
+        total_tokens : prompt and longest response together.
         """
         named = self._block_names(owner, prompt_tokens)
         cached = self._leading_cached(named)
         private = self._blocks_for(total_tokens) - len(named)
         new_blocks = len(named) - cached + private
-        idle_kept = sum(1 for name in named[:cached] if name in self._idle)
-        pinned = len(self._users) + self._private_blocks + idle_kept
+        idle_reused = sum(1 for name in named[:cached] if name in self._idle)
+        pinned = len(self._users) + self._private_blocks + idle_reused
         if pinned + new_blocks > self._capacity_blocks:
             return None
         for name in named:
             self._pin(name)
         self._private_blocks += private
         self._evict_down_to(self._capacity_blocks)
-        return KvClaim(named, private, cached * self._block_tokens)
+        return KvAllocation(named, private, cached * self._block_tokens)
 
-    def release(self, claim: KvClaim, computed: bool) -> None:
+    def release(self, claim: KvAllocation, computed: bool) -> None:
         """Unpin a request's blocks; its prompt stays cached when it was `computed`."""
         self._private_blocks -= claim.private_blocks
         for name in claim.named:
--- a/src/zincvale/standins/language_model.py
+++ b/src/zincvale/standins/language_model.py
@@ -9,12 +9,12 @@
 
 import attrs
 
-from zincvale.standins.back_end import BackEnd, Place
+from zincvale.standins.back_end import BackEnd, ServerIdentity
 from zincvale.standins.deployment import LanguageModelProfile
 from zincvale.standins.engine import Engine, Finished, Refusal, TokenEmitted
 from zincvale.standins.generation import GenerationKey, text_digest
 from zincvale.standins.journal import JournalWriter
-from zincvale.standins.residency import OrderAnswer, Residency
+from zincvale.standins.residency import OrderResult, Residency
 from zincvale.standins.settings import ResidentModel
 from zincvale.standins.weight_puller import PullError
 
@@ -25,7 +25,7 @@
     """Where weights come from."""
 
     async def pull(
-        self, store: str, name: str, size_bytes: int, wanted: Callable[[], bool]
+        self, store: str, name: str, size_bytes: int, is_needed: Callable[[], bool]
     ) -> None:
         """Return when the weights are here; raises `PullError`."""
         ...
@@ -57,14 +57,14 @@
 
     def __init__(
         self,
-        place: Place,
+        identity: ServerIdentity,
         profile: LanguageModelProfile,
         journal: JournalWriter,
         clock: Callable[[], float],
         puller: Puller,
         seed: int = 1,
     ) -> None:
-        super().__init__(place, journal, clock, seed)
+        super().__init__(identity, journal, clock, seed)
         self.profile = profile
         self.engine = Engine(profile)
         self.residency = Residency(profile.memory_bytes, profile.max_concurrent_loads)
@@ -76,8 +76,8 @@
         self._pulls: set[asyncio.Task[None]] = set()
         self._memory_changed()
 
-    def start_with(self, resident: list[ResidentModel]) -> None:
-        """Hold `resident` from the start, as a server that has been up for long."""
+    def preload(self, resident: list[ResidentModel]) -> None:
+        """Load `resident` at the start, as a server that has been up for long."""
         for model in resident:
             self.residency.order_model_load(model.name, model.size_bytes, 0)
             self._loaded(model.name, model.size_bytes)
@@ -103,8 +103,8 @@
             for row in self.residency.adapters.values()
         ]
         return {
-            "server": self.place.server,
-            "incarnation": self.place.incarnation,
+            "server": self.identity.server,
+            "incarnation": self.identity.incarnation,
             "state": "cold" if cold else "ready",
             "memory_bytes": self.profile.memory_bytes,
             "used_bytes": self.residency.used_bytes(),
@@ -129,7 +129,7 @@
         self.journal.write(
             "run",
             request_id=request_id,
-            server=self.place.server,
+            server=self.identity.server,
             model=key.model,
             adapter=key.adapter or None,
             prompt_digest=text_digest(key.prompt),
@@ -139,26 +139,26 @@
         return run
 
     def abandon(self, run: Run) -> None:
-        """Stop a run whose client went away."""
+        """Cancel a run whose client disconnected."""
         tokens = self.engine.cancel(run.run_id)
         if tokens is None:
             return
         self.journal.write("cancelled", request_id=run.request_id, tokens=tokens)
         self._end(run)
 
-    def order_load(
-        self, answer: OrderAnswer, name: str, size_bytes: int, store: str, order_id: str
+    def start_load(
+        self, result: OrderResult, name: str, size_bytes: int, store: str, order_id: str
     ) -> None:
-        """Carry out a load that `residency` accepted."""
-        if answer.error is not None or answer.already:
+        """Start the pull of a load that `residency` accepted."""
+        if result.error is not None or result.is_already_done:
             return
         self._memory_changed()
         task = asyncio.ensure_future(self._pull(name, size_bytes, store, order_id))
         self._pulls.add(task)
         task.add_done_callback(self._pulls.discard)
 
-    def weights_left(self, names: tuple[str, ...]) -> None:
-        """Journal weights that left the memory."""
+    def on_weights_removed(self, names: tuple[str, ...]) -> None:
+        """Journal weights that were removed from memory."""
         if not names:
             return
         self._memory_changed()
@@ -210,10 +210,10 @@
         now = self.clock()
         self.engine.slow_factor = self.behaviours.slow_factor(now)
         for event in self.engine.advance(now):
-            self._hand_out(event)
+            self._dispatch(event)
         self._set_timer()
 
-    def _hand_out(self, event: EngineEvent) -> None:
+    def _dispatch(self, event: EngineEvent) -> None:
         run = self._run_by_id[event.run_id]
         if isinstance(event, Finished):
             self.journal.write("done", request_id=run.request_id, tokens=event.count)
@@ -222,4 +222,4 @@
 
     def _end(self, run: Run) -> None:
         del self._run_by_id[run.run_id]
-        self.weights_left(self.residency.release(run.model, run.adapter))
+        self.on_weights_removed(self.residency.release(run.model, run.adapter))
--- a/src/zincvale/standins/language_model_server.py
+++ b/src/zincvale/standins/language_model_server.py
@@ -16,14 +16,14 @@
 from zincvale.standins.engine import Finished, Refusal, TokenEmitted
 from zincvale.standins.generation import GenerationKey
 from zincvale.standins.language_model import EngineEvent, LanguageModel, Run
-from zincvale.standins.residency import OrderAnswer, OrderError, WeightState
+from zincvale.standins.residency import OrderError, OrderResult, WeightState
 from zincvale.standins.stream_misbehaviour import StreamMisbehaviour
 
 STATUS_BY_ORDER_ERROR = {
     OrderError.MEMORY: 409,
     OrderError.BASE_MODEL: 409,
     OrderError.BUSY: 503,
-    OrderError.NOT_HELD: 404,
+    OrderError.NOT_RESIDENT: 404,
 }
 STATUS_BY_REFUSAL = {
     Refusal.OVERLOADED: 503,
@@ -63,8 +63,8 @@
     """`GET /status`."""
 
     def get(self) -> None:
-        """Answer with memory, load and residency."""
-        self.answer(200, self.back_end.status())
+        """Respond with memory, load and residency."""
+        self.respond(200, self.back_end.status())
 
 
 class GenerateHandler(BackEndHandler):
@@ -73,42 +73,42 @@
     _run: Run | None = None
 
     async def post(self) -> None:
-        """Run one request, streamed or whole."""
+        """Run one request, streamed or not."""
         body = read_checked(GenerateBody, self.body(), "generate")
         model: LanguageModel = self.back_end
         adapter = body.adapter or ""
         if not model.residency.serves(body.model, adapter):
             self.refuse(404, body.request_id, "not-resident")
             return
-        if model.strike(BehaviourKind.REFUSE):
+        if model.draw(BehaviourKind.REFUSE):
             self.refuse(503, body.request_id, "overloaded")
             return
         key = GenerationKey(body.model, adapter, body.prompt, body.max_tokens)
-        begun = model.begin(body.request_id, key, body.prefix)
-        if isinstance(begun, Refusal):
-            self.refuse(STATUS_BY_REFUSAL[begun], body.request_id, begun.value)
+        run = model.begin(body.request_id, key, body.prefix)
+        if isinstance(run, Refusal):
+            self.refuse(STATUS_BY_REFUSAL[run], body.request_id, run.value)
             return
-        self._run = begun
-        if model.strike(BehaviourKind.STALL):
+        self._run = run
+        if model.draw(BehaviourKind.STALL):
             await asyncio.Event().wait()
         if body.stream:
-            await self._stream(begun)
+            await self._stream(run)
         else:
-            await self._whole(begun)
+            await self._respond_in_full(run)
 
     def on_connection_close(self) -> None:
-        """Stop generating for a client that went away."""
+        """Cancel the run of a client that disconnected."""
         if self._run is not None:
             self.back_end.abandon(self._run)
 
-    async def _whole(self, run: Run) -> None:
-        pieces = []
+    async def _respond_in_full(self, run: Run) -> None:
+        texts = []
         while True:
             event = await run.events.get()
             if isinstance(event, Finished):
                 break
-            pieces.append(event.text)
-        payload = {"request_id": run.request_id, "text": "".join(pieces), "tokens": event.count}
+            texts.append(event.text)
+        payload = {"request_id": run.request_id, "text": "".join(texts), "tokens": event.count}
         await self.deliver(run.request_id, payload)
 
     async def _stream(self, run: Run) -> None:
@@ -123,7 +123,7 @@
                     self.finish(_event_bytes(event))
                     return
                 sent += 1
-                await self._write_piece(event, sent, faults)
+                await self._write_token(event, sent, faults)
                 if faults.cuts_after(sent):
                     self.back_end.journal.write("cut", request_id=run.request_id, tokens=sent)
                     self.back_end.abandon(run)
@@ -132,22 +132,22 @@
         except StreamClosedError:
             self.back_end.abandon(run)
 
-    async def _write_piece(
+    async def _write_token(
         self, event: TokenEmitted, sent: int, faults: StreamMisbehaviour
     ) -> None:
         await asyncio.sleep(faults.pause_before(sent))
-        for _ in range(faults.copies(sent)):
+        for _ in range(faults.send_count(sent)):
             self.write(_event_bytes(event))
         await self.flush()
 
 
 class OrderHandler(BackEndHandler):
-    """Base of the load and unload orders: journals each, answers by what became of it."""
+    """Base of the load and unload orders: journals each and responds with its result."""
 
     action = ""
 
     def post(self) -> None:
-        """Carry out one order."""
+        """Execute one order."""
         body = read_checked(OrderBody, self.body(), self.action)
         row = {
             "order_id": body.order_id,
@@ -158,21 +158,21 @@
             "sender": body.sender or self.request.remote_ip,
         }
         self.back_end.journal.write("order", **row)
-        answer = self.carry_out(self.back_end, body)
-        if answer.error is not None:
-            self._refuse_order(row, answer.error)
+        result = self.execute(self.back_end, body)
+        if result.error is not None:
+            self._refuse_order(row, result.error)
             return
-        self.back_end.weights_left(answer.removed)
-        self.answer(self._status(answer, body), {"order_id": body.order_id})
+        self.back_end.on_weights_removed(result.removed)
+        self.respond(self._status(result, body), {"order_id": body.order_id})
 
-    def carry_out(self, model: LanguageModel, body: OrderBody) -> OrderAnswer:
-        """Give the order to the server."""
+    def execute(self, model: LanguageModel, body: OrderBody) -> OrderResult:
+        """Apply the order to the server."""
         raise NotImplementedError
 
-    def _status(self, answer: OrderAnswer, body: OrderBody) -> int:
+    def _status(self, result: OrderResult, body: OrderBody) -> int:
         residency = self.back_end.residency
-        held = residency.models.get(body.model) or residency.adapters.get(body.adapter)
-        if held is None or (answer.already and held.state is WeightState.LOADED):
+        weights = residency.models.get(body.model) or residency.adapters.get(body.adapter)
+        if weights is None or (result.is_already_done and weights.state is WeightState.LOADED):
             return 200
         return 202
 
@@ -186,7 +186,7 @@
             memory_bytes=residency.memory_bytes,
         )
         payload = {"error": error.value, "order_id": row["order_id"], "ran": False}
-        self.answer(STATUS_BY_ORDER_ERROR[error], payload)
+        self.respond(STATUS_BY_ORDER_ERROR[error], payload)
 
 
 class ModelLoadHandler(OrderHandler):
@@ -194,12 +194,12 @@
 
     action = "load-model"
 
-    def carry_out(self, model: LanguageModel, body: OrderBody) -> OrderAnswer:
+    def execute(self, model: LanguageModel, body: OrderBody) -> OrderResult:
         """Reserve memory and begin to pull."""
         pinned = model.engine.cache.pinned_bytes()
-        answer = model.residency.order_model_load(body.model, body.bytes, pinned)
-        model.order_load(answer, body.model, body.bytes, body.store, body.order_id)
-        return answer
+        result = model.residency.order_model_load(body.model, body.bytes, pinned)
+        model.start_load(result, body.model, body.bytes, body.store, body.order_id)
+        return result
 
 
 class ModelUnloadHandler(OrderHandler):
@@ -207,7 +207,7 @@
 
     action = "unload-model"
 
-    def carry_out(self, model: LanguageModel, body: OrderBody) -> OrderAnswer:
+    def execute(self, model: LanguageModel, body: OrderBody) -> OrderResult:
         """Begin to unload a model and its adapters."""
         return model.residency.order_model_unload(body.model)
 
@@ -217,14 +217,14 @@
 
     action = "load-adapter"
 
-    def carry_out(self, model: LanguageModel, body: OrderBody) -> OrderAnswer:
+    def execute(self, model: LanguageModel, body: OrderBody) -> OrderResult:
         """Reserve memory and begin to pull."""
         pinned = model.engine.cache.pinned_bytes()
-        answer = model.residency.order_adapter_load(
+        result = model.residency.order_adapter_load(
             body.adapter, body.base_model, body.bytes, pinned
         )
-        model.order_load(answer, body.adapter, body.bytes, body.store, body.order_id)
-        return answer
+        model.start_load(result, body.adapter, body.bytes, body.store, body.order_id)
+        return result
 
 
 class AdapterUnloadHandler(OrderHandler):
@@ -232,7 +232,7 @@
 
     action = "unload-adapter"
 
-    def carry_out(self, model: LanguageModel, body: OrderBody) -> OrderAnswer:
+    def execute(self, model: LanguageModel, body: OrderBody) -> OrderResult:
         """Begin to unload an adapter."""
         return model.residency.order_adapter_unload(body.adapter)
 
--- a/src/zincvale/standins/load_spec.py
+++ b/src/zincvale/standins/load_spec.py
@@ -26,7 +26,7 @@
     route: str
     rate_per_second: float
     models: list[str] = field(default_factory=list)
-    """Models asked for; empty means all that the route allows."""
+    """Models requested; empty means all that the route allows."""
     prompt_words: Between = field(default_factory=lambda: Between(20, 60))
     shared_prefix_words: int = 0
     """Leading words that all prompts of this caller for one model share."""
@@ -34,19 +34,19 @@
     adapter_share: float = 0.5
     """Share of requests that name an adapter, where the model has any."""
     turns: Between = field(default_factory=lambda: Between(1, 1))
-    """Requests of one conversation; each prompt repeats what was said before."""
+    """Requests of one conversation; each prompt repeats the earlier prompts and responses."""
     think_s: float = 1.0
     keys: int = 5000
     """Distinct keys of a lookup caller."""
     first_byte_timeout_s: float = 6.0
     idle_timeout_s: float = 3.0
-    """A stream that is silent for longer counts as broken."""
+    """A stream that is idle for longer counts as broken."""
     max_attempts: int = 6
     lost_answer_share: float = 0.0
-    """Share of requests whose whole answer is lost on its last metres: the caller asks again, with
-    the same id, for what it already got."""
+    """Share of requests whose full response is lost on the last hop: the caller requests it again
+    with the same id."""
     hang_up_share: float = 0.0
-    """Share of streamed requests whose caller hangs up after some pieces and never comes back."""
+    """Share of streamed requests whose caller hangs up after some chunks and never returns."""
     duplicate_share: float = 0.0
     """Share of requests without a stream that are sent twice at once, to two nodes, with one id."""
     read_bytes_per_second: int = 0
@@ -73,7 +73,7 @@
 
 @dataclass
 class RareModels(Checked):
-    """For a while, the least popular models are wanted all together."""
+    """For a while, the least popular models are requested together."""
 
     start_s: float
     seconds: float
--- a/src/zincvale/standins/lookup_server.py
+++ b/src/zincvale/standins/lookup_server.py
@@ -8,7 +8,7 @@
 
 from tornado.web import Application
 
-from zincvale.standins.back_end import BackEnd, BackEndHandler, BehaviourHandler, Place
+from zincvale.standins.back_end import BackEnd, BackEndHandler, BehaviourHandler, ServerIdentity
 from zincvale.standins.behaviours import BehaviourKind
 from zincvale.standins.deployment import LookupProfile
 from zincvale.standins.generation import lookup_value, text_digest
@@ -30,21 +30,21 @@
 
     def __init__(
         self,
-        place: Place,
+        identity: ServerIdentity,
         profile: LookupProfile,
         journal: JournalWriter,
         clock: Callable[[], float],
         seed: int = 1,
     ) -> None:
-        super().__init__(place, journal, clock, seed)
+        super().__init__(identity, journal, clock, seed)
         self.profile = profile
         self.limiter = LookupLimiter(profile, clock())
 
     def status(self) -> dict[str, Any]:
         """Return the body of `GET /status`."""
         return {
-            "server": self.place.server,
-            "incarnation": self.place.incarnation,
+            "server": self.identity.server,
+            "incarnation": self.identity.incarnation,
             "state": "ready",
             "memory_bytes": 0,
             "used_bytes": 0,
@@ -61,8 +61,8 @@
     """`GET /status`."""
 
     def get(self) -> None:
-        """Answer with the server's load."""
-        self.answer(200, self.back_end.status())
+        """Respond with the server's load."""
+        self.respond(200, self.back_end.status())
 
 
 class LookupHandler(BackEndHandler):
@@ -73,13 +73,13 @@
         key = self.get_query_argument("key")
         request_id = self.get_query_argument("request_id")
         lookup: Lookup = self.back_end
-        if lookup.strike(BehaviourKind.REFUSE) or not lookup.limiter.begin(lookup.clock()):
+        if lookup.draw(BehaviourKind.REFUSE) or not lookup.limiter.begin(lookup.clock()):
             self.refuse(429, request_id, "rate")
             return
         lookup.journal.write(
             "run",
             request_id=request_id,
-            server=lookup.place.server,
+            server=lookup.identity.server,
             model=None,
             adapter=None,
             prompt_digest=text_digest(key),
@@ -93,7 +93,7 @@
         await self.deliver(request_id, payload)
 
     async def _serve(self, lookup: Lookup) -> None:
-        if lookup.strike(BehaviourKind.STALL):
+        if lookup.draw(BehaviourKind.STALL):
             await asyncio.Event().wait()
         factor = lookup.behaviours.slow_factor(lookup.clock())
         await asyncio.sleep(lookup.profile.service_s * factor)
--- a/src/zincvale/standins/operator_retry.py
+++ b/src/zincvale/standins/operator_retry.py
@@ -1,4 +1,4 @@
-"""What an operator does after an answer, or none: send the same order again, or stop. Pure."""
+"""What an operator does after a response, or none: send the same order again, or stop. Pure."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 OK_STATUS = 200
 CONFLICT_STATUS = 409
 UNAVAILABLE_STATUS = 503
-NO_ANSWER = 0
-RETRIED_STATUSES = frozenset({NO_ANSWER, UNAVAILABLE_STATUS, 500, 502, 504})
+NO_RESPONSE = 0
+RETRIED_STATUSES = frozenset({NO_RESPONSE, UNAVAILABLE_STATUS, 500, 502, 504})
 
 
 class Verdict(enum.Enum):
@@ -30,7 +30,7 @@
 
     Attributes
     ----------
-    lost_acknowledgements : so many positive answers are treated as lost on the way.
+    lost_acknowledgements : so many successful responses are treated as lost.
     give_up_at : when the operator stops sending.
     """
 
@@ -38,7 +38,7 @@
     give_up_at: float
 
     def after(self, status: int, now: float) -> Verdict:
-        """Return what to do after an answer with `status` (`NO_ANSWER` for none)."""
+        """Return what to do after a response with `status` (`NO_RESPONSE` for none)."""
         if status == OK_STATUS and self.lost_acknowledgements > 0:
             self.lost_acknowledgements -= 1
             return Verdict.RESEND
--- a/src/zincvale/standins/operator_script.py
+++ b/src/zincvale/standins/operator_script.py
@@ -38,7 +38,7 @@
     repeat: int = 1
     every_s: float = 0.1
     lost_acknowledgements: int = 0
-    """So many answers are thrown away unread, and the same order is sent again each time."""
+    """So many responses are discarded unread, and the same order is sent again each time."""
     resend_after_s: list[float] = field(default_factory=list)
     """The whole order is sent again so many seconds after it was acknowledged."""
     rebuild_on_conflict: bool = False
@@ -67,7 +67,7 @@
     observe_interval_s: float = 0.5
     """How often each core is asked for its version; 0 asks never."""
     give_up_s: float = 30.0
-    """An order without a final answer is sent again for so long."""
+    """An order without a final response is sent again for so long."""
 
 
 @attrs.frozen
--- a/src/zincvale/standins/operators.py
+++ b/src/zincvale/standins/operators.py
@@ -1,4 +1,4 @@
-"""Drives the operators: sends scripted changes to the cores and journals every answer."""
+"""Drives the operators: sends scripted changes to the cores and journals every response."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 import attrs
 
-from zincvale.standins.core_client import Answer, CoreClient
+from zincvale.standins.core_client import CoreClient, CoreResponse
 from zincvale.standins.journal import JournalWriter
 from zincvale.standins.operator_retry import (
-    NO_ANSWER,
+    NO_RESPONSE,
     OK_STATUS,
     RESEND_DELAY_S,
     UNAVAILABLE_STATUS,
@@ -32,7 +32,7 @@
     settings : cores, seed.
     script : what they do.
     client : reaches the cores.
-    journal : what they sent and were told.
+    journal : what they sent and received.
     clock : seconds on `CLOCK_BOOTTIME`.
     sleep : waits so many seconds.
     """
@@ -56,34 +56,34 @@
         self._race_bases: dict[str, asyncio.Future[int | None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._verdicts: Counter[str] = Counter()
-        self._changed_answers = 0
+        self._changed_responses = 0
         self._version_by_core: dict[str, int] = {}
-        self._lowered = 0
+        self._version_regressions = 0
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Send every order when it is due; return when all are settled or `stop` is set."""
+        """Send every order when it is due; return when all are final or `stop` is set."""
         observing = asyncio.ensure_future(self._observe())
         started_at = self._clock()
         for order in orders(self._script, self._settings.seed):
-            await _wait(stop, started_at + order.at_s - self._clock())
+            await _sleep_until_stopped(stop, started_at + order.at_s - self._clock())
             if stop.is_set():
                 break
-            task = asyncio.ensure_future(self.carry_out(order))
+            task = asyncio.ensure_future(self.execute(order))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        await self._settle(stop)
+        await self._drain(stop)
         observing.cancel()
 
     def summary(self) -> dict[str, Any]:
         """Return how the orders ended."""
         return {
             "verdicts": dict(self._verdicts),
-            "changed_answers": self._changed_answers,
-            "versions_lowered": self._lowered,
+            "changed_answers": self._changed_responses,
+            "versions_lowered": self._version_regressions,
             "version_by_core": self._version_by_core,
         }
 
-    async def _settle(self, stop: asyncio.Event) -> None:
+    async def _drain(self, stop: asyncio.Event) -> None:
         stopped = asyncio.ensure_future(stop.wait())
         while self._tasks and not stop.is_set():
             await asyncio.wait([stopped, *self._tasks], return_when=asyncio.FIRST_COMPLETED)
@@ -91,39 +91,41 @@
         for task in self._tasks:
             task.cancel()
 
-    async def carry_out(self, order: Order) -> None:
-        """Send one order until it is settled, and again where the script says so."""
+    async def execute(self, order: Order) -> None:
+        """Send one order until its outcome is final, and again where the script says so."""
         base = await self._base_version(order)
-        verdict, answer = await self._send_until_settled(order, base)
+        verdict, response = await self._send_until_final(order, base)
         if verdict is Verdict.CONFLICT and order.rebuild_on_conflict:
             self._verdicts["rebuilt"] += 1
             order = attrs.evolve(order, order_id=f"{order.order_id}-rebuilt", base=Base.CURRENT)
             base = await self._base_version(order)
-            verdict, answer = await self._send_until_settled(order, base)
+            verdict, response = await self._send_until_final(order, base)
         self._verdicts[verdict.value] += 1
         for delay_s in order.resend_after_s:
             await self._sleep(delay_s)
             again = attrs.evolve(order, lost_acknowledgements=0)
-            _, second = await self._send_until_settled(again, base)
-            self._compare(order, answer, second)
+            _, second = await self._send_until_final(again, base)
+            self._compare(order, response, second)
 
-    async def _send_until_settled(self, order: Order, base: int | None) -> tuple[Verdict, Answer]:
+    async def _send_until_final(
+        self, order: Order, base: int | None
+    ) -> tuple[Verdict, CoreResponse]:
         retry = OrderRetry(order.lost_acknowledgements, self._clock() + self._script.give_up_s)
         attempt = 0
-        first_good: Answer | None = None
+        first_success: CoreResponse | None = None
         while True:
             attempt += 1
-            answer = await self._send(order, base, attempt)
-            if first_good is not None:
-                self._compare(order, first_good, answer)
-            elif answer.status == OK_STATUS:
-                first_good = answer
-            verdict = retry.after(answer.status, self._clock())
+            response = await self._send(order, base, attempt)
+            if first_success is not None:
+                self._compare(order, first_success, response)
+            elif response.status == OK_STATUS:
+                first_success = response
+            verdict = retry.after(response.status, self._clock())
             if verdict is not Verdict.RESEND:
-                return verdict, answer
+                return verdict, response
             await self._sleep(RESEND_DELAY_S)
 
-    async def _send(self, order: Order, base: int | None, attempt: int) -> Answer:
+    async def _send(self, order: Order, base: int | None, attempt: int) -> CoreResponse:
         core = self._core_for(order, attempt)
         body = {"baseVersion": base, "mode": order.mode, "resources": order.resources}
         self._journal.write(
@@ -136,19 +138,19 @@
             core=core,
             attempt=attempt,
         )
-        answer = await self._client.apply(core, order.order_id, body)
+        response = await self._client.apply(core, order.order_id, body)
         self._journal.write(
             "applied",
             order_id=order.order_id,
             name=order.name,
             core=core,
             attempt=attempt,
-            status=answer.status,
-            version=answer.body.get("version") if answer.status == OK_STATUS else None,
-            body=answer.body,
-            error=answer.error,
+            status=response.status,
+            version=response.body.get("version") if response.status == OK_STATUS else None,
+            body=response.body,
+            error=response.error,
         )
-        return answer
+        return response
 
     def _core_for(self, order: Order, attempt: int) -> str:
         """Return the core of an attempt: contenders of a race begin at different ones."""
@@ -176,7 +178,7 @@
         return await asyncio.shield(reading)
 
     async def _current_version(self) -> int | None:
-        """Return the highest version any core answers; None when none does."""
+        """Return the highest version that any core reports; None when no core responds."""
         cores = self._settings.cores
         versions = await asyncio.gather(*(self._client.version(core) for core in cores))
         known = [version for version in versions if version is not None]
@@ -192,24 +194,24 @@
                     continue
                 self._version_by_core[core] = version
                 lowered = before is not None and version < before
-                self._lowered += int(lowered)
+                self._version_regressions += int(lowered)
                 self._journal.write("observed", core=core, version=version, lowered=lowered)
             await self._sleep(self._script.observe_interval_s)
 
-    def _compare(self, order: Order, first: Answer, second: Answer) -> None:
-        """Count a resend that was answered otherwise than the order was at first."""
+    def _compare(self, order: Order, first: CoreResponse, second: CoreResponse) -> None:
+        """Count a resend whose response differs from the first one."""
         if first.status != OK_STATUS:
             return
         same_version = first.body.get("version") == second.body.get("version")
         if second.status == OK_STATUS and same_version:
             return
-        if second.status in (NO_ANSWER, UNAVAILABLE_STATUS):
+        if second.status in (NO_RESPONSE, UNAVAILABLE_STATUS):
             return
-        self._changed_answers += 1
+        self._changed_responses += 1
         self._journal.write("answer-changed", order_id=order.order_id, status=second.status)
 
 
-async def _wait(stop: asyncio.Event, seconds: float) -> None:
+async def _sleep_until_stopped(stop: asyncio.Event, seconds: float) -> None:
     if seconds <= 0:
         return
     waiting = asyncio.ensure_future(stop.wait())
--- a/src/zincvale/standins/platform.py
+++ b/src/zincvale/standins/platform.py
@@ -1,6 +1,6 @@
 """The platform stand-in: publishes a lagging server list, polls nodes, hands callers ready ones.
 
-The rig tells it what was replaced through `/admin/servers/NAME` and `/admin/nodes/NAME`.
+The rig reports replacements through `/admin/servers/NAME` and `/admin/nodes/NAME`.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     Parameters
     ----------
     settings : servers, nodes, lag and polling.
-    journal : what it saw and was told.
+    journal : what it polled and what the rig reported.
     clock : seconds on `CLOCK_BOOTTIME`.
     """
 
@@ -68,7 +68,7 @@
             ok = True
         except (HTTPClientError, OSError):
             ok = False
-        changed = self.readiness.polled(node, ok)
+        changed = self.readiness.record_poll(node, ok)
         if changed is not None:
             self.journal.write("node-ready" if changed else "node-unready", node=node)
 
@@ -77,11 +77,11 @@
     """Base of the platform's handlers."""
 
     def initialize(self, platform: Platform) -> None:
-        """Keep the platform."""
+        """Store the platform."""
         self.platform = platform
 
-    def answer(self, payload: object) -> None:
-        """Answer with JSON."""
+    def respond(self, payload: object) -> None:
+        """Respond with JSON."""
         self.set_header("Content-Type", "application/json")
         self.finish(orjson.dumps(payload))
 
@@ -90,18 +90,18 @@
     """`GET /v1/servers`."""
 
     def get(self) -> None:
-        """Answer with the list as it was some seconds ago."""
-        rows = self.platform.servers.shown(self.platform.clock())
-        self.answer({"servers": [row.to_dict() for row in rows]})
+        """Respond with the list as it was `list_lag_s` ago."""
+        rows = self.platform.servers.visible(self.platform.clock())
+        self.respond({"servers": [row.to_dict() for row in rows]})
 
 
 class NodesHandler(PlatformHandler):
     """`GET /v1/nodes`."""
 
     def get(self) -> None:
-        """Answer with the nodes that callers may use."""
+        """Respond with the nodes that callers may use."""
         rows = self.platform.readiness.ready_nodes()
-        self.answer({"nodes": [row.to_dict() for row in rows]})
+        self.respond({"nodes": [row.to_dict() for row in rows]})
 
 
 class AdminServerHandler(PlatformHandler):
@@ -113,13 +113,13 @@
         row = read_checked(ListedServer, data, f"server {name}")
         self.platform.servers.put(row, self.platform.clock())
         self.platform.journal.write("server-listed", server=name, address=row.address)
-        self.answer({"server": name})
+        self.respond({"server": name})
 
     def delete(self, name: str) -> None:
         """Take a server off the list; the list shows it after its lag."""
         self.platform.servers.remove(name, self.platform.clock())
         self.platform.journal.write("server-unlisted", server=name)
-        self.answer({"server": name})
+        self.respond({"server": name})
 
 
 class AdminNodeHandler(PlatformHandler):
@@ -130,13 +130,13 @@
         data = {**orjson.loads(self.request.body), "node": name}
         self.platform.readiness.put(read_checked(PolledNode, data, f"node {name}"))
         self.platform.journal.write("node-listed", node=name)
-        self.answer({"node": name})
+        self.respond({"node": name})
 
     def delete(self, name: str) -> None:
         """Stop polling a node and handing it out."""
         self.platform.readiness.remove(name)
         self.platform.journal.write("node-unlisted", node=name)
-        self.answer({"node": name})
+        self.respond({"node": name})
 
 
 def make_application(platform: Platform) -> Application:
--- a/src/zincvale/standins/platform_state.py
+++ b/src/zincvale/standins/platform_state.py
@@ -1,4 +1,4 @@
-"""What the platform believes: a server list that lags, and which nodes are ready. Pure."""
+"""State of the platform: a server list that lags, and the readiness of nodes. Pure."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
     Parameters
     ----------
-    lag_s : how far the list is behind the truth.
-    servers : the list at the start; it is shown from the first moment.
+    lag_s : how many seconds the visible list is behind the current one.
+    servers : the list at the start; it is visible at once.
     """
 
     def __init__(self, lag_s: float, servers: list[ListedServer]) -> None:
         self._lag_s = lag_s
-        self._truth = {row.server: row for row in servers}
+        self._current = {row.server: row for row in servers}
         self._changes: deque[tuple[float, dict[str, ListedServer]]] = deque()
-        self._shown = dict(self._truth)
+        self._visible = dict(self._current)
 
     def put(self, row: ListedServer, now: float) -> None:
         """Add or replace a server."""
-        self._truth[row.server] = row
-        self._changes.append((now, dict(self._truth)))
+        self._current[row.server] = row
+        self._changes.append((now, dict(self._current)))
 
     def remove(self, server: str, now: float) -> None:
         """Take a server off the list."""
-        self._truth.pop(server, None)
-        self._changes.append((now, dict(self._truth)))
+        self._current.pop(server, None)
+        self._changes.append((now, dict(self._current)))
 
-    def shown(self, now: float) -> list[ListedServer]:
+    def visible(self, now: float) -> list[ListedServer]:
         """Return the list as it was `lag_s` ago."""
         while self._changes and self._changes[0][0] + self._lag_s <= now:
-            _, self._shown = self._changes.popleft()
-        return [self._shown[name] for name in sorted(self._shown)]
+            _, self._visible = self._changes.popleft()
+        return [self._visible[name] for name in sorted(self._visible)]
 
 
 @attrs.define
@@ -73,8 +73,8 @@
         """Return the address of each polled node."""
         return {node: row.address for node, row in self._rows.items()}
 
-    def polled(self, node: str, ok: bool) -> bool | None:
-        """Take the result of one poll; returns the new readiness when it changed."""
+    def record_poll(self, node: str, ok: bool) -> bool | None:
+        """Record the result of one poll; return the new readiness when it changed."""
         row = self._rows.get(node)
         if row is None:
             return None
--- a/src/zincvale/standins/process.py
+++ b/src/zincvale/standins/process.py
@@ -45,8 +45,8 @@
 def run_until_stopped(body: Callable[[asyncio.Event], Awaitable[None]], max_seconds: float) -> None:
     """Run `body` with an event that is set when the process is to stop.
 
-    The event is set by SIGTERM or SIGINT, after `max_seconds`, and when the parent process is gone.
-    A process that is frozen while its parent dies is killed by the kernel.
+    The event is set by SIGTERM or SIGINT, after `max_seconds`, and when the parent process
+    has ended. A process that is frozen while its parent dies is killed by the kernel.
     """
     check_max_seconds(max_seconds)
     die_with_parent()
--- a/src/zincvale/standins/programs.py
+++ b/src/zincvale/standins/programs.py
@@ -1,4 +1,4 @@
-"""Assembles each stand-in program from its settings and runs it until it is told to stop."""
+"""Assembles each stand-in program from its settings and runs it until its stop event is set."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from zincvale.runtime.clock import suspend_aware_now
 from zincvale.standins import language_model_server, lookup_server, weight_store
 from zincvale.standins import platform as platform_server
-from zincvale.standins.back_end import BackEnd, new_place
+from zincvale.standins.back_end import BackEnd, new_identity
 from zincvale.standins.caller_client import CallerClient
 from zincvale.standins.callers import Callers
 from zincvale.standins.core_client import HttpCoreClient
@@ -46,11 +46,11 @@
         journal = Journal(settings.journal, suspend_aware_now)
         profile = settings.profile
         puller = WeightPuller(settings.server, profile.pull_bytes_per_second, settings.address_map)
-        place = new_place(settings.server, settings.pool, settings.zone)
-        model = LanguageModel(place, profile, journal, suspend_aware_now, puller, settings.seed)
+        identity = new_identity(settings.server, settings.pool, settings.zone)
+        model = LanguageModel(identity, profile, journal, suspend_aware_now, puller, settings.seed)
         server = listen(language_model_server.make_application(model), settings.address)
         _journal_start(model, profile.memory_bytes)
-        model.start_with(settings.resident)
+        model.preload(settings.resident)
         for behaviour in settings.behaviours:
             model.add_behaviour(behaviour)
         await stop.wait()
@@ -65,8 +65,8 @@
 
     async def body(stop: asyncio.Event) -> None:
         journal = Journal(settings.journal, suspend_aware_now)
-        place = new_place(settings.server, settings.pool, settings.zone)
-        lookup = Lookup(place, settings.profile, journal, suspend_aware_now, settings.seed)
+        identity = new_identity(settings.server, settings.pool, settings.zone)
+        lookup = Lookup(identity, settings.profile, journal, suspend_aware_now, settings.seed)
         server = listen(lookup_server.make_application(lookup), settings.address)
         _journal_start(lookup, 0)
         for behaviour in settings.behaviours:
@@ -136,7 +136,7 @@
 
 
 def operators_body(settings: OperatorsSettings) -> Body:
-    """Return the program that drives operators; it ends when every order is settled."""
+    """Return the program that drives operators; it ends when every order is final."""
     script = load_script(settings.script)
 
     async def body(stop: asyncio.Event) -> None:
@@ -156,13 +156,13 @@
 
 
 def _journal_start(back_end: BackEnd, memory_bytes: int) -> None:
-    place = back_end.place
+    identity = back_end.identity
     back_end.journal.write(
         "start",
-        server=place.server,
-        incarnation=place.incarnation,
-        zone=place.zone,
-        pool=place.pool,
+        server=identity.server,
+        incarnation=identity.incarnation,
+        zone=identity.zone,
+        pool=identity.pool,
         memory_bytes=memory_bytes,
     )
 
--- a/src/zincvale/standins/residency.py
+++ b/src/zincvale/standins/residency.py
@@ -1,6 +1,6 @@
-"""What a language-model server holds: models, adapters and the memory they take.
+"""Resident models and adapters of a language-model server, and the memory they take.
 
-Pure: the server pulls weights and calls `loaded` or `load_failed` when it is through.
+Pure: the server pulls weights and then calls `load_completed` or `load_failed`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,10 @@
 
 
 class WeightState(enum.Enum):
-    """Where a model or adapter is in its stay on the server."""
+    """State of a model or adapter on the server.
+
+    Legal transitions: LOADING -> LOADED, LOADED -> UNLOADING; an entry is removed from any state
+    (failed load, unload without users, last user of one that is UNLOADING)."""
 
     LOADING = "loading"
     LOADED = "loaded"
@@ -24,7 +27,7 @@
     MEMORY = "memory"
     BUSY = "busy"
     BASE_MODEL = "base-model"
-    NOT_HELD = "not-held"
+    NOT_RESIDENT = "not-held"
 
 
 @attrs.define
@@ -39,11 +42,11 @@
 
 
 @attrs.frozen
-class OrderAnswer:
-    """What became of an order: accepted, already so, or refused with `error`."""
+class OrderResult:
+    """Result of an order: accepted, already done, or refused with `error`."""
 
     error: OrderError | None = None
-    already: bool = False
+    is_already_done: bool = False
     removed: tuple[str, ...] = ()
     """Weights that left the memory at once."""
 
@@ -80,43 +83,43 @@
         weights = self.adapters.get(adapter)
         return _is_loaded(weights) and weights is not None and weights.base_model == model
 
-    def order_model_load(self, name: str, size_bytes: int, pinned_kv_bytes: int) -> OrderAnswer:
+    def order_model_load(self, name: str, size_bytes: int, pinned_kv_bytes: int) -> OrderResult:
         """Reserve memory for a model, or refuse."""
         if name in self.models:
-            return self._held_answer(self.models[name])
-        error = self._room_error(size_bytes, pinned_kv_bytes)
+            return self._result_for_existing(self.models[name])
+        error = self._capacity_error(size_bytes, pinned_kv_bytes)
         if error is None:
             self.models[name] = Weights(name, size_bytes, WeightState.LOADING)
-        return OrderAnswer(error)
+        return OrderResult(error)
 
     def order_adapter_load(
         self, name: str, base_model: str, size_bytes: int, pinned_kv_bytes: int
-    ) -> OrderAnswer:
+    ) -> OrderResult:
         """Reserve memory for an adapter of a loaded model, or refuse."""
         if name in self.adapters:
-            return self._held_answer(self.adapters[name])
+            return self._result_for_existing(self.adapters[name])
         if not _is_loaded(self.models.get(base_model)):
-            return OrderAnswer(OrderError.BASE_MODEL)
-        error = self._room_error(size_bytes, pinned_kv_bytes)
+            return OrderResult(OrderError.BASE_MODEL)
+        error = self._capacity_error(size_bytes, pinned_kv_bytes)
         if error is None:
             self.adapters[name] = Weights(name, size_bytes, WeightState.LOADING, base_model)
-        return OrderAnswer(error)
+        return OrderResult(error)
 
-    def order_model_unload(self, name: str) -> OrderAnswer:
+    def order_model_unload(self, name: str) -> OrderResult:
         """Begin to unload a model with its adapters; it leaves when nobody uses it."""
         if name not in self.models:
-            return OrderAnswer(OrderError.NOT_HELD)
+            return OrderResult(OrderError.NOT_RESIDENT)
         removed = []
         for adapter in self._adapters_of(name):
             removed += self._begin_unload(self.adapters, adapter)
         removed += self._begin_unload(self.models, self.models[name])
-        return OrderAnswer(removed=tuple(removed))
+        return OrderResult(removed=tuple(removed))
 
-    def order_adapter_unload(self, name: str) -> OrderAnswer:
+    def order_adapter_unload(self, name: str) -> OrderResult:
         """Begin to unload an adapter; it leaves when nobody uses it."""
         if name not in self.adapters:
-            return OrderAnswer(OrderError.NOT_HELD)
-        return OrderAnswer(removed=tuple(self._begin_unload(self.adapters, self.adapters[name])))
+            return OrderResult(OrderError.NOT_RESIDENT)
+        return OrderResult(removed=tuple(self._begin_unload(self.adapters, self.adapters[name])))
 
     def load_completed(self, name: str) -> bool:
         """Mark a load as complete; False when it was unloaded meanwhile."""
@@ -149,7 +152,7 @@
                 removed.append(weights.name)
         return tuple(removed)
 
-    def _room_error(self, size_bytes: int, pinned_kv_bytes: int) -> OrderError | None:
+    def _capacity_error(self, size_bytes: int, pinned_kv_bytes: int) -> OrderError | None:
         if self.used_bytes() + size_bytes + pinned_kv_bytes > self.memory_bytes:
             return OrderError.MEMORY
         loading = sum(1 for weights in self._all() if weights.state is WeightState.LOADING)
@@ -157,10 +160,10 @@
             return OrderError.BUSY
         return None
 
-    def _held_answer(self, weights: Weights) -> OrderAnswer:
+    def _result_for_existing(self, weights: Weights) -> OrderResult:
         if weights.state is WeightState.UNLOADING:
-            return OrderAnswer(OrderError.BUSY)
-        return OrderAnswer(already=True)
+            return OrderResult(OrderError.BUSY)
+        return OrderResult(is_already_done=True)
 
     def _begin_unload(self, table: dict[str, Weights], weights: Weights) -> list[str]:
         if weights.users:
--- a/src/zincvale/standins/stream_misbehaviour.py
+++ b/src/zincvale/standins/stream_misbehaviour.py
@@ -21,10 +21,10 @@
     def drawn_from(cls, back_end: BackEnd) -> StreamMisbehaviour:
         """Return what touches the stream that begins now."""
         return cls(
-            cut=back_end.strike(BehaviourKind.CUT_STREAM),
-            pause=back_end.strike(BehaviourKind.PAUSE_STREAM),
-            skip=back_end.strike(BehaviourKind.SKIP_PIECE),
-            repeat=back_end.strike(BehaviourKind.REPEAT_PIECE),
+            cut=back_end.draw(BehaviourKind.CUT_STREAM),
+            pause=back_end.draw(BehaviourKind.PAUSE_STREAM),
+            skip=back_end.draw(BehaviourKind.SKIP_CHUNK),
+            repeat=back_end.draw(BehaviourKind.REPEAT_CHUNK),
         )
 
     def cuts_after(self, token: int) -> bool:
@@ -32,12 +32,12 @@
         return self.cut is not None and token >= self.cut.after_tokens
 
     def pause_before(self, token: int) -> float:
-        """Return how many seconds the server is silent before `token`."""
+        """Return how many seconds the server pauses before `token`."""
         if self.pause is None or token != self.pause.after_tokens + 1:
             return 0.0
         return self.pause.delay_s
 
-    def copies(self, token: int) -> int:
+    def send_count(self, token: int) -> int:
         """Return how often `token` is sent: once, twice or not at all."""
         if self.skip is not None and token == self.skip.after_tokens + 1:
             return 0
--- a/src/zincvale/standins/weight_puller.py
+++ b/src/zincvale/standins/weight_puller.py
@@ -18,7 +18,7 @@
 
 
 class PullError(Exception):
-    """The weights did not arrive whole."""
+    """The weights did not arrive completely."""
 
 
 class WeightPuller:
@@ -38,11 +38,11 @@
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=MAX_CONCURRENT_PULLS)
 
     async def pull(
-        self, store: str, name: str, size_bytes: int, wanted: Callable[[], bool]
+        self, store: str, name: str, size_bytes: int, is_needed: Callable[[], bool]
     ) -> None:
         """Return when all of `name` has arrived; raises `PullError`.
 
-        `wanted` is asked while bytes arrive; the pull breaks off when it says no.
+        `is_needed` is polled while bytes arrive; the pull is aborted once it returns False.
         """
         address = dialled_address(store, self._address_map)
         query = f"bytes={size_bytes}&puller={self._puller}&rate={self._bytes_per_second}"
@@ -50,7 +50,7 @@
             f"http://{address}/v1/weights/{name}?{query}",
             connect_timeout=CONNECT_TIMEOUT_S,
             request_timeout=NO_TOTAL_TIMEOUT,
-            prepare_curl_callback=lambda curl: _watch(curl, wanted),
+            prepare_curl_callback=lambda curl: _watch(curl, is_needed),
         )
         try:
             await self._client.fetch(request)
@@ -58,12 +58,12 @@
             raise PullError(str(error)) from error
 
     def close(self) -> None:
-        """Break off every pull."""
+        """Abort every pull."""
         self._client.close()
 
 
-def _watch(curl: Any, wanted: Callable[[], bool]) -> None:
+def _watch(curl: Any, is_needed: Callable[[], bool]) -> None:
     curl.setopt(pycurl.LOW_SPEED_LIMIT, 1)
     curl.setopt(pycurl.LOW_SPEED_TIME, STALL_TIMEOUT_S)
     curl.setopt(pycurl.NOPROGRESS, 0)
-    curl.setopt(pycurl.XFERINFOFUNCTION, lambda *sizes: 0 if wanted() else 1)
+    curl.setopt(pycurl.XFERINFOFUNCTION, lambda *sizes: 0 if is_needed() else 1)
--- a/src/zincvale/standins/weight_store.py
+++ b/src/zincvale/standins/weight_store.py
@@ -59,11 +59,11 @@
     """`GET /status`."""
 
     def initialize(self, store: WeightStore) -> None:
-        """Keep the store."""
+        """Store the weight store."""
         self.store = store
 
     def get(self) -> None:
-        """Answer with the pulls in progress."""
+        """Respond with the pulls in progress."""
         self.set_header("Content-Type", "application/json")
         self.finish(
             orjson.dumps({"store": self.store.store, "pulls": self.store.bandwidth.count()})
@@ -73,15 +73,15 @@
 class WeightsHandler(RequestHandler):
     """`GET /v1/weights/NAME?bytes=N&puller=&rate=`."""
 
-    _gone = False
+    _is_client_disconnected = False
 
     def initialize(self, store: WeightStore) -> None:
-        """Keep the store."""
+        """Store the weight store."""
         self.store = store
 
     def on_connection_close(self) -> None:
-        """Note that the puller went away."""
-        self._gone = True
+        """Mark the client as disconnected."""
+        self._is_client_disconnected = True
 
     async def get(self, name: str) -> None:
         """Send the weights, or refuse a pull beyond what operators allow."""
@@ -98,12 +98,12 @@
         try:
             await self._send(pull)
         except StreamClosedError:
-            self._gone = True
+            self._is_client_disconnected = True
         finally:
             store.bandwidth.close(pull.pull_id, store.clock())
             self._write_row("pull-end", pull, name, puller, int(pull.sent_bytes))
-        if not self._gone:
-            self.finish(self._last_piece)
+        if not self._is_client_disconnected:
+            self.finish(self._last_chunk)
 
     async def _send(self, pull: Pull) -> None:
         real_bytes = -(-pull.size_bytes // DECLARED_BYTES_PER_REAL_BYTE)
@@ -112,12 +112,12 @@
         self.set_header(SCALE_HEADER, str(DECLARED_BYTES_PER_REAL_BYTE))
         await self.flush()
         written = 0
-        while not self._gone:
+        while not self._is_client_disconnected:
             self.store.bandwidth.advance(self.store.clock())
             if pull.complete():
-                # The last piece goes out after the pull is closed: who has everything may start
-                # the next pull at once and must find the place free.
-                self._last_piece = bytes(real_bytes - written)
+                # The last chunk goes out after the pull is closed: a puller that has everything may
+                # start the next pull at once and must find the pull slot free.
+                self._last_chunk = bytes(real_bytes - written)
                 return
             due = min(real_bytes - 1, int(pull.sent_bytes) // DECLARED_BYTES_PER_REAL_BYTE)
             if due > written:
--- a/tests/standins/test_back_end_parts.py
+++ b/tests/standins/test_back_end_parts.py
@@ -59,19 +59,19 @@
 class BehaviourTableTest(TestCase):
     def test_count_time_and_kind_bound_a_behaviour(self):
         table = BehaviourTable(random.Random(1))
-        table.add(Behaviour(BehaviourKind.DROP_ANSWER, count=1, seconds=5.0), now=10.0)
-        self.assertIsNone(table.strike(BehaviourKind.REFUSE, 11.0))
-        self.assertIsNotNone(table.strike(BehaviourKind.DROP_ANSWER, 11.0))
-        self.assertIsNone(table.strike(BehaviourKind.DROP_ANSWER, 11.0))
-        table.add(Behaviour(BehaviourKind.DROP_ANSWER, seconds=5.0), now=10.0)
-        self.assertIsNone(table.strike(BehaviourKind.DROP_ANSWER, 15.0))
-        self.assertEqual([], table.in_force(15.0))
+        table.add(Behaviour(BehaviourKind.DROP_RESPONSE, count=1, seconds=5.0), now=10.0)
+        self.assertIsNone(table.draw(BehaviourKind.REFUSE, 11.0))
+        self.assertIsNotNone(table.draw(BehaviourKind.DROP_RESPONSE, 11.0))
+        self.assertIsNone(table.draw(BehaviourKind.DROP_RESPONSE, 11.0))
+        table.add(Behaviour(BehaviourKind.DROP_RESPONSE, seconds=5.0), now=10.0)
+        self.assertIsNone(table.draw(BehaviourKind.DROP_RESPONSE, 15.0))
+        self.assertEqual([], table.active(15.0))
 
     def test_probability_is_seeded(self):
         table = BehaviourTable(random.Random(7))
         table.add(Behaviour(BehaviourKind.REFUSE, probability=0.3), now=0.0)
-        struck = sum(table.strike(BehaviourKind.REFUSE, 1.0) is not None for _ in range(1000))
-        self.assertEqual(336, struck)
+        drawn = sum(table.draw(BehaviourKind.REFUSE, 1.0) is not None for _ in range(1000))
+        self.assertEqual(336, drawn)
 
     def test_slow_factors_multiply_until_cleared(self):
         table = BehaviourTable(random.Random(1))
@@ -90,25 +90,27 @@
         listing = LaggingList(3.0, [self._row("s1", "127.0.0.1:1")])
         listing.put(self._row("s2", "127.0.0.1:2"), 10.0)
         listing.remove("s1", 11.0)
-        names = [[row.server for row in listing.shown(now)] for now in (10.0, 12.9, 13.0, 14.0)]
+        names = [[row.server for row in listing.visible(now)] for now in (10.0, 12.9, 13.0, 14.0)]
         self.assertEqual([["s1"], ["s1"], ["s1", "s2"], ["s2"]], names)
 
     def test_a_replaced_server_shows_its_new_address_late(self):
         listing = LaggingList(3.0, [self._row("s1", "127.0.0.1:1")])
         listing.put(self._row("s1", "127.0.0.1:9"), 0.0)
-        self.assertEqual("127.0.0.1:1", listing.shown(2.0)[0].address)
-        self.assertEqual("127.0.0.1:9", listing.shown(3.0)[0].address)
+        self.assertEqual("127.0.0.1:1", listing.visible(2.0)[0].address)
+        self.assertEqual("127.0.0.1:9", listing.visible(3.0)[0].address)
 
     def test_a_node_is_handed_out_after_one_good_poll_until_two_bad_ones(self):
         readiness = NodeReadiness([PolledNode("n1", "127.0.0.1:1")], unready_after_polls=2)
-        changes = [readiness.polled("n1", ok) for ok in (False, True, False, True, False, False)]
+        changes = [
+            readiness.record_poll("n1", ok) for ok in (False, True, False, True, False, False)
+        ]
         self.assertEqual([None, True, None, None, None, False], changes)
         self.assertEqual([], readiness.ready_nodes())
 
     def test_a_replaced_node_is_unready_until_polled(self):
         readiness = NodeReadiness([PolledNode("n1", "127.0.0.1:1")], unready_after_polls=2)
-        readiness.polled("n1", True)
+        readiness.record_poll("n1", True)
         readiness.put(PolledNode("n1", "127.0.0.1:2"))
         self.assertEqual([], readiness.ready_nodes())
         readiness.remove("n1")
-        self.assertIsNone(readiness.polled("n1", True))
+        self.assertIsNone(readiness.record_poll("n1", True))
--- a/tests/standins/test_http.py
+++ b/tests/standins/test_http.py
@@ -11,24 +11,24 @@
 
 from tests.standins.helpers import MemoryJournal, TickingClock
 from zincvale.standins import language_model_server, lookup_server, weight_store
-from zincvale.standins.back_end import Place
+from zincvale.standins.back_end import ServerIdentity
 from zincvale.standins.deployment import LanguageModelProfile, LookupProfile
 from zincvale.standins.generation import GenerationKey, full_response, lookup_value
 from zincvale.standins.language_model import LanguageModel
 from zincvale.standins.settings import ResidentModel
 from zincvale.standins.weight_puller import PullError
 
-PLACE = Place("s1", "pool", "zone-a", "incarnation-1")
+PLACE = ServerIdentity("s1", "pool", "zone-a", "incarnation-1")
 KEY = GenerationKey("m", "", "hello world", 12)
 
 
-class HeldPuller:
+class ControlledPuller:
     """Pulls that end when the test says so."""
 
     def __init__(self):
         self.pulls = {}
 
-    async def pull(self, store, name, size_bytes, wanted):
+    async def pull(self, store, name, size_bytes, is_needed):
         self.pulls[name] = asyncio.get_running_loop().create_future()
         await self.pulls[name]
 
@@ -73,13 +73,13 @@
     def setUp(self):
         super().setUp()
         self.journal = MemoryJournal()
-        self.puller = HeldPuller()
+        self.puller = ControlledPuller()
 
     def serve(self, exchange):
         def make_application():
             profile = LanguageModelProfile(100_000_000, 1, ramp_s=0.0, kv_cache_bytes=40_000_000)
             self.model = LanguageModel(PLACE, profile, self.journal, TickingClock(), self.puller)
-            self.model.start_with([ResidentModel("m", 1000, {"a": 10})])
+            self.model.preload([ResidentModel("m", 1000, {"a": 10})])
             return language_model_server.make_application(self.model)
 
         self.run_with(make_application, exchange)
--- a/tests/standins/test_operators_parts.py
+++ b/tests/standins/test_operators_parts.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from tests.standins.helpers import MemoryJournal, TickingClock
-from zincvale.standins.core_client import Answer
+from zincvale.standins.core_client import CoreResponse
 from zincvale.standins.operator_retry import OrderRetry, Verdict
 from zincvale.standins.operator_script import (
     Base,
@@ -42,7 +42,7 @@
         verdicts = [retry.after(200, 0.0), retry.after(200, 0.0)]
         self.assertEqual([Verdict.RESEND, Verdict.ACKNOWLEDGED], verdicts)
 
-    def test_no_answer_and_not_confirmed_are_sent_again_until_given_up(self):
+    def test_no_response_and_not_confirmed_are_sent_again_until_given_up(self):
         retry = OrderRetry(0, give_up_at=10.0)
         for status in (0, 500, 503, 504):
             self.assertEqual(Verdict.RESEND, retry.after(status, 9.0))
@@ -60,7 +60,7 @@
     def __init__(self, steps=()):
         self.steps = list(steps)
         self.current = 7
-        self.first_answers = {}
+        self.first_responses = {}
 
     async def version(self, core):
         return self.current
@@ -69,19 +69,19 @@
         scripted = self.steps.pop(0) if self.steps else None
         if scripted is not None:
             return scripted
-        if order_id in self.first_answers:
-            return self.first_answers[order_id]
+        if order_id in self.first_responses:
+            return self.first_responses[order_id]
         base = body["baseVersion"]
         if base is not None and base != self.current:
-            return Answer(409, {"current_version": self.current})
+            return CoreResponse(409, {"current_version": self.current})
         self.current += 1
-        answer = Answer(200, {"version": self.current, "order_id": order_id})
-        self.first_answers[order_id] = answer
+        answer = CoreResponse(200, {"version": self.current, "order_id": order_id})
+        self.first_responses[order_id] = answer
         return answer
 
 
 class OperatorsTest(TestCase):
-    def carry_out(self, script, steps=()):
+    def execute(self, script, steps=()):
         self.cores = ScriptedCores(steps)
         self.journal = MemoryJournal()
         settings = OperatorsSettings("", ["core-a", "core-b", "core-c"], "", "", seed=2)
@@ -92,38 +92,38 @@
         operators = Operators(settings, script, self.cores, self.journal, TickingClock(), sleep)
 
         async def run():
-            await asyncio.gather(*(operators.carry_out(order) for order in orders(script, 2)))
+            await asyncio.gather(*(operators.execute(order) for order in orders(script, 2)))
 
         asyncio.run(run())
         return operators.summary()
 
-    def answers(self):
+    def responses(self):
         rows = [row for row in self.journal.rows if row["event"] == "applied"]
         return [(row["order_id"], row["status"], row["version"]) for row in rows]
 
     def test_an_order_goes_on_until_it_is_acknowledged(self):
         script = OperatorScript([ScriptedChange(0.0, [POOL])])
-        summary = self.carry_out(script, [Answer(0, {}, "gone"), Answer(503, {})])
-        statuses = [status for _, status, _ in self.answers()]
+        summary = self.execute(script, [CoreResponse(0, {}, "gone"), CoreResponse(503, {})])
+        statuses = [status for _, status, _ in self.responses()]
         self.assertEqual([0, 503, 200], statuses)
-        self.assertEqual(1, len({order_id for order_id, _, _ in self.answers()}))
+        self.assertEqual(1, len({order_id for order_id, _, _ in self.responses()}))
         self.assertEqual({"acknowledged": 1}, summary["verdicts"])
 
-    def test_a_resent_order_has_its_first_answer(self):
+    def test_a_resent_order_has_its_first_response(self):
         change = ScriptedChange(0.0, [POOL], lost_acknowledgements=1, resend_after_s=[9.0])
-        summary = self.carry_out(OperatorScript([change]))
-        self.assertEqual([8, 8, 8], [version for _, _, version in self.answers()])
+        summary = self.execute(OperatorScript([change]))
+        self.assertEqual([8, 8, 8], [version for _, _, version in self.responses()])
         self.assertEqual(0, summary["changed_answers"])
 
-    def test_a_resent_order_with_another_answer_is_counted(self):
+    def test_a_resent_order_with_another_response_is_counted(self):
         change = ScriptedChange(0.0, [POOL], lost_acknowledgements=1)
-        summary = self.carry_out(OperatorScript([change]), [None, Answer(409, {})])
+        summary = self.execute(OperatorScript([change]), [None, CoreResponse(409, {})])
         self.assertEqual(1, summary["changed_answers"])
-        summary = self.carry_out(OperatorScript([change]), [None, Answer(200, {"version": 99})])
+        summary = self.execute(OperatorScript([change]), [None, CoreResponse(200, {"version": 99})])
         self.assertEqual(1, summary["changed_answers"])
 
     def test_of_two_contenders_one_wins(self):
-        summary = self.carry_out(OperatorScript(races=[ScriptedRace(0.0, [[POOL], [POOL]])]))
+        summary = self.execute(OperatorScript(races=[ScriptedRace(0.0, [[POOL], [POOL]])]))
         sent = [row for row in self.journal.rows if row["event"] == "apply"]
         self.assertEqual([7, 7], [row["base_version"] for row in sent])
         self.assertEqual({"core-a", "core-b"}, {row["core"] for row in sent})
@@ -131,6 +131,6 @@
 
     def test_a_stale_change_loses_and_may_be_built_anew(self):
         change = ScriptedChange(0.0, [POOL], base=Base.STALE, rebuild_on_conflict=True)
-        summary = self.carry_out(OperatorScript([change]))
-        self.assertEqual([409, 200], [status for _, status, _ in self.answers()])
+        summary = self.execute(OperatorScript([change]))
+        self.assertEqual([409, 200], [status for _, status, _ in self.responses()])
         self.assertEqual({"rebuilt": 1, "acknowledged": 1}, summary["verdicts"])
--- a/tests/standins/test_platform_http.py
+++ b/tests/standins/test_platform_http.py
@@ -37,7 +37,7 @@
     def test_only_ready_nodes_are_handed_out(self):
         async def exchange():
             self.assertEqual((200, {"nodes": []}), await self.call("GET", "/v1/nodes"))
-            self.platform.readiness.polled("n1", True)
+            self.platform.readiness.record_poll("n1", True)
             _, answer = await self.call("GET", "/v1/nodes")
             self.assertEqual([{"node": "n1", "address": "127.0.0.1:2"}], answer["nodes"])
             await self.call("DELETE", "/admin/nodes/n1")
--- a/tests/standins/test_residency.py
+++ b/tests/standins/test_residency.py
@@ -8,7 +8,7 @@
         super().setUp()
         self.residency = Residency(memory_bytes=100, max_concurrent_loads=2)
 
-    def _hold(self, model, size_bytes):
+    def _load(self, model, size_bytes):
         self.residency.order_model_load(model, size_bytes, 0)
         self.residency.load_completed(model)
 
@@ -26,24 +26,24 @@
             self.residency.order_model_load(model, 10, 0)
         self.assertEqual(OrderError.BUSY, self.residency.order_model_load("o", 10, 0).error)
 
-    def test_a_held_model_is_not_loaded_again(self):
-        self._hold("m", 60)
-        self.assertTrue(self.residency.order_model_load("m", 60, 0).already)
+    def test_a_resident_model_is_not_loaded_again(self):
+        self._load("m", 60)
+        self.assertTrue(self.residency.order_model_load("m", 60, 0).is_already_done)
         self.assertEqual(60, self.residency.used_bytes())
 
     def test_an_adapter_needs_its_base_model(self):
         self.residency.order_model_load("m", 10, 0)
-        answer = self.residency.order_adapter_load("a", "m", 1, 0)
-        self.assertEqual(OrderError.BASE_MODEL, answer.error)
+        result = self.residency.order_adapter_load("a", "m", 1, 0)
+        self.assertEqual(OrderError.BASE_MODEL, result.error)
         self.residency.load_completed("m")
         self.assertIsNone(self.residency.order_adapter_load("a", "m", 1, 0).error)
         self.residency.load_completed("a")
-        self._hold("n", 10)
+        self._load("n", 10)
         self.assertTrue(self.residency.serves("m", "a"))
         self.assertFalse(self.residency.serves("n", "a"))
 
     def test_a_model_in_use_leaves_with_its_last_request(self):
-        self._hold("m", 60)
+        self._load("m", 60)
         self.residency.acquire("m", "")
         self.assertEqual((), self.residency.order_model_unload("m").removed)
         self.assertEqual(WeightState.UNLOADING, self.residency.models["m"].state)
@@ -53,7 +53,7 @@
         self.assertEqual(0, self.residency.used_bytes())
 
     def test_a_model_takes_its_adapters_along(self):
-        self._hold("m", 60)
+        self._load("m", 60)
         self.residency.order_adapter_load("a", "m", 5, 0)
         self.assertEqual(("a", "m"), self.residency.order_model_unload("m").removed)
         self.assertFalse(self.residency.load_completed("a"))
@@ -63,6 +63,6 @@
         self.residency.load_failed("m")
         self.assertEqual(0, self.residency.used_bytes())
 
-    def test_unloading_what_is_not_held_says_so(self):
-        self.assertEqual(OrderError.NOT_HELD, self.residency.order_model_unload("m").error)
-        self.assertEqual(OrderError.NOT_HELD, self.residency.order_adapter_unload("a").error)
+    def test_unloading_what_is_not_resident_is_an_error(self):
+        self.assertEqual(OrderError.NOT_RESIDENT, self.residency.order_model_unload("m").error)
+        self.assertEqual(OrderError.NOT_RESIDENT, self.residency.order_adapter_unload("a").error)
