--- a/src/zincvale/fleet/demand.py
+++ b/src/zincvale/fleet/demand.py
@@ -9,7 +9,7 @@
 from zincvale.fleet.fault_kinds import CrowdComes, PopularityShifts, RareModelsWanted
 from zincvale.model.errors import InvalidInputError
 from zincvale.standins.deployment import LOADS_FOLDER
-from zincvale.standins.load_spec import Crowd, LoadSpec, RareModels, load_load_spec
+from zincvale.standins.load.spec import Crowd, LoadSpec, RareModels, load_load_spec
 
 LOAD_SUFFIX = ".yaml"
 
--- a/src/zincvale/fleet/run_inputs.py
+++ b/src/zincvale/fleet/run_inputs.py
@@ -13,7 +13,7 @@
 from zincvale.fleet.run_options import RunOptions, find_deployment
 from zincvale.model.resources import Document
 from zincvale.standins.deployment import Deployment, load_deployment, load_intent
-from zincvale.standins.load_spec import LoadSpec
+from zincvale.standins.load.spec import LoadSpec
 
 
 @attrs.frozen
--- a/src/zincvale/simulator/what_if/attempt.py
+++ b/src/zincvale/simulator/what_if/attempt.py
@@ -18,9 +18,9 @@
 from zincvale.simulator.what_if.node import VirtualNode
 from zincvale.simulator.what_if.request import VirtualRequest
 from zincvale.simulator.what_if.timings import Timings
-from zincvale.standins.caller_progress import NodePicker
-from zincvale.standins.caller_retry import AttemptOutcome, AttemptResult
-from zincvale.standins.request_plan import Plan, Planner
+from zincvale.standins.load.progress import NodePicker
+from zincvale.standins.load.request_plan import Plan, Planner
+from zincvale.standins.load.retry import AttemptOutcome, AttemptResult
 
 
 @attrs.define(eq=False)
--- a/src/zincvale/simulator/what_if/callers.py
+++ b/src/zincvale/simulator/what_if/callers.py
@@ -9,16 +9,16 @@
 
 from zincvale.simulator.what_if.attempt import CallerAttempt, CallersContext
 from zincvale.simulator.what_if.figures import RequestRow
-from zincvale.standins.arrivals import Arrival, arrivals
-from zincvale.standins.caller_progress import NodePicker
-from zincvale.standins.caller_retry import (
+from zincvale.standins.load.arrivals import Arrival, arrivals
+from zincvale.standins.load.progress import NodePicker
+from zincvale.standins.load.request_plan import Conversation, Plan
+from zincvale.standins.load.retry import (
     AttemptOutcome,
     AttemptResult,
     CallerRetry,
     Resend,
 )
-from zincvale.standins.load_spec import LoadSpec
-from zincvale.standins.request_plan import Conversation, Plan
+from zincvale.standins.load.spec import LoadSpec
 
 Then = Callable[[bool], None]
 
--- a/src/zincvale/simulator/what_if/engine.py
+++ b/src/zincvale/simulator/what_if/engine.py
@@ -11,7 +11,7 @@
 import attrs
 
 from zincvale.standins.deployment import LanguageModelProfile
-from zincvale.standins.engine import Engine, Finished, TokenEmitted, _Step
+from zincvale.standins.language_model.engine import Engine, Finished, TokenEmitted, _Step
 
 ROUNDING = 1e-6
 """Part of a step that sums of step lengths may be off."""
--- a/src/zincvale/simulator/what_if/figures.py
+++ b/src/zincvale/simulator/what_if/figures.py
@@ -10,7 +10,7 @@
 import attrs
 import numpy
 
-from zincvale.standins.caller_retry import AttemptOutcome, AttemptResult
+from zincvale.standins.load.retry import AttemptOutcome, AttemptResult
 
 PERCENTILES = (50, 95, 99)
 ANSWERED = AttemptOutcome.ANSWERED.value
--- a/src/zincvale/simulator/what_if/lookup.py
+++ b/src/zincvale/simulator/what_if/lookup.py
@@ -13,7 +13,7 @@
 from zincvale.simulator.what_if.servers import ExchangeListener, VirtualServer, do_nothing
 from zincvale.standins.deployment import LookupProfile
 from zincvale.standins.generation import GenerationKey
-from zincvale.standins.lookup import LookupLimiter
+from zincvale.standins.lookup.rate_limiter import LookupLimiter
 
 
 @attrs.define(eq=False)
--- a/src/zincvale/simulator/what_if/machines.py
+++ b/src/zincvale/simulator/what_if/machines.py
@@ -29,7 +29,7 @@
 from zincvale.simulator.what_if.timings import Timings
 from zincvale.standins.assemble import DEFAULT_MAX_CONCURRENT_LOADS
 from zincvale.standins.deployment import BackEndServer, Deployment
-from zincvale.standins.load_spec import LoadSpec
+from zincvale.standins.load.spec import LoadSpec
 
 
 @attrs.frozen
--- a/src/zincvale/simulator/what_if/run.py
+++ b/src/zincvale/simulator/what_if/run.py
@@ -34,8 +34,8 @@
 )
 from zincvale.simulator.what_if.node import VirtualNode
 from zincvale.simulator.what_if.servers import VirtualLanguageModel
-from zincvale.standins.platform_state import NodeReadiness
-from zincvale.standins.request_plan import Planner
+from zincvale.standins.load.request_plan import Planner
+from zincvale.standins.platform.state import NodeReadiness
 from zincvale.standins.settings import PolledNode
 
 DRAIN_LIMIT_S = 60.0
--- a/src/zincvale/simulator/what_if/servers.py
+++ b/src/zincvale/simulator/what_if/servers.py
@@ -18,9 +18,14 @@
 from zincvale.simulator.what_if.engine import StepSkippingEngine
 from zincvale.simulator.what_if.stores import VirtualStore
 from zincvale.standins.deployment import LanguageModelProfile
-from zincvale.standins.engine import Finished, Refusal
 from zincvale.standins.generation import GenerationKey
-from zincvale.standins.residency import OrderError, OrderResult, Residency, WeightState
+from zincvale.standins.language_model.engine import Finished, Refusal
+from zincvale.standins.language_model.residency import (
+    OrderError,
+    OrderResult,
+    Residency,
+    WeightState,
+)
 
 END_BY_REFUSAL = {
     Refusal.OVERLOADED: ExchangeEnd.OVERLOADED,
--- a/src/zincvale/simulator/what_if/stores.py
+++ b/src/zincvale/simulator/what_if/stores.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from zincvale.simulator.what_if.clock import Timer, VirtualClock
-from zincvale.standins.bandwidth import LONGEST_ADVANCE_S, Pull, SharedBandwidth
+from zincvale.standins.weight_store.bandwidth import LONGEST_ADVANCE_S, Pull, SharedBandwidth
 
 ROUNDING_BYTES = 1.0
 
--- a/src/zincvale/standins/deployment.py
+++ b/src/zincvale/standins/deployment.py
@@ -4,7 +4,7 @@
 
 - `deployment.yaml`: which machines there are, where, how large and how fast (`Deployment`);
 - `intent.yaml`: the resources that operators apply first (documents `kind`, `name`, `spec`);
-- `loads/SHAPE.yaml`: what callers do (`zincvale.standins.load_spec`).
+- `loads/SHAPE.yaml`: what callers do (`zincvale.standins.load.spec`).
 
 Hosts are written as the last two numbers of a loopback address; `network` holds the first two, so
 that a whole deployment can be moved to another loopback network (`moved_to`).
--- a/src/zincvale/standins/engine.py
+++ b/src/zincvale/standins/language_model/engine.py
@@ -14,7 +14,7 @@
 
 from zincvale.standins.deployment import LanguageModelProfile
 from zincvale.standins.generation import Generation, GenerationKey
-from zincvale.standins.kv_cache import KvAllocation, KvCache
+from zincvale.standins.language_model.kv_cache import KvAllocation, KvCache
 
 PREFILL_CHUNK_TOKENS = 512
 MAX_LATENESS_S = 0.05
--- a/src/zincvale/standins/language_model_server.py
+++ b/src/zincvale/standins/language_model/http_handlers.py
@@ -13,11 +13,11 @@
 from zincvale.model.checked import Checked, read_checked
 from zincvale.standins.back_end import BackEndHandler, BehaviourHandler
 from zincvale.standins.behaviours import BehaviourKind
-from zincvale.standins.engine import Finished, Refusal, TokenEmitted
 from zincvale.standins.generation import GenerationKey
-from zincvale.standins.language_model import EngineEvent, LanguageModel, Run
-from zincvale.standins.residency import OrderError, OrderResult, WeightState
-from zincvale.standins.stream_misbehaviour import StreamMisbehaviour
+from zincvale.standins.language_model.engine import Finished, Refusal, TokenEmitted
+from zincvale.standins.language_model.residency import OrderError, OrderResult, WeightState
+from zincvale.standins.language_model.server import EngineEvent, LanguageModel, Run
+from zincvale.standins.language_model.stream_misbehaviour import StreamMisbehaviour
 
 STATUS_BY_ORDER_ERROR = {
     OrderError.MEMORY: 409,
--- a/src/zincvale/standins/language_model.py
+++ b/src/zincvale/standins/language_model/server.py
@@ -11,12 +11,12 @@
 
 from zincvale.standins.back_end import BackEnd, ServerIdentity
 from zincvale.standins.deployment import LanguageModelProfile
-from zincvale.standins.engine import Engine, Finished, Refusal, TokenEmitted
 from zincvale.standins.generation import GenerationKey, text_digest
 from zincvale.standins.journal import JournalWriter
-from zincvale.standins.residency import OrderResult, Residency
+from zincvale.standins.language_model.engine import Engine, Finished, Refusal, TokenEmitted
+from zincvale.standins.language_model.residency import OrderResult, Residency
+from zincvale.standins.language_model.weight_puller import PullError
 from zincvale.standins.settings import ResidentModel
-from zincvale.standins.weight_puller import PullError
 
 EngineEvent = TokenEmitted | Finished
 
--- a/src/zincvale/standins/arrivals.py
+++ b/src/zincvale/standins/load/arrivals.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from zincvale.standins.load_spec import CallerSpec, LoadSpec, RareModels
+from zincvale.standins.load.spec import CallerSpec, LoadSpec, RareModels
 
 
 @attrs.frozen(order=True)
--- a/src/zincvale/standins/callers.py
+++ b/src/zincvale/standins/load/callers.py
@@ -10,22 +10,22 @@
 import attrs
 from tornado.httpclient import HTTPClientError
 
-from zincvale.standins.answer_check import ResponseCheck
-from zincvale.standins.arrivals import Arrival, arrivals
-from zincvale.standins.caller_client import Attempt
-from zincvale.standins.caller_journal import CallerJournal
-from zincvale.standins.caller_progress import NodePicker, RequestProgress
-from zincvale.standins.caller_retry import (
+from zincvale.standins.journal import JournalWriter
+from zincvale.standins.load.arrivals import Arrival, arrivals
+from zincvale.standins.load.http_client import Attempt
+from zincvale.standins.load.journal_rows import CallerJournal
+from zincvale.standins.load.progress import NodePicker, RequestProgress
+from zincvale.standins.load.request_plan import Plan, Planner
+from zincvale.standins.load.response_check import ResponseCheck
+from zincvale.standins.load.retry import (
     AttemptOutcome,
     AttemptResult,
     CallerRetry,
     RequestDone,
     Resend,
 )
-from zincvale.standins.caller_summary import Summary
-from zincvale.standins.journal import JournalWriter
-from zincvale.standins.load_spec import LoadSpec
-from zincvale.standins.request_plan import Plan, Planner
+from zincvale.standins.load.spec import LoadSpec
+from zincvale.standins.load.summary import Summary
 from zincvale.standins.settings import CallersSettings
 
 NODE_LIST_INTERVAL_S = 0.5
--- a/src/zincvale/standins/caller_client.py
+++ b/src/zincvale/standins/load/http_client.py
@@ -20,10 +20,10 @@
     UNKNOWN_HTTP_STATUS,
     Outcome,
 )
-from zincvale.standins.answer_check import ResponseCheck
-from zincvale.standins.caller_retry import AttemptOutcome, AttemptResult
-from zincvale.standins.event_stream import EventStreamReader, StreamEvent
-from zincvale.standins.request_plan import Plan
+from zincvale.standins.load.event_stream import EventStreamReader, StreamEvent
+from zincvale.standins.load.request_plan import Plan
+from zincvale.standins.load.response_check import ResponseCheck
+from zincvale.standins.load.retry import AttemptOutcome, AttemptResult
 from zincvale.standins.settings import dialled_address
 
 CONNECT_TIMEOUT_S = 1.0
--- a/src/zincvale/standins/caller_journal.py
+++ b/src/zincvale/standins/load/journal_rows.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from zincvale.standins.caller_client import Attempt
-from zincvale.standins.caller_progress import RequestProgress
 from zincvale.standins.generation import text_digest
 from zincvale.standins.journal import JournalWriter
+from zincvale.standins.load.http_client import Attempt
+from zincvale.standins.load.progress import RequestProgress
 
 
 class CallerJournal:
--- a/src/zincvale/standins/popularity.py
+++ b/src/zincvale/standins/load/popularity.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from zincvale.standins.load_spec import Popularity
+from zincvale.standins.load.spec import Popularity
 
 
 @attrs.frozen
--- a/src/zincvale/standins/caller_progress.py
+++ b/src/zincvale/standins/load/progress.py
@@ -6,10 +6,10 @@
 
 import attrs
 
-from zincvale.standins.answer_check import ResponseCheck
-from zincvale.standins.caller_client import Attempt
-from zincvale.standins.caller_retry import CallerRetry
-from zincvale.standins.request_plan import Plan
+from zincvale.standins.load.http_client import Attempt
+from zincvale.standins.load.request_plan import Plan
+from zincvale.standins.load.response_check import ResponseCheck
+from zincvale.standins.load.retry import CallerRetry
 
 
 class NodePicker:
--- a/src/zincvale/standins/request_plan.py
+++ b/src/zincvale/standins/load/request_plan.py
@@ -18,10 +18,10 @@
     PoolSpec,
     RouteSpec,
 )
-from zincvale.standins.arrivals import Arrival
 from zincvale.standins.generation import GenerationKey, full_response, lookup_value, token_text
-from zincvale.standins.load_spec import Between, CallerSpec, LoadSpec
-from zincvale.standins.popularity import ModelPopularity
+from zincvale.standins.load.arrivals import Arrival
+from zincvale.standins.load.popularity import ModelPopularity
+from zincvale.standins.load.spec import Between, CallerSpec, LoadSpec
 
 
 @attrs.frozen
--- a/src/zincvale/standins/caller_summary.py
+++ b/src/zincvale/standins/load/summary.py
@@ -7,10 +7,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-from zincvale.standins.answer_check import ResponseCheck, StreamFaults
-from zincvale.standins.caller_client import Attempt
-from zincvale.standins.caller_retry import AttemptOutcome
-from zincvale.standins.request_plan import Plan
+from zincvale.standins.load.http_client import Attempt
+from zincvale.standins.load.request_plan import Plan
+from zincvale.standins.load.response_check import ResponseCheck, StreamFaults
+from zincvale.standins.load.retry import AttemptOutcome
 
 LOWEST_US = 1
 HIGHEST_US = 600_000_000
--- a/src/zincvale/standins/lookup_server.py
+++ b/src/zincvale/standins/lookup/server.py
@@ -13,7 +13,7 @@
 from zincvale.standins.deployment import LookupProfile
 from zincvale.standins.generation import lookup_value, text_digest
 from zincvale.standins.journal import JournalWriter
-from zincvale.standins.lookup import LookupLimiter
+from zincvale.standins.lookup.rate_limiter import LookupLimiter
 
 
 class Lookup(BackEnd):
--- a/src/zincvale/standins/core_client.py
+++ b/src/zincvale/standins/operators/core_client.py
@@ -9,7 +9,7 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPClientError, HTTPRequest
 
-from zincvale.standins.operator_retry import NO_RESPONSE
+from zincvale.standins.operators.retry import NO_RESPONSE
 from zincvale.standins.settings import dialled_address
 
 CONNECT_TIMEOUT_S = 1.0
--- a/src/zincvale/standins/operators.py
+++ b/src/zincvale/standins/operators/runner.py
@@ -10,9 +10,9 @@
 
 import attrs
 
-from zincvale.standins.core_client import CoreClient, CoreResponse
 from zincvale.standins.journal import JournalWriter
-from zincvale.standins.operator_retry import (
+from zincvale.standins.operators.core_client import CoreClient, CoreResponse
+from zincvale.standins.operators.retry import (
     NO_RESPONSE,
     OK_STATUS,
     RESEND_DELAY_S,
@@ -20,7 +20,7 @@
     OrderRetry,
     Verdict,
 )
-from zincvale.standins.operator_script import Base, OperatorScript, Order, orders
+from zincvale.standins.operators.script import Base, OperatorScript, Order, orders
 from zincvale.standins.settings import OperatorsSettings
 
 
--- a/src/zincvale/standins/platform.py
+++ b/src/zincvale/standins/platform/server.py
@@ -15,7 +15,7 @@
 
 from zincvale.model.checked import read_checked
 from zincvale.standins.journal import JournalWriter
-from zincvale.standins.platform_state import LaggingList, NodeReadiness
+from zincvale.standins.platform.state import LaggingList, NodeReadiness
 from zincvale.standins.settings import (
     ListedServer,
     PlatformSettings,
--- a/src/zincvale/standins/programs.py
+++ b/src/zincvale/standins/programs.py
@@ -11,21 +11,23 @@
 from tornado.httpserver import HTTPServer
 
 from zincvale.runtime.clock import suspend_aware_now
-from zincvale.standins import language_model_server, lookup_server, weight_store
-from zincvale.standins import platform as platform_server
 from zincvale.standins.back_end import BackEnd, new_identity
-from zincvale.standins.caller_client import CallerClient
-from zincvale.standins.callers import Callers
-from zincvale.standins.core_client import HttpCoreClient
 from zincvale.standins.deployment import load_deployment, load_intent
 from zincvale.standins.journal import Journal
-from zincvale.standins.language_model import LanguageModel
-from zincvale.standins.load_spec import load_load_spec
-from zincvale.standins.lookup_server import Lookup
-from zincvale.standins.operator_script import load_script
-from zincvale.standins.operators import Operators
+from zincvale.standins.language_model import http_handlers as language_model_server
+from zincvale.standins.language_model.server import LanguageModel
+from zincvale.standins.language_model.weight_puller import WeightPuller
+from zincvale.standins.load.callers import Callers
+from zincvale.standins.load.http_client import CallerClient
+from zincvale.standins.load.request_plan import Planner
+from zincvale.standins.load.spec import load_load_spec
+from zincvale.standins.lookup import server as lookup_server
+from zincvale.standins.lookup.server import Lookup
+from zincvale.standins.operators.core_client import HttpCoreClient
+from zincvale.standins.operators.runner import Operators
+from zincvale.standins.operators.script import load_script
+from zincvale.standins.platform import server as platform_server
 from zincvale.standins.process import listen
-from zincvale.standins.request_plan import Planner
 from zincvale.standins.settings import (
     CallersSettings,
     LanguageModelSettings,
@@ -34,7 +36,7 @@
     PlatformSettings,
     StoreSettings,
 )
-from zincvale.standins.weight_puller import WeightPuller
+from zincvale.standins.weight_store import server as weight_store
 
 Body = Callable[[asyncio.Event], Awaitable[None]]
 
--- a/src/zincvale/standins/weight_store.py
+++ b/src/zincvale/standins/weight_store/server.py
@@ -15,8 +15,8 @@
 from tornado.iostream import StreamClosedError
 from tornado.web import Application, RequestHandler
 
-from zincvale.standins.bandwidth import Pull, SharedBandwidth
 from zincvale.standins.journal import JournalWriter
+from zincvale.standins.weight_store.bandwidth import Pull, SharedBandwidth
 
 DECLARED_BYTES_PER_REAL_BYTE = 1_000_000
 SCALE_HEADER = "Zincvale-Declared-Bytes-Per-Byte"
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -25,7 +25,7 @@
 from zincvale.fleet.run_options import RunOptions
 from zincvale.fleet.timeline import Timeline
 from zincvale.model.errors import InvalidInputError
-from zincvale.standins.load_spec import LoadSpec
+from zincvale.standins.load.spec import LoadSpec
 
 DEPLOYMENT = sample_deployment()
 USAGE = {"node-1": Usage(2.0, 50_000_000), "node-2": Usage(4.0, 60_000_000)}
--- a/tests/simulator/what_if/test_what_if_engine.py
+++ b/tests/simulator/what_if/test_what_if_engine.py
@@ -30,8 +30,8 @@
 from zincvale.simulator.what_if.node import IncrementalRoutingState
 from zincvale.simulator.what_if.stores import VirtualStore
 from zincvale.standins.deployment import LanguageModelProfile
-from zincvale.standins.engine import Engine, Finished, Refusal
 from zincvale.standins.generation import GenerationKey
+from zincvale.standins.language_model.engine import Engine, Finished, Refusal
 
 GIGABYTE = 1_000_000_000
 PROFILE = LanguageModelProfile(
--- a/tests/standins/test_http.py
+++ b/tests/standins/language_model/test_http_handlers.py
@@ -1,24 +1,14 @@
-"""The stand-ins over loopback HTTP, on sockets bound to port 0, with clocks that never wait."""
-
 import asyncio
 
-import orjson
-from testtools import TestCase
-from tornado.httpclient import HTTPClientError, HTTPRequest
-from tornado.httpserver import HTTPServer
-from tornado.simple_httpclient import SimpleAsyncHTTPClient
-from tornado.testing import bind_unused_port
-
 from tests.standins.helpers import MemoryJournal, TickingClock
-from zincvale.standins import language_model_server, lookup_server, weight_store
-from zincvale.standins.back_end import ServerIdentity
-from zincvale.standins.deployment import LanguageModelProfile, LookupProfile
-from zincvale.standins.generation import GenerationKey, full_response, lookup_value
-from zincvale.standins.language_model import LanguageModel
+from tests.standins.http_case import IDENTITY, HttpCase
+from zincvale.standins.deployment import LanguageModelProfile
+from zincvale.standins.generation import GenerationKey, full_response
+from zincvale.standins.language_model import http_handlers as language_model_server
+from zincvale.standins.language_model.server import LanguageModel
+from zincvale.standins.language_model.weight_puller import PullError
 from zincvale.standins.settings import ResidentModel
-from zincvale.standins.weight_puller import PullError
 
-PLACE = ServerIdentity("s1", "pool", "zone-a", "incarnation-1")
 KEY = GenerationKey("m", "", "hello world", 12)
 
 
@@ -33,42 +23,6 @@
         await self.pulls[name]
 
 
-class HttpCase(TestCase):
-    """Runs one application on a free port and talks to it."""
-
-    def run_with(self, make_application, exchange):
-        async def body():
-            server = HTTPServer(make_application())
-            socket, port = bind_unused_port()
-            server.add_sockets([socket])
-            self.base = f"http://127.0.0.1:{port}"
-            self.client = SimpleAsyncHTTPClient(force_instance=True, max_clients=20)
-            try:
-                await exchange()
-            finally:
-                server.stop()
-                self.client.close()
-
-        asyncio.run(body())
-
-    async def call(self, method, path, body=None):
-        """Return status and JSON; status 0 when the connection was cut."""
-        request = HTTPRequest(
-            self.base + path, method=method, body=orjson.dumps(body) if body else None
-        )
-        try:
-            response = await self.client.fetch(request, raise_error=False)
-        except (HTTPClientError, OSError):
-            return 0, None
-        return response.code, orjson.loads(response.body)
-
-    async def text(self, path, body):
-        """Return the body of a POST as text."""
-        request = HTTPRequest(self.base + path, method="POST", body=orjson.dumps(body))
-        response = await self.client.fetch(request)
-        return response.body.decode()
-
-
 class LanguageModelServerTest(HttpCase):
     def setUp(self):
         super().setUp()
@@ -78,7 +32,7 @@
     def serve(self, exchange):
         def make_application():
             profile = LanguageModelProfile(100_000_000, 1, ramp_s=0.0, kv_cache_bytes=40_000_000)
-            self.model = LanguageModel(PLACE, profile, self.journal, TickingClock(), self.puller)
+            self.model = LanguageModel(IDENTITY, profile, self.journal, TickingClock(), self.puller)
             self.model.preload([ResidentModel("m", 1000, {"a": 10})])
             return language_model_server.make_application(self.model)
 
@@ -217,44 +171,3 @@
             self.assertEqual(0, self.model.engine.running_count())
 
         self.serve(exchange)
-
-
-class LookupServerTest(HttpCase):
-    def test_a_lookup_and_a_refusal_over_the_rate(self):
-        journal = MemoryJournal()
-
-        def make_application():
-            profile = LookupProfile(lookups_per_second=0.0, burst=1, service_s=0.0)
-            lookup = lookup_server.Lookup(PLACE, profile, journal, TickingClock())
-            return lookup_server.make_application(lookup)
-
-        async def exchange():
-            expected = {"request_id": "r1", "key": "k", "value": lookup_value("k")}
-            path = "/v1/lookup?key=k&request_id="
-            self.assertEqual((200, expected), await self.call("GET", path + "r1"))
-            refused = (429, {"request_id": "r2", "error": "rate", "ran": False})
-            self.assertEqual(refused, await self.call("GET", path + "r2"))
-            self.assertEqual(["run", "done", "refuse"], journal.events())
-
-        self.run_with(make_application, exchange)
-
-
-class WeightStoreTest(HttpCase):
-    def test_weights_are_sent_scaled_and_a_pull_too_many_is_refused(self):
-        journal = MemoryJournal()
-
-        def make_application():
-            self.store = weight_store.WeightStore("s", 10**12, 1, journal, TickingClock())
-            return weight_store.make_application(self.store)
-
-        async def exchange():
-            url = f"{self.base}/v1/weights/m?bytes=5000001&puller=s1"
-            response = await self.client.fetch(url)
-            self.assertEqual(6, len(response.body))
-            self.assertEqual(["pull-start", "pull-end"], journal.events())
-            self.assertTrue(journal.rows[-1]["complete"])
-            self.store.max_concurrent_pulls = 0
-            status, _ = await self.call("GET", "/v1/weights/m?bytes=1&puller=s2")
-            self.assertEqual((503, "pull-refused"), (status, journal.events()[-1]))
-
-        self.run_with(make_application, exchange)
--- a/tests/standins/test_residency.py
+++ b/tests/standins/language_model/test_residency.py
@@ -1,6 +1,6 @@
 from testtools import TestCase
 
-from zincvale.standins.residency import OrderError, Residency, WeightState
+from zincvale.standins.language_model.residency import OrderError, Residency, WeightState
 
 
 class ResidencyTest(TestCase):
--- a/tests/standins/test_callers.py
+++ b/tests/standins/load/test_callers.py
@@ -6,13 +6,13 @@
 from testtools import TestCase
 
 from tests.standins.helpers import MemoryJournal, TickingClock
-from tests.standins.test_load import documents
-from zincvale.standins.arrivals import Arrival
-from zincvale.standins.caller_client import Attempt
-from zincvale.standins.caller_retry import AttemptOutcome, AttemptResult
-from zincvale.standins.callers import Callers
-from zincvale.standins.load_spec import Between, CallerSpec, LoadSpec
-from zincvale.standins.request_plan import Planner
+from tests.standins.load.sample_load import documents
+from zincvale.standins.load.arrivals import Arrival
+from zincvale.standins.load.callers import Callers
+from zincvale.standins.load.http_client import Attempt
+from zincvale.standins.load.request_plan import Planner
+from zincvale.standins.load.retry import AttemptOutcome, AttemptResult
+from zincvale.standins.load.spec import Between, CallerSpec, LoadSpec
 from zincvale.standins.settings import CallersSettings
 
 NODES = [{"node": f"n{number}", "address": f"127.0.0.1:{number}"} for number in (1, 2, 3)]
--- /dev/null
+++ b/tests/standins/load/test_request_plan.py
@@ -0,0 +1,75 @@
+from testtools import TestCase
+
+from tests.standins.load.sample_load import documents, spec
+from zincvale.model.errors import InvalidInputError
+from zincvale.standins.generation import GenerationKey, full_response
+from zincvale.standins.load.arrivals import arrivals
+from zincvale.standins.load.request_plan import Planner
+from zincvale.standins.load.spec import (
+    CallerSpec,
+    LoadSpec,
+)
+
+
+class PlannerTest(TestCase):
+    def setUp(self):
+        super().setUp()
+        self.planner = Planner(spec(), documents(), seed=1)
+        schedule = list(arrivals(spec(), 60.0, 1, 1.0))
+        self.chats = [a for a in schedule if a.caller == "chats"]
+        self.scans = [a for a in schedule if a.caller == "scans"]
+
+    def test_a_turn_repeats_what_was_said(self):
+        conversation = self.planner.conversation(self.chats[0])
+        first = self.planner.plan(conversation, 0, "")
+        history = first.prompt + "".join(first.expected)
+        second = self.planner.plan(conversation, 1, history)
+        self.assertTrue(second.prompt.startswith(history))
+        self.assertNotEqual(first.base_id, second.base_id)
+
+    def test_the_expected_answer_is_the_models(self):
+        plan = self.planner.plan(self.planner.conversation(self.chats[0]), 0, "")
+        key = GenerationKey(plan.model, plan.adapter, plan.prompt, plan.body["max_tokens"])
+        self.assertEqual(full_response(key), plan.expected)
+        self.assertTrue(plan.stream)
+
+    def test_prompts_for_one_model_share_their_prefix(self):
+        prompts = {}
+        for arrival in self.chats:
+            conversation = self.planner.conversation(arrival)
+            plan = self.planner.plan(conversation, 0, "")
+            prompts.setdefault(plan.model, []).append(plan.prompt.split()[:30])
+        for prefixes in prompts.values():
+            self.assertEqual([prefixes[0]] * len(prefixes), prefixes)
+
+    def test_an_adapter_belongs_to_its_model(self):
+        for arrival in self.chats:
+            conversation = self.planner.conversation(arrival)
+            if conversation.adapter:
+                self.assertEqual("m1", conversation.model)
+
+    def test_a_lookup_carries_a_key(self):
+        plan = self.planner.plan(self.planner.conversation(self.scans[0]), 0, "")
+        self.assertEqual({"key"}, set(plan.body))
+        self.assertTrue(plan.at_most_once)
+
+    def test_callers_mishaps_are_drawn_by_their_shares(self):
+        load = spec()
+        for caller in load.callers:
+            caller.hang_up_share = caller.duplicate_share = 0.5
+        planner = Planner(load, documents(), seed=1)
+        plans = {
+            caller: [planner.plan(planner.conversation(a), 0, "") for a in rows[:100]]
+            for caller, rows in (("chats", self.chats), ("scans", self.scans))
+        }
+        self.assertAlmostEqual(
+            50, sum(p.hang_up_after_chunks > 0 for p in plans["chats"]), delta=16
+        )
+        self.assertEqual(0, sum(p.is_duplicated for p in plans["chats"]))
+        self.assertAlmostEqual(50, sum(p.is_duplicated for p in plans["scans"]), delta=16)
+        self.assertEqual(0, sum(p.hang_up_after_chunks for p in plans["scans"]))
+
+    def test_an_unknown_route_is_named(self):
+        bad = LoadSpec([CallerSpec("chats", "chat", 1.0)])
+        error = self.assertRaises(InvalidInputError, Planner, bad, documents(), 1)
+        self.assertIn("chats, scans", error.remedy)
--- a/tests/standins/test_platform_http.py
+++ b/tests/standins/platform/test_server.py
@@ -1,6 +1,6 @@
 from tests.standins.helpers import MemoryJournal, TickingClock
-from tests.standins.test_http import HttpCase
-from zincvale.standins.platform import Platform, make_application
+from tests.standins.http_case import HttpCase
+from zincvale.standins.platform.server import Platform, make_application
 from zincvale.standins.settings import ListedServer, PlatformSettings, PolledNode
 
 
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -10,9 +10,9 @@
 from zincvale.model.resources import SPEC_BY_KIND, PoolKind
 from zincvale.standins import assemble
 from zincvale.standins.deployment import load_deployment, load_intent
-from zincvale.standins.load_spec import load_load_spec
-from zincvale.standins.operator_script import load_script, orders
-from zincvale.standins.request_plan import Planner
+from zincvale.standins.load.request_plan import Planner
+from zincvale.standins.load.spec import load_load_spec
+from zincvale.standins.operators.script import load_script, orders
 from zincvale.standins.settings import (
     LanguageModelSettings,
     dialled_address,
--- /dev/null
+++ b/tests/standins/weight_store/test_bandwidth.py
@@ -0,0 +1,35 @@
+from testtools import TestCase
+
+from zincvale.standins.weight_store.bandwidth import Pull, SharedBandwidth
+
+
+class SharedBandwidthTest(TestCase):
+    def test_pulls_share_evenly(self):
+        shared = SharedBandwidth(100.0)
+        for pull_id in (1, 2):
+            shared.open(Pull(pull_id, 1000, float("inf")), 0.0)
+        self.assertEqual({1: 50.0, 2: 50.0}, shared.rates())
+
+    def test_what_a_capped_pull_leaves_goes_to_the_others(self):
+        shared = SharedBandwidth(100.0)
+        shared.open(Pull(1, 1000, 20.0), 0.0)
+        shared.open(Pull(2, 1000, 200.0), 0.0)
+        self.assertEqual({1: 20.0, 2: 80.0}, shared.rates())
+
+    def test_a_pull_takes_its_size_over_its_rate(self):
+        shared = SharedBandwidth(100.0)
+        pull = Pull(1, 100, float("inf"))
+        shared.open(pull, 0.0)
+        for step in range(1, 10):
+            shared.advance(step / 10)
+        self.assertAlmostEqual(90.0, pull.sent_bytes)
+        self.assertFalse(pull.complete())
+        shared.advance(1.0)
+        self.assertTrue(pull.complete())
+
+    def test_nothing_is_sent_during_a_freeze(self):
+        shared = SharedBandwidth(100.0)
+        pull = Pull(1, 10_000, float("inf"))
+        shared.open(pull, 0.0)
+        shared.advance(60.0)
+        self.assertEqual(25.0, pull.sent_bytes)
