--- a/src/zincvale/standins/__init__.py
+++ b/src/zincvale/standins/__init__.py
@@ -7,6 +7,7 @@
 
 Order to read: `deployment` (the machines) and `settings` (one file for each process), `assemble`
 (derives the settings), `main`, `programs` and `process` (command line, wiring and life of a
-process), `journal`; then what the back ends share, `generation`, `behaviours` and `back_end`; then
-the sub-packages `language_model`, `lookup`, `weight_store`, `platform`, `load` and `operators`.
+process), `journal`, `json_body`; then what the back ends share, `generation`, `behaviours` and
+`back_end`; then the sub-packages `language_model`, `lookup`, `weight_store`, `platform`, `load` and
+`operators`.
 """
--- a/src/zincvale/standins/back_end.py
+++ b/src/zincvale/standins/back_end.py
@@ -18,6 +18,7 @@
 from zincvale.standins.journal import JournalWriter
 
 SWAP_TIMEOUT_S = 0.5
+"""How long a response waits for another one to be swapped with; then it goes out unswapped."""
 JSON_CONTENT_TYPE = "application/json"
 
 
@@ -119,7 +120,7 @@
         self.back_end.journal.write("refuse", request_id=request_id, error=error)
         self.respond(status, {"request_id": request_id, "error": error, "ran": False})
 
-    def cut(self) -> None:
+    def close_connection(self) -> None:
         """Close the connection before the response is complete."""
         connection = self.request.connection
         stream = getattr(connection, "stream", None) or self.detach()
@@ -130,7 +131,7 @@
         back_end = self.back_end
         if back_end.draw(BehaviourKind.DROP_RESPONSE):
             back_end.journal.write("dropped", request_id=request_id)
-            self.cut()
+            self.close_connection()
             return
         if back_end.draw(BehaviourKind.ERROR_AFTER_RUN):
             back_end.journal.write("failed", request_id=request_id)
--- a/src/zincvale/standins/generation.py
+++ b/src/zincvale/standins/generation.py
@@ -12,6 +12,7 @@
 import xxhash
 
 SYLLABLES = tuple(consonant + vowel for consonant in "bdfgklmnprstvz" for vowel in "aeiou")
+"""Changing these or the hash changes every response, and with it what journals hold."""
 SYLLABLES_PER_TOKEN = 3
 LOOKUP_VALUE_HEX_DIGITS = 12
 SHORTEST_SHARE = 0.5
@@ -53,7 +54,7 @@
         if given and given != [self._token(index) for index in range(1, len(given) + 1)]:
             self._seed = _mix(self._seed, "".join(given))
 
-    def finished(self) -> bool:
+    def is_finished(self) -> bool:
         """Return whether the response is complete."""
         return self.generated >= self.length
 
--- a/src/zincvale/standins/language_model/engine.py
+++ b/src/zincvale/standins/language_model/engine.py
@@ -17,9 +17,11 @@
 from zincvale.standins.language_model.kv_cache import KvAllocation, KvCache
 
 PREFILL_CHUNK_TOKENS = 512
+"""Prompt tokens one step prefills at most; more delays the tokens of running requests."""
 MAX_LATENESS_S = 0.05
 """A step that ends later than this was delayed by a freeze: the next one starts from now."""
 COLD_MIN_RUNNING = 1
+"""Requests a cold server always takes; with 0 it would refuse all until its ramp has begun."""
 
 
 class Refusal(enum.Enum):
@@ -55,7 +57,7 @@
     prompt_tokens: list[str]
     total_tokens: int
     prefix_tokens: int
-    claim: KvAllocation | None = None
+    allocation: KvAllocation | None = None
     prefill_left: int = 0
 
 
@@ -132,7 +134,7 @@
         """Drop a request; returns how many tokens it had, or None when it is not here."""
         request = self._running.get(run_id)
         if request is not None:
-            self._leave(request)
+            self._remove(request)
             return request.generation.generated
         for request in self._queued:
             if request.run_id == run_id:
@@ -173,12 +175,14 @@
     def _admit(self) -> None:
         while self._queued and len(self._running) < self.profile.max_running:
             request = self._queued[0]
-            claim = self.cache.claim(request.owner, request.prompt_tokens, request.total_tokens)
-            if claim is None:
+            allocation = self.cache.allocate(
+                request.owner, request.prompt_tokens, request.total_tokens
+            )
+            if allocation is None:
                 return
             self._queued.popleft()
-            request.claim = claim
-            uncached = len(request.prompt_tokens) - claim.cached_tokens
+            request.allocation = allocation
+            uncached = len(request.prompt_tokens) - allocation.cached_tokens
             request.prefill_left = max(1, uncached + request.prefix_tokens)
             self._running[request.run_id] = request
 
@@ -229,18 +233,18 @@
             return []
         emitted: list[TokenEmitted | Finished] = []
         generation = request.generation
-        if not generation.finished():
+        if not generation.is_finished():
             text = generation.next_token()
             emitted.append(TokenEmitted(run_id, generation.generated, text))
-        if generation.finished():
+        if generation.is_finished():
             emitted.append(Finished(run_id, generation.generated))
-            self._leave(request)
+            self._remove(request)
         return emitted
 
-    def _leave(self, request: _Request) -> None:
+    def _remove(self, request: _Request) -> None:
         self._running.pop(request.run_id, None)
-        if request.claim is not None:
-            self.cache.release(request.claim, computed=request.prefill_left == 0)
+        if request.allocation is not None:
+            self.cache.release(request.allocation, computed=request.prefill_left == 0)
 
 
 def _new_request(run_id: str, key: GenerationKey, prefix: list[str]) -> _Request:
--- a/src/zincvale/standins/language_model/http_handlers.py
+++ b/src/zincvale/standins/language_model/http_handlers.py
@@ -127,7 +127,7 @@
                 if faults.cuts_after(sent):
                     self.back_end.journal.write("cut", request_id=run.request_id, tokens=sent)
                     self.back_end.abandon(run)
-                    self.cut()
+                    self.close_connection()
                     return
         except StreamClosedError:
             self.back_end.abandon(run)
@@ -250,7 +250,7 @@
             ("/v1/adapters/unload", AdapterUnloadHandler, state),
             ("/admin/behaviour", BehaviourHandler, state),
         ],
-        log_function=lambda handler: None,
+        log_function=lambda _handler: None,
     )
 
 
--- a/src/zincvale/standins/language_model/kv_cache.py
+++ b/src/zincvale/standins/language_model/kv_cache.py
@@ -65,7 +65,9 @@
         """Return whether a request of `tokens` could run in an empty cache."""
         return self._blocks_for(tokens) <= self._capacity_blocks
 
-    def claim(self, owner: str, prompt_tokens: list[str], total_tokens: int) -> KvAllocation | None:
+    def allocate(
+        self, owner: str, prompt_tokens: list[str], total_tokens: int
+    ) -> KvAllocation | None:
         """Pin the blocks of a request; None when the capacity does not allow it now.
 
         Parameters
@@ -88,10 +90,10 @@
         self._evict_down_to(self._capacity_blocks)
         return KvAllocation(named, private, cached * self._block_tokens)
 
-    def release(self, claim: KvAllocation, computed: bool) -> None:
+    def release(self, allocation: KvAllocation, computed: bool) -> None:
         """Unpin a request's blocks; its prompt stays cached when it was `computed`."""
-        self._private_blocks -= claim.private_blocks
-        for name in claim.named:
+        self._private_blocks -= allocation.private_blocks
+        for name in allocation.named:
             self._unpin(name, computed)
 
     def _block_names(self, owner: str, tokens: list[str]) -> list[BlockName]:
--- a/src/zincvale/standins/language_model/weight_puller.py
+++ b/src/zincvale/standins/language_model/weight_puller.py
@@ -13,6 +13,7 @@
 
 CONNECT_TIMEOUT_S = 1.0
 STALL_TIMEOUT_S = 15
+"""A pull without a byte for so long fails; shorter than a pause of the store aborts good pulls."""
 NO_TOTAL_TIMEOUT = 0.0
 MAX_CONCURRENT_PULLS = 64
 
@@ -66,4 +67,4 @@
     curl.setopt(pycurl.LOW_SPEED_LIMIT, 1)
     curl.setopt(pycurl.LOW_SPEED_TIME, STALL_TIMEOUT_S)
     curl.setopt(pycurl.NOPROGRESS, 0)
-    curl.setopt(pycurl.XFERINFOFUNCTION, lambda *sizes: 0 if is_needed() else 1)
+    curl.setopt(pycurl.XFERINFOFUNCTION, lambda *_sizes: 0 if is_needed() else 1)
--- a/src/zincvale/standins/load/arrivals.py
+++ b/src/zincvale/standins/load/arrivals.py
@@ -64,7 +64,7 @@
     source = random.Random(f"{seed}/rare/{index}/{burst.caller}")
     rate = burst.rate_per_second * rate_factor
     end_s = min(seconds, burst.start_s + burst.seconds)
-    times = _poisson(source, lambda at_s: rate, rate, burst.start_s, end_s)
+    times = _poisson(source, lambda _at_s: rate, rate, burst.start_s, end_s)
     for number, at_s in enumerate(times, start=1):
         yield Arrival(at_s, burst.caller, _BURST_NUMBERS * (index + 1) + number, burst.tail_share)
 
--- a/src/zincvale/standins/load/callers.py
+++ b/src/zincvale/standins/load/callers.py
@@ -31,6 +31,7 @@
 NODE_LIST_INTERVAL_S = 0.5
 PLATFORM_TIMEOUT_S = 1.0
 DRAIN_TIMEOUT_S = 60.0
+"""After the last arrival; requests that are still open then count as `unfinished`."""
 RESPONSE_DISCARDED_ERROR = "whole, but lost on its last metres"
 
 
--- a/src/zincvale/standins/load/event_stream.py
+++ b/src/zincvale/standins/load/event_stream.py
@@ -21,7 +21,7 @@
 
 
 class EventStreamReader:
-    """Collects chunks and gives whole events; what is left at the end was cut off."""
+    """Collects chunks and returns complete events; what is left at the end was truncated."""
 
     def __init__(self) -> None:
         self._buffer = b""
--- a/src/zincvale/standins/load/http_client.py
+++ b/src/zincvale/standins/load/http_client.py
@@ -20,6 +20,7 @@
     UNKNOWN_HTTP_STATUS,
     Outcome,
 )
+from zincvale.standins.json_body import json_object
 from zincvale.standins.load.event_stream import EventStreamReader, StreamEvent
 from zincvale.standins.load.request_plan import Plan
 from zincvale.standins.load.response_check import ResponseCheck
@@ -30,6 +31,7 @@
 MAX_CONCURRENT_EXCHANGES = 4096
 CURL_COULD_NOT_CONNECT = 7
 SPEED_CHECK_NEVER_S = 3600
+"""Longer than any request: the speed check must never end one by itself."""
 OK_STATUS = 200
 
 
@@ -172,7 +174,7 @@
         return AttemptResult(AttemptOutcome.INTERRUPTED)
 
     def _read_response(self) -> None:
-        response = _json_object(self._body)
+        response = json_object(self._body)
         self._attempt.first_at = self._attempt.first_at or self._clock()
         self._attempt.response_request_id = str(response.get("request_id", ""))
         self._attempt.chunks = 1
@@ -186,7 +188,7 @@
         return AttemptResult(AttemptOutcome.REFUSED, self._reason(), seconds)
 
     def _reason(self) -> str:
-        return str(_json_object(self._body).get("reason", ""))
+        return str(json_object(self._body).get("reason", ""))
 
     def _on_body_bytes(self, chunk: bytes) -> None:
         if not self._plan.stream:
@@ -197,7 +199,7 @@
             self._on_event(event)
 
     def _on_event(self, event: StreamEvent) -> None:
-        data = _json_object(event.data.encode())
+        data = json_object(event.data.encode())
         if event.event == "end":
             self._attempt.is_complete = True
             self._check.on_end(int(data.get("count", -1)))
@@ -232,7 +234,7 @@
         hang_up_after_chunks = self._plan.hang_up_after_chunks
         return 0 < hang_up_after_chunks <= self._check.chunks and not self._attempt.is_complete
 
-    def _on_curl_progress(self, *sizes: float) -> int:
+    def _on_curl_progress(self, *_sizes: float) -> int:
         """Return 1 to let curl close the connection."""
         if self._should_hang_up():
             return 1
@@ -247,11 +249,3 @@
 
 _RETAINED_BODY_BYTES = 4096
 """How much of a stream's body is retained, to read the reason of a refusal from it."""
-
-
-def _json_object(body: bytes) -> dict[str, Any]:
-    try:
-        data = orjson.loads(body)
-    except orjson.JSONDecodeError:
-        return {}
-    return data if isinstance(data, dict) else {}
--- a/src/zincvale/standins/load/summary.py
+++ b/src/zincvale/standins/load/summary.py
@@ -14,6 +14,7 @@
 
 LOWEST_US = 1
 HIGHEST_US = 600_000_000
+"""Ten minutes; the histogram silently drops longer times, so no deadline may be longer."""
 SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50, 95, 99)
 
--- a/src/zincvale/standins/lookup/server.py
+++ b/src/zincvale/standins/lookup/server.py
@@ -108,5 +108,5 @@
             ("/v1/lookup", LookupHandler, state),
             ("/admin/behaviour", BehaviourHandler, state),
         ],
-        log_function=lambda handler: None,
+        log_function=lambda _handler: None,
     )
--- a/src/zincvale/standins/operators/core_client.py
+++ b/src/zincvale/standins/operators/core_client.py
@@ -9,6 +9,7 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient
 from tornado.httpclient import HTTPClientError, HTTPRequest
 
+from zincvale.standins.json_body import json_object
 from zincvale.standins.operators.retry import NO_RESPONSE
 from zincvale.standins.settings import dialled_address
 
@@ -71,7 +72,7 @@
             response = await self._client.fetch(request, raise_error=False)
         except (HTTPClientError, OSError) as error:
             return CoreResponse(NO_RESPONSE, {}, str(error))
-        return CoreResponse(response.code, _object(response.body))
+        return CoreResponse(response.code, json_object(response.body))
 
     async def version(self, core: str) -> int | None:
         """Return the version a core shows, or None when it does not respond."""
@@ -84,13 +85,5 @@
             response = await self._client.fetch(request)
         except (HTTPClientError, OSError):
             return None
-        version = _object(response.body).get("version")
+        version = json_object(response.body).get("version")
         return version if isinstance(version, int) else None
-
-
-def _object(body: bytes) -> dict[str, Any]:
-    try:
-        data = orjson.loads(body)
-    except orjson.JSONDecodeError:
-        return {}
-    return data if isinstance(data, dict) else {}
--- a/src/zincvale/standins/operators/retry.py
+++ b/src/zincvale/standins/operators/retry.py
@@ -11,6 +11,7 @@
 CONFLICT_STATUS = 409
 UNAVAILABLE_STATUS = 503
 NO_RESPONSE = 0
+"""Stands for the status when no response arrived; journalled as such."""
 RETRIED_STATUSES = frozenset({NO_RESPONSE, UNAVAILABLE_STATUS, 500, 502, 504})
 
 
--- a/src/zincvale/standins/operators/script.py
+++ b/src/zincvale/standins/operators/script.py
@@ -40,7 +40,7 @@
     lost_acknowledgements: int = 0
     """So many responses are discarded unread, and the same order is sent again each time."""
     resend_after_s: list[float] = field(default_factory=list)
-    """The whole order is sent again so many seconds after it was acknowledged."""
+    """The complete order is sent again so many seconds after it was acknowledged."""
     rebuild_on_conflict: bool = False
     """After a conflict, build the change anew on the current version."""
 
--- a/src/zincvale/standins/platform/server.py
+++ b/src/zincvale/standins/platform/server.py
@@ -149,5 +149,5 @@
             ("/admin/servers/([^/]+)", AdminServerHandler, state),
             ("/admin/nodes/([^/]+)", AdminNodeHandler, state),
         ],
-        log_function=lambda handler: None,
+        log_function=lambda _handler: None,
     )
--- a/src/zincvale/standins/weight_store/server.py
+++ b/src/zincvale/standins/weight_store/server.py
@@ -21,6 +21,7 @@
 DECLARED_BYTES_PER_REAL_BYTE = 1_000_000
 SCALE_HEADER = "Zincvale-Declared-Bytes-Per-Byte"
 PACE_INTERVAL_S = 0.02
+"""Seconds between two writes of one pull; it must stay below `bandwidth.LONGEST_ADVANCE_S`."""
 
 
 class WeightStore:
@@ -160,5 +161,5 @@
     state = {"store": store}
     return Application(
         [("/status", StatusHandler, state), ("/v1/weights/(.+)", WeightsHandler, state)],
-        log_function=lambda handler: None,
+        log_function=lambda _handler: None,
     )
--- a/tests/standins/language_model/test_engine.py
+++ b/tests/standins/language_model/test_engine.py
@@ -84,18 +84,18 @@
 
     def test_a_continuation_prefills_its_prefix_and_numbers_on(self):
         engine = make_engine()
-        whole = full_response(key("one two"))
-        engine.submit("r1", key("one two"), whole[:2], 0.0)
+        complete = full_response(key("one two"))
+        engine.submit("r1", key("one two"), complete[:2], 0.0)
         events = run_to_end(engine)
         self.assertAlmostEqual(0.004, events[0][0])
-        self.assertEqual(TokenEmitted("r1", 3, whole[2]), events[0][1])
-        self.assertEqual(Finished("r1", len(whole)), events[-1][1])
+        self.assertEqual(TokenEmitted("r1", 3, complete[2]), events[0][1])
+        self.assertEqual(Finished("r1", len(complete)), events[-1][1])
 
-    def test_a_whole_prefix_ends_at_once(self):
+    def test_a_complete_prefix_ends_at_once(self):
         engine = make_engine()
-        whole = full_response(key("one two"))
-        engine.submit("r1", key("one two"), whole, 0.0)
-        self.assertEqual([Finished("r1", len(whole))], [e for _, e in run_to_end(engine)])
+        complete = full_response(key("one two"))
+        engine.submit("r1", key("one two"), complete, 0.0)
+        self.assertEqual([Finished("r1", len(complete))], [e for _, e in run_to_end(engine)])
 
     def test_more_than_batch_and_queue_is_refused(self):
         engine = make_engine()
@@ -124,7 +124,7 @@
         ends = [e.run_id for _, e in run_to_end(engine) if isinstance(e, Finished)]
         self.assertEqual(["r1", "r2"], ends)
 
-    def test_a_cancelled_request_leaves_and_frees_its_blocks(self):
+    def test_a_cancelled_request_is_removed_and_frees_its_blocks(self):
         engine = make_engine()
         engine.submit("r1", key(f"{PREFIX} first"), [], 0.0)
         self.assertEqual(0, engine.cancel("r1"))
--- a/tests/standins/language_model/test_kv_cache.py
+++ b/tests/standins/language_model/test_kv_cache.py
@@ -8,24 +8,24 @@
         cache = KvCache(2, 1)
         cache.set_capacity(8)
         for prompt in ("a b", "c d", "e f", "g h"):
-            cache.release(cache.claim("m", prompt.split(), 2), computed=True)
-        cache.release(cache.claim("m", ["a", "b"], 2), computed=True)
-        cache.release(cache.claim("m", ["i", "j"], 2), computed=True)
-        self.assertEqual(2, cache.claim("m", ["a", "b"], 2).cached_tokens)
-        self.assertEqual(0, cache.claim("m", ["c", "d"], 2).cached_tokens)
+            cache.release(cache.allocate("m", prompt.split(), 2), computed=True)
+        cache.release(cache.allocate("m", ["a", "b"], 2), computed=True)
+        cache.release(cache.allocate("m", ["i", "j"], 2), computed=True)
+        self.assertEqual(2, cache.allocate("m", ["a", "b"], 2).cached_tokens)
+        self.assertEqual(0, cache.allocate("m", ["c", "d"], 2).cached_tokens)
         self.assertLessEqual(cache.used_bytes(), 8)
 
     def test_pinned_blocks_are_never_evicted(self):
         cache = KvCache(2, 1)
         cache.set_capacity(4)
-        held = cache.claim("m", ["a", "b", "c", "d"], 4)
-        self.assertIsNone(cache.claim("m", ["e", "f"], 2))
-        cache.release(held, computed=False)
+        allocation = cache.allocate("m", ["a", "b", "c", "d"], 4)
+        self.assertIsNone(cache.allocate("m", ["e", "f"], 2))
+        cache.release(allocation, computed=False)
         self.assertEqual(0, cache.used_bytes())
 
-    def test_less_room_drops_idle_blocks(self):
+    def test_less_capacity_evicts_idle_blocks(self):
         cache = KvCache(2, 1)
         cache.set_capacity(8)
-        cache.release(cache.claim("m", ["a", "b", "c", "d"], 4), computed=True)
+        cache.release(cache.allocate("m", ["a", "b", "c", "d"], 4), computed=True)
         cache.set_capacity(2)
         self.assertEqual(2, cache.used_bytes())
--- a/tests/standins/test_generation.py
+++ b/tests/standins/test_generation.py
@@ -12,39 +12,39 @@
 
 
 class GenerationTest(TestCase):
-    def test_answer_is_the_same_on_every_server(self):
+    def test_response_is_the_same_on_every_server(self):
         generation = Generation(KEY)
         tokens = []
-        while not generation.finished():
+        while not generation.is_finished():
             tokens.append(generation.next_token())
         self.assertEqual(full_response(KEY), tokens)
 
-    def test_answer_is_stable_across_releases(self):
+    def test_response_is_stable_across_releases(self):
         self.assertEqual(["pogezi ", "lagiro ", "keziso "], full_response(KEY)[:3])
         self.assertEqual("dfd9ff5ce138", lookup_value("scan-1"))
 
-    def test_model_adapter_and_prompt_each_change_the_answer(self):
+    def test_model_adapter_and_prompt_each_change_the_response(self):
         others = [
             GenerationKey("fees-explainer", "", KEY.prompt, 40),
             GenerationKey(KEY.model, "loan-explainer-north", KEY.prompt, 40),
             GenerationKey(KEY.model, "", "what does it cost now", 40),
         ]
-        answers = {tuple(full_response(key)[:10]) for key in [KEY, *others]}
-        self.assertEqual(4, len(answers))
+        responses = {tuple(full_response(key)[:10]) for key in [KEY, *others]}
+        self.assertEqual(4, len(responses))
 
     def test_continuation_after_the_true_prefix_is_exact(self):
-        whole = full_response(KEY)
-        generation = Generation(KEY, whole[:7])
+        complete = full_response(KEY)
+        generation = Generation(KEY, complete[:7])
         rest = []
-        while not generation.finished():
+        while not generation.is_finished():
             rest.append(generation.next_token())
-        self.assertEqual(whole[7:], rest)
-        self.assertEqual(len(whole), generation.generated)
+        self.assertEqual(complete[7:], rest)
+        self.assertEqual(len(complete), generation.generated)
 
     def test_continuation_after_a_wrong_prefix_differs(self):
-        whole = full_response(KEY)
-        generation = Generation(KEY, [*whole[:6], "spliced "])
-        self.assertNotEqual(whole[7], generation.next_token())
+        complete = full_response(KEY)
+        generation = Generation(KEY, [*complete[:6], "spliced "])
+        self.assertNotEqual(complete[7], generation.next_token())
 
     def test_length_is_between_half_and_all_of_max_tokens(self):
         lengths = {
--- /dev/null
+++ b/tests/standins/test_json_body.py
@@ -0,0 +1,12 @@
+from testtools import TestCase
+
+from zincvale.standins.json_body import json_object
+
+
+class JsonObjectTest(TestCase):
+    def test_an_object_is_returned(self):
+        self.assertEqual({"a": 1}, json_object(b'{"a":1}'))
+
+    def test_anything_else_is_an_empty_object(self):
+        for body in (b"", b'{"a":', b"[1]", b"null", b"\xff"):
+            self.assertEqual({}, json_object(body))
