--- a/src/zincvale/standins/deployment.py
+++ b/src/zincvale/standins/deployment.py
@@ -104,7 +104,7 @@
     host: str
     port: int = 9100
     bytes_per_second: int = 20_000_000_000
-    """Shared by all who pull at the same time."""
+    """Shared by all concurrent pulls."""
 
 
 @dataclass
--- a/src/zincvale/standins/operators/script.py
+++ b/src/zincvale/standins/operators/script.py
@@ -42,7 +42,7 @@
     resend_after_s: list[float] = field(default_factory=list)
     """The complete order is sent again so many seconds after it was acknowledged."""
     rebuild_on_conflict: bool = False
-    """After a conflict, build the change anew on the current version."""
+    """After a conflict, rebuild the change on the current version."""
 
 
 @dataclass
--- a/src/zincvale/standins/weight_store/bandwidth.py
+++ b/src/zincvale/standins/weight_store/bandwidth.py
@@ -58,7 +58,7 @@
             pull.sent_bytes = min(float(pull.size_bytes), pull.sent_bytes + rate * elapsed)
 
     def rates(self) -> dict[int, float]:
-        """Return bytes per second by pull: equal shares, what a capped pull leaves goes round."""
+        """Return bytes per second by pull: equal shares; a cap's rest is shared again."""
         waiting = sorted(
             (pull for pull in self._pulls.values() if not pull.complete()),
             key=lambda pull: (pull.cap_bytes_per_second, pull.pull_id),
--- a/tests/standins/language_model/test_http_handlers.py
+++ b/tests/standins/language_model/test_http_handlers.py
@@ -47,24 +47,28 @@
         }
         return {**body, **changes}
 
-    def test_a_whole_answer(self):
+    def test_a_full_response(self):
         async def exchange():
-            status, answer = await self.call("POST", "/v1/generate", self.generate("r1"))
-            whole = full_response(KEY)
-            expected = {"request_id": "r1", "text": "".join(whole), "tokens": len(whole)}
-            self.assertEqual((200, expected), (status, answer))
+            status, response = await self.call("POST", "/v1/generate", self.generate("r1"))
+            expected_tokens = full_response(KEY)
+            expected = {
+                "request_id": "r1",
+                "text": "".join(expected_tokens),
+                "tokens": len(expected_tokens),
+            }
+            self.assertEqual((200, expected), (status, response))
             self.assertEqual(["run", "done"], self.journal.events()[-2:])
 
         self.serve(exchange)
 
-    def test_a_stream_numbers_its_pieces_and_ends(self):
+    def test_a_stream_numbers_its_tokens_and_ends(self):
         async def exchange():
-            whole = full_response(KEY)
-            body = self.generate("r1", stream=True, prefix=whole[:4])
+            expected_tokens = full_response(KEY)
+            body = self.generate("r1", stream=True, prefix=expected_tokens[:4])
             blocks = (await self.text("/v1/generate", body)).strip().split("\n\n")
-            self.assertEqual(f'id: 5\ndata: {{"text":"{whole[4]}"}}', blocks[0])
-            self.assertEqual(f'event: end\ndata: {{"count":{len(whole)}}}', blocks[-1])
-            self.assertEqual(len(whole) - 4 + 1, len(blocks))
+            self.assertEqual(f'id: 5\ndata: {{"text":"{expected_tokens[4]}"}}', blocks[0])
+            self.assertEqual(f'event: end\ndata: {{"count":{len(expected_tokens)}}}', blocks[-1])
+            self.assertEqual(len(expected_tokens) - 4 + 1, len(blocks))
 
         self.serve(exchange)
 
@@ -76,9 +80,9 @@
                 await self.call("POST", "/v1/generate", not_resident),
             )
             unknown_field = self.generate("r2", promt="x")
-            status, answer = await self.call("POST", "/v1/generate", unknown_field)
-            self.assertEqual((422, False), (status, answer["ran"]))
-            self.assertIn("prompt", answer["remedy"])
+            status, response = await self.call("POST", "/v1/generate", unknown_field)
+            self.assertEqual((422, False), (status, response["ran"]))
+            self.assertIn("prompt", response["remedy"])
             await self.call("POST", "/admin/behaviour", {"kind": "refuse", "count": 1})
             self.assertEqual(
                 (503, {"request_id": "r3", "error": "overloaded", "ran": False}),
@@ -100,11 +104,11 @@
             self.puller.pulls["n"].set_result(None)
             self.assertEqual(200, (await self.call("POST", "/v1/models/load", load))[0])
             large = {**load, "model": "large", "bytes": 10**9}
-            status, answer = await self.call("POST", "/v1/models/load", large)
-            self.assertEqual((409, "memory"), (status, answer["error"]))
+            status, response = await self.call("POST", "/v1/models/load", large)
+            self.assertEqual((409, "memory"), (status, response["error"]))
             adapter = {**load, "model": "", "adapter": "b", "base_model": "none"}
-            status, answer = await self.call("POST", "/v1/adapters/load", adapter)
-            self.assertEqual((409, "base-model"), (status, answer["error"]))
+            status, response = await self.call("POST", "/v1/adapters/load", adapter)
+            self.assertEqual((409, "base-model"), (status, response["error"]))
             unload = {"order_id": "o2", "epoch": 3, "model": "m"}
             self.assertEqual(200, (await self.call("POST", "/v1/models/unload", unload))[0])
             self.assertEqual(404, (await self.call("POST", "/v1/models/unload", unload))[0])
@@ -127,7 +131,7 @@
 
         self.serve(exchange)
 
-    def test_a_dropped_answer_ran(self):
+    def test_a_request_whose_response_is_dropped_ran(self):
         async def exchange():
             await self.call("POST", "/admin/behaviour", {"kind": "drop-answer", "count": 1})
             status, _ = await self.call("POST", "/v1/generate", self.generate("r1"))
@@ -136,18 +140,18 @@
 
         self.serve(exchange)
 
-    def test_crossed_answers_carry_the_other_request(self):
+    def test_swapped_responses_carry_the_other_request_id(self):
         async def exchange():
             await self.call("POST", "/admin/behaviour", {"kind": "crossed-answer", "count": 2})
-            answers = await asyncio.gather(
+            responses = await asyncio.gather(
                 self.call("POST", "/v1/generate", self.generate("r1")),
                 self.call("POST", "/v1/generate", self.generate("r2")),
             )
-            self.assertEqual(["r2", "r1"], [answer["request_id"] for _, answer in answers])
+            self.assertEqual(["r2", "r1"], [response["request_id"] for _, response in responses])
 
         self.serve(exchange)
 
-    def test_streams_that_skip_and_repeat_pieces(self):
+    def test_streams_that_skip_and_repeat_tokens(self):
         async def exchange():
             numbers = {}
             for kind in ("skip-piece", "repeat-piece"):
--- a/tests/standins/load/test_callers.py
+++ b/tests/standins/load/test_callers.py
@@ -20,7 +20,7 @@
 
 
 def chunks(count):
-    """Return a step that sends `count` further pieces and breaks off."""
+    """Return a step that sends `count` further chunks and disconnects."""
 
     def step(plan, attempt, check):
         for index in range(check.last_event_id + 1, check.last_event_id + 1 + count):
--- a/tests/standins/load/test_request_plan.py
+++ b/tests/standins/load/test_request_plan.py
@@ -27,7 +27,7 @@
         self.assertTrue(second.prompt.startswith(history))
         self.assertNotEqual(first.base_id, second.base_id)
 
-    def test_the_expected_answer_is_the_models(self):
+    def test_the_expected_response_is_the_models(self):
         plan = self.planner.plan(self.planner.conversation(self.chats[0]), 0, "")
         key = GenerationKey(plan.model, plan.adapter, plan.prompt, plan.body["max_tokens"])
         self.assertEqual(full_response(key), plan.expected)
--- a/tests/standins/operators/test_runner.py
+++ b/tests/standins/operators/test_runner.py
@@ -17,7 +17,7 @@
 
 
 class ScriptedCores:
-    """Cores that keep one version and answer a resent order as at first, or as scripted."""
+    """Cores that store one version and respond to a resent order as at first, or as scripted."""
 
     def __init__(self, steps=()):
         self.steps = list(steps)
@@ -37,9 +37,9 @@
         if base is not None and base != self.current:
             return CoreResponse(409, {"current_version": self.current})
         self.current += 1
-        answer = CoreResponse(200, {"version": self.current, "order_id": order_id})
-        self.first_responses[order_id] = answer
-        return answer
+        response = CoreResponse(200, {"version": self.current, "order_id": order_id})
+        self.first_responses[order_id] = response
+        return response
 
 
 class OperatorsTest(TestCase):
--- a/tests/standins/platform/test_server.py
+++ b/tests/standins/platform/test_server.py
@@ -27,8 +27,8 @@
             await self.call("PUT", "/admin/servers/s1", row)
             seen = []
             for _ in range(4):
-                _, answer = await self.call("GET", "/v1/servers")
-                seen.append(answer["servers"][0]["address"])
+                _, response = await self.call("GET", "/v1/servers")
+                seen.append(response["servers"][0]["address"])
             self.assertEqual(["127.0.0.1:1"] * 2 + ["127.0.0.1:7"] * 2, seen)
             self.assertEqual(["server-listed"], self.journal.events())
 
@@ -38,8 +38,8 @@
         async def exchange():
             self.assertEqual((200, {"nodes": []}), await self.call("GET", "/v1/nodes"))
             self.platform.readiness.record_poll("n1", True)
-            _, answer = await self.call("GET", "/v1/nodes")
-            self.assertEqual([{"node": "n1", "address": "127.0.0.1:2"}], answer["nodes"])
+            _, response = await self.call("GET", "/v1/nodes")
+            self.assertEqual([{"node": "n1", "address": "127.0.0.1:2"}], response["nodes"])
             await self.call("DELETE", "/admin/nodes/n1")
             self.assertEqual((200, {"nodes": []}), await self.call("GET", "/v1/nodes"))
             await self.call("PUT", "/admin/nodes/n2", {"address": "127.0.0.1:3"})
