--- a/src/zincvale/controlplane/api/dispatch.py
+++ b/src/zincvale/controlplane/api/dispatch.py
@@ -91,7 +91,7 @@
             return []
         if isinstance(message, ChangeResult):
             return [change_response(pending, message)]
-        # The core replies to a change with a `ChangeResult` alone (`registers.proposals`), so this
+        # The core replies to a change with a `ChangeResult` alone (`proposal_router`), so this
         # only survives a defect there: the operator learns that nothing is promised.
         return [not_confirmed_response(pending, f"the core answered {type(message).__name__}")]
 
--- a/src/zincvale/controlplane/api/intent_changes.py
+++ b/src/zincvale/controlplane/api/intent_changes.py
@@ -1,4 +1,8 @@
-"""Changes of the intent: the proposal in an operator's request, and the response to its result."""
+"""Changes of the intent: the proposal in an operator's request, and the response to its result.
+
+Nothing is decided here: a result `not-confirmed` comes from
+`coordination.registers.proposal_router`, or from `dispatch` when the core gives no result at all.
+"""
 
 from __future__ import annotations
 
--- a/src/zincvale/controlplane/documents/api.py
+++ b/src/zincvale/controlplane/documents/api.py
@@ -3,6 +3,9 @@
 A dialect reads requests into commands and writes responses; this module carries changes to the
 owner of the document and completes reads only with what is certainly the newest: before a read is
 completed, the owner confirms the current version by a quorum (a linearizable read).
+
+A change gets `not-confirmed` from `coordination.registers.proposal_router` after its limit. If the
+core gives no result at all, it gets `unavailable`, and then the change may be in force as well.
 """
 
 from __future__ import annotations
--- a/src/zincvale/coordination/config.py
+++ b/src/zincvale/coordination/config.py
@@ -31,7 +31,7 @@
     resend_interval_s: float = 0.3
     """Between two sends of a register message to a replica that did not respond."""
     change_timeout_s: float = 4.0
-    """After this a change gets the response `not-confirmed`."""
+    """After this a change gets the response `not-confirmed`, by `registers.proposal_router`."""
     forward_timeout_s: float = 4.0
     """Timeout of the call that forwards a change to the key's owner."""
     renewal_collect_s: float = 0.03
--- a/src/zincvale/coordination/delivery/rollout.py
+++ b/src/zincvale/coordination/delivery/rollout.py
@@ -8,6 +8,9 @@
 
 A core that reports newer replica sets or a newer registry than the one that counts stops the count:
 majorities of outdated sets prove nothing.
+
+There is no time limit here: a change that is not counted in time is answered `not-confirmed` by
+`coordination.registers.proposal_router`, and may still be counted later.
 """
 
 from __future__ import annotations
@@ -21,7 +24,10 @@
 
 @attrs.frozen
 class PendingChange:
-    """A change whose caller, at the call `token`, waits until its version is rolled out."""
+    """A chosen change whose caller, at the call `token`, waits until its version is rolled out.
+
+    `controlplane.api.intent_changes.PendingChange` is the same change at the operators' API.
+    """
 
     token: str
     version: int
--- a/src/zincvale/coordination/registers/proposal_router.py
+++ b/src/zincvale/coordination/registers/proposal_router.py
@@ -2,6 +2,19 @@
 
 A change is resent to whoever owns the key until it has a result or its deadline passes; the
 record's idempotency entries make the repetition safe.
+
+`ProposalRouter.tick` is where a change becomes `not-confirmed`: it has no result `change_timeout_s`
+after it came. Several causes end there, and the response does not distinguish them:
+
+- no core serves the key, or the one believed to own it does not respond (`ownership`);
+- the owner has no majority of disks for the write (`owner`), or for the proof that precedes a
+  refusal (`ownership_proof`);
+- the change is chosen and not rolled out (`delivery.rollout`): a live lease lacks the version, too
+  few registered nodes confirmed it, too few granting cores reported it, or a core counts with
+  outdated replica sets or an outdated registry.
+
+A `not-confirmed` of another core is not a result here: the change is routed again until the
+deadline of the core that the caller asked.
 """
 
 from __future__ import annotations
@@ -126,7 +139,7 @@
         return [Reply(token, result)]
 
     def tick(self, now: float) -> list[Effect]:
-        """Route what has no owner yet; end what is past its deadline."""
+        """Route what has no owner yet; end as `not-confirmed` what is past its deadline."""
         effects: list[Effect] = []
         for token, pending in list(self._pending.items()):
             if now >= pending.deadline:
--- a/src/zincvale/model/errors.py
+++ b/src/zincvale/model/errors.py
@@ -99,7 +99,11 @@
 
 @attrs.frozen
 class UnavailableError(ZincvaleError):
-    """The daemon cannot serve this now; nothing was changed."""
+    """The daemon cannot serve this now.
+
+    Nothing was changed, except where a change of a document got no result from the core
+    (`controlplane.documents.api`): its outcome is unknown, and it can be sent again.
+    """
 
     kind = "unavailable"
     http_status = 503
