--- a/src/zincvale/dataplane/forwarding/forwarded_request.py
+++ b/src/zincvale/dataplane/forwarding/forwarded_request.py
@@ -56,7 +56,7 @@
 URGENCY_STEP = 2
 MAX_URGENCY = 9
 RETRY_BUDGET_RETRY_AFTER_S = 0.2
-"""What callers are told when the retry budget is spent."""
+"""`Retry-After` when the retry budget is spent; the reason in the response is `busy` as well."""
 MIN_NON_SUCCESS_STATUS = 300
 
 
--- a/src/zincvale/dataplane/forwarding/pending_requests.py
+++ b/src/zincvale/dataplane/forwarding/pending_requests.py
@@ -1,4 +1,10 @@
-"""Requests that are pending because no server can take them: for how long, and in which order."""
+"""Requests that are pending because no server can take them: for how long, and in which order.
+
+A request is refused here in two ways: at once, where `max_wait_s` finds that waiting cannot help
+(`PendingRequestQueue.add` returns None), or when its wait has expired (`dispatch`). In both,
+`Retry-After` is `retry_after_s`; refusals for other causes have constants of their own, listed
+under "What `Retry-After` is made of" in docs/operators/on-call.md.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +29,8 @@
 LONGER_WAIT_WEIGHT = 0.05
 """Weights of shorter and of longer waits in the moving minimum of the observed waits."""
 BUSY_WAIT_FRACTION = 0.25
-"""Part of the latency objective for which a request waits for a free slot."""
+"""Part of the latency objective for which a request waits for a free slot, and after which its
+caller should retry."""
 MAX_WAIT_FRACTION = 0.6
 """Part of the remaining time that a request may wait: the rest is needed for the response."""
 MIN_WAIT_S = 0.05
@@ -144,7 +151,13 @@
     pool: ForwardPool | None,
     load_waits: LoadWaitEstimator,
 ) -> float:
-    """Return after how many seconds the caller should retry."""
+    """Return after how many seconds the caller should retry.
+
+    For a missing model: its declared load time and `LOAD_OVERHEAD_S`, for a missing adapter
+    `ADAPTER_LOAD_S`, in both cases at most the wait learned for the pool (not for the model). For
+    `BUSY` and `NO_SERVER`: a part of the route's objective. Neither the number of pending requests
+    nor the progress of a load counts.
+    """
     if reason in LOAD_REASONS:
         expected_s = expected_load_s(requirements.prompt, pool, reason) or MIN_RETRY_AFTER_S
         return max(MIN_RETRY_AFTER_S, load_waits.estimate_s(requirements.pool, reason, expected_s))
--- a/src/zincvale/dataplane/forwarding/request_machine.py
+++ b/src/zincvale/dataplane/forwarding/request_machine.py
@@ -4,6 +4,11 @@
 server's statement (`ResponseFacts.never_ran`) proves that it did not run; without it a request that
 may not be repeated ends as unknown. A request is refused only while nothing ran and nothing is in
 flight.
+
+`Retry-After` of a refusal is the one in `NoServerFound`, from `pending_requests` or the retry
+budget; where a server was found and did not take the request, or the time is over, it is
+`REFUSED_RETRY_AFTER_S`. A server's 503 without proof is relayed with the server's own header on a
+route whose requests may be repeated and have no attempt left.
 """
 
 from __future__ import annotations
@@ -46,7 +51,7 @@
 RETRYABLE_STATUSES = frozenset({408, 421, 429, 503})
 """Callers take these to mean that the request did not run and never will."""
 REFUSED_RETRY_AFTER_S = 0.1
-"""Callers that retry sooner meet the same servers."""
+"""`Retry-After` of these refusals: callers that retry sooner meet the same servers."""
 MAX_UNCOUNTED_SENDS = 3
 """Failed connections and misdirected sends are not attempts of the route; this bounds them."""
 
