--- a/src/zincvale/controlplane/placement/eviction.py
+++ b/src/zincvale/controlplane/placement/eviction.py
@@ -1,7 +1,13 @@
 """Choice of what leaves a server to make room: the least worth a byte.
 
-What is in use is not chosen, unless requests have waited for long: then a replica may drain
-while requests still run on it, and is unloaded when they have ended.
+An item's only replica is not chosen while requests run on it, unless requests have waited for
+long: then it may drain, and is unloaded when they have ended. Of several replicas one in use may be
+chosen, since the others stand in for it.
+
+Whether what leaves is worth less than the load is decided after that, by
+`load_candidates.is_worth_loading`. The costs here are by `replica_value.replica_value`; the
+function `replica_value.eviction_cost` is another measure, used there for loads that requests wait
+for.
 """
 
 from __future__ import annotations
@@ -21,7 +27,7 @@
     Attributes
     ----------
     keys : adapters first, their model last.
-    cost : what the replicas are worth, see `replica_value.replica_value`.
+    cost : the greatest `replica_value.replica_value` among the items; more where one is in use.
     """
 
     keys: tuple[ItemKey, ...]
@@ -31,7 +37,7 @@
 
 @attrs.frozen
 class Eviction:
-    """The cheapest way found to free enough memory."""
+    """The cheapest way found to free enough memory; its cost is the sum over the groups."""
 
     keys: tuple[ItemKey, ...]
     cost: float
--- a/src/zincvale/controlplane/placement/load_candidates.py
+++ b/src/zincvale/controlplane/placement/load_candidates.py
@@ -59,7 +59,14 @@
 def is_worth_loading(
     placement: PlacementState, item: ItemRow, reason: MoveReason, choice: Choice, now: float
 ) -> bool:
-    """Whether the load is worth more than what leaves for it."""
+    """Whether the load is worth more than what leaves for it.
+
+    What is compared depends on the reason. Where requests wait: the requests expected to wait after
+    the eviction, with those that wait now and those expected without the load. Before a daily
+    change: the values that earlier days show, times `foreseen_gain`. Else: the present values,
+    times `swap_gain`. Declared minimum replicas, and loads for which nothing leaves, are always
+    worth it.
+    """
     if not choice.eviction.keys or reason is MoveReason.MIN_REPLICAS:
         return True
     if reason is MoveReason.WAITING_REQUESTS:
--- a/src/zincvale/controlplane/placement/plan_unloads.py
+++ b/src/zincvale/controlplane/placement/plan_unloads.py
@@ -23,7 +23,11 @@
 
 @attrs.frozen
 class UnloadTerms:
-    """Why a replica is unloaded, and the moves that must be done before."""
+    """Why a replica is unloaded, and the moves that must be done before.
+
+    The reason is `MAKE_ROOM` (from `plan_loads`; `detail` names what is loaded instead, whose own
+    move has the reason for that), `PREFETCH` (from `prefetch`) or `NOT_DECLARED` (from here).
+    """
 
     reason: MoveReason
     detail: str
--- a/src/zincvale/controlplane/placement/replica_value.py
+++ b/src/zincvale/controlplane/placement/replica_value.py
@@ -1,4 +1,8 @@
-"""What a replica is worth, in requests a second that would otherwise wait for a load."""
+"""What a replica is worth, in requests a second that would otherwise wait for a load.
+
+`item_value` and `replica_value` are rates; `need` and `eviction_cost` are counts of requests, and
+are compared only with each other. Which pair decides is in `load_candidates.is_worth_loading`.
+"""
 
 from __future__ import annotations
 
