--- a/src/zincvale/bench/tracing_bench.py
+++ b/src/zincvale/bench/tracing_bench.py
@@ -1,7 +1,7 @@
-"""What the record costs a node, and what it keeps when collectors crash.
+"""What tracing costs a node, and what it keeps when collectors crash.
 
 `python -m zincvale.bench.tracing_bench run` prints: processor time of a traced request, and of a
-node with and without its record, within one run; memory under ten times the target rate against the
+node with and without tracing, within one run; memory under ten times the target rate against the
 budgets; and
 the share of ERROR traces kept through the crash of each collector, over seeds.
 """
--- a/src/zincvale/simulator/mutations/leases.py
+++ b/src/zincvale/simulator/mutations/leases.py
@@ -1,4 +1,4 @@
-"""Deliberate mistakes in member leases, acknowledgement, islands and singleton roles."""
+"""Deliberate mistakes in member leases, acknowledgement, partitions and singleton roles."""
 
 from __future__ import annotations
 
@@ -89,7 +89,7 @@
 @mutation("island-serves", "a node that lost the cores goes on serving")
 @contextlib.contextmanager
 def island_serves() -> Iterator[None]:
-    """A minority island takes its own evidence for a majority's."""
+    """A minority partition takes its own evidence for a majority's."""
     with mock.patch.object(
         partition_guard.PartitionGuard, "valid_until", lambda self, registered, now: now + 1.0
     ):
@@ -99,7 +99,7 @@
 @mutation("no-registry-majority", "acknowledged without a majority of the registered nodes")
 @contextlib.contextmanager
 def no_registry_majority() -> Iterator[None]:
-    """A majority island serves while changes are acknowledged elsewhere."""
+    """A majority partition serves while changes are acknowledged elsewhere."""
     with mock.patch.object(rollout, "has_majority", lambda registry, confirmed: True):
         yield
 
