--- a/src/zincvale/coordination/leases/catch_up.py
+++ b/src/zincvale/coordination/leases/catch_up.py
@@ -1,12 +1,15 @@
-"""Tells when a started core knows everything that was acknowledged before it started.
+"""Determines when a started core knows every version that was acknowledged before its start.
 
-It does once, for each delivered key, a majority of replicas has said *after this start* that no
-epoch above the serving owner's was promised, and the owner's chosen version is known here. Until
-then it grants no leases: an earlier run of this process may have reported newer versions as applied
-everywhere, and a grant that does not require them would support a node that lacks them.
+The core has caught up once two conditions hold for each delivered key. A majority of the replicas
+has reported, after the start of this process, that they promised no epoch above the serving
+owner's; and this core knows the owner's chosen version.
 
-A heartbeat proves that it was sent after this start by naming the incarnation of this process among
-those that its sender heard.
+Until then the core grants no leases. An earlier run of this process may have reported newer
+versions as applied everywhere, and a grant that does not require them would let a node serve
+without them.
+
+A heartbeat was sent after the start of this process if it lists this process's incarnation among
+those that its sender has received heartbeats from.
 """
 
 from __future__ import annotations
@@ -20,21 +23,21 @@
 
 
 class CatchUpTracker:
-    """Judges by the heartbeats that were sent since this process started."""
+    """Checks the heartbeats that other cores sent since this process started."""
 
     def __init__(self, context: CoreContext, owners: dict[str, RegisterOwner]) -> None:
         self._context = context
         self._owners = owners
 
     def is_caught_up(self, now: float) -> bool:
-        """Whether every delivered key is known as of this process's start."""
+        """Whether this core knows what was acknowledged of every delivered key before its start."""
         return all(self._key_is_caught_up(key, now) for key in DELIVERED_KEYS)
 
     def _key_is_caught_up(self, key: str, now: float) -> bool:
         statuses = self._statuses_since_start(key, now)
-        highest = max((status.promised for status in statuses.values()), default=Epoch())
+        highest_promised = max((status.promised for status in statuses.values()), default=Epoch())
         for status in statuses.values():
-            if status.owned_epoch == highest and status.config.is_quorum(statuses):
+            if status.owned_epoch == highest_promised and status.config.is_quorum(statuses):
                 return self._context.chosen_version(key) >= status.chosen_version
         return False
 
@@ -51,15 +54,15 @@
 
 
 def own_key_status(context: CoreContext, owners: dict[str, RegisterOwner], key: str) -> KeyStatus:
-    """Return this core's promise, accepted position and epoch of `key`, as its heartbeat states."""
+    """Return this core's state of `key` as its heartbeat reports it."""
     state = context.replica.state(key)
     owner = owners.get(key)
-    serving = owner is not None and owner.is_serving()
+    is_serving = owner is not None and owner.is_serving()
     return KeyStatus(
         key=key,
         promised=state.promised,
         accepted=state.record.position,
         chosen_version=context.chosen_version(key),
-        owned_epoch=owner.epoch if owner is not None and serving else None,
-        config=owner.record.config if owner is not None and serving else ReplicaConfig(),
+        owned_epoch=owner.epoch if owner is not None and is_serving else None,
+        config=owner.record.config if owner is not None and is_serving else ReplicaConfig(),
     )
--- a/src/zincvale/coordination/leases/core_leases.py
+++ b/src/zincvale/coordination/leases/core_leases.py
@@ -1,7 +1,7 @@
-"""Member leases at a core: who gets a grant, and what follows from the leases.
+"""Member leases at a core: granting them, and the tables and reports derived from them.
 
-A core grants nothing before it is caught up (see `catch_up`) and while `grants_blocked_until` lies
-ahead: a grant must require everything that was acknowledged before this process started.
+A core grants no lease before it has caught up (see `catch_up`), nor before `grants_blocked_until`.
+A grant must require every version that was acknowledged before this process started.
 """
 
 from __future__ import annotations
@@ -19,30 +19,33 @@
 
 
 class MemberLeases:
-    """The member leases of one core, and the tables that are made from them.
+    """The member leases of one core, and the tables derived from them.
 
     Attributes
     ----------
-    grantor : the leases granted here.
-    applied_versions : this core's reports of applied versions, and the other cores'.
-    members : the member table, made from the leases and the cores' heartbeats.
-    caught_up : whether this core knows everything acknowledged before it started.
+    grantor : the leases granted by this core.
+    applied_versions : the reports of applied versions, of this core and of the others.
+    members : the member table, built from the leases and the cores' heartbeats.
+    caught_up : whether this core knows every version acknowledged before its start.
     """
 
     def __init__(self, context: CoreContext) -> None:
         timings = context.config.timings
-        earliest = context.started_at + timings.lease_ttl_s * CLOCK_RATE_ALLOWANCE
+        earlier_leases_until = context.started_at + timings.lease_ttl_s * CLOCK_RATE_ALLOWANCE
         self._context = context
-        self.grantor = LeaseGrantor(timings, earliest)
+        self.grantor = LeaseGrantor(timings, earlier_leases_until)
         self.applied_versions = AppliedVersions(context, self.grantor)
         self.members = MemberTable(context, self.grantor)
         self._registry = RegistryReconciler(context, self.grantor)
         self.caught_up = False
 
     def handle_renewal(
-        self, renewal: RenewLease, newest: dict[str, int], now: float
+        self, renewal: RenewLease, newest_versions: dict[str, int], now: float
     ) -> LeaseGranted | LeaseRedirect:
-        """Grant a lease, or say why not; a lease that starts anew requires `newest`."""
+        """Grant a lease, or respond that none can be granted.
+
+        A new lease requires `newest_versions`.
+        """
         context = self._context
         context.cores.record_address(renewal.info)
         if not self.caught_up or not context.is_voter() or now < context.grants_blocked_until:
@@ -52,7 +55,7 @@
             requested_at=renewal.requested_at,
             config_version=context.sets.version,
             grantors=ReplicaConfig() if knows_replica_sets else context.sets.grantors(),
-            required=self.grantor.renew(renewal, newest, now),
+            required=self.grantor.renew(renewal, newest_versions, now),
             chosen=context.chosen_versions(),
             cores=[] if knows_replica_sets else self.core_infos(),
             cluster_incarnation=context.sets.cluster_incarnation,
@@ -60,12 +63,12 @@
         )
 
     def core_infos(self) -> list[MemberInfo]:
-        """Return how the cores of the cluster are reached."""
+        """Return the addresses and zones of the cluster's cores; of this core if none is known."""
         infos = [row.info for row in self._context.sets.cores.values()]
         return infos if infos else [self._context.info()]
 
     def report_if_complete(self, now: float) -> list[Effect]:
-        """Report applied versions at once when no live lease lacks a chosen version any more."""
+        """Report changed applied versions if every node with a lease has all chosen versions."""
         if (
             not self.caught_up
             or not self.grantor.applied_versions_changed
@@ -75,15 +78,18 @@
         return self.applied_versions.report(now, only_changes=True)
 
     def tick(self, now: float) -> list[Effect]:
-        """Expire leases, report applied versions, invite registered nodes that have no lease."""
+        """Remove expired leases, report applied versions, and invite registered nodes to renew.
+
+        Only registered nodes without a lease are invited.
+        """
         self.grantor.expire(now)
         if not self.caught_up:
             return []
-        invitations = self._registry.invite_absent(self.core_infos(), now)
-        return [*self.applied_versions.tick(now), *invitations]
+        invitation_effects = self._registry.invite_absent(self.core_infos(), now)
+        return [*self.applied_versions.tick(now), *invitation_effects]
 
     def registry_change(self, now: float) -> bytes | None:
-        """Return the next change of the registry, if one is due."""
+        """Return the encoded change of the registry to propose next; None if none is due."""
         if not self.caught_up:
             return None
         return self._registry.next_change(self.applied_versions.is_rolled_out(REGISTRY_KEY), now)
--- a/src/zincvale/coordination/leases/lease_grantor.py
+++ b/src/zincvale/coordination/leases/lease_grantor.py
@@ -1,19 +1,19 @@
-"""Grants member leases to nodes and knows which versions every live node has applied.
-
-The invariant (docs/design-coordination.md): a grant counts only for a node that has applied the
-`required` versions. A lease that starts anew requires everything chosen that this core knows; so
-once every live lease here has applied a version, no later grant of this core supports a node that
-lacks it.
-
-Three races are guarded here:
-
-- A renewal that a later one overtook is not counted: its node may have given evidence of a
-  partition in between, which the late message denies.
-- A node may apply a version after it sent its renewal, and then count an older grant that it could
-  not count before. `LeaseRow.assured_version` therefore goes by the least that any grant still in
-  use requires.
-- A node that restarted starts a new lease while its former process may still serve on the old one:
-  the old row counts until its grants have expired.
+"""Grants member leases to nodes and tracks which versions every node with a lease has applied.
+
+The invariant (docs/design-coordination.md): a grant is valid only for a node that has applied the
+`required` versions. A new lease requires every chosen version that this core knows. Therefore, once
+every node with a live lease here has applied a version, no later grant of this core is valid for a
+node that lacks it.
+
+Three races are handled here:
+
+- Renewals may arrive out of order. A renewal older than one already received is ignored: the node
+  may have given evidence of a partition between the two, which the older renewal does not report.
+- A node may apply a version after it sent its renewal, and then use an older grant that was not
+  valid for it before. `LeaseRow.assured_version` therefore uses the lowest requirement of all
+  grants that may still be in use.
+- A restarted node starts a new lease while its former process may still serve on the old one. The
+  old lease is kept until its grants have expired.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from zincvale.coordination.membership.messages import MemberInfo
 
 CLOCK_RATE_ALLOWANCE = 1.02
-"""A grantor counts this much longer than the holder, whose clock may run 2% slower; with less, a
-core forgets a lease that its holder still counts."""
+"""Factor by which a grantor extends the lease lifetime, because the holder's clock may run 2%
+slower. With a smaller factor, a core could drop a lease that its holder still considers valid."""
 
 
 @attrs.define
 class LeaseRow:
-    """One node's lease at this core."""
+    """The lease that this core granted to one node."""
 
     info: MemberInfo
     requested_at: float
@@ -40,18 +40,19 @@
     """Until when grants of this core may be in use, on this core's clock."""
     applied_versions: dict[str, int]
     required: dict[str, int]
-    """What the newest grant requires."""
+    """The versions by key that the newest grant requires."""
     previous_required: dict[str, int]
-    """The least that earlier grants, in use until `previous_until`, require."""
+    """The lowest versions by key that any earlier grant requires, in force until
+    `previous_until`."""
     previous_until: float
     ready: bool
     may_confirm: bool
 
     def assured_version(self, key: str, now: float) -> int:
-        """Return the version without which the node does not serve on grants of this core.
+        """Return the version of `key` that the node has applied whenever it serves on a grant.
 
-        The node may have applied a version after its request, and count a grant that it could not
-        count then; so what matters is the least that any grant still in use requires.
+        The node may have applied a version after its request, which makes an older grant valid for
+        it. The result is therefore based on the lowest requirement of all grants still in use.
         """
         required = self.previous_required if now < self.previous_until else self.required
         return max(self.applied_versions.get(key, 0), required.get(key, 0))
@@ -59,38 +60,40 @@
 
 @attrs.frozen
 class _ChosenVersion:
-    """A chosen version, and since when this core knows it."""
+    """A chosen version, and the time when this core learned of it."""
 
     version: int
     since: float
 
 
 class LeaseGrantor:
-    """The leases of the nodes that renew at this core.
+    """Holds the leases of the nodes that renew at this core.
 
     Parameters
     ----------
-    timings : durations; `lease_ttl_s` and `stale_member_grace_s` are used.
-    earliest_report : before this instant, leases granted by an earlier run may be in use.
+    timings : durations, of which `lease_ttl_s` and `stale_member_grace_s` are used.
+    earlier_leases_until : until when leases that an earlier run of this process granted, and that
+        are unknown here, may be in use.
     """
 
-    def __init__(self, timings: Timings, earliest_report: float) -> None:
+    def __init__(self, timings: Timings, earlier_leases_until: float) -> None:
         self._timings = timings
         self._lifetime_s = timings.lease_ttl_s * CLOCK_RATE_ALLOWANCE
-        self._earliest_report = earliest_report
+        self._earlier_leases_until = earlier_leases_until
         self.rows: dict[str, LeaseRow] = {}
-        self._replaced: list[LeaseRow] = []
-        """Leases of earlier incarnations, which may still be in use."""
-        self._chosen: dict[str, _ChosenVersion] = {}
+        self._replaced_leases: list[LeaseRow] = []
+        """Leases of former processes of restarted nodes, which may still be in use."""
+        self._chosen_versions: dict[str, _ChosenVersion] = {}
         self._stale_members: dict[str, set[str]] = {}
         self.applied_versions_changed = False
-        """Whether what nodes have applied may have changed since the last report."""
+        """Whether the versions that nodes have applied may have changed since the last report."""
         self.members_changed: set[str] = set()
-        """Nodes that joined, left, moved or changed readiness since the member table was made."""
+        """Nodes that joined, left, or changed their `MemberInfo` or readiness since the member
+        table was last updated."""
 
     def on_chosen(self, key: str, version: int, now: float) -> None:
-        """Record when this core learned of a chosen version, and which leases lack it."""
-        self._chosen[key] = _ChosenVersion(version, now)
+        """Record when this core learned of a chosen version, and which nodes lack it."""
+        self._chosen_versions[key] = _ChosenVersion(version, now)
         self._stale_members[key] = {
             member
             for member, row in self.rows.items()
@@ -98,11 +101,13 @@
         }
         self.applied_versions_changed = True
 
-    def renew(self, renewal: RenewLease, newest: dict[str, int], now: float) -> dict[str, int]:
+    def renew(
+        self, renewal: RenewLease, newest_versions: dict[str, int], now: float
+    ) -> dict[str, int]:
         """Grant or renew a lease; return the versions that its holder must have applied.
 
-        A lease that starts anew requires the `newest` ones. A renewal that a later one overtook is
-        not counted: its holder may have given evidence of a partition in between.
+        A new lease requires `newest_versions`. A renewal older than one already received is
+        ignored: the node may have given evidence of a partition between the two.
         """
         member = renewal.info.member
         before = self.rows.get(member)
@@ -111,15 +116,15 @@
             and renewal.requested_at < before.requested_at
             and now < before.granted_until
         ):
-            return dict(newest)
-        row = self._continued(before, renewal, now)
+            return dict(newest_versions)
+        row = self._extended_lease(before, renewal, now)
         granted_until = now + self._lifetime_s
         if row is None:
             applied = renewal.applied_versions
-            required, previous, previous_until = dict(newest), newest, now
+            required, previous, previous_until = dict(newest_versions), newest_versions, now
         else:
-            applied = _highest(row.applied_versions, renewal.applied_versions)
-            required = row.required | self._overdue(renewal.applied_versions, now)
+            applied = _highest_versions(row.applied_versions, renewal.applied_versions)
+            required = row.required | self._overdue_versions(renewal.applied_versions, now)
             previous, previous_until = _previous_requirements(row, required, now)
         after = LeaseRow(
             info=renewal.info,
@@ -137,8 +142,8 @@
         return required
 
     def expire(self, now: float) -> None:
-        """Remove the leases of which no grant can be in use any more."""
-        self._replaced = [row for row in self._replaced if now < row.granted_until]
+        """Remove the leases whose grants have all expired."""
+        self._replaced_leases = [row for row in self._replaced_leases if now < row.granted_until]
         expired = [member for member, row in self.rows.items() if now >= row.granted_until]
         for member in expired:
             del self.rows[member]
@@ -149,22 +154,23 @@
             self.applied_versions_changed = True
 
     def has_stale_members(self) -> bool:
-        """Whether some node with a lease lacks a chosen version."""
+        """Whether any node with a lease lacks a chosen version."""
         return any(self._stale_members.values())
 
     def lowest_applied_version(self, key: str, chosen: int, now: float) -> int:
         """Return the version that every node with a live lease here has applied, at most `chosen`.
 
-        It is 0 while leases of an earlier run of this process, which are not known here, may live.
+        It is 0 while leases granted by an earlier run of this process, which are unknown here, may
+        be in use.
         """
-        if now < self._earliest_report:
+        if now < self._earlier_leases_until:
             return 0
-        rows = [*self.rows.values(), *self._replaced]
+        rows = [*self.rows.values(), *self._replaced_leases]
         applied = [row.assured_version(key, now) for row in rows if now < row.granted_until]
         return min([chosen, *applied])
 
     def confirming_nodes(self, versions: dict[str, int], now: float) -> list[str]:
-        """Return the nodes with a live lease that applied `versions` and may confirm them."""
+        """Return the nodes with a live lease that have applied `versions` and may confirm them."""
         return [
             member
             for member, row in self.rows.items()
@@ -175,19 +181,19 @@
             )
         ]
 
-    def _continued(
+    def _extended_lease(
         self, before: LeaseRow | None, renewal: RenewLease, now: float
     ) -> LeaseRow | None:
-        """Return the lease that this renewal continues, if it does."""
+        """Return the lease that this renewal extends; None when the renewal starts a new one."""
         if before is None:
             return None
         if before.info.incarnation != renewal.info.incarnation:
-            self._replaced.append(before)
+            self._replaced_leases.append(before)
             return None
         return before if now < before.granted_until else None
 
     def _record_changes(self, member: str, before: LeaseRow | None, after: LeaseRow) -> None:
-        for key, chosen in self._chosen.items():
+        for key, chosen in self._chosen_versions.items():
             if after.applied_versions.get(key, 0) >= chosen.version:
                 self._stale_members[key].discard(member)
             else:
@@ -201,12 +207,12 @@
         ):
             self.applied_versions_changed = True
 
-    def _overdue(self, applied: dict[str, int], now: float) -> dict[str, int]:
-        """Return the versions that a node lacks for longer than the grace period."""
+    def _overdue_versions(self, applied: dict[str, int], now: float) -> dict[str, int]:
+        """Return the chosen versions that a node has lacked for longer than the grace period."""
         overdue = {}
-        for key, chosen in self._chosen.items():
-            late = now - chosen.since > self._timings.stale_member_grace_s
-            if late and applied.get(key, 0) < chosen.version:
+        for key, chosen in self._chosen_versions.items():
+            is_overdue = now - chosen.since > self._timings.stale_member_grace_s
+            if is_overdue and applied.get(key, 0) < chosen.version:
                 overdue[key] = chosen.version
         return overdue
 
@@ -214,12 +220,12 @@
 def _previous_requirements(
     row: LeaseRow, required: dict[str, int], now: float
 ) -> tuple[dict[str, int], float]:
-    """Return the least that grants still in use require beside the new one, and until when."""
+    """Return the lowest requirement of the grants older than the new one, and when they expire."""
     if required == row.required:
         return row.previous_required, row.previous_until
-    least = row.previous_required if now < row.previous_until else row.required
-    return least, row.granted_until
+    lowest = row.previous_required if now < row.previous_until else row.required
+    return lowest, row.granted_until
 
 
-def _highest(first: dict[str, int], second: dict[str, int]) -> dict[str, int]:
+def _highest_versions(first: dict[str, int], second: dict[str, int]) -> dict[str, int]:
     return {key: max(first.get(key, 0), second.get(key, 0)) for key in first | second}
--- a/src/zincvale/coordination/leases/member_lease.py
+++ b/src/zincvale/coordination/leases/member_lease.py
@@ -1,11 +1,11 @@
 """The node's side of its member lease.
 
-The lease is valid while a majority of the granting cores granted it within its lifetime. A grant
-counts from the instant of the node's request, not from its arrival: grants that waited in the
-sockets of a process that was frozen are worth no more. It counts only while the node has applied
-the versions that the grant requires.
+The lease is valid while a majority of the granting cores have granted it within the last lease
+lifetime. The lifetime of a grant starts when the node sent its request, not when the grant arrived.
+A grant that waited in a socket buffer while the process was frozen therefore expires no later. A
+grant is valid only while the node has applied the versions that it requires.
 
-While the replica sets change, a majority of the old and of the new grantors is needed.
+While the replica sets change, the lease needs a majority of the old and of the new grantors.
 """
 
 from __future__ import annotations
@@ -22,29 +22,29 @@
 
 @attrs.frozen
 class Grant:
-    """The newest grant of one core; `requested_at` is on the node's own clock."""
+    """The newest grant of one core; `requested_at` is a time on the node's clock."""
 
     requested_at: float
     required: dict[str, int]
 
 
 class MemberLeaseHolder:
-    """The grants that this node has, and where the cores are reached."""
+    """Holds the grants that this node received, and the cores that it knows."""
 
     def __init__(self, config: NodeConfig) -> None:
         self._config = config
         self._grants: dict[MemberId, Grant] = {}
         self._grantors = ReplicaConfig()
         self._config_version = 0
-        self._valid_for: dict[str, int] | None = None
-        self._valid_until = float("-inf")
+        self._cached_for_versions: dict[str, int] | None = None
+        self._cached_valid_until = float("-inf")
         self.cores: dict[MemberId, MemberInfo] = {}
         self.cluster_incarnation = ""
         self.fence = 0
-        """The newest fencing epoch of any role that a core named."""
+        """The newest fencing epoch of any role that a core reported in a grant."""
 
     def own_info(self) -> MemberInfo:
-        """Return how this node describes itself."""
+        """Return this node's identity and addresses."""
         config = self._config
         return MemberInfo(
             member=config.member,
@@ -64,7 +64,7 @@
         fence: int,
         now: float,
     ) -> RenewLease:
-        """Return the request for a grant; the parameters are fields of `RenewLease`."""
+        """Return the request for a grant; the parameters become fields of `RenewLease`."""
         return RenewLease(
             info=self.own_info(),
             requested_at=now,
@@ -76,8 +76,8 @@
             fence=max(fence, self.fence),
         )
 
-    def targets(self) -> list[MemberId]:
-        """Return whom to send renewals: the grantors, else the cores known, else the seeds."""
+    def renewal_targets(self) -> list[MemberId]:
+        """Return where to send renewals: the grantors, else the known cores, else the seeds."""
         if self._grantors.replicas:
             return self._grantors.members()
         if self.cores:
@@ -85,90 +85,95 @@
         return self.seeds()
 
     def is_majority(self, cores: list[MemberId]) -> bool:
-        """Whether grants of `cores` are enough for a lease."""
+        """Whether grants from `cores` are a majority, which a lease needs."""
         return self._grantors.is_member_quorum(cores)
 
     def grantors(self) -> list[MemberId]:
-        """Return the cores whose grants count; none before the first grant."""
+        """Return the cores that may grant the lease; empty before the first grant."""
         return self._grantors.members()
 
     def in_own_zone(self, members: list[MemberId]) -> list[MemberId]:
-        """Return those of `members` that are cores of this node's zone."""
+        """Return the members in `members` that are known cores in this node's zone."""
         infos = ((member, self.cores.get(member)) for member in members)
         zone = self._config.zone
         return [member for member, info in infos if info is not None and info.zone == zone]
 
     def seeds(self) -> list[MemberId]:
-        """Return the seeds, by address."""
+        """Return the seeds, as members identified by their address."""
         return [member_at(seed) for seed in self._config.seeds]
 
     def use_seeds(self, seeds: tuple[Address, ...]) -> None:
-        """Take other addresses for first contact."""
+        """Replace the peer addresses for first contact."""
         self._config = attrs.evolve(self._config, seeds=seeds)
 
     def address_of(self, member: MemberId) -> Address | None:
-        """Return where a core is reached."""
+        """Return the peer address of a core; None if the core is unknown."""
         info = self.cores.get(member)
         return Address(info.peer_address) if info else None
 
-    def learn_cores(self, infos: list[MemberInfo]) -> None:
-        """Add cores that a process named; what a core granted itself is not overwritten."""
+    def add_cores(self, infos: list[MemberInfo]) -> None:
+        """Add cores that another process reported, without changing those already known."""
         for info in infos:
             self.cores.setdefault(MemberId(info.member), info)
 
     def handle_granted(self, sender: MemberId, granted: LeaseGranted) -> None:
-        """Count a grant; newer replica sets replace the grantors for good."""
+        """Record a grant; replica sets that it carries replace the grantors unless outdated."""
         if granted.grantors.replicas and granted.config_version >= self._config_version:
             self._config_version = granted.config_version
             self._grantors = granted.grantors
             self.cores = {MemberId(info.member): info for info in granted.cores}
             self.cluster_incarnation = granted.cluster_incarnation
-            self._valid_for = None
+            self._cached_for_versions = None
         self.fence = max(self.fence, granted.fence)
         known = self._grants.get(sender)
         if known is None or granted.requested_at > known.requested_at:
             self._grants[sender] = Grant(granted.requested_at, granted.required)
-            self._valid_for = None
+            self._cached_for_versions = None
 
     def discard_grants(self) -> None:
-        """Discard every grant: the clock jumped, so the lifetimes counted by it are void."""
+        """Discard every grant: after a jump of the clock, the request times are meaningless."""
         self._grants.clear()
-        self._valid_for = None
+        self._cached_for_versions = None
 
     def valid_until(self, applied_versions: dict[str, int]) -> float:
-        """Return until when a majority's grants count for a node with these applied versions.
+        """Return until when the lease is valid for a node with these applied versions.
 
-        It is minus infinity without a majority.
+        It is minus infinity without valid grants from a majority.
         """
-        if self._valid_for != applied_versions:
-            self._valid_for = dict(applied_versions)
-            self._valid_until = self._majority_valid_until(applied_versions)
-        return self._valid_until
+        if self._cached_for_versions != applied_versions:
+            self._cached_for_versions = dict(applied_versions)
+            self._cached_valid_until = self._majority_valid_until(applied_versions)
+        return self._cached_valid_until
 
     def _majority_valid_until(self, applied_versions: dict[str, int]) -> float:
         if not self._grantors.replicas:
             return float("-inf")
-        requested = {
+        requested_at_by_core = {
             core: grant.requested_at
             for core, grant in self._grants.items()
             if all(
                 applied_versions.get(key, 0) >= version for key, version in grant.required.items()
             )
         }
-        sets = self._grantors.quorum_sets()
+        quorum_sets = self._grantors.quorum_sets()
         return (
-            min(_majority_requested_at(each, requested) for each in sets)
+            min(_majority_requested_at(replicas, requested_at_by_core) for replicas in quorum_sets)
             + self._config.timings.lease_ttl_s
         )
 
 
-def _majority_requested_at(replicas: list[str], requested: dict[MemberId, float]) -> float:
-    """Return the latest instant since which a majority of `replicas` granted requests.
+def _majority_requested_at(
+    replicas: list[str], requested_at_by_core: dict[MemberId, float]
+) -> float:
+    """Return the latest time such that a majority granted requests sent then or later.
 
-    `node.partition_guard` counts nodes in the same way, but there an empty set needs no evidence;
-    here a lease never exists without grantors.
+    It is minus infinity without a majority of `replicas`. `node.partition_guard` has a function
+    like it, for which an empty set needs no evidence; a lease never exists without grantors.
     """
     members = [member_of(replica) for replica in replicas]
-    times = sorted((requested[member] for member in members if member in requested), reverse=True)
+    times = sorted(
+        (requested_at_by_core[member] for member in members if member in requested_at_by_core),
+        reverse=True,
+    )
     needed = majority(len(members))
     return times[needed - 1] if len(times) >= needed else float("-inf")
--- a/src/zincvale/coordination/leases/messages.py
+++ b/src/zincvale/coordination/leases/messages.py
@@ -1,6 +1,6 @@
 """Messages about member leases: renewals, grants, their relays, and evidence of a partition.
 
-They travel as positional Avro: the order and the types of the fields are the wire format.
+They are encoded as positional Avro: the order and the types of the fields are the wire format.
 """
 
 from __future__ import annotations
@@ -19,34 +19,34 @@
 
     info: MemberInfo
     requested_at: float
-    """Seconds on the node's own clock; a grant counts from this instant."""
+    """Seconds on the node's own clock; the lifetime of a grant starts at this time."""
     ready: bool
     applied_versions: dict[str, int]
-    """Version by delivered key."""
+    """Applied version of each delivered key."""
     may_confirm: bool
-    """No evidence of a partition that the node gave to a peer may still count; only then do its
-    applied versions count towards the registered majority."""
+    """Whether no evidence of a partition that the node gave to a peer can still be in use. Only
+    then do its applied versions count towards a majority of the registered nodes."""
     cluster_incarnation: str
     config_version: int
-    """Version of the replica sets that the node counts by; a grant describes them only when they
-    differ."""
+    """Version of the replica sets that the node uses; a grant carries the replica sets only when
+    the grantor has another version."""
     fence: int
-    """The newest fencing epoch of any role that the node saw."""
+    """The newest fencing epoch of any role that the node knows."""
 
 
 @peer_message("lease.granted")
 @attrs.frozen
 class LeaseGranted:
-    """A core's grant; it counts only for a node that has applied the `required` versions."""
+    """A core's grant; it is valid only for a node that has applied the `required` versions."""
 
     requested_at: float
-    """As in the renewal, on the node's clock."""
+    """`requested_at` of the renewal, on the node's clock."""
     config_version: int
     grantors: ReplicaConfig
-    """The cores that grant; empty, like `cores`, for a node that knows `config_version`."""
+    """The cores that may grant; empty, like `cores`, if the node knows `config_version`."""
     required: dict[str, int]
     chosen: dict[str, int]
-    """The newest chosen versions that the core knows, so that a node notices a poll that lags."""
+    """The newest chosen versions that the core knows; they show a node that its poll lags."""
     cores: list[MemberInfo]
     cluster_incarnation: str
     fence: int
@@ -56,7 +56,7 @@
 @peer_message("lease.relay")
 @attrs.frozen
 class RelayRenewal:
-    """Requests a peer to forward a renewal to the cores that it reaches."""
+    """Requests a peer to forward a renewal to the cores."""
 
     renewal: RenewLease
 
@@ -64,7 +64,7 @@
 @peer_message("lease.relayed")
 @attrs.frozen
 class RelayedRenewal:
-    """A renewal forwarded by the sender, for a node that does not reach the core itself."""
+    """A renewal that the sender forwards for a node that does not reach the core itself."""
 
     renewal: RenewLease
 
@@ -72,7 +72,7 @@
 @peer_message("lease.relayed-grant")
 @attrs.frozen
 class RelayedGrant:
-    """A grant on its way back through the peer."""
+    """A core's grant for `node`, returned through the peer that relayed the renewal."""
 
     node: str
     core: str
@@ -82,7 +82,7 @@
 @peer_message("island.probe")
 @attrs.frozen
 class PartitionProbe:
-    """A node that reaches no core asks a peer whether it reaches none either."""
+    """Asks a peer for evidence that it reaches no core; the sender reaches none."""
 
     requested_at: float
 
@@ -90,22 +90,22 @@
 @peer_message("island.evidence")
 @attrs.frozen
 class PartitionEvidence:
-    """The sender reaches no core either, and has applied these versions.
+    """Response to `PartitionProbe`: the sender reaches no core, and has applied these versions.
 
-    From now on it confirms no version to any core until the evidence cannot count any more.
+    After sending it, the sender confirms no version to any core until the evidence has expired.
     """
 
     requested_at: float
     applied_versions: dict[str, int]
     ages: bytes
-    """Age of the evidence that the sender collected: one byte for each registered node, in order of
-    name, in 250ths of a lease lifetime; 255 for none."""
+    """Ages of the evidence that the sender collected: one byte for each registered node, sorted by
+    name, in 250ths of a lease lifetime; 255 without evidence."""
 
 
 @peer_message("lease.batch")
 @attrs.frozen
 class RelayedRenewals:
-    """Renewals that a coordinating core collected, for another granting core."""
+    """A batch of renewals that a coordinating core forwards to another granting core."""
 
     renewals: list[RenewLease]
 
@@ -137,7 +137,10 @@
 @peer_message("lease.grants")
 @attrs.frozen
 class LeaseGrants:
-    """A coordinating core's response to a renewal: a majority's grants, or what came in time."""
+    """A coordinating core's response to a renewal.
+
+    It carries the grants of a majority, or those that arrived before the response was due.
+    """
 
     grants: list[CoreGrant]
 
@@ -145,9 +148,10 @@
 @peer_message("lease.redirect")
 @attrs.frozen
 class LeaseRedirect:
-    """No grant: the sender cannot grant; `cores` are those that it knows.
+    """States that the sender grants no lease, and names the cores that it knows.
 
-    With `can_grant`, a core invites a node that has no lease to renew: its seeds may be outdated.
+    With `can_grant`, it is an invitation: a core asks a node without a lease to renew, because the
+    node's seeds may be outdated.
     """
 
     cores: list[MemberInfo]
--- a/src/zincvale/coordination/leases/renewal_batcher.py
+++ b/src/zincvale/coordination/leases/renewal_batcher.py
@@ -1,9 +1,9 @@
-"""Renewals that nodes make through one coordinating core, which forwards them in batches.
+"""Renewals that nodes send to one coordinating core, which forwards them in batches.
 
-A node's lease needs grants of a majority. Instead of sending a renewal to each core, it calls one;
-that core grants for itself and forwards the renewals that it collected to the other grantors.
-Grants count from the instant of the node's request, whichever way they come, so a slow coordinator
-costs the node lifetime but never correctness.
+A node's lease needs grants from a majority of the cores. Instead of sending a renewal to each core,
+the node calls one. That core grants the lease itself and forwards the renewals that it collected to
+the other grantors. The lifetime of a grant starts at the time of the node's request on every path,
+so a slow coordinator shortens the remaining lifetime but does not make a grant valid for longer.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @attrs.define
 class _PendingRenewal:
-    """A renewal that lacks a majority's grants; answered with what there is at `respond_by`."""
+    """A renewal without grants from a majority yet; it gets a response by `respond_by` anyway."""
 
     token: str
     requested_at: float
@@ -34,7 +34,7 @@
 
 
 class LeaseRenewalBatcher:
-    """The renewals that wait for the other cores' grants, one for each node."""
+    """Keeps the renewals that wait for grants from other cores, one for each node."""
 
     def __init__(self, context: CoreContext) -> None:
         self._context = context
@@ -42,38 +42,43 @@
         self._collected: list[RenewLease] = []
         self._collected_since = 0.0
 
-    def add(self, token: str, renewal: RenewLease, own: LeaseGranted, now: float) -> list[Effect]:
-        """Add a renewal that this core granted; an older call of the same node ends."""
+    def add(
+        self, token: str, renewal: RenewLease, own_grant: LeaseGranted, now: float
+    ) -> list[Effect]:
+        """Add a renewal that this core granted; it replaces a pending one of the same node.
+
+        The replaced renewal gets a response with the grants received so far.
+        """
         respond_by = now + self._context.config.timings.renewal_wait_s
-        grants = {self._context.own_id: own}
+        grants = {self._context.own_id: own_grant}
         pending = _PendingRenewal(token, renewal.requested_at, respond_by, grants)
         if self._is_complete(pending):
-            return [_respond(pending)]
-        before = self._pending.get(renewal.info.member)
+            return [_reply_with_grants(pending)]
+        replaced = self._pending.get(renewal.info.member)
         self._pending[renewal.info.member] = pending
         if not self._collected:
             self._collected_since = now
         self._collected.append(renewal)
-        return [_respond(before)] if before is not None else []
+        return [_reply_with_grants(replaced)] if replaced is not None else []
 
     def handle_grants(self, sender: MemberId, message: RelayedGrants) -> list[Effect]:
-        """Count another core's grants; respond to the nodes that have a majority.
+        """Record another core's grants; respond to the nodes that now have a majority.
 
-        A grant for a renewal that a newer one replaced is not counted.
+        A grant for a renewal that a newer one replaced is ignored.
         """
         effects: list[Effect] = []
-        for each in message.grants:
-            pending = self._pending.get(each.node)
-            if pending is None or pending.requested_at != each.granted.requested_at:
+        for node_grant in message.grants:
+            pending = self._pending.get(node_grant.node)
+            if pending is None or pending.requested_at != node_grant.granted.requested_at:
                 continue
-            pending.grants[sender] = each.granted
+            pending.grants[sender] = node_grant.granted
             if self._is_complete(pending):
-                del self._pending[each.node]
-                effects.append(_respond(pending))
+                del self._pending[node_grant.node]
+                effects.append(_reply_with_grants(pending))
         return effects
 
     def forward_if_due(self, now: float) -> list[Effect]:
-        """Forward the collected renewals to the other granting cores."""
+        """Forward the collected renewals to the other grantors after the collection interval."""
         collect_s = self._context.config.timings.renewal_collect_s
         if not self._collected or now - self._collected_since < collect_s:
             return []
@@ -83,14 +88,14 @@
         return [Send(member, batch) for member in members if member != self._context.own_id]
 
     def tick(self, now: float) -> list[Effect]:
-        """Respond with the grants there are to the renewals whose time is over."""
-        overdue = [node for node, each in self._pending.items() if now >= each.respond_by]
-        return [_respond(self._pending.pop(node)) for node in overdue]
+        """Respond to the overdue renewals with the grants received so far."""
+        overdue = [node for node, pending in self._pending.items() if now >= pending.respond_by]
+        return [_reply_with_grants(self._pending.pop(node)) for node in overdue]
 
     def _is_complete(self, pending: _PendingRenewal) -> bool:
         return self._context.sets.grantors().is_member_quorum(pending.grants)
 
 
-def _respond(pending: _PendingRenewal) -> Reply:
+def _reply_with_grants(pending: _PendingRenewal) -> Reply:
     grants = [CoreGrant(str(core), granted) for core, granted in pending.grants.items()]
     return Reply(pending.token, LeaseGrants(grants))
--- a/src/zincvale/coordination/node/machine.py
+++ b/src/zincvale/coordination/node/machine.py
@@ -28,7 +28,7 @@
     RelayRenewal,
     RenewLease,
 )
-from zincvale.coordination.leases.renewal_client import RENEWAL_PREFIX, RenewalClient
+from zincvale.coordination.leases.renewal_client import RENEWAL_TOKEN_PREFIX, RenewalClient
 from zincvale.coordination.membership.member_codec import MemberTableDecoder, decode_member
 from zincvale.coordination.membership.registry import decode_row
 from zincvale.coordination.node.partition_guard import PartitionGuard
@@ -118,9 +118,13 @@
                 return self._handle_tick(now)
             case MessageReceived(sender, message):
                 return self._handle_message(sender, message, now)
-            case CallReplied(token, LeaseGrants() as grants) if token.startswith(RENEWAL_PREFIX):
+            case CallReplied(token, LeaseGrants() as grants) if token.startswith(
+                RENEWAL_TOKEN_PREFIX
+            ):
                 return self._handle_lease_grants(token, grants, now)
-            case CallReplied(token, _) | CallFailed(token, _) if token.startswith(RENEWAL_PREFIX):
+            case CallReplied(token, _) | CallFailed(token, _) if token.startswith(
+                RENEWAL_TOKEN_PREFIX
+            ):
                 return self._handle_renewal_failure(token, now)
             case CallReplied(token, PollResponse() as response) if token.startswith(POLL_PREFIX):
                 return self._handle_poll_response(token, response, now)
@@ -146,7 +150,7 @@
             case RelayedGrant(node, core, granted) if node == self._config.member:
                 return self._handle_granted(MemberId(core), sender, granted, now)
             case LeaseRedirect(cores, _, can_grant):
-                self._lease.learn_cores(cores)
+                self._lease.add_cores(cores)
                 if can_grant and not self._has_lease(now):
                     return self._renew(now)
             case _:
@@ -256,7 +260,7 @@
         """Renew at every core."""
         self._renew_at = now + self._renewal_interval_s()
         renewal = self._renewal(now)
-        return [Send(target, renewal) for target in self._lease.targets()]
+        return [Send(target, renewal) for target in self._lease.renewal_targets()]
 
     def _renewal_interval_s(self) -> float:
         """Return the time to the next renewal; before the first lease it grows from a short one."""
