--- a/src/zincvale/coordination/election/leader_election.py
+++ b/src/zincvale/coordination/election/leader_election.py
@@ -1,9 +1,9 @@
-"""Singleton roles at a core: standing for them, leading them, granting their leases.
+"""Singleton roles at a core: becoming a candidate, holding the role, granting its lease.
 
-A role is free when no grantor that is heard has a live grant of it. Candidates wait for their turn,
-staggered by a rendezvous hash, so that one of them is usually alone; when two are not, the durable
-epoch decides. A new epoch ends the lease of an older one, so a core that was cut off or restarted,
-and knows nothing of a live lease, must not take one: see `_is_free`.
+A role is free when no live grantor reports an unexpired grant of it. Candidates are staggered in
+the order of a rendezvous hash, so usually only one proposes an epoch; if two do, the durable epoch
+decides. A new epoch ends the lease of an older one. A core that was cut off or restarted may not
+know of a live lease, and must not propose an epoch then: see `_is_free`.
 """
 
 from __future__ import annotations
@@ -33,44 +33,46 @@
 from zincvale.model.machine import Effect, Log, Send
 
 FREE_ROLE_DELAY_S = 0.2
-"""A role must be seen free for this long; with less, a core stands for a role whose new leader has
-taken the epoch and only not requested the lease yet."""
+"""How long a core must see a role as free before it becomes a candidate, in seconds. With a shorter
+delay, it would compete with a new leader whose epoch is chosen but whose lease is not yet
+granted."""
 
 
 @attrs.frozen
-class _FreeSince:
-    """Since when a role was seen free, at this epoch."""
+class _FreePeriod:
+    """The time since which this core has seen a role as free, at one epoch of the role."""
 
     epoch: int
     since: float
 
 
 class LeaderElection:
-    """Every singleton role of the configuration.
+    """Runs the leader election for every singleton role of the configuration.
 
     Parameters
     ----------
-    owner_of : the core believed to own a key, at a time.
-    may_take : whether a role may be taken whose newest epoch this is, at a time.
+    owner_of : returns the core that is believed to own a key, at a time.
+    may_propose_after : returns whether an epoch newer than the given one may be proposed, at a
+        time.
     """
 
     def __init__(
         self,
         context: CoreContext,
         owner_of: Callable[[str, float], MemberId | None],
-        may_take: Callable[[int, float], bool],
+        may_propose_after: Callable[[int, float], bool],
     ) -> None:
         self._owner_of = owner_of
-        self._may_take = may_take
+        self._may_propose_after = may_propose_after
         timings = context.config.timings
         self._context = context
-        grants_from = context.started_at
+        grants_allowed_from = context.started_at
         if context.replica.known_keys():
-            grants_from += timings.role_lease_s
-        self._grantor = LeaderLeaseGrantor(timings, grants_from)
+            grants_allowed_from += timings.role_lease_s
+        self._grantor = LeaderLeaseGrantor(timings, grants_allowed_from)
         self._holders = {role: LeaderLeaseHolder(role, timings) for role in context.config.roles}
-        self._free_since: dict[str, _FreeSince] = {}
-        self._leading: set[str] = set()
+        self._free_periods: dict[str, _FreePeriod] = {}
+        self._led_roles: set[str] = set()
 
     def state(self, role: str, now: float) -> LeadershipState:
         """Return whether this process leads `role`, under which epoch and until when."""
@@ -78,24 +80,26 @@
         return holder.state(self._context.sets.grantors(), now) if holder else LeadershipState()
 
     def last_granted(self, now: float) -> dict[str, tuple[MemberId | None, int]]:
-        """Return holder and epoch of each role as last granted here; (None, 0) if it never was."""
-        known: dict[str, tuple[MemberId | None, int]] = dict.fromkeys(self._holders, (None, 0))
-        known.update(self._grantor.last_granted(now))
-        return known
+        """Return the holder and epoch of each role's last grant by this core; else (None, 0)."""
+        last_grants: dict[str, tuple[MemberId | None, int]] = dict.fromkeys(
+            self._holders, (None, 0)
+        )
+        last_grants.update(self._grantor.last_granted(now))
+        return last_grants
 
     def granted_here(self, now: float) -> list[str]:
-        """Return the roles for which a grant of this core is live."""
+        """Return the roles for which a grant by this core is live."""
         granted = self._grantor.last_granted(now)
         return [role for role, (holder, _) in granted.items() if holder is not None]
 
     def drop_all(self, now: float) -> list[Effect]:
-        """Give up every lease, after the clock jumped."""
+        """Give up every lease without notifying the grantors; used after a jump of the clock."""
         for holder in self._holders.values():
             holder.give_up(now + self._context.config.timings.role_renew_s)
-        return self._log_changes(now)
+        return self._record_leadership_changes(now)
 
     def release_all(self, now: float) -> list[Effect]:
-        """Give up every lease and notify the grantors: others need not wait for its end."""
+        """Give up every lease and notify the grantors, so that others need not wait for its end."""
         effects: list[Effect] = []
         for role, holder in self._holders.items():
             if holder.phase is not LeasePhase.IDLE:
@@ -103,7 +107,7 @@
                 members = self._context.sets.grantors().members()
                 effects.extend(Send(member, released) for member in members)
             holder.give_up(float("inf"))
-        return effects + self._log_changes(now)
+        return effects + self._record_leadership_changes(now)
 
     def handle(
         self,
@@ -127,7 +131,7 @@
                 holder.on_granted(sender, message, self._context.sets.grantors(), now)
             case LeadershipRefused() if holder is not None:
                 holder.on_refused(message, now)
-        return self._log_changes(now)
+        return self._record_leadership_changes(now)
 
     def on_epoch_proposed(self, role: str, result: ChangeResult, now: float) -> list[Effect]:
         """Apply the result of proposing a new epoch."""
@@ -138,24 +142,24 @@
         return holder.on_epoch_chosen(result.version, self._context.sets.grantors(), now)
 
     def tick(self, now: float) -> tuple[list[Effect], list[str]]:
-        """Renew leases; return effects, and the roles for which a new epoch must be proposed."""
+        """Renew leases; return the effects, and the roles for which to propose a new epoch."""
         if self._no_grant_is_live(now):
             self._grantor.allow_grants(now)
         effects: list[Effect] = []
-        candidacies: list[str] = []
+        roles_to_propose: list[str] = []
         for role, holder in self._holders.items():
             effects.extend(holder.tick(self._context.sets.grantors(), now))
-            if holder.phase is LeasePhase.IDLE and self._is_our_turn(role, holder, now):
-                holder.start_taking(now)
-                candidacies.append(role)
-        effects.extend(self._log_changes(now))
-        return effects, candidacies
+            if holder.phase is LeasePhase.IDLE and self._should_become_candidate(role, holder, now):
+                holder.start_candidacy(now)
+                roles_to_propose.append(role)
+        effects.extend(self._record_leadership_changes(now))
+        return effects, roles_to_propose
 
     def _no_grant_is_live(self, now: float) -> bool:
-        """Whether every other grantor said, since this process started, that no grant is live.
+        """Whether every other grantor reported, since this process started, that it has no grant.
 
-        A holder needs grants of a majority, its own among them; only a grant that this process
-        forgot would not be shown, and that is no majority.
+        A holder needs grants from a majority, including its own. The only grant that the reports
+        cannot show is one that this process forgot, and that alone is no majority.
         """
         context = self._context
         live = context.cores.live(now)
@@ -170,54 +174,58 @@
                 return False
         return bool(grantors)
 
-    def _is_our_turn(self, role: str, holder: LeaderLeaseHolder, now: float) -> bool:
+    def _should_become_candidate(self, role: str, holder: LeaderLeaseHolder, now: float) -> bool:
         if not self._context.is_voting() or now < holder.retry_at:
             return False
-        if not self._may_take(self._context.chosen_version(f"{ROLE_KEY_PREFIX}{role}"), now):
+        if not self._may_propose_after(
+            self._context.chosen_version(f"{ROLE_KEY_PREFIX}{role}"), now
+        ):
             return False
         epoch = self._context.chosen_version(f"{ROLE_KEY_PREFIX}{role}")
         if not self._is_free(role, now):
-            self._free_since.pop(role, None)
+            self._free_periods.pop(role, None)
             return False
-        free = self._free_since.get(role)
-        if free is None or free.epoch != epoch:
-            # The process that took the newest epoch is given time to request the lease.
-            free = _FreeSince(epoch, now)
-            self._free_since[role] = free
+        free_period = self._free_periods.get(role)
+        if free_period is None or free_period.epoch != epoch:
+            # The process that proposed the newest epoch gets time to request the lease.
+            free_period = _FreePeriod(epoch, now)
+            self._free_periods[role] = free_period
         stagger_s = self._context.config.timings.candidate_stagger_s
-        return now - free.since >= FREE_ROLE_DELAY_S + stagger_s * self._rank(role, now)
+        return now - free_period.since >= FREE_ROLE_DELAY_S + stagger_s * self._candidate_rank(
+            role, now
+        )
 
     def _is_free(self, role: str, now: float) -> bool:
-        """Whether no core that is heard has a live grant of `role`, and an epoch could be taken.
+        """Whether no live core reports a grant of `role`, and a new epoch could be chosen now.
 
-        A core that restarted, or was cut off, granted nothing lately: the heartbeats of the others
-        keep it from ending, by a newer epoch, a lease that it does not know.
+        A core that restarted or was cut off has granted nothing recently. The heartbeats of the
+        others prevent it from ending, by a newer epoch, a lease that it does not know.
         """
         if self._grantor.may_be_leased_elsewhere(role, self._context.own_id, now):
             return False
         live = self._context.cores.live(now)
         if not self._context.sets.grantors().is_member_quorum({self._context.own_id, *live}):
-            # A proposal made while cut off would be chosen on the return.
+            # A proposal made while cut off would be chosen as soon as the connection returns.
             return False
         if any(role in status.leased_roles for status in live.values()):
             return False
         return self._owner_of(f"{ROLE_KEY_PREFIX}{role}", now) is not None
 
-    def _rank(self, role: str, now: float) -> int:
+    def _candidate_rank(self, role: str, now: float) -> int:
         candidates = [self._context.own_id]
         for member, status in self._context.cores.live(now).items():
             if status.voting:
                 candidates.append(member)
         return rendezvous_order(role, candidates).index(self._context.own_id)
 
-    def _log_changes(self, now: float) -> list[Effect]:
+    def _record_leadership_changes(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        leading = {role for role in self._holders if self.state(role, now).is_leader}
-        for role in leading - self._leading:
+        led_roles = {role for role in self._holders if self.state(role, now).is_leader}
+        for role in led_roles - self._led_roles:
             epoch = self._holders[role].epoch
             effects.append(Log(log_events.ROLE_TAKEN, {"role": role, "epoch": epoch}))
-        for role in self._leading - leading:
+        for role in self._led_roles - led_roles:
             effects.append(Log(log_events.ROLE_LOST, {"role": role}))
-        self._context.notes.roles |= leading ^ self._leading
-        self._leading = leading
+        self._context.notes.roles |= led_roles ^ self._led_roles
+        self._led_roles = led_roles
         return effects
--- a/src/zincvale/coordination/election/messages.py
+++ b/src/zincvale/coordination/election/messages.py
@@ -1,4 +1,7 @@
-"""Messages about leader leases; positional Avro: the order and types of fields are the format."""
+"""Messages about leader leases.
+
+They are encoded as positional Avro: the order and the types of the fields are the wire format.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +18,13 @@
     role: str
     epoch: int
     requested_at: float
-    """Seconds on the clock of the requesting process, from which it counts the grant."""
+    """Seconds on the requester's clock; the lifetime of the grant starts at this time."""
 
 
 @peer_message("role.released")
 @attrs.frozen
 class LeadershipReleased:
-    """The holder gives its lease up early: it acts no more under `epoch`."""
+    """States that the holder gave up its lease early, and no longer acts under `epoch`."""
 
     role: str
     epoch: int
@@ -30,19 +33,20 @@
 @peer_message("role.granted")
 @attrs.frozen
 class LeadershipGranted:
-    """The lease of `role` was granted, counted from `requested_at` on the requester's clock."""
+    """The lease of `role` was granted; it starts at `requested_at` on the requester's clock."""
 
     role: str
     epoch: int
     requested_at: float
     config_version: int
-    """The grantor's replica sets; a holder that knows only older ones does not count the grant."""
+    """Version of the grantor's replica sets; a holder that knows only older ones ignores the
+    grant."""
 
 
 @peer_message("role.refused")
 @attrs.frozen
 class LeadershipRefused:
-    """Another holder has the lease, the grantor may not grant yet, or the epoch is old."""
+    """Another process holds the lease, the grantor may not grant yet, or the epoch is outdated."""
 
     role: str
     epoch: int
--- a/src/zincvale/coordination/node/machine.py
+++ b/src/zincvale/coordination/node/machine.py
@@ -1,8 +1,9 @@
 """The node's state machine: its lease, its long poll, its peers, and whether it may serve.
 
-It renews its lease by one call to a coordinating core. When that fails it renews at every core, and
-while the lease runs out it uses peers as relays and the seeds for first contact. Pure: inputs in,
-effects out; time and randomness are arguments.
+The node renews its lease with one call to a coordinating core. If that call fails, it renews at
+every core. When the lease is about to expire, it also sends renewals through peers and to the
+seeds. The machine performs no I/O: it turns inputs into effects, and receives the time and the
+source of randomness as arguments.
 """
 
 from __future__ import annotations
@@ -51,23 +52,28 @@
 )
 
 HEALTHY_LEASE_FRACTION = 0.5
-"""With less than this part of the lease left, a renewal failed: renew at every core."""
-SUSPICIOUS_LEASE_FRACTION = 0.45
-"""With less than this part left, renewals get no responses: peers are probed for a partition. It is
-below HEALTHY_LEASE_FRACTION, so that renewing at every core is tried first."""
+"""Fraction of the lease lifetime. With less than this remaining, a renewal must have failed, so the
+node renews at every core instead of through the coordinator."""
+PROBE_LEASE_FRACTION = 0.45
+"""Fraction of the lease lifetime. With less than this remaining, renewals get no responses, so the
+node probes peers for a partition. It is below HEALTHY_LEASE_FRACTION, so that the node tries to
+renew at every core first."""
 RELAY_LEASE_FRACTION = 0.3
-"""With less than this part left, peers relay renewals; direct ones had time to get a response."""
+"""Fraction of the lease lifetime. With less than this remaining, the node also renews through
+peers; by then, direct renewals have had time to get a response."""
 FIRST_RETRY_S = 0.06
-"""Base of the interval between renewals before the first lease: a started node is ready early."""
+"""Base of the interval between renewals before the first lease, in seconds. It is short so that a
+node becomes ready soon after its start."""
 RETRY_GROWTH = 1.25
-"""Growth of that interval, up to `lease_renew_s`; without it many nodes that start together while
-no core can grant would flood the cores."""
+"""Factor by which that interval grows with each renewal, up to `lease_renew_s`. Without growth,
+many nodes that start together while no core can grant would overload the cores."""
 RELAY_PEERS = 2
-"""Peers that a renewal is sent to at a time; each forwards it to every core."""
+"""Number of peers that a renewal is sent to in one round; each forwards it to every core."""
 RELAY_INTERVAL_S = 0.3
-"""Between two relayed renewals."""
+"""Minimum interval between two rounds of renewals through peers, in seconds."""
 SEED_INTERVAL_S = 2.0
-"""Between two renewals at the seeds while the lease runs out; every known core may have moved."""
+"""Interval between two renewals at the seeds while the lease is expiring, in seconds. The seeds are
+needed because every known core may have moved to another address."""
 
 
 class NodeMachine:
@@ -75,9 +81,9 @@
 
     Parameters
     ----------
-    config : who this process is.
+    config : the identity, addresses and timings of this process.
     random : the only source of randomness.
-    now : the time, in seconds.
+    now : the time of the process's start, in seconds on the clock of every later input.
     """
 
     def __init__(self, config: NodeConfig, random: random.Random, now: float) -> None:
@@ -98,18 +104,18 @@
         self._relay_at = now
         self._seed_at = now + SEED_INTERVAL_S
         self._was_ready = False
-        self._heard_at: dict[MemberId, float] = {}
+        self._responded_at: dict[MemberId, float] = {}
         """When each core last responded to this node directly."""
-        self._ever_leased = False
-        self._early_renewals = 0
-        self._polled = False
+        self._had_lease = False
+        self._renewals_before_lease = 0
+        self._has_poll_response = False
 
     # --- inputs ---------------------------------------------------------------------------
 
     def handle(self, event: Input, now: float) -> list[Effect]:
-        """Apply one input and return what to do."""
+        """Apply one input and return the resulting effects."""
         effects = self._handle_one(event, now)
-        effects.extend(self._on_readiness(now))
+        effects.extend(self._report_readiness_change(now))
         return effects
 
     def _handle_one(self, event: Input, now: float) -> list[Effect]:
@@ -145,7 +151,7 @@
     def _handle_message(self, sender: MemberId, message: object, now: float) -> list[Effect]:
         match message:
             case LeaseGranted():
-                self._heard_at[sender] = now
+                self._responded_at[sender] = now
                 return self._handle_granted(sender, sender, message, now)
             case RelayedGrant(node, core, granted) if node == self._config.member:
                 return self._handle_granted(MemberId(core), sender, granted, now)
@@ -158,7 +164,7 @@
         return []
 
     def _handle_peer_message(self, sender: MemberId, message: object, now: float) -> list[Effect]:
-        """Apply what a peer, or a process that looks for cores, sent."""
+        """Apply a message from a peer, or from a process that looks for cores."""
         match message:
             case RelayedGrant(node, _, _):
                 return [Send(MemberId(node), message)]
@@ -168,23 +174,27 @@
                 return [Send(sender, LeaseRedirect(list(self._lease.cores.values()), "a node"))]
             case PartitionProbe() if self._may_give_evidence(now):
                 return self._partition_guard.give_evidence(
-                    sender, message, self._registered(), self._poll_client.applied_versions(), now
+                    sender,
+                    message,
+                    self._registry_rows(),
+                    self._poll_client.applied_versions(),
+                    now,
                 )
             case PartitionEvidence():
                 self._partition_guard.record_evidence(
-                    sender, message, self._registered(), self._poll_client.applied_versions()
+                    sender, message, self._registry_rows(), self._poll_client.applied_versions()
                 )
             case FetchValue():
                 return self._handle_fetch(sender, message)
         return []
 
     def _handle_granted(
-        self, core: MemberId, through: MemberId, granted: LeaseGranted, now: float
+        self, core: MemberId, responder: MemberId, granted: LeaseGranted, now: float
     ) -> list[Effect]:
         self._lease.handle_granted(core, granted)
-        self._poll_client.on_newest_versions(through, granted.chosen, now)
+        self._poll_client.on_newest_versions(responder, granted.chosen, now)
         if self._has_lease(now):
-            self._ever_leased = True
+            self._had_lease = True
         return list(self._poll_client.tick(self._poll_hosts(now), now))
 
     def _handle_tick(self, now: float) -> list[Effect]:
@@ -195,22 +205,22 @@
         if now >= self._renew_at:
             effects.extend(self._renew_through_coordinator(now))
         effects.extend(self._poll_server.tick(now))
-        if self._is_lease_endangered(now):
-            effects.extend(self._request_peers(now))
+        if self._is_lease_expiring(now):
+            effects.extend(self._contact_peers_and_seeds(now))
         return effects
 
     def _handle_poll_response(self, token: str, response: PollResponse, now: float) -> list[Effect]:
-        moved = self._poll_client.handle_response(token, response, now)
-        self._polled = True
+        has_changed_key = self._poll_client.handle_response(token, response, now)
+        self._has_poll_response = True
         self._poll_server.members_source = self._poll_client.members_source
         self._poll_server.on_update(now)
         effects: list[Effect] = list(self._poll_client.tick(self._poll_hosts(now), now))
-        if moved:
+        if has_changed_key:
             effects.extend(self._renew(now))
         return effects
 
     def _handle_fetch(self, sender: MemberId, fetch: FetchValue) -> list[Effect]:
-        """Send the full value of a key to a core that lost it."""
+        """Send the full value of a key to a core that has an older version or lost it."""
         table = self._poll_client.values.get(fetch.key)
         if table is None or table.version <= fetch.version:
             return []
@@ -219,14 +229,17 @@
     # --- cores and peers ------------------------------------------------------------------
 
     def _renew_through_coordinator(self, now: float) -> list[Effect]:
-        """Renew by one call; at every core without a coordinator or after a renewal that failed."""
+        """Renew with one call to the coordinating core.
+
+        Without a coordinator, or if a renewal has failed, renew at every core instead.
+        """
         if self._renewal_client.is_waiting():
             return []
         if self._remaining_s(now) < self._config.timings.lease_ttl_s * HEALTHY_LEASE_FRACTION:
             return self._renew(now)
         grantors = self._lease.grantors()
-        near = self._lease.in_own_zone(grantors)
-        call = self._renewal_client.renew(grantors, near, self._renewal(now), now)
+        preferred = self._lease.in_own_zone(grantors)
+        call = self._renewal_client.renew(grantors, preferred, self._renewal(now), now)
         if call is None:
             return self._renew(now)
         self._renew_at = now + self._config.timings.lease_renew_s
@@ -236,7 +249,7 @@
         coordinator = self._renewal_client.complete_call(token)
         if coordinator is None:
             return []
-        self._heard_at[coordinator] = now
+        self._responded_at[coordinator] = now
         effects: list[Effect] = []
         for grant in response.grants:
             core = MemberId(grant.core)
@@ -263,12 +276,12 @@
         return [Send(target, renewal) for target in self._lease.renewal_targets()]
 
     def _renewal_interval_s(self) -> float:
-        """Return the time to the next renewal; before the first lease it grows from a short one."""
+        """Return the time to the next renewal; before the first lease it is short and grows."""
         renew_s = self._config.timings.lease_renew_s
-        if self._ever_leased:
+        if self._had_lease:
             return renew_s
-        self._early_renewals += 1
-        return min(renew_s, FIRST_RETRY_S * RETRY_GROWTH**self._early_renewals)
+        self._renewals_before_lease += 1
+        return min(renew_s, FIRST_RETRY_S * RETRY_GROWTH**self._renewals_before_lease)
 
     def _renewal(self, now: float) -> RenewLease:
         return self._lease.renewal(
@@ -279,16 +292,16 @@
             now=now,
         )
 
-    def _request_peers(self, now: float) -> list[Effect]:
-        """Probe peers for a partition; while the lease runs out, renew through peers and seeds."""
-        effects = self._partition_guard.probe(self._registered(), now)
-        lapses_soon = (
+    def _contact_peers_and_seeds(self, now: float) -> list[Effect]:
+        """Probe peers for a partition, and renew through peers and at the seeds when due."""
+        effects = self._partition_guard.probe(self._registry_rows(), now)
+        expires_soon = (
             self._remaining_s(now) < self._config.timings.lease_ttl_s * RELAY_LEASE_FRACTION
         )
-        if lapses_soon and now >= self._relay_at:
+        if expires_soon and now >= self._relay_at:
             self._relay_at = now + RELAY_INTERVAL_S
             renewal = self._renewal(now)
-            effects.extend(Send(peer, RelayRenewal(renewal)) for peer in self._some_peers())
+            effects.extend(Send(peer, RelayRenewal(renewal)) for peer in self._random_peers())
         if now >= self._seed_at:
             self._seed_at = now + SEED_INTERVAL_S
             renewal = self._renewal(now)
@@ -296,16 +309,17 @@
         return effects
 
     def _peers(self) -> list[MemberId]:
-        return [MemberId(node) for node in self._registered() if node != self._config.member]
+        return [MemberId(node) for node in self._registry_rows() if node != self._config.member]
 
-    def _some_peers(self) -> list[MemberId]:
+    def _random_peers(self) -> list[MemberId]:
         peers = self._peers()
         return self._random.sample(peers, min(RELAY_PEERS, len(peers)))
 
     def _poll_hosts(self, now: float) -> list[MemberId]:
-        """Return whom to poll: responsive cores, else peers that have applied more, else any peer.
+        """Return which hosts may be polled: responsive cores, else newer peers, else all peers.
 
-        Cores of the node's own zone come first: what they deliver crosses no zone.
+        Cores in the node's own zone are preferred, because their responses cross no zone boundary.
+        Newer peers are those that have applied a newer version than this node.
         """
         responsive = self._poll_client.without_isolated(self._responsive_cores(now), now)
         if responsive:
@@ -316,11 +330,11 @@
         )
 
     def _responsive_cores(self, now: float) -> list[MemberId]:
-        """Return the cores that responded to this node directly within a lease lifetime."""
-        since = now - self._config.timings.lease_ttl_s
-        return [core for core in self._lease.cores if self._heard_at.get(core, 0.0) > since]
+        """Return the cores that responded directly to this node within the last lease lifetime."""
+        earliest = now - self._config.timings.lease_ttl_s
+        return [core for core in self._lease.cores if self._responded_at.get(core, 0.0) > earliest]
 
-    def _registered(self) -> dict[str, bytes]:
+    def _registry_rows(self) -> dict[str, bytes]:
         return self._poll_client.values[REGISTRY_KEY].rows
 
     # --- freshness ------------------------------------------------------------------------
@@ -328,26 +342,26 @@
     def _has_lease(self, now: float) -> bool:
         return now < self._lease.valid_until(self._poll_client.applied_versions())
 
-    def _is_lease_endangered(self, now: float) -> bool:
-        """Whether renewals get no responses, so that the lease runs out or is over."""
+    def _is_lease_expiring(self, now: float) -> bool:
+        """Whether the lease has expired, or is about to because renewals get no responses."""
         remaining_s = self._remaining_s(now)
         if remaining_s > 0 and self._renewal_client.is_waiting():
             return False
-        return remaining_s < self._config.timings.lease_ttl_s * SUSPICIOUS_LEASE_FRACTION
+        return remaining_s < self._config.timings.lease_ttl_s * PROBE_LEASE_FRACTION
 
     def _remaining_s(self, now: float) -> float:
-        """Return how long the lease still lasts; negative once it is over."""
+        """Return the remaining time of the lease in seconds; negative once it has expired."""
         return self._lease.valid_until(self._poll_client.applied_versions()) - now
 
     def _may_give_evidence(self, now: float) -> bool:
-        """Whether evidence of this node is true: it had a lease, and is about to lose it.
+        """Whether this node may give evidence of a partition: it had a lease and is losing it.
 
-        Only a node that once had a lease knows everything acknowledged before that.
+        Only a node that had a lease knows every version that was acknowledged before that lease.
         """
-        return self._ever_leased and self._is_lease_endangered(now)
+        return self._had_lease and self._is_lease_expiring(now)
 
-    def _on_readiness(self, now: float) -> list[Effect]:
-        """Log a change of readiness and report it to the cores at once."""
+    def _report_readiness_change(self, now: float) -> list[Effect]:
+        """Log a change of readiness, and report it to every core with an immediate renewal."""
         ready = self.ready(now)
         if ready == self._was_ready:
             return []
@@ -358,32 +372,35 @@
     # --- queries --------------------------------------------------------------------------
 
     def fresh(self, now: float) -> bool:
-        """Whether nothing newer than what is applied here can have been acknowledged."""
+        """Whether no version newer than those applied here can have been acknowledged."""
         if self._has_lease(now):
             return True
-        if not self._ever_leased:
+        if not self._had_lease:
             return False
-        return now < self._partition_guard.valid_until(self._registered(), now)
+        return now < self._partition_guard.valid_until(self._registry_rows(), now)
 
     def ready(self, now: float) -> bool:
-        """Whether the node may take new work: fresh, with everything it follows."""
-        return self._polled and self.fresh(now)
+        """Whether the node may accept new work: it is fresh and has received a poll response."""
+        return self._has_poll_response and self.fresh(now)
 
     def intent(self) -> KeyView:
-        """Return the operators' configuration as applied here."""
+        """Return the operators' configuration as applied by this node."""
         return self.value(INTENT_KEY)
 
     def value(self, key: str) -> KeyView:
-        """Return a delivered key as applied here; version 0 when there is none."""
+        """Return a delivered key as applied by this node; version 0 if there is none."""
         table = self._poll_client.values.get(key)
         return KeyView(table.version, table.rows) if table is not None else KeyView()
 
     def topic(self, name: str) -> TopicView:
-        """Return an ephemeral topic as received here."""
+        """Return an ephemeral topic as last received."""
         return self._poll_client.topics.view(name)
 
     def members(self, _now: float) -> Members:
-        """Return the member table as last received; both machines have this query."""
+        """Return the member table as last received.
+
+        The time is unused; the query has the same parameters as that of `CoreMachine`.
+        """
         return self._members.update(
             self._poll_client.members.version, self._poll_client.members.rows
         )
@@ -396,13 +413,13 @@
         row = self._poll_client.members.rows.get(member)
         if row is not None:
             return decode_member(member, row).peer_address
-        registered = self._registered().get(member)
-        return Address(decode_row(registered).peer_address) if registered is not None else None
+        registry_row = self._registry_rows().get(member)
+        return Address(decode_row(registry_row).peer_address) if registry_row is not None else None
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other peer addresses for first contact."""
+        """Replace the peer addresses for first contact."""
         self._lease.use_seeds(tuple(Address(seed) for seed in seeds))
 
     def take_changes(self) -> ChangeNotifications:
-        """Return what changed since the last call."""
+        """Return what has changed since the last call."""
         return self._poll_client.notes.take()
--- a/src/zincvale/coordination/node/partition_guard.py
+++ b/src/zincvale/coordination/node/partition_guard.py
@@ -1,22 +1,24 @@
-"""What a node may do that reaches no core, directly or through a peer (a network partition).
-
-It goes on serving only while a majority of the registered nodes gave evidence, within a lease
-lifetime, that they reach no core either and have applied nothing newer. A node that gave evidence
-confirms no version for as long as the evidence may count.
-
-Proof that it serves nothing outdated: an acknowledgement needs confirmations of a majority of the
-registered nodes (`delivery.rollout`). Any two such majorities share a node, and that node either
-confirmed before it gave evidence, so its evidence shows the newer version, or does not confirm. In
-a minority partition there is no majority for evidence, so the node turns unready.
-
-Races that are guarded here:
-
-- Evidence counts from the instant of its request, so a delayed response is worth no more.
-- A response forwards the evidence that its sender collected, with its age when the response left.
-  Seen from the requester, that evidence is at least as recent as its own request less the age. So a
-  majority of many nodes is reached in a few rounds of few requests each.
-- A process that restarted does not know what evidence its former run gave: it counts as having
-  given some at its start.
+"""Decides whether a node that reaches no core, directly or through a peer, may continue to serve.
+
+During such a network partition, the node serves only while a majority of the registered nodes have
+given evidence, within the last lease lifetime, that they reach no core either and have applied
+nothing newer. A node that gave evidence confirms no version while the evidence may be in use.
+
+Proof that such a node serves nothing outdated: an acknowledgement needs confirmations from a
+majority of the registered nodes (`delivery.rollout`). Any two such majorities share a node. That
+node either confirmed before it gave evidence, in which case its evidence shows the newer version,
+or it does not confirm. In a minority partition, evidence from a majority cannot be collected, so
+the node becomes unready.
+
+Races that are handled here:
+
+- The lifetime of evidence starts when it was requested, so delayed evidence expires no later.
+- A response also carries the evidence that its sender collected, with its age when the response was
+  sent. The requester counts that evidence from the time of its own request minus the age, which is
+  never too recent. Evidence from a majority of many nodes is thus collected in a few rounds of a
+  few requests each.
+- A restarted process does not know which evidence its former run gave. It assumes that some was
+  given until the process started.
 """
 
 from __future__ import annotations
@@ -33,21 +35,23 @@
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect, Send
 
-PROBED_PEERS = 8
-"""Peers asked in a round. Responses forward evidence, so a few rounds reach a majority."""
-AGE_STEPS = 250
-"""Ages are sent in this many steps of a lifetime, rounded up: evidence never looks newer."""
-NO_EVIDENCE = 255
-"""The age byte of a node without evidence; above every step."""
+PEERS_PER_PROBE_ROUND = 8
+"""Number of peers probed in one round. Because responses carry collected evidence, a few rounds
+reach a majority."""
+AGE_STEPS_PER_LIFETIME = 250
+"""Number of steps into which a lease lifetime is divided to encode the age of evidence in a byte.
+Ages are rounded up, so that evidence never appears more recent than it is."""
+NO_EVIDENCE_AGE = 255
+"""The age byte that stands for no evidence; it is greater than the byte of any valid age."""
 
 
 class PartitionGuard:
-    """The evidence of a partition that this node requested from and gave to peers.
+    """Tracks the evidence of a partition that this node received from peers and gave to them.
 
     Parameters
     ----------
-    config : who this node is, and `lease_ttl_s`, the lifetime of evidence.
-    random_source : chooses the peers of a round.
+    config : this node's identity, and `lease_ttl_s`, which is also the lifetime of evidence.
+    random_source : chooses the peers to probe in each round.
     now : the time of the process's start, in seconds.
     """
 
@@ -56,108 +60,122 @@
         self._random = random_source
         self._lifetime_s = config.timings.lease_ttl_s
         self._requested_at: dict[str, float] = {}
-        """When the newest evidence of each node that has applied nothing newer was requested."""
+        """When the newest evidence was requested, by node; only of nodes with no newer version."""
         self._newer_versions: dict[str, tuple[float, dict[str, int]]] = {}
-        """Peers that have applied something newer: when their evidence was requested, and what."""
-        self._given_at = now
-        """When this node last gave evidence; an earlier run may have given some until its end."""
+        """Peers that have applied a newer version: when their evidence was requested, and the
+        versions that they have applied."""
+        self._gave_evidence_at = now
+        """When this node last gave evidence; an earlier run of the process may have given some
+        until this process started."""
         self._probe_at = 0.0
 
     def discard_evidence(self) -> None:
-        """Discard all evidence: the clock jumped, so the lifetimes counted by it are void."""
+        """Discard all evidence: after a jump of the clock, the request times are meaningless."""
         self._requested_at.clear()
         self._newer_versions.clear()
 
     def may_confirm(self, now: float) -> bool:
-        """Whether this node may confirm versions: no evidence that it gave may still count."""
-        return now - self._given_at > self._lifetime_s * CLOCK_RATE_ALLOWANCE
+        """Whether this node may confirm versions: all evidence that it gave has expired."""
+        return now - self._gave_evidence_at > self._lifetime_s * CLOCK_RATE_ALLOWANCE
 
-    def probe(self, registered: Rows, now: float) -> list[Effect]:
-        """Return requests for evidence to some peers, every `peer_probe_s` at most."""
+    def probe(self, registry_rows: Rows, now: float) -> list[Effect]:
+        """Request evidence from some random peers, at most once per `peer_probe_s`."""
         if now < self._probe_at:
             return []
         self._probe_at = now + self._config.timings.peer_probe_s
-        peers = [node for node in registered if node != self._config.member]
-        chosen = self._random.sample(peers, min(PROBED_PEERS, len(peers)))
+        peers = [node for node in registry_rows if node != self._config.member]
+        chosen = self._random.sample(peers, min(PEERS_PER_PROBE_ROUND, len(peers)))
         return [Send(MemberId(peer), PartitionProbe(now)) for peer in chosen]
 
     def give_evidence(
         self,
         sender: MemberId,
         probe: PartitionProbe,
-        registered: Rows,
+        registry_rows: Rows,
         applied_versions: dict[str, int],
         now: float,
     ) -> list[Effect]:
-        """Send evidence; from now on this node confirms nothing until it cannot count any more."""
-        self._given_at = now
-        ages = bytes(self._age(node, now) for node in sorted(registered))
+        """Respond to a probe with evidence; this node confirms nothing until it has expired."""
+        self._gave_evidence_at = now
+        ages = bytes(self._age_byte(node, now) for node in sorted(registry_rows))
         return [Send(sender, PartitionEvidence(probe.requested_at, applied_versions, ages))]
 
     def record_evidence(
         self,
         sender: MemberId,
         evidence: PartitionEvidence,
-        registered: Rows,
+        registry_rows: Rows,
         applied_versions: dict[str, int],
     ) -> None:
-        """Count a peer's evidence and what it forwards, unless it has applied something newer.
+        """Record a peer's evidence, and that which it collected from other nodes.
 
-        What it forwards is by position in the registry, so both must have the same one.
+        If the peer has applied a newer version, only that fact is recorded. The ages of collected
+        evidence are in the order of the registry's nodes, so they are used only if both nodes have
+        the same version of the registry.
         """
         if not _has_applied_all(applied_versions, evidence.applied_versions):
             self._newer_versions[sender] = (evidence.requested_at, evidence.applied_versions)
             return
         self._newer_versions.pop(sender, None)
-        self._count(sender, evidence.requested_at)
+        self._record_request_time(sender, evidence.requested_at)
         if evidence.applied_versions.get(REGISTRY_KEY) != applied_versions.get(REGISTRY_KEY):
             return
-        for node, age in zip(sorted(registered), evidence.ages, strict=False):
-            if age != NO_EVIDENCE and node != self._config.member:
-                self._count(node, evidence.requested_at - age * self._lifetime_s / AGE_STEPS)
-
-    def valid_until(self, registered: Rows, now: float) -> float:
-        """Return until when evidence lets this node serve; minus infinity without a majority."""
-        if not registered:
+        for node, age in zip(sorted(registry_rows), evidence.ages, strict=False):
+            if age != NO_EVIDENCE_AGE and node != self._config.member:
+                self._record_request_time(
+                    node, evidence.requested_at - age * self._lifetime_s / AGE_STEPS_PER_LIFETIME
+                )
+
+    def valid_until(self, registry_rows: Rows, now: float) -> float:
+        """Return until when this node may serve by evidence; minus infinity without a majority."""
+        if not registry_rows:
             return float("-inf")
-        requested = {**self._requested_at, str(self._config.member): now}
-        sets = registry.quorum_sets(registered)
-        return min(_majority_requested_at(each, requested) for each in sets) + self._lifetime_s
+        requested_at_by_node = {**self._requested_at, str(self._config.member): now}
+        node_sets = registry.quorum_sets(registry_rows)
+        return (
+            min(_majority_requested_at(nodes, requested_at_by_node) for nodes in node_sets)
+            + self._lifetime_s
+        )
 
     def newer_peers(self, applied_versions: dict[str, int], now: float) -> list[MemberId]:
-        """Return the peers that have applied something newer, by evidence that still counts."""
+        """Return the peers that have applied a newer version, by evidence not yet expired."""
         return [
             MemberId(node)
-            for node, (requested_at, theirs) in self._newer_versions.items()
+            for node, (requested_at, peer_versions) in self._newer_versions.items()
             if now < requested_at + self._lifetime_s
-            and not _has_applied_all(applied_versions, theirs)
+            and not _has_applied_all(applied_versions, peer_versions)
         ]
 
-    def _count(self, node: str, requested_at: float) -> None:
+    def _record_request_time(self, node: str, requested_at: float) -> None:
         self._requested_at[node] = max(requested_at, self._requested_at.get(node, float("-inf")))
 
-    def _age(self, node: str, now: float) -> int:
-        """Return the age of a node's evidence in steps, rounded up."""
+    def _age_byte(self, node: str, now: float) -> int:
+        """Return the age of a node's evidence as a byte: in steps, rounded up."""
         if node == self._config.member:
             return 0
         age_s = now - self._requested_at.get(node, float("-inf"))
         if age_s >= self._lifetime_s:
-            return NO_EVIDENCE
-        return int(age_s / self._lifetime_s * AGE_STEPS) + 1
+            return NO_EVIDENCE_AGE
+        return int(age_s / self._lifetime_s * AGE_STEPS_PER_LIFETIME) + 1
 
 
-def _majority_requested_at(registered: list[str], requested: dict[str, float]) -> float:
-    """Return the latest instant since which a majority of `registered` gave requested evidence.
+def _majority_requested_at(nodes: list[str], requested_at_by_node: dict[str, float]) -> float:
+    """Return the latest time such that a majority of `nodes` gave evidence requested then or later.
 
-    An empty set needs no evidence: a registry whose last nodes leave has an empty new set. The
-    count of grants in `leases.member_lease` never meets one.
+    It is minus infinity without a majority. An empty set needs no evidence: when the last nodes
+    leave the registry, the new set is empty. The function for grants in `leases.member_lease` never
+    gets an empty set.
     """
-    if not registered:
+    if not nodes:
         return float("inf")
-    times = sorted((requested[node] for node in registered if node in requested), reverse=True)
-    needed = majority(len(registered))
+    times = sorted(
+        (requested_at_by_node[node] for node in nodes if node in requested_at_by_node), reverse=True
+    )
+    needed = majority(len(nodes))
     return times[needed - 1] if len(times) >= needed else float("-inf")
 
 
-def _has_applied_all(applied_versions: dict[str, int], other: dict[str, int]) -> bool:
-    return all(applied_versions.get(key, 0) >= version for key, version in other.items())
+def _has_applied_all(applied_versions: dict[str, int], required_versions: dict[str, int]) -> bool:
+    return all(
+        applied_versions.get(key, 0) >= version for key, version in required_versions.items()
+    )
