--- a/src/zincvale/coordination/delivery/applied_versions.py
+++ b/src/zincvale/coordination/delivery/applied_versions.py
@@ -1,4 +1,4 @@
-"""Reports among the cores about the versions that nodes applied, and what is rolled out by them."""
+"""Reports that cores exchange about the versions that nodes have applied."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 from zincvale.model.machine import Effect
 
 BUSY_INTERVAL_S = 0.5
-"""Between two reports while a version is not rolled out: a lost one delays an acknowledgement by
-this much."""
+"""Interval between two full reports while a chosen version is not rolled out, in seconds. A lost
+report delays an acknowledgement by this much."""
 IDLE_INTERVAL_S = 2.0
-"""Between two reports otherwise; a core that started needs them before it may count."""
+"""Interval between two full reports while every version is rolled out, in seconds. A started core
+needs the reports before it can determine what is rolled out."""
 
 
 class AppliedVersions:
-    """This core's reports, and for each delivered key the tracker that counts every core's."""
+    """Sends this core's reports, and keeps a tracker of all cores' reports for each key."""
 
     def __init__(self, context: CoreContext, grantor: LeaseGrantor) -> None:
         self._context = context
@@ -27,8 +28,8 @@
         self.trackers = {
             key: RolloutTracker(REGISTRY_KEY, strict=key == REGISTRY_KEY) for key in DELIVERED_KEYS
         }
-        self._reported: dict[str, AppliedVersionsReport] = {}
-        self._repeat_at = 0.0
+        self._last_reports: dict[str, AppliedVersionsReport] = {}
+        self._full_report_at = 0.0
         self._cached_quorum_sets: tuple[int, list[list[str]]] = (0, [])
 
     def handle(self, sender: MemberId, report: AppliedVersionsReport) -> None:
@@ -38,7 +39,7 @@
             tracker.record_report(sender, report)
 
     def take_rolled_out(self, key: str) -> list[PendingChange]:
-        """Remove and return the pending changes of `key` that are rolled out."""
+        """Remove and return the pending changes of `key` whose versions are rolled out."""
         tracker = self.trackers[key]
         if not tracker.is_stale:
             return []
@@ -46,53 +47,53 @@
             grantors=self._context.sets.grantors(),
             config_version=self._context.sets.version,
             registry_version=self._context.chosen_version(REGISTRY_KEY),
-            registries=self._quorum_sets(),
+            node_sets=self._quorum_sets(),
         )
         return tracker.update(rules)
 
     def is_rolled_out(self, key: str) -> bool:
-        """Whether the newest chosen version is rolled out."""
+        """Whether the newest chosen version of `key` is rolled out."""
         return self.trackers[key].version >= self._context.chosen_version(key)
 
     def on_rules_changed(self) -> None:
-        """Have every key counted anew: the replica sets or the registry changed."""
+        """Mark every tracker for an update, because the replica sets or the registry changed."""
         for tracker in self.trackers.values():
             tracker.is_stale = True
 
     def tick(self, now: float) -> list[Effect]:
-        """Report what changed, and repeat reports now and then: they may be lost."""
-        if now >= self._repeat_at:
+        """Report what changed; send full reports at an interval, because reports may be lost."""
+        if now >= self._full_report_at:
             all_rolled_out = all(self.is_rolled_out(key) for key in DELIVERED_KEYS)
-            self._repeat_at = now + (IDLE_INTERVAL_S if all_rolled_out else BUSY_INTERVAL_S)
+            self._full_report_at = now + (IDLE_INTERVAL_S if all_rolled_out else BUSY_INTERVAL_S)
             return self.report(now, only_changes=False)
         if self._grantor.applied_versions_changed or self._grantor.has_stale_members():
             return self.report(now, only_changes=True)
         return []
 
     def report(self, now: float, *, only_changes: bool) -> list[Effect]:
-        """Send the other cores the versions that every live lease here has applied.
+        """Send the other cores the versions that every node with a live lease here has applied.
 
-        With `only_changes`, keys whose report is the same as the last one are left out.
+        With `only_changes`, keys whose report is the same as the previous one are omitted.
         """
         self._grantor.applied_versions_changed = False
         effects: list[Effect] = []
         for key in DELIVERED_KEYS:
-            report = self._report(key, now)
-            if only_changes and self._reported.get(key) == report:
+            report = self._build_report(key, now)
+            if only_changes and self._last_reports.get(key) == report:
                 continue
-            self._reported[key] = report
+            self._last_reports[key] = report
             self.trackers[key].record_report(self._context.own_id, report)
             effects.extend(self._context.to_other_cores(report))
         return effects
 
-    def _report(self, key: str, now: float) -> AppliedVersionsReport:
+    def _build_report(self, key: str, now: float) -> AppliedVersionsReport:
         chosen = self._context.chosen_versions()
-        floor = self._grantor.lowest_applied_version(key, chosen[key], now)
-        confirmed = chosen if key == REGISTRY_KEY else {key: floor}
+        lowest_version = self._grantor.lowest_applied_version(key, chosen[key], now)
+        confirmed_versions = chosen if key == REGISTRY_KEY else {key: lowest_version}
         return AppliedVersionsReport(
             key=key,
-            version=floor,
-            nodes=self._grantor.confirming_nodes(confirmed, now),
+            version=lowest_version,
+            nodes=self._grantor.confirming_nodes(confirmed_versions, now),
             chosen=chosen,
             config_version=self._context.sets.version,
         )
--- a/src/zincvale/coordination/delivery/ephemeral_topics.py
+++ b/src/zincvale/coordination/delivery/ephemeral_topics.py
@@ -1,10 +1,11 @@
-"""Ephemeral topics: tables that the leader of a role publishes, rebuilt from their source.
+"""Ephemeral topics: tables that the leader of a role publishes.
 
-They are replicated to the cores' memory only and are lost with all cores.
+They are replicated only in the memory of the cores. If all cores fail, they are lost, and the
+leader publishes them again.
 
-The epoch is the fencing epoch of the publishing role. A publication under an older epoch is
-refused: a former leader that does not know yet that its term is over would overwrite its
-successor's rows.
+The epoch of a topic is the fencing epoch of the publishing role. A publication with an older epoch
+is refused, because a former leader that does not know yet that its term has ended would overwrite
+its successor's rows.
 """
 
 from __future__ import annotations
@@ -14,22 +15,22 @@
 from zincvale.coordination.delivery.versioned_table import Delta, VersionedTable
 
 LEADERLESS_PREFIX = "listed-"
-"""Topics of this prefix are published without a role: their epochs fence nothing."""
+"""Prefix of topics that are published without a role; their epochs are not fencing epochs."""
 
 
 class EphemeralTopics:
-    """Every topic this process knows."""
+    """All topics that this process knows."""
 
     def __init__(self) -> None:
         self._tables: dict[str, VersionedTable] = {}
         self._epochs: dict[str, int] = {}
 
     def names(self) -> list[str]:
-        """Return the topics with rows."""
+        """Return the names of the topics that were published, sorted."""
         return sorted(self._tables)
 
     def newest_epoch(self) -> int:
-        """Return the newest fencing epoch of any topic."""
+        """Return the newest fencing epoch of any topic; 0 without one."""
         return max(
             (
                 epoch
@@ -52,7 +53,7 @@
         return (self._epochs[topic], table.version) if table else (0, 0)
 
     def publish(self, publication: PublishTopic) -> TopicDelta | None:
-        """Apply a publication of this process; None when its epoch is old."""
+        """Apply a publication and return its delta; None if its epoch is outdated."""
         topic = publication.topic
         epoch, version = self.position(topic)
         if publication.epoch < epoch:
@@ -70,9 +71,9 @@
         return delta
 
     def apply(self, delta: TopicDelta) -> bool:
-        """Apply a received change; return False when its base is missing here.
+        """Apply a received delta; return False if its base version is missing here.
 
-        A change that was overtaken counts as applied.
+        A delta that is older than the topic here is ignored, and the result is True.
         """
         epoch, version = self.position(delta.topic)
         if (delta.epoch, delta.version) <= (epoch, version):
@@ -80,14 +81,14 @@
         if delta.base_version is not None and delta.epoch != epoch:
             return False
         table = self._tables.setdefault(delta.topic, VersionedTable())
-        changes = Delta(delta.base_version, delta.version, delta.puts, delta.deletes)
-        if not table.apply(changes):
+        table_delta = Delta(delta.base_version, delta.version, delta.puts, delta.deletes)
+        if not table.apply(table_delta):
             return False
         self._epochs[delta.topic] = delta.epoch
         return True
 
     def since(self, topic: str, epoch: int, version: int) -> TopicDelta | None:
-        """Return what leads a reader at `(epoch, version)` to the newest, or None."""
+        """Return the delta from `(epoch, version)` to the newest version; None if there is none."""
         table = self._tables.get(topic)
         if table is None:
             return None
@@ -95,14 +96,14 @@
         if (own_epoch, table.version) <= (epoch, version):
             return None
         if epoch == own_epoch:
-            changes = table.since(version)
+            table_delta = table.since(version)
         else:
-            changes = table.full()
+            table_delta = table.full()
         return TopicDelta(
             topic,
             own_epoch,
-            changes.base,
-            changes.version,
-            changes.puts,
-            changes.deletes,
+            table_delta.base,
+            table_delta.version,
+            table_delta.puts,
+            table_delta.deletes,
         )
--- a/src/zincvale/coordination/delivery/long_poll_client.py
+++ b/src/zincvale/coordination/delivery/long_poll_client.py
@@ -1,10 +1,14 @@
-"""The node's long poll: one call at a time, for everything it follows.
+"""The node's long poll: one call at a time, for all tables that the node follows.
 
-It goes to a core; while no core responds, to a peer, which responds from its own tables.
+The call goes to a core. While no core responds, it goes to a peer, which responds from its own
+tables.
 
-Races that are guarded here: the response of a call that was given up is ignored by its token; a
-delta applies only to the version it starts from; a delta of members from another source than the
-known one is not applied, since versions of the member table count per core.
+Races that are handled here:
+
+- The response of an abandoned call may arrive later. It is ignored, because its token is outdated.
+- A delta is applied only to the version that it starts from.
+- Each core counts the versions of its member table separately. A delta of the member table is
+  therefore ignored if it comes from another source than the table that is known here.
 """
 
 from __future__ import annotations
@@ -22,25 +26,27 @@
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Call
 
-POLL_PREFIX = "poll:"
-RETRY_S = 0.2
-"""Before another host is polled after a failure, and the first wait when a poll lags."""
-MAX_BEHIND_S = 3.2
-"""Bound of the wait before a lagging poll is given up for another core. Each one that is given up
-doubles the wait: a large response takes long over a slow link, and polls that are given up while it
-arrives would fill the link."""
-ISOLATED_RETRY_S = 1.0
-"""Before the next poll when the host said that it hears no majority of the cores."""
-ISOLATED_AVOIDED_S = 3.0
-"""So long such a host is polled only if there is no other one."""
+POLL_TOKEN_PREFIX = "poll:"
+RETRY_DELAY_S = 0.2
+"""Delay before another host is polled after a failure, in seconds. It is also the first lag that is
+tolerated before a lagging poll is abandoned."""
+MAX_TOLERATED_LAG_S = 3.2
+"""Maximum time that a poll may lag before it is abandoned for another core, in seconds. The
+tolerated lag doubles with each abandoned poll: a large response takes long over a slow link, and
+responses of abandoned polls would saturate the link."""
+ISOLATED_RETRY_DELAY_S = 1.0
+"""Delay before the next poll after a host reported that it hears no majority of the cores, in
+seconds."""
+ISOLATED_HOST_BACKOFF_S = 3.0
+"""How long such a host is polled only if there is no other host, in seconds."""
 
 
 class LongPollClient:
-    """Keeps the node's tables up to date; versions never go backwards.
+    """Keeps the node's tables up to date; durable keys and topics never return to older versions.
 
     Parameters
     ----------
-    keys : the durable keys to follow; the topics are in `config`.
+    keys : the durable keys to follow; the topics to follow are in `config`.
     """
 
     def __init__(
@@ -49,14 +55,14 @@
         self._config = config
         self._random = random_source
         self._token = ""
-        self._count = 0
+        self._call_count = 0
         self._host: MemberId | None = None
-        self._is_directed = False
-        """The next poll goes to `_host`, whichever hosts are preferred."""
-        self._isolated_until: dict[MemberId, float] = {}
+        self._is_host_fixed = False
+        """Whether the next poll goes to `_host` even if it is not among the preferred hosts."""
+        self._isolated_hosts_until: dict[MemberId, float] = {}
         self._retry_at = 0.0
-        self._behind_since: float | None = None
-        self._max_behind_s = RETRY_S
+        self._lagging_since: float | None = None
+        self._tolerated_lag_s = RETRY_DELAY_S
         self.values = {key: VersionedTable() for key in keys}
         self.members = VersionedTable()
         self.members_source = ""
@@ -68,14 +74,14 @@
         return {key: table.version for key, table in self.values.items()}
 
     def tick(self, hosts: list[MemberId], now: float) -> list[Call]:
-        """Return the call of a new poll, to one of `hosts`, when none is under way."""
+        """Return the call of a new poll to one of `hosts`, unless one is in progress or delayed."""
         if self._token or now < self._retry_at or not hosts:
             return []
-        if self._host is None or (self._host not in hosts and not self._is_directed):
+        if self._host is None or (self._host not in hosts and not self._is_host_fixed):
             self._host = self._random.choice(hosts)
-        self._is_directed = False
-        self._count += 1
-        self._token = f"{POLL_PREFIX}{self._count}"
+        self._is_host_fixed = False
+        self._call_count += 1
+        self._token = f"{POLL_TOKEN_PREFIX}{self._call_count}"
         poll = Poll(
             keys=self.applied_versions(),
             members_source=self.members_source,
@@ -92,58 +98,66 @@
             return False
         self._token = ""
         if response.is_isolated:
-            self._avoid_host(now)
-        moved = [delta.name for delta in response.keys if self._apply_key(delta)]
+            self._back_off_from_host(now)
+        changed_keys = [delta.name for delta in response.keys if self._apply_key(delta)]
         for topic_delta in response.topics:
             if self.topics.apply(topic_delta):
                 self.notes.topics.add(topic_delta.topic)
         if response.members is not None:
             self._apply_members(response.members_source, response.members)
-        self.notes.keys.update(moved)
-        return bool(moved)
+        self.notes.keys.update(changed_keys)
+        return bool(changed_keys)
 
     def handle_failure(self, token: str, now: float) -> None:
-        """Try another host soon."""
+        """Poll another host after a delay, because the call `token` failed."""
         if token == self._token:
             self._token = ""
-            self._leave_host(now + RETRY_S)
+            self._drop_host(now + RETRY_DELAY_S)
 
-    def on_newest_versions(self, host: MemberId, newest: dict[str, int], now: float) -> None:
-        """Poll `host`, which knows newer versions, if the poll under way brings none soon."""
-        if all(table.version >= newest.get(key, 0) for key, table in self.values.items()):
-            self._behind_since = None
-            self._max_behind_s = RETRY_S
+    def on_newest_versions(
+        self, host: MemberId, newest_versions: dict[str, int], now: float
+    ) -> None:
+        """Poll `host` instead if it knows newer versions and the poll in progress lags too long."""
+        if all(table.version >= newest_versions.get(key, 0) for key, table in self.values.items()):
+            self._lagging_since = None
+            self._tolerated_lag_s = RETRY_DELAY_S
             return
-        if self._behind_since is None:
-            self._behind_since = now
-        elif now - self._behind_since >= self._max_behind_s and host != self._host:
-            self._max_behind_s = min(MAX_BEHIND_S, 2.0 * self._max_behind_s)
+        if self._lagging_since is None:
+            self._lagging_since = now
+        elif now - self._lagging_since >= self._tolerated_lag_s and host != self._host:
+            self._tolerated_lag_s = min(MAX_TOLERATED_LAG_S, 2.0 * self._tolerated_lag_s)
             self.restart(host)
 
-    def leave_unresponsive_host(self, hosts: list[MemberId]) -> None:
-        """Give up a poll at a host that no longer responds to anything else."""
+    def abandon_unresponsive_host(self, hosts: list[MemberId]) -> None:
+        """Abandon a poll in progress whose host is not among the responsive `hosts`."""
         if self._token and self._host not in hosts and hosts:
             self.restart(None)
 
-    def without_isolated(self, hosts: list[MemberId], now: float) -> list[MemberId]:
-        """Return the hosts that did not lately say that they hear no majority; all if all did."""
-        usable = [host for host in hosts if now >= self._isolated_until.get(host, now)]
+    def without_isolated_hosts(self, hosts: list[MemberId], now: float) -> list[MemberId]:
+        """Return the hosts that did not recently report that they hear no majority of the cores.
+
+        If all of them did, all are returned.
+        """
+        usable = [host for host in hosts if now >= self._isolated_hosts_until.get(host, now)]
         return usable or hosts
 
     def restart(self, host: MemberId | None) -> None:
-        """Start a new poll with the next tick; the response of the old one is ignored."""
+        """Start a new poll at the next tick; the response of the poll in progress is ignored.
+
+        It goes to `host`, or to a host chosen then if `host` is None.
+        """
         self._token = ""
         self._host = host
-        self._is_directed = host is not None
+        self._is_host_fixed = host is not None
         self._retry_at = 0.0
-        self._behind_since = None
+        self._lagging_since = None
 
-    def _avoid_host(self, now: float) -> None:
+    def _back_off_from_host(self, now: float) -> None:
         if self._host is not None:
-            self._isolated_until[self._host] = now + ISOLATED_AVOIDED_S
-        self._leave_host(now + ISOLATED_RETRY_S)
+            self._isolated_hosts_until[self._host] = now + ISOLATED_HOST_BACKOFF_S
+        self._drop_host(now + ISOLATED_RETRY_DELAY_S)
 
-    def _leave_host(self, retry_at: float) -> None:
+    def _drop_host(self, retry_at: float) -> None:
         self._host = None
         self._retry_at = retry_at
 
--- a/src/zincvale/coordination/delivery/long_poll_server.py
+++ b/src/zincvale/coordination/delivery/long_poll_server.py
@@ -1,6 +1,6 @@
 """Responds to long polls with chosen values, members and ephemeral topics, as deltas if possible.
 
-Runs at cores, and at nodes for peers that reach no core.
+It runs at cores, and at nodes for peers that reach no core.
 """
 
 from __future__ import annotations
@@ -19,23 +19,25 @@
 _Position = tuple[Hashable, ...]
 
 MAX_EPHEMERAL_PAUSE_S = 0.5
-"""Bound of the pause, however many polls were answered: how late a topic can be for it."""
+"""Maximum pause after a batch of responses, in seconds: how much the pause may delay an ephemeral
+update."""
 
 
 @attrs.frozen
 class _PendingPoll:
-    """A poll without a response, which gets an empty one at `until`."""
+    """A poll without a response yet; it gets an empty one at `respond_by`."""
 
     poll: Poll
-    until: float
+    respond_by: float
 
 
 class LongPollServer:
     """Keeps long polls pending until there is an update; updates are batched for `delta_batch_s`.
 
-    Updates of durable keys are sent at once. Ephemeral updates (topics and members) are frequent,
-    and each costs an exchange with every poller. So that they take a bounded part of this process,
-    they pause after a batch for as long as its responses may cost (`ephemeral_responses_per_s`).
+    Updates of durable keys are sent after the batching interval. Ephemeral updates (topics and
+    members) are frequent, and each costs an exchange with every poller. To limit their share of
+    this process's time, they pause after a batch, for its number of responses divided by
+    `ephemeral_responses_per_s`.
     """
 
     def __init__(
@@ -55,17 +57,18 @@
         self._ephemeral_pause_until = 0.0
         self.members_source = ""
         self.topic_epochs_seen: dict[str, int] = {}
-        """The newest epoch of each topic that any poller has applied."""
+        """The newest epoch that any poller has applied, by topic."""
         self.is_isolated = False
-        """Whether this process hears no majority of the cores: pollers are sent elsewhere."""
+        """Whether this process hears no majority of the cores; polls then get an immediate response
+        that says so, and pollers choose another host."""
 
     def poll(self, token: str, poll: Poll, now: float) -> list[Effect]:
-        """Respond at once when there is an update, else keep the poll pending."""
+        """Respond immediately if there is an update, else keep the poll pending."""
         for topic, position in poll.topics.items():
             if position.epoch > self.topic_epochs_seen.get(topic, 0):
                 self.topic_epochs_seen[topic] = position.epoch
         response = self._response(poll)
-        if response is not None and self._may_wait(poll, response, now):
+        if response is not None and self._may_defer(poll, response, now):
             self.on_ephemeral_update(now)
             response = None
         if response is None and self.is_isolated:
@@ -80,27 +83,27 @@
         self._pending.pop(token, None)
 
     def on_update(self, now: float) -> None:
-        """Mark that a durable key changed, or something else that pollers must have soon."""
+        """Record that a durable key changed, or another table that pollers need promptly."""
         if self._updated_since is None:
             self._updated_since = now
 
     def on_ephemeral_update(self, now: float) -> None:
-        """Mark that a topic or the members changed."""
+        """Record that a topic or the member table changed."""
         if self._ephemeral_updated_since is None:
             self._ephemeral_updated_since = now
 
     def respond_if_due(self, now: float) -> list[Effect]:
-        """Respond to polls that have updates once the batching interval is over."""
+        """Respond to polls that have updates, once the batching interval has passed."""
         return self.tick(now) if self._is_due(now) else []
 
     def tick(self, now: float) -> list[Effect]:
-        """As `respond_if_due`, and respond with nothing to polls that are pending for too long."""
+        """Respond as `respond_if_due` does; also send an empty response to overdue polls."""
         effects: list[Effect] = []
         is_due = self._is_due(now)
         responses: dict[_Position, PollResponse | None] = {}
         for token, pending in list(self._pending.items()):
             response = self._shared_response(pending.poll, responses) if is_due else None
-            if response is None and (now >= pending.until or self.is_isolated):
+            if response is None and (now >= pending.respond_by or self.is_isolated):
                 response = self._empty_response()
             if response is not None:
                 del self._pending[token]
@@ -123,17 +126,22 @@
         if rate:
             self._ephemeral_pause_until = now + min(response_count / rate, MAX_EPHEMERAL_PAUSE_S)
 
-    def _may_wait(self, poll: Poll, response: PollResponse, now: float) -> bool:
-        """Whether the response can wait for the pause to end; not if the poller knows nothing."""
+    def _may_defer(self, poll: Poll, response: PollResponse, now: float) -> bool:
+        """Whether the response can wait for the pause to end.
+
+        It cannot if it carries durable keys, or if the poller has no member table or lacks a topic.
+        """
         if response.keys or now >= self._ephemeral_pause_until:
             return False
-        is_new = not poll.members_source or any(not each.epoch for each in poll.topics.values())
+        is_new = not poll.members_source or any(
+            not position.epoch for position in poll.topics.values()
+        )
         return not is_new
 
     def _shared_response(
         self, poll: Poll, responses: dict[_Position, PollResponse | None]
     ) -> PollResponse | None:
-        """Return the response to a poll; pollers at the same position share one."""
+        """Return the response to a poll; polls with the same position share one."""
         position = _position_of(poll)
         if position not in responses:
             responses[position] = self._response(poll)
@@ -173,7 +181,7 @@
 
 
 def _position_of(poll: Poll) -> _Position:
-    """Return what a poller has applied, as a key."""
+    """Return the versions that a poller has applied, as a dictionary key."""
     return (
         tuple(poll.keys.items()),
         poll.members_source,
@@ -183,10 +191,10 @@
 
 
 def delta_message(name: str, delta: Delta) -> TableDelta:
-    """Return a delta of the table `name` as a message."""
+    """Return the message for a delta of the table `name`."""
     return TableDelta(name, delta.base, delta.version, delta.puts, delta.deletes)
 
 
 def delta_from_message(delta: TableDelta) -> Delta:
-    """Return the delta in a message."""
+    """Return the delta that a message carries."""
     return Delta(delta.base_version, delta.version, delta.puts, delta.deletes)
--- a/src/zincvale/coordination/delivery/messages.py
+++ b/src/zincvale/coordination/delivery/messages.py
@@ -1,4 +1,7 @@
-"""Messages of long polls and ephemeral topics; positional Avro."""
+"""Messages of long polls and ephemeral topics.
+
+They are encoded as positional Avro: the order and the types of the fields are the wire format.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,10 @@
 
 @attrs.frozen
 class TopicDelta:
-    """An ephemeral topic at `(epoch, version)`: the full table when `base_version` is None."""
+    """The changes of an ephemeral topic from `base_version` to `(epoch, version)`.
+
+    It carries the full table if `base_version` is None.
+    """
 
     topic: str
     epoch: int
@@ -49,7 +55,7 @@
 @peer_message("topic.update")
 @attrs.frozen
 class TopicUpdate:
-    """A change of a topic, sent to the other cores."""
+    """A delta of a topic, sent by a core to the other cores."""
 
     delta: TopicDelta
 
@@ -57,7 +63,7 @@
 @peer_message("topic.fetch")
 @attrs.frozen
 class FetchTopic:
-    """Requests what is newer than the sender's position in a topic."""
+    """Requests the delta from the sender's position in a topic to the newest version."""
 
     topic: str
     epoch: int
@@ -67,9 +73,10 @@
 @peer_message("poll")
 @attrs.frozen
 class Poll:
-    """Long poll: gets a response when anything is newer than what the poller has applied.
+    """Long poll: gets a response when a table is newer than the version that the poller has.
 
-    `members_source` names the core whose member table `members_version` counts; empty for none.
+    `members_source` identifies the process whose member table `members_version` refers to; it is
+    empty if the poller has no member table.
     """
 
     keys: dict[str, int]
@@ -81,11 +88,11 @@
 @peer_message("poll.answer")
 @attrs.frozen
 class PollResponse:
-    """What is newer; `members_source` names whose member table it is."""
+    """The deltas of newer tables; `members_source` identifies whose member table it is."""
 
     keys: list[TableDelta]
     topics: list[TopicDelta]
     members_source: str
     members: TableDelta | None
     is_isolated: bool = False
-    """The sender does not hear a majority of the cores: poll another one."""
+    """Whether the sender hears no majority of the cores, so that another host should be polled."""
--- a/src/zincvale/coordination/delivery/rollout.py
+++ b/src/zincvale/coordination/delivery/rollout.py
@@ -1,16 +1,17 @@
-"""Tells when a chosen version is rolled out: applied by every node that may serve.
+"""Determines when a chosen version is rolled out, that is, applied by every node that may serve.
 
-A version is rolled out when a majority of the granting cores reports that every live lease has
-applied it, and a majority of the registered nodes confirmed it (docs/design-coordination.md,
-"Acknowledgement"). By the first condition no node serves on a lease without it. By the second none
-serves without a lease either: nodes that reach no core go on serving only with evidence from a
-majority of the registered nodes, and whoever gave evidence does not confirm.
+A version is rolled out when a majority of the granting cores report that every node with a live
+lease has applied it, and a majority of the registered nodes have confirmed it
+(docs/design-coordination.md, "Acknowledgement"). By the first condition, no node serves on a lease
+without the version. By the second, no node without a lease serves without it either: a node that
+reaches no core serves only with evidence from a majority of the registered nodes, and a node that
+gave evidence does not confirm.
 
-A core that reports newer replica sets or a newer registry than the one that counts stops the count:
-majorities of outdated sets prove nothing.
+While a core reports newer replica sets or a newer registry than those used here, no version becomes
+rolled out, because majorities of outdated sets prove nothing.
 
-There is no time limit here: a change that is not counted in time is answered `not-confirmed` by
-`coordination.registers.proposal_router`, and may still be counted later.
+No time limit applies here. If a version is not rolled out in time,
+`coordination.registers.proposal_router` responds `not-confirmed`; it may be rolled out later.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 @attrs.frozen
 class PendingChange:
-    """A chosen change whose caller, at the call `token`, waits until its version is rolled out.
+    """A chosen change; the call `token` gets its response when `version` is rolled out.
 
     `controlplane.api.intent_changes.PendingChange` is the same change at the operators' API.
     """
@@ -35,31 +36,31 @@
 
 @attrs.frozen
 class QuorumRules:
-    """The sets by whose majorities a core counts reports and confirmations.
+    """The sets of cores and nodes of which a rollout needs majorities.
 
     Attributes
     ----------
     grantors : the cores that grant leases.
-    config_version : the version of the replica sets that `grantors` come from.
-    registry_version : the version of the registry that `registries` come from.
-    registries : the sets of nodes of which a majority each must confirm.
+    config_version : the version of the replica sets that define `grantors`.
+    registry_version : the version of the registry that defines `node_sets`.
+    node_sets : the sets of registered nodes; a majority of each one must confirm.
     """
 
     grantors: ReplicaConfig
     config_version: int
     registry_version: int
-    registries: list[list[str]]
+    node_sets: list[list[str]]
 
 
 class RolloutTracker:
-    """Collects the cores' reports about one key.
+    """Collects the cores' reports about one key, and determines its rolled-out version.
 
     Parameters
     ----------
     registry_key : the key of the registry.
-    strict : count only nodes that applied the newest version of *every* key that any report knows.
-        A change of the registry ends by this rule, so that the new set has applied all that the
-        old set has.
+    strict : whether to use only reports that know the newest chosen version of *every* key in any
+        report. The key `registry` needs this rule: when a change of the registry is closed, the new
+        set must have applied everything that the old set has.
     """
 
     def __init__(self, registry_key: str, *, strict: bool) -> None:
@@ -69,20 +70,21 @@
         self.pending: list[PendingChange] = []
         self.version = 0
         self.is_stale = False
-        """Whether counting anew may have another result."""
+        """Whether reports or pending changes were added since the last `update`, or the rules may
+        have changed."""
 
     def record_report(self, sender: MemberId, report: AppliedVersionsReport) -> None:
-        """Record the newest report of a core."""
+        """Record a core's report in place of its previous one."""
         self._reports[sender] = report
         self.is_stale = True
 
     def wait(self, change: PendingChange) -> None:
-        """Add a change that waits for its version."""
+        """Add a change that waits until its version is rolled out."""
         self.pending.append(change)
         self.is_stale = True
 
     def update(self, rules: QuorumRules) -> list[PendingChange]:
-        """Count anew; remove and return the pending changes that are rolled out."""
+        """Update the rolled-out version; remove and return the pending changes it covers."""
         self.is_stale = False
         for version in sorted({report.version for report in self._reports.values()}, reverse=True):
             if version <= self.version:
@@ -90,9 +92,9 @@
             if self._is_applied_everywhere(version, rules):
                 self.version = version
                 break
-        done = [change for change in self.pending if change.version <= self.version]
+        rolled_out = [change for change in self.pending if change.version <= self.version]
         self.pending = [change for change in self.pending if change.version > self.version]
-        return done
+        return rolled_out
 
     def _is_applied_everywhere(self, version: int, rules: QuorumRules) -> bool:
         reports = {
@@ -102,9 +104,9 @@
             return False
         if any(self._knows_newer_rules(report, rules) for report in reports.values()):
             return False
-        counted = self._newest(reports) if self._strict else reports
-        confirmed = _confirmed_nodes(counted, rules.grantors)
-        return all(has_majority(registry, confirmed) for registry in rules.registries)
+        used_reports = self._reports_of_newest_versions(reports) if self._strict else reports
+        confirmed_nodes = _confirmed_nodes(used_reports, rules.grantors)
+        return all(has_majority(nodes, confirmed_nodes) for nodes in rules.node_sets)
 
     def _knows_newer_rules(self, report: AppliedVersionsReport, rules: QuorumRules) -> bool:
         registry_version = report.chosen.get(self._registry_key, 0)
@@ -113,14 +115,16 @@
             or registry_version > rules.registry_version
         )
 
-    def _newest(
+    def _reports_of_newest_versions(
         self, reports: dict[MemberId, AppliedVersionsReport]
     ) -> dict[MemberId, AppliedVersionsReport]:
-        newest: dict[str, int] = {}
+        newest_versions: dict[str, int] = {}
         for report in reports.values():
             for key, version in report.chosen.items():
-                newest[key] = max(newest.get(key, 0), version)
-        return {core: report for core, report in reports.items() if report.chosen == newest}
+                newest_versions[key] = max(newest_versions.get(key, 0), version)
+        return {
+            core: report for core, report in reports.items() if report.chosen == newest_versions
+        }
 
 
 def _confirmed_nodes(
@@ -128,8 +132,8 @@
 ) -> set[str]:
     """Return the nodes that confirmed to a majority of the granting cores.
 
-    One core is not enough: a node that restarts could get a new lease from the others, without the
-    version that it had applied and confirmed before.
+    One core is not enough: a node that restarts could get a new lease from the other cores, without
+    the version that it had applied and confirmed before.
     """
     cores_by_node: dict[str, set[MemberId]] = {}
     for core, report in reports.items():
--- a/src/zincvale/coordination/delivery/topic_replicator.py
+++ b/src/zincvale/coordination/delivery/topic_replicator.py
@@ -1,4 +1,4 @@
-"""Ephemeral topics at a core: published here, forwarded to the other cores, fetched if missed."""
+"""Replicates ephemeral topics between cores: forwards publications, and fetches missed ones."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 class TopicReplicator:
     """Replicates the topics of one core to and from the other cores."""
 
-    def __init__(self, context: CoreContext, delivery: LongPollServer) -> None:
+    def __init__(self, context: CoreContext, poll_server: LongPollServer) -> None:
         self._context = context
-        self._poll_server = delivery
+        self._poll_server = poll_server
 
     def publish(self, token: str, publication: PublishTopic, now: float) -> list[Effect]:
-        """Apply and forward a publication of this process; an older epoch is refused."""
+        """Apply a publication of this process and forward it, unless its epoch is outdated."""
         delta = self._context.topics.publish(publication)
         epoch, version = self._context.topics.position(publication.topic)
         reply = Reply(token, TopicPublished(delta is not None, epoch, version))
@@ -33,7 +33,7 @@
         return [reply, *self._context.to_other_cores(TopicUpdate(delta))]
 
     def handle_update(self, sender: MemberId, update: TopicUpdate, now: float) -> list[Effect]:
-        """Apply another core's change, or fetch what leads to it."""
+        """Apply another core's delta; if its base version is missing, fetch the newer versions."""
         topics = self._context.topics
         topic = update.delta.topic
         before = topics.position(topic)
@@ -44,12 +44,12 @@
         return []
 
     def handle_fetch(self, sender: MemberId, fetch: FetchTopic) -> list[Effect]:
-        """Send what is newer than the requester's position."""
+        """Send the delta from the requester's position, if there is one."""
         delta = self._context.topics.since(fetch.topic, fetch.epoch, fetch.version)
         return [Send(sender, TopicUpdate(delta))] if delta is not None else []
 
     def handle_heartbeat(self, sender: MemberId, heartbeat: Heartbeat) -> list[Effect]:
-        """Fetch the topics of which another core has a newer version."""
+        """Fetch the topics of which another core's heartbeat reports a newer version."""
         effects: list[Effect] = []
         for topic, position in heartbeat.topics.items():
             own = self._context.topics.position(topic)
--- a/src/zincvale/coordination/delivery/versioned_table.py
+++ b/src/zincvale/coordination/delivery/versioned_table.py
@@ -1,4 +1,4 @@
-"""Tables with a version and a bounded number of their recent deltas."""
+"""Tables with a version and a limited number of recent deltas."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from zincvale.coordination.changes import Rows
 
 RETAINED_DELTAS = 256
-"""A reader further behind than this gets the full table; each delta retains the rows it changed."""
+"""Maximum number of deltas that a table retains, each with its changed rows. A reader whose version
+is older than these gets the full table."""
 
 
 @attrs.frozen
 class Delta:
-    """What leads from one version of a table to a later one; the full table when `base` is None."""
+    """The changes from version `base` of a table to `version`; a full table if `base` is None."""
 
     base: int | None
     version: int
@@ -25,7 +26,7 @@
 class VersionedTable:
     """Rows, their version and the deltas between recent versions.
 
-    `rows` is replaced, never changed in place: readers may retain it and compare by identity.
+    `rows` is replaced and never changed in place, so readers may retain it and compare identity.
     """
 
     def __init__(self, version: int = 0, rows: Rows | None = None) -> None:
@@ -34,7 +35,7 @@
         self._deltas: deque[Delta] = deque(maxlen=RETAINED_DELTAS)
 
     def replace(self, version: int, rows: Rows) -> None:
-        """Move to `version` with these rows; the delta is computed and retained."""
+        """Set the version and all rows; the delta from the previous rows is retained."""
         old = self.rows
         puts = {row: value for row, value in rows.items() if old.get(row) != value}
         deletes = [row for row in old if row not in rows]
@@ -43,13 +44,13 @@
         self.rows = rows
 
     def reset(self, version: int, rows: Rows) -> None:
-        """Start anew at `version`; earlier readers get the full table."""
+        """Set the version and all rows, and drop the deltas: readers then get the full table."""
         self._deltas.clear()
         self.version = version
         self.rows = dict(rows)
 
     def change(self, version: int, puts: Rows, deletes: list[str]) -> None:
-        """Move to `version` by a delta."""
+        """Set the version and change rows by a delta, which is retained."""
         rows = dict(self.rows)
         rows.update(puts)
         for row in deletes:
@@ -59,7 +60,7 @@
         self.rows = rows
 
     def apply(self, delta: Delta) -> bool:
-        """Apply a received delta; return False when its base is not this table's version."""
+        """Apply a received delta; return False if its base is not this table's version."""
         if delta.base is None:
             self.reset(delta.version, delta.puts)
             return True
@@ -73,23 +74,23 @@
         return Delta(None, self.version, self.rows, [])
 
     def since(self, version: int) -> Delta:
-        """Return what leads a reader at `version` to this one: merged deltas, or the full table."""
-        steps: list[Delta] = []
+        """Return the changes since `version`: merged deltas if retained, else the full table."""
+        deltas: list[Delta] = []
         for delta in reversed(self._deltas):
             if delta.version <= version:
                 break
-            steps.append(delta)
-        if not steps or steps[-1].base != version:
+            deltas.append(delta)
+        if not deltas or deltas[-1].base != version:
             return self.full()
-        return _merge(list(reversed(steps)))
+        return _merge(list(reversed(deltas)))
 
 
-def _merge(steps: list[Delta]) -> Delta:
-    """Return consecutive deltas as one; of each row the last change counts."""
+def _merge(deltas: list[Delta]) -> Delta:
+    """Return consecutive deltas merged into one, with the last change of each row."""
     merged: dict[str, bytes | None] = {}
-    for step in steps:
-        merged.update(step.puts)
-        merged.update(dict.fromkeys(step.deletes))
+    for delta in deltas:
+        merged.update(delta.puts)
+        merged.update(dict.fromkeys(delta.deletes))
     puts = {row: value for row, value in merged.items() if value is not None}
     deletes = [row for row, value in merged.items() if value is None]
-    return Delta(steps[0].base, steps[-1].version, puts, deletes)
+    return Delta(deltas[0].base, deltas[-1].version, puts, deletes)
--- a/src/zincvale/coordination/election/leader_election.py
+++ b/src/zincvale/coordination/election/leader_election.py
@@ -80,7 +80,7 @@
         return holder.state(self._context.sets.grantors(), now) if holder else LeadershipState()
 
     def last_granted(self, now: float) -> dict[str, tuple[MemberId | None, int]]:
-        """Return the holder and epoch of each role's last grant by this core; else (None, 0)."""
+        """Return the holder and epoch of this core's last grant of each role; else (None, 0)."""
         last_grants: dict[str, tuple[MemberId | None, int]] = dict.fromkeys(
             self._holders, (None, 0)
         )
@@ -120,9 +120,9 @@
         sets = self._context.sets
         match message:
             case RequestLeadership():
-                newest = self._context.chosen_version(f"{ROLE_KEY_PREFIX}{message.role}")
+                newest_epoch = self._context.chosen_version(f"{ROLE_KEY_PREFIX}{message.role}")
                 config_version = self._context.sets.version
-                return [self._grantor.handle(sender, message, newest, config_version, now)]
+                return [self._grantor.handle(sender, message, newest_epoch, config_version, now)]
             case LeadershipReleased(role, epoch):
                 self._grantor.release(sender, role, epoch)
             case LeadershipGranted(_, _, _, config_version) if config_version > sets.version:
@@ -156,7 +156,7 @@
         return effects, roles_to_propose
 
     def _no_grant_is_live(self, now: float) -> bool:
-        """Whether every other grantor reported, since this process started, that it has no grant.
+        """Whether every other grantor reported, after this process started, no live grant.
 
         A holder needs grants from a majority, including its own. The only grant that the reports
         cannot show is one that this process forgot, and that alone is no majority.
--- a/src/zincvale/coordination/leases/core_leases.py
+++ b/src/zincvale/coordination/leases/core_leases.py
@@ -85,7 +85,7 @@
         self.grantor.expire(now)
         if not self.caught_up:
             return []
-        invitation_effects = self._registry.invite_absent(self.core_infos(), now)
+        invitation_effects = self._registry.invite_nodes_without_lease(self.core_infos(), now)
         return [*self.applied_versions.tick(now), *invitation_effects]
 
     def registry_change(self, now: float) -> bytes | None:
--- a/src/zincvale/coordination/membership/heartbeats.py
+++ b/src/zincvale/coordination/membership/heartbeats.py
@@ -1,9 +1,9 @@
 """Heartbeats that the cores send each other several times a second.
 
-A heartbeat that differs from the last one in nothing but the topics is sent as
-`UnchangedHeartbeat`, a tenth of its size. A receiver that lacks the heartbeat for which it stands
-requests it in full; so a lost message or a restart costs one exchange, and the receiver always acts
-on exactly the sender's state.
+A heartbeat that differs from the previous one only in its topics is sent as `UnchangedHeartbeat`,
+which is a tenth of its size. A receiver that lacks the full heartbeat that it refers to requests
+it. A lost message or a restart therefore costs one exchange, and a receiver never combines states
+of different heartbeats.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from zincvale.model.machine import Effect, Send
 
 MIN_INTERVAL_S = 0.05
-"""Between two heartbeats, however many are requested; with less, cores that start together and
-request each other's heartbeats keep each other busy."""
+"""Minimum interval between two heartbeats, however many are requested, in seconds. With a shorter
+one, cores that start together and request each other's heartbeats would send without pause."""
 
 
 class HeartbeatSender:
@@ -31,7 +31,7 @@
     ----------
     context : the core's shared state.
     owners : the owner of each key at this core.
-    leased_roles : returns the roles for which a lease granted here is live, at a time.
+    leased_roles : returns the roles for which a lease granted by this core is live, at a time.
     """
 
     def __init__(
@@ -47,28 +47,28 @@
         self._sent_at = float("-inf")
         self._last_heartbeat: Heartbeat | None = None
         self._sent_full_to: set[MemberId] = set()
-        """The cores that the last heartbeat was sent to in full."""
+        """The cores that the newest heartbeat was sent to in full."""
 
     def send_now(self) -> None:
-        """Send the heartbeat with the next tick: something changed that others wait for."""
+        """Make the heartbeat due at the next tick, regardless of the minimum interval."""
         self._due_at = self._context.started_at
 
     def send_soon(self, now: float) -> None:
-        """Send the heartbeat with the next tick, or `MIN_INTERVAL_S` after the last one."""
+        """Make the heartbeat due at the next tick, but `MIN_INTERVAL_S` after the last one."""
         self._due_at = min(self._due_at, max(now, self._sent_at + MIN_INTERVAL_S))
 
     def send_full_to(self, member: MemberId, now: float) -> None:
-        """Send the full heartbeat to `member` soon: it does not know it, or no longer."""
+        """Make the heartbeat due soon, and in full to `member`, which does not have it."""
         self._sent_full_to.discard(member)
         self.send_soon(now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Send the heartbeat when it is due."""
+        """Send the heartbeat to the other cores if it is due."""
         if now < self._due_at:
             return []
         self._sent_at = now
         self._due_at = now + self._context.config.timings.heartbeat_interval_s
-        full = self._numbered(self._heartbeat(now))
+        full = self._assign_number(self._heartbeat(now))
         unchanged = UnchangedHeartbeat(full.info.incarnation, full.number, full.topics)
         effects: list[Effect] = []
         for member in self._targets():
@@ -77,8 +77,11 @@
                 self._sent_full_to.add(member)
         return effects
 
-    def _numbered(self, heartbeat: Heartbeat) -> Heartbeat:
-        """Return the heartbeat with its number; one that changed is due in full to every core."""
+    def _assign_number(self, heartbeat: Heartbeat) -> Heartbeat:
+        """Return the heartbeat with its number; a changed one must be sent in full to every core.
+
+        The number increases when a heartbeat differs from the previous one in more than its topics.
+        """
         last = self._last_heartbeat
         number = last.number if last is not None else 0
         numbered = attrs.evolve(heartbeat, number=number)
@@ -99,7 +102,7 @@
             voting=context.is_voting() and not context.leaving,
             can_learn=context.is_learner() and not context.leaving,
             keys=[own_key_status(context, self._owners, key) for key in self._owners],
-            heard={str(member): each.info.incarnation for member, each in live.items()},
+            heard={str(member): status.info.incarnation for member, status in live.items()},
             topics={
                 topic: TopicPosition(*context.topics.position(topic))
                 for topic in context.topics.names()
@@ -109,7 +112,7 @@
         )
 
     def _targets(self) -> list[MemberId]:
-        """Return the cores to send to; a core that knows none sends to its seeds too."""
+        """Return the other cores; also the seeds until replica sets or a heartbeat are known."""
         context = self._context
         targets = context.cores.known_cores()
         if context.sets.cores or context.cores.live(context.started_at):
--- a/src/zincvale/coordination/membership/member_codec.py
+++ b/src/zincvale/coordination/membership/member_codec.py
@@ -1,4 +1,4 @@
-"""Rows of the member table as bytes, and back: JSON lists by position."""
+"""Encodes and decodes the rows of the member table, which are JSON lists by position."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 def encode_member(info: MemberInfo, ready: bool) -> bytes:
-    """Return a member as a row."""
+    """Return a member's row as bytes."""
     return orjson.dumps(
         [info.role, info.zone, info.api_address, info.peer_address, info.incarnation, ready]
     )
 
 
 def decode_member(member: str, value: bytes) -> MemberRow:
-    """Return the row of `member`."""
+    """Return the decoded row of `member`."""
     role, zone, api_address, peer_address, incarnation, ready = orjson.loads(value)
     return MemberRow(
         member=MemberId(member),
@@ -32,9 +32,9 @@
 
 
 class MemberTableDecoder:
-    """Keeps the decoded member table; decodes only rows that changed.
+    """Caches the decoded member table, and decodes only rows that changed.
 
-    The table is read with each input of a process, and changes only when a member does.
+    A process reads the table on each input, but the table changes only when a member does.
     """
 
     def __init__(self) -> None:
@@ -42,12 +42,12 @@
         self._members = Members()
 
     def update(self, version: int, rows: Rows) -> Members:
-        """Return the member table of `rows`; tables replace their rows when they change."""
+        """Return the decoded table; a table that changed must have replaced its `rows` object."""
         if rows is self._rows and version == self._members.version:
             return self._members
-        known = self._members.rows
+        known_members = self._members.rows
         decoded = {
-            MemberId(member): known[MemberId(member)]
+            MemberId(member): known_members[MemberId(member)]
             if self._rows.get(member) == value
             else decode_member(member, value)
             for member, value in rows.items()
--- a/src/zincvale/coordination/membership/member_table.py
+++ b/src/zincvale/coordination/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The member table of a core: the live cores, and the nodes with leases here."""
+"""The member table of a core: the live cores, and the nodes with a lease from this core."""
 
 from __future__ import annotations
 
@@ -6,34 +6,38 @@
 from zincvale.coordination.leases.lease_grantor import LeaseGrantor
 from zincvale.coordination.membership.member_codec import encode_member
 
-SMALL_TABLE_ROWS = 50
-"""Up to so many nodes every change is applied at once."""
+SMALL_TABLE_MAX_NODES = 50
+"""Largest number of nodes for which every change is applied immediately."""
 LARGE_TABLE_INTERVAL_S = 1.0
-"""In a larger table changes are collected for so long: each one is sent to every node, so the work
-grows with the square of the nodes. Readiness that flaps in between is not seen."""
+"""How long changes of nodes are collected in a larger table, in seconds. Each change is sent to
+every node, so the work grows with the square of the number of nodes. A change of readiness that is
+reverted within the interval is not published."""
 
 
 class MemberTable:
-    """Keeps the table's rows up to date by deltas."""
+    """Updates the member table by deltas from the cores' heartbeats and the granted leases."""
 
     def __init__(self, context: CoreContext, grantor: LeaseGrantor) -> None:
         self._context = context
         self._grantor = grantor
         self._core_rows: dict[str, bytes] = {}
-        self._nodes_due_at = 0.0
+        self._update_nodes_at = 0.0
 
     def refresh(self, now: float) -> bool:
-        """Apply changed cores and nodes to the table; return whether it changed."""
-        puts, deletes = self._core_changes(now)
-        changed: set[str] = set()
-        if now >= self._nodes_due_at:
-            changed, self._grantor.members_changed = self._grantor.members_changed, changed
-        if changed and len(self._grantor.rows) > SMALL_TABLE_ROWS:
-            self._nodes_due_at = now + LARGE_TABLE_INTERVAL_S
-        for member in changed:
+        """Apply the changes of cores and nodes to the table; return whether it changed."""
+        puts, deletes = self._take_core_changes(now)
+        changed_nodes: set[str] = set()
+        if now >= self._update_nodes_at:
+            changed_nodes, self._grantor.members_changed = (
+                self._grantor.members_changed,
+                changed_nodes,
+            )
+        if changed_nodes and len(self._grantor.rows) > SMALL_TABLE_MAX_NODES:
+            self._update_nodes_at = now + LARGE_TABLE_INTERVAL_S
+        for member in changed_nodes:
             row = self._grantor.rows.get(member)
             if row is not None:
-                self._put_if_new(member, encode_member(row.info, row.ready), puts)
+                self._put_if_changed(member, encode_member(row.info, row.ready), puts)
             elif member in self._context.members.rows:
                 deletes.append(member)
         if not puts and not deletes:
@@ -42,11 +46,11 @@
         self._context.notes.members = True
         return True
 
-    def _put_if_new(self, member: str, row: bytes, puts: dict[str, bytes]) -> None:
+    def _put_if_changed(self, member: str, row: bytes, puts: dict[str, bytes]) -> None:
         if self._context.members.rows.get(member) != row:
             puts[member] = row
 
-    def _core_changes(self, now: float) -> tuple[dict[str, bytes], list[str]]:
+    def _take_core_changes(self, now: float) -> tuple[dict[str, bytes], list[str]]:
         context = self._context
         rows = {
             str(member): encode_member(status.info, status.voting)
--- a/src/zincvale/coordination/membership/messages.py
+++ b/src/zincvale/coordination/membership/messages.py
@@ -1,4 +1,7 @@
-"""How a process is reached; positional Avro, and by name in the rows of the replica sets."""
+"""The identity and addresses of a process.
+
+They are encoded as positional Avro in messages, and by field name in the rows of the replica sets.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +10,10 @@
 
 @attrs.frozen
 class MemberInfo:
-    """Who a process is and how it is reached.
+    """The identity and addresses of a process.
 
-    `role` is a value of `zincvale.model.control_tables.Role`; `incarnation` is random, one per
-    process start.
+    `role` is a value of `zincvale.model.control_tables.Role`; `incarnation` is a random identifier,
+    new at each start of the process.
     """
 
     member: str
--- a/src/zincvale/coordination/membership/registry_reconciler.py
+++ b/src/zincvale/coordination/membership/registry_reconciler.py
@@ -1,6 +1,6 @@
-"""Compares the registry with the live leases: which nodes are added, removed or invited.
+"""Compares the registry with the live leases, and decides which nodes to add, remove or invite.
 
-Changes are proposed at the owner of the key `registry`; invitations are sent by every core.
+The owner of the key `registry` proposes changes; every core sends invitations.
 """
 
 from __future__ import annotations
@@ -16,50 +16,56 @@
 from zincvale.model.machine import Effect, Send
 
 CHECK_INTERVAL_S = 0.5
-"""Between two comparisons; each reads the whole registry."""
+"""Interval between two comparisons, in seconds; each one reads the whole registry."""
 INVITATION_INTERVAL_S = 3.0
-"""Between two invitations of a node without a lease; it bounds how long a node whose seeds are
-outdated stays without cores."""
+"""Interval between two invitations of a node without a lease, in seconds. It limits how long a node
+with outdated seeds does not find the cores."""
 
 
 class RegistryReconciler:
-    """Proposes the registry's next change, and invites registered nodes without a lease."""
+    """Determines the registry's next change, and invites registered nodes without a lease."""
 
     def __init__(self, context: CoreContext, grantor: LeaseGrantor) -> None:
         self._context = context
         self._grantor = grantor
         self._check_at = 0.0
         self._invite_at = 0.0
-        self._absent_since: dict[str, float] = {}
+        self._without_lease_since: dict[str, float] = {}
 
     def next_change(self, is_rolled_out: bool, now: float) -> bytes | None:
-        """Return the next change of the registry, if one is due.
+        """Return the encoded change of the registry to propose next; None if none is due.
 
         Parameters
         ----------
-        is_rolled_out : whether the newest registry is applied everywhere: an open change ends.
+        is_rolled_out : whether the newest registry is rolled out, so that an open change may be
+            closed.
         """
         if now < self._check_at:
             return None
         self._check_at = now + CHECK_INTERVAL_S
-        registered = self._registered()
-        if registry.is_change_open(registered):
+        registry_rows = self._registry_rows()
+        if registry.is_change_open(registry_rows):
             return registry.close_change() if is_rolled_out else None
-        add = [
+        nodes_to_add = [
             row.info
             for member, row in self._grantor.rows.items()
-            if now < row.granted_until and _is_unknown(row.info, registered.get(member))
+            if now < row.granted_until
+            and _differs_from_registry(row.info, registry_rows.get(member))
         ]
-        remove = self._absent_too_long(registered, now)
-        return registry.open_change(add, remove) if add or remove else None
+        nodes_to_remove = self._nodes_to_remove(registry_rows, now)
+        return (
+            registry.open_change(nodes_to_add, nodes_to_remove)
+            if nodes_to_add or nodes_to_remove
+            else None
+        )
 
-    def invite_absent(self, cores: list[MemberInfo], now: float) -> list[Effect]:
-        """Send the cores' addresses to registered nodes without a lease: their seeds may be old."""
+    def invite_nodes_without_lease(self, cores: list[MemberInfo], now: float) -> list[Effect]:
+        """Invite registered nodes without a lease to renew at `cores`; their seeds may be old."""
         if now < self._invite_at:
             return []
         self._invite_at = now + INVITATION_INTERVAL_S
         effects: list[Effect] = []
-        for node, value in self._registered().items():
+        for node, value in self._registry_rows().items():
             if node in self._grantor.rows:
                 continue
             if self._context.cores.address_of(MemberId(node)) is None:
@@ -68,25 +74,25 @@
             effects.append(Send(MemberId(node), LeaseRedirect(cores, "the cores call back", True)))
         return effects
 
-    def _registered(self) -> Rows:
+    def _registry_rows(self) -> Rows:
         table = self._context.values.get(REGISTRY_KEY)
         return table.rows if table is not None else {}
 
-    def _absent_too_long(self, registered: Rows, now: float) -> list[str]:
-        """Return the registered nodes without a lease for `node_deregister_s`."""
+    def _nodes_to_remove(self, registry_rows: Rows, now: float) -> list[str]:
+        """Return the registered nodes that had no lease for more than `node_deregister_s`."""
         for member in self._grantor.rows:
-            self._absent_since.pop(member, None)
+            self._without_lease_since.pop(member, None)
         limit_s = self._context.config.timings.node_deregister_s
         return [
             member
-            for member in registered
+            for member in registry_rows
             if member not in self._grantor.rows
-            and now - self._absent_since.setdefault(member, now) > limit_s
+            and now - self._without_lease_since.setdefault(member, now) > limit_s
         ]
 
 
-def _is_unknown(info: MemberInfo, value: bytes | None) -> bool:
-    """Whether a node is not registered, or under another address or zone."""
+def _differs_from_registry(info: MemberInfo, value: bytes | None) -> bool:
+    """Whether a node is not registered, or is registered with another address or zone."""
     if value is None:
         return True
     row = registry.decode_row(value)
--- a/src/zincvale/coordination/node/machine.py
+++ b/src/zincvale/coordination/node/machine.py
@@ -14,7 +14,7 @@
 from zincvale.coordination.changes import ChangeNotifications, KeyView, TopicView
 from zincvale.coordination.config import NodeConfig
 from zincvale.coordination.core.messages import Heartbeat, RequestCores
-from zincvale.coordination.delivery.long_poll_client import POLL_PREFIX, LongPollClient
+from zincvale.coordination.delivery.long_poll_client import POLL_TOKEN_PREFIX, LongPollClient
 from zincvale.coordination.delivery.long_poll_server import LongPollServer, delta_message
 from zincvale.coordination.delivery.messages import Poll, PollResponse
 from zincvale.coordination.leases.member_lease import MemberLeaseHolder
@@ -132,9 +132,13 @@
                 RENEWAL_TOKEN_PREFIX
             ):
                 return self._handle_renewal_failure(token, now)
-            case CallReplied(token, PollResponse() as response) if token.startswith(POLL_PREFIX):
+            case CallReplied(token, PollResponse() as response) if token.startswith(
+                POLL_TOKEN_PREFIX
+            ):
                 return self._handle_poll_response(token, response, now)
-            case CallReplied(token, _) | CallFailed(token, _) if token.startswith(POLL_PREFIX):
+            case CallReplied(token, _) | CallFailed(token, _) if token.startswith(
+                POLL_TOKEN_PREFIX
+            ):
                 self._poll_client.handle_failure(token, now)
             case CallReceived(_, token, Poll() as poll):
                 return self._poll_server.poll(token, poll, now)
@@ -200,7 +204,7 @@
     def _handle_tick(self, now: float) -> list[Effect]:
         self._poll_server.is_isolated = not self._has_lease(now)
         hosts = self._poll_hosts(now)
-        self._poll_client.leave_unresponsive_host(self._responsive_cores(now) or hosts)
+        self._poll_client.abandon_unresponsive_host(self._responsive_cores(now) or hosts)
         effects: list[Effect] = list(self._poll_client.tick(hosts, now))
         if now >= self._renew_at:
             effects.extend(self._renew_through_coordinator(now))
@@ -321,7 +325,7 @@
         Cores in the node's own zone are preferred, because their responses cross no zone boundary.
         Newer peers are those that have applied a newer version than this node.
         """
-        responsive = self._poll_client.without_isolated(self._responsive_cores(now), now)
+        responsive = self._poll_client.without_isolated_hosts(self._responsive_cores(now), now)
         if responsive:
             return self._lease.in_own_zone(responsive) or responsive
         return (
--- a/tests/coordination/delivery/test_long_poll_client.py
+++ b/tests/coordination/delivery/test_long_poll_client.py
@@ -6,8 +6,8 @@
 
 from zincvale.coordination.config import NodeConfig
 from zincvale.coordination.delivery.long_poll_client import (
-    ISOLATED_AVOIDED_S,
-    MAX_BEHIND_S,
+    ISOLATED_HOST_BACKOFF_S,
+    MAX_TOLERATED_LAG_S,
     LongPollClient,
 )
 from zincvale.coordination.delivery.messages import PollResponse
@@ -43,7 +43,7 @@
         self.wait(20.0)
         self.assertLess(len(self.polls), 12)
         gaps = 20.0 / (len(self.polls) - 4)
-        self.assertLess(gaps, 2 * MAX_BEHIND_S)
+        self.assertLess(gaps, 2 * MAX_TOLERATED_LAG_S)
 
     def test_a_core_that_knows_newer_versions_is_polled_although_another_is_nearer(self):
         self.client = LongPollClient(self.config, ("intent",), random.Random(1))
@@ -61,9 +61,11 @@
         (poll,) = client.tick([near], now)
         isolated = PollResponse([], [], "", None, is_isolated=True)
         client.handle_response(poll.token, isolated, now)
-        self.assertEqual([other], client.without_isolated(HOSTS, now + 1.0))
-        self.assertEqual([near], client.without_isolated([near], now + 1.0))
-        self.assertEqual(HOSTS, client.without_isolated(HOSTS, now + ISOLATED_AVOIDED_S + 0.1))
+        self.assertEqual([other], client.without_isolated_hosts(HOSTS, now + 1.0))
+        self.assertEqual([near], client.without_isolated_hosts([near], now + 1.0))
+        self.assertEqual(
+            HOSTS, client.without_isolated_hosts(HOSTS, now + ISOLATED_HOST_BACKOFF_S + 0.1)
+        )
 
     def test_after_it_caught_up_the_first_wait_is_short_again(self):
         self.wait(20.0)
