--- a/tests/coordination/delivery/test_long_poll_client.py
+++ b/tests/coordination/delivery/test_long_poll_client.py
@@ -1,4 +1,4 @@
-"""When a node gives a poll up for another core."""
+"""When a node abandons a long poll, and which host it polls next."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 
 class LaggingPollTest(TestCase):
-    """Cores say that something newer exists, and the poll under way does not bring it."""
+    """Cores report newer versions that the poll in progress does not deliver."""
 
     def setUp(self):
         super().setUp()
@@ -35,17 +35,17 @@
                 self.client.on_newest_versions(host, {"intent": 5}, self.now)
             self.polls += self.client.tick(HOSTS, self.now)
 
-    def test_the_first_poll_is_given_up_soon(self):
+    def test_the_first_lagging_poll_is_abandoned_after_a_short_wait(self):
         self.wait(0.4)
         self.assertEqual(2, len(self.polls))
 
-    def test_a_large_response_over_a_slow_link_is_not_requested_again_and_again(self):
+    def test_a_slow_response_is_requested_less_and_less_often(self):
         self.wait(20.0)
         self.assertLess(len(self.polls), 12)
-        gaps = 20.0 / (len(self.polls) - 4)
-        self.assertLess(gaps, 2 * MAX_TOLERATED_LAG_S)
+        interval_after_growth_s = 20.0 / (len(self.polls) - 4)
+        self.assertLess(interval_after_growth_s, 2 * MAX_TOLERATED_LAG_S)
 
-    def test_a_core_that_knows_newer_versions_is_polled_although_another_is_nearer(self):
+    def test_a_core_that_knows_newer_versions_is_polled_although_another_is_preferred(self):
         self.client = LongPollClient(self.config, ("intent",), random.Random(1))
         near, newer = HOSTS
         (first,) = self.client.tick([near], 0.0)
@@ -55,7 +55,7 @@
         (second,) = self.client.tick([near], 1.1)
         self.assertEqual(newer, second.to)
 
-    def test_a_core_that_hears_no_majority_is_not_polled_again_at_once(self):
+    def test_a_core_that_hears_no_majority_is_avoided_while_another_exists(self):
         (near, other), now = HOSTS, 5.0
         client = LongPollClient(self.config, ("intent",), random.Random(1))
         (poll,) = client.tick([near], now)
@@ -67,16 +67,18 @@
             HOSTS, client.without_isolated_hosts(HOSTS, now + ISOLATED_HOST_BACKOFF_S + 0.1)
         )
 
-    def test_after_it_caught_up_the_first_wait_is_short_again(self):
+    def test_the_tolerated_lag_is_reset_once_the_node_has_caught_up(self):
         self.wait(20.0)
-        whole = PollResponse([TableDelta("intent", None, 5, {"row": b"x"}, [])], [], "", None)
-        self.client.handle_response(self.polls[-1].token, whole, self.now)
+        full_response = PollResponse(
+            [TableDelta("intent", None, 5, {"row": b"x"}, [])], [], "", None
+        )
+        self.client.handle_response(self.polls[-1].token, full_response, self.now)
         self.polls = list(self.client.tick(HOSTS, self.now))
         self.client.on_newest_versions(HOSTS[0], {"intent": 5}, self.now)
-        before = len(self.polls)
+        poll_count = len(self.polls)
         for _ in range(8):
             self.now += STEP_S
             for host in HOSTS:
                 self.client.on_newest_versions(host, {"intent": 6}, self.now)
             self.polls += self.client.tick(HOSTS, self.now)
-        self.assertEqual(before + 1, len(self.polls))
+        self.assertEqual(poll_count + 1, len(self.polls))
--- a/tests/coordination/election/test_hand_over.py
+++ b/tests/coordination/election/test_hand_over.py
@@ -1,4 +1,4 @@
-"""Planned stops and returning candidates: who leads, and for how long nobody does."""
+"""Leader handover: planned stops, returning candidates, and the time without a leader."""
 
 from __future__ import annotations
 
@@ -14,40 +14,42 @@
 ROLE = "placer"
 
 
-def holder_of(cluster: Cluster) -> str:
+def leader_of(cluster: Cluster) -> str:
     for core in CORES:
         if core in cluster.processes and cluster.core(core).role(ROLE, cluster.now).is_leader:
             return core
     return ""
 
 
-def led(seed: int = 1, timings: Timings | None = None) -> Cluster:
+def cluster_with_leader(seed: int = 1, timings: Timings | None = None) -> Cluster:
     cluster = Cluster(seed=seed, timings=timings).started()
-    assert cluster.run_until(lambda: bool(holder_of(cluster)), 30.0)
+    assert cluster.run_until(lambda: bool(leader_of(cluster)), 30.0)
     cluster.run(1.0)
     return cluster
 
 
-class LeavingTest(testtools.TestCase):
-    def test_a_stopping_leader_is_followed_within_a_second_or_two(self) -> None:
-        cluster = led(timings=Timings(candidate_stagger_s=0.3))
-        leader = holder_of(cluster)
+class StoppingCoreTest(testtools.TestCase):
+    def test_a_stopping_leader_is_replaced_within_seconds(self) -> None:
+        cluster = cluster_with_leader(timings=Timings(candidate_stagger_s=0.3))
+        leader = leader_of(cluster)
         cluster._feed(cluster.processes[leader], ShutdownRequested())
         self.assertFalse(cluster.core(leader).role(ROLE, cluster.now).is_leader)
-        self.assertTrue(cluster.run_until(lambda: holder_of(cluster) not in ("", leader), 2.5))
+        self.assertTrue(cluster.run_until(lambda: leader_of(cluster) not in ("", leader), 2.5))
 
-    def test_changes_go_on_while_an_owner_leaves(self) -> None:
-        cluster = led()
+    def test_changes_succeed_while_the_owner_of_the_key_stops(self) -> None:
+        cluster = cluster_with_leader()
         owner = cluster.owner_of("intent")
-        rest = [core for core in CORES if core != owner]
+        other_cores = [core for core in CORES if core != owner]
         cluster._feed(cluster.processes[owner], ShutdownRequested())
-        result = cluster.change(rest[0], "o1", {"a": "1"})
+        result = cluster.change(other_cores[0], "o1", {"a": "1"})
         self.assertEqual("in-force", result.status)
-        again = cluster.change(rest[1], "o1", {"a": "1"})
-        self.assertEqual(("in-force", result.version), (again.status, again.version))
+        repeated = cluster.change(other_cores[1], "o1", {"a": "1"})
+        self.assertEqual(("in-force", result.version), (repeated.status, repeated.version))
 
-    def test_a_learner_takes_the_vote_of_a_core_that_leaves(self) -> None:
-        cluster = led(timings=Timings(role_lease_s=1.6, role_renew_s=0.4, role_margin_s=0.3))
+    def test_a_learner_replaces_the_replica_of_a_stopping_core(self) -> None:
+        cluster = cluster_with_leader(
+            timings=Timings(role_lease_s=1.6, role_renew_s=0.4, role_margin_s=0.3)
+        )
         cluster.start_core("core-4")
         cluster.run(1.0)
         cluster._feed(cluster.processes["core-2"], ShutdownRequested())
@@ -65,10 +67,10 @@
 
 
 class CandidateTest(testtools.TestCase):
-    def test_a_restarted_core_does_not_end_a_lease_it_forgot(self) -> None:
+    def test_a_restarted_core_does_not_end_a_live_lease_that_it_no_longer_knows(self) -> None:
         for seed in range(1, 9):
-            cluster = led(seed)
-            leader = holder_of(cluster)
+            cluster = cluster_with_leader(seed)
+            leader = leader_of(cluster)
             epoch = cluster.core(leader).role(ROLE, cluster.now).epoch
             for core in CORES:
                 if core == leader:
@@ -80,10 +82,10 @@
                 state = cluster.core(leader).role(ROLE, cluster.now)
                 self.assertEqual((True, epoch), (state.is_leader, state.epoch), (seed, core))
 
-    def test_a_core_that_was_cut_off_does_not_end_a_lease_when_it_returns(self) -> None:
+    def test_a_core_that_was_cut_off_does_not_end_a_live_lease_when_it_reconnects(self) -> None:
         for seed in range(1, 9):
-            cluster = led(seed)
-            leader = holder_of(cluster)
+            cluster = cluster_with_leader(seed)
+            leader = leader_of(cluster)
             epoch = cluster.core(leader).role(ROLE, cluster.now).epoch
             other = next(core for core in CORES if core != leader)
             cluster.isolate([other])
@@ -93,21 +95,23 @@
             state = cluster.core(leader).role(ROLE, cluster.now)
             self.assertEqual((True, epoch), (state.is_leader, state.epoch), seed)
 
-    def test_nobody_waits_for_a_lease_after_a_restart_of_all(self) -> None:
-        cluster = led()
+    def test_restarted_cores_elect_a_leader_before_leases_from_before_the_restart_expire(
+        self,
+    ) -> None:
+        cluster = cluster_with_leader()
         for core in CORES:
             cluster.kill(core)
         cluster.run(0.5)
         for core in CORES:
             cluster.start_core(core, bootstrap=True)
-        # The lease is 6 s; the cores know after a few statuses that nobody holds one.
-        self.assertTrue(cluster.run_until(lambda: bool(holder_of(cluster)), 4.0))
+        # The lease lifetime is 6 s; after a few heartbeats, the cores know that no lease is live.
+        self.assertTrue(cluster.run_until(lambda: bool(leader_of(cluster)), 4.0))
 
 
 class RestartTest(testtools.TestCase):
-    def test_nodes_are_ready_soon_after_a_restart_of_everything(self) -> None:
+    def test_nodes_are_ready_soon_after_a_restart_of_every_process(self) -> None:
         for seed in range(1, 6):
-            cluster = led(seed)
+            cluster = cluster_with_leader(seed)
             self.assertEqual("in-force", cluster.change("core-1", "o1", {"a": "1"}).status)
             nodes = ["node-1", "node-2", "node-3"]
             for member in (*CORES, *nodes):
@@ -122,11 +126,11 @@
 
 
 class RestartOfAllTest(testtools.TestCase):
-    """Every process is killed: how long until nodes are ready, counted from the cores' start."""
+    """Every process is killed; measures the time from the cores' start until nodes are ready."""
 
     READY_WITHIN_S = 0.45
 
-    def ready_after_s(self, seed: int) -> float:
+    def seconds_until_ready(self, seed: int) -> float:
         cluster = Cluster(seed=seed, timings=forwarding_timings()).started()
         cluster.run(4.0)
         nodes = [member for member in cluster.processes if member not in CORES]
@@ -136,15 +140,15 @@
             cluster.start_node(node)
         cluster.run(0.1)
         started_at = cluster.now
-        draw = random.Random(seed)
-        for core in draw.sample(CORES, len(CORES)):
+        random_source = random.Random(seed)
+        for core in random_source.sample(CORES, len(CORES)):
             cluster.start_core(core)
-            cluster.run(draw.choice((0.0, 0.02, 0.05)))
+            cluster.run(random_source.choice((0.0, 0.02, 0.05)))
         assert cluster.run_until(
             lambda: all(cluster.node(node).ready(cluster.now) for node in nodes), 10.0
         )
         return cluster.now - started_at
 
-    def test_cores_need_no_periodic_status_to_know_each_other(self) -> None:
-        slowest = max(self.ready_after_s(seed) for seed in range(1, 31))
+    def test_cores_learn_of_each_other_without_waiting_for_periodic_heartbeats(self) -> None:
+        slowest = max(self.seconds_until_ready(seed) for seed in range(1, 31))
         self.assertLess(slowest, self.READY_WITHIN_S)
--- a/tests/coordination/membership/test_member_codec.py
+++ b/tests/coordination/membership/test_member_codec.py
@@ -1,4 +1,4 @@
-"""The typed member table: what is decoded, and how often."""
+"""Decoding of the member table: which rows are decoded, and how often."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def row(member: str, ready: bool = True) -> bytes:
-    """Return a node's row."""
+    """Return a node's row as bytes."""
     info = MemberInfo(member, Role.NODE.value, "z1", f"{member}:1", f"{member}:2", "i1")
     return encode_member(info, ready)
 
@@ -25,15 +25,15 @@
         self.decoded: list[str] = []
         decode = member_codec.decode_member
 
-        def recorded(member: str, value: bytes):
+        def record_and_decode(member: str, value: bytes):
             self.decoded.append(member)
             return decode(member, value)
 
-        patch = mock.patch.object(member_codec, "decode_member", recorded)
+        patch = mock.patch.object(member_codec, "decode_member", record_and_decode)
         patch.start()
         self.addCleanup(patch.stop)
 
-    def test_a_table_that_did_not_change_is_decoded_once(self) -> None:
+    def test_an_unchanged_table_is_decoded_once(self) -> None:
         rows = {"a": row("a"), "b": row("b")}
         first = self.decoder.update(3, rows)
         self.assertIs(first, self.decoder.update(3, rows))
@@ -49,6 +49,6 @@
         )
         self.assertEqual(4, members.version)
 
-    def test_another_table_of_the_same_version_is_read(self) -> None:
+    def test_other_rows_with_the_same_version_are_decoded(self) -> None:
         self.decoder.update(3, {"a": row("a")})
         self.assertEqual(["b"], list(self.decoder.update(3, {"b": row("b")}).rows))
