--- a/src/zincvale/coordination/core/components.py
+++ b/src/zincvale/coordination/core/components.py
@@ -61,7 +61,7 @@
             owner.observe_epoch(context.replica.state(key).promised)
         self.chosen_values = ChosenValues(context, self._on_chosen)
         self.cluster_creation = ClusterCreation(context, list(self.owners))
-        self.cluster_creation.follow_accepted_replica_sets()
+        self.cluster_creation.apply_accepted_replica_sets()
         self.member_leases = MemberLeases(context)
         self.renewal_batcher = LeaseRenewalBatcher(context)
         self.replica_set_reconciler = ReplicaSetReconciler(context, self.owners)
--- a/src/zincvale/coordination/core/dispatch.py
+++ b/src/zincvale/coordination/core/dispatch.py
@@ -86,7 +86,7 @@
         case Prepare():
             return components.context.replica.handle(sender, message, message.key)
         case ConfirmEpoch():
-            return components.context.replica.confirm(sender, message)
+            return components.context.replica.confirm_epoch(sender, message)
         case Promise() | Accepted() | BaseVersionMissing() | Refused() | EpochConfirmed():
             return _handle_replica_response(components, sender, message, now)
         case Chosen():
@@ -201,7 +201,9 @@
 ) -> LeaseGranted | LeaseRedirect:
     components.cluster_creation.record_existing_cluster(renewal.cluster_incarnation)
     components.value_repair.record_renewal(MemberId(renewal.info.member), renewal)
-    return components.member_leases.handle_renewal(renewal, components.value_repair.required(), now)
+    return components.member_leases.handle_renewal(
+        renewal, components.value_repair.required_versions(), now
+    )
 
 
 def _renew_for_batch(
--- a/src/zincvale/coordination/core/machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -118,7 +118,7 @@
                 return components.proposal_router.handle_forward_reply(token, None, now)
             case WriteCompleted(token, error):
                 effects = self._context.replica.handle_written(token, error, now)
-                components.cluster_creation.follow_accepted_replica_sets()
+                components.cluster_creation.apply_accepted_replica_sets()
                 return effects
             case ShutdownRequested():
                 return self._shut_down(now)
--- a/src/zincvale/coordination/core/tick.py
+++ b/src/zincvale/coordination/core/tick.py
@@ -102,7 +102,7 @@
 def _tick_owners(components: CoreComponents, now: float) -> list[Effect]:
     effects: list[Effect] = []
     for key, owner in components.owners.items():
-        effects.extend(owner.tick(components.context.sets.group_of(key).replicas, now))
+        effects.extend(owner.tick(components.context.sets.declared_config(key).replicas, now))
     return effects
 
 
--- a/src/zincvale/coordination/registers/change_batch.py
+++ b/src/zincvale/coordination/registers/change_batch.py
@@ -1,4 +1,4 @@
-"""Evaluation of changes, one after the other, on top of a chosen record."""
+"""Evaluation of changes, one after another, against a chosen record."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @attrs.frozen
 class AcceptedProposal:
-    """A proposal whose change is part of the record at `version`."""
+    """An accepted proposal; `version` is the version that its change produced."""
 
     token: str
     version: int
 
 
 class ChangeBatch:
-    """Changes that go together in one write, each with its own version."""
+    """Changes that are written together; each one produces a version of its own."""
 
     def __init__(self, record: Record, reducer: Reducer) -> None:
         self.accepted: list[AcceptedProposal] = []
@@ -39,16 +39,16 @@
         self._reducer = reducer
         self._rows: Rows = record.rows
         self._version = record.position.version
-        self._touched: dict[str, bytes | None] = {}
+        self._changed_rows: dict[str, bytes | None] = {}
 
     def add(self, token: str, proposal: ProposeChange) -> ChangeResult | None:
-        """Evaluate one change; return its rejection, or None when it is part of the batch."""
+        """Evaluate a change; return its rejection, or None if the change was accepted."""
         digest = change_digest(proposal)
         known = self._entry_by_key.get(proposal.idempotency_key)
         if known is None:
             known = self._record.idempotency_entries.get(proposal.idempotency_key)
         if known is not None:
-            return self._accept_again(token, known, digest)
+            return self._accept_resent(token, known, digest)
         if proposal.base_version is not None and proposal.base_version != self._version:
             return ChangeResult(
                 CONFLICT,
@@ -69,27 +69,27 @@
         return None
 
     def finish(self, epoch: Epoch) -> tuple[Record, RecordUpdate]:
-        """Return the record after the batch and its difference from the one before."""
+        """Return the record after all changes and the update that leads to it."""
         update = RecordUpdate(
             position=Position(epoch, self._version),
             base=self._record.position,
             config=self._record.config,
-            puts={row: value for row, value in self._touched.items() if value is not None},
-            deletes=[row for row, value in self._touched.items() if value is None],
+            puts={row: value for row, value in self._changed_rows.items() if value is not None},
+            deletes=[row for row, value in self._changed_rows.items() if value is None],
             idempotency_entries=self.entries,
         )
         record = apply_update(self._record, update)
         assert record is not None
         return record, update
 
-    def _accept_again(
+    def _accept_resent(
         self, token: str, known: IdempotencyEntry, digest: str
     ) -> ChangeResult | None:
         if known.digest != digest:
             return ChangeResult(
                 INVALID,
                 current_version=self._version,
-                problem=f"order id {known.idempotency_key!r} was used for another change",
+                problem=f"order id {known.idempotency_key!r} was already used for another change",
                 remedy="send a new change under a new order id",
             )
         self.accepted.append(AcceptedProposal(token, known.version))
@@ -101,7 +101,7 @@
         changes = list(row_changes)
         self._rows = apply_changes(self._rows, changes)
         for change in changes:
-            self._touched[change.row] = change.value
+            self._changed_rows[change.row] = change.value
         self._version += 1
         entry = IdempotencyEntry(idempotency_key, self._version, digest)
         self.entries.append(entry)
@@ -110,5 +110,5 @@
 
 
 def change_digest(proposal: ProposeChange) -> str:
-    """Return a digest of what a proposal changes, to tell a resend from a reused key."""
+    """Return a digest of a proposal that tells a resend from a reused idempotency key."""
     return xxhash.xxh3_64_hexdigest(f"{proposal.base_version}:".encode() + proposal.change)
--- a/src/zincvale/coordination/registers/change_messages.py
+++ b/src/zincvale/coordination/registers/change_messages.py
@@ -1,4 +1,4 @@
-"""Changes of keys, and their results."""
+"""Messages that propose and forward changes of keys, and their results."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 @peer_message("change.propose")
 @attrs.frozen
 class ProposeChange:
-    """Change `key`; a resend under the same `idempotency_key` gets the first result."""
+    """Propose a change of `key`; a resend under the same `idempotency_key` gets the same result.
+
+    A change with a `base_version` is rejected unless this is the current version of the key.
+    """
 
     key: str
     idempotency_key: str
@@ -21,7 +24,7 @@
 @peer_message("replica.replace")
 @attrs.frozen
 class ReplaceReplica:
-    """Replace the replica on core `remove` by one on core `add`; responds `ChangeResult`."""
+    """Replace the replica on core `remove` by one on core `add`; answered by a `ChangeResult`."""
 
     remove: str
     add: str
@@ -30,7 +33,7 @@
 @peer_message("change.forward")
 @attrs.frozen
 class ForwardChange:
-    """A change that another core forwards to the core that it takes for the owner."""
+    """A change that a core forwards to the core that it believes to own the key."""
 
     proposal: ProposeChange
     limit_s: float
@@ -39,7 +42,14 @@
 @peer_message("change.result")
 @attrs.frozen
 class ChangeResult:
-    """Result of a change; `status` is one of the constants below."""
+    """Result of a change.
+
+    Attributes
+    ----------
+    status : one of the constants of this module.
+    version : the version that the change produced, if it is in force.
+    current_version : the newest version of the key, as the responding core knows it.
+    """
 
     status: str
     version: int = 0
@@ -49,12 +59,12 @@
 
 
 IN_FORCE = "in-force"
-"""The change is chosen and, for a delivered key, applied wherever it must be."""
+"""The change is chosen and, if nodes store its key, applied by every node that may serve."""
 CONFLICT = "conflict"
-"""Another change won on the version that this one was built on."""
+"""Another change was applied first to the version that this change is based on."""
 INVALID = "invalid"
-"""The change cannot be applied to the current value."""
+"""The change cannot be applied to the current value of the key."""
 NOT_CONFIRMED = "not-confirmed"
-"""The time is over and the outcome unknown: resend under the same idempotency key."""
+"""The change timed out with an unknown outcome; resend it under the same idempotency key."""
 NOT_OWNER = "not-owner"
-"""To forwarding cores only: the sender does not own the key."""
+"""The responding core does not own the key; sent only to cores that forward a change."""
--- a/src/zincvale/coordination/registers/chosen_values.py
+++ b/src/zincvale/coordination/registers/chosen_values.py
@@ -1,4 +1,8 @@
-"""The learner: chosen values at a core, from own accepted records, from owners, or fetched."""
+"""Learner of a core: the newest chosen value of every key.
+
+A core learns that its own accepted record was chosen, is told so by the owner of the key, or
+fetches the value from another core.
+"""
 
 from __future__ import annotations
 
@@ -15,15 +19,16 @@
 from zincvale.model.machine import Effect, Send
 
 FETCH_INTERVAL_S = 0.2
-"""Between two fetches of one key; shorter, every heartbeat of every core starts one."""
+"""Minimum interval between two fetches of the same key. With a shorter one, every heartbeat of
+every core would start a fetch."""
 
 
 class ChosenValues:
-    """Maintains the newest chosen value known here of every key.
+    """Stores the newest value of every key that this core knows to be chosen.
 
     Parameters
     ----------
-    on_chosen : called with key, version and time whenever a newer value is known.
+    on_chosen : called with key, version and time when a newer value of a key becomes known.
     """
 
     def __init__(self, context: CoreContext, on_chosen: Callable[[str, int, float], None]) -> None:
@@ -32,7 +37,7 @@
         self._fetched_at: dict[str, float] = {}
 
     def choose(self, key: str, version: int, rows: Rows, now: float) -> None:
-        """Store a value that is known to be chosen; older ones change nothing."""
+        """Store a value that is known to be chosen, unless it is older than the stored one."""
         table = self._context.values.setdefault(key, VersionedTable())
         if version <= table.version:
             return
@@ -40,14 +45,14 @@
         self._on_newer_value(key, table, now)
 
     def handle_accept(self, accept: Accept, now: float) -> None:
-        """Learn from an owner's next proposal that the record accepted here was chosen."""
+        """Learn from the owner's next proposal that the record accepted here was chosen."""
         record = self._context.replica.state(accept.key).record
         same_epoch = record.position.epoch == accept.epoch
         if same_epoch and record.position.version <= accept.chosen_version:
             self.choose(accept.key, record.position.version, record.rows, now)
 
     def handle_chosen(self, sender: MemberId, chosen: Chosen, now: float) -> list[Effect]:
-        """Store the accepted record if it is the chosen one, else fetch."""
+        """Store the record accepted here if it is the chosen one, else fetch the chosen value."""
         record = self._context.replica.state(chosen.key).record
         if record.position == chosen.position:
             self.choose(chosen.key, record.position.version, record.rows, now)
@@ -55,7 +60,7 @@
         return self._fetch(sender, chosen.key, chosen.position.version, now)
 
     def handle_fetch(self, sender: MemberId, fetch: FetchValue) -> list[Effect]:
-        """Send what is newer than the requester's version."""
+        """Send the changes since the requester's version, if there are any."""
         table = self._context.values.get(fetch.key)
         if table is None or table.version <= fetch.version:
             return []
@@ -71,7 +76,7 @@
             self._on_newer_value(delta.name, table, now)
 
     def handle_heartbeat(self, sender: MemberId, status: Heartbeat, now: float) -> list[Effect]:
-        """Fetch what another core knows to be chosen and this one does not."""
+        """Fetch values that are newer at the sender than at this core."""
         effects: list[Effect] = []
         for key_status in status.keys:
             effects.extend(self._fetch(sender, key_status.key, key_status.chosen_version, now))
--- a/src/zincvale/coordination/registers/cluster_creation.py
+++ b/src/zincvale/coordination/registers/cluster_creation.py
@@ -1,8 +1,8 @@
-"""Creation of a cluster, once, by its first initial core.
+"""One-time creation of a cluster by the first of its initial cores.
 
-The first core of the list waits until every initial core reports an empty disk and no process
-reports an older cluster of this id; then it writes the first `replica-sets` record, which binds the
-votes to the disks' identities, and sends it to the others.
+The first core of the configured list waits until every initial core reports an empty disk and no
+process has reported an existing cluster with the same cluster id. It then writes the first record
+of the key `replica-sets`, which binds votes to disk identities, and sends it to the other cores.
 """
 
 from __future__ import annotations
@@ -24,42 +24,42 @@
 from zincvale.model.machine import Effect, Log, Send
 
 CLUSTER_INCARNATION_BITS = 64
-"""Random bits of a cluster's identity; two creations must never draw the same."""
+"""Size in bits of the random cluster incarnation; no two clusters may get the same one."""
 CREATION_RETRY_S = 2.0
-"""Between two attempts to write the first record, while its write is not durable."""
+"""Interval between two attempts to write the first record, until its write is durable."""
 RECOVERY_LISTEN_LEASE_TTLS = 3
-"""Lease lifetimes that a recovering core listens, to hear what every node stores."""
+"""How long a recovering core listens for the versions that nodes store, in lease lifetimes."""
 
 
 class ClusterCreation:
-    """Creates the cluster if this process is to, and completes a creation that was begun.
+    """Creates the cluster if this process is responsible, and completes an unfinished creation.
 
     Parameters
     ----------
-    keys : the keys that the cluster starts with.
+    keys : the keys that the new cluster declares.
     """
 
     def __init__(self, context: CoreContext, keys: list[str]) -> None:
         self._context = context
         self._keys = keys
-        self.older_cluster = ""
-        """Identity of an existing cluster that some process reported."""
+        self.existing_cluster = ""
+        """Incarnation of an existing cluster that another process reported; empty if none did."""
         self._is_refused = False
         self._retry_at = 0.0
-        self._followed_position = Position()
+        self._applied_position = Position()
 
     def is_empty(self) -> bool:
-        """Whether this disk holds no record and promised nothing."""
+        """Whether this disk has no record and no promise."""
         replica = self._context.replica
         return all(replica.state(key) == StoredKeyState() for key in replica.known_keys())
 
     def record_existing_cluster(self, cluster_incarnation: str) -> None:
-        """Record that another process knows a cluster of this id."""
+        """Record the incarnation that another process reports; empty if it knows no cluster."""
         if cluster_incarnation:
-            self.older_cluster = cluster_incarnation
+            self.existing_cluster = cluster_incarnation
 
     def tick(self, now: float) -> list[Effect]:
-        """Create the cluster when it is safe, or send the first record to cores without it."""
+        """Create the cluster once it is safe, or send the first record to cores that lack it."""
         context = self._context
         if not context.config.bootstrap or not context.config.initial_cores:
             return []
@@ -67,44 +67,45 @@
             return []
         if not self.is_empty():
             return self._send_first_record(now)
-        if now - context.started_at < self._listen_s():
+        if now - context.started_at < self._listen_duration_s():
             return []
-        if self.older_cluster and not context.config.recover:
+        if self.existing_cluster and not context.config.recover:
             return self._refuse_creation()
         if now < self._retry_at:
             return []
         return self._create(now)
 
     def handle(self, sender: MemberId, message: CreateCluster, now: float) -> list[Effect]:
-        """Store the first record if it names this disk and the disk is empty."""
+        """Store the first record if it is addressed to this disk and the disk is empty."""
         context = self._context
         is_expected = context.config.bootstrap and message.disk == context.disk and self.is_empty()
-        created = message.update.puts.get(CLUSTER_ROW, b"").decode()
-        if not is_expected or self.older_cluster not in ("", created):
+        created_cluster = message.update.puts.get(CLUSTER_ROW, b"").decode()
+        if not is_expected or self.existing_cluster not in ("", created_cluster):
             return []
-        self._listen_after_recovery(now)
+        self._block_grants_after_recovery(now)
         return context.replica.handle(sender, message, REPLICA_SETS_KEY)
 
-    def follow_accepted_replica_sets(self) -> None:
-        """Use the newest accepted replica sets after a restart, a creation or a change.
+    def apply_accepted_replica_sets(self) -> None:
+        """Use the newest accepted replica sets, after a restart, a creation or a change.
 
-        An accepted change that was never chosen is overwritten under a higher epoch, maybe by an
-        older version: that one is used then. Only what is known to be chosen is never taken back.
+        A change that was accepted but never chosen may be overwritten under a higher epoch by an
+        older version, which is then used instead. A version that is known to be chosen is never
+        replaced by an older one.
         """
         context = self._context
         record = context.replica.state(REPLICA_SETS_KEY).record
-        if record.position > self._followed_position:
-            self._followed_position = record.position
+        if record.position > self._applied_position:
+            self._applied_position = record.position
             if record.position.version >= context.chosen_version(REPLICA_SETS_KEY):
                 context.use_sets(record.position.version, record.rows)
 
-    def _listen_s(self) -> float:
+    def _listen_duration_s(self) -> float:
         timings = self._context.config.timings
         if self._context.config.recover:
             return timings.lease_ttl_s * RECOVERY_LISTEN_LEASE_TTLS
         return timings.bootstrap_listen_s
 
-    def _listen_after_recovery(self, now: float) -> None:
+    def _block_grants_after_recovery(self, now: float) -> None:
         if self._context.config.recover:
             self._context.grants_blocked_until = now + self._context.config.timings.lease_ttl_s
 
@@ -120,8 +121,8 @@
                 return []
             rows.append(CoreRow(status.info, status.disk))
         self._retry_at = now + CREATION_RETRY_S
-        self._listen_after_recovery(now)
-        incarnation = self.older_cluster
+        self._block_grants_after_recovery(now)
+        incarnation = self.existing_cluster
         if not incarnation:
             incarnation = f"{context.random_source.getrandbits(CLUSTER_INCARNATION_BITS):016x}"
         position = Position(Epoch(1, context.owner_name), 1)
@@ -147,7 +148,7 @@
         if self._is_refused:
             return []
         self._is_refused = True
-        fields = {"existing": self.older_cluster}
+        fields = {"existing": self.existing_cluster}
         return [Log(log_events.CREATION_REFUSED, fields)]
 
 
--- a/src/zincvale/coordination/registers/epochs.py
+++ b/src/zincvale/coordination/registers/epochs.py
@@ -1,4 +1,4 @@
-"""Epochs and positions: the total order of everything a register replica ever accepts."""
+"""Epochs and positions, which totally order the records that replicas accept."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
     Attributes
     ----------
-    number : increases with each new owner.
-    owner : `member/incarnation` of the owning process, so that no two processes share an epoch.
+    number : increases with each new period of ownership.
+    owner : `member/incarnation` of the owning process; it makes epochs of two processes different.
     """
 
     number: int = 0
@@ -33,9 +33,14 @@
 @functools.total_ordering
 @attrs.frozen(order=False)
 class Position:
-    """Where a record stands: the epoch that wrote it and the version of its value.
+    """Place of a record in the total order of the records of its key.
 
     Two records at the same position are identical.
+
+    Attributes
+    ----------
+    epoch : the epoch under which the record was written.
+    version : the version of its value.
     """
 
     epoch: Epoch = Epoch()
@@ -47,5 +52,5 @@
 
 
 def epoch_owner(member: str, incarnation: str) -> str:
-    """Return the owner field of the epochs that this process takes."""
+    """Return the `owner` field for the epochs that a process takes."""
     return f"{member}/{incarnation}"
--- a/src/zincvale/coordination/registers/messages.py
+++ b/src/zincvale/coordination/registers/messages.py
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class IdempotencyEntry:
-    """The remembered result of one accepted change: the version it made, a digest of its body."""
+    """Result of an accepted change: the version it produced and a digest of the change."""
 
     idempotency_key: str
     version: int
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class RecordUpdate:
-    """A record at `position`: complete when `base` is None, else the delta from `base`."""
+    """A record at `position`: the complete record if `base` is None, else the delta from `base`."""
 
     position: Position
     base: Position | None
@@ -33,7 +33,7 @@
 @peer_message("register.prepare")
 @attrs.frozen
 class Prepare:
-    """Request that a replica refuse every epoch below `epoch` of `key`, for ever."""
+    """Asks a replica to promise that it refuses every epoch of `key` below `epoch` from now on."""
 
     key: str
     epoch: Epoch
@@ -42,7 +42,7 @@
 @peer_message("register.promise")
 @attrs.frozen
 class Promise:
-    """A durable promise, with the newest record the replica accepted."""
+    """A durable promise of `epoch`, with the newest record that the replica accepted."""
 
     key: str
     disk: str
@@ -53,7 +53,7 @@
 @peer_message("register.accept")
 @attrs.frozen
 class Accept:
-    """Request that a replica make `update` durable; `chosen_version` is known to be chosen."""
+    """Asks a replica to store `update` durably; `chosen_version` is known to be chosen."""
 
     key: str
     epoch: Epoch
@@ -64,7 +64,7 @@
 @peer_message("register.accepted")
 @attrs.frozen
 class Accepted:
-    """The record at `position` is durable on the sender's `disk`."""
+    """Acknowledges that the record at `position` is durable on the sender's `disk`."""
 
     key: str
     disk: str
@@ -74,7 +74,7 @@
 @peer_message("register.refused")
 @attrs.frozen
 class Refused:
-    """The sender promised a higher epoch."""
+    """Refuses a request under `epoch` because the sender promised the higher epoch `promised`."""
 
     key: str
     epoch: Epoch
@@ -84,7 +84,7 @@
 @peer_message("register.confirm")
 @attrs.frozen
 class ConfirmEpoch:
-    """Request whether `epoch` is still the highest that the replica promised."""
+    """Asks whether `epoch` is still the highest epoch that the replica promised."""
 
     key: str
     epoch: Epoch
@@ -94,7 +94,7 @@
 @peer_message("register.confirmed")
 @attrs.frozen
 class EpochConfirmed:
-    """No higher epoch was promised on the sender's `disk` when it responded."""
+    """Confirms that no epoch above `epoch` was promised on the sender's `disk` at the response."""
 
     key: str
     disk: str
@@ -105,7 +105,7 @@
 @peer_message("register.base-missing")
 @attrs.frozen
 class BaseVersionMissing:
-    """The sender cannot apply a delta; send the complete record."""
+    """Asks for the complete record because the sender lacks the base of a delta."""
 
     key: str
     epoch: Epoch
@@ -114,7 +114,7 @@
 @peer_message("register.chosen")
 @attrs.frozen
 class Chosen:
-    """The record at `position` is durable at a majority."""
+    """Announces that the record at `position` was chosen: it is durable at a majority."""
 
     key: str
     position: Position
@@ -123,7 +123,7 @@
 @peer_message("value.fetch")
 @attrs.frozen
 class FetchValue:
-    """Request a chosen value newer than `version`."""
+    """Asks for the chosen value of `key` if it is newer than `version`."""
 
     key: str
     version: int
@@ -131,7 +131,7 @@
 
 @attrs.frozen
 class TableDelta:
-    """A table at `version`: complete when `base_version` is None, else a delta."""
+    """A table at `version`: complete if `base_version` is None, else the delta from it."""
 
     name: str
     base_version: int | None
@@ -143,6 +143,6 @@
 @peer_message("value.chosen")
 @attrs.frozen
 class ChosenValue:
-    """A chosen value, complete or as a delta."""
+    """A chosen value of a key, complete or as a delta."""
 
     delta: TableDelta
--- a/src/zincvale/coordination/registers/owner.py
+++ b/src/zincvale/coordination/registers/owner.py
@@ -1,13 +1,15 @@
-"""Owner of one key's register: takes the key under a new epoch and has its changes chosen
-by a majority.
-
-A new owner collects promises until they make up a quorum of the configuration in the newest record
-among them, writes that record again under its own epoch and only then serves. One write is in
-flight at a time; changes that arrive meanwhile wait and go together in the next one.
-
-The configuration is part of the record and changes only with an epoch: an owner that is to move the
-record takes a new epoch, writes the record again with both sets, which needs majorities of both and
-the disks that are added, then takes another epoch and writes it with the new set alone.
+"""Owner (proposer) of one key's register.
+
+The owner takes the key under a new epoch and gets changes of the key chosen by a majority of its
+replicas. A new owner collects promises until they form a quorum of the configuration in the newest
+promised record. It writes that record again under its own epoch and serves changes only once this
+write is chosen. One write is in flight at a time; changes that arrive meanwhile are queued and
+batched into the next write.
+
+The configuration is part of the record and changes only together with the epoch. To move the record
+to other replicas, the owner takes a new epoch and writes the record under the joint configuration,
+which requires a majority of the old set, a majority of the new set and every added disk. It then
+takes another epoch and writes the record under the new set alone.
 """
 
 from __future__ import annotations
@@ -41,26 +43,28 @@
 from zincvale.model.machine import Effect, Log, Send
 
 BATCH_LIMIT = 64
-"""Most changes in one write; a larger batch delays the first change of it longer."""
+"""Maximum number of changes in one write; a larger batch would delay its first change longer."""
 STRAGGLER_INTERVAL_S = 1.0
-"""How often a replica that lacks the chosen record gets it again, complete."""
-CONFIG_MOVE_RETRY_S = 1.0
-"""Between two attempts to move a record; each takes a new epoch and stops changes meanwhile."""
+"""Interval at which replicas that lack the chosen record are sent it again in full."""
+RECONFIGURATION_RETRY_S = 1.0
+"""Minimum interval between two attempts to move a record to other replicas. Each attempt takes a
+new epoch, and no change is written until the record is chosen under that epoch."""
 
 
 class OwnerPhase(enum.Enum):
-    """How far this process is with owning a key.
+    """Progress of this process in owning a key.
 
     Legal transitions:
 
-    - FOLLOWING -> PREPARING: `start` takes a new epoch, to become the owner.
-    - SERVING -> PREPARING: `tick` takes a new epoch, to move the record to other replicas.
-    - PREPARING -> REPROPOSING: promises of a quorum arrived; their newest record is written again.
-    - REPROPOSING -> SERVING: that write is chosen.
-    - PREPARING, REPROPOSING, SERVING -> FOLLOWING: a higher epoch was seen, a replica refused this
-      one, or the process resigns; PREPARING also when the prepare timeout is over.
+    - FOLLOWING -> PREPARING: `start` takes a new epoch in order to become the owner.
+    - SERVING -> PREPARING: `tick` takes a new epoch in order to move the record to other replicas.
+    - PREPARING -> REPROPOSING: a quorum promised the epoch; the newest record among the promises is
+      written again.
+    - REPROPOSING -> SERVING: that write was chosen.
+    - PREPARING, REPROPOSING, SERVING -> FOLLOWING: a higher epoch was observed, a replica refused
+      this epoch, or the process resigned. PREPARING also ends at the prepare timeout.
 
-    REPROPOSING is entered from PREPARING alone: nothing is proposed under an epoch that a quorum
+    REPROPOSING is entered only from PREPARING, so nothing is proposed under an epoch that a quorum
     did not promise.
     """
 
@@ -72,7 +76,7 @@
 
 @attrs.frozen
 class NewlyChosen:
-    """The key's record was chosen at `record.position`; the accepted proposals are in it."""
+    """A record of the key that was chosen; it includes the changes of the accepted proposals."""
 
     record: Record
     accepted: list[AcceptedProposal]
@@ -83,11 +87,14 @@
 
 @attrs.define
 class _InFlightWrite:
-    """A record that the replicas were sent and no quorum acknowledged yet.
+    """A record that was sent to the replicas and that no quorum has acknowledged yet.
 
-    `update` leads to `record` from the chosen one, or is complete; `quorum` is the configuration
-    whose majorities choose it, not the one in `record` when that leaves a joint configuration;
-    `acknowledged` are the replicas with the record on their disks.
+    Attributes
+    ----------
+    update : the complete record, or its delta from the last chosen record.
+    quorum : the configuration whose majorities must acknowledge the record. It differs from the
+        configuration in `record` when the write leaves a joint configuration.
+    acknowledged : the replicas that have the record on their disks.
     """
 
     record: Record
@@ -99,20 +106,20 @@
 
 
 class RegisterOwner:
-    """The owner's side of one key.
+    """Proposer for the changes of one key.
 
     Parameters
     ----------
-    key : the key.
-    owner : `member/incarnation` of this process.
-    reducer : turns a change into row changes.
-    timings : durations.
+    key : name of the key.
+    owner : `member/incarnation` of this process, the owner field of its epochs.
+    reducer : computes the row changes that a change makes.
+    timings : timeouts and intervals.
 
     Attributes
     ----------
-    epoch : the newest epoch that this process took of the key.
-    retry_at : earliest time of the next `start`; set by who decides to take the key.
-    outcomes : what the caller must act on, in order; the caller takes and clears them.
+    epoch : the newest epoch that this process took for the key.
+    retry_at : earliest time of the next call of `start`; set by the component that calls it.
+    outcomes : rejections and chosen records in order; the caller processes and clears them.
     """
 
     def __init__(self, key: str, owner: str, reducer: Reducer, timings: Timings) -> None:
@@ -125,15 +132,15 @@
         self._reducer = reducer
         self._timings = timings
         self._highest_number = 0
-        self._initial = ReplicaConfig()
-        self._desired: list[str] = []
+        self._initial_config = ReplicaConfig()
+        self._desired_replicas: list[str] = []
         self._prepared_members: set[MemberId] = set()
         self._promises: dict[str, RecordUpdate] = {}
         self._prepare_sent_at = 0.0
         self._record = Record()
         self._replicas_with_record: set[str] = set()
         self._straggler_push_at = 0.0
-        self._config_move_at = 0.0
+        self._reconfiguration_at = 0.0
         self._in_flight: _InFlightWrite | None = None
         self._queue: deque[tuple[str, ProposeChange]] = deque()
         self._proof = OwnershipProof(key, timings.resend_interval_s)
@@ -141,55 +148,59 @@
 
     @property
     def record(self) -> Record:
-        """The newest record this owner knows to be chosen."""
+        """The newest record that this owner knows to be chosen."""
         return self._record
 
     @property
     def chosen_version(self) -> int:
-        """The newest version this owner knows to be chosen."""
+        """The newest version that this owner knows to be chosen."""
         return self._record.position.version
 
     def is_serving(self) -> bool:
-        """Whether changes are taken."""
+        """Whether this owner accepts changes."""
         return self.phase is OwnerPhase.SERVING
 
     def observe_epoch(self, epoch: Epoch) -> list[Effect]:
-        """Learn of an epoch; a higher one ends this ownership."""
+        """Record an observed epoch; one above this owner's epoch ends its ownership."""
         self._highest_number = max(self._highest_number, epoch.number)
         if self.phase is OwnerPhase.FOLLOWING or epoch <= self.epoch:
             return []
         return self._step_down(epoch)
 
     def start(
-        self, guess: ReplicaConfig, initial: ReplicaConfig, desired: list[str], now: float
+        self,
+        known_config: ReplicaConfig,
+        initial_config: ReplicaConfig,
+        desired_replicas: list[str],
+        now: float,
     ) -> list[Effect]:
-        """Request promises of a new epoch from the replicas.
+        """Take a new epoch and request promises of it from the replicas.
 
         Parameters
         ----------
-        guess : the newest configuration known here: its replicas get the first requests.
-        initial : the configuration of a key that was never written.
-        desired : the replicas that the record is to have.
+        known_config : the newest configuration known here; its replicas get the first requests.
+        initial_config : the configuration to use if the key was never written.
+        desired_replicas : the replicas that are to store the record.
         """
         self._highest_number += 1
         self.epoch = Epoch(self._highest_number, self._owner)
         self.phase = OwnerPhase.PREPARING
-        self._initial = initial
-        self._desired = desired
+        self._initial_config = initial_config
+        self._desired_replicas = desired_replicas
         self._promises = {}
         self._prepared_members = set()
         self._prepare_sent_at = now
         self._in_flight = None
-        return self._prepare_requests(guess)
+        return self._prepare_requests(known_config)
 
     def resign(self) -> None:
-        """Own the key no longer; changes in flight are routed to the next owner."""
+        """Stop owning the key; the caller reroutes unfinished changes to the next owner."""
         self._is_restoring = False
         self.phase = OwnerPhase.FOLLOWING
         self._promises = {}
 
     def take_abandoned_tokens(self) -> list[str]:
-        """Return and forget the tokens of changes that are queued or in flight."""
+        """Remove and return the tokens of the changes that have no outcome yet."""
         tokens = [token for token, _ in self._queue]
         if self._in_flight is not None:
             tokens.extend(proposal.token for proposal in self._in_flight.accepted)
@@ -198,12 +209,12 @@
         return [*tokens, *self._proof.abandon()]
 
     def submit(self, token: str, proposal: ProposeChange, now: float) -> list[Effect]:
-        """Queue a change."""
+        """Queue a change; it is written as soon as no other write is in flight."""
         self._queue.append((token, proposal))
         return self._write_next(now)
 
     def restore(self, version: int, rows: Rows, now: float) -> list[Effect]:
-        """Write a newer value that nodes still store and the replicas lost."""
+        """Write a value that the replicas lost, if it is newer than the chosen one."""
         if not self.is_serving() or self._in_flight is not None or version <= self.chosen_version:
             return []
         position = Position(self.epoch, version)
@@ -212,7 +223,7 @@
         return self._begin_write(_InFlightWrite(record, record.to_update(), [], record.config, now))
 
     def handle(self, sender: MemberId, message: object, now: float) -> list[Effect]:
-        """Apply a replica's response."""
+        """Process a replica's response."""
         match message:
             case Promise():
                 return self._handle_promise(sender, message, now)
@@ -232,8 +243,8 @@
                     return self._step_down(promised)
         return []
 
-    def tick(self, desired: list[str], now: float) -> list[Effect]:
-        """Resend what got no response; give up at a timeout; move to the desired replicas."""
+    def tick(self, desired_replicas: list[str], now: float) -> list[Effect]:
+        """Resend unanswered requests, end timed-out attempts, move to the desired replicas."""
         if self.phase is OwnerPhase.PREPARING:
             if now - self._prepare_sent_at > self._timings.prepare_timeout_s:
                 return self._step_down(self.epoch)
@@ -247,19 +258,21 @@
             return effects
         if self.phase is not OwnerPhase.SERVING:
             return effects
-        if self._is_move_due(desired, now):
-            self._config_move_at = now + CONFIG_MOVE_RETRY_S
-            return effects + self.start(self._record.config, self._initial, desired, now)
+        if self._is_reconfiguration_due(desired_replicas, now):
+            self._reconfiguration_at = now + RECONFIGURATION_RETRY_S
+            return effects + self.start(
+                self._record.config, self._initial_config, desired_replicas, now
+            )
         return effects + self._push_to_stragglers(now)
 
-    def _is_move_due(self, desired: list[str], now: float) -> bool:
+    def _is_reconfiguration_due(self, desired_replicas: list[str], now: float) -> bool:
         config = self._record.config
-        if not desired or now < self._config_move_at:
+        if not desired_replicas or now < self._reconfiguration_at:
             return False
         if not config.previous:
-            return config.replicas != desired
-        copied = all(replica in self._replicas_with_record for replica in config.added())
-        return copied or config.replicas != desired
+            return config.replicas != desired_replicas
+        is_copied = all(replica in self._replicas_with_record for replica in config.added())
+        return is_copied or config.replicas != desired_replicas
 
     def _prepare_requests(self, config: ReplicaConfig) -> list[Effect]:
         effects: list[Effect] = []
@@ -273,29 +286,30 @@
         if self.phase is not OwnerPhase.PREPARING or message.epoch != self.epoch:
             return []
         self._promises[replica_id(sender, message.disk)] = message.record
-        newest = max(self._promises.values(), key=lambda update: update.position)
-        newest_promised = apply_update(Record(), newest)
+        newest_update = max(self._promises.values(), key=lambda update: update.position)
+        newest_promised = apply_update(Record(), newest_update)
         assert newest_promised is not None
         if not newest_promised.config.replicas:
-            newest_promised = attrs.evolve(newest_promised, config=self._initial)
+            newest_promised = attrs.evolve(newest_promised, config=self._initial_config)
         if not newest_promised.config.is_quorum(self._promises):
             return self._prepare_requests(newest_promised.config)
         self.phase = OwnerPhase.REPROPOSING
-        record = newest_promised.moved_to(self.epoch, self._next_config(newest_promised))
+        record = newest_promised.reproposed_under(self.epoch, self._next_config(newest_promised))
         quorum = newest_promised.config if newest_promised.config.previous else record.config
         return self._begin_write(_InFlightWrite(record, record.to_update(), [], quorum, now))
 
     def _next_config(self, newest_promised: Record) -> ReplicaConfig:
-        """Return the configuration to write the newest promised record again with.
+        """Return the configuration under which the newest promised record is written again.
 
-        A change is closed only when its opening is known to be chosen: it is the very record that
-        this owner wrote last. Otherwise a reader of the old set alone might still miss it.
+        A joint configuration is left only when it is known to be chosen, that is when the promised
+        record is the one that this owner last had chosen. Otherwise a process that contacts only
+        the old set might still miss the joint configuration.
         """
         config = newest_promised.config
         if not config.previous:
-            return config.joint_with(self._desired) if self._desired else config
+            return config.joint_with(self._desired_replicas) if self._desired_replicas else config
         if newest_promised.position == self._record.position:
-            return config.settled_from_joint(self._desired)
+            return config.settled_from_joint(self._desired_replicas)
         return config
 
     def _handle_accepted(self, sender: MemberId, message: Accepted, now: float) -> list[Effect]:
@@ -328,7 +342,7 @@
         if epoch != self.epoch or self.phase is OwnerPhase.FOLLOWING:
             return []
         record = self._in_flight.record if self._in_flight else self._record
-        return [Send(sender, self._accept(record.to_update()))]
+        return [Send(sender, self._accept_request(record.to_update()))]
 
     def _step_down(self, promised: Epoch) -> list[Effect]:
         self._is_restoring = False
@@ -365,27 +379,29 @@
         return self._send_accepts(write)
 
     def _send_accepts(self, in_flight: _InFlightWrite) -> list[Effect]:
-        missing = [
-            each for each in in_flight.quorum.all_replicas() if each not in in_flight.acknowledged
+        unacknowledged = [
+            replica
+            for replica in in_flight.quorum.all_replicas()
+            if replica not in in_flight.acknowledged
         ]
-        return self._to_replicas(missing, self._accept(in_flight.update))
+        return self._sends_to_replicas(unacknowledged, self._accept_request(in_flight.update))
 
     def _push_to_stragglers(self, now: float) -> list[Effect]:
         if now < self._straggler_push_at:
             return []
         self._straggler_push_at = now + STRAGGLER_INTERVAL_S
-        lacking = [
-            each
-            for each in self._record.config.all_replicas()
-            if each not in self._replicas_with_record
+        stragglers = [
+            replica
+            for replica in self._record.config.all_replicas()
+            if replica not in self._replicas_with_record
         ]
-        if not lacking:
+        if not stragglers:
             return []
-        return self._to_replicas(lacking, self._accept(self._record.to_update()))
+        return self._sends_to_replicas(stragglers, self._accept_request(self._record.to_update()))
 
-    def _accept(self, update: RecordUpdate) -> Accept:
+    def _accept_request(self, update: RecordUpdate) -> Accept:
         return Accept(self.key, self.epoch, update, self.chosen_version)
 
-    def _to_replicas(self, replicas: Iterable[str], message: Accept) -> list[Effect]:
+    def _sends_to_replicas(self, replicas: Iterable[str], message: Accept) -> list[Effect]:
         members = dict.fromkeys(member_of(replica) for replica in replicas)
         return [Send(member, message) for member in members]
--- a/src/zincvale/coordination/registers/ownership.py
+++ b/src/zincvale/coordination/registers/ownership.py
@@ -1,7 +1,8 @@
-"""Decides when this core takes a key: when no heartbeat claimed it for a timeout.
+"""Decides when this core takes a key: when no core claimed the key for a timeout.
 
-Claims travel in the cores' heartbeats. Among the live candidates the first by rendezvous hash goes
-first, so that the keys spread over the cores; the others follow one peer timeout later each.
+Owners claim their keys in their heartbeats. The live candidates are ranked by rendezvous hashing,
+which spreads the keys over the cores. The first candidate takes a key that has no owner; each
+further candidate waits one more peer timeout.
 """
 
 from __future__ import annotations
@@ -15,12 +16,15 @@
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Effect
 
-RETRY_SPREAD_S = 0.4
-"""Jitter of retries; without it two candidates go on ending each other's attempts."""
-DENIED_WAIT_S = 0.05
-"""Wait when every replica of a key said that it does not own it."""
+RETRY_JITTER_S = 0.4
+"""Maximum random delay added to a retry. Without it, two candidates could end each other's attempts
+again and again."""
+UNOWNED_KEY_WAIT_S = 0.05
+"""Time without a claim after which the first candidate takes a key when every other replica of the
+key has reported that it does not own the key."""
 NEW_KEY_WAIT_S = 0.3
-"""Wait for a key that was never owned: no owner's heartbeat can be on its way."""
+"""Time without a claim after which the first candidate takes a key that was never owned. It is
+shorter than the peer timeout because no owner's heartbeat can be in transit."""
 
 
 class Ownership:
@@ -43,7 +47,7 @@
         return claim[1] if claim[1] != self._context.own_id else None
 
     def handle_heartbeat(self, sender: MemberId, status: Heartbeat, now: float) -> list[Effect]:
-        """Learn of promises and claims."""
+        """Record the promises and claims in another core's heartbeat."""
         effects: list[Effect] = []
         for key_status in status.keys:
             owner = self._owners.get(key_status.key)
@@ -53,31 +57,33 @@
         return effects
 
     def tick(self, now: float) -> list[Effect]:
-        """Take the keys that nobody owns and whose turn is ours."""
+        """Take the keys that have no owner and for which this core is the candidate."""
         if not self._context.is_voting() or self._context.leaving:
             return []
         effects: list[Effect] = []
         for key, owner in self._owners.items():
             if owner.phase is not OwnerPhase.FOLLOWING:
                 self._claimed_at[key] = now
-            elif self._is_our_turn(key, owner, now):
+            elif self._should_take(key, owner, now):
                 effects.extend(self._take(key, owner, now))
         return effects
 
     def resign(self) -> None:
-        """Give up every key: this process is about to stop."""
+        """Stop owning every key because this process is about to stop."""
         for owner in self._owners.values():
             owner.resign()
 
     def _take(self, key: str, owner: RegisterOwner, now: float) -> list[Effect]:
         context = self._context
-        initial = context.sets.initial(key)
-        guess = context.replica.state(key).record.config
-        if not guess.replicas:
-            guess = initial
-        spread = context.random_source.uniform(0.0, RETRY_SPREAD_S)
-        owner.retry_at = now + context.config.timings.prepare_timeout_s + spread
-        return owner.start(guess, initial, context.sets.group_of(key).replicas, now)
+        initial_config = context.sets.initial_config(key)
+        known_config = context.replica.state(key).record.config
+        if not known_config.replicas:
+            known_config = initial_config
+        jitter_s = context.random_source.uniform(0.0, RETRY_JITTER_S)
+        owner.retry_at = now + context.config.timings.prepare_timeout_s + jitter_s
+        return owner.start(
+            known_config, initial_config, context.sets.declared_config(key).replicas, now
+        )
 
     def _record_claim(self, sender: MemberId, key_status: KeyStatus, now: float) -> None:
         claimed = key_status.owned_epoch
@@ -89,23 +95,24 @@
         self._claims[key_status.key] = (claimed, sender)
         self._claimed_at[key_status.key] = now
 
-    def _is_our_turn(self, key: str, owner: RegisterOwner, now: float) -> bool:
+    def _should_take(self, key: str, owner: RegisterOwner, now: float) -> bool:
         if now < owner.retry_at or not self._is_configuration_known(key):
             return False
         if key in DELIVERED_KEYS and now < self._context.grants_blocked_until:
             return False
-        silence_s = self._context.config.timings.peer_timeout_s
-        silent_for = now - self._claimed_at.setdefault(key, now)
+        peer_timeout_s = self._context.config.timings.peer_timeout_s
+        unclaimed_s = now - self._claimed_at.setdefault(key, now)
         was_owned = self._context.replica.state(key).promised != Epoch()
-        first_wait_s = silence_s if was_owned else NEW_KEY_WAIT_S
-        if self._all_deny_owning(key, now):
-            first_wait_s = DENIED_WAIT_S
-        return silent_for > first_wait_s + silence_s * self._rank(key, now)
+        first_wait_s = peer_timeout_s if was_owned else NEW_KEY_WAIT_S
+        if self._is_known_unowned(key, now):
+            first_wait_s = UNOWNED_KEY_WAIT_S
+        return unclaimed_s > first_wait_s + peer_timeout_s * self._rank(key, now)
 
-    def _all_deny_owning(self, key: str, now: float) -> bool:
-        """Whether every replica of the key says, since this process started, that it owns nothing.
+    def _is_known_unowned(self, key: str, now: float) -> bool:
+        """Whether every other replica of the key reports that it does not own the key.
 
-        After a restart of all cores nobody has to be waited for.
+        Only heartbeats sent after this process started count. After a restart of all cores, this
+        avoids waiting for an owner that no longer exists.
         """
         context = self._context
         live = context.cores.live(now)
@@ -115,16 +122,19 @@
             status = live.get(member)
             if status is None or status.heard.get(context.own_id) != context.config.incarnation:
                 return False
-            if any(each.key == key and each.owned_epoch is not None for each in status.keys):
+            if any(
+                key_status.key == key and key_status.owned_epoch is not None
+                for key_status in status.keys
+            ):
                 return False
         return True
 
     def _is_configuration_known(self, key: str) -> bool:
-        """Whether a key's replicas are known for certain: from its record or a chosen row."""
+        """Whether the key's replicas are known from its record or from a chosen replica set."""
         if self._context.replica.state(key).record.config.replicas:
             return True
         chosen = self._context.chosen_version(REPLICA_SETS_KEY) > 0
-        return chosen and bool(self._context.sets.initial(key).replicas)
+        return chosen and bool(self._context.sets.initial_config(key).replicas)
 
     def _rank(self, key: str, now: float) -> int:
         candidates = [self._context.own_id]
--- a/src/zincvale/coordination/registers/ownership_proof.py
+++ b/src/zincvale/coordination/registers/ownership_proof.py
@@ -1,9 +1,9 @@
-"""Proof that an owner was still the owner when it rejected a change.
+"""Proof that an owner still owned its key when it rejected a change.
 
-A rejection says what the newest record is. An owner that was replaced without knowing it would say
-it of an old record; so a rejection is sent only after a quorum of replicas confirmed, in a round
-that began after the change was evaluated, that they had promised no higher epoch (as the read index
-of Raft, Ongaro 2014 section 6.4).
+A rejection states what the newest record contains. An owner that was replaced without noticing
+would base this statement on an outdated record. Therefore a rejection is sent only after a quorum
+of replicas confirmed, in a round that began after the change was evaluated, that they had promised
+no higher epoch. The read index of Raft works in the same way (Ongaro 2014, section 6.4).
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 @attrs.frozen
 class RejectedProposal:
-    """A change that was rejected; its result is sent once the ownership is proven."""
+    """A rejected change; its result is sent only once the ownership is proven."""
 
     token: str
     result: ChangeResult
 
 
 class OwnershipProof:
-    """Rejections of one owner that wait for their proof; one round at a time."""
+    """Rejections by one owner that wait for a proof of ownership, in one round at a time."""
 
     def __init__(self, key: str, resend_interval_s: float) -> None:
         self._key = key
@@ -37,7 +37,7 @@
         self._round = 0
         self._confirmed: set[str] = set()
         self._proving: list[RejectedProposal] = []
-        """Rejections that the current round proves."""
+        """Rejections that are sent when the current round completes."""
         self._pending: list[RejectedProposal] = []
         self._sent_at = 0.0
 
@@ -48,7 +48,7 @@
         config: ReplicaConfig,
         now: float,
     ) -> list[Effect]:
-        """Start proving rejections; those that come during a round wait for the next."""
+        """Add rejections to a new round, or to the next one while a round is in progress."""
         self._pending.extend(rejections)
         return [] if self._proving else self._start_round(epoch, config, now)
 
@@ -60,7 +60,7 @@
         config: ReplicaConfig,
         now: float,
     ) -> tuple[list[RejectedProposal], list[Effect]]:
-        """Count a response; return the rejections that are proven, and what to send."""
+        """Count a confirmation; return the rejections that it proves and the next requests."""
         if response.epoch != epoch or response.round != self._round:
             return [], []
         self._confirmed.add(replica_id(sender, response.disk))
@@ -70,15 +70,15 @@
         return proven, self._start_round(epoch, config, now)
 
     def tick(self, epoch: Epoch, config: ReplicaConfig, now: float) -> list[Effect]:
-        """Resend the round to all replicas when it is not complete in time."""
+        """Resend the round's requests to all replicas when the resend interval is over."""
         if not self._proving or now - self._sent_at < self._resend_interval_s:
             return []
         self._sent_at = now
         return self._confirm_requests(epoch, config)
 
     def abandon(self) -> list[str]:
-        """Return and forget the tokens of rejections that were not proven."""
-        tokens = [each.token for each in [*self._proving, *self._pending]]
+        """Remove all unproven rejections and return their tokens."""
+        tokens = [rejection.token for rejection in [*self._proving, *self._pending]]
         self._proving, self._pending = [], []
         return tokens
 
--- a/src/zincvale/coordination/registers/proposal_router.py
+++ b/src/zincvale/coordination/registers/proposal_router.py
@@ -1,20 +1,20 @@
 """Routes changes to the local owner, or to the core that is believed to own the key.
 
-A change is resent to whoever owns the key until it has a result or its deadline passes; the
-record's idempotency entries make the repetition safe.
+A change is resent to the current owner of the key until it has a result or its deadline passes. The
+idempotency entries of the record make it safe to resend a change.
 
-`ProposalRouter.tick` is where a change becomes `not-confirmed`: it has no result `change_timeout_s`
-after it came. Several causes end there, and the response does not distinguish them:
+`ProposalRouter.tick` ends a change as `not-confirmed` when it has no result `change_timeout_s`
+after its arrival. There are several causes, which the response does not distinguish:
 
-- no core serves the key, or the one believed to own it does not respond (`ownership`);
-- the owner has no majority of disks for the write (`owner`), or for the proof that precedes a
-  refusal (`ownership_proof`);
-- the change is chosen and not rolled out (`delivery.rollout`): a live lease lacks the version, too
-  few registered nodes confirmed it, too few granting cores reported it, or a core counts with
-  outdated replica sets or an outdated registry.
+- No core serves the key, or the core that is believed to own it does not respond (`ownership`).
+- The owner has no majority of disks for the write (`owner`), or for the proof that precedes a
+  rejection (`ownership_proof`).
+- The change is chosen but not rolled out (`delivery.rollout`): a node with a live lease lacks the
+  version, too few registered nodes confirmed it, too few granting cores reported it, or a core
+  counts with outdated replica sets or an outdated registry.
 
-A `not-confirmed` of another core is not a result here: the change is routed again until the
-deadline of the core that the caller asked.
+A `not-confirmed` from another core is not a result: the change is routed again until the deadline
+at the core that received it from the caller.
 """
 
 from __future__ import annotations
@@ -45,19 +45,19 @@
 class _PendingProposal:
     proposal: ProposeChange
     deadline: float
-    is_forwarded_here: bool
-    """Came from another core, which resends it: not forwarded again."""
+    is_from_other_core: bool
+    """Another core forwarded the change and resends it; it is not forwarded any further."""
     is_routed: bool = False
     forward_token: str = ""
     forwarded_to: MemberId | None = None
 
 
 class ProposalRouter:
-    """Every change without a result at this core.
+    """Routes the changes at this core that have no result yet.
 
     Parameters
     ----------
-    on_internal : takes the results of this process's own changes.
+    on_internal_result : called with the results of changes that this process itself proposed.
     """
 
     def __init__(
@@ -65,37 +65,38 @@
         context: CoreContext,
         owners: dict[str, RegisterOwner],
         ownership: Ownership,
-        on_internal: Callable[[str, ChangeResult, float], list[Effect]],
+        on_internal_result: Callable[[str, ChangeResult, float], list[Effect]],
     ) -> None:
         self._context = context
         self._owners = owners
         self._ownership = ownership
-        self._on_internal = on_internal
+        self._on_internal_result = on_internal_result
         self._pending: dict[str, _PendingProposal] = {}
         self._token_by_forward: dict[str, str] = {}
         self._forward_count = 0
         self._internal_count = 0
 
     def propose(self, token: str, proposal: ProposeChange, now: float) -> list[Effect]:
-        """Route a change of a local caller."""
+        """Route a change from a local caller."""
         if proposal.key not in self._owners:
-            problem = f"there is no key {proposal.key!r}"
+            problem = f"key {proposal.key!r} does not exist"
             return [Reply(token, ChangeResult(INVALID, problem=problem, remedy="name a key"))]
         deadline = now + self._context.config.timings.change_timeout_s
-        pending = _PendingProposal(proposal, deadline, is_forwarded_here=False)
+        pending = _PendingProposal(proposal, deadline, is_from_other_core=False)
         self._pending[token] = pending
         return self._route(token, pending, now)
 
     def propose_internal(
-        self, name: str, key: str, change: bytes, now: float, base: int | None = None
+        self, name: str, key: str, change: bytes, now: float, base_version: int | None = None
     ) -> list[Effect]:
-        """Make a change of this process's own; its result goes to `on_internal`.
+        """Propose a change on behalf of this process; `on_internal_result` gets its result.
 
-        With a `base`, the change loses when another one was made on that version before.
+        With a `base_version`, the change is rejected if another change was applied to that version
+        first.
         """
         self._internal_count += 1
         idempotency_key = f"{self._context.owner_name}:{self._internal_count}"
-        proposal = ProposeChange(key, idempotency_key, base, change)
+        proposal = ProposeChange(key, idempotency_key, base_version, change)
         return self.propose(f"{INTERNAL_PREFIX}{name}", proposal, now)
 
     def handle_forwarded(self, token: str, forward: ForwardChange, now: float) -> list[Effect]:
@@ -103,12 +104,12 @@
         owner = self._owners.get(forward.proposal.key)
         if owner is None or not owner.is_serving():
             return [Reply(token, ChangeResult(NOT_OWNER))]
-        pending = _PendingProposal(forward.proposal, now + forward.limit_s, is_forwarded_here=True)
+        pending = _PendingProposal(forward.proposal, now + forward.limit_s, is_from_other_core=True)
         self._pending[token] = pending
         return self._route(token, pending, now)
 
     def handle_forward_reply(self, forward_token: str, result: object, now: float) -> list[Effect]:
-        """Apply the result of a forwarded change; None means that the call failed."""
+        """Process the result of a forwarded change; None means that the call failed."""
         token = self._token_by_forward.pop(forward_token, None)
         pending = self._pending.get(token) if token is not None else None
         if token is None or pending is None or pending.forward_token != forward_token:
@@ -119,37 +120,37 @@
         return []
 
     def reroute(self, tokens: list[str], now: float) -> list[Effect]:
-        """Route changes anew whose local owner lost the key."""
+        """Let changes be routed again because their local owner lost the key."""
         effects: list[Effect] = []
         for token in tokens:
             pending = self._pending.get(token)
             if pending is None:
                 continue
             pending.is_routed = False
-            if pending.is_forwarded_here:
+            if pending.is_from_other_core:
                 effects.extend(self.finish(token, ChangeResult(NOT_OWNER), now))
         return effects
 
     def finish(self, token: str, result: ChangeResult, now: float) -> list[Effect]:
-        """Send the result of a change."""
+        """Send the result of a change to its caller and remove the change."""
         if self._pending.pop(token, None) is None:
             return []
         if token.startswith(INTERNAL_PREFIX):
-            return self._on_internal(token.removeprefix(INTERNAL_PREFIX), result, now)
+            return self._on_internal_result(token.removeprefix(INTERNAL_PREFIX), result, now)
         return [Reply(token, result)]
 
     def tick(self, now: float) -> list[Effect]:
-        """Route what has no owner yet; end as `not-confirmed` what is past its deadline."""
+        """Route changes that are not routed yet; end those past their deadline."""
         effects: list[Effect] = []
         for token, pending in list(self._pending.items()):
             if now >= pending.deadline:
                 effects.extend(self.finish(token, self._not_confirmed(pending), now))
-            elif not pending.is_routed or self._was_forwarded_elsewhere(pending, now):
+            elif not pending.is_routed or self._is_forwarded_to_former_owner(pending, now):
                 effects.extend(self._route(token, pending, now))
         return effects
 
-    def _was_forwarded_elsewhere(self, pending: _PendingProposal, now: float) -> bool:
-        """Whether another core than the one that it was forwarded to now owns the key."""
+    def _is_forwarded_to_former_owner(self, pending: _PendingProposal, now: float) -> bool:
+        """Whether the change was forwarded to a core that is no longer the believed owner."""
         if pending.forwarded_to is None:
             return False
         owner = self._ownership.owner_of(pending.proposal.key, now)
@@ -164,7 +165,7 @@
             return owner.submit(token, pending.proposal, now)
         believed_owner = self._ownership.owner_of(key, now)
         if (
-            pending.is_forwarded_here
+            pending.is_from_other_core
             or believed_owner is None
             or believed_owner == self._context.own_id
         ):
--- a/src/zincvale/coordination/registers/record_codec.py
+++ b/src/zincvale/coordination/registers/record_codec.py
@@ -1,7 +1,7 @@
-"""Encoding of a replica's state as version files.
+"""Encoding of the state that a replica stores of a key, as version files.
 
-A file is a snapshot (first byte `S`) or a delta on the previous file (first byte `D`); storage
-reads only this byte, to know which older files are still needed.
+The first byte of a file marks it as a snapshot (`S`) or as a delta on the previous file (`D`). The
+storage layer reads only this byte, to determine which older files are still needed.
 """
 
 from __future__ import annotations
@@ -58,29 +58,29 @@
 
 @attrs.frozen
 class StoredKeyState:
-    """What a replica stores of one key: its promise and its newest accepted record."""
+    """State that a replica stores of one key: its promise and its newest accepted record."""
 
     promised: Epoch = Epoch()
     record: Record = Record()
 
 
 def encode_snapshot(state: StoredKeyState) -> bytes:
-    """Return a file that needs no other file."""
+    """Return a file content that holds the complete state."""
     return SNAPSHOT_MARK + _encode(state.promised, state.record.to_update())
 
 
 def encode_delta(promised: Epoch, update: RecordUpdate) -> bytes:
-    """Return a file that continues the previous one."""
+    """Return a file content that holds the difference from the state of the previous file."""
     return DELTA_MARK + _encode(promised, update)
 
 
 def decode_chain(contents: list[bytes]) -> StoredKeyState:
-    """Return the state after a snapshot and the deltas that follow it.
+    """Return the state stored by a snapshot and the deltas that follow it.
 
     Raises
     ------
     ValueError
-        A delta does not continue the record before it.
+        A delta cannot be applied to the record before it.
     """
     state = StoredKeyState()
     for content in contents:
@@ -93,11 +93,11 @@
             config=ReplicaConfig(plain["replicas"], plain["previous"]),
             puts=plain["puts"],
             deletes=plain["deletes"],
-            idempotency_entries=[_idempotency_entry(order) for order in plain["orders"]],
+            idempotency_entries=[_idempotency_entry(entry) for entry in plain["orders"]],
         )
         record = apply_update(state.record, update)
         if record is None:
-            raise ValueError("a delta without its base")
+            raise ValueError("a delta file cannot be applied to the record before it")
         state = StoredKeyState(_epoch(plain["promised"]), record)
     return state
 
--- a/src/zincvale/coordination/registers/records.py
+++ b/src/zincvale/coordination/registers/records.py
@@ -10,18 +10,19 @@
 from zincvale.coordination.replication.replica_config import ReplicaConfig
 
 IDEMPOTENCY_HISTORY_LIMIT = 4096
-"""Accepted changes that a record remembers; a resend of an older one is applied a second time."""
+"""Maximum number of accepted changes whose results a record stores. A resend of an older change is
+evaluated as a new change and may be applied a second time."""
 
 
 @attrs.frozen
 class Record:
-    """One key's record at one position."""
+    """The record of one key at one position."""
 
     position: Position = Position()
     config: ReplicaConfig = ReplicaConfig()
     rows: Rows = attrs.field(factory=dict)
     idempotency_entries: dict[str, IdempotencyEntry] = attrs.field(factory=dict)
-    """Results of accepted changes by idempotency key, oldest first."""
+    """Results of recently accepted changes by idempotency key, oldest first."""
 
     def to_update(self) -> RecordUpdate:
         """Return the complete record as an update."""
@@ -34,14 +35,14 @@
             idempotency_entries=list(self.idempotency_entries.values()),
         )
 
-    def moved_to(self, epoch: Epoch, config: ReplicaConfig) -> Record:
-        """Return the same value written under another epoch, for the replicas of `config`."""
+    def reproposed_under(self, epoch: Epoch, config: ReplicaConfig) -> Record:
+        """Return this record with the same value at another epoch and configuration."""
         position = Position(epoch, self.position.version)
         return attrs.evolve(self, position=position, config=config)
 
 
 def apply_update(record: Record, update: RecordUpdate) -> Record | None:
-    """Return the record at `update.position`, or None when `record` is not the update's base."""
+    """Return the record at `update.position`, or None if `record` is not the update's base."""
     if update.base is None:
         entries = {entry.idempotency_key: entry for entry in update.idempotency_entries}
         return Record(update.position, update.config, dict(update.puts), entries)
--- a/src/zincvale/coordination/registers/recovered_state.py
+++ b/src/zincvale/coordination/registers/recovered_state.py
@@ -1,4 +1,4 @@
-"""What storage recovered for a core at its start."""
+"""State that the storage layer recovered for a core at its start."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class RecoveredKey:
-    """The files of one key: a snapshot, the deltas after it, and the last file number."""
+    """The files of one key: a snapshot and the deltas after it, and the number of the last file."""
 
     contents: list[bytes]
     last_file: int
@@ -15,13 +15,14 @@
 
 @attrs.frozen
 class RecoveredState:
-    """Everything that a data folder stored.
+    """The state recovered from a data folder.
 
     Attributes
     ----------
-    disk : random identity of the data folder, written when it was first made.
-    keys : the readable files by key.
-    damaged : keys with missing or unreadable files, and why; such a replica has no vote.
+    disk : random identity of the data folder, written when the folder was created.
+    keys : the recovered files by key.
+    damaged : keys with missing or unreadable files, each with the reason; such a replica has no
+        vote.
     """
 
     disk: str
--- a/src/zincvale/coordination/registers/replica.py
+++ b/src/zincvale/coordination/registers/replica.py
@@ -1,7 +1,7 @@
-"""Replica of the registers: durable promises and accepted records, one key at a time.
+"""Replica (acceptor) of the registers: durable promises and accepted records of every key.
 
-A request of a key waits while a write of that key is in flight to the disk, and no response leaves
-before the disk stored what it says.
+Requests for a key are queued while a write of that key is in flight to the disk. A response is sent
+only after the disk has stored the state that it reports.
 """
 
 from __future__ import annotations
@@ -37,16 +37,16 @@
 from zincvale.model.machine import Effect, Log, Send, Write
 
 SNAPSHOT_EVERY_FILES = 64
-"""Longest chain of deltas on one snapshot; bounds the reading at a restart."""
+"""Maximum length of a chain of a snapshot and its deltas; limits how much a restart reads."""
 PENDING_REQUESTS_LIMIT = 64
-"""Most requests of one key that wait for its disk; the senders resend what is dropped."""
+"""Maximum number of queued requests per key; further ones are dropped and their senders resend."""
 WRITE_TOKEN_PREFIX = "record:"
 
 Request = Prepare | Accept | CreateCluster
 
 
 @attrs.frozen
-class _WriteInFlight:
+class _DiskWrite:
     token: str
     state: StoredKeyState
     responses: list[Send]
@@ -57,56 +57,56 @@
     state: StoredKeyState = attrs.field(factory=StoredKeyState)
     last_file: int = 0
     files_since_snapshot: int = SNAPSHOT_EVERY_FILES
-    in_flight: _WriteInFlight | None = None
+    in_flight: _DiskWrite | None = None
     pending: deque[tuple[MemberId, Request]] = attrs.field(factory=deque)
 
 
 class RegisterReplica:
-    """Every key's replica in this process.
+    """The replicas of all keys on the disk of this process.
 
     Parameters
     ----------
-    recovered : what the data folder held.
-    timings : durations.
+    recovered : the state recovered from the data folder.
+    timings : timeouts and intervals.
     """
 
     def __init__(self, recovered: RecoveredState, timings: Timings) -> None:
         self._timings = timings
         self._disk = recovered.disk
-        self._slots: dict[str, _KeyReplica] = {}
+        self._key_replicas: dict[str, _KeyReplica] = {}
         self._failure = ""
         self._retry_at = 0.0
         for key, files in recovered.keys.items():
             state = decode_chain(files.contents)
-            self._slots[key] = _KeyReplica(state, files.last_file, len(files.contents))
+            self._key_replicas[key] = _KeyReplica(state, files.last_file, len(files.contents))
 
     @property
     def failure(self) -> str:
-        """Why the disk takes no writes; empty when it does."""
+        """Error of the last failed write; empty while the disk accepts writes."""
         return self._failure
 
     def known_keys(self) -> list[str]:
-        """Return the keys with a record or a promise."""
-        return sorted(self._slots)
+        """Return the keys that have a record or a promise, sorted."""
+        return sorted(self._key_replicas)
 
     def state(self, key: str) -> StoredKeyState:
-        """Return what is durable of `key`."""
-        slot = self._slots.get(key)
-        return slot.state if slot else StoredKeyState()
+        """Return the durable state of `key`."""
+        key_replica = self._key_replicas.get(key)
+        return key_replica.state if key_replica else StoredKeyState()
 
     def handle(self, sender: MemberId, request: Request, key: str) -> list[Effect]:
-        """Apply a request; its response follows once the disk stored it."""
+        """Process a request; its response is sent once the disk has stored the new state."""
         if self._failure:
             return []
-        slot = self._slots.setdefault(key, _KeyReplica())
-        if slot.in_flight is not None:
-            if len(slot.pending) < PENDING_REQUESTS_LIMIT:
-                slot.pending.append((sender, request))
+        key_replica = self._key_replicas.setdefault(key, _KeyReplica())
+        if key_replica.in_flight is not None:
+            if len(key_replica.pending) < PENDING_REQUESTS_LIMIT:
+                key_replica.pending.append((sender, request))
             return []
-        return self._start(key, slot, sender, request)
+        return self._start(key, key_replica, sender, request)
 
-    def confirm(self, sender: MemberId, request: ConfirmEpoch) -> list[Effect]:
-        """Respond whether an epoch is the highest durably promised one; needs no write."""
+    def confirm_epoch(self, sender: MemberId, request: ConfirmEpoch) -> list[Effect]:
+        """Confirm without a write that no epoch above the requested one is promised, or refuse."""
         key, epoch = request.key, request.epoch
         promised = self.state(key).promised
         if epoch < promised:
@@ -114,41 +114,45 @@
         return [Send(sender, EpochConfirmed(key, self._disk, epoch, request.round))]
 
     def handle_written(self, token: str, error: str, now: float) -> list[Effect]:
-        """Complete a write: send its responses, or stop voting when it failed."""
+        """Complete a write: send its responses, or stop voting if it failed."""
         key = token.removeprefix(WRITE_TOKEN_PREFIX).rpartition(":")[0]
-        slot = self._slots.get(key)
-        if slot is None or slot.in_flight is None or slot.in_flight.token != token:
+        key_replica = self._key_replicas.get(key)
+        if (
+            key_replica is None
+            or key_replica.in_flight is None
+            or key_replica.in_flight.token != token
+        ):
             return []
-        write = slot.in_flight
-        slot.in_flight = None
+        write = key_replica.in_flight
+        key_replica.in_flight = None
         if error:
-            return self._stop(error, now)
+            return self._stop_voting(error, now)
         effects: list[Effect] = []
         if self._failure:
             self._failure = ""
             effects.append(Log(log_events.REPLICA_RESUMED, {"key": key}))
-        slot.state = write.state
+        key_replica.state = write.state
         effects.extend(write.responses)
-        while slot.pending and slot.in_flight is None:
-            sender, request = slot.pending.popleft()
-            effects.extend(self._start(key, slot, sender, request))
+        while key_replica.pending and key_replica.in_flight is None:
+            sender, request = key_replica.pending.popleft()
+            effects.extend(self._start(key, key_replica, sender, request))
         return effects
 
     def tick(self, now: float) -> list[Effect]:
-        """Retry the disk after a failure."""
-        if not self._failure or now < self._retry_at or not self._slots:
+        """Test with a write whether a failed disk accepts writes again."""
+        if not self._failure or now < self._retry_at or not self._key_replicas:
             return []
         self._retry_at = now + self._timings.disk_retry_s
-        key = min(self._slots)
-        slot = self._slots[key]
-        if slot.in_flight is not None:
+        key = min(self._key_replicas)
+        key_replica = self._key_replicas[key]
+        if key_replica.in_flight is not None:
             return []
-        return [self._write(key, slot, slot.state, None, [])]
+        return [self._write(key, key_replica, key_replica.state, None, [])]
 
-    def _stop(self, error: str, now: float) -> list[Effect]:
-        for each in self._slots.values():
-            each.pending.clear()
-            each.files_since_snapshot = SNAPSHOT_EVERY_FILES
+    def _stop_voting(self, error: str, now: float) -> list[Effect]:
+        for key_replica in self._key_replicas.values():
+            key_replica.pending.clear()
+            key_replica.files_since_snapshot = SNAPSHOT_EVERY_FILES
         self._retry_at = now + self._timings.disk_retry_s
         if self._failure:
             return []
@@ -156,74 +160,81 @@
         return [Log(log_events.REPLICA_STOPPED, {"error": error})]
 
     def _start(
-        self, key: str, slot: _KeyReplica, sender: MemberId, request: Request
+        self, key: str, key_replica: _KeyReplica, sender: MemberId, request: Request
     ) -> list[Effect]:
         match request:
             case Prepare():
-                return self._start_prepare(key, slot, sender, request)
+                return self._start_prepare(key, key_replica, sender, request)
             case Accept(_, epoch, update, _):
-                return self._start_accept(key, slot, sender, epoch, update)
+                return self._start_accept(key, key_replica, sender, epoch, update)
             case CreateCluster(_, update):
-                return self._start_create(key, slot, update)
+                return self._start_create(key, key_replica, update)
 
     def _start_prepare(
-        self, key: str, slot: _KeyReplica, sender: MemberId, request: Prepare
+        self, key: str, key_replica: _KeyReplica, sender: MemberId, request: Prepare
     ) -> list[Effect]:
-        promised = slot.state.promised
+        promised = key_replica.state.promised
         if request.epoch < promised:
             return [Send(sender, Refused(key, request.epoch, promised))]
         response = Send(
-            sender, Promise(key, self._disk, request.epoch, slot.state.record.to_update())
+            sender, Promise(key, self._disk, request.epoch, key_replica.state.record.to_update())
         )
         if request.epoch == promised:
             return [response]
-        state = attrs.evolve(slot.state, promised=request.epoch)
+        state = attrs.evolve(key_replica.state, promised=request.epoch)
         record = state.record
         unchanged = RecordUpdate(record.position, record.position, record.config, {}, [], [])
-        return [self._write(key, slot, state, unchanged, [response])]
+        return [self._write(key, key_replica, state, unchanged, [response])]
 
     def _start_accept(
-        self, key: str, slot: _KeyReplica, sender: MemberId, epoch: Epoch, update: RecordUpdate
+        self,
+        key: str,
+        key_replica: _KeyReplica,
+        sender: MemberId,
+        epoch: Epoch,
+        update: RecordUpdate,
     ) -> list[Effect]:
-        if epoch < slot.state.promised:
-            return [Send(sender, Refused(key, epoch, slot.state.promised))]
+        if epoch < key_replica.state.promised:
+            return [Send(sender, Refused(key, epoch, key_replica.state.promised))]
         response = Send(sender, Accepted(key, self._disk, update.position))
-        if update.position == slot.state.record.position:
+        if update.position == key_replica.state.record.position:
             return [response]
-        if update.position < slot.state.record.position:
+        if update.position < key_replica.state.record.position:
             return []
-        record = apply_update(slot.state.record, update)
+        record = apply_update(key_replica.state.record, update)
         if record is None:
             return [Send(sender, BaseVersionMissing(key, epoch))]
         state = StoredKeyState(epoch, record)
-        return [self._write(key, slot, state, update, [response])]
+        return [self._write(key, key_replica, state, update, [response])]
 
-    def _start_create(self, key: str, slot: _KeyReplica, update: RecordUpdate) -> list[Effect]:
-        if slot.state.record.position != Position():
+    def _start_create(
+        self, key: str, key_replica: _KeyReplica, update: RecordUpdate
+    ) -> list[Effect]:
+        if key_replica.state.record.position != Position():
             return []
-        record = apply_update(slot.state.record, update)
+        record = apply_update(key_replica.state.record, update)
         if record is None:
             return []
         state = StoredKeyState(update.position.epoch, record)
-        return [self._write(key, slot, state, None, [])]
+        return [self._write(key, key_replica, state, None, [])]
 
     def _write(
         self,
         key: str,
-        slot: _KeyReplica,
+        key_replica: _KeyReplica,
         state: StoredKeyState,
         update: RecordUpdate | None,
         responses: list[Send],
     ) -> Write:
-        slot.last_file += 1
+        key_replica.last_file += 1
         is_complete = update is None or update.base is None
-        if is_complete or slot.files_since_snapshot >= SNAPSHOT_EVERY_FILES:
+        if is_complete or key_replica.files_since_snapshot >= SNAPSHOT_EVERY_FILES:
             content = encode_snapshot(state)
-            slot.files_since_snapshot = 1
+            key_replica.files_since_snapshot = 1
         else:
             assert update is not None
             content = encode_delta(state.promised, update)
-            slot.files_since_snapshot += 1
-        token = f"{WRITE_TOKEN_PREFIX}{key}:{slot.last_file}"
-        slot.in_flight = _WriteInFlight(token, state, responses)
-        return Write(token, key, slot.last_file, content)
+            key_replica.files_since_snapshot += 1
+        token = f"{WRITE_TOKEN_PREFIX}{key}:{key_replica.last_file}"
+        key_replica.in_flight = _DiskWrite(token, state, responses)
+        return Write(token, key, key_replica.last_file, content)
--- a/src/zincvale/coordination/replication/replica_sets.py
+++ b/src/zincvale/coordination/replication/replica_sets.py
@@ -59,13 +59,13 @@
     groups: dict[str, ReplicaConfig] = attrs.field(factory=dict)
     keys: dict[str, KeyRow] = attrs.field(factory=dict)
 
-    def initial(self, key: str) -> ReplicaConfig:
-        """Return the configuration of a key that was never written."""
+    def initial_config(self, key: str) -> ReplicaConfig:
+        """Return the configuration to use for a key that was never written."""
         row = self.keys.get(key)
         return row.initial if row is not None else ReplicaConfig()
 
-    def group_of(self, key: str) -> ReplicaConfig:
-        """Return the declared configuration of a key's group."""
+    def declared_config(self, key: str) -> ReplicaConfig:
+        """Return the declared configuration of the key's group."""
         row = self.keys.get(key)
         return self.groups.get(row.group if row else DEFAULT_GROUP, ReplicaConfig())
 
--- a/tests/coordination/exploration.py
+++ b/tests/coordination/exploration.py
@@ -1,8 +1,8 @@
-"""Every interleaving of a small register: owners, replicas, and messages in any order or never.
+"""Explores the interleavings of a small register with two owners and three replicas.
 
-A message that is never delivered stands for a lost one. An actor's step depends on its own state
-and the message alone, so each step is worked out once and looked up afterwards; states that were
-reached before are not explored again.
+Messages are delivered in any order. A message that is not delivered represents a lost one. The
+effect of a message on an actor depends only on the message and the state of the actor, so it is
+computed once and cached. A state that was already reached is not explored again.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 
 
 @attrs.frozen
-class Flying:
-    """A message on its way."""
+class InFlightMessage:
+    """A message that was sent and is not delivered yet."""
 
     sender: str
     receiver: str
@@ -48,26 +48,26 @@
 
 
 @attrs.frozen
-class World:
-    """Everything at one moment: indices into the explorer's tables, so that it hashes cheaply."""
+class SystemState:
+    """State of the whole system; it contains indices into the explorer's tables to hash cheaply."""
 
     actors: tuple[int, ...]
-    flying: frozenset[Flying]
+    in_flight: frozenset[InFlightMessage]
     chosen: frozenset[tuple[int, bytes]]
     starts_left: tuple[int, ...]
 
 
 @attrs.frozen
-class Step:
-    """What one input does to an actor."""
+class StepResult:
+    """Result of one input to an actor: its new state, the messages sent and the values chosen."""
 
     actor: int
-    sent: frozenset[Flying]
+    sent: frozenset[InFlightMessage]
     chosen: frozenset[tuple[int, bytes]]
 
 
 class Explorer:
-    """Explores from two owners with one change each to three empty replicas."""
+    """Explores a system of two owners with one change each and three empty replicas."""
 
     def __init__(self) -> None:
         self._names = [*OWNERS, *REPLICAS]
@@ -75,16 +75,16 @@
         self._actor_index: dict[str, int] = {}
         self._messages: list[Any] = []
         self._message_index: dict[str, int] = {}
-        self._steps: dict[tuple[int, str, int], Step] = {}
+        self._steps: dict[tuple[int, str, int], StepResult] = {}
 
-    def first_world(self, starts: tuple[int, ...]) -> World:
-        """Return the beginning; each owner may try to take the key so many times."""
-        actors = [self._owner(name) for name in OWNERS]
+    def initial_state(self, starts: tuple[int, ...]) -> SystemState:
+        """Return the initial state; `starts` limits how often each owner may take a new epoch."""
+        actors = [self._new_owner(name) for name in OWNERS]
         actors += [RegisterReplica(RecoveredState("disk"), Timings()) for _ in REPLICAS]
-        return World(
+        return SystemState(
             tuple(
-                self._intern_actor(name, each)
-                for name, each in zip(self._names, actors, strict=True)
+                self._intern_actor(name, actor)
+                for name, actor in zip(self._names, actors, strict=True)
             ),
             frozenset(),
             frozenset(),
@@ -92,10 +92,10 @@
         )
 
     def explore(self, starts: tuple[int, ...], limit: int) -> int:
-        """Visit every state, up to `limit`; return how many there were."""
-        world = self.first_world(starts)
-        seen = {world}
-        pending = [world]
+        """Visit reachable states up to `limit` and return the number of visited states."""
+        state = self.initial_state(starts)
+        seen = {state}
+        pending = [state]
         while pending and len(seen) < limit:
             for after in self._successors(pending.pop()):
                 if after not in seen:
@@ -103,68 +103,78 @@
                     pending.append(after)
         return len(seen)
 
-    def walk(self, starts: tuple[int, ...], random_source: random.Random) -> int:
-        """Take random steps until none is left; return the number of chosen versions."""
-        world = self.first_world(starts)
+    def walk_randomly(self, starts: tuple[int, ...], random_source: random.Random) -> int:
+        """Take random steps until none is possible and return the number of chosen versions."""
+        state = self.initial_state(starts)
         while True:
-            successors = list(self._successors(world))
+            successors = list(self._successors(state))
             if not successors:
-                return len(world.chosen)
-            world = random_source.choice(successors)
+                return len(state.chosen)
+            state = random_source.choice(successors)
 
-    def _owner(self, name: str) -> RegisterOwner:
+    def _new_owner(self, name: str) -> RegisterOwner:
         owner = RegisterOwner(KEY, f"{name}/1", append_text, Timings())
         owner.submit(name, ProposeChange(KEY, f"order-{name}", None, name.encode()), 0.0)
         return owner
 
-    def _successors(self, world: World) -> Iterator[World]:
-        for index, left in enumerate(world.starts_left):
+    def _successors(self, state: SystemState) -> Iterator[SystemState]:
+        for index, left in enumerate(state.starts_left):
             if left:
                 starts_left = tuple(
-                    each - (place == index) for place, each in enumerate(world.starts_left)
+                    count - (owner_index == index)
+                    for owner_index, count in enumerate(state.starts_left)
                 )
-                step = self._step(world.actors[index], self._names[index], "", -1)
-                yield self._apply(world, index, step, None, starts_left)
-        for flying in world.flying:
-            index = self._names.index(flying.receiver)
-            step = self._step(world.actors[index], flying.receiver, flying.sender, flying.message)
-            yield self._apply(world, index, step, flying, world.starts_left)
+                step = self._step(state.actors[index], self._names[index], "", -1)
+                yield self._apply(state, index, step, None, starts_left)
+        for in_flight in state.in_flight:
+            index = self._names.index(in_flight.receiver)
+            step = self._step(
+                state.actors[index], in_flight.receiver, in_flight.sender, in_flight.message
+            )
+            yield self._apply(state, index, step, in_flight, state.starts_left)
 
     def _apply(
-        self, world: World, index: int, step: Step, taken: Flying | None, starts: tuple[int, ...]
-    ) -> World:
-        actors = (*world.actors[:index], step.actor, *world.actors[index + 1 :])
-        flying = (world.flying - {taken} if taken else world.flying) | step.sent
-        chosen = world.chosen | step.chosen
+        self,
+        state: SystemState,
+        index: int,
+        step: StepResult,
+        delivered: InFlightMessage | None,
+        starts: tuple[int, ...],
+    ) -> SystemState:
+        actors = (*state.actors[:index], step.actor, *state.actors[index + 1 :])
+        in_flight = (state.in_flight - {delivered} if delivered else state.in_flight) | step.sent
+        chosen = state.chosen | step.chosen
         if step.chosen:
             _check_chosen(chosen)
-        return World(actors, flying, chosen, starts)
+        return SystemState(actors, in_flight, chosen, starts)
 
-    def _step(self, actor: int, name: str, sender: str, message: int) -> Step:
-        known = self._steps.get((actor, sender, message))
-        if known is None:
-            known = self._work_out(actor, name, sender, message)
-            self._steps[(actor, sender, message)] = known
-        return known
+    def _step(self, actor: int, name: str, sender: str, message: int) -> StepResult:
+        result = self._steps.get((actor, sender, message))
+        if result is None:
+            result = self._compute_step(actor, name, sender, message)
+            self._steps[(actor, sender, message)] = result
+        return result
 
-    def _work_out(self, actor: int, name: str, sender: str, message: int) -> Step:
+    def _compute_step(self, actor: int, name: str, sender: str, message: int) -> StepResult:
         machine = pickle.loads(self._actors[actor])
         if message < 0:
             effects = machine.start(CONFIG, CONFIG, CONFIG.replicas, 0.0)
         elif name in OWNERS:
             effects = machine.handle(MemberId(sender), self._messages[message], 0.0)
         else:
-            effects = _to_replica(machine, sender, self._messages[message])
-        chosen = _chosen(machine) if name in OWNERS else frozenset()
-        sent = frozenset(self._fly(name, effect) for effect in effects if isinstance(effect, Send))
-        return Step(self._intern_actor(name, machine), sent, chosen)
+            effects = _deliver_to_replica(machine, sender, self._messages[message])
+        chosen = _take_chosen(machine) if name in OWNERS else frozenset()
+        sent = frozenset(
+            self._intern_message(name, effect) for effect in effects if isinstance(effect, Send)
+        )
+        return StepResult(self._intern_actor(name, machine), sent, chosen)
 
-    def _fly(self, sender: str, effect: Send) -> Flying:
+    def _intern_message(self, sender: str, effect: Send) -> InFlightMessage:
         text = repr(effect.message)
         if text not in self._message_index:
             self._message_index[text] = len(self._messages)
             self._messages.append(effect.message)
-        return Flying(sender, str(effect.to), self._message_index[text])
+        return InFlightMessage(sender, str(effect.to), self._message_index[text])
 
     def _intern_actor(self, name: str, machine: Any) -> int:
         state = _owner_state(machine) if name in OWNERS else repr(machine.state(KEY))
@@ -175,7 +185,7 @@
         return self._actor_index[text]
 
 
-def _to_replica(replica: RegisterReplica, sender: str, message: object) -> list[Effect]:
+def _deliver_to_replica(replica: RegisterReplica, sender: str, message: object) -> list[Effect]:
     assert isinstance(message, Prepare | Accept)
     effects = replica.handle(MemberId(sender), message, KEY)
     for effect in list(effects):
@@ -192,7 +202,7 @@
     return repr((owner.phase, owner.epoch, promises, owner.record, in_flight, numbers))
 
 
-def _chosen(owner: RegisterOwner) -> frozenset[tuple[int, bytes]]:
+def _take_chosen(owner: RegisterOwner) -> frozenset[tuple[int, bytes]]:
     outcomes, owner.outcomes = owner.outcomes, []
     return frozenset(
         (outcome.record.position.version, outcome.record.rows.get("text", b""))
@@ -202,7 +212,7 @@
 
 
 def _check_chosen(chosen: frozenset[tuple[int, bytes]]) -> None:
-    """Every version was chosen with one text, and each text continues the earlier ones."""
+    """Check that each version has one chosen text and that each text extends the earlier ones."""
     ordered = sorted(chosen)
     for (version, text), (later_version, later_text) in zip(ordered, ordered[1:], strict=False):
         assert version != later_version, f"version {version} is {text!r} and {later_text!r}"
--- a/tests/coordination/registers/test_cluster_creation.py
+++ b/tests/coordination/registers/test_cluster_creation.py
@@ -1,4 +1,4 @@
-"""Which replica sets a core goes by: the newest accepted, which may be taken back."""
+"""Which accepted replica sets a core uses, and when it returns to an older version."""
 
 from __future__ import annotations
 
@@ -59,22 +59,22 @@
         for effect in effects:
             if isinstance(effect, Write):
                 self.replica.handle_written(effect.token, "", 0.0)
-        self.creation.follow_accepted_replica_sets()
+        self.creation.apply_accepted_replica_sets()
 
-    def test_the_newest_accepted_sets_are_used(self) -> None:
+    def test_the_newest_accepted_replica_sets_are_used(self) -> None:
         self.accept(FIRST_OWNER, 1, "core-1", "core-2")
         self.accept(FIRST_OWNER, 2, "core-1", "core-2", "core-3")
         self.assertEqual(2, self.context.sets.version)
 
-    def test_sets_that_were_never_chosen_are_rolled_back(self) -> None:
-        """A cut owner's change reached its own disk alone; the next owner writes without it."""
+    def test_replica_sets_that_were_never_chosen_are_rolled_back(self) -> None:
+        """An isolated owner stores a change only on its own disk; the next owner overwrites it."""
         self.accept(FIRST_OWNER, 1, "core-1", "core-2")
         self.accept(FIRST_OWNER, 2, "core-1", "core-2", "core-3")
         self.accept(SECOND_OWNER, 1, "core-1", "core-2")
         self.assertEqual(1, self.context.sets.version)
         self.assertNotIn(MemberId("core-3"), self.context.sets.cores)
 
-    def test_sets_known_to_be_chosen_are_never_rolled_back(self) -> None:
+    def test_replica_sets_known_to_be_chosen_are_never_rolled_back(self) -> None:
         self.accept(FIRST_OWNER, 1, "core-1", "core-2")
         self.accept(FIRST_OWNER, 3, "core-1", "core-2", "core-3")
         chosen = VersionedTable()
--- a/tests/coordination/registers/test_register.py
+++ b/tests/coordination/registers/test_register.py
@@ -1,4 +1,7 @@
-"""The register under every order of events, within bounds; and proof that the check can fail."""
+"""Agreement of a register under many interleavings of its messages, and rules of its replicas.
+
+Faults that are injected on purpose show that the check of agreement can fail.
+"""
 
 from __future__ import annotations
 
@@ -20,34 +23,34 @@
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Send, Write
 
-STATES = 40_000
-WALKS = 800
+EXPLORED_STATES = 40_000
+RANDOM_WALKS = 800
 
 
 class RegisterExplorationTest(testtools.TestCase):
-    def walk_all(self, walks: int) -> int:
+    def run_random_walks(self, walks: int) -> int:
         explorer = Explorer()
-        return sum(explorer.walk((2, 2), random.Random(seed)) for seed in range(walks))
+        return sum(explorer.walk_randomly((2, 2), random.Random(seed)) for seed in range(walks))
 
     def test_no_interleaving_chooses_two_values_for_one_version(self) -> None:
-        self.assertGreaterEqual(Explorer().explore((1, 1), STATES), STATES)
+        self.assertGreaterEqual(Explorer().explore((1, 1), EXPLORED_STATES), EXPLORED_STATES)
 
-    def test_random_schedules_with_repeated_attempts_agree(self) -> None:
-        self.assertGreater(self.walk_all(WALKS), WALKS)
+    def test_random_interleavings_with_two_starts_per_owner_agree(self) -> None:
+        self.assertGreater(self.run_random_walks(RANDOM_WALKS), RANDOM_WALKS)
 
-    def test_a_majority_of_one_is_detected(self) -> None:
+    def test_a_quorum_of_one_replica_is_detected_as_disagreement(self) -> None:
         with mock.patch.object(replica_config, "majority", lambda size: 1):
-            self.assertRaises(AssertionError, self.walk_all, WALKS)
+            self.assertRaises(AssertionError, self.run_random_walks, RANDOM_WALKS)
 
-    def test_a_forgotten_promise_is_detected(self) -> None:
-        start = RegisterReplica._start_accept
+    def test_a_replica_that_forgets_its_promise_is_detected_as_disagreement(self) -> None:
+        start_accept = RegisterReplica._start_accept
 
-        def forgetful(self, key, slot, sender, epoch, update):  # type: ignore[no-untyped-def]
-            slot.state = attrs.evolve(slot.state, promised=Epoch())
-            return start(self, key, slot, sender, epoch, update)
+        def forget(self, key, replica, sender, epoch, update):  # type: ignore[no-untyped-def]
+            replica.state = attrs.evolve(replica.state, promised=Epoch())
+            return start_accept(self, key, replica, sender, epoch, update)
 
-        with mock.patch.object(RegisterReplica, "_start_accept", forgetful):
-            self.assertRaises(AssertionError, self.walk_all, WALKS)
+        with mock.patch.object(RegisterReplica, "_start_accept", forget):
+            self.assertRaises(AssertionError, self.run_random_walks, RANDOM_WALKS)
 
 
 class RegisterReplicaTest(testtools.TestCase):
@@ -63,7 +66,7 @@
         assert isinstance(write, Write)
         return list(self.replica.handle_written(write.token, "", 0.0))
 
-    def test_no_response_leaves_before_the_disk_stored_it(self) -> None:
+    def test_a_response_is_sent_only_after_the_disk_stored_the_promise(self) -> None:
         (write,) = self.request_replica(Prepare(KEY, Epoch(3, "owner/1")))
         assert isinstance(write, Write)
         self.assertEqual([], self.request_replica(Prepare(KEY, Epoch(4, "owner/1"))))
@@ -72,17 +75,17 @@
         self.assertIsInstance(responses[0].message, Promise)
         self.assertIsInstance(responses[1], Write)
 
-    def test_a_failed_write_gets_no_response(self) -> None:
+    def test_a_failed_write_gets_no_response_and_stops_the_replica(self) -> None:
         (write,) = self.request_replica(Prepare(KEY, Epoch(3, "owner/1")))
         assert isinstance(write, Write)
         responses = self.replica.handle_written(write.token, "full", 0.0)
-        self.assertEqual([], [each for each in responses if isinstance(each, Send)])
+        self.assertEqual([], [effect for effect in responses if isinstance(effect, Send)])
         self.assertEqual(StoredKeyState(), self.replica.state(KEY))
         self.assertEqual([], self.request_replica(Prepare(KEY, Epoch(4, "owner/1"))))
 
-    def test_lower_epochs_are_refused(self) -> None:
+    def test_requests_below_the_promised_epoch_are_refused(self) -> None:
         self.promise(5)
-        record = Record().moved_to(Epoch(4, "other/1"), CONFIG)
+        record = Record().reproposed_under(Epoch(4, "other/1"), CONFIG)
         accept = Accept(KEY, Epoch(4, "other/1"), record.to_update(), 0)
         for request in (Prepare(KEY, Epoch(4, "other/1")), accept):
             (response,) = self.request_replica(request)
