--- a/src/zincvale/coordination/changes.py
+++ b/src/zincvale/coordination/changes.py
@@ -1,6 +1,6 @@
-"""Changes of a key's value: what reducers return, and the views that readers get.
+"""Changes of the value of a key: the results of reducers and the views for readers.
 
-The value of a key is a table of rows `dict[str, bytes]` with one version.
+The value of a key is a table of rows (`dict[str, bytes]`) with one version.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class RowChange:
-    """Put `value` into row `row`, or delete the row when `value` is None."""
+    """Sets row `row` to `value`, or deletes the row if `value` is None."""
 
     row: str
     value: bytes | None
@@ -23,9 +23,10 @@
 
 @attrs.frozen
 class ChangeRefused:
-    """Why a change cannot be applied; nothing was changed.
+    """Reason why a change cannot be applied, and what the caller can do; the value is unchanged.
 
-    `is_conflict` is true when another change won on the version that this one was built on.
+    `is_conflict` is true if another change was applied first to the version that this one is based
+    on.
     """
 
     problem: str
@@ -34,13 +35,13 @@
 
 
 Reducer = Callable[[Rows, bytes], Result[list[RowChange], ChangeRefused]]
-"""Turns a change into row changes against the current rows. It must be deterministic: a new owner
-evaluates resent changes again."""
+"""Computes the row changes that a change makes to the current rows. It must be deterministic,
+because a new owner evaluates resent changes again."""
 
 
 @attrs.frozen
 class KeyView:
-    """The newest chosen value of a key that this process knows."""
+    """The newest value of a key that this process knows to be chosen."""
 
     version: int = 0
     rows: Rows = attrs.field(factory=dict)
@@ -48,7 +49,7 @@
 
 @attrs.frozen
 class TopicView:
-    """An ephemeral topic as last published, by the leader of `epoch`."""
+    """An ephemeral topic as last published; `epoch` is the fencing epoch of its publisher."""
 
     epoch: int = 0
     version: int = 0
@@ -57,7 +58,7 @@
 
 @attrs.frozen
 class LeadershipState:
-    """Whether this process holds a role, its fencing epoch and until when it may act."""
+    """Whether this process holds a role, its fencing epoch and the time until which it may act."""
 
     is_leader: bool = False
     epoch: int = 0
@@ -66,7 +67,7 @@
 
 @attrs.define
 class ChangeNotifications:
-    """What changed since the reader last took its notifications."""
+    """Keys, topics, roles and members that changed since the reader last took notifications."""
 
     keys: set[str] = attrs.field(factory=set)
     topics: set[str] = attrs.field(factory=set)
@@ -81,7 +82,7 @@
 
 
 def apply_changes(rows: Rows, changes: Iterable[RowChange]) -> Rows:
-    """Return `rows` with the changes; the argument is not modified."""
+    """Return a copy of `rows` with the changes applied."""
     result = dict(rows)
     for change in changes:
         if change.value is None:
--- a/src/zincvale/coordination/config.py
+++ b/src/zincvale/coordination/config.py
@@ -1,6 +1,6 @@
-"""Configuration of the two coordination machines. Times are seconds.
+"""Configuration of the core machine and the node machine. Times are in seconds.
 
-The fields are code: no settings file, message or command line has their names.
+The field names are internal: no settings file, message or command line contains them.
 """
 
 from __future__ import annotations
@@ -12,70 +12,74 @@
 
 @attrs.frozen
 class Timings:
-    """Every duration that the machines use, in seconds; the same on all processes of a cluster.
+    """Timeouts and intervals of the machines, in seconds; the same in all processes of a cluster.
 
-    Lease lifetimes are promises between processes: a grantor and a holder must count the same one.
+    Lease lifetimes are agreements between processes: the grantor and the holder of a lease must use
+    the same value.
     """
 
     lease_ttl_s: float = 1.8
-    """Lifetime of a member lease, counted by the node from its request. It bounds how long a change
-    waits for a node that disappeared."""
+    """Lifetime of a member lease, which the node counts from the time of its request. It limits how
+    long a change waits for a node that failed."""
     lease_renew_s: float = 0.6
-    """Between two renewals; a third of the lifetime, so that one lost renewal costs nothing."""
+    """Interval between two renewals of a member lease. It is a third of the lifetime, so that a
+    single lost renewal does not let the lease expire."""
     heartbeat_interval_s: float = 0.25
-    """Between two heartbeats of a core."""
+    """Interval between two heartbeats of a core."""
     peer_timeout_s: float = 1.0
-    """A core whose last heartbeat is older is not live; its keys get a new owner."""
+    """Age of its last heartbeat above which a core is not live. Its keys then get a new owner."""
     prepare_timeout_s: float = 0.8
-    """After this an owner that lacks promises of a majority gives up, and tries again later."""
+    """Time after which an owner without promises from a majority gives up; it retries later."""
     resend_interval_s: float = 0.3
-    """Between two sends of a register message to a replica that did not respond."""
+    """Interval at which register messages are resent to replicas that did not respond."""
     change_timeout_s: float = 4.0
-    """After this a change gets the response `not-confirmed`, by `registers.proposal_router`."""
+    """Time after which `registers.proposal_router` answers a change with `not-confirmed`."""
     forward_timeout_s: float = 4.0
     """Timeout of the call that forwards a change to the key's owner."""
     renewal_collect_s: float = 0.03
-    """How long a coordinating core collects renewals before it forwards them together."""
+    """How long a coordinating core collects lease renewals before it forwards them in a batch."""
     renewal_wait_s: float = 0.25
-    """After this a coordinating core responds to a renewal with the grants that it has."""
+    """Time after which a coordinating core answers a renewal with the grants received so far."""
     renewal_timeout_s: float = 0.55
-    """After this a node renews at every core itself; more than `renewal_wait_s`, less than
-    `lease_renew_s`."""
+    """Time after which a node sends an unanswered renewal to every core itself. It must be longer
+    than `renewal_wait_s` and shorter than `lease_renew_s`."""
     stale_member_grace_s: float = 1.0
-    """A node that lacks a chosen version for longer gets grants that count only once it applied it;
-    a change waits for a slow node this long, and a lease lifetime."""
+    """How long a node may lack a chosen version before its grants require that it has applied the
+    version. A change waits for a slow node this long plus one lease lifetime."""
     long_poll_timeout_s: float = 10.0
-    """How long a long poll is pending without an update."""
+    """How long a long poll stays pending if there is no update."""
     poll_call_timeout_s: float = 12.0
-    """Timeout of a long poll's call; more than `long_poll_timeout_s`, or every idle poll fails."""
+    """Timeout of the call of a long poll. It must be longer than `long_poll_timeout_s`, or every
+    idle poll would fail."""
     delta_batch_s: float = 0.02
-    """How long updates are collected before long polls get responses."""
+    """How long updates are collected before long polls are answered."""
     ephemeral_responses_per_s: float = 0.0
-    """Bound of the responses that carry only topics and members, at one core; 0 for none."""
+    """Maximum rate at which one core sends responses that carry only topics and members; 0 means no
+    limit."""
     role_lease_s: float = 6.0
-    """Lifetime of a leader lease, counted by the holder from its request."""
+    """Lifetime of a leader lease, which the holder counts from the time of its request."""
     role_margin_s: float = 1.0
-    """A leader stops acting this long before its lease ends: an order that it sends at the last
-    moment must have arrived, or failed, before another leader can act."""
+    """How long before the end of its lease a leader stops acting. An order that it sends at the
+    last moment must have arrived or failed before another leader can act."""
     role_renew_s: float = 2.0
-    """Between two renewals of a leader lease."""
+    """Interval between two renewals of a leader lease."""
     candidate_stagger_s: float = 1.0
-    """How much later each further candidate stands for a free role."""
+    """Additional delay after which each further candidate requests a free role."""
     node_deregister_s: float = 60.0
-    """A registered node without a lease for this long leaves the registry."""
+    """Time without a lease after which a registered node is removed from the registry."""
     replace_delay_s: float = 5.0
-    """A replica unresponsive for this long may be replaced by a waiting learner."""
+    """Time after which an unresponsive replica may be replaced by a learner."""
     disk_retry_s: float = 1.0
-    """Between two attempts to write after a disk failed."""
+    """Interval between two attempts to write to a failed disk."""
     bootstrap_listen_s: float = 1.0
-    """How long the creating core listens for an older cluster before it creates one."""
+    """How long the creating core listens for an existing cluster before it creates one."""
     peer_probe_s: float = 0.5
-    """Between two rounds of partition probes."""
+    """Minimum interval between two rounds of partition probes."""
 
 
 @attrs.frozen
 class InitialCore:
-    """One of the cores that a cluster is created with."""
+    """One of the cores with which a cluster is created."""
 
     member: MemberId
     api_address: Address
@@ -85,44 +89,44 @@
 
 @attrs.frozen
 class CoreConfig:
-    """The configuration of a core process, fixed at its start but for the seeds."""
+    """Configuration of a core process; only the seeds may change after the start."""
 
     cluster_id: str
     member: MemberId
     incarnation: str
-    """Random, one per process start."""
+    """Random identifier of this start of the process."""
     zone: ZoneName
     region: str
     api_address: Address
     peer_address: Address
     seeds: tuple[Address, ...] = ()
-    """Peer addresses for first contact only."""
+    """Peer addresses that are used for first contact only."""
     bootstrap: bool = False
     recover: bool = False
-    """With `bootstrap`: every disk is declared lost; values are restored from the nodes."""
+    """With `bootstrap`: every disk counts as lost, and values are restored from the nodes."""
     initial_cores: tuple[InitialCore, ...] = ()
-    """The cores of a new cluster, the same list on each; the first one creates it."""
+    """The cores of a new cluster, in the same order on each of them; the first one creates it."""
     roles: tuple[str, ...] = ()
-    """Singleton roles that this process stands for."""
+    """Singleton roles for which this process is a candidate."""
     group_size: int = 3
-    """Replicas that a group grows to while there are cores without a vote."""
+    """Number of replicas up to which a group grows while there are cores without a vote."""
     timings: Timings = Timings()
 
 
 @attrs.frozen
 class NodeConfig:
-    """The configuration of a node process, fixed at its start but for the seeds."""
+    """Configuration of a node process; only the seeds may change after the start."""
 
     cluster_id: str
     member: MemberId
     incarnation: str
-    """Random, one per process start."""
+    """Random identifier of this start of the process."""
     zone: ZoneName
     region: str
     api_address: Address
     peer_address: Address
     seeds: tuple[Address, ...] = ()
-    """As for a core."""
+    """Peer addresses that are used for first contact only."""
     topics: tuple[str, ...] = ("directory", "moves")
-    """Ephemeral topics that the node follows."""
+    """Ephemeral topics that the node receives."""
     timings: Timings = Timings()
--- a/src/zincvale/coordination/core/components.py
+++ b/src/zincvale/coordination/core/components.py
@@ -1,11 +1,11 @@
-"""The components of a core machine, wired together.
+"""The components of a core machine and the connections between them.
 
-- `context.replica`, `owners`, `ownership`: the durable registers, one owner per key;
-- `cluster_creation`, `catch_up_tracker`, `value_repair`: the first record, what a started core must
-  learn, values that nodes still store and disks lost;
-- `proposal_router`: changes to an owner and their results back;
-- `chosen_values`, `topic_replicator`, `long_poll_server`: tables, and the polls that they answer;
-- `member_leases`, `renewal_batcher`: leases of members, and the versions that they applied;
+- `context.replica`, `owners`, `ownership`: the durable registers, with one owner per key;
+- `cluster_creation`, `catch_up_tracker`, `value_repair`: the first record of a cluster, what a
+  core must learn after its start, and values that disks lost and nodes still store;
+- `proposal_router`: routes changes to the owner of a key and returns their results;
+- `chosen_values`, `topic_replicator`, `long_poll_server`: tables and the long polls that read them;
+- `member_leases`, `renewal_batcher`: leases of members and the versions that members applied;
 - `replica_set_reconciler`: replacement of replicas;
 - `leader_election`: singleton roles;
 - `heartbeats`: heartbeats between the cores.
@@ -45,9 +45,9 @@
 
 
 class CoreComponents:
-    """Every component of one core, and the callbacks between them.
+    """The components of one core and the callbacks between them.
 
-    The order of construction follows what each needs of the others.
+    The components are constructed in the order of their dependencies.
     """
 
     def __init__(self, context: CoreContext, reducers: dict[str, Reducer]) -> None:
@@ -68,7 +68,7 @@
         self.catch_up_tracker = CatchUpTracker(context, self.owners)
         self.ownership = Ownership(context, self.owners)
         self.proposal_router = ProposalRouter(
-            context, self.owners, self.ownership, self._on_internal
+            context, self.owners, self.ownership, self._on_internal_result
         )
         self.value_repair = ValueRepair(context, self.owners)
         self.leader_election = LeaderElection(
@@ -81,9 +81,9 @@
         self.heartbeats = HeartbeatSender(context, self.owners, self.leader_election.granted_here)
 
     def is_isolated(self, now: float) -> bool:
-        """Whether this core does not hear a majority of the cores, itself included."""
-        heard = {self.context.own_id, *self.context.cores.live(now)}
-        return not self.context.sets.grantors().is_member_quorum(heard)
+        """Whether this core and the cores that it hears do not form a majority of the cores."""
+        live_cores = {self.context.own_id, *self.context.cores.live(now)}
+        return not self.context.sets.grantors().is_member_quorum(live_cores)
 
     def _on_chosen(self, key: str, version: int, now: float) -> None:
         if key in DELIVERED_KEYS:
@@ -92,7 +92,7 @@
             self.member_leases.applied_versions.on_rules_changed()
         self.long_poll_server.on_update(now)
 
-    def _on_internal(self, name: str, result: ChangeResult, now: float) -> list[Effect]:
+    def _on_internal_result(self, name: str, result: ChangeResult, now: float) -> list[Effect]:
         if name.startswith(ROLE_PROPOSAL_PREFIX):
             return self.leader_election.on_epoch_proposed(
                 name.removeprefix(ROLE_PROPOSAL_PREFIX), result, now
@@ -101,11 +101,11 @@
 
 
 def _all_reducers(context: CoreContext, reducers: dict[str, Reducer]) -> dict[str, Reducer]:
-    everything: dict[str, Reducer] = {
+    all_reducers: dict[str, Reducer] = {
         REPLICA_SETS_KEY: reduce_replica_sets,
         REGISTRY_KEY: reduce_registry,
     }
-    everything.update(reducers)
+    all_reducers.update(reducers)
     for role in context.config.roles:
-        everything[f"{ROLE_KEY_PREFIX}{role}"] = reduce_role
-    return everything
+        all_reducers[f"{ROLE_KEY_PREFIX}{role}"] = reduce_role
+    return all_reducers
--- a/src/zincvale/coordination/core/context.py
+++ b/src/zincvale/coordination/core/context.py
@@ -1,4 +1,4 @@
-"""What the components of a core machine share: configuration, tables and notifications."""
+"""State that the components of a core machine share: configuration, tables and notifications."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 @attrs.define
 class CoreContext:
-    """Shared state of the components of one core machine."""
+    """State that the components of one core machine share."""
 
     config: CoreConfig
     random_source: random.Random
     started_at: float
     disk: str
     quarantined: dict[str, str]
-    """Keys whose files were unreadable at the start, and why."""
+    """Keys whose files were unreadable at the start, each with the reason."""
     replica: RegisterReplica
     cores: PeerTable
     values: dict[str, VersionedTable] = attrs.field(factory=dict)
@@ -45,22 +45,22 @@
     notes: ChangeNotifications = attrs.field(factory=ChangeNotifications)
 
     leaving: bool = False
-    """The process was asked to stop."""
+    """Whether the process was asked to stop."""
     grants_blocked_until: float = 0.0
-    """Until when a restarted core grants no lease: it first hears what nodes store."""
+    """Time before which a restarted core grants no lease; it first learns what nodes store."""
 
     @property
     def own_id(self) -> MemberId:
-        """This process."""
+        """Member id of this process."""
         return self.config.member
 
     @property
     def owner_name(self) -> str:
-        """The owner field of the epochs that this process takes."""
+        """The `owner` field of the epochs that this process takes."""
         return epoch_owner(self.config.member, self.config.incarnation)
 
     def info(self) -> MemberInfo:
-        """Return how this process describes itself."""
+        """Return the member information of this process."""
         config = self.config
         return MemberInfo(
             member=config.member,
@@ -72,7 +72,7 @@
         )
 
     def own_replica(self) -> str:
-        """Return the replica that this process and its disk are."""
+        """Return the identifier of the replica on this process's disk."""
         return replica_id(self.own_id, self.disk)
 
     def is_voter(self) -> bool:
@@ -80,14 +80,15 @@
         return self.own_replica() in self.sets.grantors().all_replicas()
 
     def is_learner(self) -> bool:
-        """Whether this process could become a replica."""
+        """Whether this process may become a replica: it has no vote and its disk accepts writes."""
         return not self.is_voter() and not self.replica.failure
 
-    def use_sets(self, version: int, rows: Rows) -> None:
-        """Follow newer replica sets: chosen, or accepted by the own replica.
+    def use_replica_sets(self, version: int, rows: Rows) -> None:
+        """Use replica sets that were chosen, or accepted by this core's replica.
 
-        Leases follow the accepted ones, so that no majority that chose a change still grants by the
-        replicas from before it.
+        Leases are granted under the accepted sets even before these are known to be chosen.
+        Otherwise, cores of the majority that chose a change could still grant leases under the
+        previous replicas.
         """
         before = self.sets
         self.sets = decode_replica_sets(version, rows)
@@ -97,16 +98,16 @@
             self.cores.add_core(row.info)
 
     def is_voting(self) -> bool:
-        """Whether the replica responds: it is a voter and its disk takes writes."""
+        """Whether this process votes: its disk is a declared replica and accepts writes."""
         return self.is_voter() and not self.replica.failure
 
     def chosen_version(self, key: str) -> int:
-        """Return the newest chosen version of `key` known here."""
+        """Return the newest version of `key` that this core knows to be chosen."""
         table = self.values.get(key)
         return table.version if table else 0
 
     def newest_role_epoch(self) -> int:
-        """Return the newest fencing epoch of any role that is known here."""
+        """Return the newest fencing epoch of any role that this core knows."""
         return max(
             (
                 table.version
@@ -117,9 +118,9 @@
         )
 
     def chosen_versions(self) -> dict[str, int]:
-        """Return the newest chosen versions of the delivered keys."""
+        """Return the newest version of each delivered key that this core knows to be chosen."""
         return {key: self.chosen_version(key) for key in DELIVERED_KEYS}
 
     def to_other_cores(self, message: object) -> list[Effect]:
-        """Return sends to every other core of the cluster."""
+        """Return the effects that send `message` to every other core of the cluster."""
         return [Send(member, message) for member in self.sets.cores if member != self.own_id]
--- a/src/zincvale/coordination/core/dispatch.py
+++ b/src/zincvale/coordination/core/dispatch.py
@@ -1,4 +1,4 @@
-"""Which component of a core handles which message or call."""
+"""Dispatches messages and calls to the components of a core."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 def handle_call(
     components: CoreComponents, token: str, message: object, now: float
 ) -> list[Effect]:
-    """Apply a call; its reply is among the effects, or follows with a later input."""
+    """Process a call; its reply is in the returned effects or follows after a later input."""
     match message:
         case ProposeChange():
             return components.proposal_router.propose(token, message, now)
@@ -78,7 +78,7 @@
 def handle_message(
     components: CoreComponents, sender: MemberId, message: object, now: float
 ) -> list[Effect]:
-    """Apply a one-way message."""
+    """Process a one-way message."""
     match message:
         case Accept():
             components.chosen_values.handle_accept(message, now)
@@ -102,7 +102,7 @@
 def _handle_cluster_message(
     components: CoreComponents, sender: MemberId, message: object, now: float
 ) -> list[Effect]:
-    """Apply a message about the cores themselves, else pass it on."""
+    """Process a message about the cores themselves; pass any other message on."""
     match message:
         case Heartbeat():
             return _handle_heartbeat(components, sender, message, now)
@@ -127,7 +127,7 @@
 def _handle_lease_message(
     components: CoreComponents, sender: MemberId, message: object, now: float
 ) -> list[Effect]:
-    """Apply a message of the member leases, else pass it on."""
+    """Process a message about member leases; pass any other message on."""
     match message:
         case RenewLease():
             response = _renew(components, message, now)
@@ -144,7 +144,7 @@
 def _handle_leader_or_topic_message(
     components: CoreComponents, sender: MemberId, message: object, now: float
 ) -> list[Effect]:
-    """Apply a message of the singleton roles or of the ephemeral topics; ignore any other."""
+    """Process a message about singleton roles or ephemeral topics; ignore any other message."""
     match message:
         case RequestLeadership() | LeadershipGranted() | LeadershipRefused() | LeadershipReleased():
             return components.leader_election.handle(sender, message, now)
@@ -165,10 +165,10 @@
 def _handle_unchanged_heartbeat(
     components: CoreComponents, sender: MemberId, message: UnchangedHeartbeat, now: float
 ) -> list[Effect]:
-    """Apply the heartbeat that the message stands for; request it when it is not known here."""
+    """Process the heartbeat that the message stands for, or request it if it is unknown here."""
     last = components.context.cores.heartbeat_of(sender)
-    stands_for = (message.incarnation, message.number)
-    if last is None or (last.info.incarnation, last.number) != stands_for:
+    expected = (message.incarnation, message.number)
+    if last is None or (last.info.incarnation, last.number) != expected:
         return [Send(sender, RequestHeartbeat())]
     heartbeat = attrs.evolve(last, topics=message.topics)
     return _handle_heartbeat(components, sender, heartbeat, now)
@@ -177,8 +177,8 @@
 def _handle_heartbeat(
     components: CoreComponents, sender: MemberId, heartbeat: Heartbeat, now: float
 ) -> list[Effect]:
-    known = components.context.cores.live(now).get(sender)
-    is_new = known is None or known.info.incarnation != heartbeat.info.incarnation
+    previous = components.context.cores.live(now).get(sender)
+    is_new = previous is None or previous.info.incarnation != heartbeat.info.incarnation
     if is_new:
         components.heartbeats.send_full_to(sender, now)
     components.context.cores.record_heartbeat(sender, heartbeat, now)
@@ -186,8 +186,9 @@
         is_new
         or heartbeat.heard.get(components.context.own_id) != components.context.config.incarnation
     ):
-        # The sender does not know this process yet, or not that it was heard: keys are taken and
-        # roles granted by what all say of each other, so it need not wait for the next heartbeat.
+        # The sender does not know this process yet, or does not know that its heartbeats arrive
+        # here. Taking keys and granting roles depend on what the cores report about each other, so
+        # a heartbeat is sent soon instead of at the next interval.
         components.heartbeats.send_soon(now)
     components.cluster_creation.record_existing_cluster(heartbeat.cluster_incarnation)
     effects = components.ownership.handle_heartbeat(sender, heartbeat, now)
--- a/src/zincvale/coordination/core/machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -1,7 +1,8 @@
-"""The core's state machine: control state, leases, singleton roles and delivery.
+"""State machine of a core: control state, leases, singleton roles and delivery.
 
-Inputs go to the components (`dispatch`), a tick runs their steps in order (`tick`), and after each
-input their outcomes are drained into effects (`tick.drain_effects`).
+Inputs are dispatched to the components (`dispatch`). A tick runs the steps of the components in a
+fixed order (`tick`). After each input, the outcomes of the components are turned into effects
+(`tick.drain_effects`).
 """
 
 from __future__ import annotations
@@ -52,15 +53,15 @@
 
 
 class CoreMachine:
-    """One core process.
+    """State machine of one core process with a disk.
 
     Parameters
     ----------
-    config : who this process is.
-    recovered : what its data folder held.
-    reducers : the embedder's keys and how their changes are applied.
-    random : the only source of randomness.
-    now : the time, in seconds, on the clock of every later input.
+    config : identity, addresses and timings of this process.
+    recovered : the state recovered from its data folder.
+    reducers : the reducer of each key of the embedding application.
+    random_source : the only source of randomness.
+    now : current time in seconds, on the same clock as the times of all later inputs.
     """
 
     def __init__(
@@ -68,12 +69,12 @@
         config: CoreConfig,
         recovered: RecoveredState,
         reducers: dict[str, Reducer],
-        random: random.Random,
+        random_source: random.Random,
         now: float,
     ) -> None:
         self._context = CoreContext(
             config=config,
-            random_source=random,
+            random_source=random_source,
             started_at=now,
             disk=recovered.disk,
             quarantined=recovered.damaged,
@@ -88,11 +89,14 @@
     # --- inputs ---------------------------------------------------------------------------
 
     def handle(self, event: Input, now: float) -> list[Effect]:
-        """Apply one input and return what to do; messages to this process are applied at once."""
+        """Process an input and return its effects, except messages to this process itself.
+
+        These messages are processed at once.
+        """
         effects: list[Effect] = []
         inputs: deque[Input] = deque([event])
         while inputs:
-            for effect in self._handle_one(inputs.popleft(), now) + drain_effects(
+            for effect in self._handle_input(inputs.popleft(), now) + drain_effects(
                 self._components, now
             ):
                 if isinstance(effect, Send) and effect.to == self._context.own_id:
@@ -101,7 +105,7 @@
                     effects.append(effect)
         return effects
 
-    def _handle_one(self, event: Input, now: float) -> list[Effect]:
+    def _handle_input(self, event: Input, now: float) -> list[Effect]:
         components = self._components
         match event:
             case Tick():
@@ -128,7 +132,7 @@
         return []
 
     def _shut_down(self, now: float) -> list[Effect]:
-        """Resign every key and role of this process, and send a heartbeat that says so at once."""
+        """Give up every key and role of this process and report it in a heartbeat at once."""
         self._context.leaving = True
         self._components.ownership.resign()
         effects = self._components.leader_election.release_all(now)
@@ -138,18 +142,19 @@
     # --- queries --------------------------------------------------------------------------
 
     def members(self, now: float) -> Members:
-        """Return the members with live leases, as this core knows them."""
+        """Return the members that have live leases, as far as this core knows."""
         return self._members.update(self._context.members.version, self._context.members.rows)
 
     def value(self, key: str) -> KeyView:
-        """Return the newest chosen value known here."""
+        """Return the newest value of `key` that this core knows to be chosen."""
         table = self._context.values.get(key)
         return KeyView(table.version, table.rows) if table else KeyView()
 
     def may_show_state(self, now: float) -> bool:
-        """Whether what this core shows of control state is current.
+        """Whether this core may show its control state, because the state is current.
 
-        It is not before a started core caught up, nor while it hears no majority of the cores.
+        The state is not current until the core has caught up after its start, nor while the core
+        does not hear a majority of the cores.
         """
         return self._components.member_leases.caught_up and not self._components.is_isolated(now)
 
@@ -158,11 +163,11 @@
         return self._context.topics.view(name)
 
     def topic_epoch_seen(self, name: str) -> int:
-        """Return the newest epoch of an ephemeral topic that a node reported."""
+        """Return the newest epoch of an ephemeral topic that any node has reported."""
         return self._components.long_poll_server.topic_epochs_seen.get(name, 0)
 
     def role(self, role_name: str, now: float) -> LeadershipState:
-        """Return whether this process holds a role now."""
+        """Return whether this process holds a role, with its epoch and until when it may act."""
         return self._components.leader_election.state(role_name, now)
 
     def address_of(self, member: MemberId) -> Address | None:
@@ -170,40 +175,40 @@
         return self._context.cores.address_of(member)
 
     def may_stop(self, now: float) -> bool:
-        """Whether this process may stop: it has no vote, or no learner could take its vote over."""
+        """Whether this process may stop: it has no vote, or no learner could take its place."""
         if not self._context.is_voter():
             return True
         live = self._context.cores.live(now).values()
         return not any(status.can_learn for status in live)
 
     def live_cores(self, now: float) -> list[MemberId]:
-        """Return the other cores with a recent heartbeat."""
+        """Return the other cores whose last heartbeat is recent."""
         return list(self._context.cores.live(now))
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Replace the peer addresses for first contact."""
+        """Replace the peer addresses that are used for first contact."""
         addresses = tuple(Address(seed) for seed in seeds)
         self._context.config = attrs.evolve(self._context.config, seeds=addresses)
 
     def take_changes(self) -> ChangeNotifications:
-        """Return what changed since the last call."""
+        """Return the notifications of changes since the last call and clear them."""
         return self._context.notes.take()
 
     def applied_versions(self, key: str) -> dict[MemberId, int]:
-        """Return the version of `key` that each live node last reported as applied."""
+        """Return the version of `key` that each node with a live lease last reported as applied."""
         rows = self._components.member_leases.grantor.rows
         return {MemberId(member): row.applied_versions.get(key, 0) for member, row in rows.items()}
 
     def role_holders(self, now: float) -> dict[str, tuple[MemberId | None, int]]:
-        """Return holder and epoch of each singleton role, as last granted here."""
+        """Return the holder and epoch of each singleton role, as last granted by this core."""
         return self._components.leader_election.last_granted(now)
 
     def replica_sets(self) -> ReplicaSets:
-        """Return the declared cores and replicas, as this core follows them."""
+        """Return the declared cores and replicas that this core uses."""
         return self._context.sets
 
     def replica_statuses(self, now: float) -> list[ReplicaStatus]:
-        """Return every core of the cluster as this one sees it."""
+        """Return the status of every core of the cluster as this core sees it."""
         return replica_statuses(self._context, now)
 
     def state(self, now: float) -> CoreState:
--- a/src/zincvale/coordination/core/messages.py
+++ b/src/zincvale/coordination/core/messages.py
@@ -1,4 +1,4 @@
-"""Messages between cores: heartbeats, creation of the cluster, versions that nodes applied."""
+"""Messages between cores: heartbeats, cluster creation and the versions that nodes applied."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class TopicPosition:
-    """The epoch and version of an ephemeral topic that a poller stores."""
+    """The epoch and version of an ephemeral topic that a process stores."""
 
     epoch: int
     version: int
@@ -21,49 +21,49 @@
 
 @attrs.frozen
 class KeyStatus:
-    """The state of one key at a core."""
+    """State of one key at the core that sends it."""
 
     key: str
     promised: Epoch
     accepted: Position
     chosen_version: int
     owned_epoch: Epoch | None
-    """The epoch under which the sender serves the key."""
+    """The epoch under which the sender serves the key; None if it does not."""
     config: ReplicaConfig
-    """The owner's configuration of the record; empty from others."""
+    """The configuration of the record at the owner; empty if the sender is not the owner."""
 
 
 @peer_message("core.status")
 @attrs.frozen
 class Heartbeat:
-    """Sent by a core to the others several times a second; without one it counts as failed."""
+    """Sent by a core to the other cores several times a second; its absence counts as a failure."""
 
     info: MemberInfo
     disk: str
-    """Random identity of the data folder."""
+    """Random identity of the sender's data folder."""
     cluster_incarnation: str
-    """Identity of the cluster's creation; empty on a disk without records."""
+    """Random identity that the cluster got at its creation; empty on a disk without records."""
     bootstrapping: bool
     voting: bool
     can_learn: bool
-    """The sender has no vote and its disk takes writes."""
+    """Whether the sender could become a replica: it has no vote and its disk accepts writes."""
     keys: list[KeyStatus]
     heard: dict[str, str]
-    """Incarnations of the cores whose heartbeats the sender received: proves that this one was sent
-    after they started."""
+    """Incarnations of the cores whose heartbeats the sender received, by member. They prove to such
+    a core that this heartbeat was sent after its start."""
     topics: dict[str, TopicPosition]
     leaving: bool = False
-    """The sender was asked to stop: it owns nothing, leads nothing, and may be replaced."""
+    """Whether the sender was asked to stop: it owns no key, holds no role and may be replaced."""
     leased_roles: list[str] = attrs.field(factory=list)
-    """Roles for which the sender's grant to some holder is live."""
+    """Roles for which the sender has granted a lease that has not expired."""
     number: int = 0
-    """Counts the heartbeats of one process that differ in more than their topics."""
+    """Number that a process increases when its heartbeat changes in more than its topics."""
 
 
 @peer_message("core.unchanged")
 @attrs.frozen
 class UnchangedHeartbeat:
-    """Stands for the sender's last `Heartbeat`, of which only the topics changed."""
+    """Represents the sender's last full `Heartbeat`, of which only the topics have changed."""
 
     incarnation: str
     number: int
@@ -73,19 +73,19 @@
 @peer_message("core.ask-status")
 @attrs.frozen
 class RequestHeartbeat:
-    """The sender lacks the heartbeat that an `UnchangedHeartbeat` stands for: send it complete."""
+    """Asks for the full heartbeat that an `UnchangedHeartbeat` represents and the sender lacks."""
 
 
 @peer_message("core.ask")
 @attrs.frozen
 class RequestCores:
-    """Request the cores that a process knows; the response is a `LeaseRedirect`."""
+    """Asks for the cores that a process knows; answered by a `LeaseRedirect`."""
 
 
 @peer_message("core.create")
 @attrs.frozen
 class CreateCluster:
-    """The first record of a new cluster, for an empty disk with the named identity."""
+    """The first record of a new cluster, for the empty disk with the identity `disk`."""
 
     disk: str
     update: RecordUpdate
@@ -94,10 +94,13 @@
 @peer_message("held.report")
 @attrs.frozen
 class AppliedVersionsReport:
-    """Every node with a live lease at the sender has applied `version` of `key`.
+    """Reports that every node with a live lease at the sender has applied `version` of `key`.
 
-    `nodes` are those that confirmed and gave no recent evidence of a partition; `chosen` are the
-    sender's newest versions of the delivered keys, `config_version` that of its replica sets.
+    Attributes
+    ----------
+    nodes : the nodes that confirmed the version and gave no recent evidence of a partition.
+    chosen : the newest versions of the delivered keys that the sender knows to be chosen.
+    config_version : the version of the replica sets that the sender uses.
     """
 
     key: str
--- a/src/zincvale/coordination/core/queries.py
+++ b/src/zincvale/coordination/core/queries.py
@@ -16,7 +16,7 @@
 def core_state(
     context: CoreContext, *, caught_up: bool, keys: list[KeyState], now: float
 ) -> CoreState:
-    """Return one core as its operators see it."""
+    """Return the state of this core."""
     return CoreState(
         member=context.own_id,
         disk=context.disk,
@@ -26,7 +26,7 @@
         disk_failure=context.replica.failure,
         quarantined=dict(context.quarantined),
         replicas=context.sets.grantors().all_replicas(),
-        live_cores=[str(each) for each in context.cores.live(now)],
+        live_cores=[str(member) for member in context.cores.live(now)],
         keys=keys,
     )
 
@@ -38,7 +38,7 @@
     trackers: dict[str, RolloutTracker],
     now: float,
 ) -> list[KeyState]:
-    """Return each key as this core sees it."""
+    """Return the state of each key as this core sees it."""
     states = []
     for key in keys:
         chosen = context.chosen_version(key)
@@ -55,7 +55,7 @@
 
 
 def replica_statuses(context: CoreContext, now: float) -> list[ReplicaStatus]:
-    """Return every core of the cluster as this one sees it."""
+    """Return the status of every core of the cluster as this core sees it."""
     return [_replica_status(context, member, now) for member in context.sets.cores]
 
 
@@ -77,4 +77,6 @@
 
 def _intent_version(status: Heartbeat | None) -> int:
     keys = status.keys if status is not None else []
-    return next((each.chosen_version for each in keys if each.key == INTENT_KEY), 0)
+    return next(
+        (key_status.chosen_version for key_status in keys if key_status.key == INTENT_KEY), 0
+    )
--- a/src/zincvale/coordination/core/standby_machine.py
+++ b/src/zincvale/coordination/core/standby_machine.py
@@ -1,8 +1,9 @@
-"""The state machine of a core process that has no disk.
+"""State machine of a standby: a core process without a disk.
 
-Without a disk it can promise nothing, so it never votes, owns no key, holds no role and shows no
-control state. It knows where the cores are and redirects first contact to them: operators, and
-daemons whose seeds name it. One small exchange every few seconds refreshes that knowledge.
+Without a disk, the process cannot promise anything, so it never votes, owns no key, holds no role
+and shows no control state. It knows the addresses of the cores and redirects operators, and daemons
+that have it among their seeds, to these cores. It refreshes its knowledge with one small exchange
+every few seconds.
 """
 
 from __future__ import annotations
@@ -19,14 +20,15 @@
 from zincvale.model.machine import Effect, Input, Log, MessageReceived, Send, Tick
 
 REFRESH_INTERVAL_S = 2.0
-"""Between two requests to a responsive core."""
+"""Interval between two requests for the known cores to a responsive core."""
 DISCOVERY_INTERVAL_S = 0.5
-"""Between two requests to every known core and seed, while none responds."""
+"""Interval between two requests to all known cores and seeds while no core is responsive."""
 RESPONSIVE_WITHIN_S = 2.5
-"""A core unheard for longer is not named to operators while another one is responsive. It must be
-longer than REFRESH_INTERVAL_S, or the core in use counts as unresponsive between two requests."""
+"""Time since its last message within which a core counts as responsive. Operators are redirected to
+other cores only if none is responsive. The time must be longer than REFRESH_INTERVAL_S, or the core
+in use would count as unresponsive between two requests."""
 REMOVE_CORE_AFTER_S = 60.0
-"""A core that no response names for so long, while others are named, has left the cluster."""
+"""Time after which a core is removed if responses name other cores but no longer this one."""
 REDIRECT_REASON = "this process has no disk and no vote"
 
 
@@ -37,7 +39,7 @@
     member: MemberId
     zone: ZoneName
     seeds: tuple[Address, ...] = ()
-    """Peer addresses for first contact only."""
+    """Peer addresses that are used for first contact only."""
 
 
 @attrs.define
@@ -48,11 +50,11 @@
 
 
 class StandbyMachine:
-    """One core process without a disk.
+    """State machine of one core process without a disk.
 
     Parameters
     ----------
-    config : who this process is.
+    config : identity, zone and seeds of this process.
     random_source : the only source of randomness.
     """
 
@@ -66,7 +68,7 @@
     # --- inputs ---------------------------------------------------------------------------
 
     def handle(self, event: Input, now: float) -> list[Effect]:
-        """Apply one input and return what to do."""
+        """Process an input and return its effects."""
         match event:
             case Tick():
                 return self._tick(now)
@@ -91,18 +93,18 @@
         responsive = self._responsive_cores(now)
         if responsive:
             self._next_request_at = now + REFRESH_INTERVAL_S
-            targets = [self._nearest(responsive)]
+            targets = [self._pick_in_zone(responsive)]
         else:
             self._next_request_at = now + DISCOVERY_INTERVAL_S
             targets = [*self._cores, *(member_at(seed) for seed in self._config.seeds)]
         return [*effects, *(Send(target, RequestCores()) for target in targets)]
 
     def _record_cores(self, sender: MemberId, infos: list[MemberInfo], now: float) -> None:
-        """Record the cores that a process named; a core that responds was heard."""
+        """Record the cores that a process named; a sender that is a core becomes responsive."""
         for info in infos:
             member = MemberId(info.member)
-            before = self._cores.get(member)
-            last_heard_at = before.last_heard_at if before is not None else float("-inf")
+            previous = self._cores.get(member)
+            last_heard_at = previous.last_heard_at if previous is not None else float("-inf")
             self._cores[member] = _KnownCore(info, now, last_heard_at)
         if sender in self._cores:
             self._cores[sender].last_heard_at = now
@@ -126,27 +128,27 @@
             if now - core.last_heard_at <= RESPONSIVE_WITHIN_S
         ]
 
-    def _nearest(self, members: list[MemberId]) -> MemberId:
-        """Return one of `members`, of this process's zone if there is one."""
+    def _pick_in_zone(self, members: list[MemberId]) -> MemberId:
+        """Return a random one of `members`, preferably one in the zone of this process."""
         zone = self._config.zone
-        near = [member for member in members if self._cores[member].info.zone == zone]
-        return self._random.choice(near or members)
+        in_zone = [member for member in members if self._cores[member].info.zone == zone]
+        return self._random.choice(in_zone or members)
 
     # --- queries --------------------------------------------------------------------------
 
     def core_for_operators(self, now: float) -> Address | None:
-        """Return where operators reach a core: a responsive one, else any that is known."""
+        """Return the API address of a responsive core, else of any known core."""
         members = self._responsive_cores(now) or list(self._cores)
         if not members:
             return None
-        return Address(self._cores[self._nearest(members)].info.api_address)
+        return Address(self._cores[self._pick_in_zone(members)].info.api_address)
 
     def address_of(self, member: MemberId) -> Address | None:
-        """Return the peer address of a core, if known."""
+        """Return the peer address of a core, if the core is known."""
         core = self._cores.get(member)
         return Address(core.info.peer_address) if core is not None else None
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Replace the peer addresses for first contact."""
+        """Replace the peer addresses that are used for first contact."""
         addresses = tuple(Address(seed) for seed in seeds)
         self._config = attrs.evolve(self._config, seeds=addresses)
--- a/src/zincvale/coordination/core/status.py
+++ b/src/zincvale/coordination/core/status.py
@@ -1,4 +1,4 @@
-"""Read-only rows about a core and its cluster, for operators."""
+"""Read-only state of a core and its cluster, for operators."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @attrs.frozen
 class KeyState:
-    """One key at one core.
+    """State of one key at one core.
 
     Attributes
     ----------
     owner : member id of the live core believed to own the key; empty when none is known.
-    epoch : number of the highest epoch that the core's replica promised.
-    chosen_version : newest version known to be chosen.
-    in_force_version : newest version known to be applied everywhere.
+    epoch : number of the highest epoch that the core's replica has promised.
+    chosen_version : newest version that the core knows to be chosen.
+    in_force_version : newest version that the core knows to be applied everywhere.
     """
 
     key: str
@@ -28,14 +28,14 @@
 
 @attrs.frozen
 class CoreState:
-    """One core as it sees itself.
+    """State of a core, as the core itself sees it.
 
     Attributes
     ----------
-    voting : its disk is a declared replica and takes writes.
-    caught_up : it knows enough since its start to grant leases.
-    disk_failure : why the disk takes no writes; empty when it does.
-    quarantined : keys whose files were unreadable at the start, and why.
+    voting : whether its disk is a declared replica and accepts writes.
+    caught_up : whether it has learned enough since its start to grant leases.
+    disk_failure : error of the last failed write; empty while the disk accepts writes.
+    quarantined : keys whose files were unreadable at the start, each with the reason.
     """
 
     member: str
@@ -52,11 +52,11 @@
 
 @attrs.frozen
 class ReplicaStatus:
-    """One core of the cluster, as another core sees it.
+    """Status of a core of the cluster, as the responding core sees it.
 
     Attributes
     ----------
-    chosen_version : newest version of the intent that the core knows to be chosen.
+    chosen_version : newest version of the intent that the described core knows to be chosen.
     """
 
     member: MemberId
--- a/src/zincvale/coordination/core/tick.py
+++ b/src/zincvale/coordination/core/tick.py
@@ -1,7 +1,7 @@
-"""What a core does on each tick, in a fixed order, and after each input.
+"""Steps that a core runs on each tick, and the effects of outcomes after each input.
 
-The order counts: a step sees what the steps before it decided at the same time, as leases see the
-keys taken, and heartbeats, which are last, report all of it.
+The order of the steps matters: a step sees what the earlier steps of the same tick decided. For
+example, leases see the keys that were taken, and heartbeats, which are sent last, report all of it.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def run_tick(components: CoreComponents, now: float) -> list[Effect]:
-    """Run every step once, in order."""
+    """Run all steps once in their order and return their effects."""
     effects: list[Effect] = []
     for step in TICK_STEPS:
         effects.extend(step(components, now))
@@ -34,7 +34,7 @@
 
 
 def drain_effects(components: CoreComponents, now: float) -> list[Effect]:
-    """Turn the outcomes of the last input into effects: results, responses, updates."""
+    """Turn the outcomes of the last input into effects: results, responses and updates."""
     effects: list[Effect] = []
     for key, owner in components.owners.items():
         if owner.outcomes:
@@ -72,7 +72,7 @@
 ) -> list[Effect]:
     position = chosen.record.position
     if not components.member_leases.caught_up:
-        # The others grant leases only after this core's heartbeat that it owns the key.
+        # Other cores do not grant leases before a heartbeat reports that this core owns the key.
         components.heartbeats.send_soon(now)
     components.chosen_values.choose(key, position.version, chosen.record.rows, now)
     effects = components.context.to_other_cores(Chosen(key, position))
@@ -163,10 +163,12 @@
     for role in requested_roles:
         name = f"{ROLE_PROPOSAL_PREFIX}{role}"
         key = f"{ROLE_KEY_PREFIX}{role}"
-        # Of two candidates that saw the role free one gets the epoch; otherwise each would end the
-        # other's lease by a newer epoch.
-        base = components.context.chosen_version(key)
-        effects.extend(components.proposal_router.propose_internal(name, key, change, now, base))
+        # If two candidates see the role free, the base version lets only one of them get a new
+        # epoch. Otherwise each would end the lease of the other by taking a newer epoch.
+        base_version = components.context.chosen_version(key)
+        effects.extend(
+            components.proposal_router.propose_internal(name, key, change, now, base_version)
+        )
     return effects
 
 
--- a/src/zincvale/coordination/protocol.py
+++ b/src/zincvale/coordination/protocol.py
@@ -1,7 +1,8 @@
-"""Every message between the processes.
+"""Imports every module of coordination that defines messages between processes.
 
-Messages register themselves when their module is imported; importing this module lets a process
-decode whatever a peer of its version sends. A new module of messages must be added here.
+Messages are registered when their module is imported. A process that imports this module can decode
+all coordination messages that a peer of the same version sends. Every new module of messages must
+be added here.
 """
 
 from __future__ import annotations
--- a/src/zincvale/coordination/registers/chosen_values.py
+++ b/src/zincvale/coordination/registers/chosen_values.py
@@ -94,6 +94,6 @@
 
     def _on_newer_value(self, key: str, table: VersionedTable, now: float) -> None:
         if key == REPLICA_SETS_KEY:
-            self._context.use_sets(table.version, table.rows)
+            self._context.use_replica_sets(table.version, table.rows)
         self._context.notes.keys.add(key)
         self._on_chosen(key, table.version, now)
--- a/src/zincvale/coordination/registers/cluster_creation.py
+++ b/src/zincvale/coordination/registers/cluster_creation.py
@@ -97,7 +97,7 @@
         if record.position > self._applied_position:
             self._applied_position = record.position
             if record.position.version >= context.chosen_version(REPLICA_SETS_KEY):
-                context.use_sets(record.position.version, record.rows)
+                context.use_replica_sets(record.position.version, record.rows)
 
     def _listen_duration_s(self) -> float:
         timings = self._context.config.timings
--- a/src/zincvale/coordination/replication/__init__.py
+++ b/src/zincvale/coordination/replication/__init__.py
@@ -1,10 +1,11 @@
 """Replica sets: which disks store which keys, and how these sets change.
 
-Owns the configuration in a record and its quorum rule, the key `replica-sets` that declares cores
-and groups of replicas, the reducer of its changes, and the reconciler that proposes them.
+This package contains the configuration in a record and its quorum rule, the key `replica-sets`,
+which declares the cores and the groups of replicas, the reducer of changes of this key, and the
+reconciler that proposes them.
 
-May import `coordination.changes`, `model`, the messages of `membership` and `core`, the context of
-`core` and the owner of `registers` (the reconciler only).
+It may import `coordination.changes`, `model` and the messages of `membership`; only the reconciler
+may also import the context and messages of `core` and the owner of `registers`.
 
 Reading order: `replica_config`, `replica_sets`, `replica_set_changes`, `replica_set_reconciler`.
 """
--- a/src/zincvale/coordination/replication/replica_set_reconciler.py
+++ b/src/zincvale/coordination/replication/replica_set_reconciler.py
@@ -1,9 +1,10 @@
 """Reconciles the declared replicas with the live cores: learners join and replace lost replicas.
 
-Runs at the owner of the key `replica-sets`. A replacement begins when a replica was unresponsive
-for the configured delay (or its process runs on another disk), and is completed when every key's
-record settled on the new replicas and every lease granted under the old ones has expired; when the
-new replica becomes unresponsive meanwhile, it is rolled back.
+The reconciler runs at the owner of the key `replica-sets`. A replacement begins when a replica has
+been unresponsive for the configured delay, when its process runs on another disk, or when its core
+is leaving. It is completed when the record of every key has settled on the new replicas and every
+lease granted under the old ones has expired. It is rolled back when the new replica becomes
+unresponsive in the meantime.
 """
 
 from __future__ import annotations
@@ -23,15 +24,16 @@
 from zincvale.model.identifiers import MemberId
 
 CHECK_INTERVAL_S = 0.25
-"""Between two looks at the live cores; bounds how late a change is proposed."""
+"""Interval between two checks of the live cores; limits how late a change is proposed."""
 LEASE_EXPIRY_FACTOR = 1.2
-"""Margin on a lease lifetime after which every lease of the old replicas has expired."""
+"""Multiple of the longest lease lifetime after which all leases of the old replicas have expired.
+It includes a margin."""
 REMOVE_CORE_AFTER_S = 60.0
-"""A core without replicas that was unresponsive for so long is removed from the declared cores."""
+"""Time after which an unresponsive core without replicas is removed from the declared cores."""
 
 
 class ReplicaSetReconciler:
-    """Proposes changes of `replica-sets`, one at a time; each is checked again by the reducer."""
+    """Proposes changes of `replica-sets` one at a time; the reducer checks each of them again."""
 
     def __init__(self, context: CoreContext, owners: dict[str, RegisterOwner]) -> None:
         self._context = context
@@ -41,11 +43,11 @@
         self._joint_since: tuple[int, float] = (0, 0.0)
 
     def next_change(self, now: float) -> bytes | None:
-        """Return the change that is due, if any."""
+        """Return the change to propose now, or None."""
         if now < self._check_at:
             return None
         self._check_at = now + CHECK_INTERVAL_S
-        live = self._live(now)
+        live = self._live_cores(now)
         declared = self._context.sets.grantors()
         self._update_unresponsive(declared, live, now)
         for member, status in live.items():
@@ -54,20 +56,22 @@
                 return join_change(status.info, status.disk)
         if declared.previous:
             return self._settle_change_if_due(declared, now)
-        missing = [key for key in self._owners if key not in self._context.sets.keys]
-        if missing:
-            return keys_change(missing)
+        undeclared_keys = [key for key in self._owners if key not in self._context.sets.keys]
+        if undeclared_keys:
+            return keys_change(undeclared_keys)
         return self._replacement_if_due(declared, live, now) or self._removal_if_due(live, now)
 
     def operator_change(self, remove: str, add: str) -> bytes:
-        """Return the change that replaces the replica on one core by one on another."""
+        """Return the change that replaces the replica on one core by the one on another core."""
         declared = self._context.sets.grantors()
-        removed = next((each for each in declared.replicas if member_of(each) == remove), remove)
+        removed = next(
+            (replica for replica in declared.replicas if member_of(replica) == remove), remove
+        )
         row = self._context.sets.cores.get(MemberId(add))
         return replace_change(removed, row.replica() if row is not None else add)
 
-    def _live(self, now: float) -> dict[MemberId, Heartbeat]:
-        """Return the live cores of this cluster, and empty ones that want to join."""
+    def _live_cores(self, now: float) -> dict[MemberId, Heartbeat]:
+        """Return the live cores of this cluster and the live empty cores that want to join it."""
         incarnation = self._context.sets.cluster_incarnation
         return {
             member: status
@@ -104,7 +108,9 @@
             declared, now
         ):
             return None
-        return close_change(forward=True) if self._is_new_majority_informed(declared, now) else None
+        return (
+            close_change(forward=True) if self._is_new_majority_up_to_date(declared, now) else None
+        )
 
     def _is_every_record_settled(self, declared: ReplicaConfig, now: float) -> bool:
         settled = ReplicaConfig(declared.replicas)
@@ -118,18 +124,22 @@
                 configs[key] = owner.record.config
         return all(configs.get(key) == settled for key in self._owners)
 
-    def _is_new_majority_informed(self, declared: ReplicaConfig, now: float) -> bool:
-        """Whether a majority of the new replicas' cores knows all that any live core knows.
+    def _is_new_majority_up_to_date(self, declared: ReplicaConfig, now: float) -> bool:
+        """Whether a majority of the new replicas' cores knows every version that a live core knows.
 
-        Cores that still counted by the old replicas may have acknowledged what these do not know.
+        Cores that still counted majorities of the old replicas may have acknowledged versions that
+        the new replicas' cores do not know yet.
         """
         chosen = {self._context.own_id: self._context.chosen_versions()}
         for member, status in self._context.cores.live(now).items():
-            versions = {each.key: each.chosen_version for each in status.keys}
+            versions = {key_status.key: key_status.chosen_version for key_status in status.keys}
             chosen[member] = {key: versions.get(key, 0) for key in DELIVERED_KEYS}
-        newest = {key: max(each[key] for each in chosen.values()) for key in DELIVERED_KEYS}
-        informed = {member for member, versions in chosen.items() if versions == newest}
-        return ReplicaConfig(declared.replicas).is_member_quorum(informed)
+        newest = {
+            key: max(core_versions[key] for core_versions in chosen.values())
+            for key in DELIVERED_KEYS
+        }
+        up_to_date = {member for member, core_versions in chosen.items() if core_versions == newest}
+        return ReplicaConfig(declared.replicas).is_member_quorum(up_to_date)
 
     def _replacement_if_due(
         self, declared: ReplicaConfig, live: dict[MemberId, Heartbeat], now: float
@@ -145,7 +155,9 @@
             return replace_change("", self._best_learner(learners, declared.replicas))
         delay_s = self._context.config.timings.replace_delay_s
         for replica in declared.replicas:
-            same_member = [each for each in learners if member_of(each) == member_of(replica)]
+            same_member = [
+                learner for learner in learners if member_of(learner) == member_of(replica)
+            ]
             if same_member:
                 return replace_change(replica, same_member[0])
         leaving = {
@@ -153,14 +165,18 @@
         }
         for replica in declared.replicas:
             if replica in leaving or self._unresponsive_s(replica, now) > delay_s:
-                rest = [each for each in declared.replicas if each != replica]
-                return replace_change(replica, self._best_learner(learners, rest))
+                remaining = [other for other in declared.replicas if other != replica]
+                return replace_change(replica, self._best_learner(learners, remaining))
         return None
 
-    def _best_learner(self, learners: list[str], rest: list[str]) -> str:
-        """Return the learner whose zone is not yet among the rest, else the first by name."""
+    def _best_learner(self, learners: list[str], remaining: list[str]) -> str:
+        """Return the first learner by name, preferably in a zone without a remaining replica."""
         cores = self._context.sets.cores
-        zones = {cores[member_of(each)].info.zone for each in rest if member_of(each) in cores}
+        zones = {
+            cores[member_of(replica)].info.zone
+            for replica in remaining
+            if member_of(replica) in cores
+        }
 
         def preference(replica: str) -> tuple[bool, str]:
             row = cores.get(member_of(replica))
--- a/src/zincvale/coordination/replication/replica_sets.py
+++ b/src/zincvale/coordination/replication/replica_sets.py
@@ -1,9 +1,10 @@
-"""The key `replica-sets`: which cores exist, and which replicas hold which keys.
+"""The key `replica-sets`: which cores exist, and which replicas store which keys.
 
-Rows: `cluster` (identity of the creation), `core/ID` (a core and its disk), `group/NAME` (the
-replicas of a group of keys, and those before a change under way), `key/NAME` (a key's group and the
-replicas it was created with). The rows declare; each key's record carries its own configuration and
-its owner moves it to the declared one.
+Rows: `cluster` (incarnation of the cluster), `core/ID` (a core and its disk), `group/NAME` (the
+replicas of a group of keys and, while a change is in progress, the previous ones), `key/NAME` (the
+group of a key and the replicas that it was created with). The rows only declare the replicas. The
+record of each key carries its own configuration, and the owner of the key moves the record to the
+declared one.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 REGISTRY_KEY = "registry"
 INTENT_KEY = "intent"
 DELIVERED_KEYS = (INTENT_KEY, REGISTRY_KEY)
-"""Keys that nodes store and whose versions they confirm; the order decides that of effects."""
+"""Keys that nodes store and whose versions they confirm. Effects are emitted in this order."""
 ROLE_KEY_PREFIX = "role/"
 DEFAULT_GROUP = "default"
 CLUSTER_ROW = "cluster"
@@ -31,19 +32,19 @@
 
 @attrs.frozen
 class CoreRow:
-    """A core as the record knows it; its vote is bound to the identity of its disk."""
+    """A declared core; its vote is bound to the identity of its disk."""
 
     info: MemberInfo
     disk: str
 
     def replica(self) -> ReplicaId:
-        """Return the replica this core is."""
+        """Return the identifier of the replica on the disk of this core."""
         return replica_id(self.info.member, self.disk)
 
 
 @attrs.frozen
 class KeyRow:
-    """A key's group, and the replicas that held its first record."""
+    """The group of a key and the replicas that stored its first record."""
 
     group: str
     initial: ReplicaConfig
@@ -51,7 +52,7 @@
 
 @attrs.frozen
 class ReplicaSets:
-    """The decoded value of the key."""
+    """The decoded value of the key `replica-sets`."""
 
     version: int = 0
     cluster_incarnation: str = ""
@@ -65,32 +66,32 @@
         return row.initial if row is not None else ReplicaConfig()
 
     def declared_config(self, key: str) -> ReplicaConfig:
-        """Return the declared configuration of the key's group."""
+        """Return the configuration that is declared for the group of `key`."""
         row = self.keys.get(key)
         return self.groups.get(row.group if row else DEFAULT_GROUP, ReplicaConfig())
 
     def grantors(self) -> ReplicaConfig:
-        """Return the cores that grant leases."""
+        """Return the configuration of the cores that grant leases."""
         return self.groups.get(DEFAULT_GROUP, ReplicaConfig())
 
 
 def encode_core(row: CoreRow) -> bytes:
-    """Return a core as a row."""
+    """Return the content of a row that declares a core."""
     return orjson.dumps({"info": attrs.asdict(row.info), "disk": row.disk})
 
 
 def encode_group(row: ReplicaConfig) -> bytes:
-    """Return a group as a row."""
+    """Return the content of a row that declares a group."""
     return orjson.dumps(attrs.asdict(row))
 
 
 def encode_key(row: KeyRow) -> bytes:
-    """Return a key as a row."""
+    """Return the content of a row that declares a key."""
     return orjson.dumps({"group": row.group, "initial": attrs.asdict(row.initial)})
 
 
 def initial_rows(cluster_incarnation: str, cores: list[CoreRow], keys: list[str]) -> Rows:
-    """Return the rows that a new cluster starts with."""
+    """Return the rows of the key `replica-sets` in a new cluster."""
     config = ReplicaConfig([row.replica() for row in cores])
     rows = {f"{CORE_PREFIX}{row.info.member}": encode_core(row) for row in cores}
     rows[f"{GROUP_PREFIX}{DEFAULT_GROUP}"] = encode_group(config)
@@ -101,7 +102,7 @@
 
 
 def decode_replica_sets(version: int, rows: Rows) -> ReplicaSets:
-    """Return the decoded value of the key."""
+    """Return the decoded rows of the key `replica-sets`."""
     sets = ReplicaSets(version, rows.get(CLUSTER_ROW, b"").decode())
     for row, value in rows.items():
         if row.startswith(CORE_PREFIX):
