--- a/src/zincvale/coordination/core/components.py
+++ b/src/zincvale/coordination/core/components.py
@@ -83,7 +83,7 @@
     def is_isolated(self, now: float) -> bool:
         """Whether this core and the cores that it hears do not form a majority of the cores."""
         live_cores = {self.context.own_id, *self.context.cores.live(now)}
-        return not self.context.sets.grantors().is_member_quorum(live_cores)
+        return not self.context.replica_sets.grantors().is_member_quorum(live_cores)
 
     def _on_chosen(self, key: str, version: int, now: float) -> None:
         if key in DELIVERED_KEYS:
--- a/src/zincvale/coordination/core/context.py
+++ b/src/zincvale/coordination/core/context.py
@@ -39,10 +39,10 @@
     replica: RegisterReplica
     cores: PeerTable
     values: dict[str, VersionedTable] = attrs.field(factory=dict)
-    sets: ReplicaSets = attrs.field(factory=ReplicaSets)
+    replica_sets: ReplicaSets = attrs.field(factory=ReplicaSets)
     topics: EphemeralTopics = attrs.field(factory=EphemeralTopics)
     members: VersionedTable = attrs.field(factory=VersionedTable)
-    notes: ChangeNotifications = attrs.field(factory=ChangeNotifications)
+    notifications: ChangeNotifications = attrs.field(factory=ChangeNotifications)
 
     leaving: bool = False
     """Whether the process was asked to stop."""
@@ -77,7 +77,7 @@
 
     def is_voter(self) -> bool:
         """Whether this process's disk is a declared replica."""
-        return self.own_replica() in self.sets.grantors().all_replicas()
+        return self.own_replica() in self.replica_sets.grantors().all_replicas()
 
     def is_learner(self) -> bool:
         """Whether this process may become a replica: it has no vote and its disk accepts writes."""
@@ -90,11 +90,11 @@
         Otherwise, cores of the majority that chose a change could still grant leases under the
         previous replicas.
         """
-        before = self.sets
-        self.sets = decode_replica_sets(version, rows)
-        for member in before.cores.keys() - self.sets.cores.keys():
+        before = self.replica_sets
+        self.replica_sets = decode_replica_sets(version, rows)
+        for member in before.cores.keys() - self.replica_sets.cores.keys():
             self.cores.remove_core(member)
-        for row in self.sets.cores.values():
+        for row in self.replica_sets.cores.values():
             self.cores.add_core(row.info)
 
     def is_voting(self) -> bool:
@@ -123,4 +123,6 @@
 
     def to_other_cores(self, message: object) -> list[Effect]:
         """Return the effects that send `message` to every other core of the cluster."""
-        return [Send(member, message) for member in self.sets.cores if member != self.own_id]
+        return [
+            Send(member, message) for member in self.replica_sets.cores if member != self.own_id
+        ]
--- a/src/zincvale/coordination/core/dispatch.py
+++ b/src/zincvale/coordination/core/dispatch.py
@@ -242,6 +242,8 @@
     components: CoreComponents, token: str, request: ReplaceReplica, now: float
 ) -> list[Effect]:
     change = components.replica_set_reconciler.operator_change(request.remove, request.add)
-    idempotency_key = f"replace:{request.remove}:{request.add}:{components.context.sets.version}"
+    idempotency_key = (
+        f"replace:{request.remove}:{request.add}:{components.context.replica_sets.version}"
+    )
     proposal = ProposeChange(REPLICA_SETS_KEY, idempotency_key, None, change)
     return components.proposal_router.propose(token, proposal, now)
--- a/src/zincvale/coordination/core/machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -192,7 +192,7 @@
 
     def take_changes(self) -> ChangeNotifications:
         """Return the notifications of changes since the last call and clear them."""
-        return self._context.notes.take()
+        return self._context.notifications.take()
 
     def applied_versions(self, key: str) -> dict[MemberId, int]:
         """Return the version of `key` that each node with a live lease last reported as applied."""
@@ -205,7 +205,7 @@
 
     def replica_sets(self) -> ReplicaSets:
         """Return the declared cores and replicas that this core uses."""
-        return self._context.sets
+        return self._context.replica_sets
 
     def replica_statuses(self, now: float) -> list[ReplicaStatus]:
         """Return the status of every core of the cluster as this core sees it."""
--- a/src/zincvale/coordination/core/queries.py
+++ b/src/zincvale/coordination/core/queries.py
@@ -20,12 +20,12 @@
     return CoreState(
         member=context.own_id,
         disk=context.disk,
-        cluster_incarnation=context.sets.cluster_incarnation,
+        cluster_incarnation=context.replica_sets.cluster_incarnation,
         voting=context.is_voting(),
         caught_up=caught_up,
         disk_failure=context.replica.failure,
         quarantined=dict(context.quarantined),
-        replicas=context.sets.grantors().all_replicas(),
+        replicas=context.replica_sets.grantors().all_replicas(),
         live_cores=[str(member) for member in context.cores.live(now)],
         keys=keys,
     )
@@ -56,11 +56,11 @@
 
 def replica_statuses(context: CoreContext, now: float) -> list[ReplicaStatus]:
     """Return the status of every core of the cluster as this core sees it."""
-    return [_replica_status(context, member, now) for member in context.sets.cores]
+    return [_replica_status(context, member, now) for member in context.replica_sets.cores]
 
 
 def _replica_status(context: CoreContext, member: MemberId, now: float) -> ReplicaStatus:
-    row = context.sets.cores[member]
+    row = context.replica_sets.cores[member]
     is_own = member == context.own_id
     status = context.cores.heartbeat_of(member)
     intent_version = context.chosen_version(INTENT_KEY) if is_own else _intent_version(status)
--- a/src/zincvale/coordination/core/tick.py
+++ b/src/zincvale/coordination/core/tick.py
@@ -74,7 +74,7 @@
     if not components.member_leases.caught_up:
         # Other cores do not grant leases before a heartbeat reports that this core owns the key.
         components.heartbeats.send_soon(now)
-    components.chosen_values.choose(key, position.version, chosen.record.rows, now)
+    components.chosen_values.record_chosen(key, position.version, chosen.record.rows, now)
     effects = components.context.to_other_cores(Chosen(key, position))
     for proposal in chosen.accepted:
         if key in DELIVERED_KEYS:
@@ -102,7 +102,9 @@
 def _tick_owners(components: CoreComponents, now: float) -> list[Effect]:
     effects: list[Effect] = []
     for key, owner in components.owners.items():
-        effects.extend(owner.tick(components.context.sets.declared_config(key).replicas, now))
+        effects.extend(
+            owner.tick(components.context.replica_sets.declared_config(key).replicas, now)
+        )
     return effects
 
 
--- a/src/zincvale/coordination/delivery/applied_versions.py
+++ b/src/zincvale/coordination/delivery/applied_versions.py
@@ -44,8 +44,8 @@
         if not tracker.is_stale:
             return []
         rules = QuorumRules(
-            grantors=self._context.sets.grantors(),
-            config_version=self._context.sets.version,
+            grantors=self._context.replica_sets.grantors(),
+            config_version=self._context.replica_sets.version,
             registry_version=self._context.chosen_version(REGISTRY_KEY),
             node_sets=self._quorum_sets(),
         )
@@ -95,7 +95,7 @@
             version=lowest_version,
             nodes=self._grantor.confirming_nodes(confirmed_versions, now),
             chosen=chosen,
-            config_version=self._context.sets.version,
+            config_version=self._context.replica_sets.version,
         )
 
     def _quorum_sets(self) -> list[list[str]]:
--- a/src/zincvale/coordination/delivery/topic_replicator.py
+++ b/src/zincvale/coordination/delivery/topic_replicator.py
@@ -58,5 +58,5 @@
         return effects
 
     def _record_update(self, topic: str, now: float) -> None:
-        self._context.notes.topics.add(topic)
+        self._context.notifications.topics.add(topic)
         self._poll_server.on_ephemeral_update(now)
--- a/src/zincvale/coordination/election/leader_election.py
+++ b/src/zincvale/coordination/election/leader_election.py
@@ -77,7 +77,11 @@
     def state(self, role: str, now: float) -> LeadershipState:
         """Return whether this process leads `role`, under which epoch and until when."""
         holder = self._holders.get(role)
-        return holder.state(self._context.sets.grantors(), now) if holder else LeadershipState()
+        return (
+            holder.state(self._context.replica_sets.grantors(), now)
+            if holder
+            else LeadershipState()
+        )
 
     def last_granted(self, now: float) -> dict[str, tuple[MemberId | None, int]]:
         """Return the holder and epoch of this core's last grant of each role; else (None, 0)."""
@@ -104,7 +108,7 @@
         for role, holder in self._holders.items():
             if holder.phase is not LeasePhase.IDLE:
                 released = LeadershipReleased(role, holder.epoch)
-                members = self._context.sets.grantors().members()
+                members = self._context.replica_sets.grantors().members()
                 effects.extend(Send(member, released) for member in members)
             holder.give_up(float("inf"))
         return effects + self._record_leadership_changes(now)
@@ -117,18 +121,18 @@
     ) -> list[Effect]:
         """Apply a message about leader leases."""
         holder = self._holders.get(message.role)
-        sets = self._context.sets
+        sets = self._context.replica_sets
         match message:
             case RequestLeadership():
                 newest_epoch = self._context.chosen_version(f"{ROLE_KEY_PREFIX}{message.role}")
-                config_version = self._context.sets.version
+                config_version = self._context.replica_sets.version
                 return [self._grantor.handle(sender, message, newest_epoch, config_version, now)]
             case LeadershipReleased(role, epoch):
                 self._grantor.release(sender, role, epoch)
             case LeadershipGranted(_, _, _, config_version) if config_version > sets.version:
                 return []
             case LeadershipGranted() if holder is not None:
-                holder.on_granted(sender, message, self._context.sets.grantors(), now)
+                holder.on_granted(sender, message, self._context.replica_sets.grantors(), now)
             case LeadershipRefused() if holder is not None:
                 holder.on_refused(message, now)
         return self._record_leadership_changes(now)
@@ -139,7 +143,7 @@
         if result.status != IN_FORCE:
             holder.give_up(now + self._context.config.timings.role_renew_s)
             return []
-        return holder.on_epoch_chosen(result.version, self._context.sets.grantors(), now)
+        return holder.on_epoch_chosen(result.version, self._context.replica_sets.grantors(), now)
 
     def tick(self, now: float) -> tuple[list[Effect], list[str]]:
         """Renew leases; return the effects, and the roles for which to propose a new epoch."""
@@ -148,7 +152,7 @@
         effects: list[Effect] = []
         roles_to_propose: list[str] = []
         for role, holder in self._holders.items():
-            effects.extend(holder.tick(self._context.sets.grantors(), now))
+            effects.extend(holder.tick(self._context.replica_sets.grantors(), now))
             if holder.phase is LeasePhase.IDLE and self._should_become_candidate(role, holder, now):
                 holder.start_candidacy(now)
                 roles_to_propose.append(role)
@@ -163,7 +167,7 @@
         """
         context = self._context
         live = context.cores.live(now)
-        grantors = context.sets.grantors().members()
+        grantors = context.replica_sets.grantors().members()
         for member in grantors:
             if member == context.own_id:
                 continue
@@ -204,7 +208,9 @@
         if self._grantor.may_be_leased_elsewhere(role, self._context.own_id, now):
             return False
         live = self._context.cores.live(now)
-        if not self._context.sets.grantors().is_member_quorum({self._context.own_id, *live}):
+        if not self._context.replica_sets.grantors().is_member_quorum(
+            {self._context.own_id, *live}
+        ):
             # A proposal made while cut off would be chosen as soon as the connection returns.
             return False
         if any(role in status.leased_roles for status in live.values()):
@@ -226,6 +232,6 @@
             effects.append(Log(log_events.ROLE_TAKEN, {"role": role, "epoch": epoch}))
         for role in self._led_roles - led_roles:
             effects.append(Log(log_events.ROLE_LOST, {"role": role}))
-        self._context.notes.roles |= led_roles ^ self._led_roles
+        self._context.notifications.roles |= led_roles ^ self._led_roles
         self._led_roles = led_roles
         return effects
--- a/src/zincvale/coordination/leases/core_leases.py
+++ b/src/zincvale/coordination/leases/core_leases.py
@@ -50,21 +50,21 @@
         context.cores.record_address(renewal.info)
         if not self.caught_up or not context.is_voter() or now < context.grants_blocked_until:
             return LeaseRedirect(self.core_infos(), "this core cannot grant yet")
-        knows_replica_sets = renewal.config_version == context.sets.version
+        knows_replica_sets = renewal.config_version == context.replica_sets.version
         return LeaseGranted(
             requested_at=renewal.requested_at,
-            config_version=context.sets.version,
-            grantors=ReplicaConfig() if knows_replica_sets else context.sets.grantors(),
+            config_version=context.replica_sets.version,
+            grantors=ReplicaConfig() if knows_replica_sets else context.replica_sets.grantors(),
             required=self.grantor.renew(renewal, newest_versions, now),
             chosen=context.chosen_versions(),
             cores=[] if knows_replica_sets else self.core_infos(),
-            cluster_incarnation=context.sets.cluster_incarnation,
+            cluster_incarnation=context.replica_sets.cluster_incarnation,
             fence=context.newest_role_epoch(),
         )
 
     def core_infos(self) -> list[MemberInfo]:
         """Return the addresses and zones of the cluster's cores; of this core if none is known."""
-        infos = [row.info for row in self._context.sets.cores.values()]
+        infos = [row.info for row in self._context.replica_sets.cores.values()]
         return infos if infos else [self._context.info()]
 
     def report_if_complete(self, now: float) -> list[Effect]:
--- a/src/zincvale/coordination/leases/renewal_batcher.py
+++ b/src/zincvale/coordination/leases/renewal_batcher.py
@@ -84,7 +84,7 @@
             return []
         batch = RelayedRenewals(self._collected)
         self._collected = []
-        members = self._context.sets.grantors().members()
+        members = self._context.replica_sets.grantors().members()
         return [Send(member, batch) for member in members if member != self._context.own_id]
 
     def tick(self, now: float) -> list[Effect]:
@@ -93,7 +93,7 @@
         return [_reply_with_grants(self._pending.pop(node)) for node in overdue]
 
     def _is_complete(self, pending: _PendingRenewal) -> bool:
-        return self._context.sets.grantors().is_member_quorum(pending.grants)
+        return self._context.replica_sets.grantors().is_member_quorum(pending.grants)
 
 
 def _reply_with_grants(pending: _PendingRenewal) -> Reply:
--- a/src/zincvale/coordination/membership/heartbeats.py
+++ b/src/zincvale/coordination/membership/heartbeats.py
@@ -97,7 +97,7 @@
         return Heartbeat(
             info=context.info(),
             disk=context.disk,
-            cluster_incarnation=context.sets.cluster_incarnation,
+            cluster_incarnation=context.replica_sets.cluster_incarnation,
             bootstrapping=context.config.bootstrap,
             voting=context.is_voting() and not context.leaving,
             can_learn=context.is_learner() and not context.leaving,
@@ -115,7 +115,7 @@
         """Return the other cores; also the seeds until replica sets or a heartbeat are known."""
         context = self._context
         targets = context.cores.known_cores()
-        if context.sets.cores or context.cores.live(context.started_at):
+        if context.replica_sets.cores or context.cores.live(context.started_at):
             return targets
         seeds = [member_at(seed) for seed in context.config.seeds]
         return [*targets, *seeds]
--- a/src/zincvale/coordination/membership/member_table.py
+++ b/src/zincvale/coordination/membership/member_table.py
@@ -43,7 +43,7 @@
         if not puts and not deletes:
             return False
         self._context.members.change(self._context.members.version + 1, puts, deletes)
-        self._context.notes.members = True
+        self._context.notifications.members = True
         return True
 
     def _put_if_changed(self, member: str, row: bytes, puts: dict[str, bytes]) -> None:
@@ -55,7 +55,7 @@
         rows = {
             str(member): encode_member(status.info, status.voting)
             for member, status in context.cores.live(now).items()
-            if member in context.sets.cores
+            if member in context.replica_sets.cores
         }
         rows[str(context.own_id)] = encode_member(context.info(), context.is_voting())
         puts = {member: row for member, row in rows.items() if self._core_rows.get(member) != row}
--- a/src/zincvale/coordination/registers/chosen_values.py
+++ b/src/zincvale/coordination/registers/chosen_values.py
@@ -36,7 +36,7 @@
         self._on_chosen = on_chosen
         self._fetched_at: dict[str, float] = {}
 
-    def choose(self, key: str, version: int, rows: Rows, now: float) -> None:
+    def record_chosen(self, key: str, version: int, rows: Rows, now: float) -> None:
         """Store a value that is known to be chosen, unless it is older than the stored one."""
         table = self._context.values.setdefault(key, VersionedTable())
         if version <= table.version:
@@ -49,13 +49,13 @@
         record = self._context.replica.state(accept.key).record
         same_epoch = record.position.epoch == accept.epoch
         if same_epoch and record.position.version <= accept.chosen_version:
-            self.choose(accept.key, record.position.version, record.rows, now)
+            self.record_chosen(accept.key, record.position.version, record.rows, now)
 
     def handle_chosen(self, sender: MemberId, chosen: Chosen, now: float) -> list[Effect]:
         """Store the record accepted here if it is the chosen one, else fetch the chosen value."""
         record = self._context.replica.state(chosen.key).record
         if record.position == chosen.position:
-            self.choose(chosen.key, record.position.version, record.rows, now)
+            self.record_chosen(chosen.key, record.position.version, record.rows, now)
             return []
         return self._fetch(sender, chosen.key, chosen.position.version, now)
 
@@ -95,5 +95,5 @@
     def _on_newer_value(self, key: str, table: VersionedTable, now: float) -> None:
         if key == REPLICA_SETS_KEY:
             self._context.use_replica_sets(table.version, table.rows)
-        self._context.notes.keys.add(key)
+        self._context.notifications.keys.add(key)
         self._on_chosen(key, table.version, now)
--- a/src/zincvale/coordination/registers/cluster_creation.py
+++ b/src/zincvale/coordination/registers/cluster_creation.py
@@ -139,7 +139,7 @@
             return []
         effects: list[Effect] = []
         for member, status in context.cores.live(now).items():
-            row = context.sets.cores.get(member)
+            row = context.replica_sets.cores.get(member)
             if row is not None and row.disk == status.disk and not status.cluster_incarnation:
                 effects.append(Send(member, CreateCluster(status.disk, record.to_update())))
         return effects
--- a/src/zincvale/coordination/registers/ownership.py
+++ b/src/zincvale/coordination/registers/ownership.py
@@ -75,14 +75,14 @@
 
     def _take(self, key: str, owner: RegisterOwner, now: float) -> list[Effect]:
         context = self._context
-        initial_config = context.sets.initial_config(key)
+        initial_config = context.replica_sets.initial_config(key)
         known_config = context.replica.state(key).record.config
         if not known_config.replicas:
             known_config = initial_config
         jitter_s = context.random_source.uniform(0.0, RETRY_JITTER_S)
         owner.retry_at = now + context.config.timings.prepare_timeout_s + jitter_s
         return owner.start(
-            known_config, initial_config, context.sets.declared_config(key).replicas, now
+            known_config, initial_config, context.replica_sets.declared_config(key).replicas, now
         )
 
     def _record_claim(self, sender: MemberId, key_status: KeyStatus, now: float) -> None:
@@ -134,7 +134,7 @@
         if self._context.replica.state(key).record.config.replicas:
             return True
         chosen = self._context.chosen_version(REPLICA_SETS_KEY) > 0
-        return chosen and bool(self._context.sets.initial_config(key).replicas)
+        return chosen and bool(self._context.replica_sets.initial_config(key).replicas)
 
     def _rank(self, key: str, now: float) -> int:
         candidates = [self._context.own_id]
--- a/src/zincvale/coordination/registers/value_repair.py
+++ b/src/zincvale/coordination/registers/value_repair.py
@@ -53,7 +53,7 @@
     def record_renewal(self, sender: MemberId, renewal: RenewLease) -> None:
         """Record what a node reports; its versions count only if it belongs to this cluster."""
         self._renewed_nodes.add(sender)
-        incarnation = self._context.sets.cluster_incarnation
+        incarnation = self._context.replica_sets.cluster_incarnation
         if not incarnation or renewal.cluster_incarnation != incarnation:
             return
         self._newest_fencing_epoch = max(self._newest_fencing_epoch, renewal.fence)
--- a/src/zincvale/coordination/replication/replica_set_reconciler.py
+++ b/src/zincvale/coordination/replication/replica_set_reconciler.py
@@ -48,31 +48,33 @@
             return None
         self._check_at = now + CHECK_INTERVAL_S
         live = self._live_cores(now)
-        declared = self._context.sets.grantors()
+        declared = self._context.replica_sets.grantors()
         self._update_unresponsive(declared, live, now)
         for member, status in live.items():
-            row = self._context.sets.cores.get(member)
+            row = self._context.replica_sets.cores.get(member)
             if row is None or row.disk != status.disk or row.info != status.info:
                 return join_change(status.info, status.disk)
         if declared.previous:
             return self._settle_change_if_due(declared, now)
-        undeclared_keys = [key for key in self._owners if key not in self._context.sets.keys]
+        undeclared_keys = [
+            key for key in self._owners if key not in self._context.replica_sets.keys
+        ]
         if undeclared_keys:
             return keys_change(undeclared_keys)
         return self._replacement_if_due(declared, live, now) or self._removal_if_due(live, now)
 
     def operator_change(self, remove: str, add: str) -> bytes:
         """Return the change that replaces the replica on one core by the one on another core."""
-        declared = self._context.sets.grantors()
+        declared = self._context.replica_sets.grantors()
         removed = next(
             (replica for replica in declared.replicas if member_of(replica) == remove), remove
         )
-        row = self._context.sets.cores.get(MemberId(add))
+        row = self._context.replica_sets.cores.get(MemberId(add))
         return replace_change(removed, row.replica() if row is not None else add)
 
     def _live_cores(self, now: float) -> dict[MemberId, Heartbeat]:
         """Return the live cores of this cluster and the live empty cores that want to join it."""
-        incarnation = self._context.sets.cluster_incarnation
+        incarnation = self._context.replica_sets.cluster_incarnation
         return {
             member: status
             for member, status in self._context.cores.live(now).items()
@@ -94,7 +96,7 @@
         return now - self._unresponsive_since.get(replica, now)
 
     def _settle_change_if_due(self, declared: ReplicaConfig, now: float) -> bytes | None:
-        version = self._context.sets.version
+        version = self._context.replica_sets.version
         if self._context.chosen_version(REPLICA_SETS_KEY) != version:
             return None
         if self._joint_since[0] != version:
@@ -171,7 +173,7 @@
 
     def _best_learner(self, learners: list[str], remaining: list[str]) -> str:
         """Return the first learner by name, preferably in a zone without a remaining replica."""
-        cores = self._context.sets.cores
+        cores = self._context.replica_sets.cores
         zones = {
             cores[member_of(replica)].info.zone
             for replica in remaining
@@ -185,8 +187,8 @@
         return min(learners, key=preference)
 
     def _removal_if_due(self, live: dict[MemberId, Heartbeat], now: float) -> bytes | None:
-        members = self._context.sets.grantors().members()
-        for member in self._context.sets.cores:
+        members = self._context.replica_sets.grantors().members()
+        for member in self._context.replica_sets.cores:
             if member in members or member in live or member == self._context.own_id:
                 self._unresponsive_since.pop(f"core {member}", None)
             elif (
--- a/src/zincvale/simulator/mutations/registers.py
+++ b/src/zincvale/simulator/mutations/registers.py
@@ -181,7 +181,7 @@
         before = self._context.replica.state(message.key).record
         record = apply_update(before, message.update)
         if record is not None:
-            self.choose(message.key, record.position.version, record.rows, now)
+            self.record_chosen(message.key, record.position.version, record.rows, now)
 
     with mock.patch.object(ChosenValues, "handle_accept", eager):
         yield
--- a/tests/coordination/core/test_standby_machine.py
+++ b/tests/coordination/core/test_standby_machine.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from tests.coordination.pump import CORES, Cluster
+from tests.coordination.simulated_cluster import CORES, Cluster
 from zincvale.coordination import log_events
 from zincvale.coordination.core.messages import RequestCores
 from zincvale.coordination.core.standby_machine import (
@@ -106,7 +106,7 @@
     def started(self, group_size: int = 3) -> Cluster:
         cluster = Cluster(nodes=1, group_size=group_size)
         cluster.start_standby(STANDBY)
-        return cluster.started()
+        return cluster.run_until_ready()
 
     def test_a_node_whose_only_seed_is_a_standby_gets_ready(self) -> None:
         cluster = self.started()
@@ -155,7 +155,7 @@
         cluster = Cluster(seed, nodes=1, group_size=5)
         for name in ("core-4", "core-5"):
             cluster.start_core(name)
-        cluster.started()
+        cluster.run_until_ready()
         sets = cluster.core("core-1").replica_sets
         is_grown = cluster.run_until(
             lambda: len(sets().grantors().replicas) == 5 and not sets().grantors().previous, 40.0
--- a/tests/coordination/election/test_hand_over.py
+++ b/tests/coordination/election/test_hand_over.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from tests.coordination.pump import CORES, Cluster
+from tests.coordination.simulated_cluster import CORES, Cluster
 from zincvale.coordination.config import Timings
 from zincvale.daemons.forwarding_timings import forwarding_timings
 from zincvale.model.machine import ShutdownRequested
@@ -22,7 +22,7 @@
 
 
 def cluster_with_leader(seed: int = 1, timings: Timings | None = None) -> Cluster:
-    cluster = Cluster(seed=seed, timings=timings).started()
+    cluster = Cluster(seed=seed, timings=timings).run_until_ready()
     assert cluster.run_until(lambda: bool(leader_of(cluster)), 30.0)
     cluster.run(1.0)
     return cluster
@@ -32,7 +32,7 @@
     def test_a_stopping_leader_is_replaced_within_seconds(self) -> None:
         cluster = cluster_with_leader(timings=Timings(candidate_stagger_s=0.3))
         leader = leader_of(cluster)
-        cluster._feed(cluster.processes[leader], ShutdownRequested())
+        cluster._handle_input(cluster.processes[leader], ShutdownRequested())
         self.assertFalse(cluster.core(leader).role(ROLE, cluster.now).is_leader)
         self.assertTrue(cluster.run_until(lambda: leader_of(cluster) not in ("", leader), 2.5))
 
@@ -40,7 +40,7 @@
         cluster = cluster_with_leader()
         owner = cluster.owner_of("intent")
         other_cores = [core for core in CORES if core != owner]
-        cluster._feed(cluster.processes[owner], ShutdownRequested())
+        cluster._handle_input(cluster.processes[owner], ShutdownRequested())
         result = cluster.change(other_cores[0], "o1", {"a": "1"})
         self.assertEqual("in-force", result.status)
         repeated = cluster.change(other_cores[1], "o1", {"a": "1"})
@@ -52,7 +52,7 @@
         )
         cluster.start_core("core-4")
         cluster.run(1.0)
-        cluster._feed(cluster.processes["core-2"], ShutdownRequested())
+        cluster._handle_input(cluster.processes["core-2"], ShutdownRequested())
         self.assertFalse(cluster.core("core-2").may_stop(cluster.now))
 
         def moved() -> bool:
@@ -131,7 +131,7 @@
     READY_WITHIN_S = 0.45
 
     def seconds_until_ready(self, seed: int) -> float:
-        cluster = Cluster(seed=seed, timings=forwarding_timings()).started()
+        cluster = Cluster(seed=seed, timings=forwarding_timings()).run_until_ready()
         cluster.run(4.0)
         nodes = [member for member in cluster.processes if member not in CORES]
         for member in list(cluster.processes):
--- a/tests/coordination/membership/test_heartbeats.py
+++ b/tests/coordination/membership/test_heartbeats.py
@@ -7,7 +7,7 @@
 import attrs
 import testtools
 
-from tests.coordination.pump import CORES, TICK_S, Cluster
+from tests.coordination.simulated_cluster import CORES, TICK_S, Cluster
 from zincvale.coordination.core.messages import (
     Heartbeat,
     RequestHeartbeat,
@@ -54,7 +54,7 @@
 class HeartbeatTest(testtools.TestCase):
     def settled_cluster(self) -> RecordingCluster:
         cluster = RecordingCluster(nodes=1)
-        cluster.started()
+        cluster.run_until_ready()
         cluster.run(10.0)
         cluster.sent_messages.clear()
         return cluster
@@ -70,7 +70,7 @@
 
     def test_an_unchanged_heartbeat_is_less_than_a_fifth_of_a_full_one(self) -> None:
         cluster = RecordingCluster(nodes=1)
-        cluster.started()
+        cluster.run_until_ready()
         cluster.run(5.0)
         full = encode_message(cluster.messages_of(Heartbeat)[-1].message)
         unchanged = encode_message(cluster.messages_of(UnchangedHeartbeat)[-1].message)
--- a/tests/coordination/registers/test_cluster_creation.py
+++ b/tests/coordination/registers/test_cluster_creation.py
@@ -64,15 +64,15 @@
     def test_the_newest_accepted_replica_sets_are_used(self) -> None:
         self.accept(FIRST_OWNER, 1, "core-1", "core-2")
         self.accept(FIRST_OWNER, 2, "core-1", "core-2", "core-3")
-        self.assertEqual(2, self.context.sets.version)
+        self.assertEqual(2, self.context.replica_sets.version)
 
     def test_replica_sets_that_were_never_chosen_are_rolled_back(self) -> None:
         """An isolated owner stores a change only on its own disk; the next owner overwrites it."""
         self.accept(FIRST_OWNER, 1, "core-1", "core-2")
         self.accept(FIRST_OWNER, 2, "core-1", "core-2", "core-3")
         self.accept(SECOND_OWNER, 1, "core-1", "core-2")
-        self.assertEqual(1, self.context.sets.version)
-        self.assertNotIn(MemberId("core-3"), self.context.sets.cores)
+        self.assertEqual(1, self.context.replica_sets.version)
+        self.assertNotIn(MemberId("core-3"), self.context.replica_sets.cores)
 
     def test_replica_sets_known_to_be_chosen_are_never_rolled_back(self) -> None:
         self.accept(FIRST_OWNER, 1, "core-1", "core-2")
@@ -81,4 +81,4 @@
         chosen.replace(3, self.replica.state(REPLICA_SETS_KEY).record.rows)
         self.context.values[REPLICA_SETS_KEY] = chosen
         self.accept(SECOND_OWNER, 1, "core-1", "core-2")
-        self.assertEqual(3, self.context.sets.version)
+        self.assertEqual(3, self.context.replica_sets.version)
--- a/tests/coordination/pump.py
+++ b/tests/coordination/simulated_cluster.py
@@ -194,7 +194,7 @@
         process.frozen_at = None
         backlog, process.backlog = process.backlog, []
         for event in [ClockJumped(gap), *backlog]:
-            self._feed(process, event)
+            self._handle_input(process, event)
 
     def cut(self, one: str, other: str) -> None:
         self.cut_links |= {(one, other), (other, one)}
@@ -227,7 +227,7 @@
     def call(self, member: str, message: Any) -> str:
         """Call a process locally; the reply appears in `replies` under the returned token."""
         token = f"operator:{next(self._counter)}"
-        self._feed(self.processes[member], CallReceived(MemberId(member), token, message))
+        self._handle_input(self.processes[member], CallReceived(MemberId(member), token, message))
         return token
 
     def propose(self, member: str, order: str, change: Any, base: int | None = None) -> str:
@@ -241,7 +241,7 @@
         assert isinstance(result, ChangeResult)
         return result
 
-    def started(self) -> Cluster:
+    def run_until_ready(self) -> Cluster:
         """Run until every node is ready."""
         assert self.run_until(self.all_ready, 12.0), self.logs
         return self
@@ -292,11 +292,11 @@
         if isinstance(event, Tick):
             self._schedule(self.now + TICK_S, process, event)
         if process.frozen_at is None:
-            self._feed(process, event)
+            self._handle_input(process, event)
         elif not isinstance(event, Tick):
             process.backlog.append(event)
 
-    def _feed(self, process: Process, event: Input) -> None:
+    def _handle_input(self, process: Process, event: Input) -> None:
         for effect in process.machine.handle(event, self.now):
             match effect:
                 case Send(to, message):
--- a/tests/coordination/test_failures.py
+++ b/tests/coordination/test_failures.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from tests.coordination.pump import CORES, Cluster
+from tests.coordination.simulated_cluster import CORES, Cluster
 
 NO_SPACE = "No space left on device"
 
@@ -14,7 +14,7 @@
         return [core for core in CORES if core != member]
 
     def test_changes_go_on_when_the_owner_dies(self) -> None:
-        cluster = Cluster().started()
+        cluster = Cluster().run_until_ready()
         cluster.change("core-1", "o1", {"a": "1"})
         owner = cluster.owner_of("intent")
         cluster.kill(owner)
@@ -25,7 +25,7 @@
         self.assertEqual(("in-force", 1), (again.status, again.version))
 
     def test_a_lost_answer_is_given_again_by_a_new_owner(self) -> None:
-        cluster = Cluster().started()
+        cluster = Cluster().run_until_ready()
         owner = cluster.owner_of("intent")
         cluster.propose(owner, "o1", {"a": "1"}, base=0)
         cluster.run(0.03)
@@ -34,7 +34,7 @@
         self.assertEqual(("in-force", 1), (result.status, result.version))
 
     def test_a_frozen_owner_does_not_roll_back(self) -> None:
-        cluster = Cluster().started()
+        cluster = Cluster().run_until_ready()
         owner = cluster.owner_of("intent")
         cluster.change(owner, "o1", {"a": "1"})
         cluster.freeze(owner)
@@ -48,7 +48,7 @@
         self.assertEqual({"a": b"2"}, cluster.core(owner).value("intent").rows)
 
     def test_a_frozen_role_holder_wakes_without_its_role(self) -> None:
-        cluster = Cluster().started()
+        cluster = Cluster().run_until_ready()
         cluster.run(5.0)
         holder = next(
             core for core in CORES if cluster.core(core).role("placer", cluster.now).is_leader
@@ -62,7 +62,7 @@
         self.assertGreater(max(state.epoch for state in states), epoch)
 
     def test_a_minority_core_confirms_nothing(self) -> None:
-        cluster = Cluster().started()
+        cluster = Cluster().run_until_ready()
         owner = cluster.owner_of("intent")
         cluster.isolate([owner])
         lonely = cluster.change(owner, "o1", {"a": "1"})
@@ -74,7 +74,7 @@
         self.assertEqual({"a": b"2"}, cluster.core(owner).value("intent").rows)
 
     def test_a_node_that_polls_an_isolated_core_still_gets_changes(self) -> None:
-        cluster = Cluster(nodes=6).started()
+        cluster = Cluster(nodes=6).run_until_ready()
         for core in self.others("core-1"):
             cluster.cut("core-1", core)
         cluster.run(3.0)
@@ -83,13 +83,13 @@
         self.assertTrue(cluster.all_ready())
 
     def test_a_dead_node_does_not_block_changes(self) -> None:
-        cluster = Cluster(nodes=5).started()
+        cluster = Cluster(nodes=5).run_until_ready()
         cluster.run(2.0)
         cluster.kill("node-1")
         self.assertEqual("in-force", cluster.change("core-1", "o1", {"a": "1"}).status)
 
     def test_a_frozen_node_refreshes_before_it_is_ready(self) -> None:
-        cluster = Cluster(nodes=5).started()
+        cluster = Cluster(nodes=5).run_until_ready()
         cluster.run(2.0)
         cluster.freeze("node-1")
         cluster.change("core-1", "o1", {"a": "1"})
@@ -101,7 +101,7 @@
         self.assertEqual(1, cluster.node("node-1").intent().version)
 
     def test_full_disk_stops_the_vote_and_comes_back(self) -> None:
-        cluster = Cluster().started()
+        cluster = Cluster().run_until_ready()
         cluster.disks["core-1"].error = NO_SPACE
         self.assertEqual("in-force", cluster.change("core-1", "o1", {"a": "1"}).status)
         self.assertEqual("in-force", cluster.change("core-2", "o2", {"a": "2"}).status)
@@ -117,7 +117,7 @@
         self.assertEqual("in-force", cluster.change("core-3", "o3", {"a": "3"}).status)
 
     def test_readiness_survives_the_restart_of_every_core(self) -> None:
-        cluster = Cluster(nodes=5).started()
+        cluster = Cluster(nodes=5).run_until_ready()
         cluster.run(2.0)
         for core in CORES:
             cluster.kill(core)
@@ -134,7 +134,7 @@
 
 class IslandsTest(testtools.TestCase):
     def test_a_minority_island_turns_unready_and_changes_go_on(self) -> None:
-        cluster = Cluster(nodes=5).started()
+        cluster = Cluster(nodes=5).run_until_ready()
         cluster.run(2.0)
         cluster.isolate(["node-1", "node-2"])
         result = cluster.change("core-1", "o1", {"a": "1"})
@@ -145,7 +145,7 @@
         self.assertTrue(cluster.all_ready())
 
     def test_a_majority_island_serves_and_nothing_is_acknowledged(self) -> None:
-        cluster = Cluster(nodes=5).started()
+        cluster = Cluster(nodes=5).run_until_ready()
         cluster.run(2.0)
         island = ["node-1", "node-2", "node-3"]
         cluster.isolate(island)
@@ -162,14 +162,14 @@
         """Also while the registry still takes the nodes in."""
         for seed in range(1, 4):
             for began_s in (0.0, 0.3, 0.7, 1.0, 1.5):
-                cluster = Cluster(seed=seed, nodes=5).started()
+                cluster = Cluster(seed=seed, nodes=5).run_until_ready()
                 cluster.run(began_s)
                 cluster.isolate(["node-1", "node-2", "node-3"])
                 result = cluster.change("core-1", "o1", {"a": "1"})
                 self.assertEqual("not-confirmed", result.status, (seed, began_s))
 
     def test_a_node_without_a_core_is_fresh_through_a_peer(self) -> None:
-        cluster = Cluster(nodes=3).started()
+        cluster = Cluster(nodes=3).run_until_ready()
         cluster.run(2.0)
         for core in CORES:
             cluster.cut("node-1", core)
@@ -185,7 +185,7 @@
         return sorted(replica.partition("/")[0] for replica in replicas)
 
     def test_an_empty_core_at_a_new_address_replaces_a_dead_one(self) -> None:
-        cluster = Cluster(nodes=5).started()
+        cluster = Cluster(nodes=5).run_until_ready()
         cluster.change("core-1", "o1", {"a": "1"})
         cluster.kill("core-3")
         cluster.start_core("core-4")
@@ -201,7 +201,7 @@
         self.assertEqual({"a": b"1", "b": b"2"}, cluster.core("core-4").value("intent").rows)
 
     def test_all_seeds_are_replaced_one_after_the_other(self) -> None:
-        cluster = Cluster(nodes=5).started()
+        cluster = Cluster(nodes=5).run_until_ready()
         cluster.change("core-1", "o1", {"a": "1"})
         for index, old in enumerate(CORES):
             cluster.kill(old)
@@ -213,7 +213,7 @@
         self.assertEqual("in-force", cluster.change("core-5", "o2", {"a": "2"}, base=1).status)
 
     def test_a_lost_disk_has_no_vote_until_it_copied_everything(self) -> None:
-        cluster = Cluster(nodes=3).started()
+        cluster = Cluster(nodes=3).run_until_ready()
         cluster.change("core-1", "o1", {"a": "1"})
         cluster.kill("core-2")
         cluster.lose_disk("core-2")
@@ -225,7 +225,7 @@
         self.assertEqual(["core-1", "core-2", "core-3"], self.replicas(cluster, "core-1"))
 
     def test_a_majority_of_empty_disks_creates_nothing(self) -> None:
-        cluster = Cluster(nodes=3).started()
+        cluster = Cluster(nodes=3).run_until_ready()
         cluster.change("core-1", "o1", {"a": "1"})
         for core in CORES:
             cluster.kill(core)
@@ -237,7 +237,7 @@
         self.assertIn(2011, [log.number for _, _, log in cluster.logs])
 
     def test_nodes_give_back_what_every_disk_lost(self) -> None:
-        cluster = Cluster(nodes=3).started()
+        cluster = Cluster(nodes=3).run_until_ready()
         cluster.run(5.0)
         cluster.change("core-1", "o1", {"a": "1"})
         epoch = max(cluster.core(core).role("placer", cluster.now).epoch for core in CORES)
--- a/tests/coordination/test_ordinary_path.py
+++ b/tests/coordination/test_ordinary_path.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from tests.coordination.pump import CORES, Cluster
+from tests.coordination.simulated_cluster import CORES, Cluster
 from zincvale.coordination.delivery.messages import PublishTopic
 
 
