--- a/src/zincvale/controlplane/placement/config.py
+++ b/src/zincvale/controlplane/placement/config.py
@@ -17,7 +17,7 @@
     plan_interval_s : the systems run at most this often.
     order_lifetime_s : an order that was sent can reach its server no later than this, counted
         from sending; the runtime's order timeout must be shorter by the network's delay.
-    orders_from_s : a new leader gives no order before it has led for this long.
+    first_order_delay_s : a new leader gives no order before it has led for this long.
     confirmation_interval_s : a server that responded to two status requests this far apart has
         handled whatever was waiting in its sockets before the first.
     takeover_limit_s : a new leader waits at most this long for unresponsive servers before it uses
@@ -64,8 +64,9 @@
         ones end, so that an unload needs no report of the nodes.
     adapters_add_replicas : a model gets more replicas when its adapters in demand do not fit beside
         the present ones.
-    crowds_count_as_waiting : requests that crowd a model's replicas count like those that wait, and
-        nothing else adds replicas at once; what nobody waits for is loaded while the store is idle.
+    overload_counts_as_waiting : requests that crowd a model's replicas count like those that wait,
+        and nothing else adds replicas at once; what nobody waits for is loaded while the store is
+        idle.
     serial_orders : a server carries out one order at a time; the next waits for its end.
     servers_keep_weights : a server keeps on its own disk what it loaded, and loads it from there in
         another time than from the store.
@@ -74,7 +75,7 @@
 
     plan_interval_s: float = 0.1
     order_lifetime_s: float = 3.0
-    orders_from_s: float = 0.0
+    first_order_delay_s: float = 0.0
     confirmation_interval_s: float = 1.0
     takeover_limit_s: float = 15.0
     unresponsive_release_s: float = 120.0
@@ -120,7 +121,7 @@
     one_status_confirms: bool = False
     servers_guard_unloads: bool = False
     adapters_add_replicas: bool = False
-    crowds_count_as_waiting: bool = False
+    overload_counts_as_waiting: bool = False
     serial_orders: bool = False
     servers_keep_weights: bool = False
     confirms_orders: bool = False
--- a/src/zincvale/controlplane/placement/desired_replicas.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -91,7 +91,7 @@
         keep = math.ceil(item.concurrency / (slots * config.release_utilization))
         by_load = min(item.desired, max(keep, by_load))
     pressed = pressure > 0 and now - item.waiting_since > PRESSURE_DELAY_S
-    if pressed and pending == 0 and not config.crowds_count_as_waiting:
+    if pressed and pending == 0 and not config.overload_counts_as_waiting:
         by_load = max(by_load, ready + 1)
     desired = max(
         item.min_replicas,
--- a/src/zincvale/controlplane/placement/leadership.py
+++ b/src/zincvale/controlplane/placement/leadership.py
@@ -40,9 +40,9 @@
     leadership.acts_until = event.acts_until
     leadership.gained_at = now
     leadership.stores_open = False
-    leadership.orders_from = now + placement.config.orders_from_s
+    leadership.orders_from = now + placement.config.first_order_delay_s
     for store in placement.stores.values():
-        store.assume_begun(placement.config.orders_from_s, now)
+        store.assume_begun(placement.config.first_order_delay_s, now)
     placement.watched.update(dict.fromkeys(placement.servers))
     for key in placement.items:
         placement.queue_review(key)
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -131,7 +131,7 @@
     if reason is MoveReason.FREE_MEMORY:
         return True
     urgent = (MoveReason.WAITING_REQUESTS, MoveReason.MIN_REPLICAS, MoveReason.MORE_LOAD)
-    return config.crowds_count_as_waiting and reason not in urgent
+    return config.overload_counts_as_waiting and reason not in urgent
 
 
 def _still_short(placement: PlacementState, item: ItemRow) -> bool:
--- a/src/zincvale/controlplane/placement/replica_value.py
+++ b/src/zincvale/controlplane/placement/replica_value.py
@@ -74,7 +74,7 @@
     Only where replicas are added for crowds as urgently as for waiting requests.
     """
     pool = placement.intent.pools.get(item.pool)
-    if not placement.config.crowds_count_as_waiting or not item.ready or pool is None:
+    if not placement.config.overload_counts_as_waiting or not item.ready or pool is None:
         return 0.0
     crowd = item.running - (item.ready + item.loading) * pool.max_concurrent_per_server
     return float(crowd) if crowd >= MIN_OVERLOAD and item.base is None else 0.0
--- a/tests/controlplane/placement/test_options.py
+++ b/tests/controlplane/placement/test_options.py
@@ -62,7 +62,7 @@
         return loads_in(driver.tick(0.6))
 
     def test_a_crowd_gets_another_replica_at_once(self):
-        config = attrs.evolve(SHORT_DAY, crowds_count_as_waiting=True)
+        config = attrs.evolve(SHORT_DAY, overload_counts_as_waiting=True)
         self.assertEqual([("server-2", "hot")], self.crowded(config))
 
     def test_without_the_option_it_gets_it_with_the_slow_average(self):
@@ -159,7 +159,7 @@
 
 class FirstOrderTest(testtools.TestCase):
     def test_a_new_leader_waits_out_the_orders_of_the_one_before(self):
-        config = attrs.evolve(SHORT_DAY, orders_from_s=3.0, one_status_confirms=True)
+        config = attrs.evolve(SHORT_DAY, first_order_delay_s=3.0, one_status_confirms=True)
         driver = driver_of(config, {"m1": 4}, servers=1)
         driver.feed(LeaderGained(1, driver.now + 2.0))
         began = driver.now
