--- a/src/zincvale/controlplane/placement/apply_demand.py
+++ b/src/zincvale/controlplane/placement/apply_demand.py
@@ -9,25 +9,26 @@
 from zincvale.model.identifiers import MemberId, ServerId
 
 NODES_CHECK_INTERVAL_S = 1.0
-"""Time between two searches for nodes that stopped reporting; their requests count that much
-longer."""
+"""Interval between two checks for nodes that stopped reporting.
+
+It is also the longest time for which the requests of such a node count after its expiry."""
 
 
 def apply_demand_report(placement: PlacementState, event: DemandReported, now: float) -> None:
-    """Replace what is known of one node and count its new requests."""
+    """Replace the waiting and running requests of one node and count its new requests."""
     waiting: dict[ItemKey, int] = {}
     for row in event.rows:
-        _count_row(placement, row, waiting, now)
+        _count_requests(placement, row, waiting, now)
     running: dict[tuple[ServerId, ItemKey], int] = {}
     for use in event.use:
-        _count_use(placement, use, running)
-    old = placement.nodes.get(event.node)
-    _replace_report(placement, old, waiting, running, now)
+        _count_running(placement, use, running)
+    old_report = placement.nodes.get(event.node)
+    _replace_report(placement, old_report, waiting, running, now)
     placement.nodes[event.node] = NodeDemand(now, waiting, running)
 
 
 def expire_nodes(placement: PlacementState, now: float) -> None:
-    """System: forget the waiting and running requests of nodes that stopped reporting."""
+    """System: remove the waiting and running requests of nodes that stopped reporting."""
     if now < placement.nodes_checked_at + NODES_CHECK_INTERVAL_S:
         return
     placement.nodes_checked_at = now
@@ -41,7 +42,7 @@
     _replace_report(placement, placement.nodes.pop(node), {}, {}, now)
 
 
-def _count_row(
+def _count_requests(
     placement: PlacementState, row: DemandRow, waiting: dict[ItemKey, int], now: float
 ) -> None:
     keys = [model_key(row.model)]
@@ -52,18 +53,18 @@
         if item is None:
             continue
         if row.requests:
-            first = item.demand.profile is None
+            is_first_request = item.demand.profile is None
             item.demand.add(row.requests, now, placement.config)
             record_request(placement, item, now)
             if not item.ready:
-                item.missed.add(row.requests, now)
-            if first or (item.desired and not item.holders):
+                item.unserved.add(row.requests, now)
+            if is_first_request or (item.desired and not item.holders):
                 placement.queue_review(key)
         if row.waiting:
             waiting[key] = waiting.get(key, 0) + row.waiting
 
 
-def _count_use(
+def _count_running(
     placement: PlacementState, use: UseRow, running: dict[tuple[ServerId, ItemKey], int]
 ) -> None:
     keys = [model_key(use.model)]
@@ -78,13 +79,13 @@
 
 def _replace_report(
     placement: PlacementState,
-    old: NodeDemand | None,
+    old_report: NodeDemand | None,
     waiting: dict[ItemKey, int],
     running: dict[tuple[ServerId, ItemKey], int],
     now: float,
 ) -> None:
-    old_waiting = old.waiting if old is not None else {}
-    old_running = old.running if old is not None else {}
+    old_waiting = old_report.waiting if old_report is not None else {}
+    old_running = old_report.running if old_report is not None else {}
     for key, count in waiting.items():
         _add_waiting(placement, key, count - old_waiting.get(key, 0), now)
     for key, count in old_waiting.items():
@@ -123,7 +124,7 @@
 
 
 def remove_item_demand(placement: PlacementState, key: ItemKey) -> None:
-    """Drop what nodes reported of a deleted item, so that it counts from 0 if it comes back."""
+    """Remove the reported requests of a deleted item, so that it starts at 0 if declared again."""
     for node in placement.nodes.values():
         node.waiting.pop(key, None)
         node.running = {pair: count for pair, count in node.running.items() if pair[1] != key}
--- a/src/zincvale/controlplane/placement/apply_intent.py
+++ b/src/zincvale/controlplane/placement/apply_intent.py
@@ -29,37 +29,39 @@
 from zincvale.model.resources import AdapterSpec, ModelSpec, PoolSpec, StoreSpec
 
 UNDECLARED_STORE = StoreName("")
-"""Of a new row, until its declaration is applied; no store has this name."""
+"""Store of a new row until its declaration is applied; no store has this name."""
 
 
 def apply_intent_change(placement: PlacementState, intent: Intent, now: float) -> None:
-    """Bring the tables to `intent`."""
+    """Update the tables to `intent`; models and adapters are applied within the budget."""
     old = placement.intent
     placement.intent = intent
-    for name, store_spec in _changes(old.stores, intent.stores):
+    for name, store_spec in _changed_specs(old.stores, intent.stores):
         _apply_store(placement, StoreName(name), store_spec)
-    for name, model_spec in _changes(old.models, intent.models):
-        placement.pending_items[model_key(name)] = model_spec
-    for name, adapter_spec in _changes(old.adapters, intent.adapters):
-        placement.pending_items[adapter_key(name)] = adapter_spec
+    for name, model_spec in _changed_specs(old.models, intent.models):
+        placement.pending_declarations[model_key(name)] = model_spec
+    for name, adapter_spec in _changed_specs(old.adapters, intent.adapters):
+        placement.pending_declarations[adapter_key(name)] = adapter_spec
     apply_declarations(placement, now)
     _apply_zones(placement, old, intent)
-    for name, pool_spec in _changes(old.pools, intent.pools):
+    for name, pool_spec in _changed_specs(old.pools, intent.pools):
         for server_id in placement.server_index.by_pool.get(PoolName(name), {}):
-            _set_adapter_slots(placement.servers[server_id], pool_spec)
-    for name, _ in _changes(old.servers, intent.servers):
+            _apply_adapter_limit(placement.servers[server_id], pool_spec)
+    for name, _ in _changed_specs(old.servers, intent.servers):
         server = placement.servers.get(ServerId(name))
         if server is not None:
             refresh_service(placement, server)
 
 
 def apply_declarations(placement: PlacementState, now: float) -> None:
-    """System: apply changed models and adapters to the tables, within the budget.
+    """System: apply changed models and adapters to the tables, up to the declaration budget.
 
     Most changes are applied in one run; only the first intent of a large fleet takes several runs.
     """
-    for key in list(itertools.islice(placement.pending_items, placement.config.declaration_budget)):
-        spec = placement.pending_items.pop(key)
+    for key in list(
+        itertools.islice(placement.pending_declarations, placement.config.declaration_budget)
+    ):
+        spec = placement.pending_declarations.pop(key)
         name = key.partition("/")[2]
         if spec is None:
             _remove_item(placement, key, now)
@@ -70,7 +72,7 @@
 
 
 def refresh_service(placement: PlacementState, server: ServerState) -> None:
-    """Apply drains and evacuations to one server."""
+    """Update whether one server is drained or its zone evacuated."""
     spec = placement.intent.servers.get(server.server)
     zone = placement.intent.zones.get(server.zone)
     drained = spec is not None and spec.drained
@@ -80,23 +82,23 @@
     server.drained = drained
     server.zone_evacuated = evacuated
     if server.in_service:
-        placement.unplaced.mark_capacity()
+        placement.unplaced.mark_new_capacity()
     else:
         placement.drains.check_at[server.server] = float("-inf")
     placement.recount_server(server)
 
 
-def _set_adapter_slots(server: ServerState, spec: PoolSpec | None) -> None:
+def _apply_adapter_limit(server: ServerState, spec: PoolSpec | None) -> None:
     server.adapter_slots = spec.adapter_slots if spec is not None else 0
 
 
 def set_adapter_slots(placement: PlacementState, server: ServerState) -> None:
-    """Give a new server the limit of its pool."""
-    _set_adapter_slots(server, placement.intent.pools.get(server.pool))
+    """Set a server's limit of adapters to that of its pool."""
+    _apply_adapter_limit(server, placement.intent.pools.get(server.pool))
 
 
-def _changes(old: Mapping[Any, Any], new: Mapping[Any, Any]) -> list[tuple[Any, Any]]:
-    """Return (name, new spec or None) of what differs."""
+def _changed_specs(old: Mapping[Any, Any], new: Mapping[Any, Any]) -> list[tuple[Any, Any]]:
+    """Return (name, new spec) of every changed resource; the spec is None if it was deleted."""
     if old is new:
         return []
     changed = [(name, spec) for name, spec in new.items() if old.get(name) is not spec]
@@ -145,7 +147,7 @@
     item.min_replicas = spec.min_replicas
     item.stake = spec.stake
     item.declared_load_s = spec.load_s
-    _adopt_holders(placement, item)
+    _link_reported_replicas(placement, item)
 
 
 def _apply_adapter(
@@ -163,7 +165,7 @@
     base = placement.items.get(item.base)
     if base is not None:
         item.pool = base.pool
-    _adopt_holders(placement, item)
+    _link_reported_replicas(placement, item)
 
 
 def _new_item(
@@ -175,8 +177,8 @@
     return item
 
 
-def _adopt_holders(placement: PlacementState, item: ItemRow) -> None:
-    """Link replicas that were reported before the item was declared, and count its size."""
+def _link_reported_replicas(placement: PlacementState, item: ItemRow) -> None:
+    """Link replicas that were reported before the item was declared, and set their sizes."""
     item.holders.update(dict.fromkeys(placement.undeclared.pop_declared(item.key)))
     for server_id in item.holders:
         server = placement.servers[server_id]
@@ -187,7 +189,7 @@
 
 
 def _remove_item(placement: PlacementState, key: ItemKey, now: float) -> None:
-    """Drop a deleted item; its replicas stay counted and are unloaded after a grace."""
+    """Remove a deleted item; its replicas stay counted and are unloaded after the grace period."""
     item = placement.items.pop(key, None)
     if item is None:
         return
@@ -203,6 +205,6 @@
 
 
 def _apply_zones(placement: PlacementState, old: Intent, new: Intent) -> None:
-    for name, _ in _changes(old.zones, new.zones):
+    for name, _ in _changed_specs(old.zones, new.zones):
         for server_id in placement.server_index.by_zone.get(ZoneName(name), {}):
             refresh_service(placement, placement.servers[server_id])
--- a/src/zincvale/controlplane/placement/apply_status.py
+++ b/src/zincvale/controlplane/placement/apply_status.py
@@ -1,7 +1,7 @@
-"""Applies servers' own statuses to the tables and completes moves by what they show.
+"""Applies server statuses to the tables and completes the moves whose effects they show.
 
-A status is compared only with what was known before it was requested: what changed since then
-(an order that left meanwhile) is newer than the status and stays.
+A status says nothing about what changed after it was requested: an order sent since then is newer
+than the status, so the status does not change its move.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 )
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveState
 from zincvale.controlplane.placement.order_confirmation import (
-    confirm_load,
     confirm_no_stale_orders,
+    handle_missing_effect,
+    handle_observed_load,
     mark_running,
-    observe_missing,
 )
 from zincvale.controlplane.placement.servers import NEVER, Replica, ReplicaState, ServerState
 from zincvale.controlplane.placement.state import PlacementState
@@ -33,7 +33,7 @@
 
 
 def apply_directory(placement: PlacementState, event: DirectoryChanged, now: float) -> None:
-    """Apply observed rows and departures."""
+    """Apply the reported rows of servers, and remove servers that left the directory."""
     for report in event.reports:
         if report.row.kind is PoolKind.LANGUAGE_MODEL:
             _apply_report(placement, report, now)
@@ -66,8 +66,8 @@
     placement.servers[row.server] = server
     placement.server_index.by_address[row.address] = row.server
     placement.server_index.add_to_pool_and_zone(server)
-    placement.watched[row.server] = None
-    placement.unplaced.mark_capacity()
+    placement.awaiting_status[row.server] = None
+    placement.unplaced.mark_new_capacity()
     refresh_service(placement, server)
     set_adapter_slots(placement, server)
     return server
@@ -85,10 +85,10 @@
 def _apply_incarnation(
     placement: PlacementState, server: ServerState, row: ServerRow, now: float
 ) -> None:
-    """Forget what an earlier incarnation held: its memory died with it.
+    """Remove the replicas of an earlier incarnation, whose memory was lost with its process.
 
-    Orders in flight keep their reservations: the new incarnation may have taken them, or may
-    still. Its status, compared next, and later ones tell.
+    Orders in flight keep their reservations: the new incarnation may have accepted them, or may
+    still do so. The status that showed the new incarnation, and later ones, decide that.
     """
     if server.incarnation:
         _cancel_pending(placement, server, now)
@@ -114,7 +114,7 @@
 def _apply_row(placement: PlacementState, server: ServerState, row: ServerRow) -> None:
     server.running = row.running
     if row.closing and not _has_draining_replica(server):
-        # Left over from an earlier leader.
+        # An earlier leader marked replicas as draining; publishing again removes the marks.
         placement.changed_drains[server.server] = None
     server.max_running = row.max_running
     if row.address != server.address:
@@ -128,7 +128,7 @@
         placement.free_memory.mark_stale(server)
     if row.health is not server.health:
         server.health = row.health
-        placement.unplaced.mark_capacity()
+        placement.unplaced.mark_new_capacity()
         placement.recount_server(server)
 
 
@@ -153,8 +153,8 @@
     row = report.row
     listing = (row.models, row.adapters, row.loading, report.unloading)
     if listing != server.listing or placement.calendar.by_server.get(server.server):
-        agrees = _compare_replicas(placement, server, report, now)
-        server.listing = listing if agrees else None
+        is_equal = _compare_replicas(placement, server, report, now)
+        server.listing = listing if is_equal else None
     unexplained = max(row.used_bytes - server.listed_bytes, 0)
     if unexplained != server.unexplained_bytes:
         server.unexplained_bytes = unexplained
@@ -178,15 +178,15 @@
 def _compare_replicas(
     placement: PlacementState, server: ServerState, report: StatusReport, now: float
 ) -> bool:
-    """Bring the replicas to what the status shows; return whether they are exactly that now."""
+    """Update the replicas from the status; return whether they are equal to it afterwards."""
     reported = _reported_states(placement, report)
     for key, state in reported.items():
         replica = server.replicas.get(key)
         if replica is None:
             _add_reported(placement, server, key, state, now)
         else:
-            sighting = _Sighting(server, key, replica, state, report.requested_at)
-            _apply_reported(placement, sighting, now)
+            observed = _ReportedReplica(server, key, replica, state, report.requested_at)
+            _apply_reported(placement, observed, now)
     if len(server.replicas) > len(reported):
         for key in [key for key in server.replicas if key not in reported]:
             _apply_unreported(placement, server, key, report.requested_at, now)
@@ -209,13 +209,13 @@
         (report.unloading, ReplicaState.UNLOADING),
     ):
         for name in sorted(names):
-            key = _key_of(placement, name)
+            key = _declared_key(placement, name)
             if key is not None:
                 reported[key] = state
     return reported
 
 
-def _key_of(placement: PlacementState, name: str) -> ItemKey | None:
+def _declared_key(placement: PlacementState, name: str) -> ItemKey | None:
     for key in (model_key(name), adapter_key(name)):
         if key in placement.items:
             return key
@@ -225,7 +225,7 @@
 def _add_reported(
     placement: PlacementState, server: ServerState, key: ItemKey, state: ReplicaState, now: float
 ) -> None:
-    """Count a replica that the tables did not have."""
+    """Add a replica that the status shows and the tables lack."""
     item = placement.items.get(key)
     if item is None:
         placement.undeclared.add(key, server.server, placement.config.undeclared_grace_s, now)
@@ -240,12 +240,12 @@
 
 
 @attrs.frozen
-class _Sighting:
-    """A replica that the tables have and a status shows.
+class _ReportedReplica:
+    """A replica that is in the tables and in a status.
 
     Attributes
     ----------
-    state : what the status shows.
+    state : the state that the status shows.
     requested_at : when the status was requested.
     """
 
@@ -256,47 +256,51 @@
     requested_at: float
 
 
-def _apply_reported(placement: PlacementState, sighting: _Sighting, now: float) -> None:
-    replica, state, requested_at = sighting.replica, sighting.state, sighting.requested_at
+def _apply_reported(placement: PlacementState, observed: _ReportedReplica, now: float) -> None:
+    replica, state, requested_at = observed.replica, observed.state, observed.requested_at
     move = _move_in_flight(placement, replica)
     if move is None:
-        _apply_unordered_state(placement, sighting, now)
+        _apply_unexpected_state(placement, observed, now)
         return
     if requested_at < move.start_at:
         return
     if move.kind is MoveKind.LOAD:
-        confirm_load(placement, move, replica, state, now)
+        handle_observed_load(placement, move, replica, state, now)
         return
     if state is ReplicaState.UNLOADING:
         mark_running(placement, move, now)
     else:
-        observe_missing(placement, move, replica, requested_at, now)
+        handle_missing_effect(placement, move, replica, requested_at, now)
 
 
-def _apply_unordered_state(placement: PlacementState, sighting: _Sighting, now: float) -> None:
-    """Follow a state that no order of this process explains."""
-    server, key, replica = sighting.server, sighting.key, sighting.replica
-    if sighting.state is replica.state:
+def _apply_unexpected_state(
+    placement: PlacementState, observed: _ReportedReplica, now: float
+) -> None:
+    """Take over a replica state that no order of this process explains."""
+    server, key, replica = observed.server, observed.key, observed.replica
+    if observed.state is replica.state:
         return
-    placement.set_state(server, key, replica, sighting.state)
+    placement.set_replica_state(server, key, replica, observed.state)
     replica.since = now
     placement.queue_review(key)
     item = placement.items.get(key)
-    if sighting.state is ReplicaState.LOADING and item is not None:
+    if observed.state is ReplicaState.LOADING and item is not None:
         adopt_load(placement, server, item, replica, now)
 
 
 def _apply_unreported(
     placement: PlacementState, server: ServerState, key: ItemKey, requested_at: float, now: float
 ) -> None:
-    """Handle a replica that the tables have and the status does not show."""
+    """Update a replica that is in the tables and not in the status."""
     replica = server.replicas[key]
     move = _move_in_flight(placement, replica)
     if move is None:
         if placement.config.confirms_orders and NEVER < requested_at < replica.since:
-            # The end of the load was learned another way, after the status was taken.
+            # The server reported the end of the load directly, after the status was requested.
             return
-        pending = placement.calendar.moves.get(replica.move) if replica.move is not None else None
+        pending = (
+            placement.calendar.moves.get(replica.move_id) if replica.move_id is not None else None
+        )
         if pending is not None:
             end_move(placement, pending, MoveState.CANCELLED, "the server no longer holds it", now)
         placement.remove_replica(server, key)
@@ -306,13 +310,13 @@
     if move.kind is MoveKind.UNLOAD:
         end_move(placement, move, MoveState.DONE, "observed", now)
         return
-    observe_missing(placement, move, replica, requested_at, now)
+    handle_missing_effect(placement, move, replica, requested_at, now)
 
 
 def _move_in_flight(placement: PlacementState, replica: Replica) -> Move | None:
-    if replica.move is None:
+    if replica.move_id is None:
         return None
-    move = placement.calendar.moves.get(replica.move)
+    move = placement.calendar.moves.get(replica.move_id)
     if move is None or not move.in_flight:
         return None
     return move
@@ -330,7 +334,7 @@
     placement.server_index.remove_address(server)
     placement.server_index.remove_from_pool_and_zone(server)
     placement.calendar.by_server.pop(server_id, None)
-    placement.watched.pop(server_id, None)
+    placement.awaiting_status.pop(server_id, None)
     placement.drains.check_at.pop(server_id, None)
     del placement.servers[server_id]
     placement.log(log_events.SERVER_GONE, server=server_id, zone=server.zone)
--- a/src/zincvale/controlplane/placement/calendar.py
+++ b/src/zincvale/controlplane/placement/calendar.py
@@ -1,4 +1,4 @@
-"""The calendar: planned and running moves, those that finished, and their indexes."""
+"""The calendar: all planned, running and recently finished moves, with indexes."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @attrs.define(eq=False)
 class Calendar:
-    """Every move; rows are replaced through `put` and `retire` only.
+    """All moves; rows are changed only through `put` and `retire`.
 
     Attributes
     ----------
     moves : unfinished moves, in the order in which they were planned.
-    finished : history, oldest first; trimmed by `publication`.
-    by_order : the move of an order that was sent.
-    by_server : unfinished moves of a server, in the order in which they were planned.
-    load_by_unload : the load that waits for an unload.
-    changed, removed : moves whose rows are to be published, or taken off the topic.
+    finished : finished moves, oldest first; trimmed by `publication`.
+    by_order : the unfinished move of each order that was sent.
+    by_server : unfinished moves of each server, in the order in which they were planned.
+    load_by_unload : the load that waits for each unload.
+    changed, removed : moves whose rows are to be published, or removed from the topic.
     """
 
     moves: dict[MoveId, Move] = attrs.field(factory=dict)
@@ -41,7 +41,7 @@
         self.changed[move.move_id] = None
 
     def retire(self, move: Move) -> None:
-        """Put a finished move into the history."""
+        """Replace an unfinished move by its finished row."""
         self.moves.pop(move.move_id, None)
         self.by_server.get(move.server, {}).pop(move.move_id, None)
         self.by_order.pop(move.order_id, None)
@@ -49,6 +49,6 @@
         self.changed[move.move_id] = None
 
     def of_order(self, order_id: str) -> Move | None:
-        """Return the unfinished move of an order."""
+        """Return the unfinished move of an order, or None."""
         move_id = self.by_order.get(order_id)
         return self.moves.get(move_id) if move_id is not None else None
--- a/src/zincvale/controlplane/placement/choose_server.py
+++ b/src/zincvale/controlplane/placement/choose_server.py
@@ -1,4 +1,4 @@
-"""Choice of the server for one load."""
+"""Chooses the server for a load."""
 
 from __future__ import annotations
 
@@ -6,85 +6,104 @@
 
 import attrs
 
-from zincvale.controlplane.placement.eviction import NO_EVICTION, Eviction, Space, find_eviction
+from zincvale.controlplane.placement.eviction import (
+    NO_EVICTION,
+    Eviction,
+    RequiredSpace,
+    find_eviction,
+)
 from zincvale.controlplane.placement.items import ItemKind, ItemRow
 from zincvale.controlplane.placement.replica_value import expected_rate
 from zincvale.controlplane.placement.servers import ReplicaState, ServerState
 from zincvale.controlplane.placement.state import PlacementState
 from zincvale.model.identifiers import ServerId, ZoneName
 
-DISK_CHOICE_FACTOR = 0.7
-"""Part of the time from the store below which a server's own disk is worth being bound to it."""
+MAX_DISK_TIME_FRACTION = 0.7
+"""Longest load time from disk, as a fraction of the time from the store, that limits the choice of
+a server to those with the weights on disk."""
 NO_SERVER = ServerId("")
-"""Found in no table."""
-EVICTION_SAMPLE = 12
-"""Servers for which an eviction is computed; more cost time in each run, fewer miss cheap
-victims."""
-SHORTLIST = 8
-"""Servers compared in full among those that fit; more cost a sum over their replicas each."""
-LARGEST_FREE_SAMPLE = 16
-"""Servers with most free memory that are always candidates in a large pool; fewer cause
-evictions."""
+"""Identifier that no server has, for addresses without a server."""
+EVICTION_SAMPLE_SIZE = 12
+"""Maximum number of servers for which evictions are computed for one load.
+
+More servers make each run take longer; fewer miss cheap evictions."""
+SHORTLIST_SIZE = 8
+"""Maximum number of fitting servers that are compared by all criteria.
+
+The comparison sums the request rates of all replicas of each server."""
+LARGEST_FREE_SAMPLE_SIZE = 16
+"""Number of servers with the most free memory that are always candidates in a large pool.
+
+With fewer, more loads need evictions."""
 
 
 class AllServersBusyError(Exception):
-    """Every server that may take the load has as many planned or running as it can start soon."""
+    """Every server that could take the load has reached its limit of planned and running loads."""
 
 
 @attrs.frozen
 class Choice:
-    """Where a load goes and what leaves for it."""
+    """The server for a load, and the eviction that the load needs there."""
 
     server: ServerState
     eviction: Eviction
 
 
 def choose_server(
-    placement: PlacementState, space: Space, now: float, *, spread_first: bool
+    placement: PlacementState, space: RequiredSpace, now: float, *, spread_first: bool
 ) -> Choice | None:
-    """Return the best server for one more replica of an item, or None when none can hold it.
+    """Return the best server for one more replica of an item, or None if no server can hold it.
 
-    Servers with room come first, and among them other zones than those of present replicas, servers
-    that are not loading, and those whose models are asked for least. With `spread_first` another
-    zone comes before room. Raises `AllServersBusyError` when servers could take it, but not soon.
+    Servers that need no eviction come first. Among them, the order is by fewest replicas of the
+    item in the zone, fewest planned and running loads, and lowest request rate. With
+    `spread_first`, the zone counts more than avoiding an eviction. Raises `AllServersBusyError` if
+    some servers could take the load, but none of them soon.
     """
-    candidates = _free_to_load(placement, space.item, now)
-    return _best(placement, space, candidates, now, spread_first=spread_first)
+    candidates = _servers_free_to_load(placement, space.item, now)
+    return _best_choice(placement, space, candidates, now, spread_first=spread_first)
 
 
-def choose_by_disk(placement: PlacementState, space: Space, now: float) -> Choice | None:
-    """Return the best of the servers that hold the item's weights on their own disk, if any can.
+def choose_by_disk(placement: PlacementState, space: RequiredSpace, now: float) -> Choice | None:
+    """Return the best server among those with the item's weights on their own disk.
 
-    None when a load from there is not clearly sooner than one from the store. Raises
-    `AllServersBusyError` when such a server is loading, and waiting for its end is still sooner.
+    Returns None if none of them can take the load, or if a load from disk is not clearly faster
+    than one from the store. Raises `AllServersBusyError` if such a server is busy with other loads
+    and waiting for it is still faster than loading from the store elsewhere.
     """
     item = space.item
-    known = _on_disk(placement, item, now)
+    with_copy = _servers_with_disk_copy(placement, item, now)
     from_store_s = placement.expected_load_s(item)
-    if not known or placement.expected_load_s(item, known[0]) > from_store_s * DISK_CHOICE_FACTOR:
+    if (
+        not with_copy
+        or placement.expected_load_s(item, with_copy[0]) > from_store_s * MAX_DISK_TIME_FRACTION
+    ):
         return None
     free = [
-        server for server in known if _pending(server) < server.load_slots(placement.config, now)
+        server
+        for server in with_copy
+        if _pending_loads(server) < server.load_slots(placement.config, now)
     ]
-    choice = _best(placement, space, free, now, spread_first=False)
+    choice = _best_choice(placement, space, free, now, spread_first=False)
     if choice is None and any(
         _moves_end_at(placement, server, now) - now + placement.expected_load_s(item, server)
         < from_store_s
-        for server in known
+        for server in with_copy
         if server not in free
     ):
         raise AllServersBusyError
     return choice
 
 
-def _on_disk(placement: PlacementState, item: ItemRow, now: float) -> list[ServerState]:
+def _servers_with_disk_copy(
+    placement: PlacementState, item: ItemRow, now: float
+) -> list[ServerState]:
     servers = []
     for address in placement.disk_copies.addresses(item.key):
         server = placement.servers.get(placement.server_index.by_address.get(address, NO_SERVER))
         if (
             server is None
             or server.pool != item.pool
-            or not _may_take(placement, item, server, now)
+            or not _is_eligible(placement, item, server, now)
         ):
             continue
         servers.append(server)
@@ -92,7 +111,7 @@
 
 
 def _moves_end_at(placement: PlacementState, server: ServerState, now: float) -> float:
-    """Return when the last planned or running move of the server is expected to end."""
+    """Return the expected end of the last unfinished move of the server."""
     moves = (
         placement.calendar.moves[move]
         for move in placement.calendar.by_server.get(server.server, ())
@@ -100,21 +119,21 @@
     return max((move.expected_end for move in moves), default=now)
 
 
-def _best(
+def _best_choice(
     placement: PlacementState,
-    space: Space,
+    space: RequiredSpace,
     candidates: list[ServerState],
     now: float,
     *,
     spread_first: bool,
 ) -> Choice | None:
     item = space.item
-    zones = _zones_of_replicas(placement, item)
+    zones = _replicas_by_zone(placement, item)
     fitting = [server for server in candidates if space.fits(placement, server)]
     if fitting and not spread_first:
-        return Choice(_least(placement, fitting, zones, now), NO_EVICTION)
+        return Choice(_most_preferred(placement, fitting, zones, now), NO_EVICTION)
     best: tuple[tuple[float, ...], Choice] | None = None
-    for server in _sample(placement, candidates, EVICTION_SAMPLE):
+    for server in _sample(placement, candidates, EVICTION_SAMPLE_SIZE):
         eviction = find_eviction(placement, server, space, now)
         if eviction is None:
             continue
@@ -128,35 +147,44 @@
     return best[1] if best is not None else None
 
 
-def _free_to_load(placement: PlacementState, item: ItemRow, now: float) -> list[ServerState]:
-    """Return the servers that may take the load, and soon.
+def _servers_free_to_load(
+    placement: PlacementState, item: ItemRow, now: float
+) -> list[ServerState]:
+    """Return the servers that can take the load and start it soon.
 
-    A load is bound to a server late, so that it does not queue at one while another is free.
-    Adapters go where their base is, and are short.
+    Servers at their load limit are left out, so that a load does not queue at one server while
+    another is free. The limit does not apply to adapters: they need a server that holds their base
+    model, and their loads are short.
     """
-    able = [
-        server for server in _candidates(placement, item) if _may_take(placement, item, server, now)
+    eligible = [
+        server
+        for server in _candidates(placement, item)
+        if _is_eligible(placement, item, server, now)
     ]
     if item.kind is ItemKind.ADAPTER:
-        return able
+        return eligible
     free = [
-        server for server in able if _pending(server) < server.load_slots(placement.config, now)
+        server
+        for server in eligible
+        if _pending_loads(server) < server.load_slots(placement.config, now)
     ]
-    if able and not free:
+    if eligible and not free:
         raise AllServersBusyError
     return free
 
 
-def _pending(server: ServerState) -> int:
+def _pending_loads(server: ServerState) -> int:
     return server.loads_in_flight + server.planned_models
 
 
-def _least(
+def _most_preferred(
     placement: PlacementState, servers: list[ServerState], zones: dict[ZoneName, int], now: float
 ) -> ServerState:
-    if len(servers) > SHORTLIST:
+    if len(servers) > SHORTLIST_SIZE:
         servers = sorted(servers, key=lambda server: _rough_preference(placement, server, zones))
-    return min(servers[:SHORTLIST], key=lambda server: _preference(placement, server, zones, now))
+    return min(
+        servers[:SHORTLIST_SIZE], key=lambda server: _preference(placement, server, zones, now)
+    )
 
 
 def _rough_preference(
@@ -164,7 +192,7 @@
 ) -> tuple[float, ...]:
     return (
         float(zones.get(server.zone, 0)),
-        float(_pending(server)),
+        float(_pending_loads(server)),
         placement.random.random(),
     )
 
@@ -179,7 +207,7 @@
 
 
 def _request_rate(placement: PlacementState, server: ServerState, now: float) -> float:
-    """Return the request rate of the server's models, shared among their replicas."""
+    """Return the request rate of the server's models, each divided by its number of replicas."""
     total = 0.0
     for key in server.replicas:
         item = placement.items.get(key)
@@ -190,14 +218,14 @@
 
 def _candidates(placement: PlacementState, item: ItemRow) -> Iterable[ServerState]:
     if item.base is not None:
-        return _candidates_beside(placement, item)
+        return _servers_with_base(placement, item)
     pool = placement.server_index.by_pool.get(item.pool, {})
     if len(pool) <= placement.config.candidate_sample:
         return [placement.servers[server] for server in pool]
     return _sampled_pool(placement, item)
 
 
-def _candidates_beside(placement: PlacementState, adapter: ItemRow) -> list[ServerState]:
+def _servers_with_base(placement: PlacementState, adapter: ItemRow) -> list[ServerState]:
     base = placement.items.get(adapter.base) if adapter.base is not None else None
     if base is None:
         return []
@@ -211,14 +239,14 @@
 
 
 def _sampled_pool(placement: PlacementState, item: ItemRow) -> list[ServerState]:
-    """Return the servers with most free memory and some at random."""
-    by_free = placement.free_memory.of_pool(item.pool, placement.servers, placement.config)
-    count = len(by_free)
+    """Return the servers of a pool with the most free memory, and a random sample of the others."""
+    by_free_memory = placement.free_memory.of_pool(item.pool, placement.servers, placement.config)
+    count = len(by_free_memory)
     chosen: dict[ServerId, None] = {}
-    for _, server_id in by_free[-LARGEST_FREE_SAMPLE:]:
+    for _, server_id in by_free_memory[-LARGEST_FREE_SAMPLE_SIZE:]:
         chosen[server_id] = None
     for _ in range(placement.config.candidate_sample):
-        chosen[by_free[placement.random.randrange(count)][1]] = None
+        chosen[by_free_memory[placement.random.randrange(count)][1]] = None
     return [placement.servers[server] for server in chosen]
 
 
@@ -228,20 +256,20 @@
     return placement.random.sample(servers, limit)
 
 
-def _may_take(placement: PlacementState, item: ItemRow, server: ServerState, now: float) -> bool:
+def _is_eligible(placement: PlacementState, item: ItemRow, server: ServerState, now: float) -> bool:
     if not server.is_serving or server.confirmed_epoch != placement.leadership.epoch:
         return False
     if server.server in item.planned or item.key in server.replicas:
         return False
-    barred_until = server.barred_until.get(item.key)
-    if barred_until is not None:
-        if now < barred_until:
+    blocked_until = server.load_blocked_until.get(item.key)
+    if blocked_until is not None:
+        if now < blocked_until:
             return False
-        del server.barred_until[item.key]
+        del server.load_blocked_until[item.key]
     return server.memory_bytes > 0
 
 
-def _zones_of_replicas(placement: PlacementState, item: ItemRow) -> dict[ZoneName, int]:
+def _replicas_by_zone(placement: PlacementState, item: ItemRow) -> dict[ZoneName, int]:
     zones: dict[ZoneName, int] = {}
     for server_id in (*item.holders, *item.planned):
         server = placement.servers[server_id]
--- a/src/zincvale/controlplane/placement/controller.py
+++ b/src/zincvale/controlplane/placement/controller.py
@@ -1,7 +1,7 @@
-"""The placement controller: typed inputs into the tables, systems over them, typed effects out.
+"""The placement controller: applies inputs to the tables, runs the systems, returns effects.
 
-Every process that may become the leader runs one and feeds it intent, statuses and demand, so
-that a new leader knows the demand; only the leader plans and orders.
+Every process that may become the leader runs a controller and feeds it intent, statuses and demand,
+so that a new leader knows the demand. Only the leader plans moves and sends orders.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 )
 from zincvale.controlplane.placement.leadership import (
     apply_leadership,
+    complete_takeover,
     expire_leadership,
     give_up_leadership,
-    open_stores,
     request_statuses,
 )
 from zincvale.controlplane.placement.order_confirmation import expire_overdue_orders
@@ -55,7 +55,7 @@
     expire_nodes,
     expire_overdue_orders,
     apply_declarations,
-    open_stores,
+    complete_takeover,
     review_items,
     unload_undeclared,
     plan_loads,
@@ -67,7 +67,10 @@
     trim_history,
     publish_changes,
 )
-"""Run in this order: what ended, what changed, what is missing, what to order, what to publish."""
+"""The systems in the order in which each tick runs them.
+
+The order is: expiries, changed declarations, reviews, planning, orders, status requests, and
+publication."""
 
 
 class PlacementController:
@@ -75,8 +78,8 @@
 
     Parameters
     ----------
-    random_source : seeded source for sampling and ties.
-    config : tunables.
+    random_source : random source for sampling servers and breaking ties.
+    config : options of placement.
     """
 
     def __init__(self, random_source: random.Random, config: PlacementConfig) -> None:
@@ -84,7 +87,7 @@
         self._run_at = float("-inf")
 
     def handle(self, event: Input, now: float) -> list[Effect]:
-        """Apply one input and return what to do, in order."""
+        """Apply one input and return the effects to carry out, in order."""
         self._apply(event, now)
         effects = self.state.effects
         self.state.effects = []
@@ -114,7 +117,7 @@
             case OrderAccepted(order_id, done):
                 apply_accepted(self.state, order_id, now, done=done)
                 if done:
-                    # A load may have waited for the memory that an unload just freed.
+                    # A load may be waiting for the memory that a finished unload freed.
                     order_loads(self.state, now)
             case OrderRefused(order_id, why):
                 apply_refused(self.state, order_id, why, now)
--- a/src/zincvale/controlplane/placement/demand.py
+++ b/src/zincvale/controlplane/placement/demand.py
@@ -1,4 +1,4 @@
-"""Measured demand of one item: decayed averages and the shape of its day."""
+"""Measured demand of one item: exponentially decaying averages and a daily profile."""
 
 from __future__ import annotations
 
@@ -10,78 +10,81 @@
 from zincvale.controlplane.placement.config import PlacementConfig
 
 LN_2 = math.log(2.0)
-"""Turns a half-life into a rate of decay."""
-PROFILE_WEIGHT_OF_NEWEST_DAY = 0.5
-"""Part of a day's shape that the newest day replaces; 1 would forget all days before."""
-NOT_SEEN = -1.0
-"""Part of a day without history; rates are never negative."""
-RECENT_EVENTS = 0.5
-"""Decayed requests at which demand counts as recent: one request within the half-life."""
+"""Factor between a half-life and a decay rate."""
+NEWEST_DAY_WEIGHT = 0.5
+"""Weight of the newest day in the daily profile; with 1, earlier days would not count."""
+NO_HISTORY = -1.0
+"""Marks a bucket of the day for which there is no history; rates are never negative."""
+MIN_RECENT_REQUESTS = 0.5
+"""Decayed request count from which demand is recent; one request reaches it for one half-life."""
 EPISODE_S = 5.0
-"""Requests within this time count as one episode; longer hides steady demand, shorter shows
-crowds."""
+"""Requests within this time of the first one count as one episode.
+
+A longer time underestimates steady demand; with a shorter one, a burst counts as many episodes."""
 STEADY_EPISODES_PER_S = 0.5 / EPISODE_S
-"""Above this an item is asked for most of the time, and its whole rate counts."""
+"""Episode rate from which demand counts as steady, so that the full request rate is used."""
 MIN_OBSERVATION_S = 30.0
-"""A rate is taken over at least this time, so that the first request is not a high rate."""
+"""Minimum time over which a rate is computed, so that a first request does not give a high rate."""
 
 
 @attrs.define(eq=False)
 class DecayedCount:
-    """A count whose events lose half their weight each half-life."""
+    """A count of events, each of which loses half its weight per half-life."""
 
     half_life_s: float
     count: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
     def add(self, events: float, now: float) -> None:
-        """Count `events` at `now`."""
+        """Add `events` that happened at `now`."""
         self.count = self._decayed(now) + events
-        self.at = now
+        self.updated_at = now
 
     def rate(self, now: float, observed_since: float) -> float:
-        """Return events per second, corrected for an observation shorter than the memory."""
+        """Return events per second, corrected for observation times near or below the half-life."""
         weight = self._decayed(now) * LN_2 / self.half_life_s
-        age = max(now - observed_since, MIN_OBSERVATION_S)
-        observed_fraction: float = 1.0 - 0.5 ** (age / self.half_life_s)
+        observed_s = max(now - observed_since, MIN_OBSERVATION_S)
+        observed_fraction: float = 1.0 - 0.5 ** (observed_s / self.half_life_s)
         return weight / observed_fraction
 
-    def present(self, now: float) -> float:
-        """Return the events, each with what is left of its weight."""
+    def current(self, now: float) -> float:
+        """Return the decayed count at `now`."""
         return self._decayed(now)
 
     def _decayed(self, now: float) -> float:
-        if now <= self.at:
+        if now <= self.updated_at:
             return self.count
-        left: float = 0.5 ** ((now - self.at) / self.half_life_s)
+        left: float = 0.5 ** ((now - self.updated_at) / self.half_life_s)
         return self.count * left
 
 
 @attrs.define(eq=False)
 class DayProfile:
-    """Episodes per second by the part of a repeating day, averaged over days.
+    """Episodes per second in each bucket of a repeating day, averaged over days.
 
-    The day's phase is the monotonic clock's: only its repetition matters, not its midnight.
+    A day begins at a multiple of its length on the monotonic clock, not at midnight, since only the
+    repetition matters.
     """
 
     buckets: array[float]
-    bucket: int
-    """Number of the running part, counted from time 0."""
+    current_bucket: int
+    """Number of the current bucket, counted from time 0 on."""
     count: float = 0.0
+    """Episodes in the current bucket so far."""
 
     @classmethod
     def begin(cls, config: PlacementConfig, now: float) -> DayProfile:
-        """Return a profile that has seen nothing."""
-        return cls(array("f", [NOT_SEEN] * config.day_buckets), int(now / config.bucket_s))
+        """Return a profile without history."""
+        return cls(array("f", [NO_HISTORY] * config.day_buckets), int(now / config.bucket_s))
 
     def add(self, events: float, now: float, config: PlacementConfig) -> None:
-        """Count episodes in the part of the day at `now`."""
-        self._roll(now, config)
+        """Count episodes in the bucket of the day at `now`."""
+        self._advance_to(now, config)
         self.count += events
 
     def rate_at(self, at: float, now: float, config: PlacementConfig) -> float | None:
-        """Return the rate that history shows around the time `at`; None without history."""
-        self._roll(now, config)
+        """Return the average rate of earlier days around the time `at`, or None without history."""
+        self._advance_to(now, config)
         number = int(at / config.bucket_s)
         first = self.buckets[number % config.day_buckets]
         second = self.buckets[(number + 1) % config.day_buckets]
@@ -89,24 +92,24 @@
             return None
         return (first + second) / 2.0
 
-    def _roll(self, now: float, config: PlacementConfig) -> None:
+    def _advance_to(self, now: float, config: PlacementConfig) -> None:
         current = int(now / config.bucket_s)
-        if current == self.bucket:
+        if current == self.current_bucket:
             return
-        self._close(self.bucket, self.count / config.bucket_s, config)
-        skipped = min(current - self.bucket - 1, config.day_buckets)
+        self._finish_bucket(self.current_bucket, self.count / config.bucket_s, config)
+        skipped = min(current - self.current_bucket - 1, config.day_buckets)
         for number in range(current - skipped, current):
-            self._close(number, 0.0, config)
-        self.bucket = current
+            self._finish_bucket(number, 0.0, config)
+        self.current_bucket = current
         self.count = 0.0
 
-    def _close(self, number: int, rate: float, config: PlacementConfig) -> None:
+    def _finish_bucket(self, number: int, rate: float, config: PlacementConfig) -> None:
         index = number % config.day_buckets
         old = self.buckets[index]
         if old < 0.0:
             self.buckets[index] = rate
             return
-        self.buckets[index] = old + PROFILE_WEIGHT_OF_NEWEST_DAY * (rate - old)
+        self.buckets[index] = old + NEWEST_DAY_WEIGHT * (rate - old)
 
 
 @attrs.define(eq=False)
@@ -115,8 +118,11 @@
 
     Attributes
     ----------
-    episodes : as `slow`, but of all requests within `EPISODE_S` one counts. A crowd that came and
-        went leaves much in `slow` and little here.
+    fast, slow : decayed counts of all requests, with a short and a long half-life.
+    episodes : as `slow`, but all requests within `EPISODE_S` count as one. A short burst adds much
+        to `slow` and little to this count.
+    episode_until : end of the current episode.
+    profile : daily profile, None until the first request.
     """
 
     fast: DecayedCount
@@ -128,7 +134,7 @@
 
     @classmethod
     def begin(cls, config: PlacementConfig, now: float) -> Demand:
-        """Return demand that was never observed."""
+        """Return the demand of an item that was never requested."""
         return cls(
             DecayedCount(config.fast_half_life_s),
             DecayedCount(config.slow_half_life_s),
@@ -148,15 +154,18 @@
             self.profile.add(1.0, now, config)
 
     def is_recent(self, now: float) -> bool:
-        """Whether a request came within about the half-life of the recent rate."""
-        return self.fast.present(now) >= RECENT_EVENTS
+        """Whether a request came within about one half-life of the fast average."""
+        return self.fast.current(now) >= MIN_RECENT_REQUESTS
 
     def fast_rate(self, now: float) -> float:
-        """Return the recent rate."""
+        """Return the rate over recent requests, with the short half-life."""
         return self.fast.rate(now, self.observed_since)
 
     def slow_rate(self, now: float) -> float:
-        """Return the long average rate, without the weight of crowds that were short."""
+        """Return the rate with the long half-life, limited to the episode rate unless steady.
+
+        The limit keeps short bursts from raising the rate.
+        """
         rate = self.slow.rate(now, self.observed_since)
         episodes = self.episodes.rate(now, self.observed_since)
         if episodes >= STEADY_EPISODES_PER_S:
@@ -164,7 +173,7 @@
         return min(rate, episodes)
 
     def predicted_rate(self, at: float, now: float, config: PlacementConfig) -> float | None:
-        """Return the rate that earlier days show for the time `at`, if they show any."""
+        """Return the rate of earlier days at the time `at`, or None without history."""
         if self.profile is None:
             return None
         return self.profile.rate_at(at, now, config)
--- a/src/zincvale/controlplane/placement/disk_copies.py
+++ b/src/zincvale/controlplane/placement/disk_copies.py
@@ -1,8 +1,8 @@
-"""Which machines have a model's weights on their own disk: a load from there takes less time.
+"""Which servers have a model's weights on their own disk, from which a load takes less time.
 
-A server that held a model once may keep its weights when the model leaves its memory, also over a
-restart. Machines are told apart by the server's address; that another server has the address by now
-is a wrong guess, which costs a load that takes as long as one from the store.
+A server that held a model may keep its weights on disk after the model left its memory, even across
+a restart. Servers are identified by address here. If another server got the address since, the
+assumption is wrong, and the load merely takes as long as one from the store.
 """
 
 from __future__ import annotations
@@ -13,11 +13,12 @@
 from zincvale.model.identifiers import Address
 
 MAX_ADDRESSES_PER_ITEM = 64
+"""Limit on the addresses kept for one item; beyond it the oldest are dropped."""
 
 
 @attrs.define(eq=False)
 class DiskCopies:
-    """Addresses of servers that held each item, the latest last."""
+    """Addresses of the servers that held each item, the most recent last."""
 
     _addresses: dict[ItemKey, dict[Address, None]] = attrs.field(factory=dict)
 
@@ -30,11 +31,11 @@
             del known[next(iter(known))]
 
     def has(self, key: ItemKey, address: Address) -> bool:
-        """Whether the server at `address` ever held the item."""
+        """Whether the server at `address` is recorded as having held the item."""
         return address in self._addresses.get(key, ())
 
     def addresses(self, key: ItemKey) -> tuple[Address, ...]:
-        """Return where the item was held."""
+        """Return the addresses of the servers that held the item, the most recent last."""
         return tuple(self._addresses.get(key, ()))
 
     def remove(self, key: ItemKey) -> None:
--- a/src/zincvale/controlplane/placement/dispatch.py
+++ b/src/zincvale/controlplane/placement/dispatch.py
@@ -1,7 +1,7 @@
-"""System: sends the orders whose time has come, within every limit at this moment.
+"""System: sends the orders for planned moves that are due and within all limits.
 
-Each limit is checked again here, at the moment of the order, by what is confirmed and what may
-be in flight; the calendar only proposes.
+Each limit is checked again when the order is sent, against the confirmed state and the orders that
+may be in flight. A planned move in the calendar guarantees nothing.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from zincvale.controlplane.placement.items import ItemKind, ItemRow
 from zincvale.controlplane.placement.move_completion import end_move, move_item_key
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveReason, MoveState
-from zincvale.controlplane.placement.replica_value import is_missed, need
+from zincvale.controlplane.placement.replica_value import has_unmet_demand, unmet_demand
 from zincvale.controlplane.placement.servers import Replica, ReplicaState, ServerState
 from zincvale.controlplane.placement.state import PlacementState
 from zincvale.model.identifiers import Address, MoveId, StoreName
 
 NO_ADDRESS = Address("")
-"""Of the store in an order to unload."""
+"""Store address in orders to unload, which need no store."""
 
 
 def order_unloads(placement: PlacementState, now: float) -> None:
-    """System: unload what is drained and idle; cancel what stays in use."""
+    """System: order unloads of replicas that have drained; cancel those that should stay."""
     if not placement.leadership.may_order(now):
         return
     reports = [node.reported_at for node in placement.nodes.values()]
@@ -45,22 +45,22 @@
         return
     if now < move.start_at or placement.running_on(server, move_item_key(move)) > 0:
         return
-    # Only reports made after the mark reached the nodes show that nothing runs any more.
+    # Only reports made after the nodes learned of the drain show that no request runs any more.
     if not placement.config.servers_guard_unloads and placement.oldest_node_report < move.start_at:
         return
     if any(_is_pending(placement, adapter_unload) for adapter_unload in move.after):
         return
     if server.confirmed_epoch != placement.leadership.epoch or now < server.retry_at:
         return
-    if _is_carrying_out(placement, server):
+    if _is_blocked_by_order(placement, server):
         return
     order = _order(placement, move, OrderAction.UNLOAD)
-    placement.set_state(server, move_item_key(move), replica, ReplicaState.UNLOADING)
+    placement.set_replica_state(server, move_item_key(move), replica, ReplicaState.UNLOADING)
     _send(placement, move, server, order, now)
 
 
-def _is_carrying_out(placement: PlacementState, server: ServerState) -> bool:
-    """Whether the server must not get another order before the end of the one it has."""
+def _is_blocked_by_order(placement: PlacementState, server: ServerState) -> bool:
+    """Whether the server must finish an order in flight before it gets another one."""
     if not placement.config.serial_orders:
         return False
     moves = (
@@ -71,13 +71,13 @@
 
 
 def _is_pending(placement: PlacementState, move_id: MoveId) -> bool:
-    """Whether a move still waits for its order."""
+    """Whether a move is unfinished and was not ordered yet."""
     move = placement.calendar.moves.get(move_id)
     return move is not None and not move.in_flight
 
 
 def _reason_to_keep(placement: PlacementState, move: Move, server: ServerState, now: float) -> str:
-    """Return why a draining replica should stay after all; empty when it should go."""
+    """Return why the unload of a draining replica should be cancelled; empty if it should not."""
     key = move_item_key(move)
     if not server.is_serving:
         return "the server went out of service"
@@ -103,7 +103,7 @@
 
 
 def order_loads(placement: PlacementState, now: float) -> None:
-    """System: order planned loads, most urgent first, small ones first among equals."""
+    """System: order planned loads, the most urgent first and among equally urgent the smallest."""
     planned = [
         move
         for move in placement.calendar.moves.values()
@@ -121,8 +121,8 @@
 def _order_key(placement: PlacementState, move: Move, now: float) -> tuple[float, ...]:
     item = placement.items.get(move_item_key(move))
     size = move.reservation.memory_bytes
-    if item is not None and is_missed(placement, item, now):
-        return (0.0, -need(placement, item, now) / max(size, 1), move.created_at)
+    if item is not None and has_unmet_demand(placement, item, now):
+        return (0.0, -unmet_demand(placement, item, now) / max(size, 1), move.created_at)
     return (float(move.urgency), float(size), move.created_at)
 
 
@@ -135,14 +135,14 @@
     if reason or item is None:
         end_move(placement, move, MoveState.CANCELLED, reason, now)
         return
-    if not placement.leadership.may_order(now) or not placement.leadership.stores_open:
+    if not placement.leadership.may_order(now) or not placement.leadership.is_takeover_complete:
         return
-    small = item.weight_bytes <= placement.config.small_item_bytes
-    if move.store in blocked_stores and not small:
+    is_small = item.weight_bytes <= placement.config.small_item_bytes
+    if move.store in blocked_stores and not is_small:
         return
     if not _may_order_now(placement, move, item, server, now):
-        # A larger, less urgent pull must not overtake an urgent one and owe the store's rate.
-        if is_missed(placement, item, now):
+        # A less urgent large pull must not go first and use up the store's rate.
+        if has_unmet_demand(placement, item, now):
             blocked_stores.add(move.store)
         return
     _order_load(placement, move, item, server, now)
@@ -182,7 +182,7 @@
         return False
     if item.kind is ItemKind.ADAPTER and not server.has_adapter_slot_now():
         return False
-    if _is_carrying_out(placement, server):
+    if _is_blocked_by_order(placement, server):
         return False
     store = placement.stores[move.store]
     return store.may_order(item.weight_bytes, now, config)
@@ -192,16 +192,17 @@
     placement: PlacementState, move: Move, item: ItemRow, server: ServerState, now: float
 ) -> None:
     store = placement.stores[move.store]
-    # Read before the replica is added: from then on the server counts as having the weights.
+    # Both are computed before the replica is added, because from then on the server may count as
+    # having the weights on disk.
     from_disk = placement.loads_from_disk(item, server)
     expected_s = placement.expected_load_s(item, server)
-    store.order(item.weight_bytes, now, placement.config)
+    store.record_order(item.weight_bytes, now, placement.config)
     placement.store_slots[move.move_id] = store.store
     server.loads_in_flight += 1
     server.remove_planned_load(move.item_kind, move.reservation)
     item.planned.pop(server.server, None)
     replica = Replica(ReplicaState.LOADING, item.weight_bytes, item.kv_bytes, now)
-    replica.move = move.move_id
+    replica.move_id = move.move_id
     placement.add_replica(server, item.key, replica)
     if item.kind is ItemKind.MODEL:
         placement.queue_adapters(item)
@@ -220,7 +221,7 @@
 ) -> Order:
     epoch = placement.leadership.epoch
     return Order(
-        order_id=f"o{epoch}-{placement.number()}",
+        order_id=f"o{epoch}-{placement.allocate_number()}",
         epoch=epoch,
         action=action,
         item_kind=move.item_kind or ItemKind.MODEL,
@@ -245,7 +246,7 @@
         address=server.address,
     )
     placement.calendar.put(ordered)
-    placement.watched[server.server] = None
+    placement.awaiting_status[server.server] = None
     not_after = placement.leadership.acts_until
     placement.effects.append(SendOrder(server.server, server.address, order, not_after))
     placement.effects.append(
--- a/src/zincvale/controlplane/placement/drain_table.py
+++ b/src/zincvale/controlplane/placement/drain_table.py
@@ -1,4 +1,4 @@
-"""Servers out of service, and the moves that follow their drains."""
+"""Table of the servers out of service and their drain moves."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @attrs.define(eq=False)
 class DrainTable:
-    """Followed by the system `track_drains`; `apply_intent` adds servers.
+    """Servers out of service: `apply_intent` adds them, the system `track_drains` checks them.
 
     Attributes
     ----------
-    check_at : servers out of service, with the time of their next check.
-    move_by_server : the drain move of a server.
+    check_at : the time of the next check of each server out of service.
+    move_by_server : the drain move of each server.
     """
 
     check_at: dict[ServerId, float] = attrs.field(factory=dict)
--- a/src/zincvale/controlplane/placement/draining_row_codec.py
+++ b/src/zincvale/controlplane/placement/draining_row_codec.py
@@ -1,4 +1,4 @@
-"""What nodes read of the topic `moves`: replicas that are about to be unloaded."""
+"""Decodes the part of the topic `moves` that nodes need: the replicas that are draining."""
 
 from __future__ import annotations
 
@@ -10,24 +10,26 @@
 from zincvale.model.identifiers import ServerId
 
 MOVES_TOPIC = "moves"
-"""Name of the topic; nodes and cores of one release must agree."""
+"""Name of the topic; nodes and cores must use the same name."""
 UNLOAD = "unload"
-"""`MoveKind.UNLOAD` as text of a row; nodes do not import the calendar."""
+"""Text of `MoveKind.UNLOAD` in a row; nodes do not import the calendar's modules."""
 DRAINING_STATE_NAMES = frozenset({"closing", "ordered", "running", "unknown"})
-"""A replica is draining from the announcement of its unload until that move is finished."""
+"""Texts of the states of an unload in which its replica is draining.
+
+A replica drains from the announcement of its unload until that move is finished."""
 
 
 class DrainingReplicasDecoder:
-    """Tracks which replicas drain at each server; parses only rows that changed."""
+    """Tracks which replicas are draining on each server; parses only the rows that changed."""
 
     def __init__(self) -> None:
         self._rows: dict[str, bytes] = {}
         self._draining: dict[str, tuple[ServerId, str] | None] = {}
 
     def update(self, rows: Mapping[str, bytes]) -> dict[ServerId, frozenset[str]]:
-        """Return the names that nodes must send nothing new for; raises `MalformedBodyError`."""
+        """Return the draining models and adapters by server; raises `MalformedBodyError`."""
         self._draining = {
-            move: self._draining[move] if self._rows.get(move) == content else _read(content)
+            move: self._draining[move] if self._rows.get(move) == content else _read_row(content)
             for move, content in rows.items()
         }
         self._rows = dict(rows)
@@ -38,7 +40,7 @@
         return {server: frozenset(draining) for server, draining in names.items()}
 
 
-def _read(content: bytes) -> tuple[ServerId, str] | None:
+def _read_row(content: bytes) -> tuple[ServerId, str] | None:
     try:
         row = orjson.loads(content)
         is_draining = row["kind"] == UNLOAD and row["state"] in DRAINING_STATE_NAMES
--- a/src/zincvale/controlplane/placement/drains.py
+++ b/src/zincvale/controlplane/placement/drains.py
@@ -1,4 +1,4 @@
-"""System: follows drains and evacuations until everything wanted from there runs elsewhere."""
+"""System: tracks drains and evacuations until no required replica is missing elsewhere."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 from zincvale.controlplane.placement.state import PlacementState
 
 DRAIN_CHECK_INTERVAL_S = 1.0
-"""Time between two checks of a drained server; a drain is shown as done that much later."""
+"""Interval between two checks of a drained server; also the longest delay until a drain that is
+complete is shown as done."""
 
 
 def track_drains(placement: PlacementState, now: float) -> None:
-    """System: open, follow and end one drain move for each server out of service."""
+    """System: create, update and end the drain move of each server that is out of service."""
     if not placement.leadership.is_leader:
         return
     for server_id, check_at in list(placement.drains.check_at.items()):
--- a/src/zincvale/controlplane/placement/events.py
+++ b/src/zincvale/controlplane/placement/events.py
@@ -30,17 +30,17 @@
 
 @attrs.frozen
 class StatusReport:
-    """One server as observed.
+    """The observed state of one server.
 
     Attributes
     ----------
-    row : the directory's row. `loading` holds names of models and adapters being loaded.
-    requested_at : a time on this process's clock before which the status was certainly not taken:
-        when this process sent the status request, or, for a row relayed by a prober, when this
-        process requested it from the prober, less the row's age in the prober's response.
+    row : the row of the directory; its `loading` has the names of models and adapters being loaded.
+    requested_at : a time on this process's clock at or after which the status was taken: when this
+        process sent the status request, or, for a row relayed by a prober, when this process
+        requested it from the prober, minus the age of the row that the prober stated.
     unloading : names of models and adapters being unloaded.
-    is_from_server : the server itself reported it. What a list says of it may trail behind an
-        order of an earlier leader, so a list never confirms a server.
+    is_from_server : the server itself reported the state. A list of servers may lag behind an order
+        of an earlier leader, so a list never confirms a server.
     """
 
     row: ServerRow
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class DirectoryChanged:
-    """Input: servers whose rows changed, or were confirmed, and servers that left the list."""
+    """Input: servers whose rows changed or were observed again, and servers that left."""
 
     reports: tuple[StatusReport, ...] = ()
     departed: tuple[ServerId, ...] = ()
@@ -59,13 +59,13 @@
 
 @attrs.frozen
 class DemandRow:
-    """What one node saw for one model and adapter since its last report.
+    """Demand for one model, or one of its adapters, at one node.
 
     Attributes
     ----------
-    requests : requests that arrived.
-    tokens : tokens generated.
-    waiting : requests pending at the node now because no replica can take them.
+    requests : requests that arrived since the node's last report.
+    tokens : tokens generated since the node's last report.
+    waiting : requests that wait at the node now because no replica can take them.
     """
 
     model: ModelName
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class UseRow:
-    """Requests of one node that run on one server now."""
+    """Number of requests of one node that run on one server now, for a model or adapter."""
 
     server: ServerId
     model: ModelName
@@ -87,7 +87,7 @@
 
 @attrs.frozen
 class DemandReported:
-    """Input: a node's complete present picture; what it does not list is zero."""
+    """Input: a node's complete report; models and adapters that it does not list count as 0."""
 
     node: MemberId
     rows: tuple[DemandRow, ...] = ()
@@ -96,9 +96,9 @@
 
 @attrs.frozen
 class OrderAccepted:
-    """Input: the server took the order.
+    """Input: the server accepted the order.
 
-    `done` tells that it is already in effect (HTTP 200, not 202).
+    `done` means that the order is already carried out (HTTP status 200 instead of 202).
     """
 
     order_id: str
@@ -106,7 +106,7 @@
 
 
 class OrderRefusal(enum.Enum):
-    """Why a server refused an order; it did not run and will not."""
+    """Why an order was not accepted; it did not run and will not run."""
 
     MEMORY = "memory"
     BUSY = "busy"
@@ -114,15 +114,15 @@
     NOT_HELD = "not-held"
     STALE_EPOCH = "stale-epoch"
     WITHHELD = "withheld"
-    """The runtime did not send it: the leader lease did not cover the moment."""
+    """The runtime did not send the order, because the leader lease did not hold at that time."""
     NOT_CONNECTED = "not-connected"
-    """No connection was made, so nothing was sent."""
+    """No connection to the server was made, so the order was not sent."""
     OTHER = "other"
 
 
 @attrs.frozen
 class OrderRefused:
-    """Input: the order provably never ran and never will."""
+    """Input: the order certainly did not run and will not run."""
 
     order_id: str
     why: OrderRefusal
@@ -130,7 +130,7 @@
 
 @attrs.frozen
 class OrderUnknown:
-    """Input: the order got no response; it may run."""
+    """Input: the order got no response, or its end could not be learned; it may still run."""
 
     order_id: str
 
@@ -139,7 +139,7 @@
 class LeaderGained:
     """Input: this process holds the leader lease under `epoch`; also sent at each renewal.
 
-    `acts_until` is the end of the lease less its safety margin, on this process's clock.
+    `acts_until` is the end of the lease minus its safety margin, on this process's clock.
     """
 
     epoch: int
@@ -166,7 +166,7 @@
 
 
 class OrderAction(enum.Enum):
-    """What an order asks for."""
+    """What an order tells the server to do."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -174,13 +174,13 @@
 
 @attrs.frozen
 class Order:
-    """One order to a server.
+    """An order to a server to load or unload an item.
 
     Attributes
     ----------
-    epoch : fencing epoch of the leader; receivers refuse older ones.
-    base_model : of an adapter.
-    store_address : where weights are pulled from; empty in an unload.
+    epoch : fencing epoch of the leader; servers refuse orders with an older epoch.
+    base_model : the base model of an adapter; empty for a model.
+    store_address : address of the store to pull the weights from; empty in an order to unload.
     from_disk : the server is expected to have the weights on its own disk.
     """
 
@@ -198,21 +198,22 @@
 
 @attrs.frozen
 class SendOrder:
-    """Effect: send `order`, if the leader lease of its epoch covers the moment of sending.
+    """Effect: send `order`, if the leader lease of its epoch holds at the time of sending.
 
-    Answer with `OrderAccepted`, `OrderRefused` or `OrderUnknown` within the order's lifetime.
+    The runtime responds with `OrderAccepted`, `OrderRefused` or `OrderUnknown` within the order's
+    lifetime.
     """
 
     server: ServerId
     address: Address
     order: Order
     not_after: float
-    """The order must not leave at or after this time."""
+    """The order must not be sent at or after this time."""
 
 
 @attrs.frozen
 class RequestStatus:
-    """Effect: request the server's status now; feed back `DirectoryChanged`."""
+    """Effect: request the server's status now; the result is fed back as `DirectoryChanged`."""
 
     server: ServerId
     address: Address
@@ -220,9 +221,9 @@
 
 @attrs.frozen
 class PublishMoves:
-    """Effect: put these rows on the topic `moves` and take the removed ones off it.
+    """Effect: put the changed rows on the topic `moves` and remove others from it.
 
-    `is_complete` says that rows not listed are to be removed as well.
+    `is_complete` means that all rows that are not listed are to be removed as well.
     """
 
     changed: tuple[Move, ...]
@@ -232,7 +233,7 @@
 
 @attrs.frozen
 class MarkDraining:
-    """Effect: `ServerRow.closing` of `server` is exactly `names` from now on."""
+    """Effect: set `ServerRow.closing` of `server` to `names`, its draining replicas."""
 
     server: ServerId
     names: frozenset[str]
@@ -240,7 +241,7 @@
 
 @attrs.frozen
 class OrderRecorded:
-    """Effect: a fact for the record: an order left."""
+    """Effect: record that an order was issued, with its reason."""
 
     move_id: MoveId
     order: Order
@@ -252,7 +253,7 @@
 
 @attrs.frozen
 class CompletionRecorded:
-    """Effect: a fact for the record: what became of an order, as observed.
+    """Effect: record the observed outcome of an order.
 
     `outcome` is `done`, `failed: WHY` or `refused: WHY`.
     """
--- a/src/zincvale/controlplane/placement/eviction.py
+++ b/src/zincvale/controlplane/placement/eviction.py
@@ -1,13 +1,12 @@
-"""Choice of what leaves a server to make room: the least worth a byte.
+"""Chooses the replicas to evict from a server to make room: those with the least value per byte.
 
-An item's only replica is not chosen while requests run on it, unless requests have waited for
-long: then it may drain, and is unloaded when they have ended. Of several replicas one in use may be
-chosen, since the others stand in for it.
+An item's only replica is not chosen while requests run on it, unless the load's own requests have
+waited for long. It then drains and is unloaded when its requests have ended. If an item has several
+replicas, one in use may be chosen, since the others can serve its requests.
 
-Whether what leaves is worth less than the load is decided after that, by
-`load_candidates.is_worth_loading`. The costs here are by `replica_value.replica_value`; the
-function `replica_value.eviction_cost` is another measure, used there for loads that requests wait
-for.
+Whether the load is worth the eviction is decided afterwards by `load_candidates.is_worth_loading`.
+Costs here are based on `replica_value.replica_value`. For loads that requests wait for,
+`is_worth_loading` uses another measure, `replica_value.eviction_cost`.
 """
 
 from __future__ import annotations
@@ -22,12 +21,13 @@
 
 @attrs.frozen
 class VictimGroup:
-    """What leaves together: an adapter alone, or a model with its adapters.
+    """Replicas that are evicted together: an adapter alone, or a model with its adapters.
 
     Attributes
     ----------
     keys : adapters first, their model last.
-    cost : the greatest `replica_value.replica_value` among the items; more where one is in use.
+    cost : the greatest `replica_value.replica_value` among the items, where that of an only replica
+        in use counts `DRAIN_COST_FACTOR` times.
     """
 
     keys: tuple[ItemKey, ...]
@@ -37,26 +37,28 @@
 
 @attrs.frozen
 class Eviction:
-    """The cheapest way found to free enough memory; its cost is the sum over the groups."""
+    """The replicas to evict from a server, and the sum of their groups' costs."""
 
     keys: tuple[ItemKey, ...]
     cost: float
 
 
 NO_EVICTION = Eviction((), 0.0)
-"""Nothing has to leave."""
+"""The load fits without an eviction."""
 DRAIN_COST_FACTOR = 3.0
-"""A replica in use costs this much more; less interrupts models that are in use for idle ones."""
+"""Factor on the cost of an only replica in use.
+
+With a lower factor, replicas in use are drained although idle ones could be evicted."""
 
 
 @attrs.frozen
-class Space:
-    """Room that a load asks for.
+class RequiredSpace:
+    """The room that a load needs on a server.
 
     Attributes
     ----------
-    needed_bytes : the item's size and what should fit beside it.
-    may_drain : replicas on which requests run may be chosen too.
+    needed_bytes : the size of the item and of the adapters that should fit beside it.
+    may_drain : an only replica on which requests run may be evicted too.
     """
 
     item: ItemRow
@@ -64,30 +66,28 @@
     may_drain: bool = False
 
     def fits(self, placement: PlacementState, server: ServerState) -> bool:
-        """Whether the server has the room already."""
+        """Whether the server has the room without an eviction."""
         return self.missing_bytes(placement, server) <= 0 and not self.missing_adapter_slots(server)
 
     def missing_bytes(self, placement: PlacementState, server: ServerState) -> int:
-        """Return what must leave the server, 0 or less when nothing must."""
+        """Return the bytes to free on the server, 0 or less if there is enough room."""
         free = server.free_planned_bytes(placement.config, self.item.kv_bytes)
         return self.needed_bytes - free
 
     def missing_adapter_slots(self, server: ServerState) -> int:
-        """Return how many adapters must leave the server, 0 when none must."""
+        """Return how many adapters must be evicted from the server, 0 if there is a free slot."""
         return server.missing_adapter_slots() if self.item.kind is ItemKind.ADAPTER else 0
 
 
 def find_eviction(
-    placement: PlacementState, server: ServerState, space: Space, now: float
+    placement: PlacementState, server: ServerState, space: RequiredSpace, now: float
 ) -> Eviction | None:
-    """Return what must leave `server` to make the space, or None when it cannot be made."""
-    shortage = _Shortage(
-        space.missing_bytes(placement, server), space.missing_adapter_slots(server)
-    )
-    if shortage.is_met(server, []):
+    """Return a cheap eviction that makes the required room on `server`, or None if none does."""
+    deficit = _Deficit(space.missing_bytes(placement, server), space.missing_adapter_slots(server))
+    if deficit.is_met(server, []):
         return NO_EVICTION
-    groups = _groups(placement, server, space, now)
-    if shortage.missing_bytes <= 0:
+    groups = _victim_groups(placement, server, space, now)
+    if deficit.missing_bytes <= 0:
         groups = [
             group for group in groups if len(group.keys) == 1 and is_adapter_key(group.keys[0])
         ]
@@ -95,43 +95,43 @@
     chosen: list[VictimGroup] = []
     for group in groups:
         chosen.append(group)
-        if shortage.is_met(server, chosen):
-            return _without_needless(server, chosen, shortage)
+        if deficit.is_met(server, chosen):
+            return _without_redundant_groups(server, chosen, deficit)
     return None
 
 
 @attrs.frozen
-class _Shortage:
-    """What must become free on a server."""
+class _Deficit:
+    """The memory and adapter slots that must be freed on a server."""
 
     missing_bytes: int
     missing_adapter_slots: int
 
     def is_met(self, server: ServerState, groups: list[VictimGroup]) -> bool:
-        """Whether it is free once the groups have left; an adapter may be in two of them."""
+        """Whether evicting the groups frees enough; an adapter in two groups counts once."""
         keys = {key for group in groups for key in group.keys}
         freed_bytes = sum(server.replicas[key].item_bytes for key in keys)
         freed_slots = sum(1 for key in keys if is_adapter_key(key))
         return freed_bytes >= self.missing_bytes and freed_slots >= self.missing_adapter_slots
 
 
-def _without_needless(
-    server: ServerState, chosen: list[VictimGroup], shortage: _Shortage
+def _without_redundant_groups(
+    server: ServerState, chosen: list[VictimGroup], deficit: _Deficit
 ) -> Eviction:
-    """Keep the most costly groups that the others make needless."""
+    """Drop the groups that are not needed to meet the deficit, the most expensive first."""
     needed = chosen
     for group in sorted(chosen, key=lambda group: -group.cost):
         others = [other for other in needed if other is not group]
-        if shortage.is_met(server, others):
+        if deficit.is_met(server, others):
             needed = others
-    # A model comes after its adapters, so that they are unloaded first.
+    # Adapters come first, so that they are unloaded before their model.
     needed = sorted(needed, key=lambda group: len(group.keys))
     keys = tuple(dict.fromkeys(key for group in needed for key in group.keys))
     return Eviction(keys, sum(group.cost for group in needed))
 
 
-def _groups(
-    placement: PlacementState, server: ServerState, space: Space, now: float
+def _victim_groups(
+    placement: PlacementState, server: ServerState, space: RequiredSpace, now: float
 ) -> list[VictimGroup]:
     adapters_by_model: dict[ItemKey, list[ItemKey]] = {}
     models: list[ItemKey] = []
@@ -147,15 +147,16 @@
     for model in models:
         if model != space.item.base:
             keys = (*adapters_by_model.get(model, ()), model)
-            groups.append(_group(placement, server, keys, now, may_drain=space.may_drain))
+            groups.append(_victim_group(placement, server, keys, now, may_drain=space.may_drain))
     for adapters in adapters_by_model.values():
         groups.extend(
-            _group(placement, server, (key,), now, may_drain=space.may_drain) for key in adapters
+            _victim_group(placement, server, (key,), now, may_drain=space.may_drain)
+            for key in adapters
         )
     return [group for group in groups if group is not None]
 
 
-def _group(
+def _victim_group(
     placement: PlacementState,
     server: ServerState,
     keys: tuple[ItemKey, ...],
@@ -168,10 +169,10 @@
     for key in keys:
         item = placement.items[key]
         replica = server.replicas[key]
-        if not _may_leave(placement, item, replica, now):
+        if not _is_evictable(placement, item, replica, now):
             return None
         item_cost = replica_value(placement, item, now)
-        if _is_used_here_only(placement, server, item):
+        if _is_only_replica_in_use(placement, server, item):
             if not may_drain:
                 return None
             item_cost *= DRAIN_COST_FACTOR
@@ -180,9 +181,13 @@
     return VictimGroup(keys, item_bytes, cost)
 
 
-def _may_leave(placement: PlacementState, item: ItemRow, replica: Replica, now: float) -> bool:
-    """Whether a replica is neither pinned, nor moving, nor just loaded, nor waited for."""
-    if replica.state is not ReplicaState.LOADED or replica.draining or replica.move is not None:
+def _is_evictable(placement: PlacementState, item: ItemRow, replica: Replica, now: float) -> bool:
+    """Whether a replica may be evicted.
+
+    It may not be while it is loading or unloading, within the minimum residency time, if the item
+    would have less than its minimum replicas, or if requests wait for the item's only replica.
+    """
+    if replica.state is not ReplicaState.LOADED or replica.draining or replica.move_id is not None:
         return False
     if now - replica.since < placement.config.min_residency_s:
         return False
@@ -190,5 +195,5 @@
     return others >= item.min_replicas and (others >= 1 or item.waiting == 0)
 
 
-def _is_used_here_only(placement: PlacementState, server: ServerState, item: ItemRow) -> bool:
+def _is_only_replica_in_use(placement: PlacementState, server: ServerState, item: ItemRow) -> bool:
     return item.ready <= 1 and placement.running_on(server, item.key) > 0
--- a/src/zincvale/controlplane/placement/free_memory.py
+++ b/src/zincvale/controlplane/placement/free_memory.py
@@ -1,4 +1,4 @@
-"""Servers of each pool in the order of their free memory."""
+"""Index of the servers of each pool by free memory."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 @attrs.define(eq=False)
 class FreeMemoryIndex:
-    """Sorted (free bytes, server) of each pool, brought up to date when it is read.
+    """Sorted (free bytes, server) pairs of each pool, updated lazily when they are read.
 
-    Whoever changes a server's memory marks it stale. `ServerState.indexed_free_bytes` is the value
-    under which the server stands here.
+    Code that changes a server's memory must mark the server as stale.
+    `ServerState.indexed_free_bytes` is the value under which the server is indexed.
     """
 
     _by_pool: dict[PoolName, SortedSet] = attrs.field(factory=dict)
     _stale: dict[ServerId, None] = attrs.field(factory=dict)
 
     def mark_stale(self, server: ServerState) -> None:
-        """Have the server's entry recomputed before the index is next read."""
+        """Mark the server's entry to be recomputed before the index is next read."""
         self._stale[server.server] = None
 
     def of_pool(
         self, pool: PoolName, servers: dict[ServerId, ServerState], config: PlacementConfig
     ) -> SortedSet:
-        """Return (free bytes, server) of the pool, least first."""
+        """Return the (free bytes, server) pairs of the pool, least free memory first."""
         for server_id in self._stale:
             server = servers.get(server_id)
             if server is not None:
@@ -37,7 +37,7 @@
         return self._by_pool.setdefault(pool, SortedSet())
 
     def remove(self, server: ServerState) -> None:
-        """Take the server out of its pool's order."""
+        """Remove the server from the index of its pool."""
         index = self._by_pool.get(server.pool)
         if index is not None:
             index.discard((server.indexed_free_bytes, server.server))
--- a/src/zincvale/controlplane/placement/items.py
+++ b/src/zincvale/controlplane/placement/items.py
@@ -1,4 +1,4 @@
-"""Table of models and adapters: what can be loaded."""
+"""Table of items: the models and adapters that can be loaded."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from zincvale.model.resources import Stake
 
 ItemKey = NewType("ItemKey", str)
-"""`model/NAME` or `adapter/NAME`."""
+"""Key of an item: `model/NAME` or `adapter/NAME`."""
 
-MISSED_HALF_LIFE_S = 5.0
-"""Requests that found no replica count as waiting for about this long."""
+UNSERVED_HALF_LIFE_S = 5.0
+"""Half-life of the count of requests that found no ready replica, some of which were refused."""
 
 
 class ItemKind(enum.Enum):
-    """What an item is."""
+    """Kind of an item."""
 
     MODEL = "model"
     ADAPTER = "adapter"
@@ -42,34 +42,37 @@
 
 @attrs.define(eq=False)
 class ItemRow:
-    """A model or adapter: its declaration, its demand and where it is.
+    """A model or adapter: its declaration, its demand and its replicas.
 
-    Dicts without values stand for sets: their order is the same in every run.
+    Dicts with None as values are used as sets, because their iteration order is deterministic.
 
     Attributes
     ----------
-    kv_bytes : KV cache kept on a server for it at least (models only).
-    declared_load_s : of a load from the store, until one was seen; 0 when not declared.
-    base : the adapter's base model.
+    kv_bytes : minimum memory for its KV cache on a server (models only).
+    base : the adapter's base model; None for a model.
+    declared_load_s : declared time of a load from the store, used until one was observed; 0 if not
+        declared.
     adapters : the model's declared adapters.
-    holders : servers where it occupies memory, in any state.
-    ready, loading : how many of the holders serve it, or load it, on servers in service; kept
-        true by `PlacementState.recount`.
-    planned : servers for which a load is planned but not ordered.
-    missed : requests that came while no replica served.
+    holders : servers on which it occupies memory, in any state.
+    ready, loading : number of its replicas that are ready, or being loaded, on servers that serve
+        requests; updated by `PlacementState.recount`.
+    planned : servers on which a load is planned but not yet ordered.
+    unserved : decayed count of the requests that came while no replica was ready.
     waiting : requests that wait for it at the nodes now.
-    waiting_since : when `waiting` last left 0.
+    waiting_since : when `waiting` last rose from 0.
     running : requests that run on it now.
-    desired : replicas desired at the last review.
-    review_at : time of the pending review, infinity when none is pending.
+    concurrency, concurrency_at : moving average of its concurrent requests, and when it was last
+        updated.
+    desired : desired number of replicas at the last review.
+    review_at : time of the scheduled review, infinity if none is scheduled.
     shortage_stamp : the valid entry of this item in its store's shortage queue, 0 for none.
     shortage_urgency : urgency of that entry.
-    retry_at : no load of it is planned before, after a failed one.
-    placement_retry_at : as `retry_at`, after no server was found; does not hold for waiting
-        requests.
-    unplaced_logged_at : when it was last logged that nothing fits.
-    failures : failed loads in a row.
-    rate, rate_at : requests per second last expected, and when; see `replica_value.expected_rate`.
+    retry_at : after a failed load, no load of it is planned before this time.
+    placement_retry_at : after no server was found, no load of it is planned before this time,
+        except for waiting requests.
+    unplaced_logged_at : when it was last logged that no server was found.
+    rate, rate_at : last result of `replica_value.expected_rate`, and the time for which it holds.
+    failures : number of consecutive failed loads.
     """
 
     key: ItemKey
@@ -89,7 +92,7 @@
     ready: int = 0
     loading: int = 0
     planned: dict[ServerId, None] = attrs.field(factory=dict)
-    missed: DecayedCount = attrs.field(factory=lambda: DecayedCount(MISSED_HALF_LIFE_S))
+    unserved: DecayedCount = attrs.field(factory=lambda: DecayedCount(UNSERVED_HALF_LIFE_S))
     waiting: int = 0
     waiting_since: float = 0.0
     running: int = 0
--- a/src/zincvale/controlplane/placement/load_times.py
+++ b/src/zincvale/controlplane/placement/load_times.py
@@ -1,4 +1,7 @@
-"""Learned load times: by item and server, else by server, else by store; from disks apart."""
+"""Learned load times: by item and server, else by server, else by store.
+
+Loads from servers' own disks are learned separately.
+"""
 
 from __future__ import annotations
 
@@ -9,25 +12,26 @@
 from zincvale.controlplane.placement.items import ItemKey
 from zincvale.model.identifiers import ServerId, StoreName
 
-WEIGHT_OF_NEWEST = 0.3
-"""Of the newest load in an average; 1 would follow each outlier."""
+NEWEST_LOAD_WEIGHT = 0.3
+"""Weight of the newest load in an average; with 1, each outlier would replace the average."""
 MAX_PAIRS = 20_000
-"""Learned pairs of item and server in memory; the oldest are dropped beyond it."""
+"""Limit on the learned pairs of item and server; beyond it the oldest are dropped."""
 MIN_LOAD_S = 0.05
-"""No load is expected or learned as shorter, so that rates stay finite."""
+"""Minimum load time that is learned or expected, so that rates stay finite."""
 DEFAULT_DISK_FACTOR = 0.5
-"""Part of the time from the store that a load from a server's own disk is taken to need until one
-was seen: little enough to be tried, and one that is tried tells."""
+"""Assumed load time from disk, as a fraction of the time from the store, until one was observed.
+
+It is low enough for a load from disk to be tried, which then shows the real time."""
 
 
 @attrs.define(eq=False)
 class LoadTimes:
-    """Exponentially weighted averages of observed loads.
+    """Exponentially weighted averages of observed load times and rates.
 
     Attributes
     ----------
-    by_pair : seconds for one item on one server; the oldest of `MAX_PAIRS` are forgotten.
-    rate_by_server, rate_by_store : bytes per second.
+    by_pair : load time in seconds of an item on a server; limited to `MAX_PAIRS`.
+    rate_by_server, rate_by_store : bytes per second of loads from stores.
     disk_rate_by_store : bytes per second from servers' own disks, for the items of a store.
     """
 
@@ -39,21 +43,21 @@
     def observe(
         self, item: ItemKey, item_bytes: int, server: ServerId, store: StoreName, took_s: float
     ) -> None:
-        """Learn from a load that took `took_s` from its order to its completion."""
+        """Learn from a load from a store that took `took_s` from its order to its completion."""
         took_s = max(took_s, MIN_LOAD_S)
         pair = (item, server)
-        self.by_pair[pair] = _mix(self.by_pair.get(pair), took_s)
+        self.by_pair[pair] = _weighted_average(self.by_pair.get(pair), took_s)
         self.by_pair.move_to_end(pair)
         if len(self.by_pair) > MAX_PAIRS:
             self.by_pair.popitem(last=False)
         rate = item_bytes / took_s
-        self.rate_by_server[server] = _mix(self.rate_by_server.get(server), rate)
-        self.rate_by_store[store] = _mix(self.rate_by_store.get(store), rate)
+        self.rate_by_server[server] = _weighted_average(self.rate_by_server.get(server), rate)
+        self.rate_by_store[store] = _weighted_average(self.rate_by_store.get(store), rate)
 
     def observe_from_disk(self, item_bytes: int, store: StoreName, took_s: float) -> None:
-        """Learn from a load of weights that the server had on its own disk."""
+        """Learn from a load from a server's own disk that took `took_s`."""
         rate = item_bytes / max(took_s, MIN_LOAD_S)
-        self.disk_rate_by_store[store] = _mix(self.disk_rate_by_store.get(store), rate)
+        self.disk_rate_by_store[store] = _weighted_average(self.disk_rate_by_store.get(store), rate)
 
     def expected_from_disk_s(
         self,
@@ -62,7 +66,7 @@
         store_bytes_per_second: int,
         declared_s: float = 0.0,
     ) -> float:
-        """Return how long a load from a server's own disk will take."""
+        """Return the expected time of a load from a server's own disk."""
         rate = self.disk_rate_by_store.get(store)
         if rate is not None:
             return max(item_bytes / rate, MIN_LOAD_S)
@@ -78,9 +82,9 @@
         store_bytes_per_second: int,
         declared_s: float = 0.0,
     ) -> float:
-        """Return how long a load will take; `server` of None asks for any server.
+        """Return the expected time of a load from the store; a `server` of None means any server.
 
-        A declared time counts until a load from the store was seen.
+        The declared time is used until a load from the store was observed.
         """
         if server is not None:
             learned = self.by_pair.get((item, server))
@@ -101,7 +105,7 @@
         return max(item_bytes / max(rate, 1.0), MIN_LOAD_S)
 
 
-def _mix(old: float | None, new: float) -> float:
+def _weighted_average(old: float | None, new: float) -> float:
     if old is None:
         return new
-    return old + WEIGHT_OF_NEWEST * (new - old)
+    return old + NEWEST_LOAD_WEIGHT * (new - old)
--- a/src/zincvale/controlplane/placement/move_completion.py
+++ b/src/zincvale/controlplane/placement/move_completion.py
@@ -1,4 +1,4 @@
-"""Ends moves and gives back what they reserved; adopts loads that were found running."""
+"""Ends moves and releases their reservations; adopts loads that were found in progress."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from zincvale.controlplane.placement import log_events
 from zincvale.controlplane.placement.events import CompletionRecorded
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow, adapter_key, model_key
-from zincvale.controlplane.placement.load_moves import LoadTerms, new_load
+from zincvale.controlplane.placement.load_moves import LoadPlan, new_load
 from zincvale.controlplane.placement.moves import (
     Move,
     MoveKind,
@@ -22,11 +22,11 @@
     MoveState.FAILED: log_events.MOVE_FAILED,
     MoveState.CANCELLED: log_events.MOVE_CANCELLED,
 }
-"""The log event of each end of a move."""
+"""The log event for each final state of a move."""
 
 
 def move_item_key(move: Move) -> ItemKey:
-    """Return the item that a load or unload moves."""
+    """Return the key of the item that a load or unload concerns."""
     if move.item_kind is ItemKind.ADAPTER:
         return adapter_key(move.name)
     return model_key(move.name)
@@ -35,7 +35,7 @@
 def end_move(
     placement: PlacementState, move: Move, state: MoveState, outcome: str, now: float
 ) -> None:
-    """Finish a move in `state` and give its reservations back."""
+    """Finish a move in the final state `state` and release its reservations."""
     if move.kind is MoveKind.LOAD:
         _end_load(placement, placement.servers[move.server], move, state, now)
     elif move.kind is MoveKind.UNLOAD:
@@ -59,27 +59,27 @@
 def adopt_load(
     placement: PlacementState, server: ServerState, item: ItemRow, replica: Replica, now: float
 ) -> None:
-    """Put a load that another leader ordered on the calendar, with its reservations."""
-    terms = LoadTerms(
+    """Add a load that another leader ordered to the calendar, with its reservations."""
+    load_plan = LoadPlan(
         state=MoveState.RUNNING,
         reason=MoveReason.FOUND_IN_PROGRESS,
         detail="the server reports this load; this process did not order it",
         start_at=now,
     )
-    move = attrs.evolve(new_load(placement, server, item, terms, now), responded_at=now)
+    move = attrs.evolve(new_load(placement, server, item, load_plan, now), responded_at=now)
     store = placement.stores.get(item.store)
-    replica.move = move.move_id
+    replica.move_id = move.move_id
     server.loads_in_flight += 1
     if store is not None:
-        store.adopt()
+        store.occupy_slot()
         placement.store_slots[move.move_id] = store.store
-    placement.watched[server.server] = None
+    placement.awaiting_status[server.server] = None
     placement.calendar.put(move)
     placement.log(log_events.UNPLANNED_LOAD, server=server.server, name=item.name)
 
 
 def end_moves_of(placement: PlacementState, server: ServerState, outcome: str, now: float) -> None:
-    """End every move of a server whose memory is gone."""
+    """End every move of a server that left the directory."""
     for move_id in list(placement.calendar.by_server.get(server.server, ())):
         move = placement.calendar.moves.get(move_id)
         if move is not None:
@@ -88,7 +88,10 @@
 
 
 def keep_reservations_of(placement: PlacementState, server: ServerState, now: float) -> None:
-    """Keep the store slots of an unobservable server for as long as a pull can take."""
+    """Keep the store slots of a server that can no longer be observed until its pulls have ended.
+
+    The end is the longest time that the pull can take at an equal share of the store's rate.
+    """
     for move_id in placement.calendar.by_server.get(server.server, ()):
         name = placement.store_slots.pop(move_id, None)
         if name is None:
@@ -106,14 +109,14 @@
     key = move_item_key(move)
     item = placement.items.get(key)
     if not move.in_flight:
-        _unplan_load(placement, server, move, item, now)
+        _end_planned_load(placement, server, move, item, now)
         return
     server.loads_in_flight -= 1
     store = placement.store_slots.pop(move.move_id, None)
     if store is not None:
-        placement.stores[store].release()
+        placement.stores[store].release_slot()
     replica = server.replicas[key]
-    replica.move = None
+    replica.move_id = None
     if state is MoveState.DONE:
         _finish_load(placement, server, move, item, now)
         return
@@ -126,13 +129,13 @@
     placement: PlacementState, server: ServerState, move: Move, item: ItemRow | None, now: float
 ) -> None:
     replica = server.replicas[move_item_key(move)]
-    placement.set_state(server, move_item_key(move), replica, ReplicaState.LOADED)
+    placement.set_replica_state(server, move_item_key(move), replica, ReplicaState.LOADED)
     replica.since = now
     replica.is_prefetched = move.reason is MoveReason.PREFETCH
     if item is None:
         return
     item.failures = 0
-    item.missed.count = 0.0
+    item.unserved.count = 0.0
     if move.reason is not MoveReason.FOUND_IN_PROGRESS:
         _record_load_time(placement, server, move, item, now)
     placement.queue_review(item.key)
@@ -158,7 +161,7 @@
     placement.reviews.queue_at(item, item.retry_at)
 
 
-def _unplan_load(
+def _end_planned_load(
     placement: PlacementState, server: ServerState, move: Move, item: ItemRow | None, now: float
 ) -> None:
     server.remove_planned_load(move.item_kind, move.reservation)
@@ -182,18 +185,18 @@
     server.planned_free_bytes -= move.reservation.memory_bytes
     server.planned_free_adapters -= move.item_kind is ItemKind.ADAPTER
     if move.in_flight and move.responded_at is None:
-        # The order may still arrive, and must not meet a load of the same item.
-        server.barred_until[key] = move.start_at + placement.config.order_lifetime_s
+        # The order may still arrive, and must not undo a later load of the same item.
+        server.load_blocked_until[key] = move.start_at + placement.config.order_lifetime_s
     replica = server.replicas.get(key)
     if replica is None:
         placement.free_memory.mark_stale(server)
         return
-    replica.move = None
+    replica.move_id = None
     if state is MoveState.DONE:
         placement.remove_replica(server, key)
         return
-    placement.set_state(server, key, replica, ReplicaState.LOADED)
-    replica.contrary_since = None
+    placement.set_replica_state(server, key, replica, ReplicaState.LOADED)
+    replica.contradicted_at = None
     placement.set_draining(server, key, replica, draining=False)
     placement.free_memory.mark_stale(server)
     placement.queue_review(key)
--- a/src/zincvale/controlplane/placement/move_row_codec.py
+++ b/src/zincvale/controlplane/placement/move_row_codec.py
@@ -1,7 +1,7 @@
-"""Rows of the topic `moves`, and the calendar as JSON for `GET /v1/moves` and `/v1/moves/ID`.
+"""Encodes rows of the topic `moves`, and moves as JSON for `GET /v1/moves` and `/v1/moves/ID`.
 
-Times in a row are Unix seconds, so that any process can show them: the publisher adds the offset
-between its monotonic clock and the time of day. They are for readers only; nothing decides by them.
+Times in a row are in Unix seconds, so that any process can show them: the publisher adds the offset
+between its monotonic clock and Unix time. They are only shown; no decision depends on them.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
     "answered_at": "responded_at",
     "finished_at": "finished_at",
 }
-"""Fields of `Move` by the keys of a row; the keys are text of the API and of the topic."""
+"""Time fields of `Move` by their keys in a row; the keys are part of the API and of the topic."""
 DRAINING_STATES = frozenset(MoveState(state) for state in DRAINING_STATE_NAMES)
-"""`DRAINING_STATE_NAMES` as states."""
+"""States of an unload in which its replica is draining."""
 
 
 def encode_move(move: Move, wall_offset_s: float = 0.0) -> bytes:
-    """Return the content of a move's row; `wall_offset_s` turns its times into Unix time."""
+    """Return the content of a move's row; `wall_offset_s` converts its times to Unix time."""
     return orjson.dumps(move_to_json(move, wall_offset_s), option=orjson.OPT_SORT_KEYS)
 
 
@@ -54,7 +54,7 @@
 
 
 def topic_rows(effect: PublishMoves, wall_offset_s: float = 0.0) -> dict[str, bytes | None]:
-    """Return the rows that a publication changes; None takes a row off the topic."""
+    """Return the rows that a publication changes; None removes a row from the topic."""
     rows: dict[str, bytes | None] = dict.fromkeys(effect.removed)
     for move in effect.changed:
         rows[move.move_id] = encode_move(move, wall_offset_s)
@@ -90,16 +90,16 @@
 
 
 def moves_to_json(moves: Iterable[Move]) -> dict[str, Any]:
-    """Return the calendar as `GET /v1/moves` shows it: unfinished first, then by start."""
+    """Return the moves as `GET /v1/moves` shows them: unfinished ones first, then by start."""
     ordered = sorted(moves, key=lambda move: (move.finished, move.start_at, move.move_id))
     return {"moves": [move_to_json(move) for move in ordered]}
 
 
 def draining_by_server(moves: Iterable[Move]) -> dict[ServerId, frozenset[str]]:
-    """Return what nodes must send nothing new to, from the rows of the topic.
+    """Return the names of the draining models and adapters by server, from the rows of the topic.
 
-    A replica is draining from the announcement of its unload until that move is finished; it is the
-    value of `ServerRow.closing`.
+    A replica drains from the announcement of its unload until that move is finished. The names are
+    the value of `ServerRow.closing`.
     """
     names: dict[ServerId, set[str]] = {}
     for move in moves:
--- a/src/zincvale/controlplane/placement/moves.py
+++ b/src/zincvale/controlplane/placement/moves.py
@@ -1,4 +1,4 @@
-"""The calendar's rows: one planned or running change of residency."""
+"""Rows of the calendar: each is one planned, running or finished move."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MoveKind(enum.Enum):
-    """What a move does."""
+    """Kind of a move: a load, an unload, the drain of a server, or the wait of a new leader."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -20,21 +20,23 @@
 
 
 class MoveState(enum.Enum):
-    """How far a move is.
+    """State of a move.
 
-    Legal transitions: a load begins PLANNED, an unload DRAINING, a drain or a wait RUNNING.
-    PLANNED and DRAINING become ORDERED or CANCELLED. ORDERED becomes RUNNING, UNKNOWN, DONE or
-    FAILED. RUNNING becomes DONE, FAILED, UNKNOWN (the runtime could not learn the end) or, for a
-    drain or a wait, CANCELLED. UNKNOWN becomes RUNNING, DONE or FAILED. The last three are final.
+    Legal transitions: a load begins as PLANNED, an unload as DRAINING, a drain or a wait as
+    RUNNING. PLANNED and DRAINING become ORDERED or CANCELLED. ORDERED becomes RUNNING, UNKNOWN,
+    DONE or FAILED. RUNNING becomes DONE, FAILED, UNKNOWN (if the runtime could not learn the end)
+    or, for a drain or a wait, CANCELLED. UNKNOWN becomes RUNNING, DONE or FAILED. DONE, FAILED and
+    CANCELLED are final.
     """
 
     PLANNED = "planned"
     DRAINING = "closing"
-    """Nodes are notified to send nothing new; the unload follows. The value is text of the API."""
+    """Nodes are told to send no new requests; the unload is ordered later. The value is part of
+    the API."""
     ORDERED = "ordered"
-    """The order was sent; its response is pending."""
+    """The order was sent and has no response yet."""
     RUNNING = "running"
-    """The server took the order, or (drain, wait) the time runs."""
+    """The server accepted the order; a drain or a wait is in progress."""
     UNKNOWN = "unknown"
     """No response came; the reservation stays until the server's own status shows the outcome."""
     DONE = "done"
@@ -43,9 +45,9 @@
 
 
 FINISHED_STATES = frozenset({MoveState.DONE, MoveState.FAILED, MoveState.CANCELLED})
-"""Nothing follows them."""
+"""Final states."""
 IN_FLIGHT_STATES = frozenset({MoveState.ORDERED, MoveState.RUNNING, MoveState.UNKNOWN})
-"""The server may be carrying the move out."""
+"""States in which the server may be carrying out the move."""
 
 
 class MoveReason(enum.Enum):
@@ -54,14 +56,14 @@
     WAITING_REQUESTS = "waiting-requests"
     MIN_REPLICAS = "min-replicas"
     BESIDE_BASE = "beside-base"
-    """An adapter that was asked for before, on the model that just came."""
+    """Loads an adapter that was requested before and has no replica, beside its base model."""
     REPLACEMENT = "replacement"
     MORE_LOAD = "more-load"
     DAILY_CHANGE = "daily-change"
     HIGHER_VALUE = "higher-value"
     FREE_MEMORY = "free-memory"
     PREFETCH = "prefetch"
-    """Brings weights onto a server's own disk."""
+    """Puts weights onto a server's own disk, or measures how fast they load from there."""
     MAKE_ROOM = "make-room"
     NOT_DECLARED = "not-declared"
     FOUND_IN_PROGRESS = "found-in-progress"
@@ -71,19 +73,19 @@
 
 
 URGENCY_BY_REASON = {reason: urgency for urgency, reason in enumerate(MoveReason)}
-"""0 is the most urgent; the order of `MoveReason` is the order of planning."""
+"""Urgency by reason, 0 the most urgent; the order of `MoveReason` is the order of planning."""
 
 
 @attrs.frozen
 class Reservation:
-    """What a move occupies from its start until it was observed to be over.
+    """Resources that a move occupies from its start until its end was observed.
 
     Attributes
     ----------
-    memory_bytes : of the server, for weights.
-    kv_bytes : of the server, for the KV cache of a model.
-    store_bytes_per_second : expected rate at the store.
-    server_load_slots : of the server's concurrent loads.
+    memory_bytes : memory of the server for weights.
+    kv_bytes : memory of the server for the KV cache of a model.
+    store_bytes_per_second : expected pull rate from the store.
+    server_load_slots : slots among the server's concurrent loads.
     """
 
     memory_bytes: int = 0
@@ -93,7 +95,7 @@
 
 
 NO_RESERVATION = Reservation()
-"""Of moves that occupy nothing."""
+"""Reservation of moves that occupy no resources."""
 
 
 @attrs.frozen
@@ -105,13 +107,13 @@
     state: MoveState
     reason: MoveReason
     detail: str
-    """The reason in a sentence, with the figures it rests on."""
+    """Explanation of the reason for operators, with the figures that it is based on."""
     server: ServerId
     address: Address
     zone: ZoneName
     created_at: float
     start_at: float
-    """Expected while planned, real from then on."""
+    """Expected start while the move is planned, actual start afterwards."""
     expected_end: float
     item_kind: ItemKind | None = None
     name: str = ""
@@ -121,25 +123,25 @@
     order_id: str = ""
     epoch: int = 0
     after: tuple[MoveId, ...] = ()
-    """Moves that must be done before this one is ordered."""
+    """Moves that must be done (before an unload: ordered) before this one is ordered."""
     responded_at: float | None = None
-    """When the server took the order, or was seen carrying it out."""
+    """When the server accepted the order, or was first observed to carry it out."""
     finished_at: float | None = None
     outcome: str = ""
     from_disk: bool = False
-    """A load of weights that the server was expected to have on its own disk."""
+    """The weights of the load were expected to be on the server's own disk."""
 
     @property
     def finished(self) -> bool:
-        """Whether nothing more happens."""
+        """Whether the move is in a final state."""
         return self.state in FINISHED_STATES
 
     @property
     def in_flight(self) -> bool:
-        """Whether the server may be carrying it out."""
+        """Whether the server may be carrying out the move."""
         return self.state in IN_FLIGHT_STATES
 
     @property
     def urgency(self) -> int:
-        """0 is the most urgent."""
+        """Position of the reason in the order of planning; 0 is the most urgent."""
         return URGENCY_BY_REASON[self.reason]
--- a/src/zincvale/controlplane/placement/order_responses.py
+++ b/src/zincvale/controlplane/placement/order_responses.py
@@ -8,30 +8,30 @@
 from zincvale.controlplane.placement.events import OrderRefusal
 from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveState
-from zincvale.controlplane.placement.order_confirmation import mark_unconfirmed
+from zincvale.controlplane.placement.order_confirmation import mark_unknown
 from zincvale.controlplane.placement.state import PlacementState
 
 BUSY_BACKOFF_S = 0.5
-"""Pause before the next order to a server that refused one as busy."""
+"""Pause before the next order to a server that refused one because it was busy."""
 
 
 def apply_accepted(placement: PlacementState, order_id: str, now: float, *, done: bool) -> None:
-    """The server took the order; unless it is done, the server's status tells when it is."""
-    move = _unresponded_move(placement, order_id)
+    """Apply an accepted order; if it is not done yet, a later status or response shows its end."""
+    move = _move_awaiting_response(placement, order_id)
     if move is None and done:
         move = _running_move(placement, order_id)
     if move is None:
         return
-    taken = attrs.evolve(move, state=MoveState.RUNNING, responded_at=now)
+    running = attrs.evolve(move, state=MoveState.RUNNING, responded_at=now)
     if done:
-        end_move(placement, taken, MoveState.DONE, "answered as done", now)
+        end_move(placement, running, MoveState.DONE, "answered as done", now)
     else:
-        placement.calendar.put(taken)
+        placement.calendar.put(running)
 
 
 def apply_refused(placement: PlacementState, order_id: str, why: OrderRefusal, now: float) -> None:
-    """The order never ran and never will: its reservation is free at once."""
-    move = _unresponded_move(placement, order_id)
+    """Apply a refused order; it never runs, so its reservation is released at once."""
+    move = _move_awaiting_response(placement, order_id)
     if move is None:
         return
     placement.log(log_events.ORDER_REFUSED, order=order_id, server=move.server, why=why.value)
@@ -44,15 +44,15 @@
 
 
 def apply_unknown(placement: PlacementState, order_id: str) -> None:
-    """The order got no response, or its end could not be learned: it may run."""
-    move = _unresponded_move(placement, order_id)
+    """Apply an order that got no response, or whose end could not be learned; it may still run."""
+    move = _move_awaiting_response(placement, order_id)
     if move is None and placement.config.confirms_orders:
         move = _running_move(placement, order_id)
     if move is not None:
-        mark_unconfirmed(placement, move)
+        mark_unknown(placement, move)
 
 
-def _unresponded_move(placement: PlacementState, order_id: str) -> Move | None:
+def _move_awaiting_response(placement: PlacementState, order_id: str) -> Move | None:
     move = placement.calendar.of_order(order_id)
     if move is None or move.state not in (MoveState.ORDERED, MoveState.UNKNOWN):
         return None
@@ -60,6 +60,6 @@
 
 
 def _running_move(placement: PlacementState, order_id: str) -> Move | None:
-    """Return the move of an order that was accepted before and is now reported done."""
+    """Return the move of an order that was accepted before, or None."""
     move = placement.calendar.of_order(order_id)
     return move if move is not None and move.state is MoveState.RUNNING else None
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -1,4 +1,4 @@
-"""System: turns shortages into calendar rows, most urgent first."""
+"""System: turns replica shortages into planned loads in the calendar, most urgent first."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow
 from zincvale.controlplane.placement.load_candidates import find_candidate, is_worth_loading
-from zincvale.controlplane.placement.load_moves import LoadTerms, new_load
+from zincvale.controlplane.placement.load_moves import LoadPlan, new_load
 from zincvale.controlplane.placement.move_completion import end_move
 from zincvale.controlplane.placement.moves import (
     MoveKind,
     MoveReason,
     MoveState,
 )
-from zincvale.controlplane.placement.plan_unloads import UnloadTerms, plan_unload
+from zincvale.controlplane.placement.plan_unloads import UnloadPlan, plan_unload
 from zincvale.controlplane.placement.replica_value import (
-    MIN_NEED,
+    MIN_UNMET_DEMAND,
     expected_rate,
 )
 from zincvale.controlplane.placement.servers import ReplicaState, ServerState
@@ -30,31 +30,33 @@
 from zincvale.controlplane.placement.stores import PlannedPulls, StoreState
 from zincvale.model.identifiers import MoveId, StoreName
 
-REASONS = tuple(MoveReason)
-"""The reason of an urgency."""
+REASON_BY_URGENCY = tuple(MoveReason)
+"""The move reasons in planning order; the index of a reason is its urgency, 0 the most urgent."""
 MAX_SKIPPED_SHORTAGES = 64
-"""Shortages skipped in one run because their store or servers are busy; more cost time in each
-run."""
+"""Limit on the shortages of one store that a run skips because the store or the servers are busy.
+
+A higher limit makes each run take longer."""
 UNPLACED_LOG_INTERVAL_S = 10.0
-"""Time between two log lines for one item that finds no server."""
+"""Minimum interval between two log lines about the same item for which no server was found."""
 
 
-class Planning(enum.Enum):
-    """What became of one attempt to plan a load."""
+class PlanResult(enum.Enum):
+    """Result of one attempt to plan a load."""
 
     PLANNED = "planned"
     BUSY = "busy"
-    """Looked at again in the next run: the servers are busy for the moment."""
-    NOWHERE = "nowhere"
+    """All servers that could take the load are busy; the shortage stays queued."""
+    UNPLACED = "nowhere"
+    """No server can take the load, or it is worth less than what would be evicted for it."""
 
 
 def plan_loads(placement: PlacementState, now: float) -> None:
-    """System: plan loads for the shortages of each store, as far as they can soon be ordered.
+    """System: plan loads for the shortages of each store, if they can be ordered soon.
 
-    A load that is planned early would reserve its server and drain its victims while a more urgent
-    one arrives.
+    A load planned too early would reserve its server and drain replicas for it, although a more
+    urgent load may arrive before it can be ordered.
     """
-    if not placement.leadership.is_leader or not placement.leadership.stores_open:
+    if not placement.leadership.is_leader or not placement.leadership.is_takeover_complete:
         return
     planned = _planned_by_store(placement)
     budget = placement.config.plan_budget
@@ -68,7 +70,7 @@
 
 @attrs.frozen
 class _StorePlan:
-    """A store, what is missing of its items, and the loads planned and not ordered."""
+    """A store, the shortages of its items, and its loads that are planned but not yet ordered."""
 
     store: StoreState
     queue: list[Shortage]
@@ -85,30 +87,30 @@
 
 
 def _plan_store(placement: PlacementState, plan: _StorePlan, budget: int, now: float) -> int:
-    """Plan loads of one store; return what is left of the run's budget."""
+    """Plan loads from one store; return how many more loads this run may plan."""
     queue = plan.queue
-    later: list[Shortage] = []
-    while queue and budget > 0 and len(later) < MAX_SKIPPED_SHORTAGES:
+    skipped: list[Shortage] = []
+    while queue and budget > 0 and len(skipped) < MAX_SKIPPED_SHORTAGES:
         entry = heapq.heappop(queue)
         item = current_item(placement.items, entry)
         if item is None:
             continue
-        if not _still_short(placement, item):
+        if not _has_shortage(placement, item):
             item.shortage_stamp = 0
             continue
-        reason = REASONS[entry.urgency]
+        reason = REASON_BY_URGENCY[entry.urgency]
         if not _store_has_capacity(placement, plan, item, reason, now):
-            later.append(entry)
+            skipped.append(entry)
             continue
         budget -= 1
-        result = _plan(placement, item, reason, now)
-        if result is Planning.BUSY:
-            later.append(entry)
+        result = _plan_load(placement, item, reason, now)
+        if result is PlanResult.BUSY:
+            skipped.append(entry)
             continue
         item.shortage_stamp = 0
-        if result is Planning.PLANNED:
+        if result is PlanResult.PLANNED:
             plan.planned.add(item.weight_bytes)
-    for entry in later:
+    for entry in skipped:
         heapq.heappush(queue, entry)
     return budget
 
@@ -116,51 +118,53 @@
 def _store_has_capacity(
     placement: PlacementState, plan: _StorePlan, item: ItemRow, reason: MoveReason, now: float
 ) -> bool:
-    """Whether the store can deliver the item by the time its victims have drained."""
+    """Whether the store can start the load by the time the replicas evicted for it have drained."""
     config, store = placement.config, plan.store
     is_idle = store.occupied_slots(now) + plan.planned.count == 0
-    if not is_idle and _gives_way(reason, config):
-        # What no request needs yet must not delay what the next request needs.
+    if not is_idle and _needs_idle_store(reason, config):
+        # A load that no request needs yet must not delay a load that the next request needs.
         return False
     order_at = now + config.drain_notice_s
     return store.may_plan(item.weight_bytes, plan.planned, order_at, now, config)
 
 
-def _gives_way(reason: MoveReason, config: PlacementConfig) -> bool:
-    """Whether a load waits until its store has nothing else to do."""
+def _needs_idle_store(reason: MoveReason, config: PlacementConfig) -> bool:
+    """Whether loads with this reason are planned only while their store has no other load."""
     if reason is MoveReason.FREE_MEMORY:
         return True
     urgent = (MoveReason.WAITING_REQUESTS, MoveReason.MIN_REPLICAS, MoveReason.MORE_LOAD)
     return config.overload_counts_as_waiting and reason not in urgent
 
 
-def _still_short(placement: PlacementState, item: ItemRow) -> bool:
+def _has_shortage(placement: PlacementState, item: ItemRow) -> bool:
     return item.ready + placement.pending_replicas(item) < item.desired
 
 
-def _plan(placement: PlacementState, item: ItemRow, reason: MoveReason, now: float) -> Planning:
+def _plan_load(
+    placement: PlacementState, item: ItemRow, reason: MoveReason, now: float
+) -> PlanResult:
     try:
         choice = find_candidate(placement, item, reason, now)
     except AllServersBusyError:
-        return Planning.BUSY
+        return PlanResult.BUSY
     if choice is None or not is_worth_loading(placement, item, reason, choice, now):
         placement.unplaced.add(item.key)
         _log_unplaced(placement, item, reason, choice, now)
         if reason is not MoveReason.WAITING_REQUESTS:
             item.placement_retry_at = now + placement.config.review_interval_s
-        return Planning.NOWHERE
+        return PlanResult.UNPLACED
     add_load_moves(placement, item, reason, choice, now)
     if item.kind is ItemKind.MODEL:
         placement.queue_adapters(item)
-    if _still_short(placement, item):
+    if _has_shortage(placement, item):
         placement.queue_review(item.key)
-    return Planning.PLANNED
+    return PlanResult.PLANNED
 
 
 def _log_unplaced(
     placement: PlacementState, item: ItemRow, reason: MoveReason, choice: Choice | None, now: float
 ) -> None:
-    """Log why a desired replica finds no server; at most once an interval for each item."""
+    """Log why no server was found for a desired replica; at most once per interval and item."""
     if now < item.unplaced_logged_at + UNPLACED_LOG_INTERVAL_S:
         return
     item.unplaced_logged_at = now
@@ -179,15 +183,15 @@
 def add_load_moves(
     placement: PlacementState, item: ItemRow, reason: MoveReason, choice: Choice, now: float
 ) -> None:
-    """Put a load and what leaves for it on the calendar."""
+    """Add a load, and the unloads that make room for it, to the calendar."""
     server = choice.server
-    detail = _detail(placement, item, reason, choice, now)
+    detail = _load_detail(placement, item, reason, choice, now)
     unloads = _plan_evictions(placement, item, choice, now)
-    start_at = _start_at(placement, item, server, unloads, now)
+    start_at = _expected_start(placement, item, server, unloads, now)
     base_load = _base_load(item, server)
     after = unloads if base_load is None else (*unloads, base_load)
-    terms = LoadTerms(MoveState.PLANNED, reason, detail, start_at, after)
-    move = new_load(placement, server, item, terms, now)
+    load_plan = LoadPlan(MoveState.PLANNED, reason, detail, start_at, after)
+    move = new_load(placement, server, item, load_plan, now)
     for unload_id in unloads:
         placement.calendar.load_by_unload[unload_id] = move.move_id
     server.add_planned_load(item.kind, move.reservation)
@@ -207,19 +211,19 @@
 def _plan_evictions(
     placement: PlacementState, item: ItemRow, choice: Choice, now: float
 ) -> tuple[MoveId, ...]:
-    """Drain what leaves; a model's unload comes after those of its adapters."""
+    """Drain the replicas to evict; a model is unloaded after its adapters on the same server."""
     server = choice.server
     planned: dict[ItemKey, MoveId] = {}
     detail = f"makes room for {item.kind.value} {item.name}"
     for key in choice.eviction.keys:
         victim = placement.items[key]
         before = tuple(planned[adapter] for adapter in victim.adapters if adapter in planned)
-        terms = UnloadTerms(MoveReason.MAKE_ROOM, detail, before)
-        planned[key] = plan_unload(placement, server, key, terms, now)
+        unload_plan = UnloadPlan(MoveReason.MAKE_ROOM, detail, before)
+        planned[key] = plan_unload(placement, server, key, unload_plan, now)
     return tuple(planned.values())
 
 
-def _start_at(
+def _expected_start(
     placement: PlacementState,
     item: ItemRow,
     server: ServerState,
@@ -236,22 +240,22 @@
 
 
 def _base_load(item: ItemRow, server: ServerState) -> MoveId | None:
-    """Return the running load of an adapter's base model on the server, if any."""
+    """Return the load of an adapter's base model that is in flight on the server, if any."""
     if item.base is None:
         return None
     replica = server.replicas.get(item.base)
     if replica is None or replica.state is not ReplicaState.LOADING:
         return None
-    return replica.move
+    return replica.move_id
 
 
-def _detail(
+def _load_detail(
     placement: PlacementState, item: ItemRow, reason: MoveReason, choice: Choice, now: float
 ) -> str:
     per_minute = expected_rate(placement, item, now) * 60.0
     facts = f"{item.ready} of {item.desired} copies serve, {per_minute:.2f} requests/min expected"
     if reason is MoveReason.WAITING_REQUESTS:
-        facts += _reason_missed(item, now)
+        facts += _unmet_demand_detail(item, now)
     if reason is MoveReason.MORE_LOAD:
         facts += f", {item.concurrency:.1f} requests at once"
     if choice.eviction.keys:
@@ -260,18 +264,18 @@
     return facts
 
 
-def _reason_missed(item: ItemRow, now: float) -> str:
+def _unmet_demand_detail(item: ItemRow, now: float) -> str:
     if item.waiting:
         return f", {item.waiting} requests wait since {now - item.waiting_since:.1f} s"
-    missed = item.missed.present(now)
-    if missed >= MIN_NEED:
-        return f", about {missed:.0f} requests came lately and found no copy"
+    unserved = item.unserved.current(now)
+    if unserved >= MIN_UNMET_DEMAND:
+        return f", about {unserved:.0f} requests came lately and found no copy"
     return f", {item.min_replicas} copies are declared"
 
 
-def cancel_planned(placement: PlacementState, now: float, outcome: str) -> None:
-    """Give up everything that was not ordered."""
+def cancel_unsent_moves(placement: PlacementState, now: float, outcome: str) -> None:
+    """Cancel all loads and unloads that were not ordered yet."""
     for move in list(placement.calendar.moves.values()):
-        pending = move.state in (MoveState.PLANNED, MoveState.DRAINING)
-        if pending and move.move_id in placement.calendar.moves:
+        is_unsent = move.state in (MoveState.PLANNED, MoveState.DRAINING)
+        if is_unsent and move.move_id in placement.calendar.moves:
             end_move(placement, move, MoveState.CANCELLED, outcome, now)
--- a/src/zincvale/controlplane/placement/plan_unloads.py
+++ b/src/zincvale/controlplane/placement/plan_unloads.py
@@ -1,4 +1,4 @@
-"""Drains replicas that are to be unloaded, and plans the unload of what no resource declares."""
+"""Plans unloads: drains the replica and adds the move; also unloads undeclared replicas."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 from zincvale.model.identifiers import MoveId
 
 EXPECTED_UNLOAD_S = 0.2
-"""Expected time of an unload; shown in the calendar, and loads that wait for it start after it."""
+"""Expected duration of an unload, for the expected times of the calendar's moves."""
 
 
 @attrs.frozen
-class UnloadTerms:
-    """Why a replica is unloaded, and the moves that must be done before.
+class UnloadPlan:
+    """Why a replica is unloaded, and the moves that must be ordered before it.
 
-    The reason is `MAKE_ROOM` (from `plan_loads`; `detail` names what is loaded instead, whose own
-    move has the reason for that), `PREFETCH` (from `prefetch`) or `NOT_DECLARED` (from here).
+    The reason is `MAKE_ROOM` (from `plan_loads`, where `detail` names the item that is loaded
+    instead and the move of that load has its own reason), `PREFETCH` (from `prefetch`) or
+    `NOT_DECLARED` (from this module).
     """
 
     reason: MoveReason
@@ -35,12 +36,16 @@
 
 
 def plan_unload(
-    placement: PlacementState, server: ServerState, key: ItemKey, terms: UnloadTerms, now: float
+    placement: PlacementState,
+    server: ServerState,
+    key: ItemKey,
+    unload_plan: UnloadPlan,
+    now: float,
 ) -> MoveId:
-    """Drain a replica and put its unload on the calendar; return the move."""
+    """Drain a replica and add its unload to the calendar; return the identifier of the move."""
     replica = server.replicas[key]
-    move = _new_unload(placement, server, key, terms, now)
-    replica.move = move.move_id
+    move = _new_unload(placement, server, key, unload_plan, now)
+    replica.move_id = move.move_id
     placement.set_draining(server, key, replica, draining=True)
     server.planned_free_bytes += replica.item_bytes
     server.planned_free_adapters += move.item_kind is ItemKind.ADAPTER
@@ -52,14 +57,18 @@
         move=move.move_id,
         name=move.name,
         server=server.server,
-        reason=terms.reason.value,
-        detail=terms.detail,
+        reason=unload_plan.reason.value,
+        detail=unload_plan.detail,
     )
     return move.move_id
 
 
 def _new_unload(
-    placement: PlacementState, server: ServerState, key: ItemKey, terms: UnloadTerms, now: float
+    placement: PlacementState,
+    server: ServerState,
+    key: ItemKey,
+    unload_plan: UnloadPlan,
+    now: float,
 ) -> Move:
     kind, _, name = key.partition("/")
     start_at = now + placement.config.drain_notice_s
@@ -67,8 +76,8 @@
         move_id=placement.new_move_id(),
         kind=MoveKind.UNLOAD,
         state=MoveState.DRAINING,
-        reason=terms.reason,
-        detail=terms.detail,
+        reason=unload_plan.reason,
+        detail=unload_plan.detail,
         server=server.server,
         address=server.address,
         zone=server.zone,
@@ -78,14 +87,14 @@
         item_kind=ItemKind(kind),
         name=name,
         reservation=Reservation(memory_bytes=server.replicas[key].item_bytes),
-        after=terms.after,
+        after=unload_plan.after,
     )
 
 
 def unload_undeclared(placement: PlacementState, now: float) -> None:
-    """System: unload replicas of models and adapters that were deleted from the intent.
+    """System: unload replicas of models and adapters that the intent does not declare.
 
-    A process that has no intent yet knows nothing of what is declared, and unloads nothing.
+    A process that has no intent yet does not know what is declared, so it unloads nothing.
     """
     if placement.intent.version == 0:
         return
@@ -97,7 +106,7 @@
             continue
         if found_at + placement.config.undeclared_grace_s <= now and placement.leadership.is_leader:
             _unload_undeclared_replica(placement, placement.servers[server_id], key, now)
-        # Looked at again until it is gone: the unload may fail, or not be possible yet.
+        # Checked again until the replica is gone: the unload may fail, or not be possible yet.
         due.append((now + placement.config.undeclared_grace_s, server_id, key))
 
 
@@ -105,9 +114,9 @@
     placement: PlacementState, server: ServerState, key: ItemKey, now: float
 ) -> None:
     replica = server.replicas.get(key)
-    if replica is None or replica.move is not None or replica.state is not ReplicaState.LOADED:
+    if replica is None or replica.move_id is not None or replica.state is not ReplicaState.LOADED:
         return
     if not server.is_serving or server.confirmed_epoch != placement.leadership.epoch:
         return
-    terms = UnloadTerms(MoveReason.NOT_DECLARED, "no resource declares it")
-    plan_unload(placement, server, key, terms, now)
+    unload_plan = UnloadPlan(MoveReason.NOT_DECLARED, "no resource declares it")
+    plan_unload(placement, server, key, unload_plan, now)
--- a/src/zincvale/controlplane/placement/prefetch.py
+++ b/src/zincvale/controlplane/placement/prefetch.py
@@ -1,12 +1,13 @@
-"""System: brings weights onto servers' own disks ahead of requests, while servers are idle.
+"""System: loads models on idle servers so that their weights are on disk before requests come.
 
-A server loads what it had before from its own disk. Where that takes much less time than a load
-from the store, the first request for a model that no disk has is the expensive one; so models that
-no server ever loaded are loaded once, one at a time on each idle server, and evicted for the next.
+A server loads weights that it held before from its own disk. If that is much faster than a load
+from the store, only the first load of a model is slow. Therefore models that are on no server's
+disk are loaded once, one at a time on each idle server, and evicted again for the next one.
 
-Whether disks are faster is tried first, by unloading and loading again a replica that is not
-needed. While nobody asks for anything every idle server takes part. Else most of a pool's servers
-are kept idle for what requests need: a load from the store occupies its server for its whole time.
+Whether disks are faster is measured first, by unloading and reloading a replica that is not needed.
+While a pool gets no requests, every idle server prefetches. Otherwise most of the pool's servers
+are kept free for loads that requests need, since a load from the store occupies its server until it
+ends.
 """
 
 from __future__ import annotations
@@ -14,28 +15,31 @@
 import math
 
 from zincvale.controlplane.placement.choose_server import Choice
-from zincvale.controlplane.placement.eviction import NO_EVICTION, Eviction, Space
+from zincvale.controlplane.placement.eviction import NO_EVICTION, Eviction, RequiredSpace
 from zincvale.controlplane.placement.items import ItemKey, ItemKind, ItemRow
 from zincvale.controlplane.placement.moves import Move, MoveReason, MoveState
 from zincvale.controlplane.placement.plan_loads import add_load_moves
-from zincvale.controlplane.placement.plan_unloads import UnloadTerms, plan_unload
+from zincvale.controlplane.placement.plan_unloads import UnloadPlan, plan_unload
 from zincvale.controlplane.placement.prefetch_state import PrefetchState
 from zincvale.controlplane.placement.servers import Replica, ReplicaState, ServerState
 from zincvale.controlplane.placement.state import PlacementState
 from zincvale.model.identifiers import PoolName, ServerId
 
 MIN_STORE_LOAD_S = 1.5
-"""A load from the store that takes no longer is not worth fetching ahead."""
-PREFETCH_DISK_FACTOR = 0.5
-"""Part of the time from the store that a load from disk may take for fetching to be worth it."""
-IDLE_POOL_S = 1.5
-"""Without requests for so long, every idle server may fetch."""
+"""Expected load time from the store up to which a model is not worth prefetching."""
+MAX_PREFETCH_DISK_TIME_FRACTION = 0.5
+"""Longest load time from disk, as a fraction of the time from the store, with which prefetching is
+worthwhile."""
+IDLE_POOL_DELAY_S = 1.5
+"""Time without requests for a pool after which all its idle servers may prefetch."""
 RESERVED_IDLE_FRACTION = 0.6
-"""Part of a pool's servers that are left idle while requests come."""
+"""Fraction of a pool's servers that are not used for prefetching while requests come."""
 PREFETCH_INTERVAL_S = 0.25
-"""Time between two looks at a pool; each costs a pass over its servers and items."""
+"""Minimum interval between two checks of a pool; a check visits all its servers and all items."""
 PREFETCH_WINDOW_FRACTION = 0.6
-"""Part of what a store gives in a window that fetching may use up; the rest is for requests."""
+"""Fraction of a store's loads per window up to which prefetches are planned.
+
+The rest is left to loads that requests need."""
 
 
 def record_request(placement: PlacementState, item: ItemRow, now: float) -> None:
@@ -44,10 +48,10 @@
 
 
 def prefetch(placement: PlacementState, now: float) -> None:
-    """System: plan loads that bring weights onto disks."""
+    """System: plan loads that put weights onto servers' disks."""
     if not placement.config.servers_keep_weights or not placement.leadership.may_order(now):
         return
-    if not placement.leadership.stores_open:
+    if not placement.leadership.is_takeover_complete:
         return
     for pool, servers in placement.server_index.by_pool.items():
         state = placement.prefetches.setdefault(pool, PrefetchState())
@@ -57,10 +61,10 @@
         idle = [placement.servers[server] for server in servers if _is_idle(placement, server)]
         if not idle:
             continue
-        worth = _is_worth(placement, pool)
-        if worth is None:
+        is_worthwhile = _is_prefetch_worthwhile(placement, pool)
+        if is_worthwhile is None:
             _measure_disk(placement, state, idle, now)
-        elif worth:
+        elif is_worthwhile:
             _prefetch_missing(placement, pool, state, idle, now)
 
 
@@ -71,8 +75,8 @@
     return not placement.calendar.by_server.get(server_id) and not server.planned_models
 
 
-def _is_worth(placement: PlacementState, pool: PoolName) -> bool | None:
-    """Whether disks are much faster than the store; None when that must be tried."""
+def _is_prefetch_worthwhile(placement: PlacementState, pool: PoolName) -> bool | None:
+    """Whether disks are much faster than the store; None if that was not measured yet."""
     longest = max(
         (item for item in placement.items.values() if _is_model_of(item, pool)),
         key=placement.expected_load_s,
@@ -82,28 +86,32 @@
         return False
     if longest.store not in placement.load_times.disk_rate_by_store:
         return None
-    from_disk_s = placement.expected_return_s(longest)
-    return from_disk_s <= placement.expected_load_s(longest) * PREFETCH_DISK_FACTOR
+    from_disk_s = placement.expected_reload_s(longest)
+    return from_disk_s <= placement.expected_load_s(longest) * MAX_PREFETCH_DISK_TIME_FRACTION
 
 
 def _is_model_of(item: ItemRow, pool: PoolName) -> bool:
     return item.kind is ItemKind.MODEL and item.pool == pool and item.weight_bytes > 0
 
 
-# --- the trial ------------------------------------------------------------------------------
+# --- measuring disk speed -------------------------------------------------------------------
 
 
 def _measure_disk(
     placement: PlacementState, state: PrefetchState, idle: list[ServerState], now: float
 ) -> None:
-    if state.trial is not None and state.trial in placement.calendar.moves:
+    if state.trial_unload is not None and state.trial_unload in placement.calendar.moves:
         return
-    finished = placement.calendar.finished.get(state.trial) if state.trial is not None else None
-    state.trial = None
+    finished = (
+        placement.calendar.finished.get(state.trial_unload)
+        if state.trial_unload is not None
+        else None
+    )
+    state.trial_unload = None
     server = placement.servers.get(state.trial_server)
     item = placement.items.get(state.trial_key)
     if finished is not None and finished.state is MoveState.DONE and server in idle and item:
-        _load(placement, item, server, NO_EVICTION, now)
+        _plan_prefetch(placement, item, server, NO_EVICTION, now)
         return
     if any(_is_prefetch(move) for move in placement.calendar.moves.values()):
         return
@@ -111,25 +119,25 @@
         key = _spare_replica(placement, server)
         if key is not None:
             detail = "loaded again at once, to learn how long that takes from the server's disk"
-            terms = UnloadTerms(MoveReason.PREFETCH, detail)
-            state.trial = plan_unload(placement, server, key, terms, now)
+            unload_plan = UnloadPlan(MoveReason.PREFETCH, detail)
+            state.trial_unload = plan_unload(placement, server, key, unload_plan, now)
             state.trial_key, state.trial_server = key, server.server
             return
 
 
 def _spare_replica(placement: PlacementState, server: ServerState) -> ItemKey | None:
-    """Return a model on the server whose other replicas are enough."""
+    """Return an unused model on the server that has more replicas than needed, or None."""
     for key, replica in server.replicas.items():
         item = placement.items.get(key)
         if item is None or item.kind is not ItemKind.MODEL:
             continue
-        is_free = replica.state is ReplicaState.LOADED and replica.move is None
+        is_free = replica.state is ReplicaState.LOADED and replica.move_id is None
         if is_free and item.ready > max(item.desired, item.min_replicas, 1) and not item.running:
             return key
     return None
 
 
-# --- fetching -------------------------------------------------------------------------------
+# --- prefetching ----------------------------------------------------------------------------
 
 
 def _prefetch_missing(
@@ -140,12 +148,12 @@
     now: float,
 ) -> None:
     capacity = len(idle)
-    if now - state.requested_at <= IDLE_POOL_S:
+    if now - state.requested_at <= IDLE_POOL_DELAY_S:
         capacity -= math.ceil(len(placement.server_index.by_pool[pool]) * RESERVED_IDLE_FRACTION)
     if capacity <= 0:
         return
     missing = _models_on_no_disk(placement, pool)
-    capacity = min(capacity, _window_left(placement, missing, now)) if missing else 0
+    capacity = min(capacity, _prefetches_left_in_window(placement, missing, now)) if missing else 0
     for server in idle:
         if capacity <= 0 or not missing:
             return
@@ -155,15 +163,17 @@
             continue
         missing.pop()
         capacity -= 1
-        _load(placement, item, server, eviction, now)
+        _plan_prefetch(placement, item, server, eviction, now)
 
 
 def _is_prefetch(move: Move) -> bool:
     return move.reason is MoveReason.PREFETCH
 
 
-def _window_left(placement: PlacementState, missing: list[ItemRow], now: float) -> int:
-    """Return how many more loads fetching may begin in the store's window that ends now."""
+def _prefetches_left_in_window(
+    placement: PlacementState, missing: list[ItemRow], now: float
+) -> int:
+    """Return how many more prefetches the store's current window allows."""
     store = placement.stores.get(missing[-1].store)
     if store is None:
         return 0
@@ -175,12 +185,14 @@
         if _is_prefetch(move) and move.state is MoveState.PLANNED
     )
     return (
-        math.floor(store.loads_per_window * PREFETCH_WINDOW_FRACTION) - store.begun(now) - planned
+        math.floor(store.loads_per_window * PREFETCH_WINDOW_FRACTION)
+        - store.loads_in_window(now)
+        - planned
     )
 
 
 def _models_on_no_disk(placement: PlacementState, pool: PoolName) -> list[ItemRow]:
-    """Return the models that no server in the directory has on disk, the least desired first."""
+    """Return the models on no known server's disk, those with most unserved requests last."""
     missing = [
         item
         for item in placement.items.values()
@@ -189,13 +201,13 @@
         and not item.planned
         and not placement.is_on_disk(item)
     ]
-    missing.sort(key=lambda item: item.missed.count)
+    missing.sort(key=lambda item: item.unserved.count)
     return missing
 
 
 def _eviction_for(placement: PlacementState, item: ItemRow, server: ServerState) -> Eviction | None:
-    """Return what leaves for the item, None when something that may be asked for would."""
-    space = Space(item, item.weight_bytes)
+    """Return the eviction that makes room for the item, or None if all candidates must stay."""
+    space = RequiredSpace(item, item.weight_bytes)
     missing_bytes = space.missing_bytes(placement, server)
     if missing_bytes <= 0:
         return NO_EVICTION
@@ -215,15 +227,15 @@
 def _eviction_rank(
     placement: PlacementState, server: ServerState, key: ItemKey, replica: Replica
 ) -> int | None:
-    """Return which replicas leave first, 0 before 1; None for those that stay.
+    """Return the order in which a replica is evicted, lowest first, or None if it must stay.
 
-    Several replicas of a model that nobody asked for yet were put there by somebody who expects
-    that.
+    If a model that was never requested has several replicas, they stay: they were loaded on purpose
+    for requests that are expected.
     """
     item = placement.items.get(key)
     if item is None or item.kind is not ItemKind.MODEL or item.waiting or item.min_replicas:
         return None
-    is_free = replica.state is ReplicaState.LOADED and replica.move is None
+    is_free = replica.state is ReplicaState.LOADED and replica.move_id is None
     if not is_free or placement.running_on(server, key):
         return None
     if item.demand.profile is not None:
@@ -233,7 +245,7 @@
     return 0 if replica.is_prefetched else 1
 
 
-def _load(
+def _plan_prefetch(
     placement: PlacementState, item: ItemRow, server: ServerState, eviction: Eviction, now: float
 ) -> None:
     add_load_moves(placement, item, MoveReason.PREFETCH, Choice(server, eviction), now)
--- a/src/zincvale/controlplane/placement/prefetch_state.py
+++ b/src/zincvale/controlplane/placement/prefetch_state.py
@@ -1,4 +1,4 @@
-"""What is known of fetching ahead in one pool."""
+"""State of prefetching in one pool."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 
 @attrs.define(eq=False)
 class PrefetchState:
-    """State of one pool.
+    """State of prefetching in one pool.
 
     Attributes
     ----------
     requested_at : when a request for the pool last arrived.
-    considered_at : when fetching was last considered.
-    trial : the unload of a replica that is loaded again to learn how long that takes.
-    trial_key, trial_server : that replica.
+    considered_at : when prefetching was last considered.
+    trial_unload : the unload of a replica that is then loaded again, to measure how long a load
+        from disk takes.
+    trial_key, trial_server : the item and the server of that replica.
     """
 
     requested_at: float = float("-inf")
     considered_at: float = float("-inf")
-    trial: MoveId | None = None
+    trial_unload: MoveId | None = None
     trial_key: ItemKey = ItemKey("")
     trial_server: ServerId = ServerId("")
--- a/src/zincvale/controlplane/placement/publication.py
+++ b/src/zincvale/controlplane/placement/publication.py
@@ -1,4 +1,4 @@
-"""System: publishes what changed in the calendar and in the draining marks."""
+"""Systems that trim the finished moves, and publish changed moves and draining replicas."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def trim_history(placement: PlacementState, now: float) -> None:
-    """System: drop finished moves that are old or too many."""
+    """System: drop finished moves beyond the limits on their age and number."""
     oldest = now - placement.config.finished_move_retention_s
     history = placement.calendar.finished
     while history:
         move_id, move = next(iter(history.items()))
-        recent = move.finished_at is not None and move.finished_at > oldest
-        if recent and len(history) <= placement.config.max_finished_moves:
+        is_recent = move.finished_at is not None and move.finished_at > oldest
+        if is_recent and len(history) <= placement.config.max_finished_moves:
             return
         del history[move_id]
         placement.calendar.changed.pop(move_id, None)
@@ -23,9 +23,9 @@
 
 
 def publish_changes(placement: PlacementState, _now: float) -> None:
-    """System: emit changed rows of the calendar and changed draining marks.
+    """System: publish changed rows of the calendar and changed sets of draining replicas.
 
-    Only the leader publishes; its first publication replaces what its predecessor left.
+    Only the leader publishes; its first publication replaces all rows of its predecessor.
     """
     if not placement.leadership.is_leader:
         placement.calendar.changed.clear()
--- a/src/zincvale/controlplane/placement/replica_value.py
+++ b/src/zincvale/controlplane/placement/replica_value.py
@@ -1,7 +1,8 @@
-"""What a replica is worth, in requests a second that would otherwise wait for a load.
+"""Value of a replica: the requests per second that would otherwise wait for a load.
 
-`item_value` and `replica_value` are rates; `need` and `eviction_cost` are counts of requests, and
-are compared only with each other. Which pair decides is in `load_candidates.is_worth_loading`.
+`item_value`, `predicted_value` and `replica_value` are rates. `unmet_demand` and `eviction_cost`
+are request counts and are compared only with each other. `load_candidates.is_worth_loading` decides
+which pair applies.
 """
 
 from __future__ import annotations
@@ -13,21 +14,25 @@
 from zincvale.model.resources import Stake
 
 FAST_RATE_WEIGHT = 0.25
-"""Part of the recent rate that is expected to last."""
+"""Fraction of the fast average rate that is expected to last."""
 HISTORY_WEIGHT = 0.5
-"""Of what earlier days show for the time ahead, beside what is measured now."""
+"""Weight of the rate predicted from earlier days; the slow average has the rest."""
 SURPLUS_WEIGHT = 0.05
-"""Of a replica that others can stand in for, as a part of the value of a single one."""
+"""Value of a replica that other replicas can replace, as a fraction of an only replica's value."""
 MIN_OVERLOAD = 2.0
-"""Requests beyond what the replicas should run at once that count as if they waited."""
-MIN_NEED = 0.5
-"""Below this an item is not missed now, only worth having."""
+"""Minimum number of requests above the replicas' concurrency limit that counts as overload."""
+MIN_UNMET_DEMAND = 0.5
+"""Unmet demand, in requests, from which a load counts as one that requests wait for."""
 WEIGHT_BY_STAKE = {Stake.LOW: 0.5, Stake.NORMAL: 1.0, Stake.HIGH: 4.0}
-"""Weight of a request by the priority that its model declares."""
+"""Weight of a request by the stake that the model declares."""
 
 
 def expected_rate(placement: PlacementState, item: ItemRow, now: float) -> float:
-    """Return requests per second expected soon: measured, recent, or shown by earlier days."""
+    """Return the expected requests per second, from the averages and the daily profile.
+
+    The slow average is blended with the rate predicted from earlier days; part of the fast average
+    and the configured prior rate are lower bounds. The result is cached for the time `now`.
+    """
     if item.rate_at == now:
         return item.rate
     config = placement.config
@@ -43,52 +48,57 @@
 
 
 def item_value(placement: PlacementState, item: ItemRow, now: float) -> float:
-    """Return waits per second that one replica avoids while there is no other.
+    """Return the weighted waits per second that an item's only replica avoids.
 
-    Without a replica each request starts a load, and those that arrive during it wait as well.
+    Without a replica, a request starts a load, and the requests that arrive during the load wait
+    as well.
     """
     rate = expected_rate(placement, item, now)
-    waits = rate * (1.0 + rate * placement.expected_return_s(item))
+    waits = rate * (1.0 + rate * placement.expected_reload_s(item))
     return waits * WEIGHT_BY_STAKE[item.stake]
 
 
-def need(placement: PlacementState, item: ItemRow, now: float) -> float:
-    """Return how much a replica of an item is missed now, in requests.
+def unmet_demand(placement: PlacementState, item: ItemRow, now: float) -> float:
+    """Return the weighted number of requests that lack a replica of the item.
 
-    Requests that wait or crowd the present replicas count, and those that came lately while there
-    was none, which may have been refused. What operators pinned counts as if one request waited.
-    The longer something waits, the more it counts.
+    It counts waiting requests, requests that overload the existing replicas, and recent requests
+    that found no ready replica and may have been refused. An item with declared minimum replicas
+    counts as if at least one request waited. The weight grows with the time that requests have been
+    waiting.
     """
-    requests = item.waiting + item.missed.present(now) + overload(placement, item)
+    requests = item.waiting + item.unserved.current(now) + overload(placement, item)
     if item.min_replicas:
         requests = max(requests, 1.0)
-    age = 1.0
+    wait_factor = 1.0
     if item.waiting:
-        age += (now - item.waiting_since) / placement.config.urgent_age_s
-    return requests * age * WEIGHT_BY_STAKE[item.stake]
+        wait_factor += (now - item.waiting_since) / placement.config.urgent_age_s
+    return requests * wait_factor * WEIGHT_BY_STAKE[item.stake]
 
 
 def overload(placement: PlacementState, item: ItemRow) -> float:
-    """Return the requests that run on a model beyond what its replicas should run at once.
+    """Return the running requests of a model above the concurrency limit of its replicas.
 
-    Only where replicas are added for crowds as urgently as for waiting requests.
+    It is 0 unless the option `overload_counts_as_waiting` is set.
     """
     pool = placement.intent.pools.get(item.pool)
     if not placement.config.overload_counts_as_waiting or not item.ready or pool is None:
         return 0.0
-    crowd = item.running - (item.ready + item.loading) * pool.max_concurrent_per_server
-    return float(crowd) if crowd >= MIN_OVERLOAD and item.base is None else 0.0
+    excess = item.running - (item.ready + item.loading) * pool.max_concurrent_per_server
+    return float(excess) if excess >= MIN_OVERLOAD and item.base is None else 0.0
 
 
-def is_missed(placement: PlacementState, item: ItemRow, now: float) -> bool:
-    """Whether requests ask now for an item that no replica serves, or too few do."""
+def has_unmet_demand(placement: PlacementState, item: ItemRow, now: float) -> bool:
+    """Whether the item has unmet demand and no ready replica, or its ready ones are overloaded."""
     if item.ready:
         return overload(placement, item) > 0.0
-    return item.waiting > 0 or need(placement, item, now) >= MIN_NEED
+    return item.waiting > 0 or unmet_demand(placement, item, now) >= MIN_UNMET_DEMAND
+
 
+def predicted_value(placement: PlacementState, item: ItemRow, now: float) -> float:
+    """Return the item value at the rate predicted from earlier days, or the current item value.
 
-def foreseen_value(placement: PlacementState, item: ItemRow, now: float) -> float:
-    """Return the value that earlier days show for the time ahead, else the present one."""
+    The current value is returned when there is no prediction.
+    """
     config = placement.config
     rate = item.demand.predicted_rate(now + config.lookahead_s, now, config)
     if rate is None:
@@ -98,7 +108,7 @@
 
 
 def replica_value(placement: PlacementState, item: ItemRow, now: float) -> float:
-    """Return what one of the item's replicas is worth, less when there are more than desired."""
+    """Return the value of one of the item's replicas; surplus replicas have less."""
     value = item_value(placement, item, now)
     replicas = item.ready
     if replicas > max(item.desired, 1):
@@ -109,10 +119,13 @@
 
 
 def eviction_cost(placement: PlacementState, item: ItemRow, now: float) -> float:
-    """Return requests expected to wait if a replica goes for the sake of waiting ones."""
+    """Return the weighted number of requests expected to wait if a replica is evicted.
+
+    It is the cost of an eviction for a load that requests wait for.
+    """
     rate = expected_rate(placement, item, now)
     requested_again = 1.0 - math.exp(-rate * placement.config.urgent_horizon_s)
-    cost = requested_again * (1.0 + rate * placement.expected_return_s(item))
+    cost = requested_again * (1.0 + rate * placement.expected_reload_s(item))
     if item.ready > 1:
         cost *= SURPLUS_WEIGHT
     return cost * WEIGHT_BY_STAKE[item.stake]
--- a/src/zincvale/controlplane/placement/reviews.py
+++ b/src/zincvale/controlplane/placement/reviews.py
@@ -1,4 +1,4 @@
-"""When each item is reviewed next: the queue of changed items and the timers of the others."""
+"""Schedule of reviews: the queue of changed items and the timers of all others."""
 
 from __future__ import annotations
 
@@ -15,42 +15,42 @@
 class ReviewSchedule:
     """Items to review, in the order in which they were queued.
 
-    Every step that changes an item queues it; only `desired_replicas` takes items off.
+    All code that changes an item queues it; only `desired_replicas` removes items from the queue.
 
     Attributes
     ----------
-    profile_bucket : the part of the day for which items with a history were last queued.
+    profile_bucket : the bucket of the day for which items with a demand history were last queued.
     """
 
     profile_bucket: int = -1
     _queue: deque[ItemKey] = attrs.field(factory=deque)
     _queued: set[ItemKey] = attrs.field(factory=set)
     _timers: list[tuple[float, ItemKey]] = attrs.field(factory=list)
-    """Heap of (time, item); valid is the entry whose time is the row's `review_at`."""
+    """Heap of (time, item); an entry is valid if its time equals `review_at` of the item's row."""
 
     def __len__(self) -> int:
         return len(self._queue)
 
     def queue(self, key: ItemKey) -> None:
-        """Have an item reviewed in the next run; an item that is queued already keeps its place."""
+        """Queue an item for the next run; an item that is already queued keeps its position."""
         if key not in self._queued:
             self._queued.add(key)
             self._queue.append(key)
 
     def queue_at(self, item: ItemRow, at: float) -> None:
-        """Have an item reviewed by `at`; an earlier pending time wins."""
+        """Schedule a review of an item at `at`, unless an earlier one is scheduled."""
         if at < item.review_at:
             item.review_at = at
             heapq.heappush(self._timers, (at, item.key))
 
     def pop(self) -> ItemKey:
-        """Take the next item off the queue."""
+        """Remove and return the next item of the queue."""
         key = self._queue.popleft()
         self._queued.discard(key)
         return key
 
     def pop_due(self, items: dict[ItemKey, ItemRow], now: float) -> ItemRow | None:
-        """Take off the next item whose timer ended; None when no more are due."""
+        """Remove and return the next item whose timer has expired; None if there is none."""
         while self._timers and self._timers[0][0] <= now:
             at, key = heapq.heappop(self._timers)
             item = items.get(key)
@@ -60,5 +60,5 @@
         return None
 
     def remove(self, key: ItemKey) -> None:
-        """Let a deleted item be queued anew if it is declared again."""
+        """Forget that a deleted item is queued, so that it is queued again if declared again."""
         self._queued.discard(key)
--- a/src/zincvale/controlplane/placement/server_index.py
+++ b/src/zincvale/controlplane/placement/server_index.py
@@ -10,9 +10,9 @@
 
 @attrs.define(eq=False)
 class ServerIndex:
-    """Indexes of the servers' table, changed by `apply_status` only.
+    """Indexes of the table of servers, changed by `apply_status` only.
 
-    Dicts without values stand for sets: their order is the order of arrival.
+    Dicts with None as values are used as sets, in the order in which servers were added.
     """
 
     by_address: dict[Address, ServerId] = attrs.field(factory=dict)
@@ -20,16 +20,16 @@
     by_zone: dict[ZoneName, dict[ServerId, None]] = attrs.field(factory=dict)
 
     def add_to_pool_and_zone(self, server: ServerState) -> None:
-        """Put a server last in its pool and its zone."""
+        """Append a server to its pool and its zone."""
         self.by_pool.setdefault(server.pool, {})[server.server] = None
         self.by_zone.setdefault(server.zone, {})[server.server] = None
 
     def remove_from_pool_and_zone(self, server: ServerState) -> None:
-        """Take a server out of its pool and its zone."""
+        """Remove a server from its pool and its zone."""
         self.by_pool[server.pool].pop(server.server, None)
         self.by_zone[server.zone].pop(server.server, None)
 
     def remove_address(self, server: ServerState) -> None:
-        """Take a server's address off, unless another server has it by now."""
+        """Remove a server's address, unless another server has the address now."""
         if self.by_address.get(server.address) == server.server:
             del self.by_address[server.address]
--- a/src/zincvale/controlplane/placement/servers.py
+++ b/src/zincvale/controlplane/placement/servers.py
@@ -1,4 +1,4 @@
-"""Table of servers: what each one holds, may hold and reported."""
+"""Table of servers: their reported state, replicas, limits and planned changes."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from zincvale.model.identifiers import Address, MoveId, PoolName, ServerId, ZoneName
 
 NEVER = float("-inf")
-"""Before every time on the controller's clock."""
+"""A time before every time on the controller's clock."""
 
 
 class CountedAs(enum.Enum):
-    """How a replica is counted in its item's row."""
+    """The counter of its item's row in which a replica is counted."""
 
     NOTHING = "nothing"
     READY = "ready"
@@ -25,11 +25,11 @@
 
 
 class ReplicaState(enum.Enum):
-    """What a server does with an item that occupies its memory.
+    """State of an item that occupies memory on a server.
 
-    Legal transitions by orders: LOADING to LOADED, LOADED to UNLOADING, and back to LOADED when the
-    unload failed; the replica is removed when a load failed or an unload ended. A status may show
-    any other change, which no order of this process explains; then the status is followed.
+    Orders cause these transitions: LOADING to LOADED, LOADED to UNLOADING, and UNLOADING to LOADED
+    when the unload failed. The replica is removed when a load fails or an unload is done. If a
+    status shows another change, which no order of this process explains, the status is followed.
     """
 
     LOADING = "loading"
@@ -39,17 +39,17 @@
 
 @attrs.define(eq=False)
 class Replica:
-    """An item on a server; counted in memory from the order to load until it is seen gone.
-
-        Attributes
-        ----------
-        item_bytes : weights.
-        since : when the state began.
-    draining : nodes are notified to send nothing new.
-        move : the move that loads or unloads it.
-        is_prefetched : loaded so that the server has it on disk, not for requests.
-        contrary_since : arrival of the first status that contradicts the order; see
-            `order_confirmation`.
+    """An item on a server; its memory counts from the order to load until it is observed gone.
+
+    Attributes
+    ----------
+    item_bytes : size of the weights.
+    since : when the current state began.
+    draining : nodes are told to send no new requests to it.
+    move_id : the planned or running move that loads or unloads it.
+    contradicted_at : arrival of the first status that does not show the effect of the order; see
+        `order_confirmation`.
+    is_prefetched : it was loaded to put the weights on the server's disk, not for requests.
     """
 
     state: ReplicaState
@@ -58,8 +58,8 @@
     since: float
     draining: bool = False
     counted_as: CountedAs = CountedAs.NOTHING
-    move: MoveId | None = None
-    contrary_since: float | None = None
+    move_id: MoveId | None = None
+    contradicted_at: float | None = None
     is_prefetched: bool = False
 
 
@@ -70,22 +70,26 @@
     Attributes
     ----------
     requested_at : when the newest status was requested, on this process's clock.
-    first_response_at : arrival of the first status requested under the present leadership.
-    confirmed_epoch : leadership epoch under which orders may be given.
-    cold_until : end of the ramp after its incarnation appeared.
+    first_response_at : arrival of the first status that counts for confirming the server under the
+        current leadership.
+    confirmed_epoch : the newest leadership epoch under which the server was confirmed for orders.
+    cold_until : end of the period in which a new incarnation gets fewer concurrent loads.
     reserved_bytes, reserved_kv_bytes : sums over `replicas`.
-    planned_bytes, planned_kv_bytes : loads planned but not ordered.
-    planned_models : loads of models planned but not ordered.
-    planned_free_bytes : planned unloads, still counted in `reserved_bytes`.
-    listing : names of the newest status, to skip a status that lists the same; None when the
-        replicas are not, or no longer, what that status showed.
-    listed_bytes : weights of what the newest status lists.
-    unexplained_bytes : memory it reports in use beyond the weights that it lists.
-    loads_in_flight : loads ordered and not seen over.
-    barred_until : items not to be loaded yet, because an order to unload them may still arrive.
-    adapter_slots : adapters that fit beside each other, whatever their size; 0 means no limit.
-    reserved_adapters, planned_adapters, planned_free_adapters : adapters in `replicas`, in loads
-        that are planned but not ordered, and in planned unloads.
+    planned_bytes, planned_kv_bytes : sums over the loads that are planned but not yet ordered.
+    planned_models : number of the loads of models that are planned but not yet ordered.
+    planned_free_bytes : sum over the unfinished unloads, still counted in `reserved_bytes`.
+    listing : names in the newest status, so that a status with the same names can be skipped; None
+        if the replicas differ from that status.
+    listed_bytes : total weights of the replicas in the newest status.
+    unexplained_bytes : reported memory use beyond the weights of the reported replicas.
+    loads_in_flight : loads that are ordered and whose end was not observed yet.
+    load_blocked_until : by item, the time before which it must not be loaded, because an order to
+        unload it may still arrive.
+    retry_at : the server gets no order before this time, after it refused one because it was busy.
+    indexed_free_bytes : the key of the server in `FreeMemoryIndex`.
+    adapter_slots : limit on the number of adapters, whatever their size; 0 means no limit.
+    reserved_adapters, planned_adapters, planned_free_adapters : number of adapters in `replicas`,
+        in loads that are planned but not yet ordered, and in unfinished unloads.
     """
 
     server: ServerId
@@ -116,7 +120,7 @@
     listed_bytes: int = 0
     unexplained_bytes: int = 0
     loads_in_flight: int = 0
-    barred_until: dict[ItemKey, float] = attrs.field(factory=dict)
+    load_blocked_until: dict[ItemKey, float] = attrs.field(factory=dict)
     retry_at: float = NEVER
     indexed_free_bytes: int = 0
     adapter_slots: int = 0
@@ -126,57 +130,57 @@
 
     @property
     def in_service(self) -> bool:
-        """Whether operators want requests and loads here."""
+        """Whether the server is neither drained nor in an evacuated zone."""
         return not self.drained and not self.zone_evacuated
 
     @property
     def is_serving(self) -> bool:
-        """Whether its replicas can serve requests."""
+        """Whether the server is in service and its health is not down."""
         return self.in_service and self.health is not ServerHealth.DOWN
 
     def headroom_bytes(self, config: PlacementConfig, kv_bytes: int) -> int:
-        """Return memory that weights must leave free, with `kv_bytes` kept for models."""
+        """Return the memory to keep free of weights, at least `kv_bytes` for the models' caches."""
         least = int(self.memory_bytes * config.kv_headroom_fraction)
         return max(least, kv_bytes, self.unexplained_bytes)
 
     def free_now_bytes(self, config: PlacementConfig, more_kv_bytes: int) -> int:
-        """Return memory for one more load, by what is loaded or may be in flight."""
+        """Return the memory free for one more load now, beside all replicas and loads in flight."""
         headroom = self.headroom_bytes(config, self.reserved_kv_bytes + more_kv_bytes)
         return self.memory_bytes - headroom - self.reserved_bytes
 
     def free_planned_bytes(self, config: PlacementConfig, more_kv_bytes: int) -> int:
-        """Return memory for one more load once the calendar is carried out."""
+        """Return the memory free for one more load after all planned moves."""
         kv_bytes = self.reserved_kv_bytes + self.planned_kv_bytes + more_kv_bytes
         weights = self.reserved_bytes + self.planned_bytes - self.planned_free_bytes
         return self.memory_bytes - self.headroom_bytes(config, kv_bytes) - weights
 
     def has_adapter_slot_now(self) -> bool:
-        """Whether one more adapter fits, by what is loaded or may be in flight."""
+        """Whether one more adapter fits now, beside all replicas and loads in flight."""
         return not self.adapter_slots or self.reserved_adapters < self.adapter_slots
 
     def missing_adapter_slots(self) -> int:
-        """Return how many adapters must leave for one more, once the calendar is carried out."""
+        """Return how many adapters to evict for one more, after all planned moves."""
         if not self.adapter_slots:
             return 0
         planned = self.reserved_adapters + self.planned_adapters - self.planned_free_adapters
         return max(0, planned + 1 - self.adapter_slots)
 
     def add_planned_load(self, kind: ItemKind, reservation: Reservation) -> None:
-        """Count a load that is planned but not ordered; `remove_planned_load` takes it back."""
+        """Count a load that is planned but not yet ordered, until `remove_planned_load`."""
         self.planned_bytes += reservation.memory_bytes
         self.planned_kv_bytes += reservation.kv_bytes
         self.planned_models += kind is ItemKind.MODEL
         self.planned_adapters += kind is ItemKind.ADAPTER
 
     def remove_planned_load(self, kind: ItemKind | None, reservation: Reservation) -> None:
-        """Stop counting a planned load: it is ordered now, or given up."""
+        """Stop counting a planned load, because it is ordered now or was cancelled."""
         self.planned_bytes -= reservation.memory_bytes
         self.planned_kv_bytes -= reservation.kv_bytes
         self.planned_models -= kind is ItemKind.MODEL
         self.planned_adapters -= kind is ItemKind.ADAPTER
 
     def load_slots(self, config: PlacementConfig, now: float) -> int:
-        """Return how many loads may run here at once."""
+        """Return the limit of concurrent loads on the server."""
         if now < self.cold_until:
             return config.max_loads_per_cold_server
         return config.max_loads_per_server
--- a/src/zincvale/controlplane/placement/shortages.py
+++ b/src/zincvale/controlplane/placement/shortages.py
@@ -1,4 +1,4 @@
-"""Missing replicas by store, most urgent first."""
+"""Queues of the items that lack replicas, by store, most urgent first."""
 
 from __future__ import annotations
 
@@ -11,17 +11,20 @@
 from zincvale.model.identifiers import StoreName
 
 MAX_SHORTAGES_PER_ITEM = 4
-"""Outdated entries are dropped beyond this; more holds memory, less rebuilds the heap often."""
+"""Average number of queue entries per item above which outdated entries are dropped.
+
+A higher limit uses more memory; a lower one rebuilds the heap more often."""
 
 
 class Shortage(NamedTuple):
-    """An entry of a store's queue; entries sort by their fields in this order.
+    """An entry of a store's queue; entries are sorted by their fields in this order.
 
     Attributes
     ----------
-    urgency : index of the reason in `MoveReason`, 0 first.
-    rank : order among equally urgent entries, least first.
-    stamp : number of the entry; it is outdated unless the item's row names it.
+    urgency : index of the reason in `MoveReason`, 0 the most urgent.
+    rank : order among equally urgent entries, lowest first.
+    stamp : number of the entry; the entry is outdated unless it is `ItemRow.shortage_stamp`.
+    key : the item that lacks a replica.
     """
 
     urgency: int
@@ -32,13 +35,13 @@
 
 @attrs.define(eq=False)
 class ShortageQueues:
-    """Heaps of shortages; `desired_replicas` adds, `plan_loads` takes off."""
+    """Heaps of shortages: `desired_replicas` adds entries, `plan_loads` removes them."""
 
     by_store: dict[StoreName, list[Shortage]] = attrs.field(factory=dict)
     _next_stamp: int = 1
 
     def add(self, item: ItemRow, urgency: int, rank: float) -> None:
-        """Queue an item; an earlier entry of it becomes outdated."""
+        """Queue an item; its earlier entry becomes outdated."""
         stamp = self._next_stamp
         self._next_stamp += 1
         item.shortage_stamp = stamp
@@ -48,7 +51,7 @@
 
 
 def current_item(items: dict[ItemKey, ItemRow], shortage: Shortage) -> ItemRow | None:
-    """Return the item of an entry, None when the entry is outdated."""
+    """Return the item of an entry, or None if the entry is outdated."""
     item = items.get(shortage.key)
     if item is None or item.shortage_stamp != shortage.stamp:
         return None
@@ -56,7 +59,7 @@
 
 
 def compact(queue: list[Shortage], items: dict[ItemKey, ItemRow]) -> None:
-    """Drop outdated entries when they have piled up."""
+    """Drop outdated entries if the queue has grown beyond its limit."""
     if len(queue) <= MAX_SHORTAGES_PER_ITEM * max(len(items), 1):
         return
     queue[:] = [shortage for shortage in queue if current_item(items, shortage) is not None]
--- a/src/zincvale/controlplane/placement/state.py
+++ b/src/zincvale/controlplane/placement/state.py
@@ -1,4 +1,4 @@
-"""The tables of placement, and the bookkeeping that keeps their sums and indexes true."""
+"""The tables of placement, and the methods that keep their sums and indexes consistent."""
 
 from __future__ import annotations
 
@@ -37,27 +37,35 @@
 
 @attrs.define
 class Leadership:
-    """Whether this process plans moves, and until when orders may leave."""
+    """Whether this process is the leader, and when it may send orders.
+
+    Attributes
+    ----------
+    acts_until : no order may be sent at or after this time, unless the lease is renewed.
+    gained_at : when leadership was gained.
+    published_epoch : epoch of the last complete publication of the calendar.
+    """
 
     epoch: int = 0
     is_leader: bool = False
     acts_until: float = float("-inf")
     gained_at: float = float("-inf")
     published_epoch: int = 0
-    stores_open: bool = False
-    """Every server has shown what it may still be pulling for an earlier leader."""
+    is_takeover_complete: bool = False
+    """Loads may be ordered: every server has shown what it may still be pulling for an earlier
+    leader, or the takeover limit has passed."""
 
-    orders_from: float = float("-inf")
-    """Before this instant orders of the leader before may have been too near."""
+    first_order_at: float = float("-inf")
+    """No order may be sent before this time; see `PlacementConfig.first_order_delay_s`."""
 
     def may_order(self, now: float) -> bool:
-        """Whether an order may leave at `now`."""
-        return self.is_leader and self.orders_from <= now < self.acts_until
+        """Whether an order may be sent at `now`."""
+        return self.is_leader and self.first_order_at <= now < self.acts_until
 
 
 @attrs.define(eq=False)
 class NodeDemand:
-    """The present picture of one data-plane node."""
+    """The newest demand report of one data-plane node."""
 
     reported_at: float
     waiting: dict[ItemKey, int] = attrs.field(factory=dict)
@@ -66,32 +74,36 @@
 
 @attrs.define(eq=False)
 class PlacementState:
-    """Every table, and the indexes that tell the systems what changed.
+    """All tables, and the indexes from which the systems learn what changed.
 
-    Dicts without values stand for sets: their order is the same in every run.
+    Dicts with None as values are used as sets, because their iteration order is deterministic.
 
     Attributes
     ----------
     running : requests that nodes report as running, by server and item.
-    nodes_checked_at : when nodes that stopped reporting were last looked for.
-    oldest_node_report : arrival of the oldest of the nodes' newest reports.
-    adapters_by_base : declared adapters; the value of `ItemRow.adapters` of a model.
-    pending_items : declarations that were not applied to the tables yet; None deletes.
-    store_slots : the store whose pull slot a move occupies.
-    prefetches : what is known of fetching ahead, by pool.
-    watched : servers whose next status matters (orders in flight, or not confirmed).
+    nodes_checked_at : when the nodes were last checked for expired reports.
+    oldest_node_report : arrival of the oldest among the newest reports of all nodes.
+    adapters_by_base : declared adapters by base model; `ItemRow.adapters` of the model is the same
+        dict.
+    pending_declarations : declarations that were not applied to the tables yet; None means that the
+        item was deleted.
+    store_slots : the store in which a move occupies a pull slot.
+    prefetches : the state of prefetching, by pool.
+    awaiting_status : servers whose next status matters, because they have orders in flight or are
+        not confirmed.
     changed_drains : servers whose draining replicas are to be published.
-    effects : of the running input, in order.
+    effects : effects of the input that is being handled, in order.
+    next_number : number of the next move or order.
     """
 
     config: PlacementConfig
     random: random.Random
     intent: Intent = attrs.field(factory=Intent)
     leadership: Leadership = attrs.field(factory=Leadership)
-    # What is declared, reported and measured.
+    # Declarations, reports and measurements.
     items: dict[ItemKey, ItemRow] = attrs.field(factory=dict)
     adapters_by_base: dict[ItemKey, dict[ItemKey, None]] = attrs.field(factory=dict)
-    pending_items: dict[ItemKey, ModelSpec | AdapterSpec | None] = attrs.field(factory=dict)
+    pending_declarations: dict[ItemKey, ModelSpec | AdapterSpec | None] = attrs.field(factory=dict)
     stores: dict[StoreName, StoreState] = attrs.field(factory=dict)
     servers: dict[ServerId, ServerState] = attrs.field(factory=dict)
     server_index: ServerIndex = attrs.field(factory=ServerIndex)
@@ -101,19 +113,19 @@
     oldest_node_report: float = 0.0
     load_times: LoadTimes = attrs.field(factory=LoadTimes)
     disk_copies: DiskCopies = attrs.field(factory=DiskCopies)
-    # What is planned and under way.
+    # Planned and running changes.
     calendar: Calendar = attrs.field(factory=Calendar)
     store_slots: dict[MoveId, StoreName] = attrs.field(factory=dict)
     drains: DrainTable = attrs.field(factory=DrainTable)
     prefetches: dict[PoolName, PrefetchState] = attrs.field(factory=dict)
-    # What the systems look at next.
+    # Work queues and indexes of the systems.
     reviews: ReviewSchedule = attrs.field(factory=ReviewSchedule)
     shortages: ShortageQueues = attrs.field(factory=ShortageQueues)
     unplaced: UnplacedItems = attrs.field(factory=UnplacedItems)
     undeclared: UndeclaredReplicas = attrs.field(factory=UndeclaredReplicas)
     free_memory: FreeMemoryIndex = attrs.field(factory=FreeMemoryIndex)
-    watched: dict[ServerId, None] = attrs.field(factory=dict)
-    # What leaves.
+    awaiting_status: dict[ServerId, None] = attrs.field(factory=dict)
+    # Outputs.
     changed_drains: dict[ServerId, None] = attrs.field(factory=dict)
     effects: list[Effect] = attrs.field(factory=list)
     next_number: int = 1
@@ -122,8 +134,8 @@
         """Emit a numbered log event."""
         self.effects.append(Log(number, fields))
 
-    def number(self) -> int:
-        """Return the next number of a move or order of this process."""
+    def allocate_number(self) -> int:
+        """Return a number that no other move or order of this process has."""
         number = self.next_number
         self.next_number += 1
         return number
@@ -131,18 +143,18 @@
     # Reviews
 
     def queue_review(self, key: ItemKey) -> None:
-        """Have a declared item looked at in the next run."""
+        """Queue a declared item for review in the next run."""
         if key in self.items:
             self.reviews.queue(key)
 
     # Replicas
 
     def pending_replicas(self, item: ItemRow) -> int:
-        """Return loads that are planned or in flight on servers in service."""
+        """Return the number of replicas that are being loaded or are planned to be."""
         return item.loading + len(item.planned)
 
     def recount(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
-        """Count a replica in its item's row as what it is now."""
+        """Update the counters of the item's row to the current state of a replica."""
         counted_as = _counted_as(server, replica)
         if counted_as is replica.counted_as:
             return
@@ -156,22 +168,22 @@
         replica.counted_as = counted_as
 
     def recount_server(self, server: ServerState) -> None:
-        """Count everything on a server whose service changed, and have it looked at."""
+        """Recount and queue for review all items on a server that began or stopped serving."""
         for key, replica in server.replicas.items():
             self.recount(server, key, replica)
             self.queue_review(key)
 
-    def set_state(
+    def set_replica_state(
         self, server: ServerState, key: ItemKey, replica: Replica, state: ReplicaState
     ) -> None:
-        """Change what a server does with an item."""
+        """Set the state of a replica and update what depends on it."""
         replica.state = state
         server.listing = None
         self._record_disk_copy(server, key, replica)
         self.recount(server, key, replica)
 
     def loads_from_disk(self, item: ItemRow, server: ServerState) -> bool:
-        """Whether the server has the item's weights on its own disk, as far as known."""
+        """Whether the server is known to have had the item's weights on its own disk."""
         if not self.config.servers_keep_weights or item.kind is not ItemKind.MODEL:
             return False
         return self.disk_copies.has(item.key, server.address)
@@ -182,7 +194,10 @@
         return any(address in self.server_index.by_address for address in addresses)
 
     def expected_load_s(self, item: ItemRow, server: ServerState | None = None) -> float:
-        """Return how long a load of the item takes, on a server or on any that never had it."""
+        """Return the expected load time of an item on a server.
+
+        Without a server, it is the time of a load from the store on any server.
+        """
         if server is not None and self.loads_from_disk(item, server):
             return self._expected_from_disk_s(item)
         server_id = server.server if server is not None else None
@@ -191,8 +206,8 @@
             item.key, item.weight_bytes, server_id, item.store, rate, item.declared_load_s
         )
 
-    def expected_return_s(self, item: ItemRow) -> float:
-        """Return how long it takes to load the item again where it was before."""
+    def expected_reload_s(self, item: ItemRow) -> float:
+        """Return the expected time to load the item again on a server that had it before."""
         if not self.config.servers_keep_weights or item.kind is not ItemKind.MODEL:
             return self.expected_load_s(item)
         return min(self._expected_from_disk_s(item), self.expected_load_s(item))
@@ -208,7 +223,7 @@
         return store.bytes_per_second if store else 1
 
     def running_on(self, server: ServerState, key: ItemKey) -> int:
-        """Return requests that nodes reported as running on a replica."""
+        """Return the number of requests that nodes report as running on a replica."""
         return self.running.get((server.server, key), 0)
 
     def _record_disk_copy(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
@@ -216,7 +231,7 @@
             self.disk_copies.record(key, server.address)
 
     def add_replica(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
-        """Count an item in the server's memory."""
+        """Add a replica to a server and count its memory."""
         server.replicas[key] = replica
         server.listing = None
         self._record_disk_copy(server, key, replica)
@@ -231,7 +246,7 @@
         self.queue_review(key)
 
     def remove_replica(self, server: ServerState, key: ItemKey) -> None:
-        """Take an item out of the server's memory: it was observed to be gone."""
+        """Remove a replica that no longer occupies memory on the server."""
         replica = server.replicas.pop(key)
         server.listing = None
         server.reserved_adapters -= is_adapter_key(key)
@@ -251,7 +266,7 @@
             self.queue_adapters(item)
 
     def resize_replica(self, server: ServerState, replica: Replica, item: ItemRow) -> None:
-        """Count a replica with the sizes that are declared now."""
+        """Update a replica to the declared sizes of its item."""
         server.reserved_bytes += item.weight_bytes - replica.item_bytes
         server.reserved_kv_bytes += item.kv_bytes - replica.kv_bytes
         replica.item_bytes = item.weight_bytes
@@ -261,25 +276,27 @@
     def set_draining(
         self, server: ServerState, key: ItemKey, replica: Replica, *, draining: bool
     ) -> None:
-        """Have nodes send nothing new to a replica, or send again."""
+        """Set whether nodes must stop sending new requests to a replica."""
         if replica.draining != draining:
             replica.draining = draining
             self.recount(server, key, replica)
             self.changed_drains[server.server] = None
 
     def queue_adapters(self, model: ItemRow) -> None:
-        """Have the adapters of a model that were ever requested, or occupy memory, looked at."""
+        """Queue the adapters of a model that were ever requested, are loaded or are planned."""
         for key in model.adapters:
             adapter = self.items[key]
-            known = adapter.demand.profile is not None or adapter.holders or adapter.planned
-            if known or adapter.waiting:
+            may_need_review = (
+                adapter.demand.profile is not None or adapter.holders or adapter.planned
+            )
+            if may_need_review or adapter.waiting:
                 self.queue_review(key)
 
     # Moves
 
     def new_move_id(self) -> MoveId:
-        """Return an identifier no other leader uses."""
-        return MoveId(f"m{self.leadership.epoch}-{self.number()}")
+        """Return a move identifier that no other leader uses."""
+        return MoveId(f"m{self.leadership.epoch}-{self.allocate_number()}")
 
 
 def _counted_as(server: ServerState, replica: Replica) -> CountedAs:
--- a/src/zincvale/controlplane/placement/unplaced.py
+++ b/src/zincvale/controlplane/placement/unplaced.py
@@ -1,4 +1,4 @@
-"""Items that want a replica for which no server was found."""
+"""Items that lack a replica because no server was found for it."""
 
 from __future__ import annotations
 
@@ -6,22 +6,24 @@
 
 from zincvale.controlplane.placement.items import ItemKey
 
-UNPLACED_INTERVAL_S = 1.0
-"""Unplaced items are queued again at most this often; less costs reviews while a fleet starts."""
+UNPLACED_REVIEW_INTERVAL_S = 1.0
+"""Minimum interval between two times at which unplaced items are queued for review again.
+
+A shorter interval causes many reviews while a fleet starts."""
 
 
 @attrs.define(eq=False)
 class UnplacedItems:
-    """Items to review again when capacity appears.
+    """Items to review again when there is new capacity.
 
-    `plan_loads` and `desired_replicas` add items; a server that appears, is confirmed or returns to
-    service marks capacity; `desired_replicas` takes them all.
+    `plan_loads` and `desired_replicas` add items. A server that appears, is confirmed, changes its
+    health or returns to service is new capacity. `desired_replicas` then takes all items.
 
     Attributes
     ----------
-    keys : the items; a dict without values stands for a set in order of arrival.
-    has_new_capacity : a server came since they were last taken.
-    taken_at : when they were last taken, seconds on the controller's clock.
+    keys : the items, a dict used as an ordered set.
+    has_new_capacity : there is new capacity since the items were last taken.
+    taken_at : when the items were last taken, in seconds on the controller's clock.
     """
 
     keys: dict[ItemKey, None] = attrs.field(factory=dict)
@@ -29,20 +31,20 @@
     taken_at: float = float("-inf")
 
     def add(self, key: ItemKey) -> None:
-        """Have an item reviewed when capacity appears."""
+        """Add an item to review when there is new capacity."""
         self.keys[key] = None
 
     def remove(self, key: ItemKey) -> None:
-        """Drop a deleted item."""
+        """Remove a deleted item."""
         self.keys.pop(key, None)
 
-    def mark_capacity(self) -> None:
+    def mark_new_capacity(self) -> None:
         """Record that a server may take loads that it could not take before."""
         self.has_new_capacity = True
 
     def take(self, now: float) -> list[ItemKey]:
-        """Take off every item when capacity appeared, else none."""
-        if not self.has_new_capacity or now < self.taken_at + UNPLACED_INTERVAL_S:
+        """Remove and return all items if there is new capacity, else none."""
+        if not self.has_new_capacity or now < self.taken_at + UNPLACED_REVIEW_INTERVAL_S:
             return []
         self.has_new_capacity = False
         self.taken_at = now
--- a/tests/controlplane/placement/test_demand.py
+++ b/tests/controlplane/placement/test_demand.py
@@ -91,21 +91,21 @@
     def test_bytes_are_owed_until_the_rate_has_paid_them(self):
         config = PlacementConfig(store_burst_s=1.0)
         store = self.make_store()
-        store.order(10 * GB, 0.0, config)
+        store.record_order(10 * GB, 0.0, config)
         self.assertFalse(store.may_order(5 * GB, 8.9, config))
         self.assertTrue(store.may_order(5 * GB, 9.01, config))
         self.assertEqual(9.0, self.make_ordered().free_at(0.0, config))
 
     def make_ordered(self) -> StoreState:
         store = self.make_store()
-        store.order(10 * GB, 0.0, PlacementConfig(store_burst_s=1.0))
+        store.record_order(10 * GB, 0.0, PlacementConfig(store_burst_s=1.0))
         return store
 
     def test_a_small_item_passes_within_its_share(self):
         config = PlacementConfig(store_burst_s=1.0)
         store = self.make_ordered()
         self.assertTrue(store.may_order(GB // 2, 0.0, config))
-        store.order(GB // 2, 0.0, config)
+        store.record_order(GB // 2, 0.0, config)
         self.assertFalse(store.may_order(GB // 2, 0.0, config))
         self.assertTrue(store.may_order(GB // 2, 2.0, config))
 
@@ -114,7 +114,7 @@
         store = self.make_store()
         for _ in range(3):
             self.assertTrue(store.may_order(GB, 0.0, config))
-            store.order(GB, 0.0, config)
+            store.record_order(GB, 0.0, config)
         self.assertFalse(store.may_order(1, 0.0, config))
         store.keep_slot(5.0)
         self.assertFalse(store.may_order(1, 4.0, config))
--- a/tests/controlplane/placement/test_mutations.py
+++ b/tests/controlplane/placement/test_mutations.py
@@ -8,10 +8,10 @@
 import testtools
 
 from tests.controlplane.placement.chaos import Chaos
-from tests.controlplane.placement.test_properties import sums_off
+from tests.controlplane.placement.test_properties import inconsistent_sums
 from zincvale.controlplane.placement import order_confirmation
 from zincvale.controlplane.placement.controller import SYSTEMS
-from zincvale.controlplane.placement.leadership import expire_leadership, open_stores
+from zincvale.controlplane.placement.leadership import complete_takeover, expire_leadership
 from zincvale.controlplane.placement.moves import MoveState
 
 PLACEMENT = "zincvale.controlplane.placement"
@@ -29,22 +29,23 @@
 
 
 def free_of_confirmed(server, config, more_kv_bytes):
-    confirmed = [h.item_bytes for h in server.replicas.values() if h.move is None]
+    confirmed = [h.item_bytes for h in server.replicas.values() if h.move_id is None]
     return int(server.memory_bytes * (1.0 - config.kv_headroom_fraction)) - sum(confirmed)
 
 
-def open_at_once(placement, now):
-    placement.leadership.stores_open = placement.leadership.is_leader
+def complete_takeover_at_once(placement, now):
+    placement.leadership.is_takeover_complete = placement.leadership.is_leader
 
 
 MUTATIONS: dict[str, dict[str, object]] = {
     "an unknown order is forgotten at the first status": {
-        f"{PLACEMENT}.apply_status.observe_missing": release_on_first_status,
+        f"{PLACEMENT}.apply_status.handle_missing_effect": release_on_first_status,
     },
     "a new leader trusts the first status and waits for nothing": {
         f"{PLACEMENT}.apply_status.confirm_no_stale_orders": confirm_on_first_status,
         f"{PLACEMENT}.controller.SYSTEMS": tuple(
-            open_at_once if system is open_stores else system for system in SYSTEMS
+            complete_takeover_at_once if system is complete_takeover else system
+            for system in SYSTEMS
         ),
     },
     "orders leave without a look at the lease": {
@@ -64,7 +65,7 @@
         f"{PLACEMENT}.servers.ServerState.load_slots": lambda self, config, now: 99,
     },
     "a finished load keeps its store slot": {
-        f"{PLACEMENT}.stores.StoreState.release": lambda self: None,
+        f"{PLACEMENT}.stores.StoreState.release_slot": lambda self: None,
     },
 }
 SEEDS_BY_MUTATION = {
@@ -90,5 +91,9 @@
         chaos.run(RUN_S)
         if chaos.problems:
             return chaos.problems[0]
-        off = [line for process in chaos.processes for line in sums_off(process.controller.state)]
+        off = [
+            line
+            for process in chaos.processes
+            for line in inconsistent_sums(process.controller.state)
+        ]
         return off[0] if off else ""
--- a/tests/controlplane/placement/test_properties.py
+++ b/tests/controlplane/placement/test_properties.py
@@ -12,7 +12,7 @@
 RUN_S = 120.0
 
 
-def sums_off(placement: PlacementState) -> list[str]:
+def inconsistent_sums(placement: PlacementState) -> list[str]:
     """Return every running sum and index of the tables that differs from its recount."""
     found = []
     for server in placement.servers.values():
@@ -55,7 +55,7 @@
             chaos.run(RUN_S)
             self.assertEqual([], chaos.problems, f"seed {seed}")
             for process in chaos.processes:
-                self.assertEqual([], sums_off(process.controller.state), f"seed {seed}")
+                self.assertEqual([], inconsistent_sums(process.controller.state), f"seed {seed}")
             self.assertTrue(chaos.loads_done > 10, f"seed {seed}: {chaos.loads_done} loads")
 
     def test_equal_seeds_give_equal_runs(self):
