--- a/src/zincvale/controlplane/placement/load_candidates.py
+++ b/src/zincvale/controlplane/placement/load_candidates.py
@@ -16,7 +16,7 @@
 from zincvale.controlplane.placement.state import PlacementState
 
 DRAIN_DELAY_S = 2.0
-"""Waiting time after which a load may drain a replica on which requests still run."""
+"""Waiting time of requests after which a load for them may drain an item's only replica in use."""
 EXPECTED_DRAIN_S = 5.0
 """Expected duration of a drain, during which new requests for the replica wait."""
 
@@ -65,9 +65,10 @@
     The comparison depends on the reason of the load. If requests wait, the requests expected to
     wait after the eviction must not exceed those that wait now plus those expected to wait without
     the load. Before a daily change, the item's predicted value must exceed `predicted_swap_gain`
-    times the greatest predicted value among the victims. Otherwise the item's value must exceed
-    `swap_gain` times the cost of the eviction. Loads for declared minimum replicas, and loads that
-    evict nothing, are always worth it.
+    times the greatest predicted value among the victims, and no victim may be expected to be
+    requested before the change. Otherwise the item's value must exceed `swap_gain` times the cost
+    of the eviction. Loads for declared minimum replicas, and loads that evict nothing, are always
+    worth it.
     """
     if not choice.eviction.keys or reason is MoveReason.MIN_REPLICAS:
         return True
--- a/src/zincvale/controlplane/placement/plan_unloads.py
+++ b/src/zincvale/controlplane/placement/plan_unloads.py
@@ -1,4 +1,4 @@
-"""Plans unloads: drains the replica and adds the move; also unloads undeclared replicas."""
+"""Plans unloads, which begin with a drain, and unloads replicas that no resource declares."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 from zincvale.model.identifiers import MoveId
 
 EXPECTED_UNLOAD_S = 0.2
-"""Expected duration of an unload, for the expected times of the calendar's moves."""
+"""Expected duration of an unload; the calendar shows it, and loads that wait for the unload are
+expected to start after it."""
 
 
 @attrs.frozen
--- a/tests/controlplane/placement/chaos.py
+++ b/tests/controlplane/placement/chaos.py
@@ -1,8 +1,8 @@
-"""A fleet in which everything goes wrong, for the property tests.
+"""Simulation of a fleet with random faults, for the property tests.
 
-Two controllers share a lease that moves; processes freeze; orders, responses and statuses are lost,
-late and out of order; servers crash, freeze with orders in their sockets, come back empty. The
-servers take every order without a check of their own, so that only the controller keeps limits.
+A lease moves between two controllers whose processes may freeze. Orders, responses and statuses
+are lost, delayed and reordered. Servers crash, restart empty, and freeze with orders in their
+sockets. The servers check no limits when they accept orders, so only the controller keeps them.
 """
 
 from __future__ import annotations
@@ -39,15 +39,23 @@
 
 STEP_S = 0.1
 ORDER_TIMEOUT_S = 2.0
-LONGEST_DELAY_S = 2.0
+MAX_DELAY_S = 2.0
 LEASE_S = 2.0
-LONGEST_FREEZE_S = 10.0
+MAX_FREEZE_S = 10.0
 DOWN_AFTER_S = 3.0
 
 
 @attrs.define(eq=False)
 class ChaosServer:
-    """What a server really holds and does."""
+    """The actual state of a server, as opposed to what the controllers know of it.
+
+    Attributes
+    ----------
+    loaded : size by name.
+    loading : (size, end of the load) by name.
+    socket : requests and orders that arrived and were not handled yet.
+    responded_at : when the server last responded, or was last reported as down.
+    """
 
     name: str
     memory_bytes: int
@@ -65,15 +73,20 @@
 
 @attrs.define(eq=False)
 class Process:
-    """A controller in a process that may freeze."""
+    """A process with a controller, which may freeze.
+
+    Attributes
+    ----------
+    inbox : inputs that the controller did not handle yet.
+    """
 
     controller: PlacementController
     frozen_until: float = 0.0
     inbox: list[object] = attrs.field(factory=list)
 
 
-class Chaos:
-    """Runs one seed; `problems` holds every limit that was passed."""
+class ChaosSimulation:
+    """Runs the simulation with one seed; `problems` lists every limit that was exceeded."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -121,16 +134,16 @@
         while self.now < seconds:
             self.now = round(self.now + STEP_S, 3)
             self._deliver()
-            self._move_lease()
-            self._trouble()
+            self._renew_or_move_lease()
+            self._inject_faults()
             for server in self.servers.values():
                 self._advance(server)
             if self.random.random() < 0.3:
-                self._demand()
+                self._report_demand()
             for process in self.processes:
-                self._run_process(process)
+                self._handle_inbox(process)
 
-    def later(self, delay_s: float, action: Callable[[], None]) -> None:
+    def schedule(self, delay_s: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (self.now + delay_s, next(self._numbers), action))
 
     def _deliver(self) -> None:
@@ -140,14 +153,14 @@
     def _delay(self) -> float:
         if self.random.random() < 0.8:
             return self.random.uniform(0.0, 0.2)
-        return self.random.uniform(0.0, LONGEST_DELAY_S)
+        return self.random.uniform(0.0, MAX_DELAY_S)
 
-    # Trouble
+    # Faults
 
-    def _trouble(self) -> None:
+    def _inject_faults(self) -> None:
         for server in self.servers.values():
             if self.random.random() < 0.002:
-                server.frozen_until = self.now + self.random.uniform(0.5, LONGEST_FREEZE_S)
+                server.frozen_until = self.now + self.random.uniform(0.5, MAX_FREEZE_S)
             if self.random.random() < 0.001:
                 self._crash(server)
         for process in self.processes:
@@ -172,11 +185,16 @@
         server.socket.clear()
         server.down_until = self.now + self.random.uniform(0.5, 5.0)
 
-    def _move_lease(self) -> None:
-        """Renew the lease, or give it to the other after the holder must have stopped."""
+    def _renew_or_move_lease(self) -> None:
+        """Renew the lease, or grant it under a new epoch once the holder must have stopped."""
         holder = self.processes[self.leader]
-        healthy = holder.frozen_until <= self.now
-        if self.epoch and healthy and self.random.random() > 0.02 and self.now < self.lease_until:
+        is_responsive = holder.frozen_until <= self.now
+        if (
+            self.epoch
+            and is_responsive
+            and self.random.random() > 0.02
+            and self.now < self.lease_until
+        ):
             self.lease_until = self.now + LEASE_S
             holder.inbox.append(LeaderGained(self.epoch, self.lease_until))
             return
@@ -194,29 +212,29 @@
     def _advance(self, server: ChaosServer) -> None:
         if self.now < max(server.frozen_until, server.down_until):
             if self.now > server.responded_at + DOWN_AFTER_S:
-                self._tell_down(server)
+                self._report_down(server)
             return
         for name, (size, ends_at) in list(server.loading.items()):
             if ends_at <= self.now:
                 del server.loading[name]
                 server.loaded[name] = size
                 self.loads_done += 1
-        # A woken server handles what waits in its sockets in any order.
+        # A server that resumes handles what waits in its sockets in any order.
         self.random.shuffle(server.socket)
         waiting, server.socket = server.socket, []
         for action in waiting:
             action()
         if self.random.random() < 0.2:
             for process in self.processes:
-                self._ask(process, server)
+                self._request_status(process, server)
 
-    def _tell_down(self, server: ChaosServer) -> None:
+    def _report_down(self, server: ChaosServer) -> None:
         server.responded_at = self.now
         row = make_row(server.name, health=ServerHealth.DOWN)
         for process in self.processes:
             process.inbox.append(DirectoryChanged((StatusReport(row, self.now),)))
 
-    def _ask(self, process: Process, server: ChaosServer) -> None:
+    def _request_status(self, process: Process, server: ChaosServer) -> None:
         requested_at = self.now
         incarnation = server.incarnation
 
@@ -225,7 +243,7 @@
                 server.socket.append(lambda: self._respond(process, server, requested_at))
 
         if self.random.random() < 0.9:
-            self.later(self._delay(), arrive)
+            self.schedule(self._delay(), arrive)
 
     def _respond(self, process: Process, server: ChaosServer, requested_at: float) -> None:
         server.responded_at = self.now
@@ -242,7 +260,7 @@
         )
         report = DirectoryChanged((StatusReport(row, requested_at),))
         if self.random.random() < 0.9:
-            self.later(self._delay(), lambda: process.inbox.append(report))
+            self.schedule(self._delay(), lambda: process.inbox.append(report))
 
     def _handle_order(self, server: ChaosServer, effect: SendOrder, respond) -> None:
         order = effect.order
@@ -259,10 +277,10 @@
         if not held:
             ends_at = self.now + self.random.uniform(0.2, 5.0)
             server.loading[order.name] = (order.item_bytes, ends_at)
-            self._check(server, order.store)
+            self._check_limits(server, order.store)
         respond(OrderAccepted(order.order_id))
 
-    def _check(self, server: ChaosServer, store: str) -> None:
+    def _check_limits(self, server: ChaosServer, store: str) -> None:
         limit = int(server.memory_bytes * (1.0 - self.config.kv_headroom_fraction))
         if server.weights() > limit:
             self.problems.append(f"{self.now}: {server.name} ordered to hold {server.weights()}")
@@ -282,11 +300,11 @@
 
     # Processes
 
-    def _run_process(self, process: Process) -> None:
+    def _handle_inbox(self, process: Process) -> None:
         if self.now < process.frozen_until:
             return
         events, process.inbox = process.inbox, []
-        # What piled up during a freeze is handled in any order; the tick may come first.
+        # The tick may be handled before or after the inputs that arrived during a freeze.
         if self.random.random() < 0.5:
             events.append(Tick())
         else:
@@ -298,44 +316,47 @@
     def _carry_out(self, process: Process, effect: object) -> None:
         match effect:
             case RequestStatus(server, _):
-                self._ask(process, self.servers[server])
+                self._request_status(process, self.servers[server])
             case SendOrder():
                 self._send(process, effect)
 
     def _send(self, process: Process, effect: SendOrder) -> None:
-        """The runtime's part: the lease is checked as the order leaves; no response is unknown."""
+        """Send an order as the runtime does; without a response its outcome becomes unknown.
+
+        It is a problem if the order is sent without the lease.
+        """
         order_id = effect.order.order_id
         if self.now >= effect.not_after or effect.order.epoch != self.epoch:
             self.problems.append(f"{self.now}: order {order_id} without the lease")
         self.orders_sent += 1
-        responded: list[bool] = []
+        delivered: list[bool] = []
 
         def respond_once(response) -> None:
-            if not responded:
-                responded.append(True)
+            if not delivered:
+                delivered.append(True)
                 process.inbox.append(response)
 
         def respond(event) -> None:
             if event is not None and self.random.random() < 0.8:
-                self.later(self._delay(), lambda: respond_once(event))
+                self.schedule(self._delay(), lambda: respond_once(event))
 
         server = self.servers[effect.server]
         if self.random.random() < 0.05:
-            self.later(
+            self.schedule(
                 0.0, lambda: respond_once(OrderRefused(order_id, OrderRefusal.NOT_CONNECTED))
             )
             return
 
         def arrive() -> None:
-            # A dead process takes no connection; a frozen one does.
+            # A crashed process accepts no connection; a frozen one does.
             if self.now >= server.down_until:
                 server.socket.append(lambda: self._handle_order(server, effect, respond))
 
         if self.random.random() < 0.95:
-            self.later(self._delay(), arrive)
-        self.later(ORDER_TIMEOUT_S, lambda: respond_once(OrderUnknown(order_id)))
+            self.schedule(self._delay(), arrive)
+        self.schedule(ORDER_TIMEOUT_S, lambda: respond_once(OrderUnknown(order_id)))
 
-    def _demand(self) -> None:
+    def _report_demand(self) -> None:
         rows = []
         for name in self.random.sample(sorted(self.intent.models), 3):
             adapter = self.random.choice((None, f"{name}-a0", f"{name}-a1"))
--- a/tests/controlplane/placement/driver.py
+++ b/tests/controlplane/placement/driver.py
@@ -1,4 +1,4 @@
-"""A controller driven by hand: rows, intents and virtual time."""
+"""Test driver of a placement controller: builds intents and rows, feeds inputs in virtual time."""
 
 from __future__ import annotations
 
@@ -69,7 +69,13 @@
 
 @attrs.define
 class Driver:
-    """Drives a controller by hand in virtual time; servers do what a test makes them show."""
+    """Drives a controller in virtual time; servers report only what a test makes them report.
+
+    Attributes
+    ----------
+    rows : the row that each server reports next.
+    seen : all effects of the controller, in order.
+    """
 
     intent: Intent
     rows: dict[str, ServerRow]
@@ -88,7 +94,7 @@
         return effects
 
     def tick(self, seconds: float = 0.1, renew: bool = True) -> list[Effect]:
-        """Let time pass with ticks and renewed leases; return every effect."""
+        """Let time pass, with ticks and renewals of a held lease; return every effect."""
         effects: list[Effect] = []
         for _ in range(max(round(seconds / 0.1), 1)):
             self.now = round(self.now + 0.1, 3)
@@ -100,7 +106,7 @@
         return effects
 
     def report(self, *servers: str, requested_at: float | None = None, **fields) -> list[Effect]:
-        """Have servers (all when none is named) report, with changed fields."""
+        """Report the rows of the named servers, or of all, after changing the given fields."""
         reports = []
         for name in servers or tuple(self.rows):
             self.rows[name] = attrs.evolve(self.rows[name], **fields)
@@ -109,7 +115,7 @@
         return self.feed(DirectoryChanged(tuple(reports)))
 
     def lead(self, epoch: int = 1) -> list[Effect]:
-        """Gain leadership and let every server be confirmed."""
+        """Gain leadership and report all servers until they are confirmed; return every effect."""
         effects = self.feed(LeaderGained(epoch, self.now + 2.0))
         for _ in range(5):
             effects += self.report()
@@ -117,7 +123,13 @@
         return effects
 
     def demand(self, *rows: tuple, use: tuple = (), node: str = "node-1") -> list[Effect]:
-        """Report (model, adapter, requests, waiting) rows and (server, model, running) uses."""
+        """Report demand of a node.
+
+        Parameters
+        ----------
+        rows : (model, adapter, requests, waiting).
+        use : (server, model, running).
+        """
         return self.feed(
             DemandReported(
                 node,
@@ -131,7 +143,7 @@
             self.feed(OrderAccepted(order.order.order_id))
 
     def complete(self, orders: list[SendOrder]) -> None:
-        """Accept orders and have the servers show them done."""
+        """Accept orders and have the servers report them as carried out."""
         self.accept(orders)
         self.now = round(self.now + 0.5, 3)
         for effect in orders:
--- a/tests/controlplane/placement/test_demand.py
+++ b/tests/controlplane/placement/test_demand.py
@@ -1,4 +1,4 @@
-"""Decayed demand, the daily profile and learned load times."""
+"""Demand averages, the daily profile, learned load times, store limits and demand reports."""
 
 from __future__ import annotations
 
@@ -32,26 +32,26 @@
             at += interval_s
         return demand
 
-    def test_a_steady_rate_is_found_before_the_memory_is_full(self):
+    def test_steady_rate_is_estimated_before_a_half_life_has_passed(self):
         demand = self.make_steady(interval_s=20.0, seconds=600.0)
         self.assertTrue(abs(demand.slow_rate(600.0) - 0.05) < 0.005)
 
-    def test_rates_fade(self):
+    def test_rate_drops_to_a_quarter_after_two_half_lives(self):
         demand = self.make_steady(interval_s=20.0, seconds=7200.0)
         later = 7200.0 + 2 * CONFIG.slow_half_life_s
         self.assertTrue(abs(demand.slow_rate(later) / demand.slow_rate(7200.0) - 0.25) < 0.05)
 
-    def test_a_short_crowd_leaves_less_than_steady_demand(self):
+    def test_short_burst_gives_a_lower_rate_than_steady_demand(self):
         crowd = self.make_steady(interval_s=0.3, seconds=60.0)
         steady = self.make_steady(interval_s=30.0, seconds=1800.0)
         self.assertTrue(crowd.slow.count > steady.slow.count)
         self.assertTrue(crowd.slow_rate(1800.0) < steady.slow_rate(1800.0))
 
-    def test_a_busy_item_keeps_its_whole_rate(self):
+    def test_steady_demand_counts_with_its_full_rate(self):
         demand = self.make_steady(interval_s=0.1, seconds=3600.0)
         self.assertTrue(abs(demand.slow_rate(3600.0) - 10.0) < 0.5)
 
-    def test_a_day_repeats(self):
+    def test_rate_at_a_time_of_day_is_predicted_from_earlier_days(self):
         demand = Demand.begin(CONFIG, 0.0)
         for day in range(3):
             for number in range(60):
@@ -62,13 +62,13 @@
         self.assertTrue(abs(busy - 0.1) < 0.02)
         self.assertEqual(0.0, idle)
 
-    def test_no_history_predicts_nothing(self):
+    def test_no_rate_is_predicted_without_history(self):
         demand = self.make_steady(interval_s=10.0, seconds=100.0)
         self.assertIsNone(demand.predicted_rate(3000.0, 100.0, CONFIG))
 
 
 class LoadTimeTests(testtools.TestCase):
-    def test_item_on_server_then_server_then_store_then_declared_rate(self):
+    def test_load_time_falls_back_from_item_to_server_to_store_to_declared_rate(self):
         times = LoadTimes()
         self.assertEqual(8.0, times.expected_s("model/a", 8 * GB, "s1", "weights", GB))
         times.observe("model/a", 8 * GB, "s1", "weights", 4.0)
@@ -77,7 +77,7 @@
         self.assertEqual(1.0, times.expected_s("model/b", 2 * GB, "s2", "weights", GB))
         self.assertEqual(2.0, times.expected_s("model/b", 2 * GB, "s2", "other", GB))
 
-    def test_newer_loads_weigh_more(self):
+    def test_newer_load_times_have_more_weight(self):
         times = LoadTimes()
         for took_s in (4.0, 8.0, 8.0, 8.0, 8.0, 8.0):
             times.observe("model/a", 8 * GB, "s1", "weights", took_s)
@@ -88,28 +88,28 @@
     def make_store(self) -> StoreState:
         return StoreState("weights", "10.0.9.1:9100", GB, 3)
 
-    def test_bytes_are_owed_until_the_rate_has_paid_them(self):
+    def test_no_large_load_is_ordered_until_the_backlog_is_within_the_burst(self):
         config = PlacementConfig(store_burst_s=1.0)
         store = self.make_store()
         store.record_order(10 * GB, 0.0, config)
         self.assertFalse(store.may_order(5 * GB, 8.9, config))
         self.assertTrue(store.may_order(5 * GB, 9.01, config))
-        self.assertEqual(9.0, self.make_ordered().free_at(0.0, config))
+        self.assertEqual(9.0, self.make_store_with_backlog().free_at(0.0, config))
 
-    def make_ordered(self) -> StoreState:
+    def make_store_with_backlog(self) -> StoreState:
         store = self.make_store()
         store.record_order(10 * GB, 0.0, PlacementConfig(store_burst_s=1.0))
         return store
 
-    def test_a_small_item_passes_within_its_share(self):
+    def test_small_item_is_ordered_despite_the_backlog_within_its_share(self):
         config = PlacementConfig(store_burst_s=1.0)
-        store = self.make_ordered()
+        store = self.make_store_with_backlog()
         self.assertTrue(store.may_order(GB // 2, 0.0, config))
         store.record_order(GB // 2, 0.0, config)
         self.assertFalse(store.may_order(GB // 2, 0.0, config))
         self.assertTrue(store.may_order(GB // 2, 2.0, config))
 
-    def test_slots_bound_loads_at_once(self):
+    def test_concurrent_loads_are_limited_by_slots(self):
         config = PlacementConfig(store_burst_s=1000.0)
         store = self.make_store()
         for _ in range(3):
@@ -122,7 +122,7 @@
 
 
 class DailyChangeTests(testtools.TestCase):
-    def test_what_history_shows_is_loaded_before_it_is_requested(self):
+    def test_model_is_loaded_before_its_daily_demand_begins(self):
         config = PlacementConfig(
             day_s=4800.0, fill_free_memory=False, lookahead_s=150.0, slow_half_life_s=300.0
         )
@@ -132,13 +132,13 @@
         loads: list[tuple[float, str]] = []
         while driver.now < 4 * 4800.0:
             phase = driver.now % 4800.0
-            wanted = ["all-day"]
+            requested = ["all-day"]
             if phase < 1900.0:
-                wanted.append("morning")
+                requested.append("morning")
             if 2400.0 <= phase < 4300.0:
-                wanted.append("evening")
+                requested.append("evening")
             held = driver.rows["server-1"].models
-            driver.demand(*((name, None, 1, int(name not in held)) for name in wanted))
+            driver.demand(*((name, None, 1, int(name not in held)) for name in requested))
             orders = orders_in(driver.tick(0.1))
             loads += [(driver.now, item) for _, item in loads_in(orders)]
             driver.complete(orders)
@@ -150,8 +150,8 @@
             self.assertTrue(2400.0 - 2 * config.lookahead_s < phase < 2400.0, evening)
 
 
-class IntakeTests(testtools.TestCase):
-    def test_a_silent_nodes_waiting_requests_are_forgotten(self):
+class DemandReportTests(testtools.TestCase):
+    def test_waiting_requests_of_a_node_that_stops_reporting_are_removed(self):
         driver = Driver(make_intent({"alpha": 8}), {"server-1": make_row("server-1")})
         driver.demand(("alpha", None, 2, 2), node="node-1")
         driver.demand(("alpha", None, 1, 1), node="node-2")
@@ -162,7 +162,7 @@
         driver.tick(2.0)
         self.assertEqual(1, item.waiting)
 
-    def test_a_model_deleted_and_declared_again_counts_from_zero(self):
+    def test_deleted_and_redeclared_model_starts_without_requests(self):
         driver = Driver(make_intent({"alpha": 8}), {"server-1": make_row("server-1")})
         driver.demand(("alpha", None, 2, 2), use=(("server-1", "alpha", 3),))
         driver.feed(IntentChanged(attrs.evolve(driver.intent, version=2, models={})))
--- a/tests/controlplane/placement/test_disk_copies.py
+++ b/tests/controlplane/placement/test_disk_copies.py
@@ -1,4 +1,4 @@
-"""Servers keep the weights of what they held: loads from there, and where they are placed."""
+"""Weights on servers' own disks: recorded copies, load times, and the choice of the server."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 
 class DiskCopiesTest(testtools.TestCase):
-    def test_what_was_loaded_is_remembered_by_address(self) -> None:
+    def test_copies_are_recorded_by_item_and_address(self) -> None:
         copies = DiskCopies()
         copies.record(MODEL, "10.0.0.1:1")
         self.assertTrue(copies.has(MODEL, "10.0.0.1:1"))
         self.assertFalse(copies.has(MODEL, "10.0.0.2:1"))
         self.assertFalse(copies.has(model_key("n"), "10.0.0.1:1"))
 
-    def test_the_oldest_addresses_are_forgotten(self) -> None:
+    def test_oldest_addresses_are_dropped_beyond_the_limit(self) -> None:
         copies = DiskCopies()
         for number in range(MAX_ADDRESSES_PER_ITEM + 1):
             copies.record(MODEL, f"10.0.0.{number}:1")
@@ -53,21 +53,21 @@
         self.assertFalse(copies.has(MODEL, "10.0.0.1:1"))
         self.assertTrue(copies.has(MODEL, "10.0.0.0:1"))
 
-    def test_an_item_that_is_declared_no_more_is_forgotten(self) -> None:
+    def test_removed_item_has_no_addresses(self) -> None:
         copies = DiskCopies()
         copies.record(MODEL, "10.0.0.1:1")
         copies.remove(MODEL)
         self.assertEqual((), copies.addresses(MODEL))
 
 
-class DiskTimesTest(testtools.TestCase):
-    def test_until_one_was_seen_a_load_from_disk_is_taken_to_be_worth_a_trial(self) -> None:
+class DiskLoadTimesTest(testtools.TestCase):
+    def test_load_time_from_disk_is_a_fraction_of_the_store_time_until_observed(self) -> None:
         times = LoadTimes()
         from_store_s = times.expected_s(MODEL, 8 * GB, None, "weights", GB)
-        guess_s = times.expected_from_disk_s(8 * GB, "weights", GB)
-        self.assertEqual(from_store_s * DEFAULT_DISK_FACTOR, guess_s)
+        assumed_s = times.expected_from_disk_s(8 * GB, "weights", GB)
+        self.assertEqual(from_store_s * DEFAULT_DISK_FACTOR, assumed_s)
 
-    def test_both_are_learned_apart(self) -> None:
+    def test_load_times_from_disk_and_store_are_learned_separately(self) -> None:
         times = LoadTimes()
         times.observe(MODEL, 8 * GB, "s1", "weights", 4.0)
         times.observe_from_disk(8 * GB, "weights", 0.8)
@@ -76,7 +76,10 @@
 
 
 def confirmed_driver(config: PlacementConfig = CONFIG, servers: int = 3) -> Driver:
-    """Return servers of which the second one held `m` and is full of something else now."""
+    """Return a driver with confirmed servers; server-2 held `m` before and is now full of `spare`.
+
+    Each of the other servers is full of a model of its own.
+    """
     rows = {
         f"server-{number}": make_row(
             f"server-{number}", models=frozenset({"m" if number == 2 else f"other-{number}"})
@@ -92,17 +95,17 @@
 
 
 def load_of(effects: list, name: str) -> SendOrder:
-    """Return the order to load `name`, let through whatever comes before it."""
+    """Return the only order to load `name` among the effects."""
     (order,) = [
-        each
-        for each in orders_in(effects)
-        if each.order.name == name and each.order.action is OrderAction.LOAD
+        effect
+        for effect in orders_in(effects)
+        if effect.order.name == name and effect.order.action is OrderAction.LOAD
     ]
     return order
 
 
 def request_model(driver: Driver, name: str = "m", seconds: float = 2.0) -> list:
-    """Let requests wait for a model; unloads are carried out at once."""
+    """Let requests wait for a model and complete unloads at once; return all effects."""
     effects: list = []
     for _ in range(round(seconds / 0.1)):
         driver.demand((name, None, 0, 3))
@@ -113,17 +116,17 @@
     return effects
 
 
-class ChoiceTest(testtools.TestCase):
-    def test_a_model_returns_to_the_server_that_had_it(self) -> None:
+class DiskChoiceTest(testtools.TestCase):
+    def test_model_is_loaded_on_the_server_with_its_weights_on_disk(self) -> None:
         order = load_of(request_model(confirmed_driver()), "m")
         self.assertEqual("server-2", order.server)
         self.assertTrue(order.order.from_disk)
 
-    def test_without_the_option_no_server_is_taken_to_have_it(self) -> None:
+    def test_no_load_is_expected_from_disk_without_the_option(self) -> None:
         config = attrs.evolve(CONFIG, servers_keep_weights=False)
         self.assertFalse(load_of(request_model(confirmed_driver(config)), "m").order.from_disk)
 
-    def test_where_disks_are_slower_than_the_store_nothing_draws_it_there(self) -> None:
+    def test_server_with_a_copy_is_preferred_only_if_its_disk_is_faster(self) -> None:
         for store_s, disk_s, expected in ((5.0, 0.8, True), (0.8, 5.0, False), (0.8, 0.7, False)):
             driver = confirmed_driver()
             times = driver.controller.state.load_times
@@ -134,14 +137,14 @@
             placed = load_of(request_model(driver), "m").server == "server-2"
             self.assertEqual(expected, placed)
 
-    def test_a_restarted_server_at_the_same_address_still_has_it(self) -> None:
+    def test_copy_survives_a_restart_at_the_same_address(self) -> None:
         driver = confirmed_driver()
         driver.report("server-2", incarnation="i2", models=frozenset({"spare"}))
         driver.tick(0.2)
         driver.lead()
         self.assertTrue(load_of(request_model(driver), "m").order.from_disk)
 
-    def test_a_load_from_disk_teaches_nothing_of_the_store(self) -> None:
+    def test_load_from_disk_does_not_change_the_learned_store_rate(self) -> None:
         driver = confirmed_driver()
         order = load_of(request_model(driver), "m")
         placement = driver.controller.state
@@ -149,7 +152,7 @@
         self.assertEqual({}, placement.load_times.rate_by_store)
         self.assertIn("weights", placement.load_times.disk_rate_by_store)
 
-    def test_it_waits_for_a_load_there_that_ends_soon(self) -> None:
+    def test_load_waits_for_the_server_with_a_copy_if_that_is_faster(self) -> None:
         driver = confirmed_driver()
         times = driver.controller.state.load_times
         times.observe(model_key("x"), 30 * GB, "server-9", "weights", 20.0)
--- a/tests/controlplane/placement/test_draining_rows.py
+++ b/tests/controlplane/placement/test_draining_rows.py
@@ -1,4 +1,4 @@
-"""What nodes read of the topic `moves`."""
+"""Decoding of the draining replicas from rows of the topic `moves`."""
 
 import attrs
 from testtools import TestCase
@@ -11,9 +11,9 @@
 
 
 class DrainingReplicasDecoderTest(TestCase):
-    """The decoder reads rows as the typed moves would."""
+    """The decoder finds the same draining replicas as code that decodes complete moves."""
 
-    def test_it_agrees_with_the_typed_moves_in_every_kind_and_state(self):
+    def test_result_equals_that_of_typed_moves_in_every_kind_and_state(self):
         moves = [
             attrs.evolve(MOVE, move_id=f"m{kind.value}-{state.value}", kind=kind, state=state)
             for kind in MoveKind
@@ -23,7 +23,7 @@
             rows = {move.move_id: encode_move(move)}
             self.assertEqual(draining_by_server([move]), DrainingReplicasDecoder().update(rows))
 
-    def test_a_changed_row_counts_and_a_removed_one_does_not(self):
+    def test_changed_rows_are_parsed_again_and_removed_rows_dropped(self):
         decoder = DrainingReplicasDecoder()
         unload = attrs.evolve(MOVE, kind=MoveKind.UNLOAD, state=MoveState.DRAINING)
         rows = {"a": encode_move(unload), "b": encode_move(attrs.evolve(unload, name="other"))}
@@ -33,7 +33,7 @@
         self.assertEqual({unload.server: {"other"}}, decoder.update(rows))
         self.assertEqual({}, decoder.update({}))
 
-    def test_an_unreadable_row_is_refused_with_a_remedy(self):
+    def test_unreadable_row_raises_an_error_with_a_remedy(self):
         for content in (b"", b"{}", b"[1]"):
             error = self.assertRaises(
                 MalformedBodyError, DrainingReplicasDecoder().update, {"a": content}
--- a/tests/controlplane/placement/test_leadership.py
+++ b/tests/controlplane/placement/test_leadership.py
@@ -1,4 +1,4 @@
-"""Who may order, when, and what a new leader waits for."""
+"""Leadership: when orders may be sent, what a new leader waits for, and unknown outcomes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class LeadershipTests(testtools.TestCase):
-    def test_a_standby_gives_no_orders(self):
+    def test_process_that_is_not_the_leader_has_no_effects_except_logs(self):
         driver = make_driver()
         driver.demand(("alpha", None, 1, 1))
         for _ in range(6):
@@ -41,7 +41,7 @@
             driver.tick(1.0)
         self.assertEqual([], [type(effect) for effect in driver.seen if "Log" not in repr(effect)])
 
-    def test_no_order_before_statuses_newer_than_any_earlier_order(self):
+    def test_first_order_waits_for_the_order_lifetime_and_a_confirmation(self):
         driver = make_driver()
         driver.demand(("alpha", None, 1, 1))
         gained_at = driver.now
@@ -58,7 +58,7 @@
         self.assertTrue(first_order_at >= confirmed_at)
         self.assertTrue(first_order_at < confirmed_at + 1.0)
 
-    def test_statuses_requested_before_leadership_do_not_confirm(self):
+    def test_statuses_requested_before_leadership_do_not_confirm_servers(self):
         driver = make_driver()
         driver.demand(("alpha", None, 1, 1))
         before = driver.now
@@ -69,7 +69,7 @@
             effects += driver.tick(1.0)
         self.assertEqual([], orders_in(effects))
 
-    def test_a_load_found_running_is_on_the_calendar_with_its_reservations(self):
+    def test_load_found_in_progress_is_in_the_calendar_with_its_reservations(self):
         driver = make_driver()
         driver.report("server-1", loading=frozenset({"alpha"}))
         driver.lead()
@@ -92,7 +92,7 @@
         self.assertEqual([], orders_in(driver.seen))
         self.assertFalse(driver.controller.state.leadership.is_leader)
 
-    def test_a_woken_leader_gives_no_order(self):
+    def test_leader_sends_no_order_after_a_clock_jump_or_a_lost_lease(self):
         for event in (ClockJumped(20.0), LeaderLost()):
             driver = make_driver({"alpha": 8, "beta": 8})
             driver.lead()
@@ -120,14 +120,14 @@
         )
         self.assertTrue(order.not_after <= driver.now + 2.0)
 
-    def test_a_withheld_order_gives_its_reservation_back(self):
+    def test_withheld_order_releases_its_reservation(self):
         driver = make_driver(servers=1)
         order = orders_in(driver.lead())[0]
         driver.feed(OrderRefused(order.order.order_id, OrderRefusal.WITHHELD))
         self.assertEqual(0, driver.controller.state.stores["weights"].in_flight)
         self.assertEqual(0, driver.controller.state.servers["server-1"].reserved_bytes)
 
-    def test_the_first_publication_of_a_leader_is_whole(self):
+    def test_only_the_first_publication_of_a_leader_is_complete(self):
         driver = make_driver()
         published = [effect for effect in driver.lead() if isinstance(effect, PublishMoves)]
         self.assertEqual(
@@ -146,19 +146,19 @@
     def reserved_bytes(self) -> int:
         return self.placement.servers["server-1"].reserved_bytes
 
-    def test_the_reservation_stays_without_a_status(self):
+    def test_reservation_stays_without_a_status(self):
         self.driver.tick(60.0)
         self.assertEqual(
             (8_000_000_000, 1), (self.reserved_bytes(), self.placement.stores["weights"].in_flight)
         )
 
-    def test_one_status_does_not_release_it(self):
+    def test_one_status_does_not_release_the_reservation(self):
         self.driver.tick(10.0)
         self.driver.report()
         self.driver.tick(0.5)
         self.assertEqual(8_000_000_000, self.reserved_bytes())
 
-    def test_a_second_status_after_the_confirmation_interval_releases_it(self):
+    def test_second_status_after_the_confirmation_interval_releases_the_reservation(self):
         self.driver.tick(10.0)
         self.driver.report()
         self.driver.tick(self.driver.config.confirmation_interval_s)
@@ -166,7 +166,7 @@
         self.assertEqual(0, self.reserved_bytes())
         self.assertEqual(0, self.placement.stores["weights"].in_flight)
 
-    def test_a_status_that_shows_it_loading_keeps_it(self):
+    def test_status_that_shows_the_load_keeps_the_reservation(self):
         self.driver.tick(1.0)
         self.driver.report(loading=frozenset({"alpha"}))
         self.driver.tick(10.0)
@@ -175,7 +175,7 @@
         self.assertEqual([MoveState.RUNNING], states)
         self.assertEqual(8_000_000_000, self.reserved_bytes())
 
-    def test_a_new_incarnation_does_not_release_it_any_sooner(self):
+    def test_new_incarnation_does_not_release_the_reservation_earlier(self):
         self.driver.tick(self.driver.config.order_lifetime_s)
         self.driver.report(incarnation="i2")
         self.assertEqual(8_000_000_000, self.reserved_bytes())
@@ -183,12 +183,12 @@
         self.driver.report()
         self.assertEqual(0, self.reserved_bytes())
 
-    def test_a_new_incarnation_releases_what_the_old_one_had_taken(self):
+    def test_new_incarnation_releases_the_reservation_of_an_accepted_order(self):
         self.driver.feed(OrderAccepted(self.order.order.order_id))
         self.driver.report(incarnation="i2")
         self.assertEqual(0, self.reserved_bytes())
 
-    def test_an_order_on_its_way_may_reach_the_new_incarnation(self):
+    def test_order_in_transit_may_be_accepted_by_a_new_incarnation(self):
         self.driver.tick(0.1)
         self.driver.report(incarnation="i2")
         self.assertEqual(8_000_000_000, self.reserved_bytes())
@@ -196,17 +196,17 @@
         states = [move.state for move in self.placement.calendar.moves.values()]
         self.assertEqual([MoveState.RUNNING], states)
 
-    def test_it_outlasts_a_change_of_leader(self):
+    def test_reservation_stays_across_a_change_of_leader(self):
         self.driver.feed(LeaderLost())
         self.driver.feed(LeaderGained(2, self.driver.now + 2.0))
         self.assertEqual(8_000_000_000, self.reserved_bytes())
 
-    def test_a_late_response_after_all_is_taken(self):
+    def test_late_response_is_applied(self):
         self.driver.feed(OrderAccepted(self.order.order.order_id))
         states = [move.state for move in self.placement.calendar.moves.values()]
         self.assertEqual([MoveState.RUNNING], states)
 
-    def test_a_server_that_left_keeps_its_store_slot_for_the_longest_pull(self):
+    def test_store_slot_of_a_removed_server_is_kept_for_the_longest_pull(self):
         self.driver.feed(DirectoryChanged((), ("server-1",)))
         store = self.placement.stores["weights"]
         self.assertEqual(1, store.occupied_slots(self.driver.now))
@@ -215,7 +215,7 @@
 
 
 class StoreTests(testtools.TestCase):
-    def test_loads_at_once_and_owed_bytes_are_limited_per_store(self):
+    def test_loads_from_a_store_are_limited_by_slots_and_backlog(self):
         intent = make_intent(
             {f"m{number}": 5 for number in range(12)},
             stores={"weights": StoreSpec("10.0.9.1:9100", 1_000_000_000, 2)},
@@ -225,7 +225,8 @@
         driver.demand(*((name, None, 1, 0) for name in intent.models))
         driver.now += 60.0
         first = loads_in(driver.lead())
-        # 5 GB are owed to a store of 1 GB a second: the next load leaves 4 s later.
+        # The backlog is 5 GB at a rate of 1 GB per second with a burst of 1 s: the next load is
+        # ordered 4 s later.
         self.assertEqual(1, len(first))
         driver.tick(2.0)
         self.assertEqual(1, len(loads_in(driver.seen)))
--- a/tests/controlplane/placement/test_move_rows.py
+++ b/tests/controlplane/placement/test_move_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the topic `moves` and the calendar as JSON."""
+"""Rows of the topic `moves`, and moves as JSON for the API."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         ):
             self.assertEqual(move, decode_move(encode_move(move)))
 
-    def test_times_become_unix_seconds(self):
+    def test_times_in_rows_are_unix_seconds(self):
         read = decode_move(encode_move(MOVE, wall_offset_s=1_000_000.0))
         self.assertEqual((1_000_100.0, 1_000_100.2), (read.created_at, read.start_at))
         self.assertIsNone(read.finished_at)
@@ -60,12 +60,12 @@
         rows = topic_rows(PublishMoves((MOVE,), ("m3-1",)))
         self.assertEqual({"m3-1": None, "m3-17": encode_move(MOVE)}, rows)
 
-    def test_an_unreadable_row_is_refused_with_a_remedy(self):
+    def test_unreadable_row_raises_an_error_with_a_remedy(self):
         for content in (b"", b"{}", b'{"kind": "jump"}', b"[1]"):
             error = self.assertRaises(MalformedBodyError, decode_move, content)
             self.assertEqual("run the same release on every machine", error.remedy)
 
-    def test_replicas_drain_from_announcement_to_the_end(self):
+    def test_replica_drains_from_the_announcement_until_its_unload_is_finished(self):
         moves = [
             attrs.evolve(MOVE, move_id=f"m{number}", name=state.value, state=state)
             for number, state in enumerate(MoveState)
@@ -74,7 +74,7 @@
         self.assertEqual({"closing", "ordered", "running", "unknown"}, names)
         self.assertEqual({}, draining_by_server([attrs.evolve(MOVE, kind=MoveKind.LOAD)]))
 
-    def test_the_calendar_lists_unfinished_moves_first_and_their_reason(self):
+    def test_unfinished_moves_are_listed_first_with_their_reason(self):
         done = attrs.evolve(MOVE, move_id="m3-2", state=MoveState.DONE, start_at=1.0)
         shown = moves_to_json([done, MOVE])["moves"]
         self.assertEqual(["m3-17", "m3-2"], [row["id"] for row in shown])
--- a/tests/controlplane/placement/test_mutations.py
+++ b/tests/controlplane/placement/test_mutations.py
@@ -1,4 +1,4 @@
-"""The checks can fail: each broken rule is caught by the chaos of some seed."""
+"""Mutation tests: the simulation with random faults detects each deliberately broken rule."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import testtools
 
-from tests.controlplane.placement.chaos import Chaos
+from tests.controlplane.placement.chaos import ChaosSimulation
 from tests.controlplane.placement.test_properties import inconsistent_sums
 from zincvale.controlplane.placement import order_confirmation
 from zincvale.controlplane.placement.controller import SYSTEMS
@@ -28,7 +28,7 @@
         server.confirmed_epoch = placement.leadership.epoch
 
 
-def free_of_confirmed(server, config, more_kv_bytes):
+def free_beside_confirmed_replicas(server, config, more_kv_bytes):
     confirmed = [h.item_bytes for h in server.replicas.values() if h.move_id is None]
     return int(server.memory_bytes * (1.0 - config.kv_headroom_fraction)) - sum(confirmed)
 
@@ -38,25 +38,25 @@
 
 
 MUTATIONS: dict[str, dict[str, object]] = {
-    "an unknown order is forgotten at the first status": {
+    "an order with an unknown outcome is released at the first status": {
         f"{PLACEMENT}.apply_status.handle_missing_effect": release_on_first_status,
     },
-    "a new leader trusts the first status and waits for nothing": {
+    "a new leader confirms servers by their first status and does not wait": {
         f"{PLACEMENT}.apply_status.confirm_no_stale_orders": confirm_on_first_status,
         f"{PLACEMENT}.controller.SYSTEMS": tuple(
             complete_takeover_at_once if system is complete_takeover else system
             for system in SYSTEMS
         ),
     },
-    "orders leave without a look at the lease": {
+    "orders are sent without a check of the lease": {
         f"{PLACEMENT}.state.Leadership.may_order": lambda self, now: self.is_leader,
         f"{PLACEMENT}.controller.SYSTEMS": tuple(
             system for system in SYSTEMS if system is not expire_leadership
         ),
     },
-    "memory counts only what is confirmed": {
-        f"{PLACEMENT}.servers.ServerState.free_now_bytes": free_of_confirmed,
-        f"{PLACEMENT}.servers.ServerState.free_planned_bytes": free_of_confirmed,
+    "only replicas without a move count in memory": {
+        f"{PLACEMENT}.servers.ServerState.free_now_bytes": free_beside_confirmed_replicas,
+        f"{PLACEMENT}.servers.ServerState.free_planned_bytes": free_beside_confirmed_replicas,
     },
     "store slots are not counted": {
         f"{PLACEMENT}.stores.StoreState.occupied_slots": lambda self, now: 0,
@@ -69,12 +69,12 @@
     },
 }
 SEEDS_BY_MUTATION = {
-    "a new leader trusts the first status and waits for nothing": range(60, 130),
+    "a new leader confirms servers by their first status and does not wait": range(60, 130),
 }
 
 
 class MutationTests(testtools.TestCase):
-    def test_the_seeds_pass_without_a_mutation(self):
+    def test_simulation_passes_without_a_mutation(self):
         self.assertEqual("", self.first_problem(1))
 
     def test_every_mutation_is_caught(self):
@@ -87,13 +87,13 @@
             self.assertTrue(caught, f"not caught: {name}")
 
     def first_problem(self, seed: int) -> str:
-        chaos = Chaos(seed)
-        chaos.run(RUN_S)
-        if chaos.problems:
-            return chaos.problems[0]
+        simulation = ChaosSimulation(seed)
+        simulation.run(RUN_S)
+        if simulation.problems:
+            return simulation.problems[0]
         off = [
             line
-            for process in chaos.processes
+            for process in simulation.processes
             for line in inconsistent_sums(process.controller.state)
         ]
         return off[0] if off else ""
--- a/tests/controlplane/placement/test_properties.py
+++ b/tests/controlplane/placement/test_properties.py
@@ -1,10 +1,10 @@
-"""Limits hold for every seed: unknown outcomes, changes of leader, freezes, crashes."""
+"""Property tests: limits hold under lost and late messages, changes of leader, freezes, crashes."""
 
 from __future__ import annotations
 
 import testtools
 
-from tests.controlplane.placement.chaos import Chaos
+from tests.controlplane.placement.chaos import ChaosSimulation
 from zincvale.controlplane.placement.servers import ReplicaState
 from zincvale.controlplane.placement.state import PlacementState
 
@@ -13,7 +13,7 @@
 
 
 def inconsistent_sums(placement: PlacementState) -> list[str]:
-    """Return every running sum and index of the tables that differs from its recount."""
+    """Return a line for each running sum or index of the tables that a recount contradicts."""
     found = []
     for server in placement.servers.values():
         held = sum(replica.item_bytes for replica in server.replicas.values())
@@ -49,21 +49,27 @@
 
 
 class PropertyTests(testtools.TestCase):
-    def test_no_limit_is_passed_whatever_happens(self):
+    def test_no_limit_is_exceeded_under_random_faults(self):
         for seed in SEEDS:
-            chaos = Chaos(seed)
-            chaos.run(RUN_S)
-            self.assertEqual([], chaos.problems, f"seed {seed}")
-            for process in chaos.processes:
+            simulation = ChaosSimulation(seed)
+            simulation.run(RUN_S)
+            self.assertEqual([], simulation.problems, f"seed {seed}")
+            for process in simulation.processes:
                 self.assertEqual([], inconsistent_sums(process.controller.state), f"seed {seed}")
-            self.assertTrue(chaos.loads_done > 10, f"seed {seed}: {chaos.loads_done} loads")
+            self.assertTrue(
+                simulation.loads_done > 10, f"seed {seed}: {simulation.loads_done} loads"
+            )
 
     def test_equal_seeds_give_equal_runs(self):
         runs = []
         for _ in range(2):
-            chaos = Chaos(3)
-            chaos.run(30.0)
+            simulation = ChaosSimulation(3)
+            simulation.run(30.0)
             runs.append(
-                (chaos.orders_sent, chaos.loads_done, sorted(chaos.servers["server-0"].loaded))
+                (
+                    simulation.orders_sent,
+                    simulation.loads_done,
+                    sorted(simulation.servers["server-0"].loaded),
+                )
             )
         self.assertEqual(runs[0], runs[1])
--- a/tests/controlplane/placement/test_quality.py
+++ b/tests/controlplane/placement/test_quality.py
@@ -1,4 +1,7 @@
-"""The real controller beside the baselines in the emulator; the long runs are the bench's."""
+"""The controller compared with the LRU baseline in short emulated runs, and the emulator itself.
+
+The long comparison runs are part of the bench.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 
 
 class QualityTests(testtools.TestCase):
-    def test_fewer_requests_wait_than_with_lru_at_no_more_bytes(self):
+    def test_fewer_requests_miss_than_with_lru_without_more_pulled_bytes(self):
         for fleet, shape in FLEETS.items():
             load = attrs.evolve(LOADS["everything"], failure_interval_s=300.0)
             lru = compare(shape, load, "lru", SECONDS, seed=5)
@@ -51,7 +54,7 @@
 
 
 class EmulatorTests(testtools.TestCase):
-    def test_servers_refuse_what_does_not_fit_or_has_no_base(self):
+    def test_server_refuses_items_without_memory_or_base_model(self):
         fleet = make_fleet()
         self.assertEqual(OrderResult.BASE_MODEL, fleet.order_load("s", "m:1"))
         self.assertEqual(OrderResult.ACCEPTED, fleet.order_load("s", "m"))
@@ -68,7 +71,7 @@
         self.assertTrue(abs(outcome.wait_p99_s - 5.0) < 0.3)
         self.assertEqual(10 * GB, round(outcome.pulled_bytes))
 
-    def test_the_journal_check_sees_each_limit(self):
+    def test_journal_check_reports_each_exceeded_limit(self):
         fleet = make_fleet()
         fleet.journal += [
             JournalRow(0.0, "order-load", "s", "m", 10 * GB, "store"),
--- a/tests/controlplane/placement/test_residency.py
+++ b/tests/controlplane/placement/test_residency.py
@@ -1,4 +1,4 @@
-"""What is loaded, where, and what leaves for it."""
+"""Placement decisions: what is loaded where, and what is evicted, drained or unloaded."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
     return Driver(make_intent(models, adapters, **tables), rows, config)
 
 
-def pinned(gigabytes: int, replicas: int) -> ModelSpec:
+def pinned_model(gigabytes: int, replicas: int) -> ModelSpec:
     return ModelSpec(gigabytes * GB, "weights", "chat", min_replicas=replicas, stake=Stake.HIGH)
 
 
 class LoadTests(testtools.TestCase):
-    def test_a_crowd_pulls_one_load_forward(self):
+    def test_many_waiting_requests_cause_only_one_load(self):
         driver = make_driver({"rare": 8}, servers=3)
         driver.lead()
         self.assertEqual([], loads_in(driver.seen))
@@ -54,7 +54,7 @@
         self.assertEqual(["rare"], [name for _, name in loads_in(driver.seen)])
 
     def test_min_replicas_are_spread_over_zones(self):
-        driver = make_driver({"pharmacy": pinned(8, 3)}, servers=6)
+        driver = make_driver({"pharmacy": pinned_model(8, 3)}, servers=6)
         effects = driver.lead()
         while orders_in(effects):
             driver.complete(orders_in(effects))
@@ -63,7 +63,7 @@
         self.assertEqual(set(ZONES), {driver.rows[server].zone for server in servers})
         self.assertEqual(3, len(servers))
 
-    def test_an_adapter_comes_beside_its_base_and_after_it(self):
+    def test_adapter_is_loaded_after_its_base_model_on_the_same_server(self):
         driver = make_driver({"base": 8}, servers=3, adapters={"tuned": "base"})
         driver.lead()
         driver.demand(("base", "tuned", 1, 1))
@@ -87,8 +87,8 @@
             driver.tick(0.5)
         self.assertEqual(2, len(loads_in(driver.seen)))
 
-    def test_a_cold_server_gets_one_load_at_a_time_and_the_small_one_first(self):
-        driver = make_driver({"large": pinned(12, 1), "small": pinned(5, 1)})
+    def test_cold_server_gets_one_load_at_a_time_smallest_first(self):
+        driver = make_driver({"large": pinned_model(12, 1), "small": pinned_model(5, 1)})
         driver.lead()
         driver.complete(orders_in(driver.seen))
         driver.complete(orders_in(driver.tick(3.0)))
@@ -104,9 +104,9 @@
         driver.demand(("busy", None, 1, 1))
         first = orders_in(driver.tick(0.5))
         driver.complete(first)
-        home = first[0].server
+        first_server = first[0].server
         for _ in range(40):
-            driver.demand(("busy", None, 20, 8), use=((home, "busy", 16),))
+            driver.demand(("busy", None, 20, 8), use=((first_server, "busy", 16),))
             driver.tick(0.5)
         self.assertEqual(2, len({server for server, _ in loads_in(driver.seen)}))
 
@@ -121,7 +121,7 @@
             self.driver.demand(("hot", None, 10, 0), ("warm", None, 2, 0))
             self.driver.tick(1.0)
 
-    def test_the_least_requested_replica_drains_then_leaves_then_the_load_follows(self):
+    def test_least_requested_replica_is_drained_and_unloaded_before_the_load(self):
         driver = self.driver
         driver.demand(("new", None, 1, 1))
         effects = driver.tick(0.2)
@@ -138,7 +138,7 @@
         driver.complete(unloads)
         self.assertEqual([("server-1", "new")], loads_in(driver.tick(0.2)))
 
-    def test_what_runs_is_not_unloaded(self):
+    def test_replica_in_use_is_not_unloaded(self):
         driver = self.driver
         use = (("server-1", "rare", 1),)
         driver.demand(("new", None, 1, 1), use=use)
@@ -147,7 +147,7 @@
             driver.tick(0.5)
         self.assertNotIn(("server-1", "rare"), unloads_in(driver.seen))
 
-    def test_requests_that_wait_for_long_drain_a_used_replica_that_leaves_when_idle(self):
+    def test_long_waits_drain_a_replica_in_use_that_is_unloaded_when_idle(self):
         driver = self.driver
         names = ("hot", "warm", "rare")
         busy = tuple(("server-1", name, 1) for name in names)
@@ -160,14 +160,14 @@
         driver.demand(("new", None, 0, 3), use=busy[:2])
         self.assertEqual([("server-1", "rare")], unloads_in(driver.tick(0.2)))
 
-    def test_a_draining_replica_waits_for_reports_made_after_the_mark(self):
+    def test_unload_waits_for_node_reports_made_after_the_drain_was_announced(self):
         driver = self.driver
         driver.demand(("new", None, 1, 1))
         driver.tick(1.0)
         self.assertEqual([], unloads_in(driver.seen))
 
     def test_min_replicas_are_never_evicted(self):
-        driver = make_driver({"kept": pinned(30, 1), "new": 12})
+        driver = make_driver({"kept": pinned_model(30, 1), "new": 12})
         driver.report(models=frozenset({"kept"}))
         driver.lead()
         for _ in range(40):
@@ -175,7 +175,7 @@
             driver.tick(0.5)
         self.assertEqual([], orders_in(driver.seen))
 
-    def test_nothing_flaps_without_demand(self):
+    def test_replicas_are_not_moved_without_demand(self):
         driver = make_driver({f"m{number}": 12 for number in range(6)}, config=PlacementConfig())
         driver.lead()
         driver.complete(orders_in(driver.seen))
@@ -186,33 +186,35 @@
 
 
 class DrainTests(testtools.TestCase):
-    def test_a_drained_servers_models_are_replaced_and_the_drain_ends(self):
-        driver = make_driver({"alpha": pinned(8, 1)}, servers=2)
+    def test_models_of_a_drained_server_are_replaced_and_the_drain_ends(self):
+        driver = make_driver({"alpha": pinned_model(8, 1)}, servers=2)
         first = orders_in(driver.lead())
         driver.complete(first)
-        home = first[0].server
+        first_server = first[0].server
         driver.feed(
             IntentChanged(
-                attrs.evolve(driver.intent, version=2, servers={home: ServerSpec(drained=True)})
+                attrs.evolve(
+                    driver.intent, version=2, servers={first_server: ServerSpec(drained=True)}
+                )
             )
         )
         second = orders_in(driver.tick(3.0))
-        other = "server-2" if home == "server-1" else "server-1"
+        other = "server-2" if first_server == "server-1" else "server-1"
         self.assertEqual([(other, "alpha")], loads_in(second))
         drain = next(
             move
             for move in driver.controller.state.calendar.moves.values()
             if move.kind is MoveKind.DRAIN
         )
-        self.assertEqual((MoveReason.SERVER_DRAINED, home), (drain.reason, drain.server))
+        self.assertEqual((MoveReason.SERVER_DRAINED, first_server), (drain.reason, drain.server))
         driver.complete(second)
         driver.tick(2.0)
         finished = driver.controller.state.calendar.finished[drain.move_id]
         self.assertEqual(MoveState.DONE, finished.state)
 
-    def test_an_evacuated_zone_takes_no_loads(self):
+    def test_evacuated_zone_gets_no_loads(self):
         zones = {"zone-a": ZoneSpec(evacuated=True)}
-        driver = make_driver({"alpha": pinned(8, 3)}, servers=3, zones=zones)
+        driver = make_driver({"alpha": pinned_model(8, 3)}, servers=3, zones=zones)
         effects = driver.lead()
         for _ in range(5):
             driver.complete(orders_in(effects))
@@ -222,7 +224,7 @@
             {driver.rows[server].zone for server, _ in loads_in(driver.seen)},
         )
 
-    def test_an_unresponsive_servers_model_is_loaded_elsewhere_for_those_who_wait(self):
+    def test_model_of_an_unresponsive_server_is_loaded_elsewhere_for_waiting_requests(self):
         driver = make_driver({"alpha": 8}, servers=2)
         driver.report("server-1", models=frozenset({"alpha"}))
         driver.lead()
@@ -230,8 +232,8 @@
         driver.demand(("alpha", None, 1, 1))
         self.assertEqual([("server-2", "alpha")], loads_in(driver.tick(0.5)))
 
-    def test_a_server_that_leaves_takes_its_replicas_along(self):
-        driver = make_driver({"alpha": pinned(8, 1)}, servers=2)
+    def test_replicas_of_a_removed_server_are_replaced(self):
+        driver = make_driver({"alpha": pinned_model(8, 1)}, servers=2)
         driver.report("server-1", models=frozenset({"alpha"}))
         driver.lead()
         driver.feed(DirectoryChanged((), ("server-1",)))
@@ -239,7 +241,7 @@
 
 
 class IntentTests(testtools.TestCase):
-    def test_replicas_of_a_deleted_model_are_unloaded_after_the_grace(self):
+    def test_replicas_of_a_deleted_model_are_unloaded_after_the_grace_period(self):
         driver = make_driver({"alpha": 8, "beta": 8})
         driver.report(models=frozenset({"alpha", "beta"}))
         driver.lead()
@@ -251,7 +253,7 @@
         actions = [(order.order.action, order.order.name) for order in orders_in(driver.seen)]
         self.assertEqual([(OrderAction.UNLOAD, "alpha")], actions)
 
-    def test_replicas_reported_before_their_declaration_are_counted_then(self):
+    def test_replicas_reported_before_their_declaration_are_counted_after_it(self):
         driver = Driver(make_intent({}), {"server-1": make_row("server-1")}, NO_FILL)
         driver.report(models=frozenset({"alpha"}), adapters=frozenset({"tuned"}))
         driver.feed(IntentChanged(make_intent({"alpha": 8}, {"tuned": "alpha"})))
@@ -266,7 +268,7 @@
         driver.tick(90.0)
         self.assertEqual([], orders_in(driver.seen))
 
-    def test_a_large_intent_is_taken_in_parts_and_the_newest_spec_counts(self):
+    def test_large_intent_is_applied_in_parts_with_the_newest_specs(self):
         config = PlacementConfig(declaration_budget=1)
         driver = Driver(make_intent({"a": 5, "b": 5}, {"a:1": "a"}), {}, config)
         newer = make_intent({"a": 5, "b": 7})
@@ -275,7 +277,7 @@
         sizes = {key: item.weight_bytes for key, item in driver.controller.state.items.items()}
         self.assertEqual({"model/a": 5 * GB, "model/b": 7 * GB}, sizes)
 
-    def test_reported_memory_that_nothing_explains_is_kept_free(self):
+    def test_unexplained_memory_use_is_not_available_for_loads(self):
         driver = make_driver({"alpha": 8})
         driver.report(used_bytes=35 * GB)
         driver.lead()
--- a/tests/controlplane/placement/test_transcript.py
+++ b/tests/controlplane/placement/test_transcript.py
@@ -1,4 +1,4 @@
-"""Approved transcript: takeover, a load with room, one that displaces, a drain, a lost answer."""
+"""Approved transcript of effects: takeover, an eviction and its load, a lost response, a drain."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
     match effect:
         case SendOrder(server, _, order):
             return f"order {order.order_id} {order.action.value} {order.name} -> {server}"
-        case PublishMoves(changed, removed, whole):
+        case PublishMoves(changed, removed, is_complete):
             rows = ", ".join(f"{move.move_id} {move.state.value}" for move in changed)
-            return f"publish{' whole' if whole else ''} [{rows}] remove {list(removed)}"
+            return f"publish{' complete' if is_complete else ''} [{rows}] remove {list(removed)}"
         case MarkDraining(server, names):
-            return f"closing on {server}: {sorted(names)}"
+            return f"draining on {server}: {sorted(names)}"
         case OrderRecorded(move_id, order):
             return f"record {order.order_id} of {move_id}: {effect.reason.value}; {effect.detail}"
         case CompletionRecorded(move_id, order_id):
@@ -50,7 +50,7 @@
             kept = {key: fields[key] for key in ("name", "server", "outcome") if fields.get(key)}
             return f"log {number} {log_event(number).name} {kept}"
         case RequestStatus(server, _):
-            return f"ask status of {server}"
+            return f"request status of {server}"
     return repr(effect)
 
 
@@ -59,46 +59,47 @@
         self.driver = driver
         self.lines: list[str] = []
 
-    def note(self, title: str, effects: list[Effect]) -> list[Effect]:
+    def record(self, title: str, effects: list[Effect]) -> list[Effect]:
         self.lines.append(f"{self.driver.now:.1f} {title}")
         shown = [describe(effect) for effect in effects]
-        self.lines += [f"    {line}" for line in shown if not line.startswith("ask status")]
+        self.lines += [f"    {line}" for line in shown if not line.startswith("request status")]
         return effects
 
 
 class TranscriptTests(testtools.TestCase):
-    def test_a_shift(self):
+    def test_effects_of_takeover_eviction_lost_response_and_drain(self):
         config = PlacementConfig(fill_free_memory=False)
         rows = {
             "server-1": make_row("server-1", "zone-a", models=frozenset({"hot", "warm"})),
             "server-2": make_row("server-2", "zone-b", memory_bytes=12_000_000_000),
         }
         driver = Driver(make_intent({"hot": 12, "warm": 12, "rare": 15}), rows, config)
-        script = Transcript(driver)
-        script.note("leads and settles", driver.lead())
+        transcript = Transcript(driver)
+        transcript.record("gains leadership and confirms the servers", driver.lead())
         for _ in range(5):
             driver.demand(("hot", None, 3, 0), ("warm", None, 1, 0))
             driver.tick(1.0)
         driver.demand(("rare", None, 2, 2))
-        script.note("two requests wait for rare", driver.tick(0.1))
+        transcript.record("two requests wait for rare", driver.tick(0.1))
         driver.tick(0.2)
         driver.demand(("rare", None, 0, 2))
-        unloads = orders_in(script.note("the mark has reached the nodes", driver.tick(0.1)))
+        unloads = orders_in(transcript.record("the nodes know of the drain", driver.tick(0.1)))
         driver.complete(unloads)
-        loads = orders_in(script.note("warm is gone", driver.tick(0.1)))
+        loads = orders_in(transcript.record("warm is unloaded", driver.tick(0.1)))
         for order in loads:
-            script.note("no answer", driver.feed(OrderUnknown(order.order.order_id)))
+            transcript.record("no response", driver.feed(OrderUnknown(order.order.order_id)))
         driver.tick(2.0)
-        script.note(
-            "the status shows it loading", driver.report("server-1", loading=frozenset({"rare"}))
+        transcript.record(
+            "the status shows rare as loading",
+            driver.report("server-1", loading=frozenset({"rare"})),
         )
         driver.tick(2.0)
-        script.note(
-            "and loaded",
+        transcript.record(
+            "the status shows rare as loaded",
             driver.report("server-1", loading=frozenset(), models=frozenset({"hot", "rare"})),
         )
         drained = {"server-1": ServerSpec(drained=True)}
         driver.feed(IntentChanged(attrs.evolve(driver.intent, version=2, servers=drained)))
         driver.demand(("rare", None, 0, 0), ("hot", None, 1, 1))
-        script.note("server-1 drains, hot is too large for server-2", driver.tick(2.0))
-        verify(self, APPROVED, "a_shift", "\n".join(script.lines))
+        transcript.record("server-1 drains, hot is too large for server-2", driver.tick(2.0))
+        verify(self, APPROVED, "a_shift", "\n".join(transcript.lines))
