--- a/src/zincvale/controlplane/placement/apply_intent.py
+++ b/src/zincvale/controlplane/placement/apply_intent.py
@@ -50,7 +50,7 @@
     for name, _ in _changed_specs(old.servers, intent.servers):
         server = placement.servers.get(ServerId(name))
         if server is not None:
-            refresh_service(placement, server)
+            update_service_state(placement, server)
 
 
 def apply_declarations(placement: PlacementState, now: float) -> None:
@@ -71,7 +71,7 @@
             _apply_adapter(placement, key, name, spec, now)
 
 
-def refresh_service(placement: PlacementState, server: ServerState) -> None:
+def update_service_state(placement: PlacementState, server: ServerState) -> None:
     """Update whether one server is drained or its zone evacuated."""
     spec = placement.intent.servers.get(server.server)
     zone = placement.intent.zones.get(server.zone)
@@ -184,7 +184,7 @@
         server = placement.servers[server_id]
         replica = server.replicas[item.key]
         placement.resize_replica(server, replica, item)
-        placement.recount(server, item.key, replica)
+        placement.recount_replica(server, item.key, replica)
     placement.queue_review(item.key)
 
 
@@ -207,4 +207,4 @@
 def _apply_zones(placement: PlacementState, old: Intent, new: Intent) -> None:
     for name, _ in _changed_specs(old.zones, new.zones):
         for server_id in placement.server_index.by_zone.get(ZoneName(name), {}):
-            refresh_service(placement, placement.servers[server_id])
+            update_service_state(placement, placement.servers[server_id])
--- a/src/zincvale/controlplane/placement/apply_status.py
+++ b/src/zincvale/controlplane/placement/apply_status.py
@@ -9,14 +9,14 @@
 import attrs
 
 from zincvale.controlplane.placement import log_events
-from zincvale.controlplane.placement.apply_intent import refresh_service, set_adapter_slots
+from zincvale.controlplane.placement.apply_intent import set_adapter_slots, update_service_state
 from zincvale.controlplane.placement.events import DirectoryChanged, StatusReport
 from zincvale.controlplane.placement.items import ItemKey, adapter_key, model_key
 from zincvale.controlplane.placement.move_completion import (
     adopt_load,
     end_move,
-    end_moves_of,
-    keep_reservations_of,
+    end_moves_of_server,
+    keep_store_slots_of_server,
 )
 from zincvale.controlplane.placement.moves import Move, MoveKind, MoveState
 from zincvale.controlplane.placement.order_confirmation import (
@@ -68,7 +68,7 @@
     placement.server_index.add_to_pool_and_zone(server)
     placement.awaiting_status[row.server] = None
     placement.unplaced.mark_new_capacity()
-    refresh_service(placement, server)
+    update_service_state(placement, server)
     set_adapter_slots(placement, server)
     return server
 
@@ -91,7 +91,7 @@
     still do so. The status that showed the new incarnation, and later ones, decide that.
     """
     if server.incarnation:
-        _cancel_pending(placement, server, now)
+        _cancel_unsent_moves(placement, server, now)
         for key, replica in list(server.replicas.items()):
             if _move_in_flight(placement, replica) is None:
                 placement.remove_replica(server, key)
@@ -104,7 +104,7 @@
     server.incarnation = row.incarnation
 
 
-def _cancel_pending(placement: PlacementState, server: ServerState, now: float) -> None:
+def _cancel_unsent_moves(placement: PlacementState, server: ServerState, now: float) -> None:
     for move_id in list(placement.calendar.by_server.get(server.server, ())):
         move = placement.calendar.moves.get(move_id)
         if move is not None and move.kind is not MoveKind.DRAIN and not move.in_flight:
@@ -143,7 +143,7 @@
     server.zone = row.zone
     placement.server_index.add_to_pool_and_zone(server)
     placement.free_memory.mark_stale(server)
-    refresh_service(placement, server)
+    update_service_state(placement, server)
     set_adapter_slots(placement, server)
 
 
@@ -153,7 +153,7 @@
     row = report.row
     listing = (row.models, row.adapters, row.loading, report.unloading)
     if listing != server.listing or placement.calendar.by_server.get(server.server):
-        is_equal = _compare_replicas(placement, server, report, now)
+        is_equal = _update_replicas(placement, server, report, now)
         server.listing = listing if is_equal else None
     unexplained = max(row.used_bytes - server.listed_bytes, 0)
     if unexplained != server.unexplained_bytes:
@@ -175,7 +175,7 @@
         )
 
 
-def _compare_replicas(
+def _update_replicas(
     placement: PlacementState, server: ServerState, report: StatusReport, now: float
 ) -> bool:
     """Update the replicas from the status; return whether they are equal to it afterwards."""
@@ -326,8 +326,8 @@
     server = placement.servers.get(server_id)
     if server is None:
         return
-    keep_reservations_of(placement, server, now)
-    end_moves_of(placement, server, "the server left the directory", now)
+    keep_store_slots_of_server(placement, server, now)
+    end_moves_of_server(placement, server, "the server left the directory", now)
     for key in list(server.replicas):
         placement.remove_replica(server, key)
     placement.free_memory.remove(server)
--- a/src/zincvale/controlplane/placement/controller.py
+++ b/src/zincvale/controlplane/placement/controller.py
@@ -84,7 +84,7 @@
 
     def __init__(self, random_source: random.Random, config: PlacementConfig) -> None:
         self.state = PlacementState(config, random_source)
-        self._run_at = float("-inf")
+        self._next_run_at = float("-inf")
 
     def handle(self, event: Input, now: float) -> list[Effect]:
         """Apply one input and return the effects to carry out, in order."""
@@ -96,7 +96,7 @@
     def _apply(self, event: Input, now: float) -> None:
         match event:
             case Tick():
-                self._tick(now)
+                self._run_systems(now)
             case DirectoryChanged():
                 apply_directory(self.state, event, now)
             case DemandReported():
@@ -124,9 +124,9 @@
             case OrderUnknown(order_id):
                 apply_unknown(self.state, order_id)
 
-    def _tick(self, now: float) -> None:
-        if now < self._run_at:
+    def _run_systems(self, now: float) -> None:
+        if now < self._next_run_at:
             return
-        self._run_at = now + self.state.config.plan_interval_s
+        self._next_run_at = now + self.state.config.plan_interval_s
         for system in SYSTEMS:
             system(self.state, now)
--- a/src/zincvale/controlplane/placement/desired_replicas.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -184,7 +184,7 @@
         return
     if not placement.leadership.is_leader:
         return
-    reason = _reason(placement, item, ready, pending, now)
+    reason = _shortage_reason(placement, item, ready, pending, now)
     if now < item.placement_retry_at and reason is not MoveReason.WAITING_REQUESTS:
         return
     urgency = URGENCY_BY_REASON[reason]
@@ -198,7 +198,7 @@
     placement.shortages.add(item, urgency, rank)
 
 
-def _reason(
+def _shortage_reason(
     placement: PlacementState, item: ItemRow, ready: int, pending: int, now: float
 ) -> MoveReason:
     replicas = ready + pending
--- a/src/zincvale/controlplane/placement/dispatch.py
+++ b/src/zincvale/controlplane/placement/dispatch.py
@@ -33,10 +33,10 @@
     ]
     for move in draining:
         if move.move_id in placement.calendar.moves:
-            _advance_unload(placement, move, now)
+            _order_or_cancel_unload(placement, move, now)
 
 
-def _advance_unload(placement: PlacementState, move: Move, now: float) -> None:
+def _order_or_cancel_unload(placement: PlacementState, move: Move, now: float) -> None:
     server = placement.servers[move.server]
     replica = server.replicas[move_item_key(move)]
     reason = _reason_to_keep(placement, move, server, now)
@@ -48,15 +48,15 @@
     # Only reports made after the nodes learned of the drain show that no request runs any more.
     if not placement.config.servers_guard_unloads and placement.oldest_node_report < move.start_at:
         return
-    if any(_is_pending(placement, adapter_unload) for adapter_unload in move.after):
+    if any(_is_unordered(placement, adapter_unload) for adapter_unload in move.after):
         return
     if server.confirmed_epoch != placement.leadership.epoch or now < server.retry_at:
         return
     if _is_blocked_by_order(placement, server):
         return
-    order = _order(placement, move, OrderAction.UNLOAD)
+    order = _new_order(placement, move, OrderAction.UNLOAD)
     placement.set_replica_state(server, move_item_key(move), replica, ReplicaState.UNLOADING)
-    _send(placement, move, server, order, now)
+    _send_order(placement, move, server, order, now)
 
 
 def _is_blocked_by_order(placement: PlacementState, server: ServerState) -> bool:
@@ -70,7 +70,7 @@
     return any(move.in_flight for move in moves)
 
 
-def _is_pending(placement: PlacementState, move_id: MoveId) -> bool:
+def _is_unordered(placement: PlacementState, move_id: MoveId) -> bool:
     """Whether a move is unfinished and was not ordered yet."""
     move = placement.calendar.moves.get(move_id)
     return move is not None and not move.in_flight
@@ -103,7 +103,7 @@
 
 
 def order_loads(placement: PlacementState, now: float) -> None:
-    """System: order planned loads, the most urgent first and among equally urgent the smallest."""
+    """System: order planned loads, those with unmet demand first, then by urgency and size."""
     planned = [
         move
         for move in placement.calendar.moves.values()
@@ -111,14 +111,14 @@
     ]
     if not planned:
         return
-    planned.sort(key=lambda move: _order_key(placement, move, now))
+    planned.sort(key=lambda move: _sort_key(placement, move, now))
     blocked_stores: set[StoreName] = set()
     for move in planned:
         if move.move_id in placement.calendar.moves:
-            _advance_load(placement, move, blocked_stores, now)
+            _order_or_cancel_load(placement, move, blocked_stores, now)
 
 
-def _order_key(placement: PlacementState, move: Move, now: float) -> tuple[float, ...]:
+def _sort_key(placement: PlacementState, move: Move, now: float) -> tuple[float, ...]:
     item = placement.items.get(move_item_key(move))
     size = move.reservation.memory_bytes
     if item is not None and has_unmet_demand(placement, item, now):
@@ -126,7 +126,7 @@
     return (float(move.urgency), float(size), move.created_at)
 
 
-def _advance_load(
+def _order_or_cancel_load(
     placement: PlacementState, move: Move, blocked_stores: set[StoreName], now: float
 ) -> None:
     item = placement.items.get(move_item_key(move))
@@ -192,8 +192,7 @@
     placement: PlacementState, move: Move, item: ItemRow, server: ServerState, now: float
 ) -> None:
     store = placement.stores[move.store]
-    # Both are computed before the replica is added, because from then on the server may count as
-    # having the weights on disk.
+    # Both are computed before the replica is added, so that it cannot count as a copy on disk.
     from_disk = placement.loads_from_disk(item, server)
     expected_s = placement.expected_load_s(item, server)
     store.record_order(item.weight_bytes, now, placement.config)
@@ -206,12 +205,12 @@
     placement.add_replica(server, item.key, replica)
     if item.kind is ItemKind.MODEL:
         placement.queue_adapters(item)
-    order = _order(placement, move, OrderAction.LOAD, store.address, from_disk=from_disk)
+    order = _new_order(placement, move, OrderAction.LOAD, store.address, from_disk=from_disk)
     ordered = attrs.evolve(move, expected_end=now + expected_s, from_disk=from_disk)
-    _send(placement, ordered, server, order, now)
+    _send_order(placement, ordered, server, order, now)
 
 
-def _order(
+def _new_order(
     placement: PlacementState,
     move: Move,
     action: OrderAction,
@@ -234,7 +233,7 @@
     )
 
 
-def _send(
+def _send_order(
     placement: PlacementState, move: Move, server: ServerState, order: Order, now: float
 ) -> None:
     ordered = attrs.evolve(
--- a/src/zincvale/controlplane/placement/drains.py
+++ b/src/zincvale/controlplane/placement/drains.py
@@ -33,27 +33,27 @@
         if move is not None:
             end_move(placement, move, MoveState.CANCELLED, "the server is in service again", now)
         return
-    missing = _missing_elsewhere(placement, server)
+    missing = _models_missing_elsewhere(placement, server)
     if move_id is None and server.replicas:
-        _open_drain(placement, server, missing, now)
+        _add_drain_move(placement, server, missing, now)
     elif move is not None and not missing:
         end_move(placement, move, MoveState.DONE, "everything wanted runs elsewhere", now)
         placement.log(log_events.DRAIN_DONE, server=server.server)
 
 
-def _missing_elsewhere(placement: PlacementState, server: ServerState) -> list[ItemRow]:
+def _models_missing_elsewhere(placement: PlacementState, server: ServerState) -> list[ItemRow]:
     missing = []
     for key in server.replicas:
         item = placement.items.get(key)
         if item is None or item.kind is not ItemKind.MODEL:
             continue
-        least = max(item.min_replicas, 1 if item.waiting or item.planned else 0)
-        if item.ready < least:
+        required = max(item.min_replicas, 1 if item.waiting or item.planned else 0)
+        if item.ready < required:
             missing.append(item)
     return missing
 
 
-def _open_drain(
+def _add_drain_move(
     placement: PlacementState, server: ServerState, missing: list[ItemRow], now: float
 ) -> None:
     reason = MoveReason.SERVER_DRAINED if server.drained else MoveReason.ZONE_EVACUATED
--- a/src/zincvale/controlplane/placement/items.py
+++ b/src/zincvale/controlplane/placement/items.py
@@ -55,7 +55,7 @@
     adapters : the model's declared adapters.
     holders : servers on which it occupies memory, in any state.
     ready, loading : number of its replicas that are ready, or being loaded, on servers that serve
-        requests; updated by `PlacementState.recount`.
+        requests; updated by `PlacementState.recount_replica`.
     planned : servers on which a load is planned but not yet ordered.
     unserved : decayed count of the requests that came while no replica was ready.
     waiting : requests that wait for it at the nodes now.
--- a/src/zincvale/controlplane/placement/move_completion.py
+++ b/src/zincvale/controlplane/placement/move_completion.py
@@ -78,7 +78,9 @@
     placement.log(log_events.UNPLANNED_LOAD, server=server.server, name=item.name)
 
 
-def end_moves_of(placement: PlacementState, server: ServerState, outcome: str, now: float) -> None:
+def end_moves_of_server(
+    placement: PlacementState, server: ServerState, outcome: str, now: float
+) -> None:
     """End every move of a server that left the directory."""
     for move_id in list(placement.calendar.by_server.get(server.server, ())):
         move = placement.calendar.moves.get(move_id)
@@ -87,10 +89,11 @@
             end_move(placement, move, state, outcome, now)
 
 
-def keep_reservations_of(placement: PlacementState, server: ServerState, now: float) -> None:
+def keep_store_slots_of_server(placement: PlacementState, server: ServerState, now: float) -> None:
     """Keep the store slots of a server that can no longer be observed until its pulls have ended.
 
-    The end is the longest time that the pull can take at an equal share of the store's rate.
+    A pull is assumed to end after the lifetime of its order and the time that it takes at an equal
+    share of the store's rate.
     """
     for move_id in placement.calendar.by_server.get(server.server, ()):
         name = placement.store_slots.pop(move_id, None)
--- a/src/zincvale/controlplane/placement/moves.py
+++ b/src/zincvale/controlplane/placement/moves.py
@@ -38,7 +38,8 @@
     RUNNING = "running"
     """The server accepted the order; a drain or a wait is in progress."""
     UNKNOWN = "unknown"
-    """No response came; the reservation stays until the server's own status shows the outcome."""
+    """It is not known whether the order runs, or how it ended; the reservation stays until the
+    server's own status shows the outcome."""
     DONE = "done"
     FAILED = "failed"
     CANCELLED = "cancelled"
--- a/src/zincvale/controlplane/placement/plan_loads.py
+++ b/src/zincvale/controlplane/placement/plan_loads.py
@@ -25,7 +25,7 @@
     expected_rate,
 )
 from zincvale.controlplane.placement.servers import ReplicaState, ServerState
-from zincvale.controlplane.placement.shortages import Shortage, compact, current_item
+from zincvale.controlplane.placement.shortages import Shortage, current_item, drop_outdated_entries
 from zincvale.controlplane.placement.state import PlacementState
 from zincvale.controlplane.placement.stores import PlannedPulls, StoreState
 from zincvale.model.identifiers import MoveId, StoreName
@@ -61,7 +61,7 @@
     planned = _planned_by_store(placement)
     budget = placement.config.plan_budget
     for name, queue in placement.shortages.by_store.items():
-        compact(queue, placement.items)
+        drop_outdated_entries(queue, placement.items)
         store = placement.stores.get(name)
         if store is not None:
             pulls = planned.setdefault(name, PlannedPulls())
--- a/src/zincvale/controlplane/placement/shortages.py
+++ b/src/zincvale/controlplane/placement/shortages.py
@@ -58,7 +58,7 @@
     return item
 
 
-def compact(queue: list[Shortage], items: dict[ItemKey, ItemRow]) -> None:
+def drop_outdated_entries(queue: list[Shortage], items: dict[ItemKey, ItemRow]) -> None:
     """Drop outdated entries if the queue has grown beyond its limit."""
     if len(queue) <= MAX_SHORTAGES_PER_ITEM * max(len(items), 1):
         return
--- a/src/zincvale/controlplane/placement/state.py
+++ b/src/zincvale/controlplane/placement/state.py
@@ -153,7 +153,7 @@
         """Return the number of replicas that are being loaded or are planned to be."""
         return item.loading + len(item.planned)
 
-    def recount(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
+    def recount_replica(self, server: ServerState, key: ItemKey, replica: Replica) -> None:
         """Update the counters of the item's row to the current state of a replica."""
         counted_as = _counted_as(server, replica)
         if counted_as is replica.counted_as:
@@ -170,7 +170,7 @@
     def recount_server(self, server: ServerState) -> None:
         """Recount and queue for review all items on a server that began or stopped serving."""
         for key, replica in server.replicas.items():
-            self.recount(server, key, replica)
+            self.recount_replica(server, key, replica)
             self.queue_review(key)
 
     def set_replica_state(
@@ -180,7 +180,7 @@
         replica.state = state
         server.listing = None
         self._record_disk_copy(server, key, replica)
-        self.recount(server, key, replica)
+        self.recount_replica(server, key, replica)
 
     def loads_from_disk(self, item: ItemRow, server: ServerState) -> bool:
         """Whether the server is known to have had the item's weights on its own disk."""
@@ -241,7 +241,7 @@
         item = self.items.get(key)
         if item is not None:
             item.holders[server.server] = None
-        self.recount(server, key, replica)
+        self.recount_replica(server, key, replica)
         self.free_memory.mark_stale(server)
         self.queue_review(key)
 
@@ -279,7 +279,7 @@
         """Set whether nodes must stop sending new requests to a replica."""
         if replica.draining != draining:
             replica.draining = draining
-            self.recount(server, key, replica)
+            self.recount_replica(server, key, replica)
             self.changed_drains[server.server] = None
 
     def queue_adapters(self, model: ItemRow) -> None:
--- a/tests/controlplane/placement/test_options.py
+++ b/tests/controlplane/placement/test_options.py
@@ -92,7 +92,7 @@
 class AdapterSlotsTest(testtools.TestCase):
     ADAPTERS = ("a1", "a2", "a3")
 
-    def replicas(self, adapters_add_replicas: bool) -> int:
+    def base_replicas(self, adapters_add_replicas: bool) -> int:
         config = attrs.evolve(FAST_REVIEWS, adapters_add_replicas=adapters_add_replicas)
         adapters = dict.fromkeys(self.ADAPTERS, "base")
         driver = make_driver(config, {"base": 8}, servers=3, adapters=adapters)
@@ -129,10 +129,10 @@
         self.assertEqual(2, len(driver.rows["server-1"].adapters))
 
     def test_adapters_that_do_not_fit_add_a_replica(self):
-        self.assertEqual(2, self.replicas(adapters_add_replicas=True))
+        self.assertEqual(2, self.base_replicas(adapters_add_replicas=True))
 
     def test_without_the_option_adapters_add_no_replica(self):
-        self.assertEqual(1, self.replicas(adapters_add_replicas=False))
+        self.assertEqual(1, self.base_replicas(adapters_add_replicas=False))
 
 
 class SerialOrdersTest(testtools.TestCase):
