--- a/src/zincvale/dataplane/inference/backend_adapter.py
+++ b/src/zincvale/dataplane/inference/backend_adapter.py
@@ -1,7 +1,7 @@
-"""The back ends' dialect: how a request is written, and what a response proves.
+"""The back ends' protocol: how a request is encoded, and what a response proves.
 
-Another dialect is another `BackendAdapter`. Whatever a response does not prove counts as "may have
-run": only a 4xx or 503 whose body says `"ran": false` is a refusal.
+Each other protocol needs a `BackendAdapter` of its own. A request may have run unless the response
+proves the opposite: only a 4xx or 503 whose body says `"ran": false` is a refusal.
 """
 
 from __future__ import annotations
@@ -28,45 +28,45 @@
 from zincvale.transport.curl_exchange import ClientRequest
 
 STATUS_OK = 200
-STATUS_REFUSED_LOWEST = 400
-STATUS_REFUSED_HIGHEST = 499
+MIN_REFUSAL_STATUS = 400
+MAX_REFUSAL_STATUS = 499
 STATUS_UNAVAILABLE = 503
 JSON_HEADERS = ("Content-Type: application/json",)
-END_BY_ERROR = {
+EXCHANGE_END_BY_ERROR = {
     "overloaded": ExchangeEnd.OVERLOADED,
     "cold": ExchangeEnd.COLD,
     "rate": ExchangeEnd.RATE_LIMITED,
     "not-resident": ExchangeEnd.NOT_RESIDENT,
 }
 FINAL_ERRORS = frozenset({"too-large", "malformed", "invalid"})
-"""Refusals that another server would repeat."""
+"""Errors with which every server would refuse the request."""
 
 Reply = ResponseReceived | ServerRefused | ServerFailed
 StreamInput = ChunksReceived | StreamEnded | ServerFailed
 
 
 class BackendAdapter(Protocol):
-    """One kind of back end."""
+    """Encodes requests for one kind of back end and interprets its responses."""
 
     def build(
         self, request: CallerRequest, address: Address, prefix: tuple[str, ...]
     ) -> ClientRequest:
-        """Return the request to send, to go on after `prefix` for streams."""
+        """Return the HTTP request to send; a stream continues after the chunks of `prefix`."""
         ...
 
     def read_reply(self, request: CallerRequest, status: int, body: bytes) -> Reply:
-        """Return what a complete response proves."""
+        """Return the response, the refusal or the failure that a complete HTTP response proves."""
         ...
 
 
 @attrs.frozen
 class LanguageModelAdapter:
-    """`POST /v1/generate`."""
+    """Language models: `POST /v1/generate`."""
 
     def build(
         self, request: CallerRequest, address: Address, prefix: tuple[str, ...]
     ) -> ClientRequest:
-        """Return the generation request."""
+        """Return the generation request, which continues after `prefix`."""
         inference_request = request.inference_request
         body = orjson.dumps(
             {
@@ -84,23 +84,23 @@
         )
 
     def read_reply(self, request: CallerRequest, status: int, body: bytes) -> Reply:
-        """Return what a complete response proves."""
+        """Return the response, the refusal or the failure that a complete HTTP response proves."""
         return _read_reply(request, status, body, units_field="tokens")
 
 
 @attrs.frozen
 class LookupAdapter:
-    """`GET /v1/lookup`."""
+    """Lookup services: `GET /v1/lookup`."""
 
     def build(
         self, request: CallerRequest, address: Address, prefix: tuple[str, ...]
     ) -> ClientRequest:
-        """Return the lookup request; lookups have no prefix."""
+        """Return the lookup request; `prefix` is ignored, because lookups do not stream."""
         query = urlencode({"key": request.inference_request.key, "request_id": request.request_id})
         return ClientRequest(address, f"/v1/lookup?{query}")
 
     def read_reply(self, request: CallerRequest, status: int, body: bytes) -> Reply:
-        """Return what a complete response proves."""
+        """Return the response, the refusal or the failure that a complete HTTP response proves."""
         return _read_reply(request, status, body, units_field="")
 
 
@@ -112,28 +112,28 @@
 
 @attrs.define
 class StreamReader:
-    """Turns the body of a generation stream into inputs of the request machine."""
+    """Parses the body of a generation stream into inputs of the request machine."""
 
     _events: EventReader = attrs.field(factory=EventReader)
-    ended: bool = False
+    is_ended: bool = False
 
     def feed(self, data: bytes) -> list[StreamInput]:
-        """Return what `data` completes; consecutive chunks come as one input."""
+        """Return the inputs that `data` completes; consecutive chunks are merged into one."""
         try:
             events = self._events.feed(data)
         except EventTooLargeError:
             return [ServerFailed("an event of the stream is too large", sent=True)]
         inputs: list[StreamInput] = []
         for event in events:
-            self._add(event, inputs)
+            self._append_event(event, inputs)
         return inputs
 
-    def _add(self, event: ServerSentEvent, inputs: list[StreamInput]) -> None:
-        if self.ended:
-            inputs.append(ServerFailed("an event came after the end of the stream", sent=True))
+    def _append_event(self, event: ServerSentEvent, inputs: list[StreamInput]) -> None:
+        if self.is_ended:
+            inputs.append(ServerFailed("received an event after the end of the stream", sent=True))
             return
         read = _read_event(event)
-        self.ended = isinstance(read, StreamEnded)
+        self.is_ended = isinstance(read, StreamEnded)
         last = inputs[-1] if inputs else None
         if (
             isinstance(last, ChunksReceived)
@@ -161,14 +161,14 @@
     try:
         data: Any = orjson.loads(body)
     except orjson.JSONDecodeError:
-        return ServerFailed(f"status {status} with a body that is not whole JSON", sent=True)
+        return ServerFailed(f"status {status} with a body that is not complete JSON", sent=True)
     if not isinstance(data, dict):
-        return ServerFailed(f"status {status} with a body that is not an object", sent=True)
+        return ServerFailed(f"status {status} with a body that is not a JSON object", sent=True)
     if status == STATUS_OK:
         return _read_response(request, data, body, units_field)
-    if data.get("ran") is False and _may_refuse(status):
+    if data.get("ran") is False and _is_refusal_status(status):
         return _read_refusal(request, data)
-    return ServerFailed(f"status {status} without proof that nothing ran", sent=True)
+    return ServerFailed(f"status {status} without proof that the request did not run", sent=True)
 
 
 def _read_response(
@@ -180,15 +180,15 @@
     return ResponseReceived(body, units if isinstance(units, int) else 1)
 
 
-MISMATCHED_RESPONSE = "the answer belongs to another request"
+MISMATCHED_RESPONSE = "the response belongs to another request"
 
 
 def _read_refusal(request: CallerRequest, data: dict[str, Any]) -> Reply:
-    named = data.get("request_id", request.request_id)
-    if named != request.request_id:
+    named_request_id = data.get("request_id", request.request_id)
+    if named_request_id != request.request_id:
         return ServerFailed(MISMATCHED_RESPONSE, sent=True)
     error = str(data.get("error", "refused"))
-    end = END_BY_ERROR.get(error, ExchangeEnd.REFUSED)
+    end = EXCHANGE_END_BY_ERROR.get(error, ExchangeEnd.REFUSED)
     missing: tuple[str, ...] = ()
     if end is ExchangeEnd.NOT_RESIDENT:
         inference_request = request.inference_request
@@ -196,6 +196,6 @@
     return ServerRefused(end, error, missing, final=error in FINAL_ERRORS)
 
 
-def _may_refuse(status: int) -> bool:
-    in_4xx = STATUS_REFUSED_LOWEST <= status <= STATUS_REFUSED_HIGHEST
-    return in_4xx or status == STATUS_UNAVAILABLE
+def _is_refusal_status(status: int) -> bool:
+    is_client_error = MIN_REFUSAL_STATUS <= status <= MAX_REFUSAL_STATUS
+    return is_client_error or status == STATUS_UNAVAILABLE
--- a/src/zincvale/dataplane/inference/caller_connection.py
+++ b/src/zincvale/dataplane/inference/caller_connection.py
@@ -1,7 +1,7 @@
-"""The caller's side over tornado's HTTP server, one level below its request handlers.
+"""Callers' connections on tornado's HTTP server, one level below its request handlers.
 
-Requests of callers make up nearly all of a node's work; speaking to the server's connection
-directly costs a third less processor time than a `RequestHandler` does.
+Callers' requests are nearly all of a node's work, and using the server's connection directly takes
+a third less processor time than a `RequestHandler`.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class CallerConnections(HTTPServerConnectionDelegate):
-    """Target of a routing rule: takes the requests of callers, whatever their path."""
+    """Target of a routing rule: accepts the requests of callers on any path."""
 
     def __init__(self, ingress: RequestIngress) -> None:
         self._ingress = ingress
@@ -43,7 +43,7 @@
 
 
 class CallerMessage(HTTPMessageDelegate):
-    """Receives one request and hands it over when it is complete."""
+    """Receives one request and passes it to the ingress when it is complete."""
 
     def __init__(self, ingress: RequestIngress, connection: Any) -> None:
         self._ingress = ingress
@@ -54,18 +54,18 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Store the head."""
+        """Store the method, path and headers."""
         assert isinstance(start_line, RequestStartLine)
         self._method = start_line.method
         self._path = start_line.path.partition("?")[0]
         self._headers = headers
 
     def data_received(self, chunk: bytes) -> None:
-        """Store a part of the body; the server bounds its size."""
+        """Store a part of the body, whose size the HTTP server limits."""
         self._body.append(chunk)
 
     def finish(self) -> None:
-        """Begin the request."""
+        """Start the completely received request."""
         sink = ConnectionSink(self._connection, self._ingress)
         self._connection.set_close_callback(self._on_caller_disconnected)
         try:
@@ -74,11 +74,11 @@
                 return
             body = b"".join(self._body)
             self._runner = self._ingress.begin(self._path, self._headers, body, sink)
-        except Exception as error:  # a defect must not leave the caller without response
-            self._end_by_defect(sink, error)
+        except Exception as error:  # a bug must not leave the caller without a response
+            self._respond_to_defect(sink, error)
 
     def on_connection_close(self) -> None:
-        """Forget a request that did not arrive completely; nothing was begun."""
+        """Handle that the caller disconnected before its request was completely received."""
         self._on_caller_disconnected()
 
     def _on_caller_disconnected(self) -> None:
@@ -86,14 +86,14 @@
             self._runner.on_caller_lost()
 
     def _refuse_method(self, sink: ConnectionSink) -> None:
-        error = MalformedBodyError(f"{self._method} is not taken here", "send a POST")
+        error = MalformedBodyError(f"{self._method} requests are not supported", "send a POST")
         response = responses.malformed(self._request_id(), error)
         sink.send_response(response.status, dict(response.headers), response.body)
 
-    def _end_by_defect(self, sink: ConnectionSink, error: Exception) -> None:
+    def _respond_to_defect(self, sink: ConnectionSink, error: Exception) -> None:
         log = self._ingress.context.log
         log(log_events.REQUEST_DEFECT, request_id=self._request_id(), error=repr(error))
-        response = responses.unknown(self._request_id(), "a defect of this node")
+        response = responses.unknown(self._request_id(), "internal error of this node")
         sink.send_response(response.status, dict(response.headers), response.body)
 
     def _request_id(self) -> RequestId:
@@ -106,26 +106,26 @@
 
     connection: Any
     ingress: RequestIngress
-    begun: bool = False
-    _waiting_head: HTTPHeaders | None = None
+    is_response_started: bool = False
+    _unsent_head: HTTPHeaders | None = None
 
     def send_response(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """Send a complete response."""
-        if self.begun:
+        if self.is_response_started:
             return
-        self.begun = True
+        self.is_response_started = True
         headers["Content-Length"] = str(len(body))
-        self.connection.write_headers(_start_line(status), self._head(headers), body)
+        self.connection.write_headers(_start_line(status), self._make_head(headers), body)
         self.connection.finish()
 
     def open_stream(self, headers: dict[str, str]) -> None:
-        """Prepare the head of an event stream; it leaves with the first event."""
-        self.begun = True
-        self._waiting_head = self._head(headers)
+        """Prepare the response head of an event stream, which is sent with the first event."""
+        self.is_response_started = True
+        self._unsent_head = self._make_head(headers)
 
     async def write(self, data: bytes) -> None:
-        """Write and wait until the connection takes more."""
-        head, self._waiting_head = self._waiting_head, None
+        """Write and wait until the connection accepts more data."""
+        head, self._unsent_head = self._unsent_head, None
         try:
             if head is None:
                 await self.connection.write(data)
@@ -142,27 +142,27 @@
             raise CallerLostError from None
 
     def cut(self) -> None:
-        """Cut the connection without the closing chunk."""
+        """Close the connection without the final HTTP chunk."""
         self.connection.close()
 
-    def _head(self, headers: dict[str, str]) -> HTTPHeaders:
+    def _make_head(self, headers: dict[str, str]) -> HTTPHeaders:
         head = HTTPHeaders()
         for name, value in headers.items():
             head[name] = value
-        head["Date"] = _DATE.now()
-        if self.ingress.draining:
+        head["Date"] = _DATE_HEADER.value()
+        if self.ingress.is_draining:
             head["Connection"] = "close"
         return head
 
 
 @attrs.define
-class _Date:
-    """The `Date` header, written once a second."""
+class _DateHeader:
+    """The value of the `Date` header, formatted once a second."""
 
     _second: int = 0
     _text: str = ""
 
-    def now(self) -> str:
+    def value(self) -> str:
         second = int(time.time())
         if second != self._second:
             self._second = second
@@ -170,7 +170,7 @@
         return self._text
 
 
-_DATE = _Date()
+_DATE_HEADER = _DateHeader()
 
 
 def _start_line(status: int) -> ResponseStartLine:
--- a/src/zincvale/dataplane/inference/caller_side.py
+++ b/src/zincvale/dataplane/inference/caller_side.py
@@ -1,4 +1,4 @@
-"""The caller's side of one request: a complete response, or a relayed stream."""
+"""The caller's side of one request: it gets a complete response or a relayed stream."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @attrs.define(eq=False)
 class CallerSide:
-    """Sends what the machine decided.
+    """Sends the caller what the request machine decided.
 
     Attributes
     ----------
-    answered : the response is complete, or its caller has disconnected.
-    on_backpressure, on_lost, on_fenced : see `StreamRelay`.
+    is_response_complete : a complete response was sent, or the caller has disconnected.
+    on_backpressure, on_caller_lost, on_fenced : see `StreamRelay`.
     """
 
     context: NodeContext
@@ -31,20 +31,20 @@
     trace: RequestTrace
     sink: CallerSink
     on_backpressure: Callable[[bool], None]
-    on_lost: Callable[[], None]
+    on_caller_lost: Callable[[], None]
     on_fenced: Callable[[], None]
     is_response_complete: bool = False
-    is_over: bool = False
+    is_request_finished: bool = False
     _relay: StreamRelay | None = None
-    _relaying: asyncio.Task[None] | None = None
+    _relay_task: asyncio.Task[None] | None = None
 
     @property
     def is_backpressured(self) -> bool:
-        """Whether the caller is too slow for its stream."""
+        """Whether the caller reads its stream too slowly, so that the server is paused."""
         return self._relay is not None and self._relay.is_backpressured
 
     def send_response(self, effect: SendResponse) -> None:
-        """Send a complete response, unless there was one or the caller has disconnected."""
+        """Send a complete response, unless one was sent or the caller has disconnected."""
         if self.is_response_complete:
             return
         self.is_response_complete = True
@@ -65,37 +65,40 @@
             self.sink,
             self.context.journal,
             self.on_backpressure,
-            self.on_lost,
+            self.on_caller_lost,
             self.on_fenced,
         )
         loop = asyncio.get_running_loop()
-        self._relaying = loop.create_task(self._run(self._relay))
+        self._relay_task = loop.create_task(self._run_relay(self._relay))
 
-    # The relay may have ended before its stream did: its caller left, or it was fenced.
+    # The relay may end before its stream: when the caller disconnects or the stream is fenced.
 
     def relay(self, effect: RelayChunks) -> None:
-        """Pass chunks on."""
+        """Queue chunks for the caller."""
         self.trace.record_chunks(effect.first_index, len(effect.chunks))
         if self._relay is not None:
             self._relay.push(effect.first_index, effect.chunks, effect.journal)
 
     def end_stream(self, count: int) -> None:
-        """Close the stream as complete."""
+        """End the stream as complete after the queued chunks."""
         if self._relay is not None:
             self._relay.finish(count)
 
     def break_stream(self, resumable: bool, reason: str) -> None:
-        """End the stream with an error event and a cut connection."""
+        """End the stream with an error event and cut the connection."""
         request_id = self.machine.request.request_id
         self.context.log(log_events.STREAM_BROKEN, request_id=request_id, reason=reason)
         if self._relay is not None:
             self._relay.interrupt(resumable, reason)
 
-    def release(self) -> None:
-        """Let go of the runner once the request is over, so that no reference cycle stays."""
-        self.is_over = True
+    def detach_runner(self) -> None:
+        """Drop the references to the runner of a finished request, to leave no reference cycle.
+
+        While a relay still runs, this waits for its end.
+        """
+        self.is_request_finished = True
         if self._relay is None:
-            self.on_backpressure = self.on_lost = self.on_fenced = _ignore
+            self.on_backpressure = self.on_caller_lost = self.on_fenced = _ignore
 
     def abandon(self) -> None:
         """Stop sending: the caller has disconnected."""
@@ -103,14 +106,14 @@
             self._relay.abandon()
         self.is_response_complete = True
 
-    async def _run(self, relay: StreamRelay) -> None:
+    async def _run_relay(self, relay: StreamRelay) -> None:
         try:
             await relay.run()
         finally:
             self._relay = None
-            if self.is_over:
-                self.release()
+            if self.is_request_finished:
+                self.detach_runner()
 
 
-def _ignore(*_news: object) -> None:
-    """Ignore what comes late: the request is over."""
+def _ignore(*_arguments: object) -> None:
+    """Ignore a late notification: the request has finished."""
--- a/src/zincvale/dataplane/inference/capacity.py
+++ b/src/zincvale/dataplane/inference/capacity.py
@@ -1,4 +1,4 @@
-"""Estimates of how fast a pool works and how long a load takes: what Retry-After is made of."""
+"""Estimates of a pool's throughput and of load times, from which Retry-After is computed."""
 
 from __future__ import annotations
 
@@ -9,13 +9,18 @@
 from zincvale.model.identifiers import StoreName
 
 LOAD_OVERHEAD_FACTOR = 1.5
-"""A load takes longer than the bare transfer: planning, the server's own work, sharing."""
-LEAST_LOAD_S = 1.0
+"""Load time as a multiple of the bare transfer time: planning, the server's own work and the shared
+bandwidth come on top."""
+MIN_LOAD_S = 1.0
 DEFAULT_LOAD_S = 10.0
+"""Estimate for a model that is not declared, or whose store is not."""
 
 
 def server_rate_per_s(server: ServerState, now: float) -> float:
-    """Return how many requests a second this node may expect of `server`; inf when unknown."""
+    """Return how many requests per second `server` is expected to take from this node.
+
+    Infinite when neither its latency nor a limit of its rate is known.
+    """
     if server.latency_s <= 0.0:
         return server.rate.rate_per_s
     by_concurrency = server.concurrency_limit(now) / server.latency_s
@@ -23,9 +28,9 @@
 
 
 def pool_rate_per_s(pool: PoolState, inference_request: InferenceRequest, now: float) -> float:
-    """Return the rate of those servers in service that hold what the request needs.
+    """Return the total rate of the servers in service that hold the request's model.
 
-    While requests wait, it is no more than what this node was seen to get.
+    While requests wait, it is bounded by the throughput that this node measured.
     """
     total = 0.0
     for server in pool.servers:
@@ -38,17 +43,17 @@
     return pool.throughput.bound(total, service_s, now)
 
 
-def estimated_wait_s(ahead: int, rate_per_s: float) -> float:
-    """Return how long `ahead` requests take at `rate_per_s`; 0 when nothing is known."""
-    if ahead <= 0 or math.isinf(rate_per_s):
+def estimated_wait_s(requests_ahead: int, rate_per_s: float) -> float:
+    """Return how long `requests_ahead` requests take; 0 when the rate is unknown (infinite)."""
+    if requests_ahead <= 0 or math.isinf(rate_per_s):
         return 0.0
     if rate_per_s <= 0.0:
         return math.inf
-    return ahead / rate_per_s
+    return requests_ahead / rate_per_s
 
 
 def estimated_load_s(routing_state: RoutingState, inference_request: InferenceRequest) -> float:
-    """Return how long it takes until the model (or adapter) is loaded somewhere."""
+    """Return the estimated load time of the model, or of the adapter if its base is loaded."""
     intent = routing_state.intent
     model = intent.models.get(inference_request.model)
     if model is None:
@@ -61,7 +66,7 @@
     store = intent.stores.get(StoreName(store_name))
     if store is None or store.bytes_per_second <= 0:
         return DEFAULT_LOAD_S
-    return max(LEAST_LOAD_S, weight_bytes / store.bytes_per_second * LOAD_OVERHEAD_FACTOR)
+    return max(MIN_LOAD_S, weight_bytes / store.bytes_per_second * LOAD_OVERHEAD_FACTOR)
 
 
 def _base_is_loaded(routing_state: RoutingState, inference_request: InferenceRequest) -> bool:
--- a/src/zincvale/dataplane/inference/context.py
+++ b/src/zincvale/dataplane/inference/context.py
@@ -1,4 +1,4 @@
-"""What all requests of one node share."""
+"""State and dependencies that all requests of one node share."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 from zincvale.transport.curl_client import CurlClient
 
 PUMP_INTERVAL_S = 0.02
-"""How often queues are looked at while anything waits (rates refill, deadlines pass)."""
+"""Interval between checks of the queues while requests wait: rate limits refill, deadlines pass."""
 
 LogFunction = Callable[..., None]
 
 
 class VerdictReceiver:
-    """Who waits for the scheduler's verdicts: one per request."""
+    """Receives the scheduler's verdicts on one request."""
 
     def feed(self, event: Input) -> None:
-        """Take an input of the request machine."""
+        """Pass an input to the request machine."""
         raise NotImplementedError
 
     def on_policy_reasons(self, reasons: tuple[PolicyReason, ...]) -> None:
-        """Take the reasons of the policies."""
+        """Record why the routing policies kept or excluded servers."""
         raise NotImplementedError
 
     def on_queued(self, verdict: Queued) -> None:
-        """Record that the request waits."""
+        """Record that the request is queued."""
         raise NotImplementedError
 
     def on_placed(self, server: ServerState, waited_s: float) -> None:
@@ -49,7 +49,7 @@
 
 @attrs.define(eq=False)
 class NodeContext:
-    """Tables, dependencies and the client, shared by the requests of one node."""
+    """Tables, dependencies and the HTTP client, shared by the requests of one node."""
 
     routing_state: RoutingState
     scheduler: Scheduler
@@ -64,7 +64,7 @@
     on_urgent_demand: Callable[[], None] | None = None
     verdict_receivers: dict[int, VerdictReceiver] = attrs.field(factory=dict)
     _next_token: int = 0
-    _pump_scheduled: bool = False
+    _is_queue_check_scheduled: bool = False
     _tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
 
     def next_token(self) -> int:
@@ -73,7 +73,7 @@
         return self._next_token
 
     def deliver(self, verdicts: list[Verdict]) -> None:
-        """Hand verdicts to the requests they are about."""
+        """Pass each verdict to the receiver of its request."""
         for verdict in verdicts:
             receiver = self.verdict_receivers.get(verdict.token)
             if receiver is None:
@@ -88,7 +88,7 @@
                     receiver.on_queued(verdict)
                 case Rejected(_, reason, retry_after_s, problem):
                     receiver.feed(NoServer(Refusal(reason, problem, retry_after_s=retry_after_s)))
-        self.schedule_pump()
+        self.schedule_queue_check()
         if self.scheduler.demand.urgent and self.on_urgent_demand is not None:
             self.scheduler.demand.urgent = False
             self.on_urgent_demand()
@@ -100,12 +100,12 @@
         token: int,
         excluded: frozenset[str],
     ) -> None:
-        """Find a server for a request; its verdict is delivered to its receiver."""
+        """Request a server from the scheduler; the verdicts are delivered to their receivers."""
         self.scheduler.may_place = self.ready()
         self.deliver(self.scheduler.place(request, route, token, self.clock(), excluded))
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run work that no request waits for."""
+        """Run a background task that no request waits for."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -113,7 +113,7 @@
     def finish_exchange(
         self, request: CallerRequest, server: ServerState, report: ExchangeReport
     ) -> None:
-        """Give a server's slot back and serve who waited for it."""
+        """Free a server's slot and deliver the verdicts of queued requests that it unblocks."""
         self.scheduler.may_place = self.ready()
         change, verdicts = self.scheduler.finish(request, server, report)
         if change is HealthChange.EJECTED:
@@ -125,17 +125,17 @@
             self.deliver(verdicts)
 
     def pump(self) -> None:
-        """Serve and expire the queues now."""
+        """Place or reject queued requests now, and deliver the verdicts."""
         self.scheduler.may_place = self.ready()
         self.deliver(self.scheduler.pump(self.clock()))
 
-    def schedule_pump(self) -> None:
-        """Look at the queues again soon, while anything waits."""
-        if self._pump_scheduled or not self.scheduler.any_waiting():
+    def schedule_queue_check(self) -> None:
+        """Schedule the next check of the queues if any request waits."""
+        if self._is_queue_check_scheduled or not self.scheduler.any_waiting():
             return
-        self._pump_scheduled = True
-        asyncio.get_running_loop().call_later(PUMP_INTERVAL_S, self._pump_due)
+        self._is_queue_check_scheduled = True
+        asyncio.get_running_loop().call_later(PUMP_INTERVAL_S, self._on_queue_check_due)
 
-    def _pump_due(self) -> None:
-        self._pump_scheduled = False
+    def _on_queue_check_due(self) -> None:
+        self._is_queue_check_scheduled = False
         self.pump()
--- a/src/zincvale/dataplane/inference/dependencies.py
+++ b/src/zincvale/dataplane/inference/dependencies.py
@@ -1,4 +1,4 @@
-"""What the request path needs from its dependencies: claims, stream journal and spans.
+"""Protocols of the request path's dependencies: claims, stream journal and spans.
 
 The request path is written against these protocols only; `claims` and `stream_journal` implement
 the first two, the tracing plane the last. All times are seconds on the daemon's suspend-aware
@@ -21,9 +21,9 @@
     """Why a claim was not granted although no other attempt holds it."""
 
     UNAVAILABLE = "unavailable"
-    """No majority of the claim voters responded in time; nothing ran, nothing is claimed."""
+    """No majority of the claim voters responded in time; nothing ran and nothing is claimed."""
     OTHER_REQUEST = "other-request"
-    """The identifier was used before for a request with another digest."""
+    """The identifier was already used for a request with another digest."""
 
 
 @attrs.frozen
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class ClaimRefused:
-    """The request must not run here, and did not run because of this attempt."""
+    """This attempt must not run the request, and has not run it."""
 
     reason: ClaimRefusal
     retry_after_s: float = 1.0
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class RecordedOutcome:
-    """An earlier attempt finished; this is what its caller was sent."""
+    """An earlier attempt finished; these are its outcome and the response to its caller."""
 
     outcome: Outcome
     status: int
@@ -60,29 +60,29 @@
 
 
 class Claims(Protocol):
-    """At most one run per request identifier, across all nodes."""
+    """Guarantees at most one run per request identifier across all nodes."""
 
     async def claim(
         self, request_id: RequestId, digest: str, route: RouteName, deadline_at: float
     ) -> ClaimDecision:
-        """Decide by `deadline_at`; waits for the outcome when another attempt holds the claim.
+        """Claim the identifier by `deadline_at`; waits for the outcome of an attempt that holds it.
 
         `digest` identifies the request's route and body.
         """
         ...
 
     def may_dispatch(self, request_id: RequestId) -> bool:
-        """Whether the grant is fresh enough for a send at this very moment.
+        """Whether the granted claim is recent enough to permit a send now.
 
-        Checked right before every send, with no await in between. False after a freeze or a long
-        wait: renew or release.
+        Must be checked right before every send, with no await in between. False after a freeze or
+        a long wait; the claim must then be renewed or released.
         """
         ...
 
     async def renew(self, request_id: RequestId, deadline_at: float) -> bool:
-        """Request the majority's votes again for this node's own granted claim.
+        """Ask a majority of the voters to confirm this node's granted claim again.
 
-        True: check `may_dispatch` again and send. False: give the request up.
+        After True, check `may_dispatch` again and send. After False, give the request up.
         """
         ...
 
@@ -94,34 +94,35 @@
         headers: Mapping[str, str],
         body: bytes,
     ) -> bool:
-        """Store the outcome for later resends; False when no majority confirmed it.
+        """Record the outcome for later resends; False when no majority confirmed it.
 
-        Never raises. The caller's response waits for this only for a bounded time.
+        Never raises. Returns within a bounded time, since the caller's response waits for it.
         """
         ...
 
     async def release(self, request_id: RequestId) -> bool:
-        """Give the claim back: the request provably never ran, so that a resend may run.
+        """Release the claim of a request that provably never ran, so that a resend may run.
 
-        Never raises; False when the release was not confirmed (the claim then ages out).
+        Never raises. False when the release was not confirmed; the claim then expires.
         """
         ...
 
 
 class JournalAppend(enum.Enum):
-    """What became of an append."""
+    """Result of an append to the journal."""
 
     REPLICATED = "kept"
     """A peer stores the chunks."""
     UNREPLICATED = "not-kept"
-    """No peer confirmed in a bounded time; the stream goes on without."""
+    """No peer confirmed in a bounded time; the stream continues without a copy of the chunks."""
     FENCED = "taken-over"
-    """Another ingress node resumed the stream: deliver nothing of this append or later."""
+    """Another ingress node resumed the stream; neither these nor later chunks may be delivered."""
 
 
 NEWEST_STREAM_EPOCH = 0
-"""Whichever epoch this node holds for the stream."""
+"""Stands for the newest epoch that this node holds for the stream."""
 FIRST_STREAM_EPOCH = 1
+"""Epoch of a stream that was never resumed."""
 
 
 @attrs.frozen
@@ -134,11 +135,11 @@
     complete: bool = False
     """The stream ended complete after these chunks."""
     epoch: int = NEWEST_STREAM_EPOCH
-    """What the node that resumed the stream appends with; earlier nodes are fenced by it."""
+    """Epoch with which the resuming node appends; appends of earlier epochs are fenced."""
 
 
 class StreamJournal(Protocol):
-    """Chunks of streams, replicated to a peer in another zone before the caller gets them."""
+    """Replicates chunks of streams to a peer in another zone before the caller gets them."""
 
     async def append(
         self,
@@ -148,9 +149,9 @@
         chunks: list[str],
         epoch: int = FIRST_STREAM_EPOCH,
     ) -> JournalAppend:
-        """Replicate `chunks`, whose first has event number `first_index` (from 1).
+        """Replicate `chunks`, the first of which has event number `first_index` (from 1).
 
-        Never raises. Appends of one stream are made one after the other.
+        Never raises. Callers make the appends of one stream one after the other.
         """
         ...
 
@@ -161,11 +162,11 @@
         ...
 
     def forget(self, request_id: RequestId) -> None:
-        """Drop this node's memory of a stream whose caller has left; the peer's copy expires."""
+        """Drop this node's state of a stream whose caller disconnected; the peer's copy expires."""
         ...
 
     async def resume(self, request_id: RequestId, after: int) -> JournalState | None:
-        """Return what any reachable peer stores of the stream, at least `after` chunks of it.
+        """Return a reachable peer's copy of the stream, at least `after` chunks; None without one.
 
         This is a failover: every node that relayed the stream before is fenced.
         """
@@ -173,7 +174,7 @@
 
 
 class TraceContext(Protocol):
-    """What a child span inherits."""
+    """The part of a span that its children inherit."""
 
     @property
     def trace_id(self) -> str:
@@ -187,7 +188,7 @@
 
     @property
     def sampled(self) -> bool:
-        """Whether the trace is sampled by its identifier."""
+        """Whether the trace's identifier makes it part of the sample."""
         ...
 
 
@@ -220,7 +221,7 @@
 
 
 class Spans(Protocol):
-    """Source of spans; identifiers are minted here."""
+    """Starts spans and generates their identifiers."""
 
     def start(
         self,
@@ -231,6 +232,6 @@
     ) -> Span:
         """Start a span; without `trace` it is the root of a new trace.
 
-        `parent` is the parent's span identifier; absent, it is `trace.span_id`.
+        `parent` is the parent's span identifier; by default it is `trace.span_id`.
         """
         ...
--- a/src/zincvale/dataplane/inference/dependency_calls.py
+++ b/src/zincvale/dataplane/inference/dependency_calls.py
@@ -1,4 +1,4 @@
-"""The waits of a request on its dependencies: claims and stream journal."""
+"""Calls of a request to its dependencies: claims and the stream journal."""
 
 from __future__ import annotations
 
@@ -27,14 +27,15 @@
 from zincvale.model.outcomes import Outcome
 
 MARK_TIMEOUT_S = 1.0
-"""How long the voters may take to hear that a request without claim may have run."""
+"""Limit for telling the claim voters that a request without a claim may have run."""
 
 
 @attrs.define(eq=False)
 class DependencyCalls:
-    """Each call returns the input it results in, and never raises.
+    """Calls the dependencies for one request; no call raises.
 
-    A dependency that fails by a defect counts as one that did not respond.
+    A call whose result the machine waits for returns it as an input. A dependency that raises
+    counts as one that did not respond.
     """
 
     context: NodeContext
@@ -51,7 +52,7 @@
             decision = await self.context.claims.claim(
                 request.request_id, request.digest, request.route, deadline_at
             )
-        except Exception as error:  # a defect there must not leave the request waiting
+        except Exception as error:  # a bug in the dependency must not leave the request waiting
             self._log_defect("claim", error)
         return ClaimDecided(decision)
 
@@ -61,22 +62,22 @@
         renewed = False
         try:
             renewed = await self.context.claims.renew(request.request_id, request.deadline_at)
-        except Exception as error:  # a defect there must not leave the request waiting
+        except Exception as error:  # a bug in the dependency must not leave the request waiting
             self._log_defect("renew", error)
         return ClaimRenewed(renewed)
 
     async def look_up(self, after: int) -> Input:
-        """Request from the journal the stream that is resumed."""
+        """Read from the journal the stream that the caller resumes."""
         state: JournalState | None = None
         try:
             state = await self.context.journal.resume(self.machine.request.request_id, after)
-        except Exception as error:  # a defect there must not leave the request waiting
+        except Exception as error:  # a bug in the dependency must not leave the request waiting
             self._log_defect("resume", error)
         return StreamFound(state)
 
     async def record(self, effect: RecordOutcome) -> None:
-        """Store an outcome for resends."""
-        await self._confirmed(
+        """Record an outcome for resends."""
+        await self._await_confirmation(
             "record",
             self.context.claims.record(
                 self.machine.request.request_id,
@@ -88,19 +89,19 @@
         )
 
     async def record_stream(self) -> None:
-        """Store a complete stream for resends."""
+        """Record a complete stream as the outcome for resends."""
         request_id = self.machine.request.request_id
         headers = responses.stream_headers(request_id)
         body = responses.whole_stream(self.machine.chunks)
-        await self._confirmed(
+        await self._await_confirmation(
             "record",
             self.context.claims.record(request_id, Outcome.ANSWERED, 200, headers, body),
         )
 
     async def mark_may_have_run(self) -> None:
-        """Claim a request that was not claimed, and record that its fate is unknown."""
-        decided = await self.claim(MARK_TIMEOUT_S)
-        if isinstance(decided, ClaimDecided) and isinstance(decided.decision, ClaimGranted):
+        """Claim a request that ran without a claim, and record its outcome as `unknown`."""
+        claim_input = await self.claim(MARK_TIMEOUT_S)
+        if isinstance(claim_input, ClaimDecided) and isinstance(claim_input.decision, ClaimGranted):
             request_id = self.machine.request.request_id
             response = responses.unknown(request_id, "an earlier attempt may have run")
             await self.record(
@@ -108,21 +109,21 @@
             )
 
     async def release(self) -> None:
-        """Give the claim back."""
-        await self._confirmed(
+        """Release the claim."""
+        await self._await_confirmation(
             "release", self.context.claims.release(self.machine.request.request_id)
         )
 
-    async def _confirmed(self, what: str, confirmation: Awaitable[bool]) -> None:
+    async def _await_confirmation(self, operation: str, confirmation: Awaitable[bool]) -> None:
         try:
             await confirmation
-        except Exception as error:  # a defect there must not leave the request waiting
-            self._log_defect(what, error)
+        except Exception as error:  # a bug in the dependency must not leave the request waiting
+            self._log_defect(operation, error)
 
-    def _log_defect(self, what: str, error: Exception) -> None:
+    def _log_defect(self, operation: str, error: Exception) -> None:
         self.context.log(
             log_events.REQUEST_DEFECT,
             request_id=self.machine.request.request_id,
-            where=what,
+            where=operation,
             error=repr(error),
         )
--- a/src/zincvale/dataplane/inference/events.py
+++ b/src/zincvale/dataplane/inference/events.py
@@ -1,7 +1,7 @@
 """Inputs and effects of the request machine.
 
-Effects are carried out in order by the runner; each effect that waits for something outside is
-followed by one of the inputs.
+The runner carries out the effects in order. The result of an effect that waits for a dependency, a
+server or the scheduler comes back as one of the inputs.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Refusal:
-    """Why and for how long a request is refused."""
+    """Why a request is refused, and when the caller may send it again."""
 
     reason: RefusalReason
     problem: str
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class ClaimRenewed:
-    """Response to `RenewClaim`; without `renewed` the claim may be another attempt's by now."""
+    """Response to `RenewClaim`; if not `renewed`, another attempt may hold the claim by now."""
 
     renewed: bool
 
@@ -66,19 +66,19 @@
 
 @attrs.frozen
 class NoServer:
-    """Response to `ChooseServer`: admission gave the request up."""
+    """Response to `ChooseServer`: no server is available in time; `refusal` says why."""
 
     refusal: Refusal
 
 
 @attrs.frozen
 class DispatchForbidden:
-    """Response to `Dispatch`: the claim is too old to send now; nothing was sent."""
+    """Response to `Dispatch`: nothing was sent, because the claim has to be renewed first."""
 
 
 @attrs.frozen
 class ResponseReceived:
-    """A complete response, checked to be this request's."""
+    """A complete response that carries this request's identifier."""
 
     body: bytes
     units: int = 1
@@ -101,18 +101,18 @@
 
 @attrs.frozen
 class ServerRefused:
-    """The server said that the request did not run."""
+    """The server stated that the request did not run."""
 
     end: ExchangeEnd
     error: str
     missing: tuple[str, ...] = ()
     final: bool = False
-    """No server would take the request (it is invalid or too large)."""
+    """Every server would refuse the request, because it is invalid or too large."""
 
 
 @attrs.frozen
 class ServerFailed:
-    """The exchange broke; `sent` is False when the request provably never left."""
+    """The exchange failed; `sent` is False only when provably no byte of the request was sent."""
 
     reason: str
     sent: bool
@@ -120,21 +120,21 @@
 
 @attrs.frozen
 class DeadlinePassed:
-    """The caller's time is up; `sent` tells whether the request may have left."""
+    """The request's deadline passed; `sent` tells whether a server may have received a byte."""
 
     sent: bool = False
 
 
 @attrs.frozen
 class CallerDisconnected:
-    """The caller closed its connection; `sent` as above."""
+    """The caller closed its connection; `sent` tells whether a server may have received a byte."""
 
     sent: bool = False
 
 
 @attrs.frozen
 class StreamFenced:
-    """Another node resumed the stream."""
+    """Another node resumed the stream, so this node must not deliver any more of it."""
 
 
 Input = (
@@ -163,7 +163,7 @@
 class Claim:
     """Claim the request identifier across the nodes.
 
-    With `within_s` the decision is needed by then, without it by the request's deadline.
+    `within_s` limits the wait for the decision; None limits it by the request's deadline.
     """
 
     within_s: float | None = None
@@ -179,23 +179,23 @@
 
 @attrs.frozen
 class RenewClaim:
-    """Confirm the granted claim, which has grown too old to send under."""
+    """Renew the granted claim, which is too old to permit a send."""
 
 
 @attrs.frozen
 class LookUpStream:
-    """Request from the journal the chunks of the stream that is resumed."""
+    """Read from the journal the chunks of the stream that the caller resumes."""
 
     after: int
 
 
 @attrs.frozen
 class ChooseServer:
-    """Find a server, waiting in the pool's queue if need be."""
+    """Find a server for the request, which waits in the pool's queue when none is free."""
 
     excluded: frozenset[str]
     retry: bool = False
-    """Counts against the retry budget; a refusal follows when it is used up."""
+    """Spend a retry of the retry budget; without one left, `NoServer` follows."""
 
 
 @attrs.frozen
@@ -205,7 +205,7 @@
 
 @attrs.frozen
 class Dispatch:
-    """Send the request to the chosen server, to go on after `prefix`."""
+    """Send the request to the chosen server; a stream continues after the chunks of `prefix`."""
 
     server: ServerId
     prefix: tuple[str, ...]
@@ -214,12 +214,12 @@
 
 @attrs.frozen
 class CancelExchange:
-    """Close the connection of the exchange under way."""
+    """Close the connection of the current exchange."""
 
 
 @attrs.frozen
 class FreeServer:
-    """Give the server's slot back, with what the exchange showed about it."""
+    """Free the server's slot and report how the exchange ended."""
 
     end: ExchangeEnd
     units: int = 0
@@ -228,7 +228,7 @@
 
 @attrs.frozen
 class RecordOutcome:
-    """Store the outcome for resends."""
+    """Record the outcome with the claim, so that resends receive it."""
 
     outcome: Outcome
     status: int
@@ -238,12 +238,12 @@
 
 @attrs.frozen
 class ReleaseClaim:
-    """Give the claim back: the request never ran."""
+    """Release the claim, because the request never ran."""
 
 
 @attrs.frozen
 class RecordStream:
-    """Store a complete stream as the outcome for resends."""
+    """Record a complete stream as the outcome, so that resends receive it."""
 
     count: int
 
@@ -264,7 +264,7 @@
 
 @attrs.frozen
 class RelayChunks:
-    """Pass chunks on, after the journal took them when `journal` is set."""
+    """Relay chunks to the caller; with `journal`, only after the journal has replicated them."""
 
     first_index: int
     chunks: list[str]
@@ -273,14 +273,14 @@
 
 @attrs.frozen
 class EndStream:
-    """Close the stream as complete."""
+    """Send the end event and close the stream as complete."""
 
     count: int
 
 
 @attrs.frozen
 class BreakStream:
-    """End the stream with an error event and cut the connection."""
+    """Send an error event and cut the caller's connection."""
 
     resumable: bool
     reason: str
@@ -288,7 +288,7 @@
 
 @attrs.frozen
 class Finish:
-    """The request is over with this outcome; nothing follows."""
+    """End the request with this outcome; no effect follows."""
 
     outcome: Outcome
     reason: str = ""
--- a/src/zincvale/dataplane/inference/exchange_reader.py
+++ b/src/zincvale/dataplane/inference/exchange_reader.py
@@ -1,4 +1,4 @@
-"""Listens to one exchange with a back end and feeds the request machine with what it proves."""
+"""Listener of one exchange with a back end, which turns its events into request-machine inputs."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 
 
 class RunningExchange(Protocol):
-    """The part of `transport.curl_exchange.CurlExchange` that is used here."""
+    """The part of `transport.curl_exchange.CurlExchange` that the request path uses."""
 
     @property
     def sent(self) -> bool:
-        """Whether a byte of the request may have left."""
+        """Whether a byte of the request may have been sent."""
         ...
 
     def cancel(self) -> None:
-        """Close the connection; nothing more is heard."""
+        """Close the connection; the listener receives no more events."""
         ...
 
     def pause(self) -> None:
-        """Stop reading."""
+        """Stop delivering the body."""
         ...
 
     def resume(self) -> None:
-        """Go on reading."""
+        """Deliver the body again."""
         ...
 
     def close_connection(self) -> None:
-        """Never use the connection again."""
+        """Make sure that the connection is never reused."""
         ...
 
 
@@ -57,21 +57,21 @@
     last_received_at: float = 0.0
     first_chunk_at: float | None = None
     status: int = 0
-    stopped: bool = False
+    is_stopped: bool = False
     _stream: StreamReader | None = None
     _body: list[bytes] = attrs.field(factory=list)
     _body_bytes: int = 0
 
     @property
     def first_piece_s(self) -> float:
-        """How long the first chunk took; 0 without one."""
+        """Seconds from the dispatch to a stream's first chunk; 0 when there is none."""
         return 0.0 if self.first_chunk_at is None else self.first_chunk_at - self.started_at
 
     def on_connected(self) -> None:
-        """Nothing to do: `exchange.sent` says it."""
+        """Do nothing: `exchange.sent` tells whether the request may have been sent."""
 
     def on_headers(self, status: int, headers: Mapping[str, str]) -> None:
-        """See whether the body is a stream."""
+        """Record the status and detect whether the body is a stream."""
         self.status = status
         self.last_received_at = self.now()
         is_stream = headers.get("content-type", "").startswith("text/event-stream")
@@ -79,15 +79,15 @@
             self._stream = StreamReader()
 
     def on_body(self, data: bytes) -> None:
-        """Read events, or collect the body of what turned out not to be a stream."""
+        """Parse the events of a stream, or collect the body of a complete response."""
         self.last_received_at = self.now()
         if self._stream is None:
-            self._collect(data)
+            self._append_body(data)
             return
         if self.first_chunk_at is None:
             self.first_chunk_at = self.last_received_at
         for read in self._stream.feed(data):
-            if self.stopped:
+            if self.is_stopped:
                 return
             if isinstance(read, ServerFailed):
                 self._fail(read)
@@ -95,35 +95,35 @@
             self.feed(read)
 
     def on_done(self, body: bytes) -> None:
-        """Read the complete response, or see that a stream had its explicit end."""
-        if self.stopped:
+        """Read the complete response, or fail a stream that closed without its end event."""
+        if self.is_stopped:
             return
         if self._stream is not None:
-            if not self._stream.ended:
-                self.feed(ServerFailed("the stream closed without its end", sent=True))
+            if not self._stream.is_ended:
+                self.feed(ServerFailed("the stream closed without its end event", sent=True))
             return
         reply = self.adapter.read_reply(self.request, self.status, body or b"".join(self._body))
         if isinstance(reply, ServerFailed) and self.exchange is not None:
-            # Whatever else comes on this connection cannot be trusted to be in step.
+            # Later responses on this connection could belong to other requests.
             self.exchange.close_connection()
         self.feed(reply)
 
     def on_failed(self, failure: ExchangeFailure) -> None:
-        """Notify the machine, unless the stream had already ended complete."""
-        if self.stopped or (self._stream is not None and self._stream.ended):
+        """Report the failure to the machine, unless the stream had already ended complete."""
+        if self.is_stopped or (self._stream is not None and self._stream.is_ended):
             return
         self.feed(ServerFailed(failure.reason, failure.sent))
 
     def stop(self) -> None:
-        """Close the connection; the machine hears nothing more of this exchange."""
-        self.stopped = True
+        """Close the connection; the machine receives no more inputs from this exchange."""
+        self.is_stopped = True
         if self.exchange is not None:
             self.exchange.cancel()
 
-    def _collect(self, data: bytes) -> None:
+    def _append_body(self, data: bytes) -> None:
         self._body_bytes += len(data)
         if self._body_bytes > MAX_BODY_BYTES:
-            self._fail(ServerFailed("the answer is too large", sent=True))
+            self._fail(ServerFailed("the response is too large", sent=True))
             return
         self._body.append(data)
 
@@ -133,5 +133,5 @@
 
 
 def is_mismatch(failure: ServerFailed) -> bool:
-    """Whether a failure means that the response was another request's."""
+    """Whether the exchange failed because the response belongs to another request."""
     return failure.reason == MISMATCHED_RESPONSE
--- a/src/zincvale/dataplane/inference/ingress.py
+++ b/src/zincvale/dataplane/inference/ingress.py
@@ -1,4 +1,4 @@
-"""Where callers' requests enter: reading, admission, and the start of their machines."""
+"""Entry of callers' requests: parsing, admission, and the start of their state machines."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from zincvale.dataplane.inference.request_trace import RequestTrace
 from zincvale.dataplane.inference.requests import (
     CallerRequest,
-    mint_request_id,
+    generate_request_id,
     read_deadline_s,
     read_inference_request,
     read_request_id,
@@ -29,16 +29,16 @@
 from zincvale.model.outcomes import Outcome, RefusalReason
 from zincvale.model.resources import PoolKind, RouteSpec
 
-NOT_READY_RETRY_S = 1.0
+NOT_READY_RETRY_AFTER_S = 1.0
 
 
 @attrs.define(eq=False)
 class RequestIngress:
-    """Begins requests and knows whether the node may take any."""
+    """Starts requests and reports whether the node is ready for them."""
 
     context: NodeContext
     random: Random
-    draining: bool = False
+    is_draining: bool = False
 
     def begin(
         self,
@@ -47,22 +47,22 @@
         body: bytes,
         sink: CallerSink,
     ) -> RequestRunner | None:
-        """Start a request; None when it was refused at once because it cannot be read."""
-        named = self.context.routing_state.route_by_path.get(path)
-        if named is None:
-            self._refuse_unrouted(path, headers, sink)
+        """Start a request; None when it was refused at once, as malformed or without a route."""
+        route_entry = self.context.routing_state.route_by_path.get(path)
+        if route_entry is None:
+            self._refuse_unknown_path(path, headers, sink)
             return None
         try:
-            request = self._read(named[0], named[1], headers, body)
+            request = self._read_request(route_entry[0], route_entry[1], headers, body)
         except (InvalidInputError, MalformedBodyError) as error:
-            self._reject(headers, error, named[0], sink)
+            self._refuse_malformed(headers, error, route_entry[0], sink)
             return None
-        return self._run(request, named[1], sink)
+        return self._start_runner(request, route_entry[1], sink)
 
     def unready_reason(self) -> str:
-        """Return why callers should go elsewhere, empty when this node is ready."""
+        """Return why callers should use another node, empty when this node is ready."""
         routing_state = self.context.routing_state
-        if self.draining:
+        if self.is_draining:
             return "draining"
         if not self.context.ready():
             return "no fresh configuration"
@@ -71,7 +71,7 @@
         return ""
 
     def exposition(self) -> bytes:
-        """Return the metrics text."""
+        """Return the metrics in the Prometheus text format."""
         metrics = self.context.metrics
         metrics.active.set(len(self.context.verdict_receivers))
         pools = self.context.routing_state.pools
@@ -79,16 +79,16 @@
         metrics.waiting.set(waiting)
         return metrics.exposition()
 
-    def _read(
+    def _read_request(
         self, name: RouteName, route: RouteSpec, headers: Mapping[str, str], body: bytes
     ) -> CallerRequest:
-        given = read_request_id(headers)
+        caller_request_id = read_request_id(headers)
         pool = self.context.routing_state.pool_of(route)
         kind = PoolKind.LANGUAGE_MODEL if pool is None else pool.spec.kind
         now = self.context.clock()
         return CallerRequest(
-            request_id=given or mint_request_id(self.random),
-            caller_named_it=given is not None,
+            request_id=caller_request_id or generate_request_id(self.random),
+            caller_named_it=caller_request_id is not None,
             route=name,
             digest=request_digest(name, body),
             inference_request=read_inference_request(body, route, kind),
@@ -97,7 +97,7 @@
             resume_after=read_resume_after(headers),
         )
 
-    def _run(
+    def _start_runner(
         self,
         request: CallerRequest,
         route: RouteSpec,
@@ -105,7 +105,7 @@
     ) -> RequestRunner:
         context = self.context
         token = context.next_token()
-        root = context.spans.start("request", attributes=_attributes(request))
+        root = context.spans.start("request", attributes=_span_attributes(request))
         runner = RequestRunner(
             context,
             RequestMachine(request, route),
@@ -125,14 +125,16 @@
     ) -> Refusal | None:
         if not self.context.ready():
             problem = "this node has no fresh configuration"
-            return Refusal(RefusalReason.NOT_READY, problem, retry_after_s=NOT_READY_RETRY_S)
-        refused = self.context.scheduler.admit(request, route, token, self.context.clock())
-        if isinstance(refused, Rejected):
-            return Refusal(refused.reason, refused.problem, retry_after_s=refused.retry_after_s)
-        runner.admitted = True
+            return Refusal(RefusalReason.NOT_READY, problem, retry_after_s=NOT_READY_RETRY_AFTER_S)
+        rejection = self.context.scheduler.admit(request, route, token, self.context.clock())
+        if isinstance(rejection, Rejected):
+            return Refusal(
+                rejection.reason, rejection.problem, retry_after_s=rejection.retry_after_s
+            )
+        runner.is_admitted = True
         return None
 
-    def _refuse_unrouted(
+    def _refuse_unknown_path(
         self,
         path: str,
         headers: Mapping[str, str],
@@ -144,9 +146,9 @@
             refusal = Refusal(
                 RefusalReason.NO_ROUTE, f"no route has the path {path}", "declare a Route for it"
             )
-        self._send(responses.refused(_id_or_mint(headers, self.random), refusal), sink)
+        self._send(responses.refused(_request_id_or_generated(headers, self.random), refusal), sink)
 
-    def _reject(
+    def _refuse_malformed(
         self,
         headers: Mapping[str, str],
         error: InvalidInputError | MalformedBodyError,
@@ -155,21 +157,21 @@
     ) -> None:
         reason = RefusalReason.INVALID.value
         self.context.metrics.finished(route, Outcome.REFUSED, reason, 0.0)
-        response = responses.malformed(_id_or_mint(headers, self.random), error)
+        response = responses.malformed(_request_id_or_generated(headers, self.random), error)
         self._send(response, sink)
 
     def _send(self, response: SendResponse, sink: CallerSink) -> None:
         sink.send_response(response.status, dict(response.headers), response.body)
 
 
-def _id_or_mint(headers: Mapping[str, str], random: Random) -> RequestId:
+def _request_id_or_generated(headers: Mapping[str, str], random: Random) -> RequestId:
     try:
-        return read_request_id(headers) or mint_request_id(random)
+        return read_request_id(headers) or generate_request_id(random)
     except InvalidInputError:
-        return mint_request_id(random)
+        return generate_request_id(random)
 
 
-def _attributes(request: CallerRequest) -> dict[str, str | int | float | bool]:
+def _span_attributes(request: CallerRequest) -> dict[str, str | int | float | bool]:
     attributes: dict[str, str | int | float | bool] = {
         "request_id": request.request_id,
         "route": request.route,
--- a/src/zincvale/dataplane/inference/node_service.py
+++ b/src/zincvale/dataplane/inference/node_service.py
@@ -1,4 +1,4 @@
-"""Facade of the data plane: what the program assembles and drives."""
+"""Facade of the native request path, which a daemon assembles and drives."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class NodeSettings(Protocol):
-    """The part of the daemon's settings that is read here."""
+    """The part of the daemon's settings that the request path reads."""
 
     @property
     def member_id(self) -> str:
@@ -42,12 +42,12 @@
 
     @property
     def address_map(self) -> dict[str, str]:
-        """Advertised address to the address that is dialled instead."""
+        """Maps an advertised address to the address that is dialled instead."""
         ...
 
 
-def _no_log(number: int, **fields: Any) -> None:
-    """Drop a log line."""
+def _discard_log(number: int, **fields: Any) -> None:
+    """Discard a log event."""
 
 
 class NodeService:
@@ -56,12 +56,12 @@
     Parameters
     ----------
     settings : member_id, zone and address_map are read.
-    random : source of every random draw of the request path.
+    random : source of all randomness of the request path.
     clock : seconds on the suspend-aware monotonic clock.
-    peers : for the dependencies that call other nodes; the request path itself calls none.
-    claims, journal, spans : dependencies, see `inference.dependencies`.
+    peers : client for calls to other nodes, used only by the dependencies.
+    claims, journal, spans : dependencies of the request path, see `inference.dependencies`.
     ready : whether the node holds a fresh configuration.
-    log : takes a declared event number and fields.
+    log : called with the number of a declared log event and its fields.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         journal: StreamJournal,
         spans: Spans,
         ready: Callable[[], bool],
-        log: LogFunction = _no_log,
+        log: LogFunction = _discard_log,
     ) -> None:
         self.member_id = MemberId(settings.member_id)
         self.address_map: dict[str, str] = dict(settings.address_map)
@@ -98,18 +98,18 @@
 
     @property
     def metrics(self) -> Any:
-        """The Prometheus registry, for the program's own metrics."""
+        """The Prometheus registry, to which the daemon adds its own metrics."""
         return self._metrics.registry
 
     @property
     def active_requests(self) -> int:
-        """Requests under way; a draining node may stop at zero."""
+        """Number of requests in progress; a draining node may stop at zero."""
         return len(self.context.verdict_receivers)
 
     def http_routes(self) -> list[tuple[Any, ...]]:
         """Return tornado routing rules for the node's `api_address`.
 
-        The last one takes every path; put rules with paths of their own before it.
+        The last rule matches every path, so rules for other paths must come before it.
         """
         shared = {"ingress": self.ingress}
         return [
@@ -120,7 +120,7 @@
         ]
 
     def apply_intent(self, intent: Intent) -> None:
-        """Take a newer intent into force: nothing is sent against it from here on."""
+        """Apply a newer intent; from then on nothing is sent that it does not permit."""
         if not self.context.routing_state.apply_intent(intent):
             return
         for problem in self.context.scheduler.chain_problems():
@@ -128,7 +128,7 @@
         self.context.pump()
 
     def apply_directory(self, directory: Directory) -> None:
-        """Take a newer directory; exchanges with servers that went down are given up."""
+        """Apply a newer directory, and give up exchanges with servers that went down."""
         routing_state = self.context.routing_state
         now = self.context.clock()
         if not routing_state.apply_directory(directory, now):
@@ -136,38 +136,38 @@
         for state in list(routing_state.servers.values()):
             if state.row.health is ServerHealth.DOWN and state.outstanding:
                 for runner in self._runners():
-                    runner.on_server_lost(state, now)
+                    runner.on_server_down(state, now)
         self.context.pump()
 
     def apply_members(self, members: Members) -> None:
-        """Take a newer member table."""
+        """Apply a newer member table."""
         self.context.routing_state.apply_members(members)
 
     def tick(self, now: float) -> None:
-        """Look for unresponsive servers and pending requests; call it about ten times a second."""
+        """Check for stream timeouts and process the queues; called about ten times a second."""
         for runner in self._runners():
             runner.check_timeout(now)
         if self.context.scheduler.any_waiting():
             self.context.pump()
 
     def start_draining(self) -> None:
-        """Turn unready (lame duck); requests under way and late comers are still served."""
-        self.ingress.draining = True
+        """Become unready (lame duck); requests in progress and new ones are still served."""
+        self.ingress.is_draining = True
         self.context.log(log_events.DRAINING, active=self.active_requests)
 
     def demand_report(self) -> DemandReport:
-        """Return the demand this node saw, for the placement leader."""
+        """Return the demand that this node observed, for the placement leader."""
         return self.context.scheduler.demand.report(self.member_id, self.context.clock())
 
     def on_urgent_demand(self, callback: Callable[[], None]) -> None:
-        """Call `callback` when a demand report should not wait for its turn.
+        """Register `callback`, called when the next demand report should be sent at once.
 
-        That is once a request begins to wait for a load that the last report did not contain.
+        That is when a request begins to wait for a load that the last report did not contain.
         """
         self.context.on_urgent_demand = callback
 
     def close(self) -> None:
-        """Close every connection to back ends."""
+        """Close all connections to back ends."""
         self.client.close()
 
     def _runners(self) -> list[RequestRunner]:
--- a/src/zincvale/dataplane/inference/request_machine.py
+++ b/src/zincvale/dataplane/inference/request_machine.py
@@ -1,8 +1,8 @@
 """One request from arrival to outcome, as a pure state machine.
 
-What may be said about a request follows from what is provable. It is `refused` only while no byte
-of it can have reached a server that might run it. On at-most-once routes nothing is sent without
-the claim, and nothing is sent again after the first byte left.
+The outcome reports only what is proved. A request is `refused` only while no byte of it can have
+reached a server that might run it. On at-most-once routes nothing is sent without a granted claim,
+and once the first byte has been sent nothing is sent again.
 """
 
 from __future__ import annotations
@@ -60,11 +60,12 @@
 from zincvale.model.outcomes import Outcome, RefusalReason
 
 MAX_CONTINUATIONS = 8
-"""A stream that breaks more often is interrupted: its request seems to bring servers down."""
+"""How often a broken stream continues at another server before it is interrupted; a request whose
+stream breaks more often probably crashes the servers."""
 PENDING_RETRY_AFTER_S = 1.0
-"""Retry-After while an earlier attempt still runs; shorter, and resends poll the voters."""
+"""Retry-After while an earlier attempt still runs; with less, resends poll the claim voters."""
 
-REASON_BY_END = {
+REFUSAL_REASON_BY_END = {
     ExchangeEnd.OVERLOADED: RefusalReason.OVERLOADED,
     ExchangeEnd.COLD: RefusalReason.OVERLOADED,
     ExchangeEnd.RATE_LIMITED: RefusalReason.OVERLOADED,
@@ -74,10 +75,10 @@
 
 @attrs.define
 class RequestMachine(RequestState):
-    """Decides about one request; `handle` takes one input and returns effects in order."""
+    """State machine of one request; `handle` takes one input and returns the effects in order."""
 
     def handle(self, event: Input) -> list[Effect]:
-        """Apply one input and return what to do."""
+        """Apply one input and return the effects to carry out."""
         if self.phase is Phase.DONE:
             return self._handle_when_done(event)
         match event:
@@ -86,7 +87,7 @@
             case ClaimDecided():
                 return self._handle_claim(event)
             case ClaimRenewed(renewed):
-                return self._handle_renewed(renewed)
+                return self._handle_claim_renewed(renewed)
             case StreamFound(state):
                 return self._handle_stream_found(state)
             case ServerChosen(server):
@@ -97,7 +98,7 @@
                 self.phase = Phase.CLAIMING
                 return [RenewClaim()]
             case ResponseReceived():
-                return self._handle_answered(event)
+                return self._handle_response(event)
             case ChunksReceived():
                 return self._handle_chunks(event)
             case StreamEnded(count):
@@ -107,23 +108,23 @@
             case ServerFailed():
                 return self._handle_server_failed(event)
             case DeadlinePassed(sent):
-                return self._handle_deadline(sent)
+                return self._handle_deadline_passed(sent)
             case CallerDisconnected(sent):
                 return self._handle_caller_disconnected(sent)
             case StreamFenced():
-                return self._handle_fenced()
+                return self._handle_stream_fenced()
 
     @property
     def deadline_applies(self) -> bool:
-        """Whether the deadline still matters: it covers a stream's start, not its length."""
+        """Whether the deadline still applies; of a stream it covers only the start."""
         return not self.is_stream_open and self.phase not in (Phase.DONE, Phase.LATE)
 
-    # before a server
+    # before dispatch
 
     def _handle_started(self, refusal: Refusal | None) -> list[Effect]:
-        # Only the claim proves that no earlier attempt ran, so it comes before a refusal.
-        claims_first = refusal is None or self.request.caller_named_it
-        if self.route.at_most_once and claims_first:
+        # Only the claim proves that no earlier attempt ran, so the refusal waits for it.
+        must_claim_first = refusal is None or self.request.caller_named_it
+        if self.route.at_most_once and must_claim_first:
             self.pending_refusal = refusal
             self.phase = Phase.CLAIMING
             return [Claim()]
@@ -132,76 +133,81 @@
         if self.request.resume_after is not None:
             self.phase = Phase.LOOKING_UP
             return [LookUpStream(self.request.resume_after)]
-        return self._choose()
+        return self._choose_server()
 
     def _handle_claim(self, event: ClaimDecided) -> list[Effect]:
         match event.decision:
             case ClaimGranted():
-                return self._handle_granted()
+                return self._handle_claim_granted()
             case ClaimRefused() as refused:
                 return self._handle_claim_refused(refused)
             case RecordedOutcome() as recorded:
-                return self._replay(recorded)
+                return self._replay_outcome(recorded)
             case OutcomePending():
-                return self._pending()
+                return self._handle_outcome_pending()
 
-    def _handle_granted(self) -> list[Effect]:
+    def _handle_claim_granted(self) -> list[Effect]:
         self.is_claimed = True
         if self.is_caller_disconnected:
-            return self._leave_unrun()
+            return self._finish_after_disconnect()
         if self.is_expired:
             return self._give_up(self._deadline_refusal())
         if self.pending_refusal is not None:
             return self._give_up(self.pending_refusal)
         if self.request.resume_after:
-            # The caller saw events of a run that no claim voter knows any more.
-            reason = "the stream is not known any more"
-            return [*self._record_unknown(reason), *self._interrupt(False, reason)]
-        return self._choose()
+            # The caller received events of a run that the claim voters no longer have a record of.
+            reason = "the stream is no longer known"
+            return [*self._record_unknown_outcome(reason), *self._interrupt(False, reason)]
+        return self._choose_server()
 
-    def _handle_renewed(self, renewed: bool) -> list[Effect]:
-        effects = self._free_unused()
+    def _handle_claim_renewed(self, renewed: bool) -> list[Effect]:
+        effects = self._free_reserved_server()
         if renewed and not self.is_caller_disconnected and not self.is_expired:
-            # Time has passed: the server chosen before may be drained by now.
-            return effects + self._choose()
+            # The renewal took time, in which the server chosen before may have been drained.
+            return effects + self._choose_server()
         if self.is_caller_disconnected:
-            return effects + self._leave_unrun()
+            return effects + self._finish_after_disconnect()
         if self.is_expired and renewed:
             return effects + self._refuse(self._deadline_refusal())
-        # A resend may hold the claim by now, so this attempt cannot speak for the request.
+        # A resend may hold the claim by now, so this attempt cannot decide the outcome.
         response = responses.unknown(
             self.request.request_id, "the claim could not be renewed", PENDING_RETRY_AFTER_S
         )
-        return [*effects, *self._release(), response, *self._finish(Outcome.UNKNOWN, "not renewed")]
+        return [
+            *effects,
+            *self._release_claim(),
+            response,
+            *self._finish(Outcome.UNKNOWN, "not renewed"),
+        ]
 
     def _handle_claim_refused(self, refused: ClaimRefused) -> list[Effect]:
         if refused.reason is ClaimRefusal.OTHER_REQUEST:
             problem = "this X-Request-Id was used for another request"
-            remedy = "mint a new identifier for each request"
+            remedy = "use a new identifier for each request"
             return self._refuse(Refusal(RefusalReason.INVALID, problem, remedy))
-        problem = "no majority of the claim holders answered"
+        problem = "no majority of the claim voters responded"
         if refused.never_ran or not self.request.caller_named_it:
             refusal = Refusal(
                 RefusalReason.CLAIM_UNAVAILABLE, problem, retry_after_s=refused.retry_after_s
             )
             return self._give_up(refusal)
-        return self._unknown(problem, refused.retry_after_s)
+        return self._finish_unknown(problem, refused.retry_after_s)
 
-    def _pending(self) -> list[Effect]:
-        problem = "an earlier attempt is still under way"
+    def _handle_outcome_pending(self) -> list[Effect]:
+        problem = "an earlier attempt is still running"
         if self.request.resume_after is not None:
             return self._interrupt(resumable=True, reason=problem)
-        return self._unknown(problem, PENDING_RETRY_AFTER_S)
+        return self._finish_unknown(problem, PENDING_RETRY_AFTER_S)
 
-    def _replay(self, recorded: RecordedOutcome) -> list[Effect]:
+    def _replay_outcome(self, recorded: RecordedOutcome) -> list[Effect]:
         after = self.request.resume_after
         if after is None:
             response = SendResponse(recorded.status, recorded.headers, recorded.body)
             return [response, *self._finish(recorded.outcome, "recorded")]
         if recorded.outcome is not Outcome.ANSWERED:
-            return self._interrupt(resumable=False, reason="its outcome is not known")
-        chunks = responses.chunks_of(recorded.body)
-        effects = self._open()
+            return self._interrupt(resumable=False, reason="the outcome is not known")
+        chunks = responses.decode_stream(recorded.body)
+        effects = self._ensure_stream_open()
         if len(chunks) > after:
             effects.append(RelayChunks(after + 1, chunks[after:], journal=False))
         return [*effects, EndStream(len(chunks)), *self._finish(Outcome.ANSWERED, "recorded")]
@@ -209,7 +215,7 @@
     def _handle_stream_found(self, state: JournalState | None) -> list[Effect]:
         after = self.request.resume_after or 0
         if self.is_caller_disconnected:
-            return self._finish(Outcome.INTERRUPTED, "the caller is gone")
+            return self._finish(Outcome.INTERRUPTED, "the caller disconnected")
         if state is not None and state.digest != self.request.digest:
             problem = "this X-Request-Id was used for another request"
             remedy = "resume with the body and path that the stream was started with"
@@ -217,8 +223,8 @@
         if state is None or len(state.chunks) < after:
             if after == 0:
                 self.epoch = NEWEST_STREAM_EPOCH
-                return self._choose()
-            return self._interrupt(resumable=False, reason="the stream is not known any more")
+                return self._choose_server()
+            return self._interrupt(resumable=False, reason="the stream is no longer known")
         self.chunks = list(state.chunks)
         self.epoch = state.epoch
         effects: list[Effect] = [OpenStream()]
@@ -228,9 +234,9 @@
         if state.complete:
             effects.append(EndStream(len(self.chunks)))
             return effects + self._finish(Outcome.ANSWERED, "resumed")
-        return effects + self._choose()
+        return effects + self._choose_server()
 
-    def _choose(self, retry: bool = False) -> list[Effect]:
+    def _choose_server(self, retry: bool = False) -> list[Effect]:
         self.phase = Phase.CHOOSING
         self.server = None
         return [ChooseServer(self.excluded, retry)]
@@ -244,11 +250,13 @@
         self.attempts += 1
         return [Dispatch(server, tuple(self.chunks), self.attempts)]
 
-    # at a server
+    # during an exchange
 
-    def _handle_answered(self, event: ResponseReceived) -> list[Effect]:
+    def _handle_response(self, event: ResponseReceived) -> list[Effect]:
         if self.is_stream_open:
-            return self._handle_server_failed(ServerFailed("not a stream", sent=True))
+            return self._handle_server_failed(
+                ServerFailed("the response is not a stream", sent=True)
+            )
         effects: list[Effect] = [FreeServer(ExchangeEnd.ANSWERED, event.units)]
         response = responses.answered(self.request.request_id, event.body)
         if self.route.at_most_once:
@@ -262,15 +270,15 @@
     def _handle_chunks(self, event: ChunksReceived) -> list[Effect]:
         expected = len(self.chunks) + 1
         if event.first_index != expected:
-            reason = f"event {event.first_index} came where {expected} was due"
+            reason = f"event {event.first_index} received where {expected} was expected"
             return [CancelExchange(), *self._handle_server_failed(ServerFailed(reason, sent=True))]
         self.chunks += event.chunks
         if self.phase is Phase.LATE:
             return []
-        # An at-most-once stream never goes on elsewhere; what is recorded is the outcome.
+        # An at-most-once stream never continues at another server; its outcome is recorded instead.
         journal = not self.route.at_most_once
         relay = RelayChunks(event.first_index, event.chunks, journal)
-        return [*self._open(), relay]
+        return [*self._ensure_stream_open(), relay]
 
     def _handle_stream_ended(self, count: int) -> list[Effect]:
         if count != len(self.chunks):
@@ -281,57 +289,61 @@
         if self.route.at_most_once:
             effects.append(RecordStream(count))
         if not late:
-            effects += [*self._open(), EndStream(count)]
+            effects += [*self._ensure_stream_open(), EndStream(count)]
         return effects + self._finish(Outcome.ANSWERED)
 
     def _handle_server_refused(self, event: ServerRefused) -> list[Effect]:
         free = FreeServer(event.end, missing=event.missing)
         if self.phase is Phase.LATE:
             return [free, ReleaseClaim(), *self._finish(Outcome.REFUSED, event.error)]
-        self._exclude()
-        reason = REASON_BY_END.get(event.end, RefusalReason.SERVER_REFUSED)
+        self._exclude_server()
+        reason = REFUSAL_REASON_BY_END.get(event.end, RefusalReason.SERVER_REFUSED)
         refusal = Refusal(reason, f"the server refused: {event.error}")
         if event.final:
             refusal = Refusal(RefusalReason.INVALID, refusal.problem, "change the request")
             return [free, *self._give_up(refusal)]
         if self._attempts_used_up():
             return [free, *self._give_up(refusal)]
-        # A stream that has begun is worth more than the budget: it must not be lost.
-        counts = event.end is not ExchangeEnd.NOT_RESIDENT and not self.is_stream_open
-        return [free, *self._choose(retry=counts)]
+        # A stream that has begun may exceed the retry budget, because giving up would break it.
+        uses_retry_budget = event.end is not ExchangeEnd.NOT_RESIDENT and not self.is_stream_open
+        return [free, *self._choose_server(retry=uses_retry_budget)]
 
     def _handle_server_failed(self, event: ServerFailed) -> list[Effect]:
         free = FreeServer(ExchangeEnd.FAILED)
-        self._exclude()
+        self._exclude_server()
         if not event.sent:
-            return [FreeServer(ExchangeEnd.NOT_CONNECTED), *self._after_unsent(event)]
+            return [FreeServer(ExchangeEnd.NOT_CONNECTED), *self._handle_unsent_failure(event)]
         self.may_have_run = True
         if self.phase is Phase.LATE:
-            return [free, *self._record_unknown(event.reason), *self._finish(Outcome.UNKNOWN)]
+            return [
+                free,
+                *self._record_unknown_outcome(event.reason),
+                *self._finish(Outcome.UNKNOWN),
+            ]
         if self.route.at_most_once:
-            return [free, *self._unknown(event.reason)]
+            return [free, *self._finish_unknown(event.reason)]
         if self.chunks:
-            return [free, *self._continue(event.reason)]
+            return [free, *self._continue_stream(event.reason)]
         if self._attempts_used_up():
-            return [free, *self._unknown(event.reason)]
-        return [free, *self._choose(retry=True)]
+            return [free, *self._finish_unknown(event.reason)]
+        return [free, *self._choose_server(retry=True)]
 
-    def _after_unsent(self, event: ServerFailed) -> list[Effect]:
+    def _handle_unsent_failure(self, event: ServerFailed) -> list[Effect]:
         if self.phase is Phase.LATE:
             return [ReleaseClaim(), *self._finish(Outcome.REFUSED, event.reason)]
         if self._attempts_used_up():
             return self._give_up(Refusal(RefusalReason.NO_SERVER, event.reason))
-        return self._choose(retry=not self.is_stream_open)
+        return self._choose_server(retry=not self.is_stream_open)
 
-    def _continue(self, reason: str) -> list[Effect]:
+    def _continue_stream(self, reason: str) -> list[Effect]:
         self.continuations += 1
         if self.continuations > MAX_CONTINUATIONS:
             return self._interrupt(resumable=True, reason=reason)
-        return self._choose()
+        return self._choose_server()
 
-    # the caller's side
+    # deadline, disconnect and fencing
 
-    def _handle_deadline(self, sent: bool) -> list[Effect]:
+    def _handle_deadline_passed(self, sent: bool) -> list[Effect]:
         if not self.deadline_applies:
             return []
         match self.phase:
@@ -347,11 +359,11 @@
         if not sent:
             free = FreeServer(ExchangeEnd.NOT_CONNECTED)
             return [CancelExchange(), free, *self._give_up(self._deadline_refusal())]
-        problem = "no answer before the deadline"
+        problem = "no response before the deadline"
         if not self.route.at_most_once:
             free = FreeServer(ExchangeEnd.TIMED_OUT)
             self.may_have_run = True
-            return [CancelExchange(), free, *self._unknown(problem)]
+            return [CancelExchange(), free, *self._finish_unknown(problem)]
         self.may_have_run = True
         self.phase = Phase.LATE
         return [responses.unknown(self.request.request_id, problem, PENDING_RETRY_AFTER_S)]
@@ -362,32 +374,32 @@
             case Phase.CLAIMING | Phase.LOOKING_UP | Phase.NEW | Phase.LATE:
                 return []
             case Phase.CHOOSING:
-                return [CancelChoice(), *self._leave_unrun()]
+                return [CancelChoice(), *self._finish_after_disconnect()]
             case _:
                 return self._abandon_exchange(sent)
 
     def _abandon_exchange(self, sent: bool) -> list[Effect]:
         if sent and self.route.at_most_once:
-            # A resend must find the outcome: the exchange goes on without its caller.
+            # The exchange continues without the caller, so that a resend finds the outcome.
             self.phase = Phase.LATE
             return []
         effects: list[Effect] = [CancelExchange(), FreeServer(ExchangeEnd.ABANDONED)]
         if not sent:
-            return effects + self._leave_unrun()
+            return effects + self._finish_after_disconnect()
         self.may_have_run = True
         effects += self._mark_may_have_run()
         outcome = Outcome.INTERRUPTED if self.is_stream_open else Outcome.UNKNOWN
-        return effects + self._finish(outcome, "the caller is gone")
+        return effects + self._finish(outcome, "the caller disconnected")
 
-    def _leave_unrun(self) -> list[Effect]:
+    def _finish_after_disconnect(self) -> list[Effect]:
         outcome = Outcome.UNKNOWN if self.may_have_run else Outcome.REFUSED
         if self.is_stream_open:
             outcome = Outcome.INTERRUPTED
-        reason = "the caller is gone"
-        claim = [*self._release(), *self._record_unknown(reason)]
+        reason = "the caller disconnected"
+        claim = [*self._release_claim(), *self._record_unknown_outcome(reason)]
         return [*claim, *self._mark_may_have_run(), *self._finish(outcome, reason)]
 
-    def _handle_fenced(self) -> list[Effect]:
+    def _handle_stream_fenced(self) -> list[Effect]:
         effects: list[Effect] = []
         if self.phase is Phase.CHOOSING:
             effects.append(CancelChoice())
@@ -396,7 +408,7 @@
         return effects + self._interrupt(resumable=True, reason="resumed at another node")
 
     def _handle_when_done(self, event: Input) -> list[Effect]:
-        """A server that was chosen while the request ended gives its slot back."""
+        """Free the slot of a server chosen while the request ended; ignore other inputs."""
         if isinstance(event, ServerChosen):
             return [FreeServer(ExchangeEnd.ABANDONED)]
         return []
--- a/src/zincvale/dataplane/inference/request_state.py
+++ b/src/zincvale/dataplane/inference/request_state.py
@@ -1,4 +1,4 @@
-"""What is known of one request, and the ways in which it can end."""
+"""State of one request, and the effects of each way in which it can end."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 from zincvale.model.resources import RouteSpec, Stake
 
 PROOF_TIMEOUT_S = 0.5
-"""How long a refusal may wait for the proof that no earlier attempt ran."""
+"""How long a refusal waits for the claim voters to prove that no earlier attempt ran."""
 MAX_ATTEMPTS = 8
-"""Servers that one request tries; more would let few bad requests load all servers."""
+"""Dispatches of one request; with more, a few requests that always fail would load all servers."""
 MAX_ATTEMPTS_HIGH_PRIORITY = 24
-"""The same for routes of high stake and for streams that have begun."""
+"""Dispatches of one request on a high-stake route, or of one whose stream has begun."""
 
 
 class Phase(enum.Enum):
-    """What the request waits for.
+    """What the request currently waits for.
 
     Legal transitions: NEW to CLAIMING (at most once), LOOKING_UP (resumed) and CHOOSING; CLAIMING
     and LOOKING_UP to CHOOSING; CHOOSING to EXCHANGING; EXCHANGING to CHOOSING (another server),
@@ -50,16 +50,16 @@
     CHOOSING = "choosing"
     EXCHANGING = "exchanging"
     LATE = "late"
-    """The caller has its `unknown` (or left); a late response is still recorded for resends."""
+    """The caller got `unknown` or disconnected; a late response is still recorded for resends."""
     DONE = "done"
 
 
 @attrs.define
 class RequestState:
-    """State of a request and the effects of its possible ends; `RequestMachine` decides.
+    """State of a request and the effects of its possible ends; `RequestMachine` handles the inputs.
 
-    A request is `refused` only while nothing of it can have run; afterwards giving up means
-    `unknown`, or `interrupted` once a stream has begun.
+    A request ends as `refused` only while nothing of it can have run; after that it ends as
+    `unknown`, or as `interrupted` once a stream has begun.
     """
 
     request: CallerRequest
@@ -67,7 +67,7 @@
     phase: Phase = Phase.NEW
     is_claimed: bool = False
     may_have_run: bool = False
-    """An attempt left whose fate is not known; a resumed stream ran before it came here."""
+    """A sent attempt has no known result, or the request resumes a stream that already ran."""
     attempts: int = 0
     continuations: int = 0
     chunks: list[str] = attrs.field(factory=list)
@@ -78,29 +78,29 @@
     excluded: frozenset[str] = frozenset()
     pending_refusal: Refusal | None = None
     has_requested_proof: bool = False
-    """The claim voters had to say whether a request that is to be refused is fresh."""
+    """The claim voters were asked to prove, before a refusal, that no earlier attempt ran."""
     epoch: int = FIRST_STREAM_EPOCH
 
     def __attrs_post_init__(self) -> None:
         self.may_have_run = bool(self.request.resume_after)
 
     def _give_up(self, refusal: Refusal) -> list[Effect]:
-        """End without a server: a refusal, unless something may have run."""
+        """End a request that gets no server: refused, unless an attempt of it may have run."""
         if self.is_stream_open:
             return self._interrupt(resumable=True, reason=refusal.problem)
         if self.may_have_run:
-            return self._unknown(refusal.problem, refusal.retry_after_s)
+            return self._finish_unknown(refusal.problem, refusal.retry_after_s)
         return self._refuse(refusal)
 
     def _refuse(self, refusal: Refusal) -> list[Effect]:
         if self._needs_proof(refusal):
-            # An earlier attempt of the caller may have run through another node.
+            # An earlier attempt of the same request may have run through another node.
             self.pending_refusal = refusal
             self.phase = Phase.CLAIMING
             return [Claim(PROOF_TIMEOUT_S)]
         response = responses.refused(self.request.request_id, refusal)
         finish = self._finish(Outcome.REFUSED, refusal.reason.value)
-        return [*self._release(), response, *finish]
+        return [*self._release_claim(), response, *finish]
 
     def _needs_proof(self, refusal: Refusal) -> bool:
         if self.is_claimed or self.has_requested_proof or not self.request.caller_named_it:
@@ -111,31 +111,31 @@
         return not self.route.at_most_once
 
     def _mark_may_have_run(self) -> list[Effect]:
-        """Let no resend that finds no server be refused as if the request had never run."""
+        """Tell the claim voters that the request may have run, so that no resend is refused."""
         if self.route.at_most_once or not self.request.caller_named_it:
             return []
         if not self.may_have_run or self.chunks or self.request.resume_after:
-            # Either it did not, or the caller proves that it did by its Last-Event-ID.
+            # Either it did not run, or a resend proves by its Last-Event-ID that it did.
             return []
         return [MarkMayHaveRun()]
 
-    def _release(self) -> list[Effect]:
+    def _release_claim(self) -> list[Effect]:
         if not self.is_claimed or self.may_have_run:
             return []
         return [ReleaseClaim()]
 
-    def _unknown(self, problem: str, retry_after_s: float = 0.0) -> list[Effect]:
+    def _finish_unknown(self, problem: str, retry_after_s: float = 0.0) -> list[Effect]:
         if self.is_stream_open:
             return [
-                *self._record_unknown(problem),
+                *self._record_unknown_outcome(problem),
                 *self._interrupt(not self.route.at_most_once, problem),
             ]
         response = responses.unknown(self.request.request_id, problem, retry_after_s)
         mark = self._mark_may_have_run()
         finish = self._finish(Outcome.UNKNOWN, problem)
-        return [*self._record_unknown(problem), response, *mark, *finish]
+        return [*self._record_unknown_outcome(problem), response, *mark, *finish]
 
-    def _record_unknown(self, problem: str) -> list[Effect]:
+    def _record_unknown_outcome(self, problem: str) -> list[Effect]:
         if not self.is_claimed or not self.may_have_run:
             return []
         response = responses.unknown(self.request.request_id, problem)
@@ -143,26 +143,26 @@
 
     def _interrupt(self, resumable: bool, reason: str) -> list[Effect]:
         mark = self._mark_may_have_run()
-        effects = [*self._open(), BreakStream(resumable, reason), *mark]
+        effects = [*self._ensure_stream_open(), BreakStream(resumable, reason), *mark]
         return effects + self._finish(Outcome.INTERRUPTED, reason)
 
     def _finish(self, outcome: Outcome, reason: str = "") -> list[Effect]:
         self.phase = Phase.DONE
         return [Finish(outcome, reason)]
 
-    def _open(self) -> list[Effect]:
+    def _ensure_stream_open(self) -> list[Effect]:
         if self.is_stream_open:
             return []
         self.is_stream_open = True
         return [OpenStream()]
 
-    def _free_unused(self) -> list[Effect]:
+    def _free_reserved_server(self) -> list[Effect]:
         if self.server is None:
             return []
         self.server = None
         return [FreeServer(ExchangeEnd.ABANDONED)]
 
-    def _exclude(self) -> None:
+    def _exclude_server(self) -> None:
         if self.server is not None:
             self.excluded = self.excluded | {self.server}
 
@@ -171,4 +171,4 @@
         return self.attempts >= (MAX_ATTEMPTS_HIGH_PRIORITY if has_priority else MAX_ATTEMPTS)
 
     def _deadline_refusal(self) -> Refusal:
-        return Refusal(RefusalReason.DEADLINE, "the deadline passed before a server was free")
+        return Refusal(RefusalReason.DEADLINE, "the deadline passed before a server was available")
--- a/src/zincvale/dataplane/inference/request_trace.py
+++ b/src/zincvale/dataplane/inference/request_trace.py
@@ -1,4 +1,4 @@
-"""What traces tell of a request: its spans, events and attributes."""
+"""The trace of a request: its spans, events and attributes."""
 
 from __future__ import annotations
 
@@ -33,13 +33,14 @@
     RecordedOutcome: "RecordedOutcome",
     OutcomePending: "OutcomePending",
 }
-"""How traces name a claim's decision; stored traces and `tracing.api.explain` hold these texts."""
+"""Texts for claim decisions in traces; stored traces and `tracing.api.explain` contain them."""
 FAILED_ENDS = frozenset({ExchangeEnd.NOT_CONNECTED, ExchangeEnd.FAILED, ExchangeEnd.TIMED_OUT})
+"""Ends of an exchange that mark its span as an ERROR."""
 
 
 @attrs.define(eq=False)
 class RequestTrace:
-    """The root span of a request and the span of its present dispatch."""
+    """The root span of a request and the span of its current dispatch."""
 
     spans: Spans
     root: Span
@@ -49,7 +50,7 @@
     _waited_ms: float = 0.0
 
     def record_policies(self, reasons: tuple[PolicyReason, ...]) -> None:
-        """Record each policy's reason: the answer to "why here?"."""
+        """Record each policy's reason, which explains the choice of the server."""
         for policy_reason in reasons:
             self.root.event(
                 "policy",
@@ -60,18 +61,18 @@
             )
 
     def record_wait(self, reason: str) -> None:
-        """Record that the request waits for a server."""
+        """Record that the request is queued, and why."""
         self.root.event("hold", reason=reason)
 
     def record_wait_end(self, waited_s: float) -> None:
-        """Record that a server was found."""
+        """Record how long the request was queued until a server was found."""
         if waited_s <= 0.0:
             return
         self._waited_ms += waited_s * MS_PER_S
         self.root.event("release", waited_ms=waited_s * MS_PER_S)
 
     def start_dispatch(self, row: ServerRow, attempt: int, prefix: int) -> None:
-        """Open the span of one attempt."""
+        """Start the span of one attempt."""
         self._attempts = attempt
         attributes: dict[str, str | int | float | bool] = {
             "server": row.server,
@@ -85,28 +86,30 @@
         self.root.set("server", row.server)
 
     def record_input(self, event: Input) -> None:
-        """Record the inputs that explain what became of the request."""
+        """Record the inputs that explain the outcome of the request."""
         match event:
             case ClaimDecided(decision):
                 self.root.event("claim", decision=CLAIM_DECISION_TEXTS[type(decision)])
             case ServerRefused(_, error):
-                self._failed_attempt(f"refused: {error}", error=False)
+                self._record_failed_attempt(f"refused: {error}", error=False)
             case ServerFailed(reason, sent):
-                self._failed_attempt(f"{reason} ({'sent' if sent else 'not sent'})", error=True)
+                self._record_failed_attempt(
+                    f"{reason} ({'sent' if sent else 'not sent'})", error=True
+                )
             case StreamFound(state):
-                pieces = -1 if state is None else len(state.chunks)
-                self.root.event("journal", pieces=pieces)
+                chunk_count = -1 if state is None else len(state.chunks)
+                self.root.event("journal", pieces=chunk_count)
             case StreamEnded(count):
                 self.root.event("last-event", number=count)
 
     def record_chunks(self, first_index: int, count: int) -> None:
-        """Record the first streamed event."""
+        """Record the first event of a stream, and count those that follow."""
         if self._last_chunk == 0:
             self.root.event("first-event", number=first_index)
         self._last_chunk = first_index + count - 1
 
     def end_dispatch(self, end: ExchangeEnd, units: int) -> None:
-        """Close the span of the present attempt."""
+        """End the span of the current attempt."""
         span, self._dispatch = self._dispatch, None
         if span is None:
             return
@@ -118,11 +121,11 @@
         span.end()
 
     def add_trace_header(self, headers: dict[str, str]) -> None:
-        """Put the trace identifier on a response."""
+        """Add the trace identifier to the headers of a response."""
         headers[TRACE_ID_HEADER] = self.root.context.trace_id
 
     def finish(self, outcome: Outcome, reason: str) -> None:
-        """Close the root span."""
+        """Set the outcome on the root span and end it."""
         root = self.root
         root.set("outcome", outcome.value)
         if reason:
@@ -137,7 +140,7 @@
             root.error(reason)
         root.end()
 
-    def _failed_attempt(self, cause: str, error: bool) -> None:
+    def _record_failed_attempt(self, cause: str, error: bool) -> None:
         self.root.event("retry", cause=cause)
         if error and self._dispatch is not None:
             self._dispatch.error(cause)
--- a/src/zincvale/dataplane/inference/requests.py
+++ b/src/zincvale/dataplane/inference/requests.py
@@ -1,4 +1,4 @@
-"""Reading of callers' requests: what is requested, by whom, until when."""
+"""Parsing of callers' requests: identifier, deadline, resume position and body."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 from zincvale.model.resources import PoolKind, RouteSpec
 
 MAX_REQUEST_ID_LENGTH = 128
-"""Characters; identifiers are kept with every claim, whose table is bounded by rows."""
+"""Limit in characters: every claim stores its identifier, and the table of claims is bounded by
+rows, not by bytes."""
 MAX_TOKENS_LIMIT = 1_000_000
 DEFAULT_MAX_TOKENS = 256
 CHARACTERS_PER_TOKEN = 4
-"""Rough size of a token; only used to weigh work, never to bound it."""
+"""Approximate length of a token, used to estimate work and never to limit it."""
 
 
 @attrs.frozen
 class InferenceRequest:
-    """What a request wants of a back end.
+    """The content of a request that a back end processes.
 
-    `model`, `adapter`, `prompt` and `max_tokens` belong to language models, `key` to lookups.
+    `model`, `adapter`, `prompt` and `max_tokens` are set for language models, `key` for lookups.
     """
 
     model: ModelName = ModelName("")
@@ -45,27 +46,27 @@
 
 @attrs.frozen
 class CallerRequest:
-    """One request as it came in at this node."""
+    """One request as this node received it."""
 
     request_id: RequestId
     caller_named_it: bool
-    """The caller chose the identifier, so that other attempts may exist elsewhere."""
+    """The caller chose the identifier, so earlier attempts may exist at other nodes."""
     route: RouteName
     digest: str
     inference_request: InferenceRequest
     received_at: float
     deadline_at: float
     resume_after: int | None = None
-    """Event number after which a stream is resumed; None when it starts."""
+    """Event number after which a stream is resumed; None for a new request."""
 
     @property
     def question(self) -> InferenceRequest:
-        """The inference request by the name that routing policies of third parties read."""
+        """The inference request, under the name that third-party routing policies read."""
         return self.inference_request
 
 
-def mint_request_id(random: Random) -> RequestId:
-    """Return a fresh identifier for a request whose caller gave none."""
+def generate_request_id(random: Random) -> RequestId:
+    """Return a new random identifier for a request whose caller gave none."""
     return RequestId(f"zv-{random.getrandbits(96):024x}")
 
 
@@ -83,13 +84,14 @@
 
 
 def read_deadline_s(headers: Mapping[str, str], route: RouteSpec) -> float:
-    """Return the seconds left, the caller's own or the route's; raises `InvalidInputError`."""
+    """Return the caller's deadline in seconds, at most the route's; raises `InvalidInputError`."""
     text = headers.get(DEADLINE_HEADER)
     if not text:
         return route.deadline_ms / 1000
     if not text.isascii() or not text.isdigit():
         raise InvalidInputError(
-            f"{DEADLINE_HEADER} is {text!r}, not milliseconds", "send a whole number such as 2500"
+            f"{DEADLINE_HEADER} is {text!r}, not a number of milliseconds",
+            "send a whole number such as 2500",
         )
     return min(int(text), route.deadline_ms) / 1000
 
@@ -102,7 +104,7 @@
     if not text.isascii() or not text.isdigit():
         raise InvalidInputError(
             f"{LAST_EVENT_ID_HEADER} is {text!r}, not an event number",
-            "send the id of the last event you got",
+            "send the id of the last event received",
         )
     return int(text)
 
@@ -116,21 +118,21 @@
     if not isinstance(data, dict):
         raise MalformedBodyError("the body is not a JSON object", "send a JSON object")
     if kind is PoolKind.LOOKUP:
-        return InferenceRequest(key=_text(data, "key"))
+        return InferenceRequest(key=_read_string(data, "key"))
     return _read_generation(data, route)
 
 
 def request_digest(route: RouteName, body: bytes) -> str:
-    """Return the digest by which two requests with one identifier are told apart."""
+    """Return the digest that distinguishes different requests with the same identifier."""
     return xxhash.xxh3_128_hexdigest(route.encode() + b"\0" + body)
 
 
 def _read_generation(data: dict[str, Any], route: RouteSpec) -> InferenceRequest:
-    model = _model(data, route)
+    model = _read_model(data, route)
     adapter = data.get("adapter")
     if adapter is not None and not isinstance(adapter, str):
         raise InvalidInputError(
-            "field 'adapter' is not a string", "name an adapter or leave it out"
+            "field 'adapter' is not a string", "send the name of an adapter or omit the field"
         )
     stream = data.get("stream", route.stream)
     if not isinstance(stream, bool):
@@ -138,25 +140,25 @@
     return InferenceRequest(
         model=ModelName(model),
         adapter=AdapterName(adapter) if adapter else None,
-        prompt=_text(data, "prompt"),
-        max_tokens=_max_tokens(data),
+        prompt=_read_string(data, "prompt"),
+        max_tokens=_read_max_tokens(data),
         stream=stream,
     )
 
 
-def _model(data: dict[str, Any], route: RouteSpec) -> str:
+def _read_model(data: dict[str, Any], route: RouteSpec) -> str:
     if "model" not in data and len(route.models) == 1:
         return route.models[0]
-    model = _text(data, "model")
+    model = _read_string(data, "model")
     if route.models and model not in route.models:
         raise InvalidInputError(
             f"model {model!r} is not served on {route.path}",
-            f"ask for one of {', '.join(route.models)}",
+            f"request one of {', '.join(route.models)}",
         )
     return model
 
 
-def _max_tokens(data: dict[str, Any]) -> int:
+def _read_max_tokens(data: dict[str, Any]) -> int:
     value = data.get("max_tokens", DEFAULT_MAX_TOKENS)
     if isinstance(value, bool) or not isinstance(value, int):
         raise InvalidInputError("field 'max_tokens' is not a whole number", "correct the value")
@@ -167,7 +169,7 @@
     return value
 
 
-def _text(data: dict[str, Any], name: str) -> str:
+def _read_string(data: dict[str, Any], name: str) -> str:
     value = data.get(name)
     if value is None:
         raise InvalidInputError(f"field {name!r} is missing", "add the field")
--- a/src/zincvale/dataplane/inference/responses.py
+++ b/src/zincvale/dataplane/inference/responses.py
@@ -1,4 +1,4 @@
-"""Responses to callers: how each outcome looks over HTTP."""
+"""HTTP responses to callers for each outcome, and the events of streams."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 def answered(request_id: RequestId, body: bytes) -> SendResponse:
-    """Return the response that carries a server's answer."""
+    """Return the response that contains a server's response body."""
     return SendResponse(200, _headers(Outcome.ANSWERED, request_id), body)
 
 
 def refused(request_id: RequestId, refusal: Refusal) -> SendResponse:
-    """Return the response of a refusal, which never ran and never will."""
+    """Return the response to a refused request, which did not run and will not run."""
     status = HTTP_STATUS_BY_REASON[refusal.reason]
     headers = _headers(Outcome.REFUSED, request_id)
     if status == SERVICE_UNAVAILABLE:
@@ -49,14 +49,14 @@
 
 
 def malformed(request_id: RequestId, error: ZincvaleError) -> SendResponse:
-    """Return the response to a request that cannot be read; it never ran."""
+    """Return the response to a request that cannot be parsed, and so did not run."""
     refusal = Refusal(RefusalReason.INVALID, error.problem, error.remedy)
     response = refused(request_id, refusal)
     return SendResponse(error.http_status, response.headers, response.body)
 
 
 def unknown(request_id: RequestId, problem: str, retry_after_s: float = 0.0) -> SendResponse:
-    """Return the response of a request that may have run."""
+    """Return the response to a request that may have run."""
     headers = _headers(Outcome.UNKNOWN, request_id)
     if retry_after_s > 0:
         headers[RETRY_AFTER_HEADER] = str(max(1, math.ceil(retry_after_s)))
@@ -72,29 +72,29 @@
 
 
 def event(number: int, text: str) -> bytes:
-    """Return one chunk as an event."""
+    """Return one chunk encoded as a server-sent event."""
     return b"id: %d\ndata: %b\n\n" % (number, orjson.dumps({"text": text}))
 
 
 def end_event(count: int) -> bytes:
-    """Return the event that closes a complete stream."""
+    """Return the event that ends a complete stream of `count` chunks."""
     return b'event: end\ndata: {"count": %d}\n\n' % count
 
 
 def error_event(resumable: bool, reason: str) -> bytes:
-    """Return the event that marks a broken stream; the connection is cut after it."""
+    """Return the last event of a broken stream, after which the connection is cut."""
     data = {"outcome": Outcome.INTERRUPTED.value, "resumable": resumable, "reason": reason}
     return b"event: error\ndata: %b\n\n" % orjson.dumps(data)
 
 
 def whole_stream(chunks: list[str]) -> bytes:
-    """Return a finished stream as one body, for the recorded outcomes."""
+    """Return a complete stream as one body, for recorded outcomes."""
     events = [event(number, text) for number, text in enumerate(chunks, start=1)]
     return b"".join([*events, end_event(len(chunks))])
 
 
-def chunks_of(body: bytes) -> list[str]:
-    """Return the chunks of a body that `whole_stream` made."""
+def decode_stream(body: bytes) -> list[str]:
+    """Return the chunks of a body that `whole_stream` returned."""
     events = EventReader().feed(body)
     return [orjson.loads(read.data)["text"] for read in events if read.number is not None]
 
--- a/src/zincvale/dataplane/inference/routing_state.py
+++ b/src/zincvale/dataplane/inference/routing_state.py
@@ -1,5 +1,5 @@
-"""Tables that the request path reads: the intent, the directory, the members, and what this node
-itself sees of each server.
+"""Tables that the request path reads: the intent, the directory, the members, and this node's own
+measurements of each server.
 """
 
 from __future__ import annotations
@@ -24,41 +24,46 @@
 from zincvale.model.identifiers import MemberId, PoolName, RouteName, ServerId, ZoneName
 from zincvale.model.resources import PoolSpec, RouteSpec
 
-NOT_RESIDENT_MEMORY_S = 2.0
-"""How long a server's own "not resident" outweighs a directory that still says otherwise."""
+NOT_RESIDENT_TTL_S = 2.0
+"""How long a server's refusal as "not resident" overrides a directory that lists the model."""
 LATENCY_WEIGHT = 0.1
-"""Weight of a new latency in the moving average."""
+"""Weight of the newest sample in the moving average of the latency."""
 COLD_PAUSE_S = 1.0
-"""Nothing is sent to a server for so long after it said that it is cold."""
-FIRST_RECONNECT_PAUSE_S = 0.1
-LONGEST_RECONNECT_PAUSE_S = 1.0
-LEAST_BACK_OFF_S = 0.05
-LONGEST_BACK_OFF_S = 0.5
-FIRST_LIMIT_OVER_SHARE = 1.5
-LEAST_FIRST_LIMIT = 2.0
+"""How long nothing is sent to a server after it refused a request because it is cold."""
+INITIAL_RECONNECT_PAUSE_S = 0.1
+MAX_RECONNECT_PAUSE_S = 1.0
+"""Bounds of the pause after a failed connection; it doubles with each failure in a row."""
+MIN_BACK_OFF_S = 0.05
+MAX_BACK_OFF_S = 0.5
+"""Bounds of the pause after a refusal for overload."""
+INITIAL_LIMIT_SHARE_FACTOR = 1.5
+MIN_INITIAL_LIMIT = 2.0
+"""A new server's concurrency limit starts at INITIAL_LIMIT_SHARE_FACTOR times this node's even
+share, but not below MIN_INITIAL_LIMIT."""
 UNKNOWN_READY_SINCE = -math.inf
+"""The server was ready before this node first saw it: no slow start."""
 
 
 @attrs.frozen
 class NodeShare:
     """This node's rank among the nodes that share a server.
 
-    Every node ranks the nodes alike (rendezvous hash over the server), so that what is shared out
-    adds up without a message.
+    Every node computes the same ranking (rendezvous hash of member and server), so the shares add
+    up to the total without any coordination.
     """
 
     rank: int = 0
     nodes: int = 1
 
     def of(self, total: int) -> int:
-        """Return this node's part of `total` places."""
-        whole, rest = divmod(total, self.nodes)
-        return whole + (1 if self.rank < rest else 0)
+        """Return this node's share of `total` slots."""
+        base, remainder = divmod(total, self.nodes)
+        return base + (1 if self.rank < remainder else 0)
 
 
 @attrs.define(eq=False)
 class ServerState:
-    """One server: its directory row and this node's own evidence.
+    """One server: its directory row and this node's own measurements.
 
     `outstanding` counts this node's requests at the server, `outstanding_tokens` their estimated
     work; `ready_since` is when its present incarnation was first seen able to serve.
@@ -73,9 +78,9 @@
     latency_s: float = 0.0
     ready_since: float = UNKNOWN_READY_SINCE
     backing_off_until: float = -math.inf
-    """After a refusal for overload only high-stakes work is sent until then."""
+    """Time until which only high-stake requests are sent, after a refusal for overload."""
     paused_until: float = -math.inf
-    """Nothing is sent until then: the server said it is cold, or it could not be reached."""
+    """Time until which nothing is sent: the server was cold or could not be reached."""
     share: NodeShare = NodeShare()
     absent_until: dict[str, float] = attrs.field(factory=dict)
     evacuated: bool = False
@@ -96,44 +101,44 @@
         return not self.absent_until or now >= self.absent_until.get(name, -math.inf)
 
     def mark_absent(self, name: str, now: float) -> None:
-        """Remember the server's own statement that it does not hold `name`."""
-        self.absent_until[name] = now + NOT_RESIDENT_MEMORY_S
+        """Record that the server refused a request because `name` is not resident there."""
+        self.absent_until[name] = now + NOT_RESIDENT_TTL_S
 
     def back_off(self, now: float) -> None:
-        """Leave the server alone for about the time in which one of its places comes free."""
+        """Pause for about the time in which one of the server's slots becomes free."""
         pause_s = self.latency_s / max(1.0, self.concurrency.ceiling)
-        self.backing_off_until = now + min(LONGEST_BACK_OFF_S, max(LEAST_BACK_OFF_S, pause_s))
+        self.backing_off_until = now + min(MAX_BACK_OFF_S, max(MIN_BACK_OFF_S, pause_s))
 
     def on_cold(self, now: float) -> None:
-        """Take the server's own statement that it is cold: its ramp begins again."""
+        """Restart slow start and pause, because the server refused a request as cold."""
         self.ready_since = now
         self.paused_until = now + COLD_PAUSE_S
 
     def on_not_connected(self, now: float) -> None:
-        """Try the server again only after a pause that grows with its failures in a row."""
-        pause_s = FIRST_RECONNECT_PAUSE_S * 2**self.failures.consecutive
-        self.paused_until = now + min(LONGEST_RECONNECT_PAUSE_S, pause_s)
+        """Pause after a failed connection; the pause doubles with each failure in a row."""
+        pause_s = INITIAL_RECONNECT_PAUSE_S * 2**self.failures.consecutive
+        self.paused_until = now + min(MAX_RECONNECT_PAUSE_S, pause_s)
 
     def concurrency_limit(self, now: float) -> float:
-        """Return how many requests this node may have here now (slow start included).
+        """Return how many requests this node may have in flight here now, slow start included.
 
-        A server that warms up is shared out: all nodes together stay within its ramp, so while
-        the ramp allows fewer requests than there are nodes, some nodes may send none.
+        During slow start all nodes together stay within the server's ramp, each with its share of
+        it; while the ramp allows fewer requests than there are nodes, some nodes may send none.
         """
         limit = self.concurrency.limit
         if self.ready_since == UNKNOWN_READY_SINCE:
             return limit
-        part = slow_start_factor(now - self.ready_since)
+        ramp_fraction = slow_start_factor(now - self.ready_since)
         if self.row.health is ServerHealth.COLD and self.row.max_running:
-            # What a cold server says it takes follows its ramp already.
-            part = 1.0
-        elif part >= 1.0:
+            # The limit that a cold server reports already follows its ramp.
+            ramp_fraction = 1.0
+        elif ramp_fraction >= 1.0:
             return limit
-        allowed = max(1, int(self.concurrency.ceiling * part))
+        allowed = max(1, int(self.concurrency.ceiling * ramp_fraction))
         return min(limit, float(self.share.of(allowed)))
 
     def on_latency(self, seconds: float) -> None:
-        """Take a measured latency into the moving average."""
+        """Add a measured latency to the moving average."""
         if self.latency_s == 0.0:
             self.latency_s = seconds
         else:
@@ -142,7 +147,7 @@
 
 @attrs.define(eq=False)
 class PoolState:
-    """One pool: its declared limits, its servers and this node's retry budget for it."""
+    """One pool: its declared limits, its servers and this node's retry budget and throughput."""
 
     name: PoolName
     spec: PoolSpec
@@ -154,7 +159,7 @@
 
 @attrs.define
 class RoutingState:
-    """All tables of one node."""
+    """All tables of one node, and what it measured at the servers."""
 
     zone: ZoneName
     member: MemberId = MemberId("")
@@ -168,7 +173,7 @@
     _nodes: list[MemberId] = attrs.field(factory=list)
 
     def apply_intent(self, intent: Intent) -> bool:
-        """Take a newer intent into force at once; False when it is not newer."""
+        """Apply an intent at once; False when it is older than the current one."""
         if intent.version < self.intent.version:
             return False
         self.intent = intent
@@ -177,19 +182,26 @@
         return True
 
     def apply_directory(self, directory: Directory, now: float) -> bool:
-        """Take a newer directory; local evidence is retained per incarnation of a server."""
+        """Apply a directory; False when it is older than the current one.
+
+        A server's measurements are kept while its incarnation stays the same.
+        """
         if (directory.epoch, directory.version) < (self.directory.epoch, self.directory.version):
             return False
-        first = not self.servers
+        is_first_directory = not self.servers
         self.directory = directory
         self.servers = {
-            server: self._merged_state(row, now, first) for server, row in directory.servers.items()
+            server: self._merged_state(row, now, is_first_directory)
+            for server, row in directory.servers.items()
         }
         self._rebuild_pools()
         return True
 
     def apply_members(self, members: Members) -> bool:
-        """Take a newer member table; the number of nodes sets each node's share of a rate."""
+        """Apply a member table; False when it is older than the current one.
+
+        The number of ready nodes determines this node's share of each server's limits.
+        """
         if members.version < self.members.version:
             return False
         self.members = members
@@ -199,50 +211,52 @@
         return True
 
     def pool_of(self, route: RouteSpec) -> PoolState | None:
-        """Return the pool that a route sends to, None when it is not declared."""
+        """Return the pool of a route, None when it is not declared."""
         return self.pools.get(PoolName(route.pool))
 
     def zone_evacuated(self, zone: ZoneName) -> bool:
-        """Whether the operators closed `zone`."""
+        """Whether the intent declares `zone` as evacuated."""
         spec = self.intent.zones.get(zone)
         return spec is not None and spec.evacuated
 
-    def _merged_state(self, row: ServerRow, now: float, first: bool) -> ServerState:
+    def _merged_state(self, row: ServerRow, now: float, is_first_directory: bool) -> ServerState:
         state = self.servers.get(row.server)
         if state is None:
             state = ServerState(row, AdaptiveConcurrency(1.0), AdaptiveRate(math.inf))
-            if not first or row.health is ServerHealth.COLD:
+            if not is_first_directory or row.health is ServerHealth.COLD:
                 state.ready_since = now
             self._configure(state)
-            state.concurrency.limit = self._first_limit(state.concurrency.ceiling)
+            state.concurrency.limit = self._initial_limit(state.concurrency.ceiling)
             return state
-        came_back = row.incarnation != state.row.incarnation
-        recovered = state.row.health is ServerHealth.DOWN and row.health is not ServerHealth.DOWN
-        if came_back or recovered:
+        has_restarted = row.incarnation != state.row.incarnation
+        has_recovered = (
+            state.row.health is ServerHealth.DOWN and row.health is not ServerHealth.DOWN
+        )
+        if has_restarted or has_recovered:
             state.failures = OutlierDetector()
             state.ready_since = now
             state.paused_until = -math.inf
         elif row.health is ServerHealth.COLD and not state.row.models:
-            # Its ramp begins with the first model that it holds.
+            # Slow start begins when the server holds its first model, not before.
             state.ready_since = now
         elif row.health is ServerHealth.READY and state.row.health is ServerHealth.COLD:
-            # By its own statement the ramp is over.
+            # The server itself reports that it has warmed up.
             state.ready_since = UNKNOWN_READY_SINCE
-        if came_back or row.models != state.row.models or row.adapters != state.row.adapters:
+        if has_restarted or row.models != state.row.models or row.adapters != state.row.adapters:
             state.absent_until.clear()
         state.row = row
         return state
 
     def _share_of(self, server: ServerId) -> NodeShare:
-        mine = _rendezvous_weight(self.member, server)
+        own_weight = _rendezvous_weight(self.member, server)
         others = [member for member in self._nodes if member != self.member]
-        rank = sum(1 for member in others if _rendezvous_weight(member, server) > mine)
+        rank = sum(1 for member in others if _rendezvous_weight(member, server) > own_weight)
         return NodeShare(rank, len(others) + 1)
 
-    def _first_limit(self, ceiling: float) -> float:
-        """A new server starts at this node's share of its concurrency, and a bit more."""
-        share = ceiling / self.node_count * FIRST_LIMIT_OVER_SHARE
-        return min(ceiling, max(LEAST_FIRST_LIMIT, share))
+    def _initial_limit(self, ceiling: float) -> float:
+        """Return the first concurrency limit of a new server: this node's even share, raised."""
+        share = ceiling / self.node_count * INITIAL_LIMIT_SHARE_FACTOR
+        return min(ceiling, max(MIN_INITIAL_LIMIT, share))
 
     def _rebuild_pools(self) -> None:
         pools: dict[PoolName, PoolState] = {}
@@ -273,11 +287,11 @@
         ceiling = float(spec.max_concurrent_per_server)
         if state.row.max_running > 0:
             ceiling = min(ceiling, float(state.row.max_running))
-        grew = ceiling > state.concurrency.ceiling
+        has_grown = ceiling > state.concurrency.ceiling
         state.concurrency.set_ceiling(ceiling)
-        if grew:
-            first = self._first_limit(state.concurrency.ceiling)
-            state.concurrency.limit = max(state.concurrency.limit, first)
+        if has_grown:
+            initial = self._initial_limit(state.concurrency.ceiling)
+            state.concurrency.limit = max(state.concurrency.limit, initial)
         rate = spec.max_requests_per_second_per_server
         state.rate.configure(rate if rate > 0 else math.inf, self.node_count)
 
--- a/src/zincvale/dataplane/inference/scheduler.py
+++ b/src/zincvale/dataplane/inference/scheduler.py
@@ -1,7 +1,8 @@
-"""Admission and queueing: places requests on servers, holds them for a bounded time or refuses.
+"""Admission and queueing: a request is placed on a server, queued for a bounded time or rejected.
 
-Pure: time and randomness are passed in. Every verdict is returned, never called back. A refusal is
-given the moment it is known; its retry time says when it is worth coming back.
+Pure: time and randomness are passed in, and verdicts are returned instead of passed to callbacks.
+A request is rejected as soon as it is known that it cannot be served in time; the rejection's retry
+time says after how long a resend is likely to be served.
 """
 
 from __future__ import annotations
@@ -16,7 +17,13 @@
 from zincvale.dataplane.inference.requests import CallerRequest
 from zincvale.dataplane.inference.routing import Choice, NoChoice, PolicyChain, build_chain
 from zincvale.dataplane.inference.routing_state import PoolState, RoutingState, ServerState
-from zincvale.dataplane.inference.verdicts import Placed, Queued, Rejected, Verdict, rejected
+from zincvale.dataplane.inference.verdicts import (
+    Placed,
+    Queued,
+    Rejected,
+    Verdict,
+    bounded_rejection,
+)
 from zincvale.dataplane.policies.base import Blocked, Query
 from zincvale.dataplane.resilience.exchange_evidence import (
     ExchangeEnd,
@@ -31,8 +38,9 @@
 from zincvale.model.resources import PoolKind, PoolSpec, RouteSpec, Stake
 
 LOOKUP_WORK_TOKENS = 16
-PROMPT_WORK_PART = 4
-"""A prompt token is prefilled much faster than one is generated."""
+"""Estimated work of one lookup, in tokens."""
+PROMPT_TOKENS_PER_WORK_TOKEN = 4
+"""Prompt tokens that count as one token of work: prefill is much faster than generation."""
 
 
 def work_tokens(request: CallerRequest, kind: PoolKind) -> int:
@@ -40,19 +48,22 @@
     if kind is PoolKind.LOOKUP:
         return LOOKUP_WORK_TOKENS
     inference_request = request.inference_request
-    return inference_request.prompt_tokens // PROMPT_WORK_PART + inference_request.max_tokens
+    return (
+        inference_request.prompt_tokens // PROMPT_TOKENS_PER_WORK_TOKEN
+        + inference_request.max_tokens
+    )
 
 
 @attrs.define
 class Scheduler:
-    """All pools of one node."""
+    """Queues, admission and placement for all pools of one node."""
 
     routing_state: RoutingState
     random: Random
     demand: DemandTable = attrs.field(factory=DemandTable)
     load_shedder: LoadShedder = attrs.field(init=False)
     may_place: bool = True
-    """Whether the tables are fresh; nothing is placed by tables that may be out of date."""
+    """Whether the tables are fresh; while they may be out of date, no request is placed."""
     _queues: dict[PoolName, PendingRequestQueue] = attrs.field(factory=dict)
     _chains: dict[PoolName, tuple[PoolSpec, PolicyChain]] = attrs.field(factory=dict)
     _active_by_route: dict[RouteName, int] = attrs.field(factory=dict)
@@ -72,13 +83,13 @@
     def admit(
         self, request: CallerRequest, route: RouteSpec, token: int, now: float
     ) -> Rejected | None:
-        """Count the request and refuse what cannot be served; None when it may go on.
+        """Return the rejection of a request that cannot be served, None when it is admitted.
 
-        An admitted request counts for its route until `leave`.
+        An admitted request counts against its route's limit until `leave`.
         """
         pool = self.routing_state.pool_of(route)
         if pool is None:
-            return rejected(token, RefusalReason.NO_SERVER, "unknown pool")
+            return bounded_rejection(token, RefusalReason.NO_SERVER, "unknown pool")
         if route.stake is Stake.HIGH:
             pool.high_priority_seen_at = now
         pool.retry_budget.on_request()
@@ -86,12 +97,12 @@
         active = self._active_by_route.get(request.route, 0)
         if active >= route.max_concurrent:
             problem = f"route has {active} requests under way, its limit"
-            return rejected(token, RefusalReason.OVERLOADED, problem)
+            return bounded_rejection(token, RefusalReason.OVERLOADED, problem)
         self._active_by_route[request.route] = active + 1
         return None
 
     def leave(self, request: CallerRequest) -> None:
-        """Take back the count of an admitted request that is over."""
+        """Stop counting an admitted request against its route's limit: it has ended."""
         active = self._active_by_route.get(request.route, 0)
         self._active_by_route[request.route] = max(0, active - 1)
 
@@ -103,22 +114,22 @@
         now: float,
         excluded: frozenset[str] = frozenset(),
     ) -> list[Verdict]:
-        """Return the request's verdict, and those of requests that it displaced."""
+        """Return the request's verdict, after that of a queued request that it displaced."""
         pool = self.routing_state.pool_of(route)
         if pool is None:
-            return [rejected(token, RefusalReason.NO_SERVER, "unknown pool")]
-        waiting = PendingRequest(token, request, route, now, request.deadline_at, excluded)
-        queue = self._queue(pool)
-        if not self.may_place or self._must_wait_its_turn(queue, waiting):
+            return [bounded_rejection(token, RefusalReason.NO_SERVER, "unknown pool")]
+        pending = PendingRequest(token, request, route, now, request.deadline_at, excluded)
+        queue = self._queue_of(pool)
+        if not self.may_place or self._would_overtake(queue, pending):
             choice: Choice | NoChoice = NoChoice(Blocked.BUSY, ())
         else:
-            choice = self._choose(pool, waiting, now)
+            choice = self._choose_server(pool, pending, now)
         if isinstance(choice, Choice):
-            return [self._placed(waiting, pool, choice, now)]
-        return self._enqueue(pool, queue, waiting, choice, now)
+            return [self._reserve_server(pending, pool, choice, now)]
+        return self._enqueue(pool, queue, pending, choice, now)
 
     def cancel(self, pool_name: PoolName, token: int) -> None:
-        """Take a request out of its queue: its caller has disconnected or its deadline passed."""
+        """Remove a request from its queue: its caller disconnected or its deadline passed."""
         queue = self._queues.get(pool_name)
         if queue is not None:
             self._remove(pool_name, queue, token)
@@ -126,10 +137,10 @@
     def finish(
         self, request: CallerRequest, server: ServerState, report: ExchangeReport
     ) -> tuple[HealthChange, list[Verdict]]:
-        """Free the server's slot; returns its change and the verdicts of those who waited."""
+        """Free the server's slot; returns its health change and the verdicts of queued requests."""
         change = record_exchange_end(server, report)
         if report.end is ExchangeEnd.ANSWERED:
-            self.load_shedder.learn_service(request.route, report.deadline_covers_s)
+            self.load_shedder.record_service_time(request.route, report.deadline_covers_s)
         inference_request = request.inference_request
         if inference_request.model:
             key = DemandKey(server.row.pool, inference_request.model, inference_request.adapter)
@@ -142,56 +153,61 @@
         return change, self._serve_waiting(pool, report.ended_at)
 
     def take_retry(self, route: RouteSpec) -> bool:
-        """Spend a retry of the route's pool; high-stakes work is never denied one."""
+        """Spend a retry of the pool's budget; False when none is left and the stake is not high."""
         pool = self.routing_state.pool_of(route)
         if pool is None:
             return False
         return pool.retry_budget.take() or route.stake is Stake.HIGH
 
     def pump(self, now: float) -> list[Verdict]:
-        """Serve and expire all queues; called on changes of the tables and on each tick."""
+        """Place or reject queued requests; called on table changes and on each tick."""
         verdicts: list[Verdict] = []
         for name, queue in list(self._queues.items()):
             if not len(queue):
                 continue
             pool = self.routing_state.pools.get(name)
             if pool is None:
-                verdicts += self._refuse_all(name, queue)
+                verdicts += self._reject_all(name, queue)
                 continue
             verdicts += self._serve_waiting(pool, now)
-            verdicts += self._expire(pool, queue, now)
+            verdicts += self._reject_expired(pool, queue, now)
             pool.throughput.on_backlog(queue.busy_count(), now)
         return verdicts
 
     def chain_problems(self) -> list[InvalidInputError]:
-        """Return the problems of the policies that pools name; builds the chains."""
+        """Build the policy chains of all pools; returns the policies that cannot be loaded."""
         problems: list[InvalidInputError] = []
         for pool in self.routing_state.pools.values():
-            problems += self._chain(pool).problems
+            problems += self._chain_of(pool).problems
         return problems
 
-    # placing
+    # placement
 
-    def _choose(self, pool: PoolState, waiting: PendingRequest, now: float) -> Choice | NoChoice:
+    def _choose_server(
+        self, pool: PoolState, pending: PendingRequest, now: float
+    ) -> Choice | NoChoice:
         query = Query(
-            waiting.request, waiting.route, pool, self.routing_state, now, waiting.excluded
+            pending.request, pending.route, pool, self.routing_state, now, pending.excluded
         )
-        return self._chain(pool).choose(query, self.random)
+        return self._chain_of(pool).choose(query, self.random)
 
-    def _must_wait_its_turn(self, queue: PendingRequestQueue, newcomer: PendingRequest) -> bool:
-        """Nobody overtakes those of the same kind who wait because all servers are busy."""
+    def _would_overtake(self, queue: PendingRequestQueue, newcomer: PendingRequest) -> bool:
+        """Whether an equivalent request was queued earlier because all servers are busy."""
         if not len(queue):
             return False
-        return any(other.blocked is Blocked.BUSY and other.key == newcomer.key for other in queue)
+        return any(
+            other.blocked is Blocked.BUSY and other.placement_key == newcomer.placement_key
+            for other in queue
+        )
 
-    def _placed(
-        self, waiting: PendingRequest, pool: PoolState, choice: Choice, now: float
+    def _reserve_server(
+        self, pending: PendingRequest, pool: PoolState, choice: Choice, now: float
     ) -> Placed:
-        record_dispatch(choice.server, work_tokens(waiting.request, pool.spec.kind), now)
+        record_dispatch(choice.server, work_tokens(pending.request, pool.spec.kind), now)
         if pool.spec.kind is PoolKind.LANGUAGE_MODEL:
             server = choice.server.row.server
-            self.demand.on_dispatched(_demand_key(waiting.request, pool), server)
-        return Placed(waiting.token, choice.server, choice.reasons, now - waiting.since)
+            self.demand.on_dispatched(_demand_key(pending.request, pool), server)
+        return Placed(pending.token, choice.server, choice.reasons, now - pending.queued_at)
 
     def _serve_waiting(self, pool: PoolState, now: float) -> list[Verdict]:
         queue = self._queues.get(pool.name)
@@ -199,88 +215,94 @@
             return []
         verdicts: list[Verdict] = []
         blocked_keys: set[tuple[str, str | None, Stake]] = set()
-        for waiting in queue:
-            if waiting.key in blocked_keys:
+        for pending in queue:
+            if pending.placement_key in blocked_keys:
                 continue
-            choice = self._choose(pool, waiting, now)
+            choice = self._choose_server(pool, pending, now)
             if isinstance(choice, NoChoice):
-                blocked_keys.add(waiting.key)
-                self._reclassify(pool, waiting, choice.blocked, now)
+                blocked_keys.add(pending.placement_key)
+                self._reclassify(pool, pending, choice.blocked, now)
                 continue
-            self._remove(pool.name, queue, waiting.token)
-            if self.load_shedder.cannot_meet_deadline(waiting, now):
-                verdicts.append(self.load_shedder.deadline_rejection(waiting))
+            self._remove(pool.name, queue, pending.token)
+            if self.load_shedder.cannot_meet_deadline(pending, now):
+                verdicts.append(self.load_shedder.deadline_rejection(pending))
             else:
-                verdicts.append(self._placed(waiting, pool, choice, now))
+                verdicts.append(self._reserve_server(pending, pool, choice, now))
         return verdicts
 
     def _reclassify(
-        self, pool: PoolState, waiting: PendingRequest, blocked: Blocked, now: float
+        self, pool: PoolState, pending: PendingRequest, blocked: Blocked, now: float
     ) -> None:
-        """A request that waited for a load now queues for the busy server, or the reverse."""
-        if blocked is waiting.blocked:
+        """Update timeout and demand counts of a request that now waits for another reason."""
+        if blocked is pending.blocked:
             return
-        key = _demand_key(waiting.request, pool)
-        if waiting.blocked is Blocked.NOT_RESIDENT:
+        key = _demand_key(pending.request, pool)
+        if pending.blocked is Blocked.NOT_RESIDENT:
             self.demand.on_waiting(key, -1)
         if blocked is Blocked.NOT_RESIDENT:
             self.demand.on_waiting(key, 1)
-        waiting.blocked = blocked
-        waiting.times_out_at = self.load_shedder.times_out_at(waiting, blocked, now)
+        pending.blocked = blocked
+        pending.times_out_at = self.load_shedder.times_out_at(pending, blocked, now)
 
-    # holding and refusing
+    # queueing and rejection
 
     def _enqueue(
         self,
         pool: PoolState,
         queue: PendingRequestQueue,
-        waiting: PendingRequest,
+        pending: PendingRequest,
         choice: NoChoice,
         now: float,
     ) -> list[Verdict]:
-        refusal = self.load_shedder.rejection_of_newcomer(pool, queue, waiting, choice.blocked, now)
-        if refusal is not None:
-            return [refusal]
+        rejection = self.load_shedder.rejection_of_newcomer(
+            pool, queue, pending, choice.blocked, now
+        )
+        if rejection is not None:
+            return [rejection]
         verdicts: list[Verdict] = []
         if len(queue) >= pool.spec.max_queue:
-            displaced = queue.youngest_below(waiting.route.stake)
+            displaced = queue.newest_below(pending.route.stake)
             if displaced is None:
                 problem = "the queue is full"
-                return [self.load_shedder.overloaded(pool, queue, waiting, now, problem)]
+                return [self.load_shedder.overload_rejection(pool, queue, pending, now, problem)]
             self._remove(pool.name, queue, displaced.token)
-            problem = "displaced by work of a higher stake"
-            verdicts.append(self.load_shedder.overloaded(pool, queue, displaced, now, problem))
-        waiting.blocked = choice.blocked
-        waiting.excluded = frozenset()
-        waiting.times_out_at = self.load_shedder.times_out_at(waiting, choice.blocked, now)
-        queue.add(waiting)
+            problem = "displaced by a request of a higher stake"
+            verdicts.append(
+                self.load_shedder.overload_rejection(pool, queue, displaced, now, problem)
+            )
+        pending.blocked = choice.blocked
+        pending.excluded = frozenset()
+        pending.times_out_at = self.load_shedder.times_out_at(pending, choice.blocked, now)
+        queue.add(pending)
         pool.throughput.on_backlog(queue.busy_count(), now)
         if choice.blocked is Blocked.NOT_RESIDENT:
-            self.demand.on_waiting(_demand_key(waiting.request, pool), 1)
-        verdicts.append(Queued(waiting.token, choice.blocked, choice.reasons))
+            self.demand.on_waiting(_demand_key(pending.request, pool), 1)
+        verdicts.append(Queued(pending.token, choice.blocked, choice.reasons))
         return verdicts
 
-    def _expire(self, pool: PoolState, queue: PendingRequestQueue, now: float) -> list[Verdict]:
+    def _reject_expired(
+        self, pool: PoolState, queue: PendingRequestQueue, now: float
+    ) -> list[Verdict]:
         verdicts: list[Verdict] = []
-        for position, waiting in enumerate(queue, start=1):
-            refusal = self.load_shedder.rejection_of_pending(pool, waiting, position, now)
-            if refusal is not None:
-                self._remove(pool.name, queue, waiting.token)
-                verdicts.append(refusal)
+        for position, pending in enumerate(queue, start=1):
+            rejection = self.load_shedder.rejection_of_pending(pool, pending, position, now)
+            if rejection is not None:
+                self._remove(pool.name, queue, pending.token)
+                verdicts.append(rejection)
         return verdicts
 
-    def _refuse_all(self, name: PoolName, queue: PendingRequestQueue) -> list[Verdict]:
+    def _reject_all(self, name: PoolName, queue: PendingRequestQueue) -> list[Verdict]:
         verdicts: list[Verdict] = []
-        for waiting in queue:
-            queue.remove(waiting.token)
+        for pending in queue:
+            queue.remove(pending.token)
             problem = f"pool {name} was deleted"
-            verdicts.append(rejected(waiting.token, RefusalReason.NO_SERVER, problem))
+            verdicts.append(bounded_rejection(pending.token, RefusalReason.NO_SERVER, problem))
         return verdicts
 
     def _remove(self, pool_name: PoolName, queue: PendingRequestQueue, token: int) -> None:
-        waiting = queue.remove(token)
-        if waiting is not None and waiting.blocked is Blocked.NOT_RESIDENT:
-            inference_request = waiting.request.inference_request
+        pending = queue.remove(token)
+        if pending is not None and pending.blocked is Blocked.NOT_RESIDENT:
+            inference_request = pending.request.inference_request
             self.demand.on_waiting(
                 DemandKey(pool_name, inference_request.model, inference_request.adapter), -1
             )
@@ -289,26 +311,26 @@
         if pool.spec.kind is PoolKind.LANGUAGE_MODEL:
             self.demand.on_request(_demand_key(request, pool))
 
-    def _queue(self, pool: PoolState) -> PendingRequestQueue:
+    def _queue_of(self, pool: PoolState) -> PendingRequestQueue:
         queue = self._queues.get(pool.name)
         if queue is None:
             queue = self._queues[pool.name] = PendingRequestQueue()
         return queue
 
-    def _chain(self, pool: PoolState) -> PolicyChain:
-        known = self._chains.get(pool.name)
-        if known is not None and known[0] is pool.spec:
-            return known[1]
-        if known is not None and _same_chain(known[0], pool.spec):
-            self._chains[pool.name] = (pool.spec, known[1])
-            return known[1]
+    def _chain_of(self, pool: PoolState) -> PolicyChain:
+        cached = self._chains.get(pool.name)
+        if cached is not None and cached[0] is pool.spec:
+            return cached[1]
+        if cached is not None and _has_same_policies(cached[0], pool.spec):
+            self._chains[pool.name] = (pool.spec, cached[1])
+            return cached[1]
         chain = build_chain(pool.spec)
         self._chains[pool.name] = (pool.spec, chain)
         return chain
 
 
-def _same_chain(one: PoolSpec, other: PoolSpec) -> bool:
-    return one.kind is other.kind and one.policies == other.policies
+def _has_same_policies(first: PoolSpec, other: PoolSpec) -> bool:
+    return first.kind is other.kind and first.policies == other.policies
 
 
 def _demand_key(request: CallerRequest, pool: PoolState) -> DemandKey:
--- a/src/zincvale/dataplane/inference/server_side.py
+++ b/src/zincvale/dataplane/inference/server_side.py
@@ -1,4 +1,4 @@
-"""The back end's side of one request: its slot at a server and the exchange with it."""
+"""The server side of one request: its slot at a server and the exchange with it."""
 
 from __future__ import annotations
 
@@ -26,20 +26,21 @@
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
 
 FIRST_CHUNK_TIMEOUT_S = 10.0
-"""Until a stream's first chunk; shorter, and long prompts are prefilled at several servers."""
+"""Limit until a stream's first chunk. With less, long prompts are prefilled at several servers."""
 NEXT_CHUNK_TIMEOUT_S = 3.0
-"""Between two chunks; shorter, and busy servers lose streams that they would have finished."""
+"""Limit between two chunks. With less, busy servers lose streams that they would finish."""
 AT_MOST_ONCE_TIMEOUT_S = 15.0
-"""An at-most-once stream cannot go on elsewhere, so its server is waited for longer."""
-LOST_SERVER_TIMEOUT_S = 1.0
-"""A server that the directory calls down may go on with a stream that moved so recently."""
-LINGER_S = 1.0
-"""How long a complete stream's connection may take to close its last chunk."""
+"""Limit for both on at-most-once routes, whose streams cannot continue at another server."""
+DOWN_SERVER_IDLE_TIMEOUT_S = 1.0
+"""An exchange with a server that the directory reports down continues while its latest data is
+younger than this."""
+STREAM_CLOSE_TIMEOUT_S = 1.0
+"""How long the connection of a complete stream may take to end before it is closed."""
 
 
 @attrs.define(eq=False)
 class ServerSide:
-    """One request at one server after the other."""
+    """The slot and the exchange of one request, at one server at a time."""
 
     context: NodeContext
     machine: RequestMachine
@@ -52,36 +53,38 @@
 
     @property
     def sent(self) -> bool:
-        """Whether a byte of the present exchange may have left."""
+        """Whether a byte of the current exchange may have been sent."""
         reader = self._reader
         return reader is not None and reader.exchange is not None and reader.exchange.sent
 
     def on_placed(self, server: ServerState) -> None:
-        """Remember the server whose slot is reserved."""
+        """Record the server whose slot is reserved for the request."""
         self.server = server
         self._placed_at = self.context.clock()
 
     def dispatch(self, effect: Dispatch) -> bool:
-        """Send the request; False when its claim is too old to send under."""
+        """Send the request; False when its claim is too old to permit that."""
         assert self.server is not None and self.pool is not None
         context = self.context
         request = self.machine.request
         if self.machine.route.at_most_once and not context.claims.may_dispatch(request.request_id):
             return False
         adapter = ADAPTER_BY_KIND[self.pool.spec.kind]
-        reader = ExchangeReader(request, adapter, self._take, context.clock)
+        reader = ExchangeReader(request, adapter, self._on_input, context.clock)
         reader.started_at = reader.last_received_at = context.clock()
         self._reader = reader
         self.trace.start_dispatch(self.server.row, effect.attempt, len(effect.prefix))
-        built = adapter.build(request, self.server.row.address, effect.prefix)
-        guarded = attrs.evolve(built, may_send=functools.partial(self._may_leave, self.server))
+        client_request = adapter.build(request, self.server.row.address, effect.prefix)
+        guarded = attrs.evolve(
+            client_request, may_send=functools.partial(self._may_send, self.server)
+        )
         reader.exchange = context.client.start(guarded, reader)
         return True
 
-    def _may_leave(self, server: ServerState) -> bool:
-        """Whether the request may still be sent to `server`, checked when its first byte leaves.
+    def _may_send(self, server: ServerState) -> bool:
+        """Whether the request may still be sent to `server`, checked when its first byte is sent.
 
-        A freeze may lie between the choice of the server and this moment.
+        The process may have been frozen between the choice of the server and this moment.
         """
         if server.drained or server.evacuated or not self.context.ready():
             return False
@@ -90,12 +93,12 @@
         return self.context.claims.may_dispatch(self.machine.request.request_id)
 
     def cancel(self) -> None:
-        """Close the connection of the present exchange."""
+        """Close the connection of the current exchange."""
         if self._reader is not None:
             self._reader.stop()
 
     def free(self, effect: FreeServer) -> None:
-        """Give the server's slot back, with what was learned about the server."""
+        """Free the server's slot and report how the exchange ended."""
         server, self.server = self.server, None
         reader, self._reader = self._reader, None
         if server is None or self.pool is None:
@@ -110,11 +113,11 @@
             effect.missing,
             0.0 if reader is None else reader.first_piece_s,
         )
-        self._let_linger(reader)
+        self._close_after_linger(reader)
         self.context.finish_exchange(self.machine.request, server, report)
 
     def set_backpressure(self, is_backpressured: bool) -> None:
-        """Pause the server while the caller is slow, or let it go on."""
+        """Pause the server's stream while the caller is slow, or resume it."""
         reader = self._reader
         if reader is None or reader.exchange is None:
             return
@@ -125,36 +128,36 @@
             reader.exchange.resume()
 
     def check_timeout(self, now: float, is_backpressured: bool) -> None:
-        """Give up a stream whose server no longer responds, unless it was paused."""
+        """Give up a stream whose server no longer sends, unless the stream is paused."""
         reader = self._reader
-        if reader is None or reader.stopped or not self.machine.request.inference_request.stream:
+        if reader is None or reader.is_stopped or not self.machine.request.inference_request.stream:
             return
         if is_backpressured:
             reader.last_received_at = now
             return
-        limit_s = self._timeout_s(reader)
-        if now - reader.last_received_at > limit_s:
-            self.give_up(f"no event for {limit_s:.0f} s")
+        timeout_s = self._timeout_s(reader)
+        if now - reader.last_received_at > timeout_s:
+            self.give_up(f"no event for {timeout_s:.0f} s")
 
-    def on_server_lost(self, server: ServerState, now: float) -> None:
-        """Give up an exchange with an unresponsive server that the directory calls down.
+    def on_server_down(self, server: ServerState, now: float) -> None:
+        """Give up an exchange with an unresponsive server that the directory reports down.
 
-        At-most-once requests wait on: their response may still come.
+        At-most-once requests keep waiting, because their response may still arrive.
         """
         reader = self._reader
         if self.server is not server or reader is None or self.machine.route.at_most_once:
             return
-        if now - reader.last_received_at >= LOST_SERVER_TIMEOUT_S:
+        if now - reader.last_received_at >= DOWN_SERVER_IDLE_TIMEOUT_S:
             self.give_up("the server is down")
 
     def give_up(self, reason: str) -> None:
-        """Close the exchange and notify the machine of the failure."""
+        """Close the exchange and report its failure to the machine."""
         sent = self.sent
         self.cancel()
         self.feed(ServerFailed(reason, sent))
 
-    def release(self) -> None:
-        """Let go of the runner once the request is over, so that no reference cycle stays."""
+    def detach_runner(self) -> None:
+        """Drop the reference to the runner of a finished request, to leave no reference cycle."""
         self.feed = _ignore
 
     def _timeout_s(self, reader: ExchangeReader) -> float:
@@ -162,7 +165,7 @@
             return AT_MOST_ONCE_TIMEOUT_S
         return FIRST_CHUNK_TIMEOUT_S if reader.first_chunk_at is None else NEXT_CHUNK_TIMEOUT_S
 
-    def _take(self, event: Input) -> None:
+    def _on_input(self, event: Input) -> None:
         if isinstance(event, ServerFailed) and is_mismatch(event):
             self._record_mismatch()
         elif isinstance(event, ChunksReceived) and not self.machine.chunks:
@@ -178,13 +181,13 @@
             request_id=self.machine.request.request_id,
         )
 
-    def _let_linger(self, reader: ExchangeReader | None) -> None:
-        """A complete stream's connection closes its last chunk by itself, or is cut a bit later."""
-        if reader is None or reader.stopped or reader.exchange is None:
+    def _close_after_linger(self, reader: ExchangeReader | None) -> None:
+        """Close a complete stream's connection after a delay, if it has not ended by itself."""
+        if reader is None or reader.is_stopped or reader.exchange is None:
             return
         if self.machine.request.inference_request.stream:
-            asyncio.get_running_loop().call_later(LINGER_S, reader.exchange.cancel)
+            asyncio.get_running_loop().call_later(STREAM_CLOSE_TIMEOUT_S, reader.exchange.cancel)
 
 
 def _ignore(event: Input) -> None:
-    """Take no more inputs: the request is over."""
+    """Ignore an input: the request has finished."""
--- a/src/zincvale/dataplane/inference/stream_relay.py
+++ b/src/zincvale/dataplane/inference/stream_relay.py
@@ -1,4 +1,4 @@
-"""Relay of one stream to its caller: journal first, then write, with bounded buffering."""
+"""Relay of one stream to its caller: chunks are journalled, then written, with a bounded buffer."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 from zincvale.model.identifiers import RequestId
 
 HIGH_WATER_CHUNKS = 64
-"""The server is paused while more chunks than this wait for the caller."""
+"""The server is paused when more chunks than this wait to be written to the caller."""
 LOW_WATER_CHUNKS = 16
-"""It goes on when no more wait; nearer to the high mark, it would be paused and resumed often."""
+"""The server is resumed when no more chunks than this wait. A value nearer to HIGH_WATER_CHUNKS
+would pause and resume it often."""
 
 
 class CallerLostError(Exception):
@@ -23,18 +24,18 @@
 
 
 class CallerSink(Protocol):
-    """The caller's side of one request."""
+    """The caller's connection, as one request uses it."""
 
     def send_response(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """Send a complete response."""
         ...
 
     def open_stream(self, headers: dict[str, str]) -> None:
-        """Prepare the head of an event stream."""
+        """Prepare the response head of an event stream."""
         ...
 
     async def write(self, data: bytes) -> None:
-        """Write and wait until the caller's connection takes more; raises `CallerLostError`."""
+        """Write and wait until the connection accepts more data; raises `CallerLostError`."""
         ...
 
     async def end(self) -> None:
@@ -42,7 +43,7 @@
         ...
 
     def cut(self) -> None:
-        """Cut the connection without the closing chunk."""
+        """Close the connection without the final HTTP chunk: the response is visibly incomplete."""
         ...
 
 
@@ -55,12 +56,14 @@
 
 @attrs.define(eq=False)
 class StreamRelay:
-    """Writes chunks in order; at most one batch is in the journal's or the caller's hands.
+    """Writes chunks in order; at most one batch at a time is being journalled or written.
 
     Attributes
     ----------
-    on_backpressure : called with True when the server should pause and False when it may go on.
-    on_caller_lost, on_fenced : notify the request machine; the relay has stopped.
+    on_backpressure : called with True when the server should pause, with False when it may resume.
+    on_caller_lost : called when the caller disconnected; the relay has stopped.
+    on_fenced : called when another node resumed the stream; the relay has stopped.
+    last_event_number : number of the last event written to the caller.
     """
 
     request_id: RequestId
@@ -72,16 +75,16 @@
     on_caller_lost: Callable[[], None]
     on_fenced: Callable[[], None]
     is_backpressured: bool = False
-    relayed: int = 0
+    last_event_number: int = 0
     _batches: list[_Batch] = attrs.field(factory=list)
     _pending_chunks: int = 0
     _end_count: int | None = None
     _break_event: bytes | None = None
-    _wake: asyncio.Future[None] | None = None
+    _wakeup: asyncio.Future[None] | None = None
     _stopped: bool = False
 
     def push(self, first_index: int, chunks: list[str], journal: bool) -> None:
-        """Queue chunks; consecutive ones are sent as one batch."""
+        """Queue chunks; those queued meanwhile are journalled and written as one batch."""
         if self._stopped:
             return
         last = self._batches[-1] if self._batches else None
@@ -93,26 +96,26 @@
         if not self.is_backpressured and self._pending_chunks > HIGH_WATER_CHUNKS:
             self.is_backpressured = True
             self.on_backpressure(True)
-        self._notify()
+        self._wake_relay()
 
     def finish(self, count: int) -> None:
         """End the stream as complete once everything queued is written."""
         self._end_count = count
-        self._notify()
+        self._wake_relay()
 
     def interrupt(self, resumable: bool, reason: str) -> None:
         """Send an error event once everything queued is written, then cut the connection."""
         self._break_event = responses.error_event(resumable, reason)
-        self._notify()
+        self._wake_relay()
 
     def abandon(self) -> None:
         """Stop: the caller has disconnected."""
         self._stopped = True
         self.journal.forget(self.request_id)
-        self._notify()
+        self._wake_relay()
 
     async def run(self) -> None:
-        """Relay until the stream ended, broke, or the caller has disconnected."""
+        """Relay until the stream ends, breaks or is fenced, or the caller disconnects."""
         try:
             await self._relay()
         except CallerLostError:
@@ -126,7 +129,7 @@
                 if not await self._relay_batches():
                     return
             elif self._break_event is not None:
-                await self._send_break(self._break_event)
+                await self._send_break_event(self._break_event)
                 return
             elif self._end_count is not None:
                 await self.sink.write(responses.end_event(self._end_count))
@@ -134,16 +137,16 @@
                 await self.journal.close(self.request_id, self._end_count, self.epoch)
                 return
             else:
-                self._wake = asyncio.get_running_loop().create_future()
-                await self._wake
+                self._wakeup = asyncio.get_running_loop().create_future()
+                await self._wakeup
 
     async def _relay_batches(self) -> bool:
         batches, self._batches = self._batches, []
         for batch in batches:
             if batch.journal and not await self._replicate(batch):
                 return False
-            await self.sink.write(_encode(batch))
-            self.relayed = batch.first_index + len(batch.chunks) - 1
+            await self.sink.write(_encode_events(batch))
+            self.last_event_number = batch.first_index + len(batch.chunks) - 1
             self._pending_chunks -= len(batch.chunks)
             self._release_backpressure()
         return True
@@ -154,13 +157,13 @@
         )
         if appended is not JournalAppend.FENCED:
             return True
-        # Whoever resumed the stream sends these chunks; sending them here too would repeat them.
+        # The node that resumed the stream sends these chunks; sending them here would repeat them.
         self._stopped = True
         self.on_fenced()
-        await self._send_break(responses.error_event(True, "resumed at another node"))
+        await self._send_break_event(responses.error_event(True, "resumed at another node"))
         return False
 
-    async def _send_break(self, event: bytes) -> None:
+    async def _send_break_event(self, event: bytes) -> None:
         try:
             await self.sink.write(event)
         finally:
@@ -171,11 +174,11 @@
             self.is_backpressured = False
             self.on_backpressure(False)
 
-    def _notify(self) -> None:
-        if self._wake is not None and not self._wake.done():
-            self._wake.set_result(None)
+    def _wake_relay(self) -> None:
+        if self._wakeup is not None and not self._wakeup.done():
+            self._wakeup.set_result(None)
 
 
-def _encode(batch: _Batch) -> bytes:
+def _encode_events(batch: _Batch) -> bytes:
     numbered = enumerate(batch.chunks, start=batch.first_index)
     return b"".join([responses.event(number, text) for number, text in numbered])
--- a/src/zincvale/dataplane/inference/verdicts.py
+++ b/src/zincvale/dataplane/inference/verdicts.py
@@ -1,4 +1,4 @@
-"""What the scheduler says about a request."""
+"""Verdicts of the scheduler on a request: placed, queued or rejected."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 from zincvale.dataplane.policies.base import Blocked
 from zincvale.model.outcomes import RefusalReason
 
-LEAST_RETRY_AFTER_S = 1.0
-LONGEST_RETRY_AFTER_S = 30.0
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 30.0
+"""Bounds of the retry time that a rejection gives to the caller."""
 
 
 @attrs.frozen
 class Placed:
-    """Dispatch to `server`, whose slot is reserved."""
+    """The request is to be dispatched to `server`, where a slot is reserved for it."""
 
     token: int
     server: ServerState
@@ -25,7 +26,7 @@
 
 @attrs.frozen
 class Queued:
-    """Wait; another verdict for the token follows."""
+    """The request waits in the queue; another verdict for its token follows."""
 
     token: int
     blocked: Blocked
@@ -34,7 +35,7 @@
 
 @attrs.frozen
 class Rejected:
-    """Refuse at once; `retry_after_s` says when it is worth coming back."""
+    """The request is refused; `retry_after_s` is the time after which a resend may be served."""
 
     token: int
     reason: RefusalReason
@@ -45,9 +46,9 @@
 Verdict = Placed | Queued | Rejected
 
 
-def rejected(
-    token: int, reason: RefusalReason, problem: str, retry_after_s: float = LEAST_RETRY_AFTER_S
+def bounded_rejection(
+    token: int, reason: RefusalReason, problem: str, retry_after_s: float = MIN_RETRY_AFTER_S
 ) -> Rejected:
-    """Return a refusal whose retry time is within its bounds."""
-    bounded_s = min(LONGEST_RETRY_AFTER_S, max(LEAST_RETRY_AFTER_S, retry_after_s))
+    """Return a rejection with its retry time limited to the permitted range."""
+    bounded_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
     return Rejected(token, reason, bounded_s, problem)
--- a/tests/dataplane/inference/test_backend_adapter.py
+++ b/tests/dataplane/inference/test_backend_adapter.py
@@ -124,7 +124,7 @@
 
     def test_a_recorded_stream_gives_its_chunks_back(self):
         chunks = ["a", "é\n\n", '"']
-        self.assertEqual(chunks, responses.chunks_of(responses.whole_stream(chunks)))
+        self.assertEqual(chunks, responses.decode_stream(responses.whole_stream(chunks)))
 
 
 class CallerRequestTest(testtools.TestCase):
@@ -165,7 +165,7 @@
         error = self.invalid(
             read_inference_request, b'{"model":"m","prompt":"p"}', spec, PoolKind.LANGUAGE_MODEL
         )
-        self.assertEqual("ask for one of a, b", error.remedy)
+        self.assertEqual("request one of a, b", error.remedy)
 
     def test_headers(self):
         self.assertEqual(1.5, read_deadline_s({"X-Deadline-Ms": "1500"}, route()))
--- a/tests/dataplane/inference/test_node.py
+++ b/tests/dataplane/inference/test_node.py
@@ -88,8 +88,8 @@
             scenario,
             """
             s1:1 connection never used again
-            record q1: unknown 504 '{"outcome":"unknown","request_id":"q1","problem":"the answer belongs to another request","remedy":"send it again with the same X-Request-Id to learn its outcome"}'
-            caller > 504 unknown {"outcome":"unknown","request_id":"q1","problem":"the answer belongs to another request","remedy":"send it again with the same X-Request-Id to learn its outcome"}
+            record q1: unknown 504 '{"outcome":"unknown","request_id":"q1","problem":"the response belongs to another request","remedy":"send it again with the same X-Request-Id to learn its outcome"}'
+            caller > 504 unknown {"outcome":"unknown","request_id":"q1","problem":"the response belongs to another request","remedy":"send it again with the same X-Request-Id to learn its outcome"}
             """,  # noqa: E501
         )
 
@@ -458,7 +458,7 @@
             """
             journal q1: resumed after 5
             caller > 200 text/event-stream
-            caller > event: error | data: {"outcome":"interrupted","resumable":false,"reason":"the stream is not known any more"}
+            caller > event: error | data: {"outcome":"interrupted","resumable":false,"reason":"the stream is no longer known"}
             caller > cut
             """,  # noqa: E501
         )
--- a/tests/dataplane/inference/test_request_machine.py
+++ b/tests/dataplane/inference/test_request_machine.py
@@ -80,19 +80,19 @@
 
 class SkipsTheClaim(RequestMachine):
     def _handle_started(self, refusal):
-        return self._choose()
+        return self._choose_server()
 
 
 class KeepsThePlace(RequestMachine):
-    def _handle_answered(self, event: ResponseReceived):
-        effects = super()._handle_answered(event)
+    def _handle_response(self, event: ResponseReceived):
+        effects = super()._handle_response(event)
         return [effect for effect in effects if not isinstance(effect, FreeServer)]
 
 
 class TakesChunksInAnyOrder(RequestMachine):
     def _handle_chunks(self, event):
         self.chunks += event.chunks
-        return [*self._open(), RelayChunks(event.first_index, event.chunks)]
+        return [*self._ensure_stream_open(), RelayChunks(event.first_index, event.chunks)]
 
 
 class EndsShort(RequestMachine):
@@ -107,11 +107,11 @@
 
 
 class ReleasesWhatRan(RequestMachine):
-    def _release(self):
+    def _release_claim(self):
         return [ReleaseClaim()] if self.is_claimed else []
 
-    def _record_unknown(self, problem):
-        return self._release()
+    def _record_unknown_outcome(self, problem):
+        return self._release_claim()
 
 
 class MutationsTest(testtools.TestCase):
