--- a/tests/dataplane/inference/builders.py
+++ b/tests/dataplane/inference/builders.py
@@ -1,4 +1,4 @@
-"""Rows that the tests of the request path share."""
+"""Builders of the requests, table rows and routing states that the request path's tests use."""
 
 from __future__ import annotations
 
@@ -38,17 +38,22 @@
 
 
 def request(
-    request_id="q1", asked=None, deadline_at=10.0, named=True, after=None, received_at=0.0
+    request_id="q1",
+    inference=None,
+    deadline_at=10.0,
+    named_by_caller=True,
+    resume_after=None,
+    received_at=0.0,
 ) -> CallerRequest:
     return CallerRequest(
         RequestId(request_id),
-        named,
+        named_by_caller,
         RouteName("r"),
         "digest",
-        asked or inference_request(),
+        inference or inference_request(),
         received_at,
         deadline_at,
-        after,
+        resume_after,
     )
 
 
@@ -85,10 +90,10 @@
 
 
 def routing_state(*rows, **intent_changes) -> RoutingState:
-    made = RoutingState(ZoneName("a"))
-    made.apply_intent(intent(**intent_changes))
-    made.apply_directory(directory(*rows), 0.0)
-    return made
+    state = RoutingState(ZoneName("a"))
+    state.apply_intent(intent(**intent_changes))
+    state.apply_directory(directory(*rows), 0.0)
+    return state
 
 
 DOWN = ServerHealth.DOWN
--- a/tests/dataplane/inference/node_harness.py
+++ b/tests/dataplane/inference/node_harness.py
@@ -1,4 +1,4 @@
-"""A node with neighbours, back ends and callers in memory, which writes down what each saw."""
+"""A node with fake dependencies, back ends and callers, and a transcript of what each received."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     "ticket": RouteSpec("/v1/ticket", "lm", stream=True, at_most_once=True),
     "scan": RouteSpec("/v1/scan", "lookup", at_most_once=True),
 }
-GENERATE = b'{"model":"m","prompt":"p","max_tokens":3}'
+GENERATE_BODY = b'{"model":"m","prompt":"p","max_tokens":3}'
 
 
 @attrs.define
@@ -35,7 +35,7 @@
 
 @attrs.define(eq=False)
 class FakeExchange:
-    """One exchange as the test drives it."""
+    """An exchange with a back end whose events the test triggers."""
 
     harness: Harness
     request: object
@@ -46,12 +46,12 @@
 
     def connect(self):
         if not self.request.may_send():
-            self.fail("not allowed to leave")
+            self.fail("the request may not be sent")
             return
         self.sent = True
         self.listener.on_connected()
 
-    def answer(self, status=200, body=b""):
+    def respond(self, status=200, body=b""):
         if not self.sent:
             self.connect()
         self.listener.on_headers(status, {"content-type": "application/json"})
@@ -60,11 +60,11 @@
             body = b""
         self.listener.on_done(body)
 
-    def begin_stream(self):
+    def start_stream(self):
         self.connect()
         self.listener.on_headers(200, {"content-type": "text/event-stream"})
 
-    def events(self, text):
+    def receive_events(self, text):
         self.listener.on_body(text.encode())
 
     def fail(self, reason="connection reset"):
@@ -72,7 +72,7 @@
 
     def cancel(self):
         if not self.closed:
-            self.harness.note(f"{self.request.address} closed by the node")
+            self.harness.record_line(f"{self.request.address} closed by the node")
         self.closed = True
 
     def pause(self):
@@ -82,7 +82,7 @@
         self.paused = False
 
     def close_connection(self):
-        self.harness.note(f"{self.request.address} connection never used again")
+        self.harness.record_line(f"{self.request.address} connection never used again")
 
 
 class FakeClient:
@@ -91,14 +91,14 @@
 
     def start(self, request, listener):
         body = "" if request.body is None else f" {request.body.decode()}"
-        self.harness.note(f"{request.address} < {request.target}{body}")
+        self.harness.record_line(f"{request.address} < {request.target}{body}")
         exchange = FakeExchange(self.harness, request, listener)
         self.harness.exchanges.append(exchange)
         return exchange
 
 
 class FakeClaims:
-    """Grants everything, unless told otherwise."""
+    """Claims that are granted, dispatchable and renewable unless a test sets otherwise."""
 
     def __init__(self, harness):
         self.harness = harness
@@ -107,7 +107,7 @@
         self.renewed = True
 
     async def claim(self, request_id, digest, route, deadline_at):
-        self.harness.note(f"claim {request_id}: {type(self.decision).__name__}")
+        self.harness.record_line(f"claim {request_id}: {type(self.decision).__name__}")
         if isinstance(self.decision, Exception):
             raise self.decision
         return self.decision
@@ -116,36 +116,36 @@
         return self.dispatchable.pop(0) if len(self.dispatchable) > 1 else self.dispatchable[0]
 
     async def renew(self, request_id, deadline_at):
-        self.harness.note(f"renew {request_id}: {self.renewed}")
+        self.harness.record_line(f"renew {request_id}: {self.renewed}")
         return self.renewed
 
     async def record(self, request_id, outcome, status, headers, body):
-        self.harness.note(f"record {request_id}: {outcome.value} {status} {body.decode()!r}")
+        self.harness.record_line(f"record {request_id}: {outcome.value} {status} {body.decode()!r}")
         return True
 
     async def release(self, request_id):
-        self.harness.note(f"release {request_id}")
+        self.harness.record_line(f"release {request_id}")
         return True
 
 
 class FakeJournal:
     def __init__(self, harness):
         self.harness = harness
-        self.verdict = JournalAppend.REPLICATED
+        self.append_result = JournalAppend.REPLICATED
         self.state = None
 
     async def append(self, request_id, digest, first_index, chunks, epoch=1):
-        self.harness.note(f"journal {request_id} epoch {epoch}: {first_index} {chunks}")
-        return self.verdict
+        self.harness.record_line(f"journal {request_id} epoch {epoch}: {first_index} {chunks}")
+        return self.append_result
 
     async def close(self, request_id, count, epoch=1):
-        self.harness.note(f"journal {request_id} epoch {epoch}: ends at {count}")
+        self.harness.record_line(f"journal {request_id} epoch {epoch}: ends at {count}")
 
     def forget(self, request_id):
-        self.harness.note(f"journal {request_id}: forgotten")
+        self.harness.record_line(f"journal {request_id}: forgotten")
 
     async def resume(self, request_id, after):
-        self.harness.note(f"journal {request_id}: resumed after {after}")
+        self.harness.record_line(f"journal {request_id}: resumed after {after}")
         return self.state
 
 
@@ -156,7 +156,7 @@
     sampled: bool = False
     name: str = ""
     attributes: dict = attrs.field(factory=dict)
-    events: list = attrs.field(factory=list)
+    receive_events: list = attrs.field(factory=list)
     errors: list = attrs.field(factory=list)
     ended: bool = False
 
@@ -168,7 +168,7 @@
         self.attributes[name] = value
 
     def event(self, name, **attributes):
-        self.events.append((name, attributes))
+        self.receive_events.append((name, attributes))
 
     def error(self, message):
         self.errors.append(message)
@@ -193,39 +193,39 @@
     def __init__(self, harness, name):
         self.harness = harness
         self.name = name
-        self.lost = False
-        self.gate = None
+        self.is_disconnected = False
+        self.write_gate = None
 
-    def note(self, text):
-        self.harness.note(f"{self.name} > {text}")
+    def record_line(self, text):
+        self.harness.record_line(f"{self.name} > {text}")
 
     def send_response(self, status, headers, body):
-        again = f" retry after {headers['Retry-After']}" if "Retry-After" in headers else ""
-        self.note(f"{status} {headers['Zincvale-Outcome']}{again} {body.decode()}")
+        retry_after = f" retry after {headers['Retry-After']}" if "Retry-After" in headers else ""
+        self.record_line(f"{status} {headers['Zincvale-Outcome']}{retry_after} {body.decode()}")
 
     def open_stream(self, headers):
-        self.note(f"200 {headers['Content-Type']}")
+        self.record_line(f"200 {headers['Content-Type']}")
 
     async def write(self, data):
-        if self.gate is not None:
-            await self.gate
-        if self.lost:
+        if self.write_gate is not None:
+            await self.write_gate
+        if self.is_disconnected:
             raise CallerLostError
         for event in data.decode().strip().split("\n\n"):
-            self.note(event.replace("\n", " | "))
+            self.record_line(event.replace("\n", " | "))
 
     async def end(self):
-        self.note("whole")
+        self.record_line("whole")
 
     def cut(self):
-        self.note("cut")
+        self.record_line("cut")
 
 
 class Harness:
-    """One node; times move only by `now`."""
+    """One node and its fakes; time advances only when a test sets `now`."""
 
     def __init__(self, *rows, ready=True, **pool):
-        self.notes = []
+        self.transcript = []
         self.exchanges = []
         self.now = 0.0
         self.claims = FakeClaims(self)
@@ -244,31 +244,31 @@
         )
         self.node.context.client = FakeClient(self)
         self.node.apply_intent(self.intent(1, **pool))
-        self.apply(1, *rows)
+        self.apply_directory(1, *rows)
 
     def intent(self, version, **pool):
-        made = intent(version, **pool)
-        made.routes.clear()
-        made.routes.update({RouteName(name): spec for name, spec in ROUTES.items()})
-        made.pools[PoolName("lookup")] = PoolSpec(kind=PoolKind.LOOKUP)
-        return made
+        built_intent = intent(version, **pool)
+        built_intent.routes.clear()
+        built_intent.routes.update({RouteName(name): spec for name, spec in ROUTES.items()})
+        built_intent.pools[PoolName("lookup")] = PoolSpec(kind=PoolKind.LOOKUP)
+        return built_intent
 
-    def apply(self, version, *rows):
+    def apply_directory(self, version, *rows):
         self.node.apply_directory(Directory(1, version, {row.server: row for row in rows}))
 
-    def note(self, text):
-        self.notes.append(text)
+    def record_line(self, text):
+        self.transcript.append(text)
 
-    def post(self, path, body=GENERATE, name="caller", **headers):
+    def post(self, path, body=GENERATE_BODY, name="caller", **headers):
         caller = FakeCaller(self, name)
-        sent = {key.replace("_", "-"): value for key, value in headers.items()}
-        caller.runner = self.node.ingress.begin(path, sent, body, caller)
+        request_headers = {key.replace("_", "-"): value for key, value in headers.items()}
+        caller.runner = self.node.ingress.begin(path, request_headers, body, caller)
         return caller
 
-    async def settle(self):
+    async def run_pending_tasks(self):
         for _ in range(12):
             await asyncio.sleep(0)
 
-    def take_notes(self):
-        notes, self.notes = self.notes, []
-        return notes
+    def take_transcript(self):
+        transcript, self.transcript = self.transcript, []
+        return transcript
--- a/tests/dataplane/inference/request_exploration.py
+++ b/tests/dataplane/inference/request_exploration.py
@@ -1,8 +1,8 @@
-"""Every order of events around one request machine, with what a server could have run.
+"""Exhaustive exploration of the input orders of one request machine.
 
-The environment answers each effect in every legal way and counts possible runs in the worst case:
-an exchange whose first byte left ran, unless the server said that it did not. `explore` walks all
-orders to a bounded depth and returns the traces that break a promise.
+The environment responds to each effect in every legal way and counts runs in the worst case: once
+its first byte was sent, a request ran unless the server states that it did not. `explore` tries all
+orders up to a bounded depth and returns the input sequences that violate a guarantee.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeEnd
 from zincvale.model.outcomes import HTTP_STATUS_BY_REASON, OUTCOME_HEADER, Outcome, RefusalReason
 
-CLAIM_ANSWERS = (
+CLAIM_DECISIONS = (
     ClaimGranted(),
     ClaimRefused(ClaimRefusal.UNAVAILABLE),
     ClaimRefused(ClaimRefusal.UNAVAILABLE, never_ran=True),
@@ -76,62 +76,62 @@
 
 @attrs.define
 class Environment:
-    """What surrounds the machine, and what has happened so far."""
+    """The machine, the state of its surroundings, and the violations so far."""
 
     machine: RequestMachine
     waits_for: str = ""
-    """`claim`, `lookup`, `choice` or `exchange`."""
+    """The pending effect: `claim`, `renewal`, `lookup`, `choice` or `exchange`; empty for none."""
     sent: bool = False
     possible_runs: int = 0
-    places: int = 0
-    deadline_used: bool = False
-    caller_used: bool = False
+    reserved_slots: int = 0
+    has_deadline_passed: bool = False
+    has_caller_disconnected: bool = False
     responses: list = attrs.field(factory=list)
     relayed: list = attrs.field(factory=list)
-    granted: bool = False
-    renewed: bool = False
+    is_claim_granted: bool = False
+    is_claim_renewed: bool = False
     never_ran: bool = False
-    invalid: bool = False
-    noted: bool = False
+    is_refused_as_invalid: bool = False
+    is_marked_may_have_run: bool = False
     """The claim voters were notified that an unclaimed request may have run."""
-    settled: bool = False
+    is_claim_closed: bool = False
     """The claim was recorded or released."""
-    finished: list = attrs.field(factory=list)
-    broken: list = attrs.field(factory=list)
+    outcomes: list = attrs.field(factory=list)
+    violations: list = attrs.field(factory=list)
 
     def step(self, event) -> None:
         if event == "connected":
             self.sent = True
             self.possible_runs += 1
             return
-        self._before(event)
+        self._apply_input(event)
         for effect in self.machine.handle(event):
             self._carry_out(effect)
 
-    def _before(self, event) -> None:
+    def _apply_input(self, event) -> None:
         match event:
             case ServerRefused():
                 self.possible_runs -= 1
             case ClaimDecided(ClaimGranted()):
-                self.granted = True
+                self.is_claim_granted = True
             case ClaimDecided(ClaimRefused(never_ran=True)):
                 self.never_ran = True
             case ClaimRenewed():
-                self.renewed = True
+                self.is_claim_renewed = True
             case ServerChosen():
-                self.places += 1
+                self.reserved_slots += 1
             case DeadlinePassed():
-                self.deadline_used = True
+                self.has_deadline_passed = True
             case CallerDisconnected():
-                self.caller_used = True
+                self.has_caller_disconnected = True
         if isinstance(event, (ClaimDecided, ClaimRenewed, StreamFound, ServerChosen, NoServer)):
             self.waits_for = ""
         if isinstance(event, (ResponseReceived, ServerRefused, ServerFailed, StreamEnded)):
             self.waits_for = ""
 
     def _carry_out(self, effect) -> None:
-        if self.finished:
-            self.broken.append(f"{effect} after the end")
+        if self.outcomes:
+            self.violations.append(f"{effect} after Finish")
         match effect:
             case Claim():
                 self.waits_for = "claim"
@@ -146,18 +146,18 @@
             case CancelChoice() | CancelExchange():
                 self.waits_for = ""
             case FreeServer():
-                self.places -= 1
+                self.reserved_slots -= 1
             case SendResponse(status, headers):
                 self._respond(status, headers)
             case MarkMayHaveRun():
-                self.noted = True
+                self.is_marked_may_have_run = True
             case RecordOutcome() | RecordStream() | ReleaseClaim():
-                self._settle(effect)
+                self._close_claim(effect)
             case RelayChunks(first, chunks):
                 self._relay(first, chunks)
             case EndStream(count):
                 if self.relayed != list(range(1, count + 1)):
-                    self.broken.append(f"a stream of {count} ended after {self.relayed}")
+                    self.violations.append(f"a stream of {count} ended after {self.relayed}")
                 self.responses.append("end")
             case BreakStream():
                 self.responses.append("interrupted")
@@ -168,29 +168,29 @@
         route = self.machine.route
         self.waits_for = "exchange"
         self.sent = False
-        if route.at_most_once and not self.granted:
-            self.broken.append("dispatched without a claim")
+        if route.at_most_once and not self.is_claim_granted:
+            self.violations.append("dispatched without a claim")
         if route.at_most_once and self.possible_runs:
-            self.broken.append("dispatched again after it may have run")
+            self.violations.append("dispatched again after it may have run")
         if any(status != "end" for status in self.responses):
-            self.broken.append("dispatched after the caller was answered")
+            self.violations.append("dispatched after a response was sent to the caller")
         if list(prefix) != self.machine.chunks:
-            self.broken.append("a prefix that is not what was received")
+            self.violations.append("the prefix differs from the received chunks")
 
     def _respond(self, status, headers) -> None:
         self.responses.append(headers[OUTCOME_HEADER])
-        invalid = status == HTTP_STATUS_BY_REASON[RefusalReason.INVALID]
-        self.invalid = self.invalid or invalid
+        is_refused_as_invalid = status == HTTP_STATUS_BY_REASON[RefusalReason.INVALID]
+        self.is_refused_as_invalid = self.is_refused_as_invalid or is_refused_as_invalid
         ran = self.possible_runs or self.machine.request.resume_after
-        if headers[OUTCOME_HEADER] == "refused" and ran and not invalid:
-            self.broken.append("refused what may have run")
+        if headers[OUTCOME_HEADER] == "refused" and ran and not is_refused_as_invalid:
+            self.violations.append("refused a request that may have run")
 
-    def _settle(self, effect) -> None:
-        self.settled = True
+    def _close_claim(self, effect) -> None:
+        self.is_claim_closed = True
         if isinstance(effect, ReleaseClaim) and self.possible_runs:
-            self.broken.append("released a claim whose request may have run")
+            self.violations.append("released a claim whose request may have run")
         if isinstance(effect, RecordOutcome) and effect.outcome is Outcome.REFUSED:
-            self.broken.append("recorded a refusal")
+            self.violations.append("recorded a refusal")
 
     def _relay(self, first, chunks) -> None:
         numbers = list(range(first, first + len(chunks)))
@@ -198,83 +198,90 @@
             self.relayed = list(range(1, first))
         expected = len(self.relayed) + 1
         if first != expected:
-            self.broken.append(f"piece {first} relayed where {expected} was due")
+            self.violations.append(f"chunk {first} relayed where {expected} was expected")
         self.relayed += numbers
 
     def _finish(self, outcome) -> None:
-        self.finished.append(outcome)
+        self.outcomes.append(outcome)
         if outcome is Outcome.REFUSED and self.possible_runs:
-            self.broken.append("finished as refused although it may have run")
+            self.violations.append("finished as refused although it may have run")
         if len(self.responses) > 1:
-            self.broken.append(f"responses {self.responses}")
-        if not self.responses and not self.caller_used:
-            self.broken.append("the caller got nothing")
-        if self.places:
-            self.broken.append(f"{self.places} places not given back")
-        if self.granted and not self.settled:
-            self.broken.append("the claim was left open")
-        known = self.noted or self.machine.route.at_most_once or self.machine.chunks
-        known = known or self.machine.request.resume_after
-        if self.possible_runs and not known and outcome is not Outcome.ANSWERED:
-            self.broken.append("a run that nobody else knows of")
-        proved = self.granted or self.never_ran or self.invalid or self.caller_used
-        if outcome is Outcome.REFUSED and not proved:
-            self.broken.append("refused without proof that no earlier attempt ran")
+            self.violations.append(f"more than one response: {self.responses}")
+        if not self.responses and not self.has_caller_disconnected:
+            self.violations.append("the caller got no response")
+        if self.reserved_slots:
+            self.violations.append(f"{self.reserved_slots} slots not freed")
+        if self.is_claim_granted and not self.is_claim_closed:
+            self.violations.append("the claim was neither recorded nor released")
+        is_run_known = (
+            self.is_marked_may_have_run or self.machine.route.at_most_once or self.machine.chunks
+        )
+        is_run_known = is_run_known or self.machine.request.resume_after
+        if self.possible_runs and not is_run_known and outcome is not Outcome.ANSWERED:
+            self.violations.append("the claim voters do not know that the request may have run")
+        is_refusal_proved = (
+            self.is_claim_granted
+            or self.never_ran
+            or self.is_refused_as_invalid
+            or self.has_caller_disconnected
+        )
+        if outcome is Outcome.REFUSED and not is_refusal_proved:
+            self.violations.append("refused without proof that no earlier attempt ran")
         if self.waits_for == "exchange":
-            self.broken.append("an exchange was left running")
+            self.violations.append("an exchange was left open")
 
-    def choices(self) -> list:
-        """Every input that could come now."""
-        found: list = []
+    def possible_inputs(self) -> list:
+        """Return every input that may come next."""
+        inputs: list = []
         match self.waits_for:
             case "claim":
-                found += [ClaimDecided(answer) for answer in CLAIM_ANSWERS]
+                inputs += [ClaimDecided(decision) for decision in CLAIM_DECISIONS]
                 if self.machine.request.inference_request.stream:
-                    found.append(ClaimDecided(RECORDED_STREAM))
+                    inputs.append(ClaimDecided(RECORDED_STREAM))
             case "renewal":
-                found += [ClaimRenewed(True), ClaimRenewed(False)]
+                inputs += [ClaimRenewed(True), ClaimRenewed(False)]
             case "lookup":
-                found += [StreamFound(state) for state in _journal_states(self.machine)]
+                inputs += [StreamFound(state) for state in _journal_states(self.machine)]
             case "choice":
-                found += [ServerChosen(f"s{self.machine.attempts + 1}"), NoServer(BUSY)]
+                inputs += [ServerChosen(f"s{self.machine.attempts + 1}"), NoServer(BUSY)]
             case "exchange":
-                found += self._exchange_choices()
+                inputs += self._possible_exchange_inputs()
         journalled = self.machine.is_stream_open and not self.machine.route.at_most_once
-        if journalled and self.machine.chunks and not self.finished:
-            found.append(StreamFenced())
-        if not self.finished:
+        if journalled and self.machine.chunks and not self.outcomes:
+            inputs.append(StreamFenced())
+        if not self.outcomes:
             sent = self.waits_for == "exchange" and self.sent
-            if not self.deadline_used:
-                found.append(DeadlinePassed(sent))
-            if not self.caller_used:
-                found.append(CallerDisconnected(sent))
-        return found
+            if not self.has_deadline_passed:
+                inputs.append(DeadlinePassed(sent))
+            if not self.has_caller_disconnected:
+                inputs.append(CallerDisconnected(sent))
+        return inputs
 
-    def _exchange_choices(self) -> list:
+    def _possible_exchange_inputs(self) -> list:
         if not self.sent:
-            found: list = ["connected", ServerFailed("no connection", sent=False)]
-            if self.machine.route.at_most_once and not self.renewed:
-                found.append(DispatchForbidden())
-            return found
-        found = [ServerFailed("broke", sent=True)]
+            inputs: list = ["connected", ServerFailed("no connection", sent=False)]
+            if self.machine.route.at_most_once and not self.is_claim_renewed:
+                inputs.append(DispatchForbidden())
+            return inputs
+        inputs = [ServerFailed("broke", sent=True)]
         if not self.machine.request.inference_request.stream:
-            found += [
+            inputs += [
                 ResponseReceived(b"{}", 1),
                 ServerRefused(ExchangeEnd.OVERLOADED, "overloaded"),
             ]
-            return found
-        have = len(self.machine.chunks)
-        if self.machine.phase is Phase.EXCHANGING and have == 0:
-            found.append(ServerRefused(ExchangeEnd.OVERLOADED, "overloaded"))
-        if have < STREAM_LENGTH:
-            found.append(ChunksReceived(have + 1, [f"t{have + 1}"]))
-            found.append(ChunksReceived(have + 2, ["skipped"]))
-            if have:
-                found.append(ChunksReceived(have, ["repeated"]))
-            found.append(StreamEnded(have + 1))
+            return inputs
+        received = len(self.machine.chunks)
+        if self.machine.phase is Phase.EXCHANGING and received == 0:
+            inputs.append(ServerRefused(ExchangeEnd.OVERLOADED, "overloaded"))
+        if received < STREAM_LENGTH:
+            inputs.append(ChunksReceived(received + 1, [f"t{received + 1}"]))
+            inputs.append(ChunksReceived(received + 2, ["skipped"]))
+            if received:
+                inputs.append(ChunksReceived(received, ["repeated"]))
+            inputs.append(StreamEnded(received + 1))
         else:
-            found.append(StreamEnded(have))
-        return found
+            inputs.append(StreamEnded(received))
+        return inputs
 
 
 def _journal_states(machine) -> list:
@@ -288,7 +295,7 @@
 
 
 def _fingerprint(environment: Environment) -> str:
-    """Sets have no order of their own, so the tried servers are written sorted."""
+    """Return a text that identifies the state; excluded servers are sorted, since sets are not."""
     machine = copy.copy(environment.machine)
     machine.excluded = frozenset()
     plain = attrs.evolve(environment, machine=machine)
@@ -296,27 +303,29 @@
 
 
 def explore(make_machine, depth: int, refusals=(None,)) -> tuple[int, list[str]]:
-    """Walk every order of at most `depth` inputs; returns states seen and broken promises."""
+    """Try every order of up to `depth` inputs; returns the number of states and the violations."""
     seen: set[str] = set()
-    broken: list[str] = []
+    violations: list[str] = []
     frontier = []
     for refusal in refusals:
         environment = Environment(make_machine())
         environment.step(Started(refusal))
         frontier.append((environment, ["Started"]))
     for _ in range(depth):
-        following = []
-        for environment, trace in frontier:
-            for event in environment.choices():
+        next_frontier = []
+        for environment, inputs in frontier:
+            for event in environment.possible_inputs():
                 changed = copy.deepcopy(environment)
                 changed.step(event)
-                if changed.broken:
-                    broken.append(f"{changed.broken[0]}: {' > '.join([*trace, repr(event)])}")
+                if changed.violations:
+                    violations.append(
+                        f"{changed.violations[0]}: {' > '.join([*inputs, repr(event)])}"
+                    )
                     continue
                 fingerprint = _fingerprint(changed)
                 if fingerprint in seen:
                     continue
                 seen.add(fingerprint)
-                following.append((changed, [*trace, repr(event)]))
-        frontier = following
-    return len(seen), broken
+                next_frontier.append((changed, [*inputs, repr(event)]))
+        frontier = next_frontier
+    return len(seen), violations
--- a/tests/dataplane/inference/test_backend_adapter.py
+++ b/tests/dataplane/inference/test_backend_adapter.py
@@ -1,4 +1,4 @@
-"""What an answer of a back end proves, and how callers' requests are read."""
+"""What a back end's response proves, and the parsing of callers' requests."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from zincvale.model.outcomes import RefusalReason
 from zincvale.model.resources import PoolKind
 
-ANSWER = b'{"request_id":"q1","text":"x","tokens":3}'
+RESPONSE_BODY = b'{"request_id":"q1","text":"x","tokens":3}'
 REFUSALS = {
     (503, "overloaded"): ExchangeEnd.OVERLOADED,
     (503, "cold"): ExchangeEnd.COLD,
@@ -45,19 +45,19 @@
     def read(self, status, body):
         return LanguageModelAdapter().read_reply(request(), status, body)
 
-    def test_a_whole_answer_to_this_request(self):
-        self.assertEqual(ResponseReceived(ANSWER, 3), self.read(200, ANSWER))
+    def test_a_complete_response_with_the_request_identifier_is_accepted(self):
+        self.assertEqual(ResponseReceived(RESPONSE_BODY, 3), self.read(200, RESPONSE_BODY))
 
-    def test_an_answer_to_another_request_proves_nothing(self):
-        other = ANSWER.replace(b"q1", b"q2")
+    def test_a_response_to_another_request_counts_as_may_have_run(self):
+        other = RESPONSE_BODY.replace(b"q1", b"q2")
         self.assertIsInstance(self.read(200, other), ServerFailed)
         self.assertTrue(self.read(200, other).sent)
 
-    def test_half_an_answer_proves_nothing(self):
-        for length in range(len(ANSWER)):
-            self.assertIsInstance(self.read(200, ANSWER[:length]), ServerFailed)
+    def test_a_truncated_response_counts_as_may_have_run(self):
+        for length in range(len(RESPONSE_BODY)):
+            self.assertIsInstance(self.read(200, RESPONSE_BODY[:length]), ServerFailed)
 
-    def test_only_an_explicit_refusal_proves_that_nothing_ran(self):
+    def test_only_an_explicit_refusal_proves_that_the_request_did_not_run(self):
         for (status, error), end in REFUSALS.items():
             body = orjson.dumps({"error": error, "ran": False})
             self.assertIs(end, self.read(status, body).end)
@@ -73,17 +73,19 @@
         for status, body in unproven:
             self.assertIsInstance(self.read(status, body), ServerFailed, body)
 
-    def test_what_no_server_would_take_is_final(self):
+    def test_a_refusal_that_every_server_would_repeat_is_final(self):
         self.assertTrue(self.read(422, b'{"error":"too-large","ran":false}').final)
 
-    def test_a_server_that_lacks_the_adapter_is_told_from_one_that_lacks_the_model(self):
+    def test_a_missing_adapter_is_distinguished_from_a_missing_model(self):
         body = b'{"error":"not-resident","ran":false}'
-        asked = request(asked=inference_request(adapter="fine"))
-        self.assertEqual(("fine",), LanguageModelAdapter().read_reply(asked, 404, body).missing)
+        caller_request = request(inference=inference_request(adapter="fine"))
+        self.assertEqual(
+            ("fine",), LanguageModelAdapter().read_reply(caller_request, 404, body).missing
+        )
         self.assertEqual(("m",), self.read(404, body).missing)
 
     def test_a_lookup_is_a_get_with_its_key_escaped(self):
-        built = LookupAdapter().build(request(asked=InferenceRequest(key="a b&c")), "s:1", ())
+        built = LookupAdapter().build(request(inference=InferenceRequest(key="a b&c")), "s:1", ())
         self.assertEqual("/v1/lookup?key=a+b%26c&request_id=q1", built.target)
         self.assertIsNone(built.body)
 
@@ -102,12 +104,12 @@
             chunks = [p for r in read if isinstance(r, ChunksReceived) for p in r.chunks]
             self.assertEqual((["a", "b"], StreamEnded(2)), (chunks, read[-1]))
 
-    def test_consecutive_chunks_come_as_one_input_and_a_gap_does_not(self):
+    def test_only_consecutive_chunks_are_merged_into_one_input(self):
         body = self.BODY.replace(b"event: end", b'id: 4\ndata: {"text":"d"}\n\nevent: end')
         read = StreamReader().feed(body)
         self.assertEqual([ChunksReceived(1, ["a", "b"]), ChunksReceived(4, ["d"])], read[:2])
 
-    def test_what_cannot_be_read_fails_the_stream(self):
+    def test_an_unreadable_event_fails_the_stream(self):
         bad = [
             b"id: 1\ndata: {\n\n",
             b'data: {"text":"a"}\n\n',
@@ -122,26 +124,26 @@
         read = StreamReader().feed(self.BODY + self.BODY)
         self.assertIsInstance(read[2], ServerFailed)
 
-    def test_a_recorded_stream_gives_its_chunks_back(self):
+    def test_a_recorded_stream_decodes_to_its_chunks(self):
         chunks = ["a", "é\n\n", '"']
         self.assertEqual(chunks, responses.decode_stream(responses.whole_stream(chunks)))
 
 
 class CallerRequestTest(testtools.TestCase):
-    def invalid(self, *arguments):
+    def assert_invalid(self, *arguments):
         return self.assertRaises(InvalidInputError, *arguments)
 
-    def test_a_generation(self):
+    def test_the_fields_of_a_generation_request_are_read(self):
         body = orjson.dumps({"model": "m", "prompt": "p", "max_tokens": 3, "stream": True})
         read = read_inference_request(body, route(), PoolKind.LANGUAGE_MODEL)
         self.assertEqual(InferenceRequest(model="m", prompt="p", max_tokens=3, stream=True), read)
 
-    def test_the_route_gives_the_defaults(self):
-        spec = route(models=["only"], stream=True)
-        read = read_inference_request(b'{"prompt":"p"}', spec, PoolKind.LANGUAGE_MODEL)
+    def test_the_route_determines_the_defaults(self):
+        route_spec = route(models=["only"], stream=True)
+        read = read_inference_request(b'{"prompt":"p"}', route_spec, PoolKind.LANGUAGE_MODEL)
         self.assertEqual(("only", True, 256), (read.model, read.stream, read.max_tokens))
 
-    def test_errors_name_the_field_and_the_remedy(self):
+    def test_errors_name_the_invalid_field(self):
         bodies = {
             b'{"prompt":"p"}': "'model' is missing",
             b'{"model":"m"}': "'prompt' is missing",
@@ -151,34 +153,41 @@
             b'{"model":"m","prompt":"p","stream":1}': "'stream'",
             b'{"model":"m","prompt":"p","adapter":1}': "'adapter'",
         }
-        for body, words in bodies.items():
-            error = self.invalid(read_inference_request, body, route(), PoolKind.LANGUAGE_MODEL)
-            self.assertIn(words, error.problem)
-        self.invalid(read_inference_request, b"{}", route(), PoolKind.LOOKUP)
+        for body, expected_text in bodies.items():
+            error = self.assert_invalid(
+                read_inference_request, body, route(), PoolKind.LANGUAGE_MODEL
+            )
+            self.assertIn(expected_text, error.problem)
+        self.assert_invalid(read_inference_request, b"{}", route(), PoolKind.LOOKUP)
         for body in (b"", b"[]", b"{"):
             self.assertRaises(
                 MalformedBodyError, read_inference_request, body, route(), PoolKind.LOOKUP
             )
 
-    def test_a_model_that_the_route_does_not_serve(self):
-        spec = route(models=["a", "b"])
-        error = self.invalid(
-            read_inference_request, b'{"model":"m","prompt":"p"}', spec, PoolKind.LANGUAGE_MODEL
+    def test_a_model_that_the_route_does_not_serve_is_refused(self):
+        route_spec = route(models=["a", "b"])
+        error = self.assert_invalid(
+            read_inference_request,
+            b'{"model":"m","prompt":"p"}',
+            route_spec,
+            PoolKind.LANGUAGE_MODEL,
         )
         self.assertEqual("request one of a, b", error.remedy)
 
-    def test_headers(self):
+    def test_invalid_headers_are_refused_and_the_route_bounds_the_deadline(self):
         self.assertEqual(1.5, read_deadline_s({"X-Deadline-Ms": "1500"}, route()))
         self.assertEqual(30.0, read_deadline_s({"X-Deadline-Ms": "99999999"}, route()))
         self.assertEqual(30.0, read_deadline_s({}, route()))
         self.assertEqual(7, read_resume_after({"Last-Event-ID": "7"}))
-        self.invalid(read_deadline_s, {"X-Deadline-Ms": "-1"}, route())
-        self.invalid(read_resume_after, {"Last-Event-ID": "x"})
+        self.assert_invalid(read_deadline_s, {"X-Deadline-Ms": "-1"}, route())
+        self.assert_invalid(read_resume_after, {"Last-Event-ID": "x"})
         for bad in ("a\nb", "é", "x" * 129):
-            self.invalid(read_request_id, {"X-Request-Id": bad})
+            self.assert_invalid(read_request_id, {"X-Request-Id": bad})
 
-    def test_a_refusal_says_when_to_come_back(self):
-        made = responses.refused("q1", Refusal(RefusalReason.OVERLOADED, "busy", retry_after_s=2.1))
-        self.assertEqual((503, "3"), (made.status, made.headers["Retry-After"]))
+    def test_a_refusal_carries_retry_after_unless_it_is_final(self):
+        response = responses.refused(
+            "q1", Refusal(RefusalReason.OVERLOADED, "busy", retry_after_s=2.1)
+        )
+        self.assertEqual((503, "3"), (response.status, response.headers["Retry-After"]))
         final = responses.refused("q1", Refusal(RefusalReason.INVALID, "bad"))
         self.assertEqual((422, None), (final.status, final.headers.get("Retry-After")))
--- a/tests/dataplane/inference/test_node.py
+++ b/tests/dataplane/inference/test_node.py
@@ -1,4 +1,4 @@
-"""Approved transcripts of whole exchanges through a node."""
+"""Requests through a node from arrival to outcome, some with their approved transcripts."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from zincvale.model.outcomes import Outcome
 from zincvale.model.resources import PoolKind
 
-ONE = b'{"request_id":"q1","text":"x","tokens":3}'
-CHAT = b'{"model":"m","prompt":"p","max_tokens":3}'
+RESPONSE_BODY = b'{"request_id":"q1","text":"x","tokens":3}'
+CHAT_BODY = b'{"model":"m","prompt":"p","max_tokens":3}'
 
 
-def piece(number, text):
+def chunk_event(number, text):
     return f'id: {number}\ndata: {{"text":"{text}"}}\n\n'
 
 
-END = 'event: end\ndata: {"count":2}\n\n'
+END_EVENT = 'event: end\ndata: {"count":2}\n\n'
 
 
-class DefectiveMachine:
+class FailingMachine:
     def __init__(self, machine):
         self.request = machine.request
         self.phase = machine.phase
@@ -54,19 +54,19 @@
 
         harness = asyncio.run(main())
         if expected is not None:
-            self.assertEqual(textwrap.dedent(expected).strip(), "\n".join(harness.notes))
+            self.assertEqual(textwrap.dedent(expected).strip(), "\n".join(harness.transcript))
         states = harness.node.context.routing_state.servers.values()
-        self.assertEqual({0}, {state.outstanding for state in states}, "places not given back")
+        self.assertEqual({0}, {state.outstanding for state in states}, "slots not freed")
         self.assertEqual(0, harness.node.active_requests)
         self.assertTrue(all(span.ended for span in harness.spans.spans))
         return harness
 
 
-class WholeAnswerTest(NodeTestCase):
-    def test_an_answer_passes_as_it_came(self):
+class CompleteResponseTest(NodeTestCase):
+    def test_a_response_body_is_passed_on_unchanged(self):
         async def scenario(harness):
             harness.post("/v1/sum", X_Request_Id="q1")
-            harness.exchanges[0].answer(200, ONE)
+            harness.exchanges[0].respond(200, RESPONSE_BODY)
 
         self.run_scenario(
             scenario,
@@ -76,13 +76,13 @@
             """,  # noqa: E501
         )
 
-    def test_a_crossed_answer_reaches_nobody_and_its_connection_is_closed(self):
+    def test_a_response_to_another_request_is_not_delivered_and_its_connection_is_closed(self):
         async def scenario(harness):
             harness.post("/v1/quote", X_Request_Id="q1")
-            await harness.settle()
-            harness.take_notes()
-            harness.exchanges[0].answer(200, ONE.replace(b"q1", b"q2"))
-            await harness.settle()
+            await harness.run_pending_tasks()
+            harness.take_transcript()
+            harness.exchanges[0].respond(200, RESPONSE_BODY.replace(b"q1", b"q2"))
+            await harness.run_pending_tasks()
 
         self.run_scenario(
             scenario,
@@ -96,10 +96,10 @@
     def test_an_at_most_once_request_is_claimed_recorded_and_then_answered(self):
         async def scenario(harness):
             harness.post("/v1/quote", X_Request_Id="q1")
-            await harness.settle()
-            harness.exchanges[0].answer(200, ONE)
-            await harness.settle()
-            del harness.notes[1]
+            await harness.run_pending_tasks()
+            harness.exchanges[0].respond(200, RESPONSE_BODY)
+            await harness.run_pending_tasks()
+            del harness.transcript[1]
 
         self.run_scenario(
             scenario,
@@ -110,79 +110,83 @@
             """,
         )
 
-    def test_a_refused_or_unconnected_attempt_goes_to_the_other_server(self):
+    def test_a_refused_or_unconnected_attempt_is_retried_at_another_server(self):
         async def scenario(harness):
             harness.post("/v1/quote", X_Request_Id="q1")
-            await harness.settle()
-            harness.exchanges[0].answer(503, b'{"error":"overloaded","ran":false}')
+            await harness.run_pending_tasks()
+            harness.exchanges[0].respond(503, b'{"error":"overloaded","ran":false}')
             harness.exchanges[1].fail("no connection")
             self.assertEqual(["s1:1", "s2:1"], [e.request.address for e in harness.exchanges])
             self.assertEqual(2, len(harness.exchanges))
             harness.now = 1.0
             harness.node.tick(1.0)
-            harness.exchanges[2].answer(200, ONE)
-            await harness.settle()
-            self.assertIn("caller > 200 answered", harness.notes[-1])
+            harness.exchanges[2].respond(200, RESPONSE_BODY)
+            await harness.run_pending_tasks()
+            self.assertIn("caller > 200 answered", harness.transcript[-1])
 
         self.run_scenario(scenario)
 
     def test_after_the_first_byte_an_at_most_once_request_is_never_sent_again(self):
         async def scenario(harness):
             harness.post("/v1/quote", X_Request_Id="q1")
-            await harness.settle()
+            await harness.run_pending_tasks()
             harness.exchanges[0].connect()
             harness.exchanges[0].fail()
-            await harness.settle()
+            await harness.run_pending_tasks()
             self.assertEqual(1, len(harness.exchanges))
-            self.assertIn("caller > 504 unknown", harness.notes[-1])
-            self.assertIn("record q1: unknown", harness.notes[-2])
+            self.assertIn("caller > 504 unknown", harness.transcript[-1])
+            self.assertIn("record q1: unknown", harness.transcript[-2])
 
         self.run_scenario(scenario)
 
-    def test_a_claim_too_old_to_send_under_is_renewed_first(self):
+    def test_a_claim_too_old_to_permit_a_send_is_renewed_first(self):
         async def scenario(harness):
             harness.claims.dispatchable = [False, True]
             harness.post("/v1/quote", X_Request_Id="q1")
-            await harness.settle()
-            harness.exchanges[0].answer(200, ONE)
-            await harness.settle()
-            self.assertEqual(["claim q1: ClaimGranted", "renew q1: True"], harness.notes[:2])
+            await harness.run_pending_tasks()
+            harness.exchanges[0].respond(200, RESPONSE_BODY)
+            await harness.run_pending_tasks()
+            self.assertEqual(["claim q1: ClaimGranted", "renew q1: True"], harness.transcript[:2])
 
         self.run_scenario(scenario)
 
-    def test_a_claim_that_cannot_be_renewed_sends_nothing(self):
+    def test_nothing_is_sent_when_the_claim_cannot_be_renewed(self):
         async def scenario(harness):
             harness.claims.dispatchable = [False]
             harness.claims.renewed = False
             harness.post("/v1/quote", X_Request_Id="q1")
-            await harness.settle()
+            await harness.run_pending_tasks()
             self.assertEqual([], harness.exchanges)
-            self.assertEqual("release q1", harness.notes[2])
-            self.assertIn("504 unknown", harness.notes[3])
+            self.assertEqual("release q1", harness.transcript[2])
+            self.assertIn("504 unknown", harness.transcript[3])
 
         self.run_scenario(scenario)
 
     def test_a_resend_gets_the_recorded_outcome(self):
         async def scenario(harness):
             headers = {"Zincvale-Outcome": "answered"}
-            harness.claims.decision = RecordedOutcome(Outcome.ANSWERED, 200, headers, ONE)
+            harness.claims.decision = RecordedOutcome(Outcome.ANSWERED, 200, headers, RESPONSE_BODY)
             harness.post("/v1/quote", X_Request_Id="q1")
-            await harness.settle()
+            await harness.run_pending_tasks()
             self.assertEqual([], harness.exchanges)
-            self.assertIn("200 answered", harness.notes[-1])
+            self.assertIn("200 answered", harness.transcript[-1])
 
         self.run_scenario(scenario)
 
-    def test_without_claim_holders_only_a_fresh_request_is_refused(self):
+    def test_without_claim_voters_only_a_request_with_a_generated_identifier_is_refused(self):
         async def scenario(harness):
             harness.claims.decision = ClaimRefused(ClaimRefusal.UNAVAILABLE, 2.0)
             harness.post("/v1/quote", X_Request_Id="q1")
             harness.post("/v1/quote")
-            await harness.settle()
-            harness.claims.decision = ValueError("a defect next door")
+            await harness.run_pending_tasks()
+            harness.claims.decision = ValueError("unexpected exception in the claims")
             harness.post("/v1/quote", X_Request_Id="q2")
-            await harness.settle()
-            responses = [note[:35] for note in harness.notes if note.startswith("caller")]
+            await harness.run_pending_tasks()
+            responses = [
+                record_line[:35]
+                for record_line in harness.transcript
+                if record_line.startswith("caller")
+            ]
             expected = [
                 "caller > 504 unknown retry after 2 ",
                 "caller > 503 refused retry after 2 ",
@@ -197,12 +201,12 @@
         async def scenario(harness):
             harness.ready = False
             harness.post("/v1/sum")
-            self.assertIn("503 refused retry after 1", harness.take_notes()[0])
+            self.assertIn("503 refused retry after 1", harness.take_transcript()[0])
             harness.post("/v1/quote", X_Request_Id="q2")
-            await harness.settle()
+            await harness.run_pending_tasks()
             self.assertEqual([], harness.exchanges)
-            self.assertEqual(["claim q2: ClaimGranted", "release q2"], harness.notes[0:2])
-            self.assertIn("503 refused retry after 1", harness.notes[2])
+            self.assertEqual(["claim q2: ClaimGranted", "release q2"], harness.transcript[0:2])
+            self.assertIn("503 refused retry after 1", harness.transcript[2])
 
         self.run_scenario(scenario)
 
@@ -211,22 +215,22 @@
             caller = harness.post("/v1/sum", X_Request_Id="q1")
             harness.exchanges[0].connect()
             caller.runner.on_caller_lost()
-            await harness.settle()
-            self.assertEqual("claim q1: ClaimGranted", harness.notes[-2])
-            self.assertIn("record q1: unknown 504", harness.notes[-1])
+            await harness.run_pending_tasks()
+            self.assertEqual("claim q1: ClaimGranted", harness.transcript[-2])
+            self.assertIn("record q1: unknown 504", harness.transcript[-1])
             harness.ready = False
             headers = {"Zincvale-Outcome": "unknown"}
             harness.claims.decision = RecordedOutcome(Outcome.UNKNOWN, 504, headers, b"{}")
             harness.post("/v1/sum", X_Request_Id="q1")
-            await harness.settle()
-            self.assertEqual("caller > 504 unknown {}", harness.notes[-1])
+            await harness.run_pending_tasks()
+            self.assertEqual("caller > 504 unknown {}", harness.transcript[-1])
 
         self.run_scenario(scenario)
 
-    def test_a_node_that_woke_sends_nothing_by_its_old_tables(self):
+    def test_a_node_that_was_frozen_sends_nothing_by_outdated_tables(self):
         async def scenario(harness):
             harness.post("/v1/quote", X_Request_Id="q1")
-            await harness.settle()
+            await harness.run_pending_tasks()
             harness.ready = False
             harness.exchanges[0].connect()
             harness.now = 20.0
@@ -234,28 +238,28 @@
             self.assertEqual((1, False), (len(harness.exchanges), harness.exchanges[0].sent))
             harness.ready = True
             harness.node.apply_intent(harness.intent(2, drained=["s1"]))
-            await harness.settle()
+            await harness.run_pending_tasks()
             self.assertEqual("s2:1", harness.exchanges[1].request.address)
-            harness.exchanges[1].answer(200, ONE)
-            await harness.settle()
-            self.assertIn("200 answered", harness.notes[-1])
+            harness.exchanges[1].respond(200, RESPONSE_BODY)
+            await harness.run_pending_tasks()
+            self.assertIn("200 answered", harness.transcript[-1])
 
         self.run_scenario(scenario)
 
-    def test_nothing_leaves_for_a_server_that_was_drained_while_the_connection_was_made(self):
+    def test_nothing_is_sent_to_a_server_drained_while_the_connection_was_established(self):
         async def scenario(harness):
             harness.post("/v1/sum", X_Request_Id="q1")
             harness.node.apply_intent(harness.intent(2, drained=["s1"]))
             harness.exchanges[0].connect()
             self.assertFalse(harness.exchanges[0].sent)
             self.assertEqual("s2:1", harness.exchanges[1].request.address)
-            harness.exchanges[1].answer(200, ONE)
+            harness.exchanges[1].respond(200, RESPONSE_BODY)
 
         self.run_scenario(scenario)
 
-    def test_a_server_that_cannot_be_reached_is_tried_again_after_a_pause(self):
+    def test_a_server_that_cannot_be_reached_is_retried_after_a_pause(self):
         async def scenario(harness):
-            harness.apply(2, server_row("s1"))
+            harness.apply_directory(2, server_row("s1"))
             harness.post("/v1/sum", X_Request_Id="q1")
             for attempt in range(1, 4):
                 harness.exchanges[-1].fail("no connection")
@@ -264,20 +268,20 @@
                 harness.now += 1.0
                 harness.node.tick(harness.now)
                 self.assertEqual(attempt + 1, len(harness.exchanges))
-            harness.exchanges[-1].answer(200, ONE)
-            self.assertIn("200 answered", harness.notes[-1])
+            harness.exchanges[-1].respond(200, RESPONSE_BODY)
+            self.assertIn("200 answered", harness.transcript[-1])
 
         self.run_scenario(scenario)
 
-    def test_a_lookup(self):
+    def test_a_lookup_is_sent_with_its_key_escaped_in_the_query(self):
         async def scenario(harness):
             lookup = server_row("l1", pool="lookup", models=(), kind=PoolKind.LOOKUP)
-            harness.apply(2, lookup)
+            harness.apply_directory(2, lookup)
             harness.post("/v1/scan", b'{"key":"bin 7"}', X_Request_Id="q1")
-            await harness.settle()
-            harness.exchanges[0].answer(200, b'{"request_id":"q1","key":"bin 7","value":"x"}')
-            await harness.settle()
-            self.assertEqual("l1:1 < /v1/lookup?key=bin+7&request_id=q1", harness.notes[1])
+            await harness.run_pending_tasks()
+            harness.exchanges[0].respond(200, b'{"request_id":"q1","key":"bin 7","value":"x"}')
+            await harness.run_pending_tasks()
+            self.assertEqual("l1:1 < /v1/lookup?key=bin+7&request_id=q1", harness.transcript[1])
 
         self.run_scenario(scenario)
 
@@ -288,36 +292,36 @@
             self.addCleanup(gc.enable)
             caller = harness.post("/v1/sum", X_Request_Id="q1")
             runner = weakref.ref(caller.runner)
-            harness.exchanges[0].answer(200, ONE)
+            harness.exchanges[0].respond(200, RESPONSE_BODY)
             del caller.runner
             self.assertIsNone(runner())
 
         self.run_scenario(scenario)
 
-    def test_a_defect_answers_unknown_and_gives_everything_back(self):
+    def test_an_exception_in_the_machine_ends_as_unknown_and_frees_the_slot(self):
         async def scenario(harness):
             caller = harness.post("/v1/sum", X_Request_Id="q1")
-            caller.runner.machine = DefectiveMachine(caller.runner.machine)
-            harness.exchanges[0].answer(200, ONE)
-            self.assertIn("504 unknown", harness.notes[-1])
+            caller.runner.machine = FailingMachine(caller.runner.machine)
+            harness.exchanges[0].respond(200, RESPONSE_BODY)
+            self.assertIn("504 unknown", harness.transcript[-1])
 
         self.run_scenario(scenario)
 
 
 class StreamTest(NodeTestCase):
-    def test_a_stream_goes_on_at_another_server_from_its_exact_prefix(self):
+    def test_a_broken_stream_continues_at_another_server_from_its_exact_prefix(self):
         async def scenario(harness):
-            harness.post("/v1/chat", CHAT, X_Request_Id="q1")
+            harness.post("/v1/chat", CHAT_BODY, X_Request_Id="q1")
             first = harness.exchanges[0]
-            first.begin_stream()
-            first.events(piece(1, "a"))
-            await harness.settle()
+            first.start_stream()
+            first.receive_events(chunk_event(1, "a"))
+            await harness.run_pending_tasks()
             first.fail()
             second = harness.exchanges[1]
-            second.begin_stream()
-            second.events(piece(2, "b") + END)
+            second.start_stream()
+            second.receive_events(chunk_event(2, "b") + END_EVENT)
             second.listener.on_done(b"")
-            await harness.settle()
+            await harness.run_pending_tasks()
 
         self.run_scenario(
             scenario,
@@ -335,82 +339,82 @@
             """,  # noqa: E501
         )
 
-    def test_a_skipped_event_closes_the_server_and_nothing_of_it_is_relayed(self):
+    def test_a_stream_that_skips_an_event_is_closed_and_later_events_are_not_relayed(self):
         async def scenario(harness):
-            harness.post("/v1/chat", CHAT, X_Request_Id="q1")
+            harness.post("/v1/chat", CHAT_BODY, X_Request_Id="q1")
             first = harness.exchanges[0]
-            first.begin_stream()
-            first.events(piece(1, "a") + piece(3, "c"))
-            harness.exchanges[1].begin_stream()
-            harness.exchanges[1].events(piece(2, "b") + END)
-            await harness.settle()
-            self.assertIn("s1:1 closed by the node", harness.notes)
+            first.start_stream()
+            first.receive_events(chunk_event(1, "a") + chunk_event(3, "c"))
+            harness.exchanges[1].start_stream()
+            harness.exchanges[1].receive_events(chunk_event(2, "b") + END_EVENT)
+            await harness.run_pending_tasks()
+            self.assertIn("s1:1 closed by the node", harness.transcript)
             self.assertNotIn(
-                '"c"', "".join(n for n in harness.notes if n.startswith("caller > id"))
+                '"c"', "".join(n for n in harness.transcript if n.startswith("caller > id"))
             )
 
         self.run_scenario(scenario)
 
-    def test_a_stream_that_closes_without_its_end_goes_on_elsewhere(self):
+    def test_a_stream_that_closes_without_its_end_event_continues_at_another_server(self):
         async def scenario(harness):
-            harness.post("/v1/chat", CHAT, X_Request_Id="q1")
-            harness.exchanges[0].begin_stream()
-            harness.exchanges[0].events(piece(1, "a"))
+            harness.post("/v1/chat", CHAT_BODY, X_Request_Id="q1")
+            harness.exchanges[0].start_stream()
+            harness.exchanges[0].receive_events(chunk_event(1, "a"))
             harness.exchanges[0].listener.on_done(b"")
-            harness.exchanges[1].begin_stream()
-            harness.exchanges[1].events(piece(2, "b") + END)
-            await harness.settle()
-            self.assertEqual("caller > whole", harness.notes[-2])
+            harness.exchanges[1].start_stream()
+            harness.exchanges[1].receive_events(chunk_event(2, "b") + END_EVENT)
+            await harness.run_pending_tasks()
+            self.assertEqual("caller > whole", harness.transcript[-2])
 
         self.run_scenario(scenario)
 
-    def test_a_silent_server_is_given_up_but_not_while_the_caller_is_slow(self):
+    def test_a_stream_times_out_at_a_silent_server_but_not_while_the_caller_is_slow(self):
         async def scenario(harness):
-            caller = harness.post("/v1/chat", CHAT, X_Request_Id="q1")
+            caller = harness.post("/v1/chat", CHAT_BODY, X_Request_Id="q1")
             first = harness.exchanges[0]
-            first.begin_stream()
-            caller.gate = asyncio.get_running_loop().create_future()
-            first.events("".join(piece(n, "a") for n in range(1, 100)))
+            first.start_stream()
+            caller.write_gate = asyncio.get_running_loop().create_future()
+            first.receive_events("".join(chunk_event(n, "a") for n in range(1, 100)))
             self.assertTrue(first.paused)
             harness.now = 100.0
             harness.node.tick(100.0)
             self.assertEqual(1, len(harness.exchanges))
-            caller.gate.set_result(None)
-            await harness.settle()
+            caller.write_gate.set_result(None)
+            await harness.run_pending_tasks()
             self.assertFalse(first.paused)
             harness.node.tick(102.9)
             self.assertEqual(1, len(harness.exchanges))
             harness.node.tick(103.1)
             self.assertEqual(2, len(harness.exchanges))
-            harness.exchanges[1].begin_stream()
-            harness.exchanges[1].events(END.replace("2", "99"))
-            await harness.settle()
+            harness.exchanges[1].start_stream()
+            harness.exchanges[1].receive_events(END_EVENT.replace("2", "99"))
+            await harness.run_pending_tasks()
 
         self.run_scenario(scenario)
 
-    def test_a_server_called_down_is_given_up_when_it_is_silent_too(self):
+    def test_a_stream_leaves_a_server_reported_down_only_when_it_is_also_silent(self):
         async def scenario(harness):
-            harness.post("/v1/chat", CHAT, X_Request_Id="q1")
-            harness.exchanges[0].begin_stream()
+            harness.post("/v1/chat", CHAT_BODY, X_Request_Id="q1")
+            harness.exchanges[0].start_stream()
             harness.now = 0.5
-            harness.apply(2, server_row("s1", health=DOWN), server_row("s2"))
+            harness.apply_directory(2, server_row("s1", health=DOWN), server_row("s2"))
             self.assertEqual(1, len(harness.exchanges))
             harness.now = 1.5
-            harness.apply(3, server_row("s1", health=DOWN), server_row("s2"))
-            harness.exchanges[1].begin_stream()
-            harness.exchanges[1].events(END.replace("2", "0"))
-            await harness.settle()
+            harness.apply_directory(3, server_row("s1", health=DOWN), server_row("s2"))
+            harness.exchanges[1].start_stream()
+            harness.exchanges[1].receive_events(END_EVENT.replace("2", "0"))
+            await harness.run_pending_tasks()
 
         self.run_scenario(scenario)
 
-    def test_a_stream_taken_over_delivers_nothing_more_and_is_cut(self):
+    def test_a_fenced_stream_delivers_nothing_more_and_is_cut(self):
         async def scenario(harness):
-            harness.post("/v1/chat", CHAT, X_Request_Id="q1")
-            harness.exchanges[0].begin_stream()
-            harness.journal.verdict = JournalAppend.FENCED
-            harness.exchanges[0].events(piece(1, "a"))
-            await harness.settle()
-            del harness.notes[0]
+            harness.post("/v1/chat", CHAT_BODY, X_Request_Id="q1")
+            harness.exchanges[0].start_stream()
+            harness.journal.append_result = JournalAppend.FENCED
+            harness.exchanges[0].receive_events(chunk_event(1, "a"))
+            await harness.run_pending_tasks()
+            del harness.transcript[0]
 
         self.run_scenario(
             scenario,
@@ -423,15 +427,15 @@
             """,  # noqa: E501
         )
 
-    def test_a_resumed_stream_sends_what_the_journal_holds_and_goes_on(self):
+    def test_a_resumed_stream_sends_the_journalled_chunks_and_continues(self):
         async def scenario(harness):
-            digest = request_digest("chat", CHAT)
+            digest = request_digest("chat", CHAT_BODY)
             harness.journal.state = JournalState(digest, ("a", "b"), epoch=4)
-            harness.post("/v1/chat", CHAT, X_Request_Id="q1", Last_Event_ID="1")
-            await harness.settle()
-            harness.exchanges[0].begin_stream()
-            harness.exchanges[0].events(piece(3, "c") + END.replace("2", "3"))
-            await harness.settle()
+            harness.post("/v1/chat", CHAT_BODY, X_Request_Id="q1", Last_Event_ID="1")
+            await harness.run_pending_tasks()
+            harness.exchanges[0].start_stream()
+            harness.exchanges[0].receive_events(chunk_event(3, "c") + END_EVENT.replace("2", "3"))
+            await harness.run_pending_tasks()
 
         self.run_scenario(
             scenario,
@@ -448,10 +452,10 @@
             """,  # noqa: E501
         )
 
-    def test_an_unknown_stream_cannot_be_resumed_and_says_so(self):
+    def test_resuming_an_unknown_stream_ends_with_an_error_event(self):
         async def scenario(harness):
-            harness.post("/v1/chat", CHAT, X_Request_Id="q1", Last_Event_ID="5")
-            await harness.settle()
+            harness.post("/v1/chat", CHAT_BODY, X_Request_Id="q1", Last_Event_ID="5")
+            await harness.run_pending_tasks()
 
         self.run_scenario(
             scenario,
@@ -463,41 +467,41 @@
             """,  # noqa: E501
         )
 
-    def test_an_at_most_once_stream_runs_to_its_record_without_its_caller(self):
+    def test_an_at_most_once_stream_is_recorded_after_its_caller_disconnected(self):
         async def scenario(harness):
-            caller = harness.post("/v1/ticket", CHAT, X_Request_Id="q1")
-            await harness.settle()
+            caller = harness.post("/v1/ticket", CHAT_BODY, X_Request_Id="q1")
+            await harness.run_pending_tasks()
             first = harness.exchanges[0]
-            first.begin_stream()
-            first.events(piece(1, "a"))
-            await harness.settle()
-            caller.lost = True
+            first.start_stream()
+            first.receive_events(chunk_event(1, "a"))
+            await harness.run_pending_tasks()
+            caller.is_disconnected = True
             caller.runner.on_caller_lost()
-            first.events(piece(2, "b") + END)
-            await harness.settle()
-            self.assertIn("record q1: answered 200", harness.notes[-1])
+            first.receive_events(chunk_event(2, "b") + END_EVENT)
+            await harness.run_pending_tasks()
+            self.assertIn("record q1: answered 200", harness.transcript[-1])
             self.assertEqual(1, len(harness.exchanges))
 
         self.run_scenario(scenario)
 
-    def test_a_caller_that_leaves_closes_the_server(self):
+    def test_a_stream_is_closed_at_the_server_when_its_caller_disconnects(self):
         async def scenario(harness):
-            caller = harness.post("/v1/chat", CHAT, X_Request_Id="q1")
-            harness.exchanges[0].begin_stream()
-            harness.exchanges[0].events(piece(1, "a"))
-            await harness.settle()
+            caller = harness.post("/v1/chat", CHAT_BODY, X_Request_Id="q1")
+            harness.exchanges[0].start_stream()
+            harness.exchanges[0].receive_events(chunk_event(1, "a"))
+            await harness.run_pending_tasks()
             caller.runner.on_caller_lost()
-            self.assertEqual("s1:1 closed by the node", harness.notes[-1])
+            self.assertEqual("s1:1 closed by the node", harness.transcript[-1])
 
         self.run_scenario(scenario)
 
 
-class RecordTest(NodeTestCase):
-    def test_the_record_says_why_a_request_landed_where_it_did(self):
+class TraceAndReadinessTest(NodeTestCase):
+    def test_the_trace_explains_the_choice_of_the_server(self):
         async def scenario(harness):
             harness.node.apply_intent(harness.intent(2, evacuated=["b"]))
             harness.post("/v1/sum", X_Request_Id="q1")
-            harness.exchanges[0].answer(200, ONE)
+            harness.exchanges[0].respond(200, RESPONSE_BODY)
 
         harness = self.run_scenario(scenario)
         root, dispatch = harness.spans.spans
@@ -506,7 +510,7 @@
                 "policy",
                 {"policy": "zone", "kind": "filter", "reason": "zone b is evacuated", "kept": 1},
             ),
-            root.events,
+            root.receive_events,
         )
         self.assertEqual(
             {
@@ -531,7 +535,7 @@
             harness.node.start_draining()
             self.assertEqual("draining", harness.node.ingress.unready_reason())
             harness.post("/v1/sum", X_Request_Id="q1")
-            harness.exchanges[0].answer(200, ONE)
+            harness.exchanges[0].respond(200, RESPONSE_BODY)
             self.assertEqual("s2:1", harness.exchanges[0].request.address)
 
         self.run_scenario(scenario)
--- a/tests/dataplane/inference/test_request_machine.py
+++ b/tests/dataplane/inference/test_request_machine.py
@@ -1,4 +1,4 @@
-"""Outcome × fault point of the request machine, and mutations that must be caught."""
+"""Guarantees of the request machine in every input order, and mutations that must be detected."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from zincvale.model.outcomes import Outcome
 
 DEPTH = 14
-KINDS = {
+REQUEST_KINDS = {
     "plain": (route(), inference_request(), None),
     "plain at most once": (route(at_most_once=True), inference_request(), None),
     "stream": (route(), inference_request(stream=True), None),
@@ -38,37 +38,39 @@
 }
 
 
-def maker(kind, machine_class=RequestMachine):
-    spec, asked, after = KINDS[kind]
-    return lambda: machine_class(request(asked=asked, after=after), spec)
+def machine_factory(kind, machine_class=RequestMachine):
+    route_spec, inference, resume_after = REQUEST_KINDS[kind]
+    return lambda: machine_class(
+        request(inference=inference, resume_after=resume_after), route_spec
+    )
 
 
-class PromisesTest(testtools.TestCase):
-    def check(self, kind, least_states):
-        states, broken = explore(maker(kind), DEPTH, refusals=(None, BUSY))
-        self.assertEqual([], broken[:3])
-        self.assertGreater(states, least_states)
+class OutcomeGuaranteesTest(testtools.TestCase):
+    def check_all_orders(self, kind, min_states):
+        states, violations = explore(machine_factory(kind), DEPTH, refusals=(None, BUSY))
+        self.assertEqual([], violations[:3])
+        self.assertGreater(states, min_states)
 
-    def test_plain(self):
-        self.check("plain", 140)
+    def test_a_plain_request_keeps_the_guarantees_in_every_input_order(self):
+        self.check_all_orders("plain", 140)
 
-    def test_plain_at_most_once(self):
-        self.check("plain at most once", 370)
+    def test_a_plain_at_most_once_request_keeps_the_guarantees_in_every_input_order(self):
+        self.check_all_orders("plain at most once", 370)
 
-    def test_stream(self):
-        self.check("stream", 1150)
+    def test_a_stream_keeps_the_guarantees_in_every_input_order(self):
+        self.check_all_orders("stream", 1150)
 
-    def test_stream_at_most_once(self):
-        self.check("stream at most once", 970)
+    def test_an_at_most_once_stream_keeps_the_guarantees_in_every_input_order(self):
+        self.check_all_orders("stream at most once", 970)
 
-    def test_resumed_stream(self):
-        self.check("resumed stream", 940)
+    def test_a_resumed_stream_keeps_the_guarantees_in_every_input_order(self):
+        self.check_all_orders("resumed stream", 940)
 
-    def test_resumed_stream_at_most_once(self):
-        self.check("resumed stream at most once", 45)
+    def test_a_resumed_at_most_once_stream_keeps_the_guarantees_in_every_input_order(self):
+        self.check_all_orders("resumed stream at most once", 45)
 
 
-class RepeatsAfterSent(RequestMachine):
+class RetriesAfterFirstByte(RequestMachine):
     def _handle_server_failed(self, event: ServerFailed):
         return super()._handle_server_failed(ServerFailed(event.reason, sent=False))
 
@@ -78,35 +80,35 @@
         return super()._expire_exchange(sent=False)
 
 
-class SkipsTheClaim(RequestMachine):
+class DispatchesWithoutClaim(RequestMachine):
     def _handle_started(self, refusal):
         return self._choose_server()
 
 
-class KeepsThePlace(RequestMachine):
+class NeverFreesSlot(RequestMachine):
     def _handle_response(self, event: ResponseReceived):
         effects = super()._handle_response(event)
         return [effect for effect in effects if not isinstance(effect, FreeServer)]
 
 
-class TakesChunksInAnyOrder(RequestMachine):
+class AcceptsChunksOutOfOrder(RequestMachine):
     def _handle_chunks(self, event):
         self.chunks += event.chunks
         return [*self._ensure_stream_open(), RelayChunks(event.first_index, event.chunks)]
 
 
-class EndsShort(RequestMachine):
+class AcceptsTruncatedStream(RequestMachine):
     def _handle_stream_ended(self, count):
         self.chunks = [*self.chunks, *[""] * (count - len(self.chunks))]
         return super()._handle_stream_ended(count)
 
 
-class ForgetsTheExchange(RequestMachine):
+class LeavesExchangeOpen(RequestMachine):
     def _abandon_exchange(self, sent):
         return [FreeServer(ExchangeEnd.ABANDONED), *self._finish(Outcome.UNKNOWN)]
 
 
-class ReleasesWhatRan(RequestMachine):
+class ReleasesClaimAfterRun(RequestMachine):
     def _release_claim(self):
         return [ReleaseClaim()] if self.is_claimed else []
 
@@ -115,46 +117,48 @@
 
 
 class MutationsTest(testtools.TestCase):
-    """Each way of breaking a promise is found, so the exploration does look at it."""
+    """A machine that breaks a guarantee on purpose is detected, so the exploration checks it."""
 
-    def caught(self, kind, machine_class, words):
-        _, broken = explore(maker(kind, machine_class), DEPTH, refusals=(None, BUSY))
-        found = [line for line in broken if words in line]
-        self.assertNotEqual([], found, f"{machine_class.__name__}: {broken[:2]}")
+    def assert_violation_found(self, kind, machine_class, expected_text):
+        _, violations = explore(machine_factory(kind, machine_class), DEPTH, refusals=(None, BUSY))
+        matching = [line for line in violations if expected_text in line]
+        self.assertNotEqual([], matching, f"{machine_class.__name__}: {violations[:2]}")
 
-    def test_repeats_after_the_first_byte(self):
-        self.caught("plain at most once", RepeatsAfterSent, "dispatched again")
+    def test_a_second_dispatch_after_the_first_byte_is_detected(self):
+        self.assert_violation_found("plain at most once", RetriesAfterFirstByte, "dispatched again")
 
-    def test_refuses_what_may_have_run(self):
-        self.caught("plain", RefusesAtDeadline, "refused what may have run")
+    def test_a_refusal_of_a_request_that_may_have_run_is_detected(self):
+        self.assert_violation_found(
+            "plain", RefusesAtDeadline, "refused a request that may have run"
+        )
 
-    def test_skips_the_claim(self):
-        self.caught("plain at most once", SkipsTheClaim, "without a claim")
+    def test_a_dispatch_without_a_claim_is_detected(self):
+        self.assert_violation_found("plain at most once", DispatchesWithoutClaim, "without a claim")
 
-    def test_keeps_a_place(self):
-        self.caught("plain", KeepsThePlace, "not given back")
+    def test_a_slot_that_is_never_freed_is_detected(self):
+        self.assert_violation_found("plain", NeverFreesSlot, "not freed")
 
-    def test_relays_skipped_chunks(self):
-        self.caught("stream", TakesChunksInAnyOrder, "was due")
+    def test_relaying_chunks_out_of_order_is_detected(self):
+        self.assert_violation_found("stream", AcceptsChunksOutOfOrder, "was expected")
 
-    def test_ends_a_stream_short(self):
-        self.caught("stream", EndsShort, "ended after")
+    def test_a_truncated_stream_that_ends_as_complete_is_detected(self):
+        self.assert_violation_found("stream", AcceptsTruncatedStream, "ended after")
 
-    def test_leaves_an_exchange_running(self):
-        self.caught("plain", ForgetsTheExchange, "left running")
+    def test_an_exchange_left_open_is_detected(self):
+        self.assert_violation_found("plain", LeavesExchangeOpen, "left open")
 
-    def test_releases_a_claim_that_ran(self):
-        self.caught("plain at most once", ReleasesWhatRan, "released a claim")
+    def test_releasing_the_claim_of_a_request_that_ran_is_detected(self):
+        self.assert_violation_found("plain at most once", ReleasesClaimAfterRun, "released a claim")
 
 
-class LateAnswerTest(testtools.TestCase):
-    def test_the_late_answer_of_an_at_most_once_request_is_recorded_for_resends(self):
-        machine = maker("plain at most once")()
+class LateResponseTest(testtools.TestCase):
+    def test_the_late_response_to_an_at_most_once_request_is_recorded_for_resends(self):
+        machine = machine_factory("plain at most once")()
         machine.handle(Started())
         machine.handle(ClaimDecided(ClaimGranted()))
         self.assertEqual([Dispatch("s1", (), 1)], machine.handle(ServerChosen("s1")))
-        (answer,) = machine.handle(DeadlinePassed(sent=True))
-        self.assertEqual(504, answer.status)
+        (response,) = machine.handle(DeadlinePassed(sent=True))
+        self.assertEqual(504, response.status)
         self.assertIs(Phase.LATE, machine.phase)
         effects = machine.handle(ResponseReceived(b"{}", 1))
         self.assertEqual([FreeServer, RecordOutcome, Finish], [type(effect) for effect in effects])
--- a/tests/dataplane/inference/test_routing_state.py
+++ b/tests/dataplane/inference/test_routing_state.py
@@ -1,4 +1,4 @@
-"""Tables of the native request path: slow start and limits of servers."""
+"""Routing tables: updates, slow start, and the concurrency and rate limits of servers."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 
 class RoutingStateTest(testtools.TestCase):
     def test_older_tables_are_ignored(self):
-        made = routing_state(server_row("s1"), version=5)
-        self.assertFalse(made.apply_intent(made.intent.__class__(4)))
-        self.assertFalse(made.apply_directory(directory(version=0), 1.0))
-        self.assertIn("s1", made.servers)
+        tables = routing_state(server_row("s1"), version=5)
+        self.assertFalse(tables.apply_intent(tables.intent.__class__(4)))
+        self.assertFalse(tables.apply_directory(directory(version=0), 1.0))
+        self.assertIn("s1", tables.servers)
 
-    def test_a_server_that_came_back_ramps_up_and_its_old_failures_are_forgotten(self):
-        made = routing_state(server_row("s1", incarnation="one"), max_concurrent_per_server=20)
-        state = made.servers["s1"]
-        state.concurrency.limit = 20.0
-        self.assertEqual(20.0, state.concurrency_limit(0.0))
+    def test_a_restarted_server_ramps_up_and_its_earlier_failures_are_forgotten(self):
+        tables = routing_state(server_row("s1", incarnation="one"), max_concurrent_per_server=20)
+        server = tables.servers["s1"]
+        server.concurrency.limit = 20.0
+        self.assertEqual(20.0, server.concurrency_limit(0.0))
         for _ in range(3):
-            state.failures.on_failure(0.0)
-        made.apply_directory(directory(server_row("s1", incarnation="two"), version=2), 10.0)
-        self.assertIs(state, made.servers["s1"])
-        self.assertFalse(state.failures.is_ejected(10.0))
-        limits = [state.concurrency_limit(10.0 + seconds) for seconds in (0.0, 4.0, 8.0)]
+            server.failures.on_failure(0.0)
+        tables.apply_directory(directory(server_row("s1", incarnation="two"), version=2), 10.0)
+        self.assertIs(server, tables.servers["s1"])
+        self.assertFalse(server.failures.is_ejected(10.0))
+        limits = [server.concurrency_limit(10.0 + seconds) for seconds in (0.0, 4.0, 8.0)]
         self.assertEqual([2.0, 10.0, 20.0], limits)
 
     def test_all_nodes_together_stay_within_the_ramp_of_a_server_that_warms_up(self):
@@ -53,53 +53,53 @@
         for seconds in (0.0, 2.0, 4.0, 7.9):
             limits = []
             for name in names:
-                made = RoutingState(ZoneName("a"), MemberId(name))
-                made.apply_intent(intent(max_concurrent_per_server=16))
-                made.apply_members(Members(1, rows))
-                made.apply_directory(directory(server_row("s1", health=COLD)), 0.0)
-                made.servers["s1"].concurrency.limit = 16.0
-                limits.append(made.servers["s1"].concurrency_limit(seconds))
+                tables = RoutingState(ZoneName("a"), MemberId(name))
+                tables.apply_intent(intent(max_concurrent_per_server=16))
+                tables.apply_members(Members(1, rows))
+                tables.apply_directory(directory(server_row("s1", health=COLD)), 0.0)
+                tables.servers["s1"].concurrency.limit = 16.0
+                limits.append(tables.servers["s1"].concurrency_limit(seconds))
             limits_by_time.append(sum(limits))
         self.assertEqual([1.0, 4.0, 8.0, 15.0], limits_by_time)
 
     def test_the_ramp_of_a_cold_server_begins_with_its_first_model(self):
-        made = routing_state(server_row("s1", health=COLD, models=()))
-        made.apply_directory(directory(server_row("s1", health=COLD), version=2), 50.0)
-        made.apply_directory(directory(server_row("s1", health=COLD), version=3), 60.0)
-        self.assertEqual(50.0, made.servers["s1"].ready_since)
+        tables = routing_state(server_row("s1", health=COLD, models=()))
+        tables.apply_directory(directory(server_row("s1", health=COLD), version=2), 50.0)
+        tables.apply_directory(directory(server_row("s1", health=COLD), version=3), 60.0)
+        self.assertEqual(50.0, tables.servers["s1"].ready_since)
 
-    def test_a_cold_server_that_tells_what_it_takes_gets_so_much_of_all_nodes_together(self):
+    def test_the_reported_limit_of_a_cold_server_is_divided_among_the_nodes(self):
         rows = {MemberId(name): node_row(name) for name in ("n1", "n2", "n3")}
-        for told in (1, 2, 5):
+        for reported_limit in (1, 2, 5):
             limits = []
             for name in rows:
-                made = RoutingState(ZoneName("a"), MemberId(name))
-                made.apply_intent(intent(max_concurrent_per_server=16))
-                made.apply_members(Members(1, rows))
-                cold = server_row("s1", health=COLD, max_running=told)
-                made.apply_directory(directory(cold), 0.0)
-                limits.append(made.servers["s1"].concurrency_limit(100.0))
-            self.assertEqual(told, sum(limits))
-        made.apply_directory(directory(server_row("s1", max_running=16), version=2), 101.0)
-        self.assertEqual(8.0, made.servers["s1"].concurrency_limit(101.0))
+                tables = RoutingState(ZoneName("a"), MemberId(name))
+                tables.apply_intent(intent(max_concurrent_per_server=16))
+                tables.apply_members(Members(1, rows))
+                cold = server_row("s1", health=COLD, max_running=reported_limit)
+                tables.apply_directory(directory(cold), 0.0)
+                limits.append(tables.servers["s1"].concurrency_limit(100.0))
+            self.assertEqual(reported_limit, sum(limits))
+        tables.apply_directory(directory(server_row("s1", max_running=16), version=2), 101.0)
+        self.assertEqual(8.0, tables.servers["s1"].concurrency_limit(101.0))
 
-    def test_a_server_that_says_it_is_cold_is_left_alone_and_ramps_up_again(self):
-        made = routing_state(server_row("s1"))
-        state = made.servers["s1"]
-        record_exchange_end(state, ExchangeReport(ExchangeEnd.COLD, 0.0, 5.0, 8))
-        self.assertEqual((6.0, 1.0), (state.paused_until, state.concurrency_limit(5.0)))
+    def test_a_refusal_as_cold_pauses_the_server_and_restarts_its_ramp(self):
+        tables = routing_state(server_row("s1"))
+        server = tables.servers["s1"]
+        record_exchange_end(server, ExchangeReport(ExchangeEnd.COLD, 0.0, 5.0, 8))
+        self.assertEqual((6.0, 1.0), (server.paused_until, server.concurrency_limit(5.0)))
 
-    def test_a_server_that_was_down_ramps_up_too(self):
-        made = routing_state(server_row("s1", health=DOWN))
-        made.apply_directory(directory(server_row("s1"), version=2), 10.0)
-        self.assertEqual(10.0, made.servers["s1"].ready_since)
+    def test_a_server_that_was_down_ramps_up(self):
+        tables = routing_state(server_row("s1", health=DOWN))
+        tables.apply_directory(directory(server_row("s1"), version=2), 10.0)
+        self.assertEqual(10.0, tables.servers["s1"].ready_since)
 
-    def test_the_server_limit_counts_when_it_is_lower_than_the_pool_limit(self):
-        made = routing_state(server_row("s1", max_running=4), max_concurrent_per_server=16)
-        self.assertEqual(4.0, made.servers["s1"].concurrency.ceiling)
+    def test_a_server_limit_below_the_pool_limit_applies(self):
+        tables = routing_state(server_row("s1", max_running=4), max_concurrent_per_server=16)
+        self.assertEqual(4.0, tables.servers["s1"].concurrency.ceiling)
 
     def test_rates_are_shared_by_the_ready_nodes(self):
-        made = routing_state(server_row("s1"), max_requests_per_second_per_server=4.0)
+        tables = routing_state(server_row("s1"), max_requests_per_second_per_server=4.0)
         rows = {MemberId(name): node_row(name, ready=name != "n3") for name in ("n1", "n2", "n3")}
-        made.apply_members(Members(1, rows))
-        self.assertEqual(2, made.servers["s1"].rate.nodes)
+        tables.apply_members(Members(1, rows))
+        self.assertEqual(2, tables.servers["s1"].rate.nodes)
