--- a/src/zincvale/dataplane/inference/context.py
+++ b/src/zincvale/dataplane/inference/context.py
@@ -21,7 +21,7 @@
 from zincvale.model.resources import RouteSpec
 from zincvale.transport.curl_client import CurlClient
 
-PUMP_INTERVAL_S = 0.02
+QUEUE_CHECK_INTERVAL_S = 0.02
 """Interval between checks of the queues while requests wait: rate limits refill, deadlines pass."""
 
 LogFunction = Callable[..., None]
@@ -115,7 +115,7 @@
     ) -> None:
         """Free a server's slot and deliver the verdicts of queued requests that it unblocks."""
         self.scheduler.may_place = self.ready()
-        change, verdicts = self.scheduler.finish(request, server, report)
+        change, verdicts = self.scheduler.finish_exchange(request, server, report)
         if change is HealthChange.EJECTED:
             self.metrics.ejected(server.row.server)
             self.log(log_events.SERVER_EJECTED, server=server.row.server)
@@ -124,18 +124,18 @@
         if verdicts:
             self.deliver(verdicts)
 
-    def pump(self) -> None:
+    def process_queues(self) -> None:
         """Place or reject queued requests now, and deliver the verdicts."""
         self.scheduler.may_place = self.ready()
-        self.deliver(self.scheduler.pump(self.clock()))
+        self.deliver(self.scheduler.process_queues(self.clock()))
 
     def schedule_queue_check(self) -> None:
         """Schedule the next check of the queues if any request waits."""
         if self._is_queue_check_scheduled or not self.scheduler.any_waiting():
             return
         self._is_queue_check_scheduled = True
-        asyncio.get_running_loop().call_later(PUMP_INTERVAL_S, self._on_queue_check_due)
+        asyncio.get_running_loop().call_later(QUEUE_CHECK_INTERVAL_S, self._on_queue_check_due)
 
     def _on_queue_check_due(self) -> None:
         self._is_queue_check_scheduled = False
-        self.pump()
+        self.process_queues()
--- a/src/zincvale/dataplane/inference/dependency_calls.py
+++ b/src/zincvale/dataplane/inference/dependency_calls.py
@@ -92,7 +92,7 @@
         """Record a complete stream as the outcome for resends."""
         request_id = self.machine.request.request_id
         headers = responses.stream_headers(request_id)
-        body = responses.whole_stream(self.machine.chunks)
+        body = responses.encode_stream(self.machine.chunks)
         await self._await_confirmation(
             "record",
             self.context.claims.record(request_id, Outcome.ANSWERED, 200, headers, body),
--- a/src/zincvale/dataplane/inference/exchange_reader.py
+++ b/src/zincvale/dataplane/inference/exchange_reader.py
@@ -63,7 +63,7 @@
     _body_bytes: int = 0
 
     @property
-    def first_piece_s(self) -> float:
+    def first_chunk_s(self) -> float:
         """Seconds from the dispatch to a stream's first chunk; 0 when there is none."""
         return 0.0 if self.first_chunk_at is None else self.first_chunk_at - self.started_at
 
--- a/src/zincvale/dataplane/inference/node_service.py
+++ b/src/zincvale/dataplane/inference/node_service.py
@@ -125,7 +125,7 @@
             return
         for problem in self.context.scheduler.chain_problems():
             self.context.log(log_events.POLICY_UNKNOWN, problem=str(problem))
-        self.context.pump()
+        self.context.process_queues()
 
     def apply_directory(self, directory: Directory) -> None:
         """Apply a newer directory, and give up exchanges with servers that went down."""
@@ -137,7 +137,7 @@
             if state.row.health is ServerHealth.DOWN and state.outstanding:
                 for runner in self._runners():
                     runner.on_server_down(state, now)
-        self.context.pump()
+        self.context.process_queues()
 
     def apply_members(self, members: Members) -> None:
         """Apply a newer member table."""
@@ -148,7 +148,7 @@
         for runner in self._runners():
             runner.check_timeout(now)
         if self.context.scheduler.any_waiting():
-            self.context.pump()
+            self.context.process_queues()
 
     def start_draining(self) -> None:
         """Become unready (lame duck); requests in progress and new ones are still served."""
--- a/src/zincvale/dataplane/inference/responses.py
+++ b/src/zincvale/dataplane/inference/responses.py
@@ -87,14 +87,14 @@
     return b"event: error\ndata: %b\n\n" % orjson.dumps(data)
 
 
-def whole_stream(chunks: list[str]) -> bytes:
+def encode_stream(chunks: list[str]) -> bytes:
     """Return a complete stream as one body, for recorded outcomes."""
     events = [event(number, text) for number, text in enumerate(chunks, start=1)]
     return b"".join([*events, end_event(len(chunks))])
 
 
 def decode_stream(body: bytes) -> list[str]:
-    """Return the chunks of a body that `whole_stream` returned."""
+    """Return the chunks of a body that `encode_stream` returned."""
     events = EventReader().feed(body)
     return [orjson.loads(read.data)["text"] for read in events if read.number is not None]
 
--- a/src/zincvale/dataplane/inference/runner.py
+++ b/src/zincvale/dataplane/inference/runner.py
@@ -259,7 +259,7 @@
         request = self.machine.request
         if self.is_admitted:
             self.is_admitted = False
-            self.context.scheduler.leave(request)
+            self.context.scheduler.finish_request(request)
         self.context.verdict_receivers.pop(self._token, None)
         elapsed_s = self.context.clock() - request.received_at
         self.context.metrics.finished(request.route, outcome, reason, elapsed_s)
--- a/src/zincvale/dataplane/inference/scheduler.py
+++ b/src/zincvale/dataplane/inference/scheduler.py
@@ -85,7 +85,7 @@
     ) -> Rejected | None:
         """Return the rejection of a request that cannot be served, None when it is admitted.
 
-        An admitted request counts against its route's limit until `leave`.
+        An admitted request counts against its route's limit until `finish_request`.
         """
         pool = self.routing_state.pool_of(route)
         if pool is None:
@@ -101,7 +101,7 @@
         self._active_by_route[request.route] = active + 1
         return None
 
-    def leave(self, request: CallerRequest) -> None:
+    def finish_request(self, request: CallerRequest) -> None:
         """Stop counting an admitted request against its route's limit: it has ended."""
         active = self._active_by_route.get(request.route, 0)
         self._active_by_route[request.route] = max(0, active - 1)
@@ -134,7 +134,7 @@
         if queue is not None:
             self._remove(pool_name, queue, token)
 
-    def finish(
+    def finish_exchange(
         self, request: CallerRequest, server: ServerState, report: ExchangeReport
     ) -> tuple[HealthChange, list[Verdict]]:
         """Free the server's slot; returns its health change and the verdicts of queued requests."""
@@ -159,7 +159,7 @@
             return False
         return pool.retry_budget.take() or route.stake is Stake.HIGH
 
-    def pump(self, now: float) -> list[Verdict]:
+    def process_queues(self, now: float) -> list[Verdict]:
         """Place or reject queued requests; called on table changes and on each tick."""
         verdicts: list[Verdict] = []
         for name, queue in list(self._queues.items()):
--- a/src/zincvale/dataplane/inference/server_side.py
+++ b/src/zincvale/dataplane/inference/server_side.py
@@ -111,7 +111,7 @@
             work_tokens(self.machine.request, self.pool.spec.kind),
             effect.units,
             effect.missing,
-            0.0 if reader is None else reader.first_piece_s,
+            0.0 if reader is None else reader.first_chunk_s,
         )
         self._close_after_linger(reader)
         self.context.finish_exchange(self.machine.request, server, report)
--- a/src/zincvale/dataplane/resilience/exchange_evidence.py
+++ b/src/zincvale/dataplane/resilience/exchange_evidence.py
@@ -41,7 +41,7 @@
     work_tokens : the estimated work that was counted as outstanding.
     units : work really done (tokens, or 1 for a lookup); 0 when unknown.
     missing : the model or adapter that the server stated is not resident.
-    first_piece_s : how long a stream's first chunk took; 0 for a complete response.
+    first_chunk_s : how long a stream's first chunk took; 0 for a complete response.
     """
 
     end: ExchangeEnd
@@ -50,12 +50,12 @@
     work_tokens: int
     units: int = 0
     missing: tuple[str, ...] = ()
-    first_piece_s: float = 0.0
+    first_chunk_s: float = 0.0
 
     @property
     def deadline_covers_s(self) -> float:
         """Return the part of the duration that the deadline covers: of a stream, its start."""
-        return self.first_piece_s or self.duration_s
+        return self.first_chunk_s or self.duration_s
 
     @property
     def duration_s(self) -> float:
--- a/src/zincvale/simulator/what_if/node.py
+++ b/src/zincvale/simulator/what_if/node.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from zincvale.dataplane.inference.context import PUMP_INTERVAL_S
+from zincvale.dataplane.inference.context import QUEUE_CHECK_INTERVAL_S
 from zincvale.dataplane.inference.events import NoServer, Refusal, ServerChosen, Started
 from zincvale.dataplane.inference.request_machine import RequestMachine
 from zincvale.dataplane.inference.requests import CallerRequest
@@ -225,14 +225,14 @@
         self, request: CallerRequest, server: ServerState, report: ExchangeReport
     ) -> None:
         """Release a server's slot and serve who waited for it."""
-        _, verdicts = self.scheduler.finish(request, server, report)
+        _, verdicts = self.scheduler.finish_exchange(request, server, report)
         if verdicts:
             self.deliver(verdicts)
 
     def pump(self) -> None:
         """Serve and expire the queues."""
         if self.is_up and self.scheduler.any_waiting():
-            self.deliver(self.scheduler.pump(self.clock.now))
+            self.deliver(self.scheduler.process_queues(self.clock.now))
 
     def _schedule_pump(self) -> None:
         if self._pump_scheduled or not self.scheduler.any_waiting():
@@ -240,7 +240,7 @@
         self._pump_scheduled = True
         # Only deadlines pass meanwhile, so that looking less often changes next to nothing.
         idle = self.scheduler.all_wait_for_tables()
-        interval_s = IDLE_PUMP_INTERVAL_S if idle else PUMP_INTERVAL_S
+        interval_s = IDLE_PUMP_INTERVAL_S if idle else QUEUE_CHECK_INTERVAL_S
         self.clock.call_later(interval_s, self._pump_due)
 
     def _pump_due(self) -> None:
--- a/src/zincvale/simulator/what_if/request.py
+++ b/src/zincvale/simulator/what_if/request.py
@@ -297,7 +297,7 @@
                 claims.record(request.request_id, outcome)
             case RecordStream():
                 headers = responses.stream_headers(request.request_id)
-                body = responses.whole_stream(self.machine.chunks)
+                body = responses.encode_stream(self.machine.chunks)
                 outcome = RecordedOutcome(Outcome.ANSWERED, OK_STATUS, headers, body)
                 claims.record(request.request_id, outcome)
             case ReleaseClaim():
@@ -376,7 +376,7 @@
         self.record_wait()
         if self.is_admitted:
             self.is_admitted = False
-            self.node.scheduler.leave(self.machine.request)
+            self.node.scheduler.finish_request(self.machine.request)
         self.node.requests.pop(self._token, None)
         self.node.observe(self, outcome, reason)
 
--- a/tests/dataplane/inference/request_exploration.py
+++ b/tests/dataplane/inference/request_exploration.py
@@ -68,7 +68,7 @@
     OutcomePending(),
 )
 RECORDED_STREAM = RecordedOutcome(
-    Outcome.ANSWERED, 200, {OUTCOME_HEADER: "answered"}, responses.whole_stream(["t1", "t2", "t3"])
+    Outcome.ANSWERED, 200, {OUTCOME_HEADER: "answered"}, responses.encode_stream(["t1", "t2", "t3"])
 )
 BUSY = Refusal(RefusalReason.OVERLOADED, "busy")
 STREAM_LENGTH = 3
--- a/tests/dataplane/inference/test_backend_adapter.py
+++ b/tests/dataplane/inference/test_backend_adapter.py
@@ -95,7 +95,7 @@
 
 
 class StreamReaderTest(testtools.TestCase):
-    BODY = responses.whole_stream(["a", "b"])
+    BODY = responses.encode_stream(["a", "b"])
 
     def test_any_split_of_the_bytes_gives_the_same_chunks(self):
         for cut in range(len(self.BODY) + 1):
@@ -126,7 +126,7 @@
 
     def test_a_recorded_stream_decodes_to_its_chunks(self):
         chunks = ["a", "é\n\n", '"']
-        self.assertEqual(chunks, responses.decode_stream(responses.whole_stream(chunks)))
+        self.assertEqual(chunks, responses.decode_stream(responses.encode_stream(chunks)))
 
 
 class CallerRequestTest(testtools.TestCase):
--- a/tests/dataplane/inference/test_scheduler.py
+++ b/tests/dataplane/inference/test_scheduler.py
@@ -52,7 +52,7 @@
         served = []
         now = 1.0
         for _ in range(4):
-            _, (placed,) = scheduler.finish(request(), first.server, report(ended=now))
+            _, (placed,) = scheduler.finish_exchange(request(), first.server, report(ended=now))
             served.append(placed.token)
             now += 1.0
         self.assertEqual([5, 3, 4, 2], served)
@@ -78,14 +78,16 @@
         scheduler = make_scheduler(server_row("s1"), drained=["s1"])
         (queued,) = scheduler.place(request(), route(), 1, 0.0)
         self.assertIs(Blocked.NO_SERVER, queued.blocked)
-        self.assertEqual([], scheduler.pump(2.9))
-        (refused,) = scheduler.pump(3.0)
+        self.assertEqual([], scheduler.process_queues(2.9))
+        (refused,) = scheduler.process_queues(3.0)
         self.assertIs(RefusalReason.NO_SERVER, refused.reason)
 
     def test_a_refusal_as_not_resident_overrides_the_directory(self):
         scheduler = make_scheduler(server_row("s1"), server_row("s2"))
         state = scheduler.routing_state.servers["s1"]
-        scheduler.finish(request(), state, report(ExchangeEnd.NOT_RESIDENT, missing=("m",)))
+        scheduler.finish_exchange(
+            request(), state, report(ExchangeEnd.NOT_RESIDENT, missing=("m",))
+        )
         chosen = {
             scheduler.place(request(f"q{n}"), route(), n, 1.0)[0].server.server for n in range(9)
         }
@@ -113,7 +115,7 @@
         for token in range(1, 5):
             scheduler.place(request(f"q{token}"), route(), token, 0.0)
         placed.server.on_latency(50.0)
-        refused = scheduler.pump(0.5)
+        refused = scheduler.process_queues(0.5)
         self.assertEqual([3, 4], [verdict.token for verdict in refused])
         self.assertIs(RefusalReason.OVERLOADED, refused[0].reason)
 
@@ -146,7 +148,7 @@
         self.assertIsNone(scheduler.admit(request("q1"), limited, 1, 0.0))
         refused = scheduler.admit(request("q2"), limited, 2, 0.0)
         self.assertIs(RefusalReason.OVERLOADED, refused.reason)
-        scheduler.leave(request("q1"))
+        scheduler.finish_request(request("q1"))
         self.assertIsNone(scheduler.admit(request("q3"), limited, 3, 0.0))
 
     def test_the_retry_budget_limits_retries_except_on_high_stake_routes(self):
@@ -170,7 +172,7 @@
         scheduler.routing_state.apply_directory(
             directory(server_row("s1", models=("m", "rare")), version=2), 1.0
         )
-        self.assertEqual([0, 1, 2], [verdict.token for verdict in scheduler.pump(1.0)])
+        self.assertEqual([0, 1, 2], [verdict.token for verdict in scheduler.process_queues(1.0)])
         report_after = scheduler.demand.report("n1", 1.0)
         self.assertEqual([], report_after.rows)
         self.assertEqual(
@@ -186,14 +188,14 @@
     def test_the_wait_for_a_load_is_bounded_and_extended_while_a_server_loads(self):
         scheduler = make_scheduler(server_row("s1"))
         scheduler.place(request("q1", RARE, deadline_at=60.0), route(), 1, 0.0)
-        self.assertEqual([], scheduler.pump(5.9))
+        self.assertEqual([], scheduler.process_queues(5.9))
         scheduler.routing_state.apply_directory(
             directory(server_row("s1", loading=frozenset({"rare"})), version=2), 5.9
         )
-        self.assertEqual([], scheduler.pump(6.0))
+        self.assertEqual([], scheduler.process_queues(6.0))
         scheduler.routing_state.apply_directory(directory(server_row("s1"), version=3), 6.5)
-        self.assertEqual([], scheduler.pump(6.9))
-        (refused,) = scheduler.pump(7.0)
+        self.assertEqual([], scheduler.process_queues(6.9))
+        (refused,) = scheduler.process_queues(7.0)
         self.assertIs(RefusalReason.NOT_RESIDENT, refused.reason)
         self.assertEqual(0, scheduler.waiting_count(LM))
 
