--- a/src/zincvale/daemons/forwarding_node.py
+++ b/src/zincvale/daemons/forwarding_node.py
@@ -98,7 +98,7 @@
     def _listen(self) -> list[HTTPServer]:
         """Bind the addresses of callers and of readiness; `run` stops the servers."""
         callers = listen(
-            self._service.callers(),
+            self._service.caller_server(),
             self._settings.api_address,
             "api_address",
             MAX_CALLER_BODY_BYTES,
--- a/src/zincvale/dataplane/forwarding/native_dialect.py
+++ b/src/zincvale/dataplane/forwarding/native_dialect.py
@@ -64,10 +64,10 @@
     if not name:
         return None
     model, _, adapter = name.partition("/")
-    return prompt_of(model, adapter, headers.get(TOKENS, ""), headers.get(PARTS, ""))
+    return parse_prompt(model, adapter, headers.get(TOKENS, ""), headers.get(PARTS, ""))
 
 
-def prompt_of(model: str, adapter: str, tokens: str, parts: str) -> Prompt:
+def parse_prompt(model: str, adapter: str, tokens: str, parts: str) -> Prompt:
     """Return a prompt from `IN,OUT` and `ID:TOKENS,...`; what cannot be parsed counts as absent."""
     counts = [_number(text) or 0.0 for text in tokens.split(",")]
     output_tokens = int(counts[1]) if len(counts) > 1 else 0
--- a/src/zincvale/dataplane/forwarding/request_machine.py
+++ b/src/zincvale/dataplane/forwarding/request_machine.py
@@ -123,9 +123,9 @@
             case HeadReceived() | ContentReceived() | ResponseCompleted() | ResponseBroken():
                 return self._handle_response(event)
             case DeadlineExpired():
-                return self._deadline_expired()
+                return self._handle_deadline_expired()
             case CallerDisconnected():
-                return self._end(RequestOutcome.ABANDONED, "the caller left")
+                return self._finish_without_response(RequestOutcome.ABANDONED, "the caller left")
 
     # --- selecting and sending ------------------------------------------------------------
 
@@ -174,7 +174,7 @@
             case ResponseCompleted():
                 return self._completed()
             case ResponseBroken(reason):
-                return self._broken(reason)
+                return self._handle_broken(reason)
 
     def _head(self, head: HeadReceived) -> list[Effect]:
         if head.facts.never_ran:
@@ -215,7 +215,7 @@
             self._uncounted_sends += 1
             self.attempts -= 1
             return released + self._select_again()
-        if self._attempts_left():
+        if self._has_attempts_left():
             return released + self._select_again()
         if self._is_head_relayed:
             return released + self._abort("no server takes the rest of the stream")
@@ -234,7 +234,7 @@
         self.phase = Phase.DONE
         return [ReleaseServer(), EndResponse(), FinishRequest(RequestOutcome.ANSWERED)]
 
-    def _broken(self, reason: str) -> list[Effect]:
+    def _handle_broken(self, reason: str) -> list[Effect]:
         self._may_have_run = True
         self._excluded.add(self._server)
         released: list[Effect] = [ReleaseServer(unreachable=True)]
@@ -246,18 +246,18 @@
 
     def _may_continue(self) -> bool:
         """Whether another server may continue what may have run."""
-        if not self._attempts_left():
+        if not self._has_attempts_left():
             return False
         if self._is_head_relayed:
             return self._route.resumable and self._is_event_stream
         return self.may_repeat
 
-    def _attempts_left(self) -> bool:
+    def _has_attempts_left(self) -> bool:
         return self.attempts < self._route.attempts
 
     # --- ends -----------------------------------------------------------------------------
 
-    def _deadline_expired(self) -> list[Effect]:
+    def _handle_deadline_expired(self) -> list[Effect]:
         if self.phase is Phase.SELECTING:
             stopped: list[Effect] = [CancelSelection()]
             if self._is_head_relayed:
@@ -272,7 +272,7 @@
             return dropped + self._abort("the time is over")
         return dropped + self._reply(GATEWAY_TIMEOUT, RequestOutcome.UNKNOWN, "the time is over")
 
-    def _end(self, kind: RequestOutcome, reason: str) -> list[Effect]:
+    def _finish_without_response(self, kind: RequestOutcome, reason: str) -> list[Effect]:
         phase = self.phase
         self.phase = Phase.DONE
         if phase is Phase.SELECTING:
--- a/src/zincvale/dataplane/forwarding/service.py
+++ b/src/zincvale/dataplane/forwarding/service.py
@@ -103,7 +103,7 @@
         """How many requests are in flight."""
         return len(self.context.active)
 
-    def callers(self) -> CallerServer:
+    def caller_server(self) -> CallerServer:
         """Return the HTTP server's delegate for callers' requests."""
         return CallerServer(self)
 
--- a/src/zincvale/dataplane/inference/capacity.py
+++ b/src/zincvale/dataplane/inference/capacity.py
@@ -40,7 +40,7 @@
             continue
         total += server_rate_per_s(server, now)
     service_s = max((server.latency_s for server in pool.servers), default=0.0)
-    return pool.throughput.bound(total, service_s, now)
+    return pool.throughput.bounded_rate_per_s(total, service_s, now)
 
 
 def estimated_wait_s(requests_ahead: int, rate_per_s: float) -> float:
--- a/src/zincvale/dataplane/inference/context.py
+++ b/src/zincvale/dataplane/inference/context.py
@@ -117,7 +117,7 @@
         self.scheduler.may_place = self.ready()
         change, verdicts = self.scheduler.finish_exchange(request, server, report)
         if change is HealthChange.EJECTED:
-            self.metrics.ejected(server.row.server)
+            self.metrics.record_ejection(server.row.server)
             self.log(log_events.SERVER_EJECTED, server=server.row.server)
         elif change is HealthChange.READMITTED:
             self.log(log_events.SERVER_READMITTED, server=server.row.server)
--- a/src/zincvale/dataplane/inference/ingress.py
+++ b/src/zincvale/dataplane/inference/ingress.py
@@ -156,7 +156,7 @@
         sink: CallerSink,
     ) -> None:
         reason = RefusalReason.INVALID.value
-        self.context.metrics.finished(route, Outcome.REFUSED, reason, 0.0)
+        self.context.metrics.record_finished(route, Outcome.REFUSED, reason, 0.0)
         response = responses.malformed(_request_id_or_generated(headers, self.random), error)
         self._send(response, sink)
 
--- a/src/zincvale/dataplane/inference/routing_state.py
+++ b/src/zincvale/dataplane/inference/routing_state.py
@@ -116,7 +116,7 @@
 
     def on_not_connected(self, now: float) -> None:
         """Pause after a failed connection; the pause doubles with each failure in a row."""
-        pause_s = INITIAL_RECONNECT_PAUSE_S * 2**self.failures.consecutive
+        pause_s = INITIAL_RECONNECT_PAUSE_S * 2**self.failures.consecutive_failures
         self.paused_until = now + min(MAX_RECONNECT_PAUSE_S, pause_s)
 
     def concurrency_limit(self, now: float) -> float:
--- a/src/zincvale/dataplane/inference/runner.py
+++ b/src/zincvale/dataplane/inference/runner.py
@@ -240,7 +240,7 @@
             self._inputs.append(NoServer(refusal))
             return
         if retry:
-            self.context.metrics.retry(request.route)
+            self.context.metrics.record_retry(request.route)
         if self.machine.is_stream_open:
             # A stream that has begun takes precedence over every new request.
             self.context.metrics.continuations.inc()
@@ -262,7 +262,7 @@
             self.context.scheduler.finish_request(request)
         self.context.verdict_receivers.pop(self._token, None)
         elapsed_s = self.context.clock() - request.received_at
-        self.context.metrics.finished(request.route, outcome, reason, elapsed_s)
+        self.context.metrics.record_finished(request.route, outcome, reason, elapsed_s)
         self.trace.finish(outcome, reason)
         self._server_side.detach_runner()
         self._caller_side.detach_runner()
--- a/src/zincvale/dataplane/inference/scheduler.py
+++ b/src/zincvale/dataplane/inference/scheduler.py
@@ -140,7 +140,7 @@
         """Free the server's slot; returns its health change and the verdicts of queued requests."""
         change = record_exchange_end(server, report)
         if report.end is ExchangeEnd.ANSWERED:
-            self.load_shedder.record_service_time(request.route, report.deadline_covers_s)
+            self.load_shedder.record_service_time(request.route, report.deadline_covered_s)
         inference_request = request.inference_request
         if inference_request.model:
             key = DemandKey(server.row.pool, inference_request.model, inference_request.adapter)
--- a/src/zincvale/dataplane/inference/server_side.py
+++ b/src/zincvale/dataplane/inference/server_side.py
@@ -170,7 +170,7 @@
             self._record_mismatch()
         elif isinstance(event, ChunksReceived) and not self.machine.chunks:
             seconds = self.context.clock() - self.machine.request.received_at
-            self.context.metrics.first_piece(self.machine.request.route, seconds)
+            self.context.metrics.record_first_piece(self.machine.request.route, seconds)
         self.feed(event)
 
     def _record_mismatch(self) -> None:
--- a/src/zincvale/dataplane/metrics.py
+++ b/src/zincvale/dataplane/metrics.py
@@ -54,7 +54,9 @@
         self._outcome_children: dict[tuple[str, Outcome, str], Counter] = {}
         self._latency_children: dict[str, Histogram] = {}
 
-    def finished(self, route: RouteName, outcome: Outcome, reason: str, seconds: float) -> None:
+    def record_finished(
+        self, route: RouteName, outcome: Outcome, reason: str, seconds: float
+    ) -> None:
         """Count a finished request."""
         # Only refusals have a closed set of reasons; free text must not become a label.
         label = reason if outcome is Outcome.REFUSED and reason in REFUSAL_LABELS else ""
@@ -69,15 +71,15 @@
             latency = self._latency_children[route] = self._latency.labels(route)
         latency.observe(seconds)
 
-    def first_piece(self, route: RouteName, seconds: float) -> None:
+    def record_first_piece(self, route: RouteName, seconds: float) -> None:
         """Observe the time to a stream's first chunk."""
         self._first_piece.labels(route).observe(seconds)
 
-    def retry(self, route: RouteName) -> None:
+    def record_retry(self, route: RouteName) -> None:
         """Count a retry."""
         self._retries.labels(route).inc()
 
-    def ejected(self, server: str) -> None:
+    def record_ejection(self, server: str) -> None:
         """Count an ejection."""
         self._ejections.labels(server).inc()
 
--- a/src/zincvale/dataplane/resilience/exchange_evidence.py
+++ b/src/zincvale/dataplane/resilience/exchange_evidence.py
@@ -53,7 +53,7 @@
     first_chunk_s: float = 0.0
 
     @property
-    def deadline_covers_s(self) -> float:
+    def deadline_covered_s(self) -> float:
         """Return the part of the duration that the deadline covers: of a stream, its start."""
         return self.first_chunk_s or self.duration_s
 
--- a/src/zincvale/dataplane/resilience/outlier_detection.py
+++ b/src/zincvale/dataplane/resilience/outlier_detection.py
@@ -33,7 +33,7 @@
     the probe ejects it again for longer.
     """
 
-    consecutive: int = 0
+    consecutive_failures: int = 0
     ejections: int = 0
     ejected_until: float = -math.inf
     last_failure_at: float = -math.inf
@@ -53,7 +53,7 @@
     def on_success(self) -> bool:
         """Forget the failures; True when this readmits an ejected server."""
         readmitted = self.ejections > 0
-        self.consecutive = 0
+        self.consecutive_failures = 0
         self.ejections = 0
         self.ejected_until = -math.inf
         self.probing = False
@@ -66,12 +66,12 @@
     def on_failure(self, now: float) -> bool:
         """Count a failure; True when it ejects the server."""
         if now - self.last_failure_at > FORGET_FAILURES_AFTER_S:
-            self.consecutive = 0
+            self.consecutive_failures = 0
         self.last_failure_at = now
-        self.consecutive += 1
+        self.consecutive_failures += 1
         was_probe = self.probing
         self.probing = False
-        if not was_probe and self.consecutive < CONSECUTIVE_FAILURES_TO_EJECT:
+        if not was_probe and self.consecutive_failures < CONSECUTIVE_FAILURES_TO_EJECT:
             return False
         if not was_probe and now < self.ejected_until:
             return False
--- a/src/zincvale/dataplane/resilience/throughput.py
+++ b/src/zincvale/dataplane/resilience/throughput.py
@@ -41,7 +41,7 @@
         elif math.isinf(self.backlogged_since):
             self.backlogged_since = now
 
-    def bound(self, rate_per_s: float, service_s: float, now: float) -> float:
+    def bounded_rate_per_s(self, rate_per_s: float, service_s: float, now: float) -> float:
         """Return the smaller of an estimated rate and the measured one, where that counts."""
         backlogged_s = now - self.backlogged_since
         if backlogged_s < max(MIN_BACKLOG_S, service_s * BACKLOG_SERVICE_TIMES):
--- a/src/zincvale/platform/callers.py
+++ b/src/zincvale/platform/callers.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from zincvale.dataplane.forwarding.dialect import AttemptFacts, CallerFacts, ResponseFacts
-from zincvale.dataplane.forwarding.native_dialect import prompt_of
+from zincvale.dataplane.forwarding.native_dialect import parse_prompt
 
 MS_PER_S = 1000.0
 MISDIRECTED = 421
@@ -20,7 +20,7 @@
         prompt = None
         if model:
             tokens, parts = headers.get("token-counts", ""), headers.get("prompt-prefix", "")
-            prompt = prompt_of(model, adapter, tokens, parts)
+            prompt = parse_prompt(model, adapter, tokens, parts)
         return CallerFacts(
             request_id=headers.get("request-id", ""),
             deadline_s=_seconds(headers.get("deadline-ms", "")),
--- a/tests/dataplane/resilience/test_exchange_evidence.py
+++ b/tests/dataplane/resilience/test_exchange_evidence.py
@@ -20,4 +20,4 @@
         for duration, counted in ((0.4, 0), (1.6, 1)):
             report = ExchangeReport(ExchangeEnd.TIMED_OUT, 0.0, duration, 8)
             self.assertIs(HealthChange.NONE, record_exchange_end(state, report))
-            self.assertEqual(counted, state.failures.consecutive)
+            self.assertEqual(counted, state.failures.consecutive_failures)
--- a/tests/dataplane/resilience/test_throughput.py
+++ b/tests/dataplane/resilience/test_throughput.py
@@ -17,17 +17,17 @@
 
     def test_throughput_during_a_backlog_bounds_the_estimate(self):
         meter = self.meter(per_s=2, seconds=6)
-        self.assertTrue(2.0 < meter.bound(13.5, 0.1, 6.0) < 3.0)
-        self.assertEqual(1.0, meter.bound(1.0, 0.1, 6.0))
+        self.assertTrue(2.0 < meter.bounded_rate_per_s(13.5, 0.1, 6.0) < 3.0)
+        self.assertEqual(1.0, meter.bounded_rate_per_s(1.0, 0.1, 6.0))
 
     def test_a_short_backlog_does_not_count(self):
         meter = self.meter(per_s=2, seconds=6)
-        self.assertEqual(13.5, meter.bound(13.5, 0.1, 0.9))
-        self.assertEqual(13.5, meter.bound(13.5, 4.0, 6.0))
+        self.assertEqual(13.5, meter.bounded_rate_per_s(13.5, 0.1, 0.9))
+        self.assertEqual(13.5, meter.bounded_rate_per_s(13.5, 4.0, 6.0))
         meter.on_backlog(0, 6.0)
         meter.on_backlog(1, 6.1)
-        self.assertEqual(13.5, meter.bound(13.5, 0.1, 6.2))
+        self.assertEqual(13.5, meter.bounded_rate_per_s(13.5, 0.1, 6.2))
 
     def test_old_completions_are_forgotten(self):
         meter = self.meter(per_s=10, seconds=2)
-        self.assertLess(meter.bound(99.0, 0.1, 60.0), 0.2)
+        self.assertLess(meter.bounded_rate_per_s(99.0, 0.1, 60.0), 0.2)
--- a/tests/golden/test_surfaces.py
+++ b/tests/golden/test_surfaces.py
@@ -127,10 +127,10 @@
         register_metrics(service, metrics.registry)
         route = RouteName("a-route")
         for outcome in Outcome:
-            metrics.finished(route, outcome, "", 0.5)
-        metrics.first_piece(route, 0.5)
-        metrics.retry(route)
-        metrics.ejected("a-server")
+            metrics.record_finished(route, outcome, "", 0.5)
+        metrics.record_first_piece(route, 0.5)
+        metrics.record_retry(route)
+        metrics.record_ejection("a-server")
         lines = generate_latest(metrics.registry).decode().splitlines()
         shown = [line if line[0] == "#" else line.rpartition(" ")[0] for line in lines]
         approval.verify(self, APPROVED, "metrics", "\n".join(shown))
--- a/tests/simulator/forwarding/test_forwarding_model.py
+++ b/tests/simulator/forwarding/test_forwarding_model.py
@@ -32,7 +32,7 @@
     def broken(self, reason):
         return [*self._refuse(reason, 0.1)]
 
-    return mock.patch.object(RequestMachine, "_broken", broken)
+    return mock.patch.object(RequestMachine, "_handle_broken", broken)
 
 
 def _closes_broken_answers_whole():
@@ -77,7 +77,7 @@
 
 
 def _forgets_the_time():
-    return mock.patch.object(RequestMachine, "_deadline_expired", lambda self: [])
+    return mock.patch.object(RequestMachine, "_handle_deadline_expired", lambda self: [])
 
 
 def _lets_runs_go_on_for_nobody():
@@ -85,13 +85,13 @@
         self.phase = Phase.DONE
         return [ReleaseServer(), FinishRequest(kind, reason)]
 
-    return mock.patch.object(RequestMachine, "_end", end)
+    return mock.patch.object(RequestMachine, "_finish_without_response", end)
 
 
 @contextlib.contextmanager
 def _tries_without_end():
     """The budget of second sends alone would hide it."""
-    endless = mock.patch.object(RequestMachine, "_attempts_left", lambda self: True)
+    endless = mock.patch.object(RequestMachine, "_has_attempts_left", lambda self: True)
     with endless, _never_spends_the_budget():
         yield
 
