--- a/src/zincvale/dataplane/forwarding/forwarded_request.py
+++ b/src/zincvale/dataplane/forwarding/forwarded_request.py
@@ -50,21 +50,24 @@
 
 EVENT_STREAM = "text/event-stream"
 MAX_UNSENT_BYTES = 262_144
-"""Bytes that a slow caller has not read before its server is paused; bounds the node's memory."""
+"""When more bytes than this wait for a slow caller, reading from its server is paused; bounds the
+node's memory."""
 BACKPRESSURE_POLL_INTERVAL_S = 0.02
-"""How often a paused response checks whether its caller has read enough."""
+"""How often a paused response checks whether its caller has read enough to resume."""
+# The urgency that is sent to servers is 1 for priority 0 and rises by URGENCY_STEP per priority.
 URGENCY_STEP = 2
 MAX_URGENCY = 9
 RETRY_BUDGET_RETRY_AFTER_S = 0.2
-"""`Retry-After` when the retry budget is spent; the reason in the response is `busy` as well."""
+"""`Retry-After` when the pool's retry budget is spent. The response then states the reason `busy`,
+as it does when all servers are busy."""
 MIN_NON_SUCCESS_STATUS = 300
 
 
 class ForwardedRequest:
-    """One request in flight; also the listener of its exchange.
+    """One request in flight, and the listener of its exchange with a server.
 
-    Inputs are applied one after the other: an input that an effect causes is queued until all
-    effects before it are carried out.
+    Inputs are applied one at a time: an input that an effect causes is queued until all earlier
+    effects are carried out.
     """
 
     def __init__(
@@ -86,7 +89,7 @@
             route.timeout_s, facts.deadline_s if facts.deadline_s is not None else route.timeout_s
         )
         self._inputs: deque[Input] = deque()
-        self._running = False
+        self._is_running = False
         self._pending: PendingRequest | None = None
         self._choice: ServerChoice | None = None
         self._exchange: ServerExchange | None = None
@@ -94,12 +97,12 @@
         self._splitter: EventSplitter | None = None
         self._sent_at = 0.0
         self._first_event_at = 0.0
-        self._timer: asyncio.TimerHandle | None = None
+        self._deadline_timer: asyncio.TimerHandle | None = None
         self._span: Any = None
         self._attempt_span: Any = None
 
     def begin(self) -> None:
-        """Start."""
+        """Count the request, start its deadline timer and select a server."""
         context = self._context
         context.active.add(self)
         self._span = context.spans.start(
@@ -110,27 +113,27 @@
         context.record_request(self._pool, self._facts.prompt)
         loop = asyncio.get_running_loop()
         remaining_s = max(0.0, self._deadline_at - context.clock())
-        self._timer = loop.call_later(remaining_s, self._feed, DeadlineExpired())
+        self._deadline_timer = loop.call_later(remaining_s, self._feed, DeadlineExpired())
         self._run(self._machine.begin())
 
     def on_caller_disconnected(self) -> None:
-        """The caller closed its connection."""
+        """End the request: the caller closed its connection."""
         self._feed(CallerDisconnected())
 
-    # --- listener of the exchange ---------------------------------------------------------
+    # --- listener of the exchange with the server -----------------------------------------
 
     def on_not_sent(self, reason: str) -> None:
-        """No connection came up."""
+        """Handle a send for which no connection was established."""
         self._feed(NotSent(reason))
 
     def on_head(self, head: ResponseHead) -> None:
-        """The head of the response."""
+        """Handle the status and headers of the response."""
         now = self._context.clock()
-        lowered = head.lowered()
+        headers = head.lowered()
         self._head = head
-        is_stream = lowered.get("content-type", "").startswith(EVENT_STREAM)
+        is_stream = headers.get("content-type", "").startswith(EVENT_STREAM)
         self._splitter = EventSplitter() if is_stream else None
-        facts = self._context.dialect.response_facts(head.status, lowered)
+        facts = self._context.dialect.response_facts(head.status, headers)
         if self._choice is not None and not facts.never_ran and not is_stream:
             self._choice.server.on_response(now - self._sent_at)
         self._attempt_span.event("head", status=head.status)
@@ -138,7 +141,7 @@
         self._feed(HeadReceived(head.status, facts, is_stream))
 
     def on_content(self, data: bytes) -> None:
-        """A part of the body."""
+        """Handle a part of the response body."""
         if self._splitter is None:
             self._feed(ContentReceived(data))
             return
@@ -150,7 +153,7 @@
         self._feed(ContentReceived(events.content, events.last_id))
 
     def on_complete(self) -> None:
-        """The response is complete."""
+        """Handle the end of a complete response."""
         self._exchange = None
         remainder = self._splitter.take_remainder() if self._splitter is not None else b""
         if remainder:
@@ -158,7 +161,7 @@
         self._feed(ResponseCompleted())
 
     def on_broken(self, reason: str) -> None:
-        """The exchange broke."""
+        """Handle an exchange that broke after a part of the request may have been sent."""
         self._exchange = None
         self._feed(ResponseBroken(reason))
 
@@ -174,12 +177,12 @@
 
     def _feed(self, event: Input) -> None:
         self._inputs.append(event)
-        if not self._running:
+        if not self._is_running:
             self._run([])
 
     def _run(self, effects: list[Effect]) -> None:
         """Carry out `effects`, then apply every queued input, in order."""
-        self._running = True
+        self._is_running = True
         try:
             for effect in effects:
                 self._carry_out(effect)
@@ -187,7 +190,7 @@
                 for effect in self._machine.handle(self._inputs.popleft()):
                     self._carry_out(effect)
         finally:
-            self._running = False
+            self._is_running = False
 
     def _carry_out(self, effect: Effect) -> None:
         match effect:
@@ -213,7 +216,7 @@
             case RelayHead():
                 self._relay_head()
             case RelayContent(content):
-                self._relay(content)
+                self._relay_content(content)
             case EndResponse():
                 self._sink.end()
             case AbortResponse():
@@ -308,11 +311,11 @@
         self._exchange = self._context.client.start(row.address, row.incarnation, request, self)
 
     def _is_own_response(self, status: int, headers: Mapping[str, str]) -> bool:
-        """Whether a response is this request's; only a success must name the request."""
-        named = self._context.dialect.response_facts(status, headers).request_id
-        if not named and status >= MIN_NON_SUCCESS_STATUS:
+        """Whether a response belongs to this request; only a success must state its request id."""
+        stated_id = self._context.dialect.response_facts(status, headers).request_id
+        if not stated_id and status >= MIN_NON_SUCCESS_STATUS:
             return True
-        return named == self._facts.request_id
+        return stated_id == self._facts.request_id
 
     def _cancel_exchange(self) -> None:
         if self._exchange is not None:
@@ -332,7 +335,7 @@
             self._context.on_unreachable(server.server)
         if effect.refused:
             server.on_refused(now)
-        if effect.absent and self._facts.prompt is not None:
+        if effect.not_resident and self._facts.prompt is not None:
             server.mark_absent(self._facts.prompt, now)
         self._context.record_end(self._pool, self._facts.prompt, server.server)
         if self._attempt_span is not None:
@@ -346,7 +349,7 @@
         headers = to_caller(self._head.headers, is_stream=self._splitter is not None)
         self._sink.open(self._head.status, self._head.reason, headers)
 
-    def _relay(self, content: bytes) -> None:
+    def _relay_content(self, content: bytes) -> None:
         self._sink.write(content)
         if self._exchange is not None and self._sink.unsent_bytes > MAX_UNSENT_BYTES:
             self._exchange.pause()
@@ -370,17 +373,17 @@
         self._sink.respond(effect.status, headers, body)
 
     def _finish(self, effect: FinishRequest) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-        self._span.set("outcome", effect.kind.value)
-        if effect.kind in (RequestOutcome.UNKNOWN, RequestOutcome.INTERRUPTED):
+        if self._deadline_timer is not None:
+            self._deadline_timer.cancel()
+        self._span.set("outcome", effect.outcome.value)
+        if effect.outcome in (RequestOutcome.UNKNOWN, RequestOutcome.INTERRUPTED):
             self._span.error(effect.reason)
         elif effect.reason:
             self._span.set("reason", effect.reason)
         self._span.end()
-        if effect.kind is RequestOutcome.ANSWERED:
+        if effect.outcome is RequestOutcome.ANSWERED:
             now = self._context.clock()
-            took_s = now - self._incoming.read_at
-            self._context.response_times.record(self._route.name, took_s, now)
-        self._context.counts[effect.kind] += 1
+            duration_s = now - self._incoming.read_at
+            self._context.response_times.record(self._route.name, duration_s, now)
+        self._context.counts[effect.outcome] += 1
         self._context.active.discard(self)
--- a/src/zincvale/dataplane/forwarding/request_events.py
+++ b/src/zincvale/dataplane/forwarding/request_events.py
@@ -1,6 +1,7 @@
 """Inputs and effects of the forwarding request machine.
 
-Inputs say what happened; effects are carried out by `forwarded_request` in order.
+Inputs report what happened. `forwarded_request` carries out the effects in the order in which the
+machine returns them.
 """
 
 from __future__ import annotations
@@ -18,13 +19,14 @@
 
     ANSWERED = "answered"
     REFUSED = "refused"
-    """It did not run and never will: the caller may safely send it again."""
+    """The request did not run and never will, so the caller may safely send it again."""
     UNKNOWN = "unknown"
-    """It may have run; the caller cannot conclude anything."""
+    """The request may have run; the caller cannot tell whether it did."""
     INTERRUPTED = "interrupted"
-    """The response broke off; the connection was closed so that it does not look complete."""
+    """The response broke off. The caller's connection was closed, so that the response does not
+    look complete."""
     ABANDONED = "abandoned"
-    """The caller disconnected."""
+    """The caller disconnected before the response was complete."""
 
 
 # inputs
@@ -32,7 +34,7 @@
 
 @attrs.frozen
 class ServerFound:
-    """Result of `SelectServer`: a server is reserved for this request."""
+    """Result of `SelectServer`: a server was found and is reserved for this request."""
 
     server: str
     """The server's incarnation."""
@@ -40,7 +42,7 @@
 
 @attrs.frozen
 class NoServerFound:
-    """Result of `SelectServer`: none was found, or none in time."""
+    """Result of `SelectServer`: no server was found, or none in time."""
 
     reason: NoServerReason
     retry_after_s: float
@@ -48,14 +50,14 @@
 
 @attrs.frozen
 class NotSent:
-    """No connection came up, so nothing of the request was sent."""
+    """No connection to the server was established, so nothing of the request was sent."""
 
     reason: str
 
 
 @attrs.frozen
 class HeadReceived:
-    """The head of this request's response."""
+    """The status and headers of the response to this request."""
 
     status: int
     facts: ResponseFacts
@@ -64,7 +66,8 @@
 
 @attrs.frozen
 class ContentReceived:
-    """A part of the response; of an event stream, complete events."""
+    """A part of the response body. Of an event stream, it holds complete events, and at the end of
+    the response the bytes after the last one."""
 
     content: bytes
     last_event_id: str = ""
@@ -84,7 +87,7 @@
 
 @attrs.frozen
 class DeadlineExpired:
-    """The route's time-out or the caller's deadline has come."""
+    """The route's timeout has expired, or the caller's deadline has passed."""
 
 
 @attrs.frozen
@@ -109,7 +112,7 @@
 
 @attrs.frozen
 class SelectServer:
-    """Find a server, or wait for one; `is_retry` spends the retry budget."""
+    """Choose a server, or wait for one. `is_retry` spends one retry of the pool's retry budget."""
 
     excluded: frozenset[str]
     is_retry: bool
@@ -122,7 +125,7 @@
 
 @attrs.frozen
 class SendRequest:
-    """Send the request; a stream is resumed after `last_event_id`."""
+    """Send the request to `server`; a stream is resumed after the event `last_event_id`."""
 
     server: str
     last_event_id: str
@@ -130,40 +133,40 @@
 
 @attrs.frozen
 class CancelExchange:
-    """Close the connection of the exchange in flight."""
+    """Cancel the exchange in flight by closing its connection."""
 
 
 @attrs.frozen
 class ReleaseServer:
-    """Release the reserved server and record what it showed.
+    """Release the reserved server and record how it behaved.
 
     Attributes
     ----------
-    unreachable : it could not be reached, or broke off.
-    refused : it stated that it takes no more.
-    absent : it stated that the model or adapter is not resident.
+    unreachable : no connection was established, or the exchange broke.
+    refused : the server stated that it did not run the request and never will.
+    not_resident : the server stated that the model or adapter is not resident.
     """
 
     unreachable: bool = False
     refused: bool = False
-    absent: bool = False
+    not_resident: bool = False
 
 
 @attrs.frozen
 class RelayHead:
-    """Relay the head that was received last."""
+    """Relay the last received response head to the caller."""
 
 
 @attrs.frozen
 class RelayContent:
-    """Relay content."""
+    """Relay a part of the response body to the caller."""
 
     content: bytes
 
 
 @attrs.frozen
 class EndResponse:
-    """End the complete response."""
+    """End the caller's response, which is complete."""
 
 
 @attrs.frozen
@@ -182,9 +185,9 @@
 
 @attrs.frozen
 class FinishRequest:
-    """The request is over."""
+    """End the request and record its outcome."""
 
-    kind: RequestOutcome
+    outcome: RequestOutcome
     reason: str = ""
 
 
--- a/src/zincvale/dataplane/forwarding/service.py
+++ b/src/zincvale/dataplane/forwarding/service.py
@@ -30,23 +30,25 @@
 NO_DOCUMENT_RETRY_AFTER_S = 0.5
 STOPPING_RETRY_AFTER_S = 0.1
 NEW_STREAMS_ALLOWED_S = 3.0
-"""How long a draining node begins streams at most: later ones might outlive the process."""
+"""How long after its stop signal a draining node begins streams, at most. Later ones might outlive
+the process."""
 NEW_REQUESTS_ALLOWED_S = 5.5
-"""How long a draining node begins other requests at most."""
+"""How long after its stop signal a draining node begins other requests, at most."""
 LONGEST_RESPONSE_FACTOR = 1.5
-"""On the longest response of a route: one node sees few of the route's requests."""
+"""Safety factor on the longest recent response time of a route, since one node sees few of the
+route's requests."""
 CONFIGURATION_WAIT_S = 1.5
-"""How long a started node that has no configuration yet defers a request."""
+"""How long a node that has started and has no configuration yet defers a request."""
 
 
 @attrs.frozen
 class ForwardingConfig:
-    """What a node's settings say of forwarding.
+    """The part of a node's settings that concerns forwarding.
 
     Attributes
     ----------
-    policies : names of scorers; without names the default chain.
-    address_map : advertised address to the address that is dialled instead.
+    policies : names of scorers; when empty, the default scorers are used.
+    address_map : maps advertised addresses of servers to the addresses to connect to instead.
     """
 
     member: MemberId
@@ -62,8 +64,8 @@
     Parameters
     ----------
     dialect : header names of callers and servers.
-    clock : seconds.
-    on_urgent : called when demand should be reported at once.
+    clock : returns the present time in seconds.
+    on_urgent : called when the demand should be reported at once.
     """
 
     def __init__(
@@ -80,7 +82,7 @@
         self._clock = clock
         self.is_draining = False
         self._draining_since = 0.0
-        self._ends_at = 0.0
+        self._process_ends_at = 0.0
         self._deferred: list[_DeferredRequest] = []
         self.context = ForwardingContext(
             routing=RoutingState(config.zone, config.member, config.fleet_limits),
@@ -104,7 +106,7 @@
         return len(self.context.active)
 
     def caller_server(self) -> CallerServer:
-        """Return the HTTP server's delegate for callers' requests."""
+        """Return a delegate through which tornado's HTTP server passes on callers' requests."""
         return CallerServer(self)
 
     def now(self) -> float:
@@ -112,13 +114,13 @@
         return self._clock()
 
     def handle_request(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle | None:
-        """Begin a request, or respond to it at once; None when nothing is pending."""
+        """Begin a request or respond to it at once; returns None when nothing is left to cancel."""
         if not self.routing.is_configured:
             return self._defer(incoming, sink)
         return self.begin_request(incoming, sink)
 
     def _defer(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle:
-        """Defer a request for the short time in which a started node receives its configuration."""
+        """Defer a request for the short time in which a node receives its first configuration."""
         deferred = _DeferredRequest(self, incoming, sink)
         self._deferred.append(deferred)
         asyncio.get_running_loop().call_later(CONFIGURATION_WAIT_S, deferred.give_up)
@@ -128,11 +130,11 @@
         if not self.routing.is_configured:
             return
         deferred, self._deferred = self._deferred, []
-        for each in deferred:
-            each.begin()
+        for request in deferred:
+            request.begin()
 
     def begin_request(self, incoming: IncomingRequest, sink: CallerSink) -> ForwardedRequest | None:
-        """Begin a request by the document in force, or respond to it at once."""
+        """Begin a request under the current document, or respond to it at once."""
         document = self.routing.document
         headers = {name.lower(): value for name, value in incoming.headers}
         path = incoming.target.partition("?")[0]
@@ -143,7 +145,7 @@
         if incoming.body is not None and len(incoming.body) > document.limits.max_body_bytes:
             _reply(sink, TOO_LARGE, "the body is larger than the limit")
             return None
-        if self._is_too_late(route):
+        if self._may_outlive_process(route):
             _reply(sink, UNAVAILABLE, "this node is about to stop", STOPPING_RETRY_AFTER_S)
             return None
         facts = self.context.dialect.caller_facts(headers)
@@ -154,26 +156,27 @@
     # --- stopping -------------------------------------------------------------------------
 
     def start_draining(self, not_before: float, limit_s: float) -> None:
-        """Become unready; requests are accepted while they can end before the process does.
+        """Become unready; requests are accepted only while they can end before the process exits.
 
         Parameters
         ----------
-        not_before : the process certainly was not told to stop before this time.
-        limit_s : the process ends no later than this after it was told to stop.
+        not_before : the earliest time at which the process can have received its stop signal.
+        limit_s : the process exits at most this long after its stop signal.
         """
         self.is_draining = True
         self._draining_since = not_before
-        self._ends_at = not_before + limit_s
+        self._process_ends_at = not_before + limit_s
 
     def reject_pending(self) -> None:
-        """Refuse every request that was not sent: its caller may retry at another node."""
+        """End the wait of every deferred or pending request; those that never ran are refused, so
+        that their callers may retry at another node."""
         for deferred in list(self._deferred):
             deferred.give_up()
         for pending in self.context.pending.remove_all():
             pending.on_expired(pending.reason, STOPPING_RETRY_AFTER_S)
 
-    def _is_too_late(self, route: ForwardRoute) -> bool:
-        """Whether a response might not end before the process does."""
+    def _may_outlive_process(self, route: ForwardRoute) -> bool:
+        """Whether the response to a new request might not end before the process exits."""
         if not self.is_draining:
             return False
         now = self._clock()
@@ -181,12 +184,12 @@
         if now - self._draining_since >= allowed_s:
             return True
         longest_s = self.context.response_times.longest_s(route.name, now)
-        return now + longest_s * LONGEST_RESPONSE_FACTOR >= self._ends_at
+        return now + longest_s * LONGEST_RESPONSE_FACTOR >= self._process_ends_at
 
-    # --- updates from the control plane -----------------------------------------------------
+    # --- updates from the control plane ---------------------------------------------------
 
     def apply_document(self, document: ForwardingDocument) -> None:
-        """Apply a newer document: requests that are sent later follow it."""
+        """Apply a newer document; it applies to requests that begin or are sent afterwards."""
         self.context.response_times.keep_only(document.routes)
         if self.routing.apply_document(document, self._clock()):
             self.context.dispatch_pending()
@@ -212,7 +215,7 @@
         self.routing.apply_members(members)
 
     def demand_report(self) -> DemandReport:
-        """Return the demand this node saw, for the placement leader."""
+        """Return the demand on this node since the last report, for the placement leader."""
         report = self.context.demand.report(self._member, self._clock())
         return attrs.evolve(report, unreachable=self.context.take_unreachable())
 
@@ -229,7 +232,7 @@
 
 
 class _DeferredRequest:
-    """A request that came before this node had its configuration."""
+    """A request that arrived before this node had its configuration."""
 
     def __init__(
         self, service: ForwardingService, incoming: IncomingRequest, sink: CallerSink
@@ -241,20 +244,20 @@
         self._begun: ForwardedRequest | None = None
 
     def begin(self) -> None:
-        """Begin the request: the configuration is known now."""
+        """Begin the request, now that the node has its configuration."""
         if self._is_pending:
             self._is_pending = False
             self._begun = self._service.begin_request(self._incoming, self._sink)
 
     def give_up(self) -> None:
-        """Refuse the request: the caller may retry."""
+        """Refuse the request, which never ran; the caller may retry."""
         if self._is_pending:
             self._is_pending = False
             problem = "no configuration is known yet"
             _reply(self._sink, UNAVAILABLE, problem, NO_DOCUMENT_RETRY_AFTER_S)
 
     def on_caller_disconnected(self) -> None:
-        """The caller closed its connection."""
+        """Drop the request, or end it if it has begun: the caller closed its connection."""
         self._is_pending = False
         if self._begun is not None:
             self._begun.on_caller_disconnected()
--- a/tests/dataplane/forwarding/test_service.py
+++ b/tests/dataplane/forwarding/test_service.py
@@ -29,8 +29,8 @@
 from zincvale.model.identifiers import MemberId, ZoneName
 from zincvale.transport.server_exchange import ResponseHead
 
-LIMIT_S = 7.4
-"""Of a stop."""
+STOP_LIMIT_S = 7.4
+"""The time between a process's stop signal and its exit, at most."""
 
 
 class Span:
@@ -64,7 +64,7 @@
 
 
 class Client:
-    """Records what is sent to servers; the test plays the server."""
+    """Records the requests to servers; the test calls their listeners in place of a server."""
 
     def __init__(self):
         self.sent = []
@@ -101,9 +101,9 @@
 
 
 class Node:
-    """A service with the test's clock and server."""
+    """A forwarding service with a clock and a client of servers that the test controls."""
 
-    def __init__(self, known=True):
+    def __init__(self, is_configured=True):
         self.now = 100.0
         self.service = ForwardingService(
             ForwardingConfig(MemberId("n1"), ZoneName("z1")),
@@ -114,16 +114,16 @@
             on_urgent=lambda: None,
         )
         self.client = self.service.context.client = Client()
-        if known:
-            self.learn()
+        if is_configured:
+            self.configure()
 
-    def learn(self):
+    def configure(self):
         routes = [make_route(), make_route("stream", streaming=True, resumable=True, attempts=2)]
         self.service.apply_document(make_document(1, routes, [make_pool(engine=None)]))
         self.service.apply_members(make_members("n1"))
         self.service.apply_directory(make_directory(make_row("s1"), make_row("s2")))
 
-    def ask(self, target="/r/x", headers=(), body=b"{}"):
+    def send_request(self, target="/r/x", headers=(), body=b"{}"):
         sink = Sink()
         head = [("Host", "a.example"), ("X-Request-Id", "q1"), *headers]
         incoming = IncomingRequest("POST", target, head, body, self.now)
@@ -138,12 +138,12 @@
 
 
 class ServiceTest(testtools.TestCase):
-    def test_a_request_passes_through_unchanged(self):
+    def test_a_request_and_its_response_are_relayed_unchanged(self):
         async def scenario():
             node = Node()
-            _, sink = node.ask(body=b"\x00opaque", headers=[("X-Other", "1")])
+            _, sink = node.send_request(body=b"\x00opaque", headers=[("X-Other", "1")])
             incarnation, request, listener, _ = node.client.sent[0]
-            self.assertEqual(("POST", "/r/x", b"\x00opaque"), _request(request))
+            self.assertEqual(("POST", "/r/x", b"\x00opaque"), _method_target_body(request))
             headers = dict(request.headers)
             self.assertEqual(
                 ("1", incarnation), (headers["X-Other"], headers["x-zincvale-incarnation"])
@@ -160,10 +160,10 @@
 
         run(scenario)
 
-    def test_a_stream_is_resumed_at_another_server_by_complete_events(self):
+    def test_a_resumed_stream_contains_each_event_complete_and_once(self):
         async def scenario():
             node = Node()
-            _, sink = node.ask("/stream/x")
+            _, sink = node.send_request("/stream/x")
             head = ResponseHead(
                 200, "OK", [("X-Request-Id", "q1"), ("Content-Type", "text/event-stream")]
             )
@@ -183,10 +183,10 @@
 
         run(scenario)
 
-    def test_a_caller_that_disconnects_ends_the_exchange(self):
+    def test_the_exchange_is_cancelled_when_the_caller_disconnects(self):
         async def scenario():
             node = Node()
-            handle, sink = node.ask()
+            handle, sink = node.send_request()
             handle.on_caller_disconnected()
             self.assertTrue(node.client.sent[0][3].cancelled)
             self.assertEqual([], sink.log)
@@ -194,105 +194,105 @@
 
         run(scenario)
 
-    def test_what_no_route_takes_is_404_and_what_is_too_large_413(self):
+    def test_an_unmatched_path_gets_404_and_a_too_large_body_413(self):
         async def scenario():
             node = Node()
-            self.assertEqual([(404, None)], node.ask("/other/")[1].log)
+            self.assertEqual([(404, None)], node.send_request("/other/")[1].log)
             document = node.service.routing.document
             limits = CallerLimits(max_body_bytes=3)
             node.service.routing.document = type(document)(
                 2, 2, document.routes, document.pools, limits
             )
-            self.assertEqual([(413, None)], node.ask(body=b"1234")[1].log)
+            self.assertEqual([(413, None)], node.send_request(body=b"1234")[1].log)
 
         run(scenario)
 
 
-class UnknownTest(testtools.TestCase):
+class DeferredRequestTest(testtools.TestCase):
     def test_a_started_node_defers_requests_until_it_is_configured(self):
         async def scenario():
-            node = Node(known=False)
-            _, sink = node.ask()
+            node = Node(is_configured=False)
+            _, sink = node.send_request()
             self.assertEqual(([], []), (sink.log, node.client.sent))
-            node.learn()
+            node.configure()
             self.assertEqual(1, len(node.client.sent))
 
         run(scenario)
 
-    def test_a_deferred_request_that_is_given_up_never_runs(self):
+    def test_a_deferred_request_that_was_refused_never_runs(self):
         async def scenario():
-            node = Node(known=False)
-            handle, sink = node.ask()
+            node = Node(is_configured=False)
+            handle, sink = node.send_request()
             handle.give_up()
-            node.learn()
+            node.configure()
             self.assertEqual((503, []), (sink.log[0][0], node.client.sent))
             self.assertIsNotNone(sink.log[0][1])
 
         run(scenario)
 
-    def test_a_deferred_caller_that_disconnected_is_forgotten(self):
+    def test_a_deferred_request_is_dropped_when_its_caller_disconnects(self):
         async def scenario():
-            node = Node(known=False)
-            handle, _ = node.ask()
+            node = Node(is_configured=False)
+            handle, _ = node.send_request()
             handle.on_caller_disconnected()
-            node.learn()
+            node.configure()
             self.assertEqual([], node.client.sent)
 
         run(scenario)
 
 
 class StoppingTest(testtools.TestCase):
-    def test_a_draining_node_begins_nothing_it_cannot_end(self):
+    def test_a_draining_node_refuses_new_requests_that_may_outlive_the_process(self):
         async def scenario():
             node = Node()
-            node.service.start_draining(node.now, LIMIT_S)
-            node.ask("/stream/x")
+            node.service.start_draining(node.now, STOP_LIMIT_S)
+            node.send_request("/stream/x")
             node.now += NEW_STREAMS_ALLOWED_S
-            self.assertEqual(503, node.ask("/stream/x")[1].log[0][0])
-            node.ask("/r/x")
+            self.assertEqual(503, node.send_request("/stream/x")[1].log[0][0])
+            node.send_request("/r/x")
             node.now = 100.0 + NEW_REQUESTS_ALLOWED_S
-            refused = node.ask("/r/x")[1].log[0]
+            refused = node.send_request("/r/x")[1].log[0]
             self.assertEqual(503, refused[0])
             self.assertIsNotNone(refused[1])
             self.assertEqual(2, len(node.client.sent))
 
         run(scenario)
 
-    def test_a_node_that_noticed_its_stop_late_begins_no_stream_it_cannot_end(self):
+    def test_a_node_that_handles_its_stop_signal_late_begins_no_stream_that_may_outlive_it(self):
         async def scenario():
             node = Node()
-            told_to_stop_at = node.now
+            stop_requested_at = node.now
             node.now += NEW_STREAMS_ALLOWED_S
-            node.service.start_draining(told_to_stop_at, LIMIT_S)
-            self.assertEqual(503, node.ask("/stream/x")[1].log[0][0])
+            node.service.start_draining(stop_requested_at, STOP_LIMIT_S)
+            self.assertEqual(503, node.send_request("/stream/x")[1].log[0][0])
             self.assertEqual([], node.client.sent)
 
         run(scenario)
 
-    def test_a_draining_node_begins_no_stream_that_lately_took_longer_than_it_has_left(self):
+    def test_a_draining_node_refuses_streams_whose_recent_duration_exceeds_its_remaining_time(self):
         async def scenario():
             node = Node()
             node.service.context.response_times.record("stream", 4.0, node.now)
-            node.service.start_draining(node.now, LIMIT_S)
-            node.now += LIMIT_S - 4.0 * LONGEST_RESPONSE_FACTOR - 0.1
-            node.ask("/stream/x")
+            node.service.start_draining(node.now, STOP_LIMIT_S)
+            node.now += STOP_LIMIT_S - 4.0 * LONGEST_RESPONSE_FACTOR - 0.1
+            node.send_request("/stream/x")
             self.assertEqual(1, len(node.client.sent))
             node.now += 0.2
             self.assertLess(node.now, 100.0 + NEW_STREAMS_ALLOWED_S)
-            self.assertEqual(503, node.ask("/stream/x")[1].log[0][0])
+            self.assertEqual(503, node.send_request("/stream/x")[1].log[0][0])
             self.assertEqual(1, len(node.client.sent))
 
         run(scenario)
 
-    def test_pending_requests_are_refused_at_the_end(self):
+    def test_deferred_requests_are_refused_when_the_node_stops(self):
         async def scenario():
-            node = Node(known=False)
-            _, sink = node.ask()
+            node = Node(is_configured=False)
+            _, sink = node.send_request()
             node.service.reject_pending()
             self.assertEqual(503, sink.log[0][0])
 
         run(scenario)
 
 
-def _request(request):
+def _method_target_body(request):
     return request.method, request.target, request.body
--- a/tests/dataplane/forwarding/test_stop_soak.py
+++ b/tests/dataplane/forwarding/test_stop_soak.py
@@ -1,4 +1,8 @@
-"""Stops of a node whose callers keep using their connections until the process is gone."""
+"""A node stops while its callers keep sending requests until its process exits.
+
+Guards against requests that a stopping node begins although its exit will cut them off, also when
+the process was suspended while it received the stop signal. Each seed is one stop in virtual time.
+"""
 
 from __future__ import annotations
 
@@ -19,13 +23,14 @@
 from zincvale.transport.server_exchange import ResponseHead
 
 SEEDS = range(1, 101)
-LIMIT_S = 7.4
-FINAL_REFUSALS_S = 0.4
-LONGEST_FREEZE_S = 4.0
+STOP_LIMIT_S = 7.4
+REFUSALS_BEFORE_EXIT_S = 0.4
+MAX_SUSPENSION_S = 4.0
 REQUESTS_PER_S = 6.0
 TIMEOUT_S = 15.0
-MOST_CUT_STREAMS = 5
-"""Streams that took longer than any seen lately at the node, over all seeds."""
+MAX_CUT_STREAMS = 5
+"""How many streams may be cut off over all seeds: the node cannot predict a stream that takes
+longer than all recent ones."""
 STREAM_HEAD = ResponseHead(
     200, "OK", [("X-Request-Id", "q1"), ("Content-Type", "text/event-stream")]
 )
@@ -34,14 +39,14 @@
 
 @attrs.define
 class Request:
-    """One request of a caller and what its server needs for it."""
+    """One request of a caller and how long its server takes to respond."""
 
     sent_at: float
     is_stream: bool
-    took_s: float
+    duration_s: float
     sink: Sink
-    begun: bool
-    longest_before_s: float
+    is_begun: bool
+    longest_recent_s: float
 
     @property
     def is_complete(self) -> bool:
@@ -53,21 +58,23 @@
 
 
 class StopSoak:
-    """Callers send all the time; the node is told to stop, perhaps while it stands still."""
+    """Callers send all the time; the node is told to stop, perhaps while it is suspended."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.loop = VirtualLoop()
         self.requests: list[Request] = []
-        self.told_to_stop_at = self.random.uniform(40.0, 70.0)
-        self.frozen_s = self.random.choice((0.0, 0.0, self.random.uniform(0.1, LONGEST_FREEZE_S)))
-        self.noticed_at = self.told_to_stop_at + self.frozen_s
-        self.load = 1.0
+        self.stop_requested_at = self.random.uniform(40.0, 70.0)
+        self.suspended_s = self.random.choice(
+            (0.0, 0.0, self.random.uniform(0.1, MAX_SUSPENSION_S))
+        )
+        self.stop_handled_at = self.stop_requested_at + self.suspended_s
+        self.slowdown = 1.0
 
     def run(self) -> None:
-        """Play until the node has ended."""
+        """Run until the node's process has exited."""
         self.loop.call_soon(self._start)
-        self.loop.run_until(self.noticed_at + LIMIT_S)
+        self.loop.run_until(self.stop_handled_at + STOP_LIMIT_S)
 
     def _start(self) -> None:
         self.node = Node()
@@ -77,47 +84,53 @@
         ]
         self.node.service.apply_document(make_document(2, routes, [make_pool(engine=None)]))
         for at_s in self._arrivals():
-            self.loop.call_at(at_s, self._send)
-        self.loop.call_at(self.noticed_at, self._stop)
-        refused_at = max(self.noticed_at, self.told_to_stop_at + LIMIT_S - FINAL_REFUSALS_S)
-        self.loop.call_at(refused_at, self._at_node_time, self._refuse_pending)
+            self.loop.call_at(at_s, self._arrive)
+        self.loop.call_at(self.stop_handled_at, self._stop)
+        refused_at = max(
+            self.stop_handled_at, self.stop_requested_at + STOP_LIMIT_S - REFUSALS_BEFORE_EXIT_S
+        )
+        self.loop.call_at(refused_at, self._run_at_node_time, self._refuse_pending)
 
     def _arrivals(self) -> Iterator[float]:
         now = 0.0
-        while now < self.noticed_at + LIMIT_S:
+        while now < self.stop_handled_at + STOP_LIMIT_S:
             now += self.random.expovariate(REQUESTS_PER_S)
-            is_frozen = self.told_to_stop_at <= now < self.noticed_at
-            # What arrives during a freeze is read at the thaw, after the signal.
-            yield self.noticed_at + 0.001 if is_frozen else now
+            is_suspended = self.stop_requested_at <= now < self.stop_handled_at
+            # Requests that arrive during a suspension are read when it ends, after the signal.
+            yield self.stop_handled_at + 0.001 if is_suspended else now
 
-    def _at_node_time(self, action) -> None:
+    def _run_at_node_time(self, action) -> None:
         self.node.now = self.loop.time()
         action()
 
     def _stop(self) -> None:
-        self._at_node_time(lambda: self.node.service.start_draining(self.told_to_stop_at, LIMIT_S))
+        self._run_at_node_time(
+            lambda: self.node.service.start_draining(self.stop_requested_at, STOP_LIMIT_S)
+        )
 
     def _refuse_pending(self) -> None:
         self.node.service.reject_pending()
 
-    def _send(self) -> None:
-        self._at_node_time(self._ask)
+    def _arrive(self) -> None:
+        self._run_at_node_time(self._handle_arrival)
 
-    def _ask(self) -> None:
+    def _handle_arrival(self) -> None:
         if self.random.random() < 0.02:
-            self.load = self.random.choice((1.0, 2.0, 4.0))
+            self.slowdown = self.random.choice((1.0, 2.0, 4.0))
         is_stream = self.random.random() < 0.5
         route = "stream" if is_stream else "r"
         now, node = self.node.now, self.node
         longest_s = node.service.context.response_times.longest_s(route, now)
         before = len(node.client.sent)
-        _, sink = node.ask(f"/{route}/x")
-        begun = len(node.client.sent) > before
-        took_s = self.load * self.random.uniform(0.3, 1.5) if is_stream else 0.03
-        self.requests.append(Request(now, is_stream, took_s, sink, begun, longest_s))
-        if begun:
+        _, sink = node.send_request(f"/{route}/x")
+        is_begun = len(node.client.sent) > before
+        duration_s = self.slowdown * self.random.uniform(0.3, 1.5) if is_stream else 0.03
+        self.requests.append(Request(now, is_stream, duration_s, sink, is_begun, longest_s))
+        if is_begun:
             listener = node.client.sent[-1][2]
-            self.loop.call_later(took_s, self._at_node_time, lambda: _complete(listener, is_stream))
+            self.loop.call_later(
+                duration_s, self._run_at_node_time, lambda: _complete(listener, is_stream)
+            )
 
 
 def _complete(listener, is_stream: bool) -> None:
@@ -127,27 +140,29 @@
 
 
 class StopSoakTest(testtools.TestCase):
-    def test_a_stopping_node_ends_what_it_begins_and_refuses_the_rest(self) -> None:
+    def test_a_stopping_node_completes_the_requests_it_begins_and_refuses_the_rest(self) -> None:
         refused = complete = cut = 0
         for seed in SEEDS:
             soak = StopSoak(seed)
             soak.run()
-            ends_at = soak.told_to_stop_at + LIMIT_S
+            ends_at = soak.stop_requested_at + STOP_LIMIT_S
             for request in soak.requests:
-                facts = f"seed {seed}, told at {soak.told_to_stop_at:.3f}: {request}"
-                self.assertEqual(request.begun, not request.is_refused, facts)
-                elapsed_s = request.sent_at - soak.told_to_stop_at
-                if elapsed_s < 0.0 or request.sent_at < soak.noticed_at:
+                description = (
+                    f"seed {seed}, stop requested at {soak.stop_requested_at:.3f}: {request}"
+                )
+                self.assertEqual(request.is_begun, not request.is_refused, description)
+                elapsed_s = request.sent_at - soak.stop_requested_at
+                if elapsed_s < 0.0 or request.sent_at < soak.stop_handled_at:
                     continue
                 allowed_s = NEW_STREAMS_ALLOWED_S if request.is_stream else NEW_REQUESTS_ALLOWED_S
                 if elapsed_s >= allowed_s:
-                    self.assertTrue(request.is_refused, facts)
-                if request.took_s <= request.longest_before_s * LONGEST_RESPONSE_FACTOR:
-                    is_cut = request.begun and request.sent_at + request.took_s > ends_at
-                    self.assertFalse(is_cut, facts)
+                    self.assertTrue(request.is_refused, description)
+                if request.duration_s <= request.longest_recent_s * LONGEST_RESPONSE_FACTOR:
+                    is_cut = request.is_begun and request.sent_at + request.duration_s > ends_at
+                    self.assertFalse(is_cut, description)
                 refused += request.is_refused
                 complete += request.is_complete
-                cut += request.begun and not request.is_complete
+                cut += request.is_begun and not request.is_complete
         self.assertGreater(refused, 10 * len(SEEDS))
         self.assertGreater(complete, 5 * len(SEEDS))
-        self.assertLessEqual(cut, MOST_CUT_STREAMS)
+        self.assertLessEqual(cut, MAX_CUT_STREAMS)
