--- a/src/zincvale/dataplane/forwarding/caller_server.py
+++ b/src/zincvale/dataplane/forwarding/caller_server.py
@@ -1,8 +1,8 @@
-"""The caller side of forwarding over tornado's HTTP server, one level below its request handlers.
+"""The caller side of forwarding: a delegate of tornado's HTTP server, without request handlers.
 
-The native request path has a binding of its own (`inference.caller_connection`). They are not
-merged: this one forwards the headers of callers and servers in their order and spelling and writes
-any framing, the other speaks the product's own protocol and knows its outcomes.
+The native request path has its own delegate (`inference.caller_connection`). The two are not
+merged: this one relays the headers of callers and servers in their order and spelling and writes
+any framing, while the other implements the product's own protocol with its outcomes.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class RequestHandler(Protocol):
-    """Handles complete requests; `forwarding.service.ForwardingService` is one."""
+    """Handles complete requests; `forwarding.service.ForwardingService` implements it."""
 
     @property
     def is_draining(self) -> bool:
@@ -38,30 +38,30 @@
         ...
 
     def handle_request(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle | None:
-        """Begin a request, or respond to it at once; None when nothing is pending."""
+        """Begin a request or respond to it at once; returns None when nothing is left to cancel."""
         ...
 
 
 class CallerHandle(Protocol):
-    """A request in flight."""
+    """A request that has not ended, and can be told that its caller disconnected."""
 
     def on_caller_disconnected(self) -> None:
-        """The caller closed its connection."""
+        """End the request: the caller closed its connection."""
         ...
 
 
 class CallerServer(HTTPServerConnectionDelegate):
-    """Accepts every request of every path."""
+    """Passes the requests of all paths to one handler."""
 
     def __init__(self, handler: RequestHandler) -> None:
         self._handler = handler
 
     def start_request(self, server_conn: object, request_conn: Any) -> HTTPMessageDelegate:
         """Return the receiver of one request."""
-        return _CallerMessage(self._handler, request_conn)
+        return _CallerRequestReceiver(self._handler, request_conn)
 
 
-class _CallerMessage(HTTPMessageDelegate):
+class _CallerRequestReceiver(HTTPMessageDelegate):
     """Receives one request and passes it to the handler when it is complete."""
 
     def __init__(self, handler: RequestHandler, connection: Any) -> None:
@@ -73,14 +73,14 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Store the head."""
+        """Store the request line and the headers."""
         assert isinstance(start_line, RequestStartLine)
         self._start_line = start_line
         self._headers = headers
         self._read_at = self._handler.now()
 
     def data_received(self, chunk: bytes) -> None:
-        """Store a part of the body; the server bounds its size."""
+        """Store a part of the body; the HTTP server limits the size of the whole."""
         self._body.append(chunk)
 
     def finish(self) -> None:
@@ -93,22 +93,22 @@
             b"".join(self._body) if has_body else None,
             self._read_at,
         )
-        self._connection.set_close_callback(self._caller_left)
+        self._connection.set_close_callback(self._notify_disconnected)
         self._handle = self._handler.handle_request(
             incoming, _ConnectionSink(self._connection, self._handler)
         )
 
     def on_connection_close(self) -> None:
-        """Notify the request, if one began, that its connection closed."""
-        self._caller_left()
+        """Notify the request, if one has begun, that its connection was closed."""
+        self._notify_disconnected()
 
-    def _caller_left(self) -> None:
+    def _notify_disconnected(self) -> None:
         if self._handle is not None:
             self._handle.on_caller_disconnected()
 
 
 class _ConnectionSink:
-    """A `CallerSink` over tornado's connection."""
+    """Implements `CallerSink` with a connection of tornado."""
 
     def __init__(self, connection: Any, handler: RequestHandler) -> None:
         self._connection = connection
@@ -118,23 +118,23 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the caller has not taken yet."""
+        """Bytes that were written and not yet sent to the caller."""
         return self._unsent_bytes
 
     def open(self, status: int, reason: str, headers: HeaderList) -> None:
-        """Send the head of a server's response."""
+        """Send the status and headers of a server's response."""
         head = HTTPHeaders()
         for name, value in headers:
             head.add(name, value)
         if self._handler.is_draining:
             head["Connection"] = "close"
-        line = ResponseStartLine("HTTP/1.1", status, reason or _reason(status))
-        self._guard(lambda: self._connection.write_headers(line, head))
+        line = ResponseStartLine("HTTP/1.1", status, reason or _reason_phrase(status))
+        self._run_unless_closed(lambda: self._connection.write_headers(line, head))
 
     def write(self, data: bytes) -> None:
         """Send a part of the body."""
         self._unsent_bytes += len(data)
-        future = self._guard(lambda: self._connection.write(data))
+        future = self._run_unless_closed(lambda: self._connection.write(data))
         if future is None:
             self._unsent_bytes -= len(data)
             return
@@ -143,7 +143,7 @@
     def end(self) -> None:
         """End the complete response."""
         if self._is_open:
-            self._guard(self._connection.finish)
+            self._run_unless_closed(self._connection.finish)
         self._is_open = False
 
     def abort(self) -> None:
@@ -152,8 +152,8 @@
         self._connection.close()
 
     def respond(self, status: int, headers: HeaderList, body: bytes) -> None:
-        """Send a complete response of this node."""
-        self.open(status, _reason(status), [*headers, ("Content-Length", str(len(body)))])
+        """Send a complete response that this node made itself."""
+        self.open(status, _reason_phrase(status), [*headers, ("Content-Length", str(len(body)))])
         self.write(body)
         self.end()
 
@@ -161,8 +161,8 @@
         self._unsent_bytes -= size
         future.exception()
 
-    def _guard(self, action: Callable[[], Future[None] | None]) -> Future[None] | None:
-        """Run `action` unless the caller disconnected; returns its future, if it has one."""
+    def _run_unless_closed(self, action: Callable[[], Future[None] | None]) -> Future[None] | None:
+        """Run `action` unless the connection is closed; returns the future of `action`, if any."""
         if not self._is_open:
             return None
         try:
@@ -175,5 +175,5 @@
         return future
 
 
-def _reason(status: int) -> str:
+def _reason_phrase(status: int) -> str:
     return http.client.responses.get(status, "Unknown")
--- a/src/zincvale/dataplane/forwarding/caller_sink.py
+++ b/src/zincvale/dataplane/forwarding/caller_sink.py
@@ -1,4 +1,4 @@
-"""The caller side of one forwarded request: where it came from and where its response goes."""
+"""The caller's side of one forwarded request: what was received and where the response is sent."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class CallerSink(Protocol):
-    """Where a response goes; every method may be called after the caller disconnected."""
+    """Sends a response to a caller; every method may be called after the caller disconnected."""
 
     def open(self, status: int, reason: str, headers: HeaderList) -> None:
-        """Send the head of a server's response."""
+        """Send the status and headers of a server's response."""
         ...
 
     def write(self, data: bytes) -> None:
@@ -29,12 +29,12 @@
         ...
 
     def respond(self, status: int, headers: HeaderList, body: bytes) -> None:
-        """Send a complete response of this node."""
+        """Send a complete response that this node made itself."""
         ...
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the caller has not taken yet."""
+        """Bytes that were written and not yet sent to the caller."""
         ...
 
 
@@ -45,8 +45,8 @@
     Attributes
     ----------
     target : path and query as received.
-    body : None when the head announced none.
-    read_at : when its head was read, on the node's clock.
+    body : None when the headers announced no body.
+    read_at : when the headers were read, on the node's clock.
     """
 
     method: str
--- a/src/zincvale/dataplane/forwarding/dialect.py
+++ b/src/zincvale/dataplane/forwarding/dialect.py
@@ -1,7 +1,8 @@
 """The interface between forwarding and the header names that callers and servers use.
 
-Forwarding decides on typed facts only. A dialect reads them from heads and writes them into heads;
-it decides nothing. `native_dialect` is the product's own; `platform.callers` has another.
+Forwarding decides on typed values only. A dialect reads them from the headers of requests and
+responses and writes them into headers; it decides nothing. `native_dialect` is the product's own;
+`platform.callers` has another.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 @attrs.frozen
 class PromptPart:
-    """A part of a prompt that may be shared with other requests, and its tokens."""
+    """A part of a prompt that other requests may share, and its number of tokens."""
 
     part_id: str
     tokens: int
@@ -26,8 +27,8 @@
 
     Attributes
     ----------
-    model, adapter : what must be resident; the adapter is empty for the base model.
-    input_tokens, output_tokens : length of the prompt, and the most that may be generated.
+    model, adapter : what must be resident; the adapter is empty for the base model alone.
+    input_tokens, output_tokens : tokens of the prompt, and the most that may be generated.
     parts : the prompt's parts in order; the last one is the request's own.
     """
 
@@ -40,13 +41,15 @@
 
 @attrs.frozen
 class CallerFacts:
-    """What the head of a caller's request states.
+    """What the headers of a caller's request state.
 
     Attributes
     ----------
     request_id : empty when the caller stated none.
-    deadline_s : how long the caller will wait; None when it is not stated.
-    last_event_id : the event after which a stream is to be resumed; empty: from its beginning.
+    deadline_s : how long the caller will wait; None when the caller does not state it.
+    prompt : None when the request names no model.
+    last_event_id : the event after which a stream is to be resumed; empty for a stream from its
+        beginning.
     """
 
     request_id: str
@@ -57,7 +60,7 @@
 
 @attrs.frozen
 class AttemptFacts:
-    """What forwarding adds to the caller's headers for one attempt."""
+    """What forwarding adds to the headers for one attempt; `deadline_s` is the time left."""
 
     incarnation: str
     deadline_s: float
@@ -67,13 +70,14 @@
 
 @attrs.frozen
 class ResponseFacts:
-    """What the head of a server's response states.
+    """What the status and headers of a server's response state.
 
     Attributes
     ----------
-    request_id : the request that the response belongs to; empty when it is not stated.
-    never_ran : proof that the request did not run and never will.
-    misdirected : the server is another one than expected, or lacks what was asked for.
+    request_id : the request that the response belongs to; empty when the server does not state it.
+    never_ran : whether the server states that the request did not run and never will.
+    misdirected : whether the server is another one than expected, or lacks the requested model or
+        adapter.
     """
 
     request_id: str
@@ -82,10 +86,10 @@
 
 
 class ForwardingDialect(Protocol):
-    """Names and formats of callers and servers."""
+    """Reads and writes the header names and formats of callers and servers."""
 
     def caller_facts(self, headers: Mapping[str, str]) -> CallerFacts:
-        """Read a caller's head (names in lower case); what is unreadable counts as absent."""
+        """Read a caller's headers (names in lower case); unreadable values count as absent."""
         ...
 
     def attempt_headers(self, facts: AttemptFacts) -> dict[str, str]:
@@ -93,5 +97,5 @@
         ...
 
     def response_facts(self, status: int, headers: Mapping[str, str]) -> ResponseFacts:
-        """Read a server's head; header names are in lower case."""
+        """Read a server's status and headers (names in lower case)."""
         ...
--- a/src/zincvale/dataplane/forwarding/event_splitter.py
+++ b/src/zincvale/dataplane/forwarding/event_splitter.py
@@ -1,8 +1,8 @@
 """Splits an event stream into complete events, byte for byte, and reads their ids.
 
-`dataplane.http.event_reader` parses events instead. They are not merged: forwarding relays the
-server's bytes unchanged, whatever their line ends and fields, and passes on an event that is too
-large; the native path needs the parsed fields and rejects it."""
+`dataplane.http.event_reader` parses events instead. The two are not merged: forwarding relays the
+server's bytes unchanged, whatever their line ends and fields, and relays even an event that is too
+large. The native request path needs the parsed fields and rejects such an event."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 ID_LINE = re.compile(rb"^id:[ ]?([^\r\n]*)", re.MULTILINE)
 MAX_EVENT_BYTES = 1024 * 1024
-"""An event that does not end by then is relayed in parts: it bounds the memory of a request."""
+"""A longer event is relayed in parts, which bounds the memory of a request."""
 
 
 @attrs.frozen
 class CompleteEvents:
-    """Bytes of one or more complete events, and the id of the last one that has an id."""
+    """The bytes of one or more complete events, and the id of the last of them that has one."""
 
     content: bytes
     last_id: str
@@ -31,7 +31,7 @@
         self._partial = b""
 
     def feed(self, data: bytes) -> CompleteEvents | None:
-        """Return the events that `data` completes, None when it completes none."""
+        """Return the events that end within `data`, None when no event does."""
         self._partial += data
         end = 0
         for match in EVENT_END.finditer(self._partial):
@@ -44,7 +44,7 @@
         return CompleteEvents(complete, _last_id(complete))
 
     def take_remainder(self) -> bytes:
-        """Return and forget the bytes of an incomplete event."""
+        """Return and discard the buffered bytes of an incomplete event."""
         remainder, self._partial = self._partial, b""
         return remainder
 
--- a/src/zincvale/dataplane/forwarding/fleet_budgets.py
+++ b/src/zincvale/dataplane/forwarding/fleet_budgets.py
@@ -1,7 +1,7 @@
-"""Limits over all nodes: each node uses a share that it computes by itself.
+"""Limits over all nodes together, of which each node uses a share that it computes by itself.
 
-A share depends only on the number of nodes and this node's rank among them, so no message is
-exchanged for a request. Times are seconds on the daemon's clock.
+A share depends only on the number of nodes and on this node's rank among them, so that no messages
+are exchanged for a request. Times are seconds on the daemon's clock.
 """
 
 from __future__ import annotations
@@ -19,8 +19,9 @@
 
     Attributes
     ----------
-    ratio : retries for each request, in a window.
-    slack : retries beyond that in a window.
+    ratio : allowed retries per request, in a window.
+    slack : allowed retries beyond that, in a window.
+    window_s : length of the sliding window in seconds.
     """
 
     ratio: float = 0.2
@@ -29,17 +30,18 @@
 
 
 class RetryBudget:
-    """The retries of one node to one pool.
+    """Limits the retries of one node to one pool.
 
-    The native request path has `resilience.limits.RetryBudget`. They are not merged: that one
-    bounds one node by a balance of tokens, this one keeps all nodes together within a bound in any
+    The native request path has `resilience.limits.RetryBudget`. The two are not merged: that one
+    limits one node by a balance of tokens, this one keeps all nodes together within a limit in any
     sliding window.
 
-    The node's share is `ratio` of the requests it saw itself, plus its part of the slack. Only
-    `SAFETY` of either is used: the bound holds in every window, wherever it starts.
+    The node's share is `ratio` of its own requests plus its part of the slack. Only the fraction
+    `SAFETY_FACTOR` of the share is used, so that the limit holds in every window, wherever it
+    starts.
     """
 
-    SAFETY = 0.7
+    SAFETY_FACTOR = 0.7
 
     def __init__(self, config: RetryConfig) -> None:
         self._config = config
@@ -49,22 +51,22 @@
     def record_request(self, now: float) -> None:
         """Count a request for the pool."""
         self._requests.append(now)
-        self._forget(now)
+        self._discard_old(now)
 
     def take(self, node_count: int, now: float) -> bool:
-        """Spend one retry; False when the budget is spent."""
-        self._forget(now)
+        """Spend one retry; returns False when the budget is spent."""
+        self._discard_old(now)
         config = self._config
         allowed = config.ratio * len(self._requests) + config.slack / max(1, node_count)
-        if len(self._retries) + 1 > allowed * self.SAFETY:
+        if len(self._retries) + 1 > allowed * self.SAFETY_FACTOR:
             return False
         self._retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
-        since = now - self._config.window_s
+    def _discard_old(self, now: float) -> None:
+        window_start = now - self._config.window_s
         for times in (self._requests, self._retries):
-            while times and times[0] <= since:
+            while times and times[0] <= window_start:
                 times.popleft()
 
 
@@ -72,7 +74,8 @@
 class SlowStartConfig:
     """How fast all nodes together may send to a server in slow start.
 
-    `factor` times the pool's `cold_per_s` plus `slack` may arrive in one second.
+    `factor` times the pool's `cold_per_s`, plus `slack`, is how many requests may arrive there in
+    one second.
     """
 
     factor: float = 1.0
@@ -80,14 +83,15 @@
 
 
 SLOW_START_SAFETY_FACTOR = 0.6
-"""Partitioned nodes compute their shares from an old number of nodes; the rest is left for them."""
+"""Fraction of the allowed rate that nodes use. The rest is left for partitioned nodes, which
+compute their shares from an old number of nodes."""
 
 
 class SlowStartLimiter:
-    """When this node may send to one server in slow start.
+    """Limits how often this node may send to one server in slow start.
 
-    The requests allowed in a second go to as many nodes, by rendezvous hash, one request each;
-    fewer nodes than requests share them evenly.
+    When a server may receive fewer requests in a second than there are nodes, the nodes that rank
+    first by rendezvous hash send one request each. Otherwise all nodes share the requests evenly.
     """
 
     def __init__(self) -> None:
@@ -118,6 +122,6 @@
 
 
 def rendezvous_rank(own: str, others: list[str], key: str) -> int:
-    """Return how many of `others` come before `own` for `key`."""
-    mine = rendezvous_weight(own, key)
-    return sum(1 for other in others if other != own and rendezvous_weight(other, key) > mine)
+    """Return how many of `others` have a higher weight than `own` for `key`."""
+    own_weight = rendezvous_weight(own, key)
+    return sum(1 for other in others if other != own and rendezvous_weight(other, key) > own_weight)
--- a/src/zincvale/dataplane/forwarding/forwarded_request.py
+++ b/src/zincvale/dataplane/forwarding/forwarded_request.py
@@ -84,7 +84,7 @@
         self._incoming = incoming
         self._sink = sink
         self._machine = RequestMachine(route, facts.last_event_id)
-        self._pool = context.pool_for(route)
+        self._pool = context.draw_pool(route)
         self._deadline_at = incoming.read_at + min(
             route.timeout_s, facts.deadline_s if facts.deadline_s is not None else route.timeout_s
         )
@@ -104,7 +104,7 @@
     def begin(self) -> None:
         """Count the request, start its deadline timer and select a server."""
         context = self._context
-        context.active.add(self)
+        context.active_requests.add(self)
         self._span = context.spans.start(
             "request",
             attributes={"route": self._route.name, "request_id": self._facts.request_id},
@@ -251,10 +251,10 @@
         self._span.event("held", why=choice.value)
         context.record_waiting(self._pool, self._facts.prompt, choice, 1)
 
-    def _on_server_found(self, chosen: ServerChoice) -> None:
+    def _on_server_found(self, choice: ServerChoice) -> None:
         self._stop_waiting()
-        self._reserve(chosen)
-        self._feed(ServerFound(chosen.server.row.incarnation))
+        self._reserve(choice)
+        self._feed(ServerFound(choice.server.row.incarnation))
 
     def _on_selection_expired(self, reason: NoServerReason, retry_after_s: float) -> None:
         self._stop_waiting()
@@ -271,17 +271,17 @@
             self._context.pending.remove(self._pending)
             self._stop_waiting()
 
-    def _reserve(self, chosen: ServerChoice) -> None:
+    def _reserve(self, choice: ServerChoice) -> None:
         now = self._context.clock()
-        server = chosen.server
+        server = choice.server
         server.outstanding += 1
-        server.outstanding_tokens += chosen.tokens
+        server.outstanding_tokens += choice.tokens
         if server.is_in_slow_start(now):
             server.slow_start_limiter.record_sent(now)
         if self._facts.prompt is not None:
             server.record_cached_parts(self._facts.prompt)
         self._context.record_sent(self._pool, self._facts.prompt, server.server)
-        self._choice = chosen
+        self._choice = choice
 
     def _send(self, effect: SendRequest) -> None:
         assert self._choice is not None
@@ -326,10 +326,10 @@
         if self._choice is None:
             return
         now = self._context.clock()
-        chosen, self._choice = self._choice, None
-        server: ServerState = chosen.server
+        choice, self._choice = self._choice, None
+        server: ServerState = choice.server
         server.outstanding -= 1
-        server.outstanding_tokens -= chosen.tokens
+        server.outstanding_tokens -= choice.tokens
         if effect.unreachable:
             server.on_unreachable(now)
             self._context.on_unreachable(server.server)
@@ -385,5 +385,5 @@
             now = self._context.clock()
             duration_s = now - self._incoming.read_at
             self._context.response_times.record(self._route.name, duration_s, now)
-        self._context.counts[effect.outcome] += 1
-        self._context.active.discard(self)
+        self._context.outcome_counts[effect.outcome] += 1
+        self._context.active_requests.discard(self)
--- a/src/zincvale/dataplane/forwarding/header_rewrite.py
+++ b/src/zincvale/dataplane/forwarding/header_rewrite.py
@@ -1,4 +1,4 @@
-"""Headers of forwarded requests and responses: hop-by-hop headers are removed (RFC 9110, 7.6.1)."""
+"""Rewrites the headers of forwarded messages: removes hop-by-hop headers (RFC 9110, 7.6.1)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from zincvale.transport.server_exchange import HeaderList
 
-CONNECTION_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -19,28 +19,28 @@
         "upgrade",
     }
 )
-REQUEST_FRAMING = frozenset({"content-length", "expect"})
+REQUEST_FRAMING_HEADERS = frozenset({"content-length", "expect"})
 
 
 def end_to_end_headers(headers: Iterable[tuple[str, str]], dropped: frozenset[str]) -> HeaderList:
     """Return the headers without the hop-by-hop ones and those in `dropped`."""
     received = list(headers)
-    named = {
+    listed_in_connection = {
         name.strip().lower()
         for header, value in received
         if header.lower() == "connection"
         for name in value.split(",")
     }
-    removed = CONNECTION_HEADERS | dropped | named
+    removed = HOP_BY_HOP_HEADERS | dropped | listed_in_connection
     return [(name, value) for name, value in received if name.lower() not in removed]
 
 
 def to_server(headers: Iterable[tuple[str, str]], added: Mapping[str, str]) -> HeaderList:
     """Return a caller's headers for a server; `added` replaces those of the same names."""
-    replaced = REQUEST_FRAMING | {name.lower() for name in added}
+    replaced = REQUEST_FRAMING_HEADERS | {name.lower() for name in added}
     return [*end_to_end_headers(headers, replaced), *added.items()]
 
 
 def to_caller(headers: Iterable[tuple[str, str]], *, is_stream: bool) -> HeaderList:
-    """Return a server's headers for the caller; a stream gets new framing: it may be resumed."""
+    """Return a server's headers for the caller; a stream, as it may be resumed, has no length."""
     return end_to_end_headers(headers, frozenset({"content-length"}) if is_stream else frozenset())
--- a/src/zincvale/dataplane/forwarding/native_dialect.py
+++ b/src/zincvale/dataplane/forwarding/native_dialect.py
@@ -26,20 +26,20 @@
 
 
 class NativeDialect:
-    """Implements `ForwardingDialect`."""
+    """Reads and writes the product's own headers."""
 
     def caller_facts(self, headers: Mapping[str, str]) -> CallerFacts:
-        """Read a caller's head."""
-        deadline_ms = _number(headers.get(DEADLINE_MS, ""))
+        """Read a caller's headers."""
+        deadline_ms = _parse_number(headers.get(DEADLINE_MS, ""))
         return CallerFacts(
             request_id=headers.get(REQUEST_ID, ""),
             deadline_s=None if deadline_ms is None else deadline_ms / MS_PER_S,
-            prompt=_prompt(headers),
+            prompt=_read_prompt(headers),
             last_event_id=headers.get(LAST_EVENT_ID, ""),
         )
 
     def attempt_headers(self, facts: AttemptFacts) -> dict[str, str]:
-        """Return the headers that are added for one attempt."""
+        """Return the headers that are added to the caller's for one attempt."""
         headers = {
             DEADLINE_MS: str(max(1, int(facts.deadline_s * MS_PER_S))),
             INCARNATION: facts.incarnation,
@@ -50,7 +50,7 @@
         return headers
 
     def response_facts(self, status: int, headers: Mapping[str, str]) -> ResponseFacts:
-        """Read a server's head."""
+        """Read a server's status and headers."""
         misdirected = status == MISDIRECTED_STATUS
         return ResponseFacts(
             request_id=headers.get(REQUEST_ID, ""),
@@ -59,7 +59,7 @@
         )
 
 
-def _prompt(headers: Mapping[str, str]) -> Prompt | None:
+def _read_prompt(headers: Mapping[str, str]) -> Prompt | None:
     name = headers.get(MODEL, "")
     if not name:
         return None
@@ -68,23 +68,23 @@
 
 
 def parse_prompt(model: str, adapter: str, tokens: str, parts: str) -> Prompt:
-    """Return a prompt from `IN,OUT` and `ID:TOKENS,...`; what cannot be parsed counts as absent."""
-    counts = [_number(text) or 0.0 for text in tokens.split(",")]
+    """Return a prompt from `IN,OUT` and `ID:TOKENS,...`; unreadable values count as absent."""
+    counts = [_parse_number(text) or 0.0 for text in tokens.split(",")]
     output_tokens = int(counts[1]) if len(counts) > 1 else 0
-    return Prompt(model, adapter, int(counts[0]), output_tokens, _parts(parts))
+    return Prompt(model, adapter, int(counts[0]), output_tokens, _parse_parts(parts))
 
 
-def _parts(text: str) -> tuple[PromptPart, ...]:
-    found = []
+def _parse_parts(text: str) -> tuple[PromptPart, ...]:
+    parts = []
     for item in text.split(","):
         part_id, _, tokens = item.strip().rpartition(":")
-        count = _number(tokens)
+        count = _parse_number(tokens)
         if part_id and count is not None:
-            found.append(PromptPart(part_id, int(count)))
-    return tuple(found)
+            parts.append(PromptPart(part_id, int(count)))
+    return tuple(parts)
 
 
-def _number(text: str) -> float | None:
+def _parse_number(text: str) -> float | None:
     try:
         value = float(text)
     except ValueError:
--- a/src/zincvale/dataplane/forwarding/node_context.py
+++ b/src/zincvale/dataplane/forwarding/node_context.py
@@ -33,7 +33,7 @@
 
 
 class ForwardingContext:
-    """Tables, policies, pending requests, connections and counts of one node.
+    """Tables, policies, pending requests, connections and counters of one node.
 
     Parameters
     ----------
@@ -60,24 +60,24 @@
         self.clock = clock
         self.pending = PendingRequestQueue(routing.pool)
         self.demand = DemandTable()
-        self.active: set[object] = set()
+        self.active_requests: set[object] = set()
         self.response_times = ResponseTimes()
-        self.counts: Counter[RequestOutcome] = Counter()
+        self.outcome_counts: Counter[RequestOutcome] = Counter()
         self._unreachable: set[ServerId] = set()
         self._chain = chain
         self._random = random
         self._on_urgent = on_urgent
         self._dispatch_timer: asyncio.TimerHandle | None = None
 
-    def pool_for(self, route: ForwardRoute) -> str:
-        """Draw the pool of one request by the route's weights."""
+    def draw_pool(self, route: ForwardRoute) -> str:
+        """Draw the pool of one request at random, by the route's weights."""
         if len(route.split) == 1:
             return route.split[0].pool
         weights = [share.weight for share in route.split]
         return self._random.choices(route.split, weights)[0].pool
 
     def choose(self, requirements: ServerRequirements) -> ServerChoice | NoServerReason:
-        """Return the server for a request now, or why there is none."""
+        """Return the server for a request, or the reason why there is none now."""
         return self._chain.choose(
             RoutingQuery(
                 requirements.route,
@@ -90,13 +90,13 @@
         )
 
     def try_spend_retry(self, pool: str, now: float) -> bool:
-        """Spend one retry of the pool's budget; False when the budget is spent."""
+        """Spend one retry of the pool's budget; returns False when the budget is spent."""
         return self.routing.retry_budget(pool).take(self.routing.node_count, now)
 
     # --- waiting --------------------------------------------------------------------------
 
     def dispatch_pending(self) -> None:
-        """Try every pending request again, and schedule the next try."""
+        """Try to assign a server to every pending request, and schedule the next try."""
         if self._dispatch_timer is not None:
             self._dispatch_timer.cancel()
             self._dispatch_timer = None
@@ -109,7 +109,7 @@
             self._dispatch_after(min(max(0.0, next_expiry - now), PENDING_POLL_INTERVAL_S))
 
     def schedule_dispatch(self) -> None:
-        """Try the pending requests again in the next turn of the event loop."""
+        """Try the pending requests again in the next iteration of the event loop."""
         if len(self.pending):
             self._dispatch_after(0.0)
 
@@ -124,26 +124,26 @@
     # --- demand ---------------------------------------------------------------------------
 
     def record_request(self, pool: str, prompt: Prompt | None) -> None:
-        """Count a request for placement."""
+        """Count a request in the demand that is reported to placement."""
         if prompt is not None:
-            self.demand.on_request(_key(pool, prompt))
+            self.demand.on_request(_demand_key(pool, prompt))
 
     def record_waiting(
         self, pool: str, prompt: Prompt | None, reason: NoServerReason, change: int
     ) -> None:
-        """Count a request that begins or stops waiting for a load."""
+        """Count a request that begins (`change` is 1) or stops (-1) waiting for a load."""
         if change > 0:
             self.schedule_dispatch()
         if prompt is None or reason not in LOAD_REASONS:
             return
-        key = _key(pool, prompt)
+        key = _demand_key(pool, prompt)
         self.demand.on_waiting(key, change)
         if self.demand.urgent or (change < 0 and not self.demand.waiting(key)):
-            # The end of a wait matters as much: replicas are added for pending requests.
+            # The end of the last wait is urgent too: replicas are added for pending requests.
             self._on_urgent()
 
     def on_unreachable(self, server: ServerId) -> None:
-        """Record a server that failed, for a report to the placement leader at once."""
+        """Record a server that failed, and have it reported to the placement leader at once."""
         if server not in self._unreachable:
             self._unreachable.add(server)
             self._on_urgent()
@@ -156,19 +156,19 @@
     def record_sent(self, pool: str, prompt: Prompt | None, server: ServerId) -> None:
         """Count a request that runs at a server."""
         if prompt is not None:
-            self.demand.on_dispatched(_key(pool, prompt), server)
+            self.demand.on_dispatched(_demand_key(pool, prompt), server)
 
     def record_end(self, pool: str, prompt: Prompt | None, server: ServerId) -> None:
         """Count a request that no longer runs at a server."""
         if prompt is not None:
-            self.demand.on_ended(_key(pool, prompt), server, prompt.output_tokens)
+            self.demand.on_ended(_demand_key(pool, prompt), server, prompt.output_tokens)
 
 
 PENDING_POLL_INTERVAL_S = 0.1
-"""How often pending requests are tried again while no event arrives: back-off and slow start end by
-time alone."""
+"""The interval at which pending requests are tried again while no event arrives: back-off and slow
+start end by time alone."""
 
 
-def _key(pool: str, prompt: Prompt) -> DemandKey:
+def _demand_key(pool: str, prompt: Prompt) -> DemandKey:
     adapter = AdapterName(adapter_name(prompt.model, prompt.adapter)) if prompt.adapter else None
     return DemandKey(PoolName(pool), ModelName(prompt.model), adapter)
--- a/src/zincvale/dataplane/forwarding/pending_requests.py
+++ b/src/zincvale/dataplane/forwarding/pending_requests.py
@@ -1,8 +1,8 @@
-"""Requests that are pending because no server can take them: for how long, and in which order.
+"""The queue of requests that no server can take now: their order, and how long each may wait.
 
-A request is refused here in two ways: at once, where `max_wait_s` finds that waiting cannot help
-(`PendingRequestQueue.add` returns None), or when its wait has expired (`dispatch`). In both,
-`Retry-After` is `retry_after_s`; refusals for other causes have constants of their own, listed
+A request is refused here either at once, when `max_wait_s` finds that waiting cannot help
+(`PendingRequestQueue.add` returns None), or when its wait has expired (`dispatch`). In both cases
+`Retry-After` is `retry_after_s`. Refusals for other causes have constants of their own, listed
 under "What `Retry-After` is made of" in docs/operators/on-call.md.
 """
 
@@ -18,27 +18,30 @@
 from zincvale.model.forwarding import ForwardPool, ForwardRoute
 
 LOAD_OVERHEAD_S = 0.5
-"""What a load takes beyond its own time: the order, and the report of its end."""
+"""How much longer than its own time a load takes: sending its order, and the report of its end."""
 LOAD_WAIT_FACTOR = 1.6
-"""A load may take this much longer than expected before a request stops waiting for it."""
+"""How many times the expected load time a request may wait for a model."""
 ADAPTER_LOAD_S = 0.3
-"""An adapter's load with its overhead, until one was measured."""
+"""Expected time of an adapter's load with its overhead, until one was measured."""
 ADAPTER_WAIT_FACTOR = 4.0
-"""An adapter's load may queue behind a load of weights at its server."""
+"""How many times the expected load time a request may wait for an adapter, whose load may queue
+behind a load of model weights at the same server."""
 SHORTER_WAIT_WEIGHT = 0.3
 LONGER_WAIT_WEIGHT = 0.05
-"""Weights of shorter and of longer waits in the moving minimum of the observed waits."""
+"""Weights of a new wait in the moving minimum of the observed waits, depending on whether it is
+shorter or longer than that minimum."""
 BUSY_WAIT_FRACTION = 0.25
-"""Part of the latency objective for which a request waits for a free slot, and after which its
-caller should retry."""
+"""Fraction of the route's latency objective for which a request waits for a free slot, and after
+which a refused caller should retry."""
 MAX_WAIT_FRACTION = 0.6
-"""Part of the remaining time that a request may wait: the rest is needed for the response."""
+"""Fraction of the time until its deadline that a request may wait; the response needs the rest."""
 MIN_WAIT_S = 0.05
-"""A request that may wait for less is rejected at once: no load or response ends so soon."""
+"""A request that may wait for less is refused at once: no load and no response ends so soon."""
 NO_SERVER_WAIT_S = 0.5
-"""Bridges a restart of the only server between two versions of the directory."""
+"""How long a request waits for a pool without servers: bridges a restart of the only server between
+two versions of the directory."""
 MIN_RETRY_AFTER_S = 0.1
-"""Callers that come back sooner meet the same state and add load."""
+"""The smallest `Retry-After`: callers that retry sooner meet the same state and add load."""
 LOAD_REASONS = frozenset({NoServerReason.NOT_RESIDENT, NoServerReason.NO_ADAPTER})
 
 
@@ -48,7 +51,7 @@
 
     Attributes
     ----------
-    deadline_at : when the caller's time or the route's time-out is over.
+    deadline_at : when the caller's deadline or the route's timeout ends, whichever is first.
     """
 
     route: ForwardRoute
@@ -68,8 +71,8 @@
 
     Attributes
     ----------
-    is_first : no other pending request needed the same load when this one came: its wait shows how
-        long a load takes.
+    is_first_for_load : no other pending request needed the same load when this one was queued, so
+        that its wait shows how long the load takes.
     """
 
     requirements: ServerRequirements
@@ -77,23 +80,23 @@
     expires_at: float
     on_server_found: OnServerFound
     on_expired: OnExpired
-    order: tuple[int, int]
+    sort_key: tuple[int, int]
     pending_since: float
-    is_first: bool
+    is_first_for_load: bool
 
 
 @attrs.define
 class LoadWaitEstimator:
-    """Estimates how soon a wait for a load ends, learned by pool and reason.
+    """Estimates how long a wait for a load lasts, from the observed waits by pool and reason.
 
-    It follows the short waits: weights that a server has on its own disk are loaded much sooner
-    than declared, and a request that may be served so should wait.
+    The estimate follows the short waits: model weights on a server's own disk load much sooner than
+    declared, and a request that can be served from there should wait.
     """
 
     _short_wait_s: dict[tuple[str, NoServerReason], float] = attrs.field(factory=dict)
 
     def record(self, pool: str, reason: NoServerReason, waited_s: float) -> None:
-        """Record a wait that ended with a server."""
+        """Record a wait that ended because a server was found."""
         known = self._short_wait_s.get((pool, reason))
         if known is None:
             self._short_wait_s[pool, reason] = waited_s
@@ -102,7 +105,7 @@
         self._short_wait_s[pool, reason] = known + weight * (waited_s - known)
 
     def estimate_s(self, pool: str, reason: NoServerReason, expected_s: float) -> float:
-        """Return how soon a wait may end: as learned, at most `expected_s`."""
+        """Return how soon a wait may end: the learned time, at most `expected_s`."""
         return min(expected_s, self._short_wait_s.get((pool, reason), expected_s))
 
 
@@ -136,7 +139,7 @@
 def expected_load_s(
     prompt: Prompt | None, pool: ForwardPool | None, reason: NoServerReason
 ) -> float | None:
-    """Return how long a load of what the prompt lacks takes; None when it cannot be loaded."""
+    """Return how long loading the missing model or adapter takes; None when it cannot be loaded."""
     if prompt is None or pool is None or pool.engine is None:
         return None
     model = pool.engine.models.get(prompt.model)
@@ -153,10 +156,10 @@
 ) -> float:
     """Return after how many seconds the caller should retry.
 
-    For a missing model: its declared load time and `LOAD_OVERHEAD_S`, for a missing adapter
+    For a missing model it is the declared load time plus `LOAD_OVERHEAD_S`, for a missing adapter
     `ADAPTER_LOAD_S`, in both cases at most the wait learned for the pool (not for the model). For
-    `BUSY` and `NO_SERVER`: a part of the route's objective. Neither the number of pending requests
-    nor the progress of a load counts.
+    `BUSY` and `NO_SERVER` it is a fraction of the route's latency objective. It depends neither on
+    the number of pending requests nor on the progress of a load.
     """
     if reason in LOAD_REASONS:
         expected_s = expected_load_s(requirements.prompt, pool, reason) or MIN_RETRY_AFTER_S
@@ -165,11 +168,11 @@
 
 
 class PendingRequestQueue:
-    """The pending requests by priority (0 first), then in the order of arrival.
+    """The pending requests, by priority (0 first) and then in the order of arrival.
 
     Parameters
     ----------
-    pool_of : returns a declared pool.
+    pool_of : returns the declaration of the pool with a name, None when it is not declared.
     """
 
     def __init__(self, pool_of: Callable[[str], ForwardPool | None]) -> None:
@@ -190,7 +193,7 @@
         on_expired: OnExpired,
         now: float,
     ) -> PendingRequest | None:
-        """Queue a request; None when waiting cannot help and it must be rejected at once."""
+        """Queue a request; returns None when waiting cannot help, so that it is refused at once."""
         max_wait = max_wait_s(
             requirements, reason, self._pool_of(requirements.pool), self.load_waits, now
         )
@@ -207,11 +210,11 @@
             not any(_need_same_load(each.requirements, requirements) for each in self._pending),
         )
         self._pending.append(request)
-        self._pending.sort(key=lambda each: each.order)
+        self._pending.sort(key=lambda each: each.sort_key)
         return request
 
     def retry_after_s(self, reason: NoServerReason, requirements: ServerRequirements) -> float:
-        """Return when the caller of a rejected request should retry."""
+        """Return after how many seconds the caller of a refused request should retry."""
         return retry_after_s(
             reason, requirements, self._pool_of(requirements.pool), self.load_waits
         )
@@ -227,13 +230,13 @@
         return removed
 
     def next_expiry(self) -> float | None:
-        """Return when the next request expires."""
+        """Return when the wait of the next request expires, None when none is pending."""
         return min((each.expires_at for each in self._pending), default=None)
 
     def dispatch(
         self, choose: Callable[[ServerRequirements], ServerChoice | NoServerReason], now: float
     ) -> None:
-        """Assign servers to the requests that have one now, and expire those that waited too long.
+        """Assign servers to the requests that can be sent now, and expire the waits that are over.
 
         Callbacks may remove other pending requests, which are then skipped."""
         for request in list(self._pending):
@@ -242,7 +245,7 @@
             choice = choose(request.requirements)
             if isinstance(choice, ServerChoice):
                 self.remove(request)
-                if request.is_first and request.reason in LOAD_REASONS:
+                if request.is_first_for_load and request.reason in LOAD_REASONS:
                     self.load_waits.record(
                         request.requirements.pool, request.reason, now - request.pending_since
                     )
@@ -252,7 +255,10 @@
                 request.on_expired(choice, self.retry_after_s(choice, request.requirements))
 
 
-def _need_same_load(one: ServerRequirements, other: ServerRequirements) -> bool:
-    if one.pool != other.pool or one.prompt is None or other.prompt is None:
+def _need_same_load(first: ServerRequirements, second: ServerRequirements) -> bool:
+    if first.pool != second.pool or first.prompt is None or second.prompt is None:
         return False
-    return (one.prompt.model, one.prompt.adapter) == (other.prompt.model, other.prompt.adapter)
+    return (first.prompt.model, first.prompt.adapter) == (
+        second.prompt.model,
+        second.prompt.adapter,
+    )
--- a/src/zincvale/dataplane/forwarding/policies.py
+++ b/src/zincvale/dataplane/forwarding/policies.py
@@ -1,12 +1,13 @@
-"""Routing policies of forwarding: filters that exclude servers, and scorers that price them.
+"""Routing policies of forwarding: filters that exclude servers, and scorers that assign costs.
 
-A `Filter` says which servers a request must not go to, a `Scorer` what sending it there costs, in
-tokens of work. Policies are pure; the time is part of the query.
+A `Filter` decides which servers a request must not be sent to. A `Scorer` returns what sending it
+to a server costs, in tokens of work. Policies are pure; the time is part of the query.
 
 The native request path has an interface of its own (`dataplane.policies.base`), which is public to
-third parties. They are not merged: there a filter gives a text for traces and a scorer prices one
-server of a sample and may nominate one; here scorers price all servers of a pool at once, a missing
-adapter is told from a missing model, and the tables of forwarding have other fields.
+third parties. The two are not merged. There, a filter returns a text for traces, and a scorer
+returns the cost of one server of a sample and may nominate one. Here, a scorer returns the costs of
+all servers of a pool at once, a missing adapter is distinguished from a missing model, and the
+routing tables have other fields.
 """
 
 from __future__ import annotations
@@ -24,27 +25,30 @@
 from zincvale.dataplane.forwarding.servers import ServerState, required_names
 from zincvale.model.forwarding import ForwardRoute
 
-TOKENS_PER_S = 19_000.0
-"""Prompt tokens that a server processes in a second; converts times to tokens of work."""
+PREFILL_TOKENS_PER_S = 19_000.0
+"""How many prompt tokens a server processes in a second; converts seconds to tokens of work."""
 OTHER_ZONE_COST = 60.0
-"""Tokens of work that a server in this node's zone may have more before another zone is used."""
+"""Cost of a server in another zone: how many more tokens of work the servers in this node's zone
+may have before another zone is used."""
 QUEUED_REQUEST_COST = 250.0
-"""Tokens of work that each request of this node at a server adds for later ones."""
+"""Cost of each outstanding request of this node at a server, in tokens of work that delay a later
+request."""
 LATENCY_COST_FACTOR = 0.5
-"""At 1 nodes would all move to the fastest server and back."""
+"""Fraction of a server's extra latency that counts as its cost. At 1 all nodes would move to the
+fastest server together, and back again."""
 MIN_PARTS_TO_SHARE = 2
-"""The last part of a prompt is the request's own, so one part alone is never shared."""
+"""The fewest parts of a prompt that has a shared part, since the last part is the request's own."""
 
 
 class NoServerReason(enum.Enum):
-    """Why no server is left, which decides how long a request waits; callers see the value."""
+    """Why no server can take a request, which decides how long it waits; callers see the value."""
 
     NO_SERVER = "no-server"
     """The pool has no server in service."""
     NOT_RESIDENT = "not-resident"
     """No server has the model resident."""
     NO_ADAPTER = "no-adapter"
-    """Servers have the model, and none the adapter, which loads much sooner than a model."""
+    """Servers have the model but not the adapter, which loads much sooner than a model."""
     BUSY = "busy"
     """Every server is excluded, backing off or at its slow start limit."""
 
@@ -62,13 +66,13 @@
 
 
 class Filter:
-    """Excludes servers.
+    """Excludes servers that a request must not be sent to.
 
     Attributes
     ----------
-    reason : what it means for the request when this filter removes the last server.
-    soft : skipped when it would remove every server: evidence that may be wrong never empties a
-        pool.
+    reason : why the request has no server, when this filter excludes the last one.
+    soft : whether this filter is skipped when it would exclude every server, so that evidence that
+        may be wrong never empties a pool.
     """
 
     name: ClassVar[str] = ""
@@ -76,7 +80,7 @@
     soft: ClassVar[bool] = False
 
     def accepts(self, query: RoutingQuery, server: ServerState) -> bool:
-        """Whether the request may go to the server."""
+        """Whether the request may be sent to the server."""
         raise NotImplementedError
 
     def reason_for_none(self, query: RoutingQuery, servers: list[ServerState]) -> NoServerReason:
@@ -85,12 +89,12 @@
 
 
 class Scorer:
-    """Prices servers."""
+    """Assigns a cost to each server."""
 
     name: ClassVar[str] = ""
 
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
-        """Return the cost of each server."""
+        """Return the cost of sending the request to each server, in tokens of work."""
         raise NotImplementedError
 
 
@@ -125,7 +129,7 @@
 
 
 class NotBackingOff(Filter):
-    """Excludes servers that failed or refused a moment ago."""
+    """Excludes servers that failed or refused a request a moment ago."""
 
     name = "not-paused"
     reason = NoServerReason.BUSY
@@ -137,7 +141,7 @@
 
 
 class WithinSlowStartLimit(Filter):
-    """Accepts servers in slow start only within this node's share of their limit."""
+    """Accepts a server in slow start only within this node's share of the server's limit."""
 
     name = "cold"
     reason = NoServerReason.BUSY
@@ -150,19 +154,19 @@
 
 
 class PromptAffinity(Scorer):
-    """Prices the prompt tokens that the server must process: those that are probably not cached.
+    """The cost is the prompt tokens that the server must process: those that are not cached there.
 
-    All nodes agree on a preferred server for the shared parts without messages, and expect them to
-    be cached there; the parts that this node sent lately count as well. Where the shared parts are
-    most of the prompt, the preferred server is the one that a rendezvous hash of the last shared
-    part names. Else processing them once at each replica costs less than a queue at one of them,
-    and the nodes spread evenly over the replicas.
+    The prompt's shared parts are expected to be cached at a preferred server, which nodes determine
+    without exchanging messages. The parts that this node sent to a server recently count as cached
+    there too. Where the shared parts are most of the prompt, all nodes prefer the same server, by a
+    rendezvous hash of the last shared part. Otherwise processing the shared parts once at each
+    replica costs less than a queue at one of them, and the nodes spread evenly over the replicas.
     """
 
     name = "prompt-affinity"
 
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
-        """Return the tokens to process at each server."""
+        """Return the prompt tokens that are not cached at each server."""
         prompt = query.prompt
         if prompt is None:
             return [0.0] * len(servers)
@@ -179,7 +183,7 @@
 
 
 def _shared_preferred_server(prompt: Prompt, servers: list[ServerState]) -> ServerState | None:
-    """Return the server at which all nodes expect the prompt's shared parts to be cached."""
+    """Return the server at which all nodes expect the shared parts to be cached, if any."""
     if len(prompt.parts) < MIN_PARTS_TO_SHARE:
         return None
     key = "/".join((*required_names(prompt), prompt.parts[-2].part_id))
@@ -189,7 +193,7 @@
 def _node_preferred_server(
     prompt: Prompt, servers: list[ServerState], node_index: int
 ) -> ServerState | None:
-    """Return the replica that this node uses first; equally many nodes prefer each replica."""
+    """Return the replica that this node prefers; the nodes are spread evenly over the replicas."""
     if len(prompt.parts) < MIN_PARTS_TO_SHARE:
         return None
     key = "/".join(required_names(prompt))
@@ -200,7 +204,7 @@
 
 
 class LocalLoad(Scorer):
-    """Prices this node's outstanding requests at the server, and the tokens they have to process.
+    """The cost is the work of this node's outstanding requests at the server.
 
     Other nodes are assumed to load the servers as this one does.
     """
@@ -208,7 +212,7 @@
     name = "local-load"
 
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
-        """Return the work of this node's requests at each server."""
+        """Return a fixed cost per outstanding request plus the outstanding prompt tokens."""
         return [
             server.outstanding * QUEUED_REQUEST_COST + server.outstanding_tokens
             for server in servers
@@ -216,45 +220,45 @@
 
 
 class MeasuredLatency(Scorer):
-    """Prices how much slower than the fastest server this one responded lately."""
+    """The cost is how much slower than the fastest server this one responded recently."""
 
     name = "measured-latency"
 
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
-        """Return the extra time of each server as work."""
+        """Return the extra latency of each server, converted to tokens of work."""
         measured = [server.latency_s for server in servers if server.latency_s > 0.0]
         fastest = min(measured, default=0.0)
         return [
-            max(0.0, server.latency_s - fastest) * TOKENS_PER_S * LATENCY_COST_FACTOR
+            max(0.0, server.latency_s - fastest) * PREFILL_TOKENS_PER_S * LATENCY_COST_FACTOR
             for server in servers
         ]
 
 
 class ZoneDistance(Scorer):
-    """Prices traffic between zones."""
+    """Adds a fixed cost to servers in other zones than this node's."""
 
     name = "zone-distance"
 
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
-        """Return the cost of another zone than this node's."""
+        """Return the cost of the zone of each server."""
         own = query.routing.zone
         return [0.0 if server.row.zone == own else OTHER_ZONE_COST for server in servers]
 
 
 class SlowStartCost(Scorer):
-    """Prices a slow start: such servers are used when the others are much busier."""
+    """Adds a fixed cost to servers in slow start: they are used when the others are much busier."""
 
     name = "cold-cost"
     COST = 4_000.0
-    """Tokens of work that other servers may have more."""
+    """How many more tokens of work other servers may have before a server in slow start is used."""
 
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
-        """Return the cost of a slow start."""
+        """Return the cost of the slow start of each server, 0 for those that are not in it."""
         return [self.COST if server.is_in_slow_start(query.now) else 0.0 for server in servers]
 
 
 class RoundRobin(Scorer):
-    """Baseline: each server in turn."""
+    """Baseline that chooses each server in turn."""
 
     name = "round-robin"
 
@@ -262,18 +266,18 @@
         self._turn_counter = itertools.count()
 
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
-        """Return 0 for the server whose turn it is."""
+        """Return 0 for the server whose turn it is, and 1 for the others."""
         turn = next(self._turn_counter) % max(1, len(servers))
         return [0.0 if index == turn else 1.0 for index in range(len(servers))]
 
 
 class LeastOutstanding(Scorer):
-    """Baseline: the server with the fewest requests of this node."""
+    """Baseline that chooses the server with the fewest outstanding requests of this node."""
 
     name = "least-outstanding"
 
     def costs(self, query: RoutingQuery, servers: list[ServerState]) -> list[float]:
-        """Return the requests of this node at each server."""
+        """Return the number of outstanding requests of this node at each server."""
         return [float(server.outstanding) for server in servers]
 
 
@@ -294,7 +298,7 @@
 
 
 def make_scorers(names: Sequence[str]) -> list[Scorer]:
-    """Return the scorers that a setting names; without names the default chain."""
+    """Return the scorers that a setting names; without names, the default scorers."""
     if not names:
         return [scorer() for scorer in DEFAULT_SCORERS]
     known = {scorer.name: scorer for scorer in (*DEFAULT_SCORERS, *BASELINE_SCORERS)}
@@ -303,21 +307,21 @@
 
 @attrs.frozen
 class ServerChoice:
-    """The server that a request goes to, and the prompt tokens it is expected to process."""
+    """The server that a request is sent to, and the prompt tokens it is expected to process."""
 
     server: ServerState
     tokens: int
 
 
 class PolicyChain:
-    """Applies every filter in order, then chooses the cheapest server."""
+    """Applies every filter in order, then chooses the server with the lowest total cost."""
 
     def __init__(self, scorers: list[Scorer]) -> None:
         self._filters = [policy() for policy in DEFAULT_FILTERS]
         self._scorers = scorers
 
     def choose(self, query: RoutingQuery) -> ServerChoice | NoServerReason:
-        """Return the server to send to, or why there is none."""
+        """Return the server to send the request to, or the reason why there is none."""
         servers = list(query.routing.in_service((query.pool,)))
         if not servers:
             return NoServerReason.NO_SERVER
--- a/src/zincvale/dataplane/forwarding/request_events.py
+++ b/src/zincvale/dataplane/forwarding/request_events.py
@@ -176,7 +176,7 @@
 
 @attrs.frozen
 class LocalReply:
-    """Respond to the caller from this node."""
+    """Send the caller a response of this node; `reason` is stated in its body."""
 
     status: int
     reason: str
--- a/src/zincvale/dataplane/forwarding/response_times.py
+++ b/src/zincvale/dataplane/forwarding/response_times.py
@@ -1,6 +1,6 @@
-"""How long requests of each route lately took, from their arrival to the end of the response.
+"""How long recent requests of each route took, from their arrival to the end of the response.
 
-A stopping node begins only what should end before the process does.
+A stopping node begins only requests that should end before its process exits.
 """
 
 from __future__ import annotations
@@ -10,37 +10,37 @@
 import attrs
 
 WINDOW_S = 30.0
-"""The longest time is that of the present window and the one before."""
+"""Length of a window; the longest time is taken over the current and the previous window."""
 
 
 @attrs.define
-class _Longest:
-    """The longest times of one route in two windows."""
+class _LongestTimes:
+    """The longest times of one route in the current and the previous window."""
 
-    window: int = 0
-    present_s: float = 0.0
+    window_index: int = 0
+    current_s: float = 0.0
     previous_s: float = 0.0
 
-    def move_to(self, window: int) -> None:
-        """Begin a later window."""
-        if window == self.window:
+    def advance_to(self, window_index: int) -> None:
+        """Make the window with this index the current one."""
+        if window_index == self.window_index:
             return
-        self.previous_s = self.present_s if window == self.window + 1 else 0.0
-        self.present_s = 0.0
-        self.window = window
+        self.previous_s = self.current_s if window_index == self.window_index + 1 else 0.0
+        self.current_s = 0.0
+        self.window_index = window_index
 
 
 @attrs.define
 class ResponseTimes:
-    """The longest time that a complete response of each route lately took; times in seconds."""
+    """The longest recent time of a complete response of each route, in seconds."""
 
-    _by_route: dict[str, _Longest] = attrs.field(factory=dict)
+    _by_route: dict[str, _LongestTimes] = attrs.field(factory=dict)
 
-    def record(self, route: str, took_s: float, now: float) -> None:
+    def record(self, route: str, duration_s: float, now: float) -> None:
         """Record a response that is complete at `now`."""
-        longest = self._by_route.setdefault(route, _Longest())
-        longest.move_to(int(now // WINDOW_S))
-        longest.present_s = max(longest.present_s, took_s)
+        longest = self._by_route.setdefault(route, _LongestTimes())
+        longest.advance_to(int(now // WINDOW_S))
+        longest.current_s = max(longest.current_s, duration_s)
 
     def keep_only(self, routes: Collection[str]) -> None:
         """Forget routes that are no longer declared."""
@@ -48,9 +48,9 @@
             del self._by_route[route]
 
     def longest_s(self, route: str, now: float) -> float:
-        """Return the longest time of the last windows, 0 when none was recorded."""
+        """Return the longest time in the current and the previous window, 0 without any."""
         longest = self._by_route.get(route)
         if longest is None:
             return 0.0
-        longest.move_to(int(now // WINDOW_S))
-        return max(longest.present_s, longest.previous_s)
+        longest.advance_to(int(now // WINDOW_S))
+        return max(longest.current_s, longest.previous_s)
--- a/src/zincvale/dataplane/forwarding/route_table.py
+++ b/src/zincvale/dataplane/forwarding/route_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest path prefix."""
+"""Finds the route of a request by its host and the longest prefix of its path."""
 
 from __future__ import annotations
 
@@ -10,27 +10,29 @@
 class RouteTable:
     """Finds the route of a request in as many steps as its path has segments.
 
-    Most prefixes end with a slash, so only the path up to each of its slashes can be one.
+    Most prefixes of routes end with a slash. Such a prefix can only match a path up to one of the
+    slashes of the path, so these are looked up one by one, the longest first.
     """
 
     def __init__(self, routes: Iterable[ForwardRoute] = ()) -> None:
-        self._by_host: dict[str, dict[str, ForwardRoute]] = {}
-        self._non_folder_routes: dict[str, list[ForwardRoute]] = {}
-        """Routes whose prefix does not end with a slash, longest first."""
+        # Routes whose prefix ends with a slash, by host and prefix.
+        self._slash_prefix_routes: dict[str, dict[str, ForwardRoute]] = {}
+        self._other_prefix_routes: dict[str, list[ForwardRoute]] = {}
+        """Routes whose prefix does not end with a slash, by host, the longest prefix first."""
         for route in routes:
             host = route.host.lower()
             if route.path_prefix.endswith("/"):
-                self._by_host.setdefault(host, {})[route.path_prefix] = route
+                self._slash_prefix_routes.setdefault(host, {})[route.path_prefix] = route
             else:
-                self._non_folder_routes.setdefault(host, []).append(route)
-        for routes_of_host in self._non_folder_routes.values():
+                self._other_prefix_routes.setdefault(host, []).append(route)
+        for routes_of_host in self._other_prefix_routes.values():
             routes_of_host.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def find(self, host: str, path: str) -> ForwardRoute | None:
-        """Return the route whose prefix is the longest that begins `path`, if any."""
+        """Return the route with the longest prefix that `path` starts with, None without any."""
         name = host_name(host)
-        found = self._longest_prefix(self._by_host.get(name, {}), path)
-        for route in self._non_folder_routes.get(name, ()):
+        found = self._longest_prefix(self._slash_prefix_routes.get(name, {}), path)
+        for route in self._other_prefix_routes.get(name, ()):
             if path.startswith(route.path_prefix):
                 is_longer = found is None or len(route.path_prefix) > len(found.path_prefix)
                 return route if is_longer else found
@@ -47,6 +49,6 @@
 
 
 def host_name(host: str) -> str:
-    """Return a Host header's name in lower case, without its port."""
+    """Return the host name of a Host header in lower case, without the port."""
     name, colon, port = host.strip().lower().rpartition(":")
     return name if colon and port.isdigit() else host.strip().lower()
--- a/src/zincvale/dataplane/forwarding/routing_state.py
+++ b/src/zincvale/dataplane/forwarding/routing_state.py
@@ -1,7 +1,7 @@
-"""The tables of one forwarding node: the document, the servers and the nodes.
+"""The routing tables of one forwarding node: the document, the servers and the nodes.
 
-The native request path has its own routing state (`inference.routing_state`): its documents, limits
-and measurements of servers are others."""
+The native request path has its own routing state (`inference.routing_state`), since its documents,
+limits and measurements of servers differ."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
 from zincvale.model.identifiers import MemberId, PoolName, ServerId, ZoneName
 
 SLOW_START_AFTER_EVACUATION_S = 1.5
-"""How long a zone's servers are in slow start after its evacuation, until the directory says so."""
+"""Added to the cold start time of a pool when the evacuation of a zone has ended: until the
+directory reports that the zone's servers are in slow start, this node assumes it."""
 
 
 @attrs.frozen
 class FleetLimits:
-    """Limits over all nodes that a deployment sets beside the document."""
+    """Limits over all nodes together, which a deployment sets outside the forwarding document."""
 
     retry: RetryConfig = RetryConfig()
     slow_start: SlowStartConfig = SlowStartConfig()
@@ -38,7 +39,7 @@
 class RoutingState:
     """All tables of one node.
 
-    The event loop owns it: tables change between the steps of requests, never within one.
+    Only the event loop uses it: tables change between the steps of requests, never within one.
     """
 
     zone: ZoneName
@@ -52,25 +53,25 @@
     node_index: int = 0
     """This node's index among the nodes, in the order of their names."""
     _nodes: list[str] = attrs.field(factory=list)
-    _budgets: dict[str, RetryBudget] = attrs.field(factory=dict)
+    _retry_budgets: dict[str, RetryBudget] = attrs.field(factory=dict)
     _residencies: dict[ServerId, Residency] = attrs.field(factory=dict)
     _has_directory: bool = False
 
     @property
     def is_configured(self) -> bool:
-        """Whether a document and a directory were ever applied."""
+        """Whether a document and a directory were applied since the start."""
         return self.document.number > 0 and self._has_directory
 
     def apply_document(self, document: ForwardingDocument, now: float) -> bool:
-        """Apply a newer document; False when it is not newer."""
+        """Apply a document; returns False, and changes nothing, when it is not newer."""
         if document.version <= self.document.version:
             return False
-        opened = self.document.evacuated - document.evacuated
+        reopened_zones = self.document.evacuated - document.evacuated
         if document.routes != self.document.routes:
             self.routes = RouteTable(document.routes.values())
         self.document = document
         for state in self.servers.values():
-            if state.row.zone in opened:
+            if state.row.zone in reopened_zones:
                 state.slow_start_until = max(
                     state.slow_start_until, now + self._slow_start_s(state.row)
                 )
@@ -79,9 +80,9 @@
     def apply_directory(self, directory: Directory, now: float) -> None:
         """Apply a newer directory; measurements are retained for each incarnation of a server."""
         self._has_directory = True
-        before = self.servers
+        previous = self.servers
         self.servers = {
-            server: self._state(before.get(server), row, now)
+            server: self._merged_state(previous.get(server), row, now)
             for server, row in directory.servers.items()
         }
         self.servers_by_pool = {}
@@ -108,14 +109,14 @@
         self.node_index = bisect_left(self._nodes, self.member)
 
     def pool(self, name: str) -> ForwardPool | None:
-        """Return a declared pool."""
+        """Return the declaration of a pool, None when it is not declared."""
         return self.document.pools.get(name)
 
     def retry_budget(self, pool: str) -> RetryBudget:
-        """Return this node's share of a pool's retries."""
-        budget = self._budgets.get(pool)
+        """Return this node's retry budget for a pool."""
+        budget = self._retry_budgets.get(pool)
         if budget is None:
-            budget = self._budgets[pool] = RetryBudget(self.fleet_limits.retry)
+            budget = self._retry_budgets[pool] = RetryBudget(self.fleet_limits.retry)
         return budget
 
     def may_send_in_slow_start(self, state: ServerState, now: float) -> bool:
@@ -129,13 +130,13 @@
         return state.slow_start_limiter.may_send(allowed, rank, self.node_count, now)
 
     def in_service(self, pools: Iterable[str]) -> Iterable[ServerState]:
-        """Return the servers of `pools` that may receive requests at all."""
+        """Return the servers of `pools` that are neither draining nor in an evacuated zone."""
         for name in pools:
             for state in self.servers_by_pool.get(name, ()):
                 if not state.row.draining and state.row.zone not in self.document.evacuated:
                     yield state
 
-    def _state(self, known: ServerState | None, row: ServerRow, now: float) -> ServerState:
+    def _merged_state(self, known: ServerState | None, row: ServerRow, now: float) -> ServerState:
         if known is None or known.row.incarnation != row.incarnation:
             state = ServerState(row, self._residency_of(row))
             if row.cold_remaining_s > 0:
--- a/src/zincvale/dataplane/forwarding/servers.py
+++ b/src/zincvale/dataplane/forwarding/servers.py
@@ -1,4 +1,4 @@
-"""What a node knows of each server: the published row, its residency, and its own measurements."""
+"""What a node knows of each server: its directory row, residency, and the node's measurements."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from zincvale.model.identifiers import ServerId
 
 INITIAL_BACKOFF_S = 0.25
-"""After the first failure; doubles with each failure in a row."""
+"""Back-off after the first failure; it doubles with each consecutive failure."""
 MAX_BACKOFF_S = 2.0
-"""Longer keeps a server without traffic after its restart."""
+"""The longest back-off: a longer one would keep a restarted server without traffic."""
 REFUSED_BACKOFF_S = 0.05
-"""A full server frees a slot soon; longer leaves slots unused."""
+"""Back-off after a refusal: a full server frees a slot soon; a longer one leaves slots unused."""
 ABSENT_TTL_S = 0.3
-"""How long a server's statement that a model is not resident overrides what is published; a newer
-publication ends it sooner."""
+"""How long a server's statement that a model or adapter is not resident overrides the published
+residency; a newer publication ends it sooner."""
 LATENCY_WEIGHT = 0.2
-"""Weight of the newest sample in the moving average."""
+"""Weight of the newest sample in the moving average of the latency."""
 MAX_CACHED_PARTS = 512
-"""Prompt parts remembered for each server; bounds the node's memory."""
+"""How many prompt parts are remembered for each server; bounds the node's memory."""
 
 
 @attrs.frozen
@@ -65,14 +65,16 @@
 
     Attributes
     ----------
-    residency : what is resident and will not be unloaded next, as last published by the placement
+    residency : what is resident and not about to be unloaded, as last published by the placement
         leader or in the directory.
     outstanding : requests of this node that are in flight at the server.
-    outstanding_tokens : prompt tokens that it had to process for them when they were sent.
-    slow_start_until : until when it gets only a few requests.
-    backoff_until : until when it gets none, after failures or a refusal.
-    latency_s : moving average from sending to the head of the response, of a stream to its first
-        event; 0 when never measured.
+    outstanding_tokens : prompt tokens that it had to process for these requests when they were
+        sent.
+    slow_start_until : until when the server gets only a few requests.
+    backoff_until : until when the server gets no requests, after failures or a refusal.
+    consecutive_failures : failures since the last response.
+    latency_s : moving average of the time from sending a request to the head of its response, or to
+        the first event of a stream; 0 when never measured.
     """
 
     row: ServerRow
@@ -81,11 +83,11 @@
     outstanding_tokens: int = 0
     slow_start_until: float = -math.inf
     backoff_until: float = -math.inf
-    failures: int = 0
+    consecutive_failures: int = 0
     latency_s: float = 0.0
     slow_start_limiter: SlowStartLimiter = attrs.field(factory=SlowStartLimiter)
     _absent_until: dict[str, float] = attrs.field(factory=dict)
-    _parts: OrderedDict[tuple[str, str], None] = attrs.field(factory=OrderedDict)
+    _cached_parts: OrderedDict[tuple[str, str], None] = attrs.field(factory=OrderedDict)
 
     @property
     def server(self) -> ServerId:
@@ -111,7 +113,7 @@
         self._absent_until[required_names(prompt)[-1]] = now + ABSENT_TTL_S
 
     def forget_absent(self) -> None:
-        """Forget these statements: what is published is newer."""
+        """Forget what `mark_absent` recorded, since the published residency is newer."""
         self._absent_until.clear()
 
     def is_in_slow_start(self, now: float) -> bool:
@@ -123,9 +125,9 @@
         return now < self.backoff_until
 
     def on_unreachable(self, now: float) -> None:
-        """Back off for a time that doubles with failures in a row."""
-        backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**self.failures)
-        self.failures += 1
+        """Back off for a time that doubles with each consecutive failure."""
+        backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**self.consecutive_failures)
+        self.consecutive_failures += 1
         self.backoff_until = now + backoff_s
 
     def on_refused(self, now: float) -> None:
@@ -133,8 +135,8 @@
         self.backoff_until = max(self.backoff_until, now + REFUSED_BACKOFF_S)
 
     def on_response(self, latency_s: float) -> None:
-        """Record a response: the server is well."""
-        self.failures = 0
+        """Record a response, which ends any back-off and the count of failures."""
+        self.consecutive_failures = 0
         self.backoff_until = -math.inf
         if self.latency_s == 0.0:
             self.latency_s = latency_s
@@ -143,20 +145,20 @@
 
     def record_cached_parts(self, prompt: Prompt) -> None:
         """Record the prompt's shared parts, which the server caches from now on."""
-        owner = "/".join(required_names(prompt))
+        namespace = "/".join(required_names(prompt))
         for part in prompt.parts[:-1]:
-            key = (owner, part.part_id)
-            self._parts[key] = None
-            self._parts.move_to_end(key)
-        while len(self._parts) > MAX_CACHED_PARTS:
-            self._parts.popitem(last=False)
+            key = (namespace, part.part_id)
+            self._cached_parts[key] = None
+            self._cached_parts.move_to_end(key)
+        while len(self._cached_parts) > MAX_CACHED_PARTS:
+            self._cached_parts.popitem(last=False)
 
     def cached_tokens(self, prompt: Prompt) -> int:
-        """Return the tokens of the prompt's leading parts that this node sent here lately."""
-        owner = "/".join(required_names(prompt))
+        """Return the tokens of the prompt's leading parts that this node sent here recently."""
+        namespace = "/".join(required_names(prompt))
         total = 0
         for part in prompt.parts[:-1]:
-            if (owner, part.part_id) not in self._parts:
+            if (namespace, part.part_id) not in self._cached_parts:
                 break
             total += part.tokens
         return total
--- a/src/zincvale/dataplane/forwarding/service.py
+++ b/src/zincvale/dataplane/forwarding/service.py
@@ -103,7 +103,7 @@
     @property
     def active_requests(self) -> int:
         """How many requests are in flight."""
-        return len(self.context.active)
+        return len(self.context.active_requests)
 
     def caller_server(self) -> CallerServer:
         """Return a delegate through which tornado's HTTP server passes on callers' requests."""
--- a/tests/dataplane/forwarding/builders.py
+++ b/tests/dataplane/forwarding/builders.py
@@ -1,4 +1,4 @@
-"""Routes, servers and routing states for tests of forwarding."""
+"""Builders of routes, servers, prompts and routing states for tests of forwarding."""
 
 from __future__ import annotations
 
--- a/tests/dataplane/forwarding/test_native_dialect.py
+++ b/tests/dataplane/forwarding/test_native_dialect.py
@@ -9,7 +9,7 @@
 
 
 class NativeDialectTest(testtools.TestCase):
-    def test_a_head_is_parsed_and_what_is_unreadable_is_absent(self):
+    def test_headers_are_parsed_and_unreadable_values_count_as_absent(self):
         facts = NativeDialect().caller_facts(
             {
                 "x-request-id": "q1",
@@ -22,10 +22,10 @@
         self.assertEqual(("q1", 1.5), (facts.request_id, facts.deadline_s))
         self.assertEqual(("m", "a1", 600, 20), _prompt_fields(facts.prompt))
         self.assertEqual(["aa", "bb"], [part.part_id for part in facts.prompt.parts])
-        nothing = NativeDialect().caller_facts({"x-deadline-ms": "soon"})
-        self.assertEqual((None, None), (nothing.deadline_s, nothing.prompt))
+        unreadable = NativeDialect().caller_facts({"x-deadline-ms": "soon"})
+        self.assertEqual((None, None), (unreadable.deadline_s, unreadable.prompt))
 
-    def test_only_the_servers_statement_proves_that_it_did_not_run(self):
+    def test_only_a_servers_statement_proves_that_a_request_did_not_run(self):
         dialect = NativeDialect()
         self.assertFalse(dialect.response_facts(503, {}).never_ran)
         self.assertTrue(dialect.response_facts(503, {"x-zincvale-never-ran": "1"}).never_ran)
--- a/tests/dataplane/forwarding/test_pending_requests.py
+++ b/tests/dataplane/forwarding/test_pending_requests.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a server or a load."""
+"""The queue of requests that wait for a server or for the load of a model or adapter."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         route = make_route(priority=priority)
         return ServerRequirements(route, "p", prompt, frozenset(), deadline_at)
 
-    def pending(self):
+    def empty_queue(self):
         return PendingRequestQueue(lambda name: make_pool(name))
 
     def add(self, pending, requirements, reason=NoServerReason.NOT_RESIDENT):
@@ -34,11 +34,11 @@
         return request, log
 
     def test_a_request_that_cannot_be_served_in_time_is_not_queued(self):
-        self.assertIsNone(self.add(self.pending(), self.requirements(deadline_at=1.0))[0])
-        self.assertIsNone(self.add(self.pending(), self.requirements(model="unknown"))[0])
+        self.assertIsNone(self.add(self.empty_queue(), self.requirements(deadline_at=1.0))[0])
+        self.assertIsNone(self.add(self.empty_queue(), self.requirements(model="unknown"))[0])
 
-    def test_the_most_urgent_go_first(self):
-        pending, order = self.pending(), []
+    def test_requests_are_dispatched_by_priority(self):
+        pending, order = self.empty_queue(), []
         for priority in (2, 0, 1):
             pending.add(
                 self.requirements(priority=priority),
@@ -51,32 +51,36 @@
         self.assertEqual([0, 1, 2], order)
         self.assertEqual(0, len(pending))
 
-    def test_a_request_expires_long_before_its_deadline_with_a_retry_time(self):
-        pending = self.pending()
+    def test_a_wait_expires_well_before_the_deadline_with_a_retry_time(self):
+        pending = self.empty_queue()
         request, log = self.add(pending, self.requirements())
         self.assertTrue(request.expires_at < 2.4)
         pending.dispatch(lambda requirements: NoServerReason.NOT_RESIDENT, request.expires_at)
         self.assertEqual(NoServerReason.NOT_RESIDENT, log[0][0])
         self.assertTrue(log[0][1] > 0.1)
 
-    def test_a_wait_for_an_adapter_is_short_and_differs_from_one_for_a_model(self):
-        soon = self.requirements(deadline_at=1.0)
-        self.assertIsNone(self.add(self.pending(), soon)[0])
-        request, _ = self.add(self.pending(), soon, NoServerReason.NO_ADAPTER)
+    def test_a_request_may_wait_for_an_adapter_when_the_load_of_a_model_takes_too_long(self):
+        near_deadline = self.requirements(deadline_at=1.0)
+        self.assertIsNone(self.add(self.empty_queue(), near_deadline)[0])
+        request, _ = self.add(self.empty_queue(), near_deadline, NoServerReason.NO_ADAPTER)
         self.assertEqual(0.6, request.expires_at)
-        self.assertLess(self.pending().retry_after_s(NoServerReason.NO_ADAPTER, soon), 0.5)
+        self.assertLess(
+            self.empty_queue().retry_after_s(NoServerReason.NO_ADAPTER, near_deadline), 0.5
+        )
 
-    def test_waits_that_ended_soon_let_others_wait(self):
-        pending = self.pending()
-        urgent = self.requirements(deadline_at=1.0)
-        self.assertIsNone(self.add(pending, urgent)[0])
+    def test_a_short_observed_wait_lets_requests_with_a_near_deadline_wait(self):
+        pending = self.empty_queue()
+        near_deadline = self.requirements(deadline_at=1.0)
+        self.assertIsNone(self.add(pending, near_deadline)[0])
         self.add(pending, self.requirements())
         pending.dispatch(lambda requirements: ServerChoice(None, 0), 0.3)
-        self.assertIsNotNone(self.add(pending, urgent)[0])
-        self.assertAlmostEqual(0.3, pending.retry_after_s(NoServerReason.NOT_RESIDENT, urgent))
+        self.assertIsNotNone(self.add(pending, near_deadline)[0])
+        self.assertAlmostEqual(
+            0.3, pending.retry_after_s(NoServerReason.NOT_RESIDENT, near_deadline)
+        )
 
     def test_only_the_first_pending_request_measures_a_load(self):
-        pending = self.pending()
+        pending = self.empty_queue()
         self.add(pending, self.requirements())
         pending.add(
             self.requirements(),
@@ -98,8 +102,8 @@
         self.assertEqual(0.5, waits.estimate_s("p", NoServerReason.NOT_RESIDENT, 0.5))
         self.assertEqual(9.0, waits.estimate_s("q", NoServerReason.NOT_RESIDENT, 9.0))
 
-    def test_a_draining_node_empties_the_queue(self):
-        pending = self.pending()
+    def test_remove_all_empties_the_queue(self):
+        pending = self.empty_queue()
         self.add(pending, self.requirements())
         self.assertEqual(1, len(pending.remove_all()))
         self.assertIsNone(pending.next_expiry())
--- a/tests/dataplane/forwarding/test_policies.py
+++ b/tests/dataplane/forwarding/test_policies.py
@@ -1,4 +1,4 @@
-"""Which server a request goes to, by the node's tables."""
+"""Which server the policies choose for a request, or why there is none."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 
 class FilterTest(testtools.TestCase):
-    def test_draining_and_evacuated_servers_get_nothing(self):
+    def test_draining_and_evacuated_servers_get_no_requests(self):
         routing = make_routing(make_row("s1", draining=True), make_row("s2", zone="z2"))
         self.assertEqual("s2", server_of(choose(routing, make_prompt())))
         document = make_document(2, [make_route()], [make_pool()], ["z2"])
         routing.apply_document(document, 0.0)
         self.assertIs(NoServerReason.NO_SERVER, choose(routing, make_prompt()))
 
-    def test_a_missing_model_or_adapter_is_the_reason(self):
+    def test_the_reason_distinguishes_a_missing_model_from_a_missing_adapter(self):
         routing = make_routing(make_row("s1", models=("other",)))
         self.assertIs(NoServerReason.NOT_RESIDENT, choose(routing, make_prompt()))
         routing = make_routing(make_row("s1"))
@@ -55,7 +55,7 @@
         routing = make_routing(make_row("s1", adapters=("m/a1",)))
         self.assertEqual("s1", server_of(choose(routing, make_prompt(adapter="a1"))))
 
-    def test_a_published_residency_counts_for_its_incarnation(self):
+    def test_a_published_residency_counts_only_for_its_incarnation(self):
         routing = make_routing(make_row("s1", models=()))
         published = {ServerId("s1"): Residency("s1", frozenset({"m"}), frozenset())}
         routing.apply_residencies(published)
@@ -63,7 +63,7 @@
         routing.apply_directory(make_directory(make_row("s1", models=(), incarnation="s1b")), 1.0)
         self.assertIs(NoServerReason.NOT_RESIDENT, choose(routing, make_prompt()))
 
-    def test_a_server_that_unloads_or_denied_the_model_gets_nothing(self):
+    def test_a_server_that_unloads_a_model_or_states_it_is_not_resident_gets_no_requests(self):
         routing = make_routing(make_row("s1"), make_row("s2"))
         unloading = {ServerId("s1"): Residency("s1", frozenset(), frozenset())}
         routing.apply_residencies(unloading)
@@ -79,12 +79,12 @@
         routing.servers[ServerId("s2")].on_unreachable(1.0)
         self.assertIsInstance(choose(routing, make_prompt(), now=1.1), ServerChoice)
 
-    def test_servers_that_were_attempted_are_excluded(self):
+    def test_servers_to_which_the_request_was_sent_are_excluded(self):
         routing = make_routing(make_row("s1"), make_row("s2"))
         self.assertEqual("s2", server_of(choose(routing, make_prompt(), excluded=["s1"])))
         self.assertIs(NoServerReason.BUSY, choose(routing, make_prompt(), excluded=["s1", "s2"]))
 
-    def test_a_server_in_slow_start_gets_this_nodes_share(self):
+    def test_a_server_in_slow_start_gets_no_more_than_this_nodes_share(self):
         pool = make_pool(cold_per_s=4.0, cold_start_s=3.0)
         routing = make_routing(
             make_row("s1", cold_remaining_s=3.0),
@@ -99,7 +99,7 @@
         self.assertEqual(1, sent)
         self.assertIsInstance(choose(routing, make_prompt(), now=4.0), ServerChoice)
 
-    def test_a_zone_is_in_slow_start_after_its_evacuation(self):
+    def test_servers_are_in_slow_start_after_the_evacuation_of_their_zone_ends(self):
         pool = make_pool(cold_per_s=4.0, cold_start_s=3.0)
         routing = make_routing(make_row("s1"), pools=[pool])
         routing.apply_document(make_document(2, [make_route()], [pool], ["z1"]), 10.0)
@@ -124,11 +124,11 @@
         preferred.outstanding = 5
         self.assertNotEqual(preferred.server, server_of(choose(routing, make_prompt())))
 
-    def test_the_own_zone_is_preferred_among_equal_servers(self):
+    def test_this_nodes_zone_is_preferred_among_equal_servers(self):
         routing = make_routing(make_row("s1", zone="z2"), make_row("s2", zone="z1"))
         self.assertEqual("s2", server_of(choose(routing)))
 
-    def test_baselines_are_named_in_the_settings(self):
+    def test_baseline_scorers_are_chosen_by_name(self):
         routing = make_routing(make_row("s1"), make_row("s2"))
         chain = PolicyChain(make_scorers(["round-robin"]))
         turns = [server_of(choose(routing, chain=chain)) for _ in range(4)]
--- a/tests/dataplane/forwarding/test_response_times.py
+++ b/tests/dataplane/forwarding/test_response_times.py
@@ -1,4 +1,4 @@
-"""The longest response times of routes."""
+"""The longest recent response times of routes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ResponseTimesTest(testtools.TestCase):
-    def test_the_longest_of_this_window_and_the_one_before_is_known(self) -> None:
+    def test_the_longest_time_is_that_of_the_current_and_the_previous_window(self) -> None:
         times = ResponseTimes()
         times.record("r", 4.0, 1.0)
         times.record("r", 2.0, 2.0)
--- a/tests/dataplane/forwarding/test_routing_state.py
+++ b/tests/dataplane/forwarding/test_routing_state.py
@@ -1,4 +1,4 @@
-"""The tables of a forwarding node."""
+"""The routing tables of a forwarding node."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RoutingStateTest(testtools.TestCase):
-    def test_measurements_are_retained_for_an_incarnation(self):
+    def test_measurements_are_retained_only_for_the_same_incarnation(self):
         routing = make_routing(make_row("s1"))
         routing.servers[ServerId("s1")].outstanding = 3
         routing.apply_directory(make_directory(make_row("s1", draining=True)), 1.0)
--- a/tests/dataplane/forwarding/test_service.py
+++ b/tests/dataplane/forwarding/test_service.py
@@ -190,7 +190,7 @@
             handle.on_caller_disconnected()
             self.assertTrue(node.client.sent[0][3].cancelled)
             self.assertEqual([], sink.log)
-            self.assertEqual(1, node.service.context.counts[RequestOutcome.ABANDONED])
+            self.assertEqual(1, node.service.context.outcome_counts[RequestOutcome.ABANDONED])
 
         run(scenario)
 
