--- a/src/zincvale/dataplane/demand.py
+++ b/src/zincvale/dataplane/demand.py
@@ -24,11 +24,11 @@
 
 @attrs.define
 class DemandTable:
-    """Requests and tokens since the last report, and how many requests wait and run now.
+    """Requests and generated tokens since the last report, and the requests that wait or run now.
 
     Attributes
     ----------
-    urgent : a request began to wait for a load that no request waited for at the last report.
+    urgent : a request began to wait for a load that no request was waiting for at the last report.
     """
 
     urgent: bool = False
@@ -44,13 +44,13 @@
         self._requests[key] += 1
 
     def on_waiting(self, key: DemandKey, change: int) -> None:
-        """Count requests that begin (+1) or stop (-1) waiting for a load."""
+        """Count a request that begins (`change` is 1) or stops (-1) waiting for a load."""
         _add(self._waiting, key, change)
         if change > 0 and key not in self._reported_waiting:
             self.urgent = True
 
     def on_dispatched(self, key: DemandKey, server: ServerId) -> None:
-        """Count a request that begins to run."""
+        """Count a request that begins to run at a server."""
         _add(self._running, (server, key), 1)
 
     def on_ended(self, key: DemandKey, server: ServerId, tokens: int) -> None:
--- a/src/zincvale/dataplane/http/event_reader.py
+++ b/src/zincvale/dataplane/http/event_reader.py
@@ -1,13 +1,13 @@
 """Incremental parser of server-sent event streams (`text/event-stream`, WHATWG HTML 9.2).
 
-`forwarding.event_splitter` splits such streams without parsing them, where the reason is given."""
+`forwarding.event_splitter` splits such streams without parsing them; the reason is given there."""
 
 from __future__ import annotations
 
 import attrs
 
 MAX_EVENT_BYTES = 1024 * 1024
-"""Bounds the memory of a stream whose server never ends an event."""
+"""The longest event; bounds the memory of a stream whose server never ends an event."""
 
 
 class EventTooLargeError(Exception):
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class ServerSentEvent:
-    """One event; `name` is empty for plain chunks, `number` None without a numeric id."""
+    """One event; `name` is empty for plain chunks, and `number` is None without a numeric id."""
 
     name: str
     number: int | None
@@ -25,26 +25,26 @@
 
 @attrs.define
 class EventReader:
-    """Parses bytes into events; an event is complete with its closing empty line."""
+    """Parses bytes into events; an event is complete with the empty line that ends it."""
 
     _partial: bytes = b""
 
     def feed(self, data: bytes) -> list[ServerSentEvent]:
-        """Return the events completed by `data`; raises `EventTooLargeError`."""
+        """Return the events that end within `data`; raises `EventTooLargeError`."""
         text = self._partial + data if self._partial else data
         if b"\r" in text:
             text = text.replace(b"\r\n", b"\n")
-        *blocks, self._partial = text.split(b"\n\n")
+        *raw_events, self._partial = text.split(b"\n\n")
         if len(self._partial) > MAX_EVENT_BYTES:
             raise EventTooLargeError
-        return [_read_block(block) for block in blocks if block]
+        return [_parse_event(raw_event) for raw_event in raw_events if raw_event]
 
 
-def _read_block(block: bytes) -> ServerSentEvent:
+def _parse_event(raw_event: bytes) -> ServerSentEvent:
     name = ""
     number: int | None = None
     data: list[bytes] = []
-    for line in block.split(b"\n"):
+    for line in raw_event.split(b"\n"):
         field, _, value = line.partition(b":")
         value = value.removeprefix(b" ")
         if field == b"data":
--- a/src/zincvale/dataplane/http/handlers.py
+++ b/src/zincvale/dataplane/http/handlers.py
@@ -26,7 +26,7 @@
 
 
 class HealthHandler(tornado.web.RequestHandler):
-    """`GET /healthz`: the process is alive."""
+    """`GET /healthz`: whether the process is alive."""
 
     def get(self) -> None:
         """Respond with 200."""
@@ -34,13 +34,13 @@
 
 
 class MetricsHandler(tornado.web.RequestHandler):
-    """`GET /metrics`: Prometheus exposition."""
+    """`GET /metrics`: the node's metrics in the Prometheus text format."""
 
     def initialize(self, ingress: RequestIngress) -> None:
         """Set the node's ingress, which knows its readiness and metrics."""
         self._ingress = ingress
 
     def get(self) -> None:
-        """Respond with the exposition text."""
+        """Respond with the metrics."""
         self.set_header("Content-Type", METRICS_TYPE)
         self.finish(self._ingress.exposition())
--- a/src/zincvale/dataplane/log_events.py
+++ b/src/zincvale/dataplane/log_events.py
@@ -5,7 +5,9 @@
 from zincvale.model.log_events import declare
 
 SERVER_EJECTED = declare(
-    6001, "dataplane.server-ejected", "A server failed repeatedly here and is ejected for a while."
+    6001,
+    "dataplane.server-ejected",
+    "A server failed repeatedly at this node, which ejects it for a while.",
 )
 SERVER_READMITTED = declare(
     6002, "dataplane.server-readmitted", "An ejected server responded again."
@@ -27,6 +29,10 @@
     6006, "dataplane.stream-broken", "A stream could not be resumed; its caller got an error event."
 )
 REQUEST_DEFECT = declare(
-    6007, "dataplane.request-defect", "A defect while handling a request; its outcome is unknown."
+    6007,
+    "dataplane.request-defect",
+    "A defect broke off the handling of a request; its outcome is unknown.",
+)
+DRAINING = declare(
+    6008, "dataplane.draining", "The node is draining and reports that it is not ready."
 )
-DRAINING = declare(6008, "dataplane.draining", "The node drains; it is not ready.")
--- a/src/zincvale/dataplane/machine_driver.py
+++ b/src/zincvale/dataplane/machine_driver.py
@@ -1,8 +1,8 @@
-"""What claims and the stream journal share around their state machines: inputs, effects, results.
+"""Drives the state machines of claims and of the stream journal: inputs, effects and results.
 
 A machine takes an input and the time, and returns effects. The driver carries out the effects that
-all machines have (calls, replies, log lines) through its owner's functions, hands the others to
-`on_effect`, and lets coroutines await the result that an effect brings for a token.
+all machines have (calls, replies, log lines) through its owner's functions, and passes the others
+to `on_effect`. Coroutines can wait for the result that the machine yields for a token.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 
 
 def ignore_log(_number: int, _fields: dict[str, Any]) -> None:
-    """Write no log."""
+    """Discard a log event."""
 
 
 class MachineDriver(Generic[InputT]):
-    """Feeds one state machine; not reentrant across threads, but an effect may cause an input.
+    """Feeds one state machine. It is not thread-safe, but an effect may cause another input.
 
     Parameters
     ----------
-    handle : the machine's function of an input and the time.
-    clock : seconds on the monotonic clock that counts suspension.
+    handle : the machine's function that takes an input and the time and returns effects.
+    clock : returns seconds on the monotonic clock that counts suspension.
     start_call : starts a call to a peer; its owner submits `CallReplied` or `CallFailed` later.
     on_effect : carries out the effects that only this machine has.
-    write_log : receives (number, fields) of log events.
+    write_log : receives the number and the fields of each log event.
     """
 
     def __init__(
@@ -54,15 +54,15 @@
         self._replies: dict[str, Any] = {}
 
     def submit(self, event: InputT) -> None:
-        """Feed one input at the present time."""
+        """Feed one input to the machine at the present time."""
         self._carry_out(self._handle(event, self._clock()))
 
     def tick(self, now: float) -> None:
-        """Act on the time passed."""
+        """Let the machine act on the time that has passed."""
         self._carry_out(self._handle(Tick(), now))
 
     def receive(self, sender: MemberId, message: Any) -> Any:
-        """Return the machine's reply to a peer's call, None without one."""
+        """Feed a peer's call and return the machine's reply, None without one."""
         token = self._next_token("peer")
         self._carry_out(self._handle(CallReceived(sender, token, message), self._clock()))
         return self._replies.pop(token, None)
@@ -72,10 +72,10 @@
         input_of: Callable[[str], InputT],
         on_cancelled: Callable[[str, Any], None] | None = None,
     ) -> Any:
-        """Feed the input made for a new token, and wait for `resolve` of the token.
+        """Feed the input that `input_of` makes for a new token, and wait for the token's result.
 
-        `on_cancelled` receives the token and the result, None without one, when the wait was
-        cancelled: what the machine granted, or would grant, has to be given back.
+        When the wait is cancelled, `on_cancelled` receives the token and the result, None without
+        one: what the machine has granted, or will grant, must be given back.
         """
         token = self._next_token("local")
         future: asyncio.Future[Any] = asyncio.Future()
@@ -92,7 +92,7 @@
             del self._pending[token]
 
     def resolve(self, token: str, result: Any) -> None:
-        """End the wait for `token`, if anyone still waits."""
+        """End the wait for `token` with a result, if a coroutine still waits for it."""
         future = self._pending.get(token)
         if future is not None and not future.done():
             future.set_result(result)
--- a/src/zincvale/dataplane/messages.py
+++ b/src/zincvale/dataplane/messages.py
@@ -11,8 +11,8 @@
 class ModelDemand:
     """Requests for one model (and adapter, empty for none) since the last report.
 
-    `waiting` counts requests that are pending now because it is resident nowhere; `tokens` were
-    generated. The order and types of fields are the wire format.
+    `waiting` counts requests that are pending now because the model or adapter is resident nowhere,
+    `tokens` the tokens that were generated. The order and types of fields are the wire format.
     """
 
     pool: str
@@ -36,7 +36,7 @@
 @peer_message("dataplane.demand")
 @attrs.frozen
 class DemandReport:
-    """Demand that one node measured in `window_s`, for the placement leader."""
+    """Demand that one node measured within `window_s`, for the placement leader."""
 
     node: str
     window_s: float
--- a/src/zincvale/dataplane/metrics.py
+++ b/src/zincvale/dataplane/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of the native request path. Names and help texts are public."""
+"""Prometheus metrics of the native request path. Their names and help texts are public."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 class Metrics:
     """All metrics of one node, in a registry of their own.
 
-    Children of labelled metrics are cached: looking them up costs more than counting.
+    The children of labelled metrics are cached, since looking one up costs more than counting.
     """
 
     def __init__(self) -> None:
--- a/src/zincvale/dataplane/policies/__init__.py
+++ b/src/zincvale/dataplane/policies/__init__.py
@@ -6,5 +6,5 @@
 
 Reading order: `base`, `filters`, `scorers`, `prefix_affinity`, `baselines` (to compare with), then
 `registry`, which composes the chain of a pool and loads third-party classes by `module:Class`.
-Forwarding has an interface of its own (`forwarding.policies`), where the reason is given.
+Forwarding has its own interface (`forwarding.policies`); the reason is given there.
 """
--- a/src/zincvale/dataplane/policies/base.py
+++ b/src/zincvale/dataplane/policies/base.py
@@ -1,14 +1,14 @@
 """The public interface of routing policies (docs/write-a-policy.md).
 
-This module and its names are used by third parties and do not change. `forwarding.policies` has an
-interface of its own; they are not merged, since a filter here gives a text for traces and a scorer
-prices one server of a sample and may nominate one, while forwarding prices all servers at once and
-reads other tables.
-
-A `Filter` says which servers a request must not go to, a `Scorer` what sending it there costs.
-Costs of all scorers are added up; the unit is tokens of work, so that a scorer states how much
-work a preference is worth. Policies are pure: they read the tables and keep only state of their
-own, they never do I/O and take the time from the query.
+Third parties use this module, so its names do not change. `forwarding.policies` has an interface of
+its own. The two are not merged: here, a filter returns a text for traces, and a scorer returns the
+cost of one server of a sample and may nominate one. There, a scorer returns the costs of all
+servers at once and reads other tables.
+
+A `Filter` decides which servers a request must not be sent to, a `Scorer` what sending it to a
+server costs. The costs of all scorers are added up. Their unit is tokens of work, so that a scorer
+states how much work a preference is worth. Policies are pure: they read the tables and keep only
+state of their own, do no I/O and take the time from the query.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 
 class Blocked(enum.Enum):
-    """Why no server is left: what a request without a server does."""
+    """Why no server can take a request, which decides what the request waits for."""
 
     NO_SERVER = "no-server"
-    """No server is in service; the request waits a moment for one."""
+    """No server is in service; the request waits a short time for one."""
     NOT_RESIDENT = "not-resident"
     """No server has the model or adapter resident; the request waits for its load."""
     BUSY = "busy"
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Query:
-    """One routing decision: the request, its route and pool, and the time."""
+    """The input of one routing decision: the request, its route and pool, tables and the time."""
 
     request: CallerRequest
     route: RouteSpec
@@ -48,7 +48,7 @@
 
     @property
     def question(self) -> InferenceRequest:
-        """The inference request."""
+        """The inference request that the caller's request contains."""
         return self.request.question
 
     @property
@@ -58,37 +58,37 @@
 
 
 class Policy:
-    """Base of both kinds; one instance per pool, made when the pool's policies are applied."""
+    """Base class of filters and scorers; a pool gets new instances when its policies apply."""
 
     name: ClassVar[str] = ""
 
 
 class Filter(Policy):
-    """Excludes servers.
+    """Excludes servers that a request must not be sent to.
 
     Attributes
     ----------
-    blocked : what it means for the request when this filter removes the last server.
-    soft : when this filter would remove every server it is skipped instead, so that evidence
-        which may be wrong (health, failures) never empties a pool.
+    blocked : why the request has no server, when this filter excludes the last one.
+    soft : whether this filter is skipped when it would exclude every server, so that evidence
+        that may be wrong (health, failures) never empties a pool.
     """
 
     blocked: ClassVar[Blocked] = Blocked.NO_SERVER
     soft: ClassVar[bool] = False
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Return why the server is excluded, None to accept it."""
+        """Return why the server is excluded, or None to accept it."""
         raise NotImplementedError
 
 
 class Scorer(Policy):
-    """Prices servers."""
+    """Assigns a cost to each server."""
 
     def nominate(self, query: Query, servers: list[ServerState]) -> ServerState | None:
-        """Return a server that must be among those compared, if there is one.
+        """Return a server that must be among those compared, or None.
 
-        Only a sample of the servers is compared (power of two choices), so a scorer whose
-        preference is for one particular server names it here.
+        Only a sample of the servers is compared (power of two choices), so a scorer that prefers
+        one particular server returns it here.
         """
         return None
 
@@ -97,4 +97,4 @@
         raise NotImplementedError
 
     def on_chosen(self, query: Query, server: ServerState) -> None:
-        """Update the scorer's state: the request is sent to this server."""
+        """Update the scorer's state, since the request is sent to this server."""
--- a/src/zincvale/dataplane/policies/filters.py
+++ b/src/zincvale/dataplane/policies/filters.py
@@ -1,4 +1,4 @@
-"""Built-in filters. The texts of `reject` appear in traces."""
+"""Built-in filters. The texts that `reject` returns appear in traces."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 from zincvale.model.resources import Stake
 
 HIGH_STAKE_RESERVATION_S = 30.0
-"""Capacity is reserved for high-stakes requests for so long after one was last seen in the pool."""
+"""How long capacity stays reserved for high-stakes requests after the pool's last one."""
+# The fraction of a server's concurrency limit that requests of each stake may use meanwhile.
 LIMIT_FRACTION_BY_STAKE = {Stake.LOW: 0.7, Stake.NORMAL: 0.9, Stake.HIGH: 1.0}
 
 
@@ -20,7 +21,7 @@
     name = "zone"
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Return the zone when it is evacuated."""
+        """Return a text with the server's zone when it is evacuated."""
         return f"zone {server.row.zone} is evacuated" if server.evacuated else None
 
 
@@ -30,7 +31,7 @@
     name = "drain"
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Return a text when the server drains."""
+        """Return a text when the server is declared drained."""
         return "drained" if server.drained else None
 
 
@@ -41,7 +42,7 @@
     soft = True
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Return a text when the server is down."""
+        """Return a text when probes report the server as down."""
         return "down" if server.row.health is ServerHealth.DOWN else None
 
 
@@ -65,7 +66,7 @@
     blocked = Blocked.NOT_RESIDENT
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Return what is not resident."""
+        """Return a text that says whether the model or the adapter is missing."""
         question = query.request.question
         if not server.holds(question.model, query.now):
             return "model is not resident"
@@ -75,30 +76,31 @@
 
 
 class ExcludedFilter(Filter):
-    """Excludes servers that already failed or refused this very request.
+    """Excludes servers that already failed or refused this request.
 
-    When only such servers are left the request is queued, and tries them again a little later.
+    When only such servers are left, the request is queued and sent to one of them a little later.
     """
 
     name = "excluded"
     blocked = Blocked.BUSY
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Return a text when the server was tried."""
+        """Return a text when the request was already sent to the server."""
         return "tried before" if server.row.server in query.excluded else None
 
 
 class CapacityFilter(Filter):
-    """Excludes servers that are at this node's share of their concurrency or rate.
+    """Excludes servers at which this node has used up its share of the concurrency or rate.
 
-    While high-stakes requests are present, lower stakes leave the last fraction of each limit free.
+    While high-stakes requests are present, requests of lower stakes leave the last fraction of each
+    concurrency limit free.
     """
 
     name = "capacity"
     blocked = Blocked.BUSY
 
     def reject(self, query: Query, server: ServerState) -> str | None:
-        """Return which limit is reached."""
+        """Return which limit is reached, or why the server gets no requests at present."""
         if query.now < server.paused_until:
             return "cold or not reached a moment ago"
         if query.now < server.backing_off_until and query.route.stake is not Stake.HIGH:
--- a/src/zincvale/dataplane/policies/prefix_affinity.py
+++ b/src/zincvale/dataplane/policies/prefix_affinity.py
@@ -1,9 +1,9 @@
-"""KV prefix affinity: requests that share a prompt prefix go where it is cached.
+"""KV prefix affinity: requests that share a prompt prefix are sent where the prefix is cached.
 
-Two sources say where that is. What this node sent lately is remembered block by block. For a
-prefix it has not seen, the server follows from a rendezvous hash of the model, adapter and first
-block, so that all nodes agree without messages. Either is used only while the server is not much
-busier than the average (consistent hashing with bounded loads).
+Two sources tell where that is. For each block of the prompts that this node sent recently, it
+remembers the server. For a prefix that it has not sent, the server follows from a rendezvous hash
+of the model, adapter and first block, so that all nodes agree without messages. Either is used only
+while the server is not much busier than the average (consistent hashing with bounded loads).
 """
 
 from __future__ import annotations
@@ -18,27 +18,29 @@
 from zincvale.model.identifiers import ServerId
 
 BLOCK_CHARACTERS = 256
-"""Granularity of shared prefixes; part of the hash input, so all nodes need the same value."""
+"""Size of the blocks in which prefixes are compared; part of the hash input, so all nodes need the
+same value."""
 MAX_BLOCKS = 64
-"""Longer prompts are compared by their first blocks only; bounds the hashing per request."""
+"""How many blocks of a prompt are compared, from its beginning; bounds the hashing per request."""
 MAX_REMEMBERED_BLOCKS = 50_000
-"""Bounds the memory of each pool's scorer; the oldest blocks are forgotten."""
+"""How many blocks each pool's scorer remembers; bounds its memory. The oldest are forgotten."""
 LOAD_BOUND = 1.25
 LOAD_ALLOWANCE_TOKENS = 512.0
-"""Bounded load: a nominee may have this factor times the average work, plus this allowance."""
+"""Bounded load: a nominee may have LOAD_BOUND times the average outstanding work, plus this many
+tokens."""
 
 
 class PrefixAffinityScorer(Scorer):
-    """Saves prefill work: the cost is minus the tokens that are expected to be cached."""
+    """Saves prefill work: the cost is minus the prompt tokens that are expected to be cached."""
 
     name = "prefix-affinity"
 
     def __init__(self) -> None:
         self._server_by_block: OrderedDict[int, ServerId] = OrderedDict()
-        self._keys_for: tuple[InferenceRequest | None, list[int]] = (None, [])
+        self._cached_keys: tuple[InferenceRequest | None, list[int]] = (None, [])
 
     def nominate(self, query: Query, servers: list[ServerState]) -> ServerState | None:
-        """Return the server with the longest remembered prefix, else the rendezvous server."""
+        """Return the server that has the longest remembered prefix, else the rendezvous server."""
         keys = self._keys(query.question)
         if not keys:
             return None
@@ -61,12 +63,12 @@
 
     def on_chosen(self, query: Query, server: ServerState) -> None:
         """Remember that the prompt's blocks are now cached at this server."""
-        table = self._server_by_block
+        server_by_block = self._server_by_block
         for key in self._keys(query.question):
-            table[key] = server.row.server
-            table.move_to_end(key)
-        while len(table) > MAX_REMEMBERED_BLOCKS:
-            table.popitem(last=False)
+            server_by_block[key] = server.row.server
+            server_by_block.move_to_end(key)
+        while len(server_by_block) > MAX_REMEMBERED_BLOCKS:
+            server_by_block.popitem(last=False)
 
     def _rendezvous_server(
         self, key: int, servers: list[ServerState], bound: float
@@ -82,20 +84,20 @@
         return best
 
     def _keys(self, question: InferenceRequest) -> list[int]:
-        cached_for, keys = self._keys_for
+        cached_for, keys = self._cached_keys
         if cached_for is question:
             return keys
         keys = prefix_keys(question)
-        self._keys_for = (question, keys)
+        self._cached_keys = (question, keys)
         return keys
 
 
 def prefix_keys(question: InferenceRequest) -> list[int]:
-    """Return one chained hash for each complete block of the prompt, of model and adapter too."""
+    """Return one hash per complete block, chained from the model, adapter and earlier blocks."""
     prompt = question.prompt.encode()
     count = min(MAX_BLOCKS, len(prompt) // BLOCK_CHARACTERS)
-    owner = f"{question.model}\0{question.adapter or ''}"
-    key = xxhash.xxh3_64_intdigest(owner.encode())
+    namespace = f"{question.model}\0{question.adapter or ''}"
+    key = xxhash.xxh3_64_intdigest(namespace.encode())
     keys = []
     for index in range(count):
         block = prompt[index * BLOCK_CHARACTERS : (index + 1) * BLOCK_CHARACTERS]
--- a/src/zincvale/dataplane/policies/registry.py
+++ b/src/zincvale/dataplane/policies/registry.py
@@ -1,4 +1,4 @@
-"""Policies by name; `module:Class` names one of a third party."""
+"""Makes policies by name; `module:Class` names the class of a third party."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 }
 
 ALWAYS_FIRST = ("zone", "drain", "health", "residency", "ejection", "excluded")
-"""Filters of every pool: a pool cannot override what operators declared."""
+"""Filters that come first in every pool: a pool cannot override what operators declared."""
 ALWAYS_LAST = ("capacity",)
 DEFAULT_SCORERS = {
     PoolKind.LANGUAGE_MODEL: (
@@ -68,13 +68,13 @@
 
 
 def make_policy(name: str) -> Policy:
-    """Return a new policy; raises `InvalidInputError` when there is none of this name."""
+    """Return a new policy; raises `InvalidInputError` when no policy has this name."""
     policy_class = _BUILT_IN.get(name) or _load(name)
     return policy_class()
 
 
 def policy_names_of(kind: PoolKind, declared: list[str]) -> list[str]:
-    """Return the chain of a pool: mandatory filters around the declared or default policies."""
+    """Return a pool's chain: the mandatory filters around the declared or default policies."""
     names = list(declared) or list(DEFAULT_SCORERS[kind])
     first = [name for name in ALWAYS_FIRST if name != "residency" or _has_models(kind)]
     middle = [name for name in names if name not in ALWAYS_FIRST and name not in ALWAYS_LAST]
@@ -100,6 +100,7 @@
         ) from error
     if not isinstance(found, type) or not issubclass(found, (Filter, Scorer)):
         raise InvalidInputError(
-            f"policy {name!r} is not a Filter or Scorer", "derive it from policies.base"
+            f"policy {name!r} is not a Filter or Scorer",
+            "derive it from Filter or Scorer of policies.base",
         )
     return found
--- a/src/zincvale/dataplane/policies/scorers.py
+++ b/src/zincvale/dataplane/policies/scorers.py
@@ -7,11 +7,11 @@
 from zincvale.dataplane.resilience.outlier_detection import slow_start_factor
 
 OTHER_ZONE_COST_TOKENS = 32.0
-"""Another zone is used when it saves this much queued work."""
+"""Cost of a server in another zone, which is used when it saves this much queued work."""
 LOOKUP_WORK_TOKENS = 16
-"""Work that one lookup counts as."""
+"""Work that one lookup counts as, in tokens."""
 QUEUED_REQUEST_TOKENS = 64.0
-"""Work assumed for each request of other nodes, by the server's own report."""
+"""Work that is assumed for each request of other nodes; the server reports how many there are."""
 
 
 class LeastOutstandingScorer(Scorer):
@@ -20,7 +20,7 @@
     name = "least-outstanding"
 
     def cost(self, query: Query, server: ServerState) -> float:
-        """Return this node's outstanding tokens and an estimate of what others sent."""
+        """Return this node's outstanding work plus an estimate of that of other nodes."""
         others = max(0, server.row.running - server.outstanding)
         return server.outstanding_tokens + others * QUEUED_REQUEST_TOKENS
 
@@ -36,12 +36,12 @@
 
 
 class SlowStartScorer(Scorer):
-    """Prices servers in slow start as busier, less so as they ramp up."""
+    """Raises the cost of servers in slow start, less so as they ramp up."""
 
     name = "slow-start"
 
     def cost(self, query: Query, server: ServerState) -> float:
-        """Return the outstanding work scaled up by the inverse of the slow start factor."""
+        """Return what dividing the outstanding work by the slow start factor adds to it."""
         if server.ready_since == UNKNOWN_READY_SINCE:
             return 0.0
         factor = slow_start_factor(query.now - server.ready_since)
--- a/src/zincvale/dataplane/resilience/__init__.py
+++ b/src/zincvale/dataplane/resilience/__init__.py
@@ -7,5 +7,5 @@
 
 Reading order: `outlier_detection`, `limits`, `throughput`, then `exchange_evidence`, which maps the
 end of an exchange to all of them. Forwarding has its own retry budget and back-off
-(`forwarding.fleet_budgets`, `forwarding.servers`), where the reasons are given.
+(`forwarding.fleet_budgets`, `forwarding.servers`); the reasons are given there.
 """
--- a/src/zincvale/dataplane/resilience/exchange_evidence.py
+++ b/src/zincvale/dataplane/resilience/exchange_evidence.py
@@ -10,8 +10,8 @@
 
 AMPLE_TIME_FACTOR = 3.0
 MIN_AMPLE_S = 0.5
-"""A timeout counts as a failure when the server had AMPLE_TIME_FACTOR times the larger of its usual
-latency and this. Lower values eject slow but healthy servers."""
+"""A timeout counts as a failure when it came after more than AMPLE_TIME_FACTOR times the larger of
+this and the server's usual latency. Lower values eject slow but healthy servers."""
 
 
 class ExchangeEnd(enum.Enum):
@@ -24,12 +24,12 @@
     NOT_RESIDENT = "not-resident"
     REFUSED = "refused"
     NOT_CONNECTED = "not-connected"
-    """Nothing was sent: no usable connection."""
+    """There was no usable connection, so nothing was sent."""
     FAILED = "failed"
     TIMED_OUT = "timed-out"
-    """The deadline passed; a failure only when the server had ample time."""
+    """The deadline passed, which counts as a failure only when the server had ample time."""
     ABANDONED = "abandoned"
-    """The caller ended it; it says nothing about the server."""
+    """The caller ended the exchange, which says nothing about the server."""
 
 
 @attrs.frozen
@@ -39,9 +39,9 @@
     Attributes
     ----------
     work_tokens : the estimated work that was counted as outstanding.
-    units : work really done (tokens, or 1 for a lookup); 0 when unknown.
-    missing : the model or adapter that the server stated is not resident.
-    first_chunk_s : how long a stream's first chunk took; 0 for a complete response.
+    units : the work that was done (tokens, or 1 for a lookup); 0 when unknown.
+    missing : the model or adapter that is not resident, as stated by the server.
+    first_chunk_s : the time to a stream's first chunk; 0 for a complete response.
     """
 
     end: ExchangeEnd
@@ -54,12 +54,12 @@
 
     @property
     def deadline_covered_s(self) -> float:
-        """Return the part of the duration that the deadline covers: of a stream, its start."""
+        """The part of the duration that the deadline covers; of a stream, until its first chunk."""
         return self.first_chunk_s or self.duration_s
 
     @property
     def duration_s(self) -> float:
-        """Return how long the server was occupied."""
+        """How long the exchange occupied the server."""
         return max(0.0, self.ended_at - self.started_at)
 
 
@@ -80,7 +80,7 @@
 
 
 def record_exchange_end(server: ServerState, report: ExchangeReport) -> HealthChange:
-    """Subtract the outstanding work and learn from how the exchange ended."""
+    """Remove the request from the outstanding work and learn from how its exchange ended."""
     outstanding = server.outstanding
     server.outstanding = max(0, outstanding - 1)
     server.outstanding_tokens = max(0, server.outstanding_tokens - report.work_tokens)
@@ -90,15 +90,15 @@
             _learn_from_response(server, report, outstanding)
         case ExchangeEnd.NOT_CONNECTED:
             server.on_not_connected(now)
-            return _failed(server, now)
+            return _record_failure(server, now)
         case ExchangeEnd.FAILED:
-            return _failed(server, now)
+            return _record_failure(server, now)
         case ExchangeEnd.TIMED_OUT:
             if _had_ample_time(server, report):
-                return _failed(server, now)
-            return _inconclusive(server)
+                return _record_failure(server, now)
+            return _record_inconclusive(server)
         case ExchangeEnd.ABANDONED:
-            return _inconclusive(server)
+            return _record_inconclusive(server)
         case (
             ExchangeEnd.OVERLOADED
             | ExchangeEnd.COLD
@@ -107,7 +107,7 @@
             | ExchangeEnd.REFUSED
         ):
             _learn_from_refusal(server, report)
-    return _succeeded(server)
+    return _record_success(server)
 
 
 def _learn_from_response(server: ServerState, report: ExchangeReport, outstanding: int) -> None:
@@ -136,15 +136,15 @@
     return report.duration_s > AMPLE_TIME_FACTOR * max(MIN_AMPLE_S, server.latency_s)
 
 
-def _inconclusive(server: ServerState) -> HealthChange:
-    server.failures.on_abandoned()
+def _record_inconclusive(server: ServerState) -> HealthChange:
+    server.failures.on_inconclusive()
     return HealthChange.NONE
 
 
-def _failed(server: ServerState, now: float) -> HealthChange:
+def _record_failure(server: ServerState, now: float) -> HealthChange:
     return HealthChange.EJECTED if server.failures.on_failure(now) else HealthChange.NONE
 
 
-def _succeeded(server: ServerState) -> HealthChange:
-    """A refusal, too, proves that the server is alive."""
+def _record_success(server: ServerState) -> HealthChange:
+    """Record a success. A refusal counts as one too, since it proves that the server is alive."""
     return HealthChange.READMITTED if server.failures.on_success() else HealthChange.NONE
--- a/src/zincvale/dataplane/resilience/limits.py
+++ b/src/zincvale/dataplane/resilience/limits.py
@@ -1,7 +1,7 @@
 """Adaptive limits of concurrency and rate for each server, and a budget for retries.
 
-All are pure; the time is passed in. Several nodes share the servers, so each node learns the size
-of its own share from latency and from the servers' refusals (AIMD: additive increase,
+All classes are pure; the time is passed in. Several nodes share the servers, so each node learns
+the size of its own share from the latency and the refusals of the servers (AIMD: additive increase,
 multiplicative decrease).
 """
 
@@ -12,22 +12,25 @@
 import attrs
 
 MIN_CONCURRENCY = 1.0
-"""Below 1 nothing is sent, and nothing would ever raise the limit again."""
+"""The lowest limit: below 1 nothing would be sent, and no response would raise the limit again."""
 OVERLOAD_DECREASE = 0.8
-"""Factor on the limit after a refusal; lower values leave capacity unused."""
+"""Factor on the concurrency limit after a refusal; lower values leave capacity unused."""
 LATENCY_DECREASE = 0.95
-"""Factor on the limit while responses are slow: milder, since the work itself may be longer."""
+"""Factor on the concurrency limit while responses are slow. It is milder, since it may be the work
+itself that takes longer."""
 DECREASE_INTERVAL_S = 0.2
-"""One burst of refusals or slow responses counts once."""
+"""The shortest time between two decreases, so that a burst of refusals or slow responses counts
+once."""
 LATENCY_TOLERANCE = 2.5
-"""Recent latency over its baseline that counts as queueing at the server."""
+"""Ratio of the recent latency to its baseline above which requests seem to queue at the server."""
 RECENT_WEIGHT = 0.1
 """Weight of the newest sample in the recent latency."""
 BASELINE_RISE_WEIGHT = 0.002
 BASELINE_FALL_WEIGHT = 0.2
-"""The baseline falls fast and rises slowly, so that queueing does not become the baseline."""
-UTILISED = 0.8
-"""A limit is only changed while at least this fraction of it is in use."""
+"""Weights of a sample above and below the baseline. The baseline falls fast and rises slowly, so
+that latency caused by queueing does not become the baseline."""
+MIN_UTILISATION = 0.8
+"""A response changes the limit only while at least this fraction of the limit is in use."""
 
 
 @attrs.define
@@ -36,8 +39,8 @@
 
     Attributes
     ----------
-    ceiling : most that configuration and the server allow.
-    limit : what is allowed now, a float so that it can grow slowly.
+    ceiling : the most that the configuration and the server allow.
+    limit : the present limit, a float so that it can grow slowly.
     """
 
     ceiling: float
@@ -51,14 +54,14 @@
             self.limit = max(MIN_CONCURRENCY, self.ceiling / 2)
 
     def set_ceiling(self, ceiling: float) -> None:
-        """Apply a changed configuration."""
+        """Apply a changed ceiling."""
         self.ceiling = max(MIN_CONCURRENCY, ceiling)
         self.limit = min(self.limit, self.ceiling)
 
     def on_answered(self, unit_latency_s: float, outstanding: int, now: float) -> None:
         """Learn from a response; `unit_latency_s` is the latency per unit of work."""
         self._observe(unit_latency_s)
-        if outstanding < self.limit * UTILISED:
+        if outstanding < self.limit * MIN_UTILISATION:
             return
         if self._recent_s > self._baseline_s * LATENCY_TOLERANCE:
             self._decrease(LATENCY_DECREASE, now)
@@ -87,26 +90,26 @@
 
 RATE_DECREASE = 0.8
 RATE_INCREASE_FRACTION = 0.2
-"""Fraction of the ceiling that a response adds: nodes are not equally busy, and a refusal costs
-little, so a node is limited to its share only while the server really refuses."""
+"""Fraction of the ceiling that each response adds to the rate. Nodes are not equally busy, and a
+refusal costs little, so a node is limited to its share only while the server really refuses."""
 BURST_REQUESTS = 2.0
 """Size of the token bucket: requests that may be sent at once after a pause."""
 MIN_RATE_PER_S = 0.2
-"""Below this a recovered server would be found too late."""
+"""The lowest rate: below it, the recovery of a server would be noticed too late."""
 RATE_WINDOW_WEIGHT = 0.2
-"""Weight of the newest gap between two requests in the measured interval."""
+"""Weight of the newest gap between two requests in the moving average of the gaps."""
 MIN_GAP_S = 1e-4
-"""Requests that are sent at the same time count as this far apart."""
+"""The gap that is assumed between requests that are sent at the same time."""
 
 
 @attrs.define
 class AdaptiveRate:
-    """Token bucket for one server whose rate follows the server's refusals.
+    """Token bucket for one server, whose rate adapts to the server's refusals.
 
     Attributes
     ----------
     ceiling_per_s : the server's configured rate; infinite when none is configured.
-    nodes : how many nodes share it.
+    nodes : how many nodes share the server.
     """
 
     ceiling_per_s: float
@@ -130,7 +133,7 @@
         self.rate_per_s = ceiling_per_s
 
     def wait_s(self, now: float) -> float:
-        """Return how long until a request may be sent; 0 when it may now."""
+        """Return the time until a request may be sent; 0 when it may be sent now."""
         if math.isinf(self.rate_per_s):
             return 0.0
         self._refill(now)
@@ -182,28 +185,30 @@
 
 
 RETRY_RATIO = 0.2
-"""Retries for each request; higher values multiply the load of failing servers."""
+"""Retries that each request adds to the budget; higher values multiply the load of failing
+servers."""
 RETRY_RESERVE = 10.0
-"""Retries that a node may do at once after a quiet time."""
+"""How many retries a node may send at once after a quiet time."""
 
 
 @attrs.define
 class RetryBudget:
-    """Bounds retries to a fraction of the requests, with a small reserve for quiet times.
+    """Limits retries to a fraction of the requests, with a small reserve for quiet times.
 
-    Forwarding has `forwarding.fleet_budgets.RetryBudget`. They are not merged: that one keeps all
-    nodes together within a bound in any sliding window, this one bounds one node by a balance."""
+    Forwarding has `forwarding.fleet_budgets.RetryBudget`. The two are not merged: that one keeps
+    all nodes together within a limit in any sliding window, this one limits one node by a balance
+    of retries."""
 
     ratio: float = RETRY_RATIO
     reserve: float = RETRY_RESERVE
     _balance: float = RETRY_RESERVE
 
     def on_request(self) -> None:
-        """Earn a fraction of a retry."""
+        """Add the fraction of a retry that each request earns to the balance."""
         self._balance = min(self.reserve, self._balance + self.ratio)
 
     def take(self) -> bool:
-        """Spend one retry; False when the budget is used up."""
+        """Spend one retry; returns False when the budget is spent."""
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
--- a/src/zincvale/dataplane/resilience/outlier_detection.py
+++ b/src/zincvale/dataplane/resilience/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Passive outlier detection of one server, by this node's own exchanges, and slow start."""
+"""Passive outlier detection of one server by this node's own exchanges, and its slow start."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 import attrs
 
 CONSECUTIVE_FAILURES_TO_EJECT = 3
-"""Fewer eject a server for a lost connection; more send more requests into a failed one."""
+"""With fewer, a lost connection would eject a server; with more, a failed server would get more
+requests."""
 INITIAL_EJECTION_S = 1.0
-"""Doubles with each ejection in a row."""
+"""Duration of the first ejection; it doubles with each consecutive one."""
 MAX_EJECTION_S = 20.0
-"""The longest time for which a recovered server may stay unused."""
+"""Duration of the longest ejection, for which a recovered server may stay unused."""
 SLOW_START_S = 8.0
 """How long a server that became ready ramps up to its full limit."""
 MIN_SLOW_START_FACTOR = 0.1
-"""At 0 a ready server would get no first request."""
+"""The factor at the beginning of slow start; at 0 a ready server would get no first request."""
 FORGET_FAILURES_AFTER_S = 30.0
 """Failures further apart than this are not consecutive."""
 
@@ -26,7 +27,7 @@
 
     Legal transitions: in service to ejected (`on_failure`); ejected to probing (`on_dispatched`
     after the ejection); probing to in service (`on_success`), to ejected for longer (`on_failure`)
-    or back to ejected with its time over (`on_abandoned`); ejected to in service (a late
+    or back to an ejection that has run out (`on_inconclusive`); ejected to in service (a late
     `on_success`).
 
     When the ejection has run out, a single request probes the server (half-open); a failure of
@@ -37,40 +38,40 @@
     ejections: int = 0
     ejected_until: float = -math.inf
     last_failure_at: float = -math.inf
-    probing: bool = False
+    is_probing: bool = False
 
     def is_ejected(self, now: float) -> bool:
-        """Whether the server is excluded at `now`, or its one probe is in flight."""
+        """Whether the server is ejected at `now`, or its single probe is in flight."""
         if self.ejections == 0:
             return False
-        return now < self.ejected_until or self.probing
+        return now < self.ejected_until or self.is_probing
 
     def on_dispatched(self, now: float) -> None:
-        """Record a request; the first one after an ejection is the probe."""
+        """Record that a request is sent; the first one after an ejection is the probe."""
         if self.ejections and now >= self.ejected_until:
-            self.probing = True
+            self.is_probing = True
 
     def on_success(self) -> bool:
-        """Forget the failures; True when this readmits an ejected server."""
+        """Forget the failures; returns True when this readmits an ejected server."""
         readmitted = self.ejections > 0
         self.consecutive_failures = 0
         self.ejections = 0
         self.ejected_until = -math.inf
-        self.probing = False
+        self.is_probing = False
         return readmitted
 
-    def on_abandoned(self) -> None:
-        """Record a request that ended without a result for the server."""
-        self.probing = False
+    def on_inconclusive(self) -> None:
+        """Record a request whose end says nothing about the server."""
+        self.is_probing = False
 
     def on_failure(self, now: float) -> bool:
-        """Count a failure; True when it ejects the server."""
+        """Count a failure; returns True when it ejects the server."""
         if now - self.last_failure_at > FORGET_FAILURES_AFTER_S:
             self.consecutive_failures = 0
         self.last_failure_at = now
         self.consecutive_failures += 1
-        was_probe = self.probing
-        self.probing = False
+        was_probe = self.is_probing
+        self.is_probing = False
         if not was_probe and self.consecutive_failures < CONSECUTIVE_FAILURES_TO_EJECT:
             return False
         if not was_probe and now < self.ejected_until:
--- a/src/zincvale/dataplane/resilience/throughput.py
+++ b/src/zincvale/dataplane/resilience/throughput.py
@@ -1,4 +1,4 @@
-"""Measured throughput of a pool as this node gets it."""
+"""Measures the throughput that this node gets from a pool."""
 
 from __future__ import annotations
 
@@ -8,21 +8,23 @@
 
 BUCKET_S = 0.25
 BUCKETS = 32
-"""Together a window of 8 s; a longer one follows changes of the servers more slowly."""
+"""Number of buckets, together a window of 8 s; a longer one follows changes of the servers more
+slowly."""
 MIN_BACKLOG_S = 1.0
 BACKLOG_SERVICE_TIMES = 2.0
-"""A measurement counts once requests have waited, without interruption, for MIN_BACKLOG_S and for
+"""A measurement counts once there was a backlog, without interruption, for MIN_BACKLOG_S and for
 this many times the usual service time."""
 MEASURED_TOLERANCE = 1.2
-"""At 1 a node could never find out that its servers became faster."""
+"""Factor on the measured throughput; at 1 a node could never find out that its servers became
+faster."""
 
 
 @attrs.define
 class ThroughputMeter:
-    """Completions in a sliding window of fixed buckets.
+    """Counts completed requests in a sliding window of fixed buckets.
 
-    The throughput that a node gets from shared servers does not follow from their limits; it is
-    measured while the node always has more to send.
+    The throughput that a node gets from shared servers does not follow from their limits. It is
+    measured while the node always has more requests to send.
     """
 
     backlogged_since: float = math.inf
@@ -30,7 +32,7 @@
     _counts: list[int] = attrs.field(factory=lambda: [0] * BUCKETS)
 
     def on_completed(self, now: float) -> None:
-        """Count one request that was served."""
+        """Count one request that was completed."""
         self._advance(now)
         self._counts[self._index % BUCKETS] += 1
 
@@ -42,15 +44,15 @@
             self.backlogged_since = now
 
     def bounded_rate_per_s(self, rate_per_s: float, service_s: float, now: float) -> float:
-        """Return the smaller of an estimated rate and the measured one, where that counts."""
+        """Return the smaller of an estimated rate and the measured one, if that counts yet."""
         backlogged_s = now - self.backlogged_since
         if backlogged_s < max(MIN_BACKLOG_S, service_s * BACKLOG_SERVICE_TIMES):
             return rate_per_s
         self._advance(now)
         window_s = min(BUCKETS * BUCKET_S, backlogged_s)
         covered = min(BUCKETS, max(1, round(window_s / BUCKET_S)))
-        newest = [self._counts[(self._index - back) % BUCKETS] for back in range(covered)]
-        measured = (sum(newest) + 1) / window_s * MEASURED_TOLERANCE
+        newest_counts = [self._counts[(self._index - age) % BUCKETS] for age in range(covered)]
+        measured = (sum(newest_counts) + 1) / window_s * MEASURED_TOLERANCE
         return min(rate_per_s, measured)
 
     def _advance(self, now: float) -> None:
--- a/tests/dataplane/http/test_handlers.py
+++ b/tests/dataplane/http/test_handlers.py
@@ -1,4 +1,4 @@
-"""Readiness, health and metrics over HTTP."""
+"""The handlers of readiness, health and metrics."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Ingress:
-    """What the handlers read of a node's ingress."""
+    """A node's ingress, reduced to what the handlers read."""
 
     def __init__(self):
         self.reason = ""
@@ -51,11 +51,11 @@
         self.assertEqual(503, response.code)
         self.assertEqual({"ready": False, "reason": "draining"}, json.loads(response.body))
 
-    def test_a_running_process_is_alive(self):
+    def test_health_responds_that_the_process_is_alive(self):
         response = self.fetch("/healthz")
         self.assertEqual((200, {"alive": True}), (response.code, json.loads(response.body)))
 
-    def test_metrics_are_an_exposition(self):
+    def test_metrics_are_served_in_the_prometheus_text_format(self):
         response = self.fetch("/metrics")
         self.assertEqual((200, b"metric 1\n"), (response.code, response.body))
         self.assertEqual(METRICS_TYPE, response.headers["Content-Type"])
--- a/tests/dataplane/resilience/test_outlier_detection.py
+++ b/tests/dataplane/resilience/test_outlier_detection.py
@@ -8,7 +8,7 @@
 
 
 class OutlierDetectorTest(testtools.TestCase):
-    def test_three_failures_eject_for_a_doubling_time_with_one_probe_in_between(self):
+    def test_three_failures_eject_a_server_and_a_failed_probe_doubles_the_ejection(self):
         detector = OutlierDetector()
         self.assertEqual([False, False, True], [detector.on_failure(0.0) for _ in range(3)])
         self.assertTrue(detector.is_ejected(0.9))
--- a/tests/dataplane/resilience/test_throughput.py
+++ b/tests/dataplane/resilience/test_throughput.py
@@ -1,4 +1,4 @@
-"""The measured throughput of a pool."""
+"""The throughput that a node measures for a pool."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self.assertTrue(2.0 < meter.bounded_rate_per_s(13.5, 0.1, 6.0) < 3.0)
         self.assertEqual(1.0, meter.bounded_rate_per_s(1.0, 0.1, 6.0))
 
-    def test_a_short_backlog_does_not_count(self):
+    def test_a_measurement_during_a_short_backlog_does_not_count(self):
         meter = self.meter(per_s=2, seconds=6)
         self.assertEqual(13.5, meter.bounded_rate_per_s(13.5, 0.1, 0.9))
         self.assertEqual(13.5, meter.bounded_rate_per_s(13.5, 4.0, 6.0))
@@ -28,6 +28,6 @@
         meter.on_backlog(1, 6.1)
         self.assertEqual(13.5, meter.bounded_rate_per_s(13.5, 0.1, 6.2))
 
-    def test_old_completions_are_forgotten(self):
+    def test_completions_before_the_window_do_not_count(self):
         meter = self.meter(per_s=10, seconds=2)
         self.assertLess(meter.bounded_rate_per_s(99.0, 0.1, 60.0), 0.2)
--- a/tests/dataplane/test_machine_driver.py
+++ b/tests/dataplane/test_machine_driver.py
@@ -1,4 +1,4 @@
-"""The driver of claims and the stream journal: results by token, replies, cancelled waits."""
+"""The driver of claims and the stream journal: effects, replies, results and cancelled waits."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 class MachineDriverTest(testtools.TestCase):
-    """The machine returns, for each input, the effects that the test gives it."""
+    """The machine returns the effects that a test has set before the input."""
 
     def setUp(self) -> None:
         super().setUp()
         self.inputs: list[tuple[Any, float]] = []
         self.calls: list[Call] = []
-        self.others: list[Any] = []
+        self.own_effects: list[Any] = []
         self.logs: list[tuple[int, dict[str, Any]]] = []
         self.effects: list[Any] = []
         self.driver: MachineDriver[Any] = MachineDriver(
             self._handle,
             lambda: 7.0,
             self.calls.append,
-            self.others.append,
+            self.own_effects.append,
             lambda number, fields: self.logs.append((number, fields)),
         )
 
@@ -39,7 +39,7 @@
         effects, self.effects = self.effects, []
         return effects
 
-    def test_effects_go_where_they_belong(self) -> None:
+    def test_each_kind_of_effect_is_passed_to_its_callback(self) -> None:
         call = Call(PEER, "t", "message", 1.0)
         self.effects = [call, Log(7001, {"view": 1}), "own"]
         self.driver.submit("event")
@@ -47,7 +47,7 @@
         self.assertEqual([("event", 7.0), (Tick(), 8.0)], self.inputs)
         self.assertEqual([call], self.calls)
         self.assertEqual([(7001, {"view": 1})], self.logs)
-        self.assertEqual(["own"], self.others)
+        self.assertEqual(["own"], self.own_effects)
 
     def test_each_call_gets_its_own_reply(self) -> None:
         replies = [self.driver.receive(PEER, name) for name in ("a", "b")]
@@ -66,7 +66,7 @@
         first, second, *tokens = asyncio.run(scenario())
         self.assertEqual([f"result of {token}" for token in tokens], [first, second])
 
-    def test_a_cancelled_request_tells_what_was_granted(self) -> None:
+    def test_a_cancelled_request_passes_on_what_was_granted(self) -> None:
         async def cancel(has_result: bool) -> list[Any]:
             cancelled: list[Any] = []
             task = asyncio.ensure_future(
