--- a/src/zincvale/dataplane/forwarding/caller_server.py
+++ b/src/zincvale/dataplane/forwarding/caller_server.py
@@ -34,7 +34,7 @@
         ...
 
     def now(self) -> float:
-        """The node's clock, in seconds."""
+        """Return the present time on the node's clock, in seconds."""
         ...
 
     def handle_request(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle | None:
@@ -43,7 +43,7 @@
 
 
 class CallerHandle(Protocol):
-    """A request that has not ended, and can be told that its caller disconnected."""
+    """A request that has not ended and must be told when its caller disconnects."""
 
     def on_caller_disconnected(self) -> None:
         """End the request: the caller closed its connection."""
--- a/src/zincvale/dataplane/forwarding/fleet_budgets.py
+++ b/src/zincvale/dataplane/forwarding/fleet_budgets.py
@@ -1,4 +1,4 @@
-"""Limits over all nodes together, of which each node uses a share that it computes by itself.
+"""Limits that hold over all nodes together: each node uses a share that it computes by itself.
 
 A share depends only on the number of nodes and on this node's rank among them, so that no messages
 are exchanged for a request. Times are seconds on the daemon's clock.
@@ -74,8 +74,7 @@
 class SlowStartConfig:
     """How fast all nodes together may send to a server in slow start.
 
-    `factor` times the pool's `cold_per_s`, plus `slack`, is how many requests may arrive there in
-    one second.
+    In one second, `factor` times the pool's `cold_per_s` plus `slack` requests may arrive there.
     """
 
     factor: float = 1.0
--- a/src/zincvale/dataplane/forwarding/header_rewrite.py
+++ b/src/zincvale/dataplane/forwarding/header_rewrite.py
@@ -42,5 +42,5 @@
 
 
 def to_caller(headers: Iterable[tuple[str, str]], *, is_stream: bool) -> HeaderList:
-    """Return a server's headers for the caller; a stream, as it may be resumed, has no length."""
+    """Return a server's headers for the caller; a stream loses its length, as it may be resumed."""
     return end_to_end_headers(headers, frozenset({"content-length"}) if is_stream else frozenset())
--- a/src/zincvale/dataplane/forwarding/pending_requests.py
+++ b/src/zincvale/dataplane/forwarding/pending_requests.py
@@ -20,12 +20,12 @@
 LOAD_OVERHEAD_S = 0.5
 """How much longer than its own time a load takes: sending its order, and the report of its end."""
 LOAD_WAIT_FACTOR = 1.6
-"""How many times the expected load time a request may wait for a model."""
+"""A request waits for a model for at most this multiple of the expected load time."""
 ADAPTER_LOAD_S = 0.3
 """Expected time of an adapter's load with its overhead, until one was measured."""
 ADAPTER_WAIT_FACTOR = 4.0
-"""How many times the expected load time a request may wait for an adapter, whose load may queue
-behind a load of model weights at the same server."""
+"""A request waits for an adapter for at most this multiple of the expected load time, since the
+load may queue behind a load of model weights at the same server."""
 SHORTER_WAIT_WEIGHT = 0.3
 LONGER_WAIT_WEIGHT = 0.05
 """Weights of a new wait in the moving minimum of the observed waits, depending on whether it is
@@ -207,10 +207,12 @@
             on_expired,
             (requirements.route.priority, next(self._arrival_numbers)),
             now,
-            not any(_need_same_load(each.requirements, requirements) for each in self._pending),
+            not any(
+                _need_same_load(pending.requirements, requirements) for pending in self._pending
+            ),
         )
         self._pending.append(request)
-        self._pending.sort(key=lambda each: each.sort_key)
+        self._pending.sort(key=lambda pending: pending.sort_key)
         return request
 
     def retry_after_s(self, reason: NoServerReason, requirements: ServerRequirements) -> float:
@@ -231,7 +233,7 @@
 
     def next_expiry(self) -> float | None:
         """Return when the wait of the next request expires, None when none is pending."""
-        return min((each.expires_at for each in self._pending), default=None)
+        return min((pending.expires_at for pending in self._pending), default=None)
 
     def dispatch(
         self, choose: Callable[[ServerRequirements], ServerChoice | NoServerReason], now: float
--- a/src/zincvale/dataplane/forwarding/policies.py
+++ b/src/zincvale/dataplane/forwarding/policies.py
@@ -159,8 +159,9 @@
     The prompt's shared parts are expected to be cached at a preferred server, which nodes determine
     without exchanging messages. The parts that this node sent to a server recently count as cached
     there too. Where the shared parts are most of the prompt, all nodes prefer the same server, by a
-    rendezvous hash of the last shared part. Otherwise processing the shared parts once at each
-    replica costs less than a queue at one of them, and the nodes spread evenly over the replicas.
+    rendezvous hash of the last shared part. Otherwise each node prefers one replica, and the
+    nodes spread evenly over the replicas: processing the shared parts once at each replica costs
+    less than a queue at one of them.
     """
 
     name = "prompt-affinity"
--- a/src/zincvale/dataplane/forwarding/response_times.py
+++ b/src/zincvale/dataplane/forwarding/response_times.py
@@ -32,7 +32,7 @@
 
 @attrs.define
 class ResponseTimes:
-    """The longest recent time of a complete response of each route, in seconds."""
+    """The longest time that a recent complete response of each route took, in seconds."""
 
     _by_route: dict[str, _LongestTimes] = attrs.field(factory=dict)
 
--- a/src/zincvale/dataplane/forwarding/service.py
+++ b/src/zincvale/dataplane/forwarding/service.py
@@ -30,10 +30,10 @@
 NO_DOCUMENT_RETRY_AFTER_S = 0.5
 STOPPING_RETRY_AFTER_S = 0.1
 NEW_STREAMS_ALLOWED_S = 3.0
-"""How long after its stop signal a draining node begins streams, at most. Later ones might outlive
-the process."""
+"""A draining node begins streams only within this time after its stop signal: later ones might
+outlive the process."""
 NEW_REQUESTS_ALLOWED_S = 5.5
-"""How long after its stop signal a draining node begins other requests, at most."""
+"""A draining node begins other requests only within this time after its stop signal."""
 LONGEST_RESPONSE_FACTOR = 1.5
 """Safety factor on the longest recent response time of a route, since one node sees few of the
 route's requests."""
@@ -63,7 +63,7 @@
 
     Parameters
     ----------
-    dialect : header names of callers and servers.
+    dialect : reads and writes the headers of callers and servers.
     clock : returns the present time in seconds.
     on_urgent : called when the demand should be reported at once.
     """
@@ -110,7 +110,7 @@
         return CallerServer(self)
 
     def now(self) -> float:
-        """The node's clock, in seconds."""
+        """Return the present time on the node's clock, in seconds."""
         return self._clock()
 
     def handle_request(self, incoming: IncomingRequest, sink: CallerSink) -> CallerHandle | None:
--- a/src/zincvale/dataplane/log_events.py
+++ b/src/zincvale/dataplane/log_events.py
@@ -31,7 +31,7 @@
 REQUEST_DEFECT = declare(
     6007,
     "dataplane.request-defect",
-    "A defect broke off the handling of a request; its outcome is unknown.",
+    "A defect ended the handling of a request early; its outcome is unknown.",
 )
 DRAINING = declare(
     6008, "dataplane.draining", "The node is draining and reports that it is not ready."
