--- a/src/zincvale/daemons/forwarding_node.py
+++ b/src/zincvale/daemons/forwarding_node.py
@@ -217,7 +217,7 @@
     def _is_drained(self) -> bool:
         now = self._node.clock()
         if now - self._told_to_stop_at >= self._drain_limit_s - FINAL_REFUSALS_S:
-            self._service.reject_pending()
+            self._service.refuse_pending()
         noticed = now - self._drain_started_at >= LAME_DUCK_S
         return noticed and not self._service.active_requests
 
--- a/src/zincvale/dataplane/forwarding/service.py
+++ b/src/zincvale/dataplane/forwarding/service.py
@@ -167,7 +167,7 @@
         self._draining_since = not_before
         self._process_ends_at = not_before + limit_s
 
-    def reject_pending(self) -> None:
+    def refuse_pending(self) -> None:
         """End the wait of every deferred or pending request; those that never ran are refused, so
         that their callers may retry at another node."""
         for deferred in list(self._deferred):
--- a/tests/dataplane/forwarding/test_service.py
+++ b/tests/dataplane/forwarding/test_service.py
@@ -288,7 +288,7 @@
         async def scenario():
             node = Node(is_configured=False)
             _, sink = node.send_request()
-            node.service.reject_pending()
+            node.service.refuse_pending()
             self.assertEqual(503, sink.log[0][0])
 
         run(scenario)
--- a/tests/dataplane/forwarding/test_stop_soak.py
+++ b/tests/dataplane/forwarding/test_stop_soak.py
@@ -109,7 +109,7 @@
         )
 
     def _refuse_pending(self) -> None:
-        self.node.service.reject_pending()
+        self.node.service.refuse_pending()
 
     def _arrive(self) -> None:
         self._run_at_node_time(self._handle_arrival)
