--- a/src/zincvale/dataplane/demand.py
+++ b/src/zincvale/dataplane/demand.py
@@ -45,17 +45,17 @@
 
     def on_waiting(self, key: DemandKey, change: int) -> None:
         """Count a request that begins (`change` is 1) or stops (-1) waiting for a load."""
-        _add(self._waiting, key, change)
+        _change_count(self._waiting, key, change)
         if change > 0 and key not in self._reported_waiting:
             self.urgent = True
 
     def on_dispatched(self, key: DemandKey, server: ServerId) -> None:
         """Count a request that begins to run at a server."""
-        _add(self._running, (server, key), 1)
+        _change_count(self._running, (server, key), 1)
 
     def on_ended(self, key: DemandKey, server: ServerId, tokens: int) -> None:
         """Count a request that stopped running, and the tokens it generated."""
-        _add(self._running, (server, key), -1)
+        _change_count(self._running, (server, key), -1)
         self._tokens[key] += tokens
 
     def waiting(self, key: DemandKey) -> int:
@@ -95,7 +95,7 @@
         self.urgent = False
 
 
-def _add(counter: Counter[Key], key: Key, change: int) -> None:
+def _change_count(counter: Counter[Key], key: Key, change: int) -> None:
     """Change a count; keys that reach zero are removed."""
     counter[key] += change
     if counter[key] <= 0:
--- a/src/zincvale/dataplane/forwarding/route_table.py
+++ b/src/zincvale/dataplane/forwarding/route_table.py
@@ -31,14 +31,16 @@
     def find(self, host: str, path: str) -> ForwardRoute | None:
         """Return the route with the longest prefix that `path` starts with, None without any."""
         name = host_name(host)
-        found = self._longest_prefix(self._slash_prefix_routes.get(name, {}), path)
+        found = self._route_with_longest_prefix(self._slash_prefix_routes.get(name, {}), path)
         for route in self._other_prefix_routes.get(name, ()):
             if path.startswith(route.path_prefix):
                 is_longer = found is None or len(route.path_prefix) > len(found.path_prefix)
                 return route if is_longer else found
         return found
 
-    def _longest_prefix(self, routes: dict[str, ForwardRoute], path: str) -> ForwardRoute | None:
+    def _route_with_longest_prefix(
+        self, routes: dict[str, ForwardRoute], path: str
+    ) -> ForwardRoute | None:
         end = path.rfind("/")
         while end >= 0:
             route = routes.get(path[: end + 1])
--- a/src/zincvale/dataplane/policies/registry.py
+++ b/src/zincvale/dataplane/policies/registry.py
@@ -69,7 +69,7 @@
 
 def make_policy(name: str) -> Policy:
     """Return a new policy; raises `InvalidInputError` when no policy has this name."""
-    policy_class = _BUILT_IN.get(name) or _load(name)
+    policy_class = _BUILT_IN.get(name) or _load_class(name)
     return policy_class()
 
 
@@ -85,7 +85,7 @@
     return kind is PoolKind.LANGUAGE_MODEL
 
 
-def _load(name: str) -> type[Policy]:
+def _load_class(name: str) -> type[Policy]:
     module_name, separator, class_name = name.partition(":")
     if not separator:
         raise InvalidInputError(
--- a/tests/dataplane/forwarding/test_request_machine.py
+++ b/tests/dataplane/forwarding/test_request_machine.py
@@ -80,7 +80,7 @@
 
 
 class AtMostOnceTest(testtools.TestCase):
-    def test_a_request_that_may_have_run_is_not_retried_and_ends_as_unknown(self):
+    def test_a_non_repeatable_request_that_may_have_run_ends_as_unknown(self):
         effects = sent_machine(attempts=3).handle(ResponseBroken("reset"))
         self.assertEqual(([502], [RequestOutcome.UNKNOWN]), (statuses(effects), outcomes(effects)))
 
