--- a/src/zincvale/dataplane/inference/caller_side.py
+++ b/src/zincvale/dataplane/inference/caller_side.py
@@ -53,7 +53,7 @@
         self.sink.send_response(effect.status, headers, effect.body)
 
     def open_stream(self) -> None:
-        """Begin the event stream."""
+        """Start the event stream and its relay."""
         request = self.machine.request
         headers = responses.stream_headers(request.request_id)
         self.trace.add_trace_header(headers)
--- a/src/zincvale/dataplane/inference/load_shedding.py
+++ b/src/zincvale/dataplane/inference/load_shedding.py
@@ -32,7 +32,8 @@
 MAX_PENDING_PER_MODEL = 64
 """Requests that may wait for a load of the same model or adapter."""
 QUEUED_ESTIMATE_TOLERANCE = 1.5
-"""A queued request is rejected when its estimated wait exceeds the time left by this factor."""
+"""A queued request is rejected when its estimated wait exceeds this multiple of the time left.
+At 1, an estimate that is slightly too long would reject it."""
 SERVICE_TIME_WEIGHT = 0.1
 """Weight of the newest sample in a route's usual service time."""
 MIN_SERVICE_TIME_FRACTION = 0.5
@@ -62,7 +63,7 @@
         )
         return pending.request.deadline_at - now < needed_s
 
-    def rejection_of_newcomer(
+    def rejection_before_queueing(
         self,
         pool: PoolState,
         queue: PendingRequestQueue,
@@ -101,7 +102,7 @@
         """Return the time until which a request that waits for this reason may stay queued."""
         return min(pending.request.deadline_at, now + self._max_wait_s(pending, blocked))
 
-    def rejection_of_pending(
+    def rejection_while_queued(
         self, pool: PoolState, pending: PendingRequest, position: int, now: float
     ) -> Rejected | None:
         """Return the rejection of a queued request that cannot be served in time, else None."""
--- a/src/zincvale/dataplane/inference/request_machine.py
+++ b/src/zincvale/dataplane/inference/request_machine.py
@@ -63,7 +63,7 @@
 """How often a broken stream continues at another server before it is interrupted; a request whose
 stream breaks more often probably crashes the servers."""
 PENDING_RETRY_AFTER_S = 1.0
-"""Retry-After while an earlier attempt still runs; with less, resends poll the claim voters."""
+"""Retry-After while an earlier attempt still runs; more frequent resends load the claim voters."""
 
 REFUSAL_REASON_BY_END = {
     ExchangeEnd.OVERLOADED: RefusalReason.OVERLOADED,
@@ -177,7 +177,7 @@
             *effects,
             *self._release_claim(),
             response,
-            *self._finish(Outcome.UNKNOWN, "not renewed"),
+            *self._finish(Outcome.UNKNOWN, "the claim could not be renewed"),
         ]
 
     def _handle_claim_refused(self, refused: ClaimRefused) -> list[Effect]:
--- a/src/zincvale/dataplane/inference/routing_state.py
+++ b/src/zincvale/dataplane/inference/routing_state.py
@@ -41,7 +41,7 @@
 """A new server's concurrency limit starts at INITIAL_LIMIT_SHARE_FACTOR times this node's even
 share, but not below MIN_INITIAL_LIMIT."""
 UNKNOWN_READY_SINCE = -math.inf
-"""The server was ready before this node first saw it: no slow start."""
+"""No slow start: the server was ready when this node first saw it, or has warmed up since."""
 
 
 @attrs.frozen
--- a/src/zincvale/dataplane/inference/scheduler.py
+++ b/src/zincvale/dataplane/inference/scheduler.py
@@ -89,14 +89,16 @@
         """
         pool = self.routing_state.pool_of(route)
         if pool is None:
-            return bounded_rejection(token, RefusalReason.NO_SERVER, "unknown pool")
+            return bounded_rejection(
+                token, RefusalReason.NO_SERVER, "the route's pool is not declared"
+            )
         if route.stake is Stake.HIGH:
             pool.high_priority_seen_at = now
         pool.retry_budget.on_request()
         self._count_demand(request, pool)
         active = self._active_by_route.get(request.route, 0)
         if active >= route.max_concurrent:
-            problem = f"route has {active} requests under way, its limit"
+            problem = f"the route is at its limit with {active} requests in progress"
             return bounded_rejection(token, RefusalReason.OVERLOADED, problem)
         self._active_by_route[request.route] = active + 1
         return None
@@ -117,7 +119,11 @@
         """Return the request's verdict, after that of a queued request that it displaced."""
         pool = self.routing_state.pool_of(route)
         if pool is None:
-            return [bounded_rejection(token, RefusalReason.NO_SERVER, "unknown pool")]
+            return [
+                bounded_rejection(
+                    token, RefusalReason.NO_SERVER, "the route's pool is not declared"
+                )
+            ]
         pending = PendingRequest(token, request, route, now, request.deadline_at, excluded)
         queue = self._queue_of(pool)
         if not self.may_place or self._would_overtake(queue, pending):
@@ -150,7 +156,7 @@
             return change, []
         if report.end is ExchangeEnd.ANSWERED:
             pool.throughput.on_completed(report.ended_at)
-        return change, self._serve_waiting(pool, report.ended_at)
+        return change, self._place_pending(pool, report.ended_at)
 
     def take_retry(self, route: RouteSpec) -> bool:
         """Spend a retry of the pool's budget; False when none is left and the stake is not high."""
@@ -169,8 +175,8 @@
             if pool is None:
                 verdicts += self._reject_all(name, queue)
                 continue
-            verdicts += self._serve_waiting(pool, now)
-            verdicts += self._reject_expired(pool, queue, now)
+            verdicts += self._place_pending(pool, now)
+            verdicts += self._reject_unservable(pool, queue, now)
             pool.throughput.on_backlog(queue.busy_count(), now)
         return verdicts
 
@@ -191,12 +197,12 @@
         )
         return self._chain_of(pool).choose(query, self.random)
 
-    def _would_overtake(self, queue: PendingRequestQueue, newcomer: PendingRequest) -> bool:
+    def _would_overtake(self, queue: PendingRequestQueue, new_request: PendingRequest) -> bool:
         """Whether an equivalent request was queued earlier because all servers are busy."""
         if not len(queue):
             return False
         return any(
-            other.blocked is Blocked.BUSY and other.placement_key == newcomer.placement_key
+            other.blocked is Blocked.BUSY and other.placement_key == new_request.placement_key
             for other in queue
         )
 
@@ -209,7 +215,7 @@
             self.demand.on_dispatched(_demand_key(pending.request, pool), server)
         return Placed(pending.token, choice.server, choice.reasons, now - pending.queued_at)
 
-    def _serve_waiting(self, pool: PoolState, now: float) -> list[Verdict]:
+    def _place_pending(self, pool: PoolState, now: float) -> list[Verdict]:
         queue = self._queues.get(pool.name)
         if queue is None or not len(queue) or not self.may_place:
             return []
@@ -254,7 +260,7 @@
         choice: NoChoice,
         now: float,
     ) -> list[Verdict]:
-        rejection = self.load_shedder.rejection_of_newcomer(
+        rejection = self.load_shedder.rejection_before_queueing(
             pool, queue, pending, choice.blocked, now
         )
         if rejection is not None:
@@ -280,12 +286,12 @@
         verdicts.append(Queued(pending.token, choice.blocked, choice.reasons))
         return verdicts
 
-    def _reject_expired(
+    def _reject_unservable(
         self, pool: PoolState, queue: PendingRequestQueue, now: float
     ) -> list[Verdict]:
         verdicts: list[Verdict] = []
         for position, pending in enumerate(queue, start=1):
-            rejection = self.load_shedder.rejection_of_pending(pool, pending, position, now)
+            rejection = self.load_shedder.rejection_while_queued(pool, pending, position, now)
             if rejection is not None:
                 self._remove(pool.name, queue, pending.token)
                 verdicts.append(rejection)
--- a/src/zincvale/dataplane/inference/server_side.py
+++ b/src/zincvale/dataplane/inference/server_side.py
@@ -26,14 +26,16 @@
 from zincvale.dataplane.resilience.exchange_evidence import ExchangeReport
 
 FIRST_CHUNK_TIMEOUT_S = 10.0
-"""Limit until a stream's first chunk. With less, long prompts are prefilled at several servers."""
+"""Longest wait for a stream's first chunk; with a shorter one, the prefill of a long prompt is
+repeated at other servers."""
 NEXT_CHUNK_TIMEOUT_S = 3.0
-"""Limit between two chunks. With less, busy servers lose streams that they would finish."""
+"""Longest wait between two chunks; with a shorter one, busy servers lose streams that they would
+finish."""
 AT_MOST_ONCE_TIMEOUT_S = 15.0
-"""Limit for both on at-most-once routes, whose streams cannot continue at another server."""
+"""Longest wait for any chunk on at-most-once routes, whose streams cannot continue elsewhere."""
 DOWN_SERVER_IDLE_TIMEOUT_S = 1.0
-"""An exchange with a server that the directory reports down continues while its latest data is
-younger than this."""
+"""How long an exchange must have received no data before it is given up because the directory
+reports its server down."""
 STREAM_CLOSE_TIMEOUT_S = 1.0
 """How long the connection of a complete stream may take to end before it is closed."""
 
--- a/src/zincvale/dataplane/inference/stream_relay.py
+++ b/src/zincvale/dataplane/inference/stream_relay.py
@@ -84,7 +84,7 @@
     _stopped: bool = False
 
     def push(self, first_index: int, chunks: list[str], journal: bool) -> None:
-        """Queue chunks; those queued meanwhile are journalled and written as one batch."""
+        """Queue chunks; those that wait are journalled and written together as one batch."""
         if self._stopped:
             return
         last = self._batches[-1] if self._batches else None
