--- a/src/zincvale/dataplane/inference/capacity.py
+++ b/src/zincvale/dataplane/inference/capacity.py
@@ -9,8 +9,8 @@
 from zincvale.model.identifiers import StoreName
 
 LOAD_OVERHEAD_FACTOR = 1.5
-"""Load time as a multiple of the bare transfer time: planning, the server's own work and the shared
-bandwidth come on top."""
+"""Estimated load time as a multiple of the bare transfer time; planning, the server's own work and
+loads that share the bandwidth come on top of the transfer."""
 MIN_LOAD_S = 1.0
 DEFAULT_LOAD_S = 10.0
 """Estimate for a model that is not declared, or whose store is not."""
--- a/src/zincvale/dataplane/inference/dependencies.py
+++ b/src/zincvale/dataplane/inference/dependencies.py
@@ -178,12 +178,12 @@
 
     @property
     def trace_id(self) -> str:
-        """32 lower-case hexadecimal digits."""
+        """Identifier of the trace: 32 lower-case hexadecimal digits."""
         ...
 
     @property
     def span_id(self) -> str:
-        """16 lower-case hexadecimal digits."""
+        """Identifier of the span: 16 lower-case hexadecimal digits."""
         ...
 
     @property
--- a/src/zincvale/dataplane/inference/events.py
+++ b/src/zincvale/dataplane/inference/events.py
@@ -259,7 +259,7 @@
 
 @attrs.frozen
 class OpenStream:
-    """Begin an event stream towards the caller."""
+    """Start the event stream to the caller."""
 
 
 @attrs.frozen
--- a/src/zincvale/dataplane/inference/request_trace.py
+++ b/src/zincvale/dataplane/inference/request_trace.py
@@ -103,7 +103,7 @@
                 self.root.event("last-event", number=count)
 
     def record_chunks(self, first_index: int, count: int) -> None:
-        """Record the first event of a stream, and count those that follow."""
+        """Record the first event of a stream; later calls only update the last event number."""
         if self._last_chunk == 0:
             self.root.event("first-event", number=first_index)
         self._last_chunk = first_index + count - 1
--- a/src/zincvale/dataplane/inference/routing_state.py
+++ b/src/zincvale/dataplane/inference/routing_state.py
@@ -105,7 +105,7 @@
         self.absent_until[name] = now + NOT_RESIDENT_TTL_S
 
     def back_off(self, now: float) -> None:
-        """Pause for about the time in which one of the server's slots becomes free."""
+        """Send only high-stake requests for about the time in which one slot becomes free."""
         pause_s = self.latency_s / max(1.0, self.concurrency.ceiling)
         self.backing_off_until = now + min(MAX_BACK_OFF_S, max(MIN_BACK_OFF_S, pause_s))
 
@@ -184,7 +184,8 @@
     def apply_directory(self, directory: Directory, now: float) -> bool:
         """Apply a directory; False when it is older than the current one.
 
-        A server's measurements are kept while its incarnation stays the same.
+        Local measurements are kept per server; a restart or a recovery of the server clears its
+        failures and begins its slow start again.
         """
         if (directory.epoch, directory.version) < (self.directory.epoch, self.directory.version):
             return False
--- a/src/zincvale/dataplane/inference/scheduler.py
+++ b/src/zincvale/dataplane/inference/scheduler.py
@@ -181,7 +181,7 @@
         return verdicts
 
     def chain_problems(self) -> list[InvalidInputError]:
-        """Build the policy chains of all pools; returns the policies that cannot be loaded."""
+        """Build the policy chains of all pools; returns the errors of policies that cannot load."""
         problems: list[InvalidInputError] = []
         for pool in self.routing_state.pools.values():
             problems += self._chain_of(pool).problems
