--- a/tests/coordination/simulated_cluster.py
+++ b/tests/coordination/simulated_cluster.py
@@ -1,4 +1,4 @@
-"""Drives many machines in one process: virtual clock, network with cuts, in-memory disks."""
+"""Runs many machines in one process with a virtual clock, a simulated network and memory disks."""
 
 from __future__ import annotations
 
@@ -37,17 +37,20 @@
 
 TICK_S = 0.05
 LATENCY_S = 0.002
-CLUSTER = "test"
+CLUSTER_ID = "test"
 CORES = ("core-1", "core-2", "core-3")
 
 
 def reduce_intent(rows: dict[str, bytes], change: bytes) -> Result[list[RowChange], ChangeRefused]:
-    """A change is a JSON object of row texts; null deletes, the value `bad` is refused."""
-    plain = orjson.loads(change)
-    if "bad" in plain.values():
+    """Apply a JSON object of texts by row: null deletes a row and the text `bad` is refused."""
+    text_by_row = orjson.loads(change)
+    if "bad" in text_by_row.values():
         return Failure(ChangeRefused("row is bad", "make it good"))
     return Success(
-        [RowChange(row, None if text is None else text.encode()) for row, text in plain.items()]
+        [
+            RowChange(row, None if text is None else text.encode())
+            for row, text in text_by_row.items()
+        ]
     )
 
 
@@ -78,7 +81,7 @@
 
 @attrs.define
 class Process:
-    """A running machine; a call's token maps to its caller."""
+    """A running process; `number` identifies its start, `backlog` has the inputs while frozen."""
 
     machine: Any
     member: str
@@ -88,7 +91,7 @@
 
 
 class Cluster:
-    """Machines, their clock and their network."""
+    """Cores, nodes and standbys that share a virtual clock and a simulated network."""
 
     def __init__(
         self,
@@ -108,7 +111,7 @@
         self.cut_links: set[tuple[str, str]] = set()
         self.logs: list[tuple[float, str, Log]] = []
         self.replies: dict[str, Any] = {}
-        self.acknowledged = 0
+        self.acknowledged_version = 0
         self._callers: dict[tuple[str, int, str], tuple[str, int, str]] = {}
         self._events: list[tuple[float, int, str, int, Input]] = []
         self._counter = itertools.count(1)
@@ -120,7 +123,7 @@
     # --- processes ------------------------------------------------------------------------
 
     def address(self, member: str) -> Address:
-        """Addresses are `10.0.0.1:MEMBER-NUMBER`; the network reads the member back."""
+        """Return the address of a process, derived from the kind and the number in its name."""
         kind, _, number = member.rpartition("-")
         return Address(f"10.0.{0 if kind == 'core' else 1}.{number}:7000")
 
@@ -135,7 +138,7 @@
             for core in CORES
         )
         config = CoreConfig(
-            cluster_id=CLUSTER,
+            cluster_id=CLUSTER_ID,
             member=MemberId(member),
             incarnation=f"{self.random.getrandbits(32):08x}",
             zone=ZoneName(f"z{member}"),
@@ -151,11 +154,11 @@
             timings=self.timings,
         )
         machine = CoreMachine(config, disk.load(), {"intent": reduce_intent}, self.random, self.now)
-        self._run(member, machine)
+        self._start_process(member, machine)
 
     def start_node(self, member: str, seeds: Any = CORES) -> None:
         config = NodeConfig(
-            cluster_id=CLUSTER,
+            cluster_id=CLUSTER_ID,
             member=MemberId(member),
             incarnation=f"{self.random.getrandbits(32):08x}",
             zone=ZoneName("z1"),
@@ -165,7 +168,7 @@
             seeds=tuple(self.address(seed) for seed in seeds),
             timings=self.timings,
         )
-        self._run(member, NodeMachine(config, self.random, self.now))
+        self._start_process(member, NodeMachine(config, self.random, self.now))
 
     def start_standby(self, member: str, seeds: Any = CORES) -> None:
         config = StandbyConfig(
@@ -173,7 +176,7 @@
             zone=ZoneName(f"z{member}"),
             seeds=tuple(self.address(seed) for seed in seeds),
         )
-        self._run(member, StandbyMachine(config, self.random))
+        self._start_process(member, StandbyMachine(config, self.random))
 
     def kill(self, member: str) -> None:
         process = self.processes.pop(member)
@@ -190,10 +193,10 @@
     def thaw(self, member: str) -> None:
         process = self.processes[member]
         assert process.frozen_at is not None
-        gap = self.now - process.frozen_at
+        gap_s = self.now - process.frozen_at
         process.frozen_at = None
         backlog, process.backlog = process.backlog, []
-        for event in [ClockJumped(gap), *backlog]:
+        for event in [ClockJumped(gap_s), *backlog]:
             self._handle_input(process, event)
 
     def cut(self, one: str, other: str) -> None:
@@ -222,7 +225,7 @@
         machines = [process.machine for process in self.processes.values()]
         return [machine for machine in machines if isinstance(machine, NodeMachine)]
 
-    # --- operators ------------------------------------------------------------------------
+    # --- calls and queries ----------------------------------------------------------------
 
     def call(self, member: str, message: Any) -> str:
         """Call a process locally; the reply appears in `replies` under the returned token."""
@@ -230,19 +233,25 @@
         self._handle_input(self.processes[member], CallReceived(MemberId(member), token, message))
         return token
 
-    def propose(self, member: str, order: str, change: Any, base: int | None = None) -> str:
-        return self.call(member, ProposeChange("intent", order, base, orjson.dumps(change)))
+    def propose(
+        self, member: str, idempotency_key: str, change: Any, base_version: int | None = None
+    ) -> str:
+        return self.call(
+            member, ProposeChange("intent", idempotency_key, base_version, orjson.dumps(change))
+        )
 
-    def change(self, member: str, order: str, change: Any, base: int | None = None) -> ChangeResult:
-        """Propose and run until the answer is there."""
-        token = self.propose(member, order, change, base)
-        assert self.run_until(lambda: token in self.replies, 10.0), "no answer"
+    def change(
+        self, member: str, idempotency_key: str, change: Any, base_version: int | None = None
+    ) -> ChangeResult:
+        """Propose a change of the intent and run until its result arrives."""
+        token = self.propose(member, idempotency_key, change, base_version)
+        assert self.run_until(lambda: token in self.replies, 10.0), "no result within 10 s"
         result = self.replies[token]
         assert isinstance(result, ChangeResult)
         return result
 
     def run_until_ready(self) -> Cluster:
-        """Run until every node is ready."""
+        """Run until every node is ready and return this cluster."""
         assert self.run_until(self.all_ready, 12.0), self.logs
         return self
 
@@ -250,7 +259,7 @@
         return all(node.ready(self.now) for node in self.nodes())
 
     def owner_of(self, key: str) -> str:
-        """Return the core that serves a key, as a live core sees it."""
+        """Return the owner of a key according to a running core; empty if none knows an owner."""
         for process in self.processes.values():
             if isinstance(process.machine, CoreMachine) and process.frozen_at is None:
                 for state in process.machine.state(self.now).keys:
@@ -264,7 +273,7 @@
         self.run_until(lambda: False, seconds)
 
     def run_until(self, condition: Any, limit_s: float) -> bool:
-        """Run until the condition holds; False when the limit passes first."""
+        """Run until the condition holds; return False if the time limit passes first."""
         end = self.now + limit_s
         while not condition():
             if not self._events or self._events[0][0] > end:
@@ -277,9 +286,9 @@
                 self._deliver(process, event)
         return True
 
-    # --- inside ---------------------------------------------------------------------------
+    # --- internals ------------------------------------------------------------------------
 
-    def _run(self, member: str, machine: Any) -> None:
+    def _start_process(self, member: str, machine: Any) -> None:
         process = Process(machine, member, next(self._counter))
         self.processes[member] = process
         self._schedule(self.now + TICK_S * self.random.random(), process, Tick())
@@ -310,37 +319,38 @@
                     self._reply(process, token, message)
                 case Log():
                     self.logs.append((self.now, process.member, effect))
-        self._check(process)
+        self._check_invariants(process)
 
-    def _check(self, process: Process) -> None:
-        """Hold the invariants that no schedule may break."""
+    def _check_invariants(self, process: Process) -> None:
+        """Check that ready nodes have every acknowledged version and a role has one holder."""
         if isinstance(process.machine, NodeMachine):
             if process.machine.ready(self.now):
-                held = process.machine.intent().version
-                assert held >= self.acknowledged, (
-                    f"{process.member} serves {held}, acknowledged is {self.acknowledged}"
+                applied_version = process.machine.intent().version
+                assert applied_version >= self.acknowledged_version, (
+                    f"{process.member} serves version {applied_version}, "
+                    f"but the acknowledged one is {self.acknowledged_version}"
                 )
             return
         holders = {
-            each.member
-            for each in self.processes.values()
-            if isinstance(each.machine, CoreMachine)
-            and each.frozen_at is None
-            and each.machine.role("placer", self.now).is_leader
+            other.member
+            for other in self.processes.values()
+            if isinstance(other.machine, CoreMachine)
+            and other.frozen_at is None
+            and other.machine.role("placer", self.now).is_leader
         }
-        assert len(holders) <= 1, f"two holders: {holders}"
+        assert len(holders) <= 1, f"several holders of one role: {holders}"
 
-    def _note_reply(self, message: Any) -> None:
+    def _record_reply(self, message: Any) -> None:
         if isinstance(message, ChangeResult) and message.status == "in-force":
-            self.acknowledged = max(self.acknowledged, message.version)
-            for each in self.processes.values():
-                if each.frozen_at is None:
-                    self._check(each)
+            self.acknowledged_version = max(self.acknowledged_version, message.version)
+            for process in self.processes.values():
+                if process.frozen_at is None:
+                    self._check_invariants(process)
 
     def _resolve(self, to: str) -> str:
         if not to.startswith("@"):
             return to
-        return next((m for m in [*self.processes] if self.address(m) == to[1:]), "")
+        return next((member for member in [*self.processes] if self.address(member) == to[1:]), "")
 
     def _send(self, process: Process, to: str, event: Input) -> None:
         target = self.processes.get(self._resolve(to))
@@ -364,7 +374,7 @@
         caller = self._callers.pop((process.member, process.number, token), None)
         if caller is None:
             self.replies[token] = message
-            self._note_reply(message)
+            self._record_reply(message)
             return
         member, number, caller_token = caller
         target = self.processes.get(member)
--- a/tests/coordination/test_failures.py
+++ b/tests/coordination/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of cores, disks and links, alone and together; the pump checks the invariants."""
+"""Failures of cores, nodes, disks and links; the simulated cluster checks the invariants."""
 
 from __future__ import annotations
 
@@ -10,44 +10,44 @@
 
 
 class FailuresTest(testtools.TestCase):
-    def others(self, member: str) -> list[str]:
+    def cores_except(self, member: str) -> list[str]:
         return [core for core in CORES if core != member]
 
-    def test_changes_go_on_when_the_owner_dies(self) -> None:
+    def test_changes_continue_after_the_owner_fails(self) -> None:
         cluster = Cluster().run_until_ready()
         cluster.change("core-1", "o1", {"a": "1"})
         owner = cluster.owner_of("intent")
         cluster.kill(owner)
-        rest = self.others(owner)
-        result = cluster.change(rest[0], "o2", {"a": "2"}, base=1)
+        other_cores = self.cores_except(owner)
+        result = cluster.change(other_cores[0], "o2", {"a": "2"}, base_version=1)
         self.assertEqual(("in-force", 2), (result.status, result.version))
-        again = cluster.change(rest[1], "o1", {"a": "1"})
-        self.assertEqual(("in-force", 1), (again.status, again.version))
+        resent = cluster.change(other_cores[1], "o1", {"a": "1"})
+        self.assertEqual(("in-force", 1), (resent.status, resent.version))
 
-    def test_a_lost_answer_is_given_again_by_a_new_owner(self) -> None:
+    def test_a_new_owner_returns_the_result_of_a_change_whose_reply_was_lost(self) -> None:
         cluster = Cluster().run_until_ready()
         owner = cluster.owner_of("intent")
-        cluster.propose(owner, "o1", {"a": "1"}, base=0)
+        cluster.propose(owner, "o1", {"a": "1"}, base_version=0)
         cluster.run(0.03)
         cluster.kill(owner)
-        result = cluster.change(self.others(owner)[0], "o1", {"a": "1"}, base=0)
+        result = cluster.change(self.cores_except(owner)[0], "o1", {"a": "1"}, base_version=0)
         self.assertEqual(("in-force", 1), (result.status, result.version))
 
-    def test_a_frozen_owner_does_not_roll_back(self) -> None:
+    def test_a_frozen_owner_does_not_revert_later_changes(self) -> None:
         cluster = Cluster().run_until_ready()
         owner = cluster.owner_of("intent")
         cluster.change(owner, "o1", {"a": "1"})
         cluster.freeze(owner)
-        rest = self.others(owner)
-        cluster.change(rest[0], "o2", {"a": "2"})
+        other_cores = self.cores_except(owner)
+        cluster.change(other_cores[0], "o2", {"a": "2"})
         cluster.run(20.0)
         cluster.thaw(owner)
-        late = cluster.change(owner, "o3", {"a": "3"}, base=1)
-        self.assertEqual("conflict", late.status)
+        late_result = cluster.change(owner, "o3", {"a": "3"}, base_version=1)
+        self.assertEqual("conflict", late_result.status)
         cluster.run(2.0)
         self.assertEqual({"a": b"2"}, cluster.core(owner).value("intent").rows)
 
-    def test_a_frozen_role_holder_wakes_without_its_role(self) -> None:
+    def test_a_frozen_role_holder_resumes_without_its_role(self) -> None:
         cluster = Cluster().run_until_ready()
         cluster.run(5.0)
         holder = next(
@@ -58,16 +58,18 @@
         cluster.run(20.0)
         cluster.thaw(holder)
         self.assertFalse(cluster.core(holder).role("placer", cluster.now).is_leader)
-        states = [cluster.core(core).role("placer", cluster.now) for core in self.others(holder)]
+        states = [
+            cluster.core(core).role("placer", cluster.now) for core in self.cores_except(holder)
+        ]
         self.assertGreater(max(state.epoch for state in states), epoch)
 
-    def test_a_minority_core_confirms_nothing(self) -> None:
+    def test_an_isolated_owner_confirms_no_change(self) -> None:
         cluster = Cluster().run_until_ready()
         owner = cluster.owner_of("intent")
         cluster.isolate([owner])
-        lonely = cluster.change(owner, "o1", {"a": "1"})
-        self.assertEqual("not-confirmed", lonely.status)
-        result = cluster.change(self.others(owner)[0], "o2", {"a": "2"})
+        isolated_result = cluster.change(owner, "o1", {"a": "1"})
+        self.assertEqual("not-confirmed", isolated_result.status)
+        result = cluster.change(self.cores_except(owner)[0], "o2", {"a": "2"})
         self.assertEqual("in-force", result.status)
         cluster.heal()
         cluster.run(3.0)
@@ -75,20 +77,20 @@
 
     def test_a_node_that_polls_an_isolated_core_still_gets_changes(self) -> None:
         cluster = Cluster(nodes=6).run_until_ready()
-        for core in self.others("core-1"):
+        for core in self.cores_except("core-1"):
             cluster.cut("core-1", core)
         cluster.run(3.0)
         result = cluster.change("core-2", "o1", {"a": "1"})
         self.assertEqual("in-force", result.status)
         self.assertTrue(cluster.all_ready())
 
-    def test_a_dead_node_does_not_block_changes(self) -> None:
+    def test_a_failed_node_does_not_block_changes(self) -> None:
         cluster = Cluster(nodes=5).run_until_ready()
         cluster.run(2.0)
         cluster.kill("node-1")
         self.assertEqual("in-force", cluster.change("core-1", "o1", {"a": "1"}).status)
 
-    def test_a_frozen_node_refreshes_before_it_is_ready(self) -> None:
+    def test_a_node_that_was_frozen_is_not_ready_until_it_has_caught_up(self) -> None:
         cluster = Cluster(nodes=5).run_until_ready()
         cluster.run(2.0)
         cluster.freeze("node-1")
@@ -100,7 +102,7 @@
         self.assertTrue(cluster.node("node-1").ready(cluster.now))
         self.assertEqual(1, cluster.node("node-1").intent().version)
 
-    def test_full_disk_stops_the_vote_and_comes_back(self) -> None:
+    def test_a_core_does_not_vote_while_its_disk_is_full(self) -> None:
         cluster = Cluster().run_until_ready()
         cluster.disks["core-1"].error = NO_SPACE
         self.assertEqual("in-force", cluster.change("core-1", "o1", {"a": "1"}).status)
@@ -116,7 +118,7 @@
         self.assertTrue(cluster.core("core-1").state(cluster.now).voting)
         self.assertEqual("in-force", cluster.change("core-3", "o3", {"a": "3"}).status)
 
-    def test_readiness_survives_the_restart_of_every_core(self) -> None:
+    def test_nodes_stay_ready_during_a_restart_of_every_core(self) -> None:
         cluster = Cluster(nodes=5).run_until_ready()
         cluster.run(2.0)
         for core in CORES:
@@ -132,8 +134,8 @@
         self.assertEqual("in-force", cluster.change("core-1", "o1", {"a": "1"}).status)
 
 
-class IslandsTest(testtools.TestCase):
-    def test_a_minority_island_turns_unready_and_changes_go_on(self) -> None:
+class PartitionsTest(testtools.TestCase):
+    def test_an_isolated_minority_of_nodes_becomes_unready_and_changes_continue(self) -> None:
         cluster = Cluster(nodes=5).run_until_ready()
         cluster.run(2.0)
         cluster.isolate(["node-1", "node-2"])
@@ -144,31 +146,31 @@
         cluster.run(2.0)
         self.assertTrue(cluster.all_ready())
 
-    def test_a_majority_island_serves_and_nothing_is_acknowledged(self) -> None:
+    def test_an_isolated_majority_of_nodes_stays_ready_and_no_change_is_acknowledged(self) -> None:
         cluster = Cluster(nodes=5).run_until_ready()
         cluster.run(2.0)
-        island = ["node-1", "node-2", "node-3"]
-        cluster.isolate(island)
+        isolated_nodes = ["node-1", "node-2", "node-3"]
+        cluster.isolate(isolated_nodes)
         result = cluster.change("core-1", "o1", {"a": "1"})
         self.assertEqual("not-confirmed", result.status)
         cluster.run(10.0)
-        for node in island:
+        for node in isolated_nodes:
             self.assertTrue(cluster.node(node).ready(cluster.now))
         cluster.heal()
         cluster.run(3.0)
         self.assertEqual("in-force", cluster.change("core-1", "o1", {"a": "1"}).status)
 
-    def test_nothing_is_acknowledged_over_a_majority_island_cut_off_at_any_moment(self) -> None:
-        """Also while the registry still takes the nodes in."""
+    def test_no_change_is_acknowledged_whenever_a_majority_of_nodes_is_isolated(self) -> None:
+        """The nodes are also isolated at times when the registry does not contain all of them."""
         for seed in range(1, 4):
-            for began_s in (0.0, 0.3, 0.7, 1.0, 1.5):
+            for delay_s in (0.0, 0.3, 0.7, 1.0, 1.5):
                 cluster = Cluster(seed=seed, nodes=5).run_until_ready()
-                cluster.run(began_s)
+                cluster.run(delay_s)
                 cluster.isolate(["node-1", "node-2", "node-3"])
                 result = cluster.change("core-1", "o1", {"a": "1"})
-                self.assertEqual("not-confirmed", result.status, (seed, began_s))
+                self.assertEqual("not-confirmed", result.status, (seed, delay_s))
 
-    def test_a_node_without_a_core_is_fresh_through_a_peer(self) -> None:
+    def test_a_node_that_reaches_no_core_gets_changes_through_a_peer(self) -> None:
         cluster = Cluster(nodes=3).run_until_ready()
         cluster.run(2.0)
         for core in CORES:
@@ -184,23 +186,23 @@
         replicas = cluster.core(core).state(cluster.now).replicas
         return sorted(replica.partition("/")[0] for replica in replicas)
 
-    def test_an_empty_core_at_a_new_address_replaces_a_dead_one(self) -> None:
+    def test_an_empty_core_at_a_new_address_replaces_a_failed_one(self) -> None:
         cluster = Cluster(nodes=5).run_until_ready()
         cluster.change("core-1", "o1", {"a": "1"})
         cluster.kill("core-3")
         cluster.start_core("core-4")
-        done = cluster.run_until(
+        is_replaced = cluster.run_until(
             lambda: self.replicas(cluster, "core-1") == ["core-1", "core-2", "core-4"], 40.0
         )
-        self.assertTrue(done)
+        self.assertTrue(is_replaced)
         cluster.run(2.0)
         cluster.kill("core-1")
         cluster.lose_disk("core-1")
-        result = cluster.change("core-2", "o2", {"b": "2"}, base=1)
+        result = cluster.change("core-2", "o2", {"b": "2"}, base_version=1)
         self.assertEqual(("in-force", 2), (result.status, result.version))
         self.assertEqual({"a": b"1", "b": b"2"}, cluster.core("core-4").value("intent").rows)
 
-    def test_all_seeds_are_replaced_one_after_the_other(self) -> None:
+    def test_all_initial_cores_are_replaced_one_after_another(self) -> None:
         cluster = Cluster(nodes=5).run_until_ready()
         cluster.change("core-1", "o1", {"a": "1"})
         for index, old in enumerate(CORES):
@@ -210,9 +212,11 @@
             cluster.run(25.0)
         self.assertEqual(["core-4", "core-5", "core-6"], self.replicas(cluster, "core-4"))
         self.assertTrue(cluster.all_ready())
-        self.assertEqual("in-force", cluster.change("core-5", "o2", {"a": "2"}, base=1).status)
+        self.assertEqual(
+            "in-force", cluster.change("core-5", "o2", {"a": "2"}, base_version=1).status
+        )
 
-    def test_a_lost_disk_has_no_vote_until_it_copied_everything(self) -> None:
+    def test_a_core_that_lost_its_disk_has_no_vote_until_it_has_copied_every_record(self) -> None:
         cluster = Cluster(nodes=3).run_until_ready()
         cluster.change("core-1", "o1", {"a": "1"})
         cluster.kill("core-2")
@@ -224,7 +228,7 @@
         self.assertTrue(cluster.core("core-2").state(cluster.now).voting)
         self.assertEqual(["core-1", "core-2", "core-3"], self.replicas(cluster, "core-1"))
 
-    def test_a_majority_of_empty_disks_creates_nothing(self) -> None:
+    def test_cores_that_lost_their_disks_do_not_create_a_second_cluster(self) -> None:
         cluster = Cluster(nodes=3).run_until_ready()
         cluster.change("core-1", "o1", {"a": "1"})
         for core in CORES:
@@ -236,7 +240,7 @@
         self.assertEqual("not-confirmed", cluster.change("core-1", "o2", {"a": "2"}).status)
         self.assertIn(2011, [log.number for _, _, log in cluster.logs])
 
-    def test_nodes_give_back_what_every_disk_lost(self) -> None:
+    def test_a_recovery_restores_from_nodes_what_every_disk_lost(self) -> None:
         cluster = Cluster(nodes=3).run_until_ready()
         cluster.run(5.0)
         cluster.change("core-1", "o1", {"a": "1"})
@@ -247,7 +251,7 @@
         for core in CORES:
             cluster.start_core(core, bootstrap=True, recover=True)
         cluster.run(20.0)
-        result = cluster.change("core-1", "o2", {"b": "2"}, base=1)
+        result = cluster.change("core-1", "o2", {"b": "2"}, base_version=1)
         self.assertEqual(("in-force", 2), (result.status, result.version))
         self.assertEqual({"a": b"1", "b": b"2"}, cluster.node("node-1").intent().rows)
         self.assertGreaterEqual(epoch, 1)
