--- a/src/zincvale/coordination/changes.py
+++ b/src/zincvale/coordination/changes.py
@@ -67,7 +67,7 @@
 
 @attrs.define
 class ChangeNotifications:
-    """Keys, topics, roles and members that changed since the reader last took notifications."""
+    """Keys, topics and roles that changed since the last `take`, and whether members changed."""
 
     keys: set[str] = attrs.field(factory=set)
     topics: set[str] = attrs.field(factory=set)
--- a/src/zincvale/coordination/core/context.py
+++ b/src/zincvale/coordination/core/context.py
@@ -90,9 +90,9 @@
         Otherwise, cores of the majority that chose a change could still grant leases under the
         previous replicas.
         """
-        before = self.replica_sets
+        previous = self.replica_sets
         self.replica_sets = decode_replica_sets(version, rows)
-        for member in before.cores.keys() - self.replica_sets.cores.keys():
+        for member in previous.cores.keys() - self.replica_sets.cores.keys():
             self.cores.remove_core(member)
         for row in self.replica_sets.cores.values():
             self.cores.add_core(row.info)
--- a/src/zincvale/coordination/core/messages.py
+++ b/src/zincvale/coordination/core/messages.py
@@ -49,8 +49,8 @@
     """Whether the sender could become a replica: it has no vote and its disk accepts writes."""
     keys: list[KeyStatus]
     heard: dict[str, str]
-    """Incarnations of the cores whose heartbeats the sender received, by member. They prove to such
-    a core that this heartbeat was sent after its start."""
+    """Incarnations of the cores whose heartbeats the sender received, by member. They prove to each
+    of these cores that this heartbeat was sent after its start."""
     topics: dict[str, TopicPosition]
     leaving: bool = False
     """Whether the sender was asked to stop: it owns no key, holds no role and may be replaced."""
--- a/src/zincvale/coordination/core/tick.py
+++ b/src/zincvale/coordination/core/tick.py
@@ -72,7 +72,7 @@
 ) -> list[Effect]:
     position = chosen.record.position
     if not components.member_leases.caught_up:
-        # Other cores do not grant leases before a heartbeat reports that this core owns the key.
+        # Other cores grant leases only once a heartbeat reports that this core owns the key.
         components.heartbeats.send_soon(now)
     components.chosen_values.record_chosen(key, position.version, chosen.record.rows, now)
     effects = components.context.to_other_cores(Chosen(key, position))
--- a/src/zincvale/coordination/registers/change_batch.py
+++ b/src/zincvale/coordination/registers/change_batch.py
@@ -44,11 +44,11 @@
     def add(self, token: str, proposal: ProposeChange) -> ChangeResult | None:
         """Evaluate a change; return its rejection, or None if the change was accepted."""
         digest = change_digest(proposal)
-        known = self._entry_by_key.get(proposal.idempotency_key)
-        if known is None:
-            known = self._record.idempotency_entries.get(proposal.idempotency_key)
-        if known is not None:
-            return self._accept_resent(token, known, digest)
+        previous = self._entry_by_key.get(proposal.idempotency_key)
+        if previous is None:
+            previous = self._record.idempotency_entries.get(proposal.idempotency_key)
+        if previous is not None:
+            return self._accept_resent(token, previous, digest)
         if proposal.base_version is not None and proposal.base_version != self._version:
             return ChangeResult(
                 CONFLICT,
@@ -83,16 +83,16 @@
         return record, update
 
     def _accept_resent(
-        self, token: str, known: IdempotencyEntry, digest: str
+        self, token: str, previous: IdempotencyEntry, digest: str
     ) -> ChangeResult | None:
-        if known.digest != digest:
+        if previous.digest != digest:
             return ChangeResult(
                 INVALID,
                 current_version=self._version,
-                problem=f"order id {known.idempotency_key!r} was already used for another change",
+                problem=f"order id {previous.idempotency_key!r} was used for another change",
                 remedy="send a new change under a new order id",
             )
-        self.accepted.append(AcceptedProposal(token, known.version))
+        self.accepted.append(AcceptedProposal(token, previous.version))
         return None
 
     def _apply(
--- a/src/zincvale/coordination/registers/messages.py
+++ b/src/zincvale/coordination/registers/messages.py
@@ -94,7 +94,7 @@
 @peer_message("register.confirmed")
 @attrs.frozen
 class EpochConfirmed:
-    """Confirms that no epoch above `epoch` was promised on the sender's `disk` at the response."""
+    """Confirms that the sender's `disk` had no promise above `epoch` when the sender responded."""
 
     key: str
     disk: str
--- a/src/zincvale/coordination/registers/ownership.py
+++ b/src/zincvale/coordination/registers/ownership.py
@@ -1,4 +1,4 @@
-"""Decides when this core takes a key: when no core claimed the key for a timeout.
+"""Decides when this core takes a key: when no core has claimed the key for a timeout.
 
 Owners claim their keys in their heartbeats. The live candidates are ranked by rendezvous hashing,
 which spreads the keys over the cores. The first candidate takes a key that has no owner; each
@@ -17,8 +17,8 @@
 from zincvale.model.machine import Effect
 
 RETRY_JITTER_S = 0.4
-"""Maximum random delay added to a retry. Without it, two candidates could end each other's attempts
-again and again."""
+"""Maximum random delay that is added before a retry. Without it, two candidates could end each
+other's attempts again and again."""
 UNOWNED_KEY_WAIT_S = 0.05
 """Time without a claim after which the first candidate takes a key when every other replica of the
 key has reported that it does not own the key."""
@@ -57,7 +57,7 @@
         return effects
 
     def tick(self, now: float) -> list[Effect]:
-        """Take the keys that have no owner and for which this core is the candidate."""
+        """Take the keys that have had no owner for as long as this core must wait."""
         if not self._context.is_voting() or self._context.leaving:
             return []
         effects: list[Effect] = []
@@ -86,13 +86,13 @@
         )
 
     def _record_claim(self, sender: MemberId, key_status: KeyStatus, now: float) -> None:
-        claimed = key_status.owned_epoch
-        if claimed is None:
+        claimed_epoch = key_status.owned_epoch
+        if claimed_epoch is None:
             return
-        known = self._claims.get(key_status.key)
-        if known is not None and claimed < known[0]:
+        previous_claim = self._claims.get(key_status.key)
+        if previous_claim is not None and claimed_epoch < previous_claim[0]:
             return
-        self._claims[key_status.key] = (claimed, sender)
+        self._claims[key_status.key] = (claimed_epoch, sender)
         self._claimed_at[key_status.key] = now
 
     def _should_take(self, key: str, owner: RegisterOwner, now: float) -> bool:
@@ -130,7 +130,7 @@
         return True
 
     def _is_configuration_known(self, key: str) -> bool:
-        """Whether the key's replicas are known from its record or from a chosen replica set."""
+        """Whether the key's replicas are known, from its record or from the chosen replica sets."""
         if self._context.replica.state(key).record.config.replicas:
             return True
         chosen = self._context.chosen_version(REPLICA_SETS_KEY) > 0
--- a/src/zincvale/coordination/registers/record_codec.py
+++ b/src/zincvale/coordination/registers/record_codec.py
@@ -65,12 +65,12 @@
 
 
 def encode_snapshot(state: StoredKeyState) -> bytes:
-    """Return a file content that holds the complete state."""
+    """Return the content of a file that stores the complete state."""
     return SNAPSHOT_MARK + _encode(state.promised, state.record.to_update())
 
 
 def encode_delta(promised: Epoch, update: RecordUpdate) -> bytes:
-    """Return a file content that holds the difference from the state of the previous file."""
+    """Return the content of a file that stores the difference from the previous file's state."""
     return DELTA_MARK + _encode(promised, update)
 
 
@@ -84,40 +84,40 @@
     """
     state = StoredKeyState()
     for content in contents:
-        plain = _decode(content[1:])
-        position = _position(plain["position"])
+        fields = _decode(content[1:])
+        position = _position(fields["position"])
         is_snapshot = content[:1] == SNAPSHOT_MARK
         update = RecordUpdate(
             position=position,
             base=None if is_snapshot else state.record.position,
-            config=ReplicaConfig(plain["replicas"], plain["previous"]),
-            puts=plain["puts"],
-            deletes=plain["deletes"],
-            idempotency_entries=[_idempotency_entry(entry) for entry in plain["orders"]],
+            config=ReplicaConfig(fields["replicas"], fields["previous"]),
+            puts=fields["puts"],
+            deletes=fields["deletes"],
+            idempotency_entries=[_idempotency_entry(entry) for entry in fields["orders"]],
         )
         record = apply_update(state.record, update)
         if record is None:
             raise ValueError("a delta file cannot be applied to the record before it")
-        state = StoredKeyState(_epoch(plain["promised"]), record)
+        state = StoredKeyState(_epoch(fields["promised"]), record)
     return state
 
 
 def _encode(promised: Epoch, update: RecordUpdate) -> bytes:
     buffer = io.BytesIO()
-    plain = {
+    fields = {
         "position": attrs.asdict(update.position),
         "promised": attrs.asdict(promised),
         "replicas": update.config.replicas,
         "previous": update.config.previous,
         "puts": update.puts,
         "deletes": update.deletes,
-        "orders": [_plain_entry(entry) for entry in update.idempotency_entries],
+        "orders": [_entry_fields(entry) for entry in update.idempotency_entries],
     }
-    fastavro.schemaless_writer(buffer, _FILE_SCHEMA, plain)
+    fastavro.schemaless_writer(buffer, _FILE_SCHEMA, fields)
     return buffer.getvalue()
 
 
-def _plain_entry(entry: IdempotencyEntry) -> dict[str, Any]:
+def _entry_fields(entry: IdempotencyEntry) -> dict[str, Any]:
     return {
         "order_id": entry.idempotency_key,
         "version": entry.version,
@@ -125,17 +125,17 @@
     }
 
 
-def _idempotency_entry(plain: dict[str, Any]) -> IdempotencyEntry:
-    return IdempotencyEntry(plain["order_id"], plain["version"], plain["digest"])
+def _idempotency_entry(fields: dict[str, Any]) -> IdempotencyEntry:
+    return IdempotencyEntry(fields["order_id"], fields["version"], fields["digest"])
 
 
 def _decode(body: bytes) -> Any:
     return fastavro.schemaless_reader(io.BytesIO(body), _FILE_SCHEMA, None)
 
 
-def _epoch(plain: dict[str, Any]) -> Epoch:
-    return Epoch(plain["number"], plain["owner"])
+def _epoch(fields: dict[str, Any]) -> Epoch:
+    return Epoch(fields["number"], fields["owner"])
 
 
-def _position(plain: dict[str, Any]) -> Position:
-    return Position(_epoch(plain["epoch"]), plain["version"])
+def _position(fields: dict[str, Any]) -> Position:
+    return Position(_epoch(fields["epoch"]), fields["version"])
--- a/src/zincvale/coordination/replication/replica_set_reconciler.py
+++ b/src/zincvale/coordination/replication/replica_set_reconciler.py
@@ -26,8 +26,8 @@
 CHECK_INTERVAL_S = 0.25
 """Interval between two checks of the live cores; limits how late a change is proposed."""
 LEASE_EXPIRY_FACTOR = 1.2
-"""Multiple of the longest lease lifetime after which all leases of the old replicas have expired.
-It includes a margin."""
+"""Multiple of the longest lease lifetime after which all leases of the old replicas have expired;
+the excess over 1 is a margin."""
 REMOVE_CORE_AFTER_S = 60.0
 """Time after which an unresponsive core without replicas is removed from the declared cores."""
 
