--- a/src/zincvale/coordination/registers/proposal_router.py
+++ b/src/zincvale/coordination/registers/proposal_router.py
@@ -79,8 +79,10 @@
     def propose(self, token: str, proposal: ProposeChange, now: float) -> list[Effect]:
         """Route a change from a local caller."""
         if proposal.key not in self._owners:
-            problem = f"key {proposal.key!r} does not exist"
-            return [Reply(token, ChangeResult(INVALID, problem=problem, remedy="name a key"))]
+            problem = f"there is no key {proposal.key!r}"
+            return [
+                Reply(token, ChangeResult(INVALID, problem=problem, remedy="name an existing key"))
+            ]
         deadline = now + self._context.config.timings.change_timeout_s
         pending = _PendingProposal(proposal, deadline, is_from_other_core=False)
         self._pending[token] = pending
