--- a/src/zincvale/coordination/core/components.py
+++ b/src/zincvale/coordination/core/components.py
@@ -78,7 +78,7 @@
             timings, context.values, context.members, context.topics
         )
         self.topic_replicator = TopicReplicator(context, self.long_poll_server)
-        self.heartbeats = HeartbeatSender(context, self.owners, self.leader_election.granted_here)
+        self.heartbeats = HeartbeatSender(context, self.owners, self.leader_election.granted_roles)
 
     def is_isolated(self, now: float) -> bool:
         """Whether this core and the cores that it hears do not form a majority of the cores."""
--- a/src/zincvale/coordination/core/machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -128,14 +128,14 @@
                 return self._shut_down(now)
             case ClockJumped(gap_s):
                 dropped = Log(log_events.CLOCK_JUMPED, {"gap_s": round(gap_s, 3)})
-                return [dropped, *components.leader_election.drop_all(now)]
+                return [dropped, *components.leader_election.give_up_all_leases(now)]
         return []
 
     def _shut_down(self, now: float) -> list[Effect]:
         """Give up every key and role of this process and report it in a heartbeat at once."""
         self._context.leaving = True
         self._components.ownership.resign()
-        effects = self._components.leader_election.release_all(now)
+        effects = self._components.leader_election.release_all_leases(now)
         self._components.heartbeats.send_now()
         return [*effects, *self._components.heartbeats.tick(now)]
 
@@ -196,8 +196,10 @@
 
     def applied_versions(self, key: str) -> dict[MemberId, int]:
         """Return the version of `key` that each node with a live lease last reported as applied."""
-        rows = self._components.member_leases.grantor.rows
-        return {MemberId(member): row.applied_versions.get(key, 0) for member, row in rows.items()}
+        leases = self._components.member_leases.grantor.leases
+        return {
+            MemberId(member): lease.applied_versions.get(key, 0) for member, lease in leases.items()
+        }
 
     def role_holders(self, now: float) -> dict[str, tuple[MemberId | None, int]]:
         """Return the holder and epoch of each singleton role, as last granted by this core."""
--- a/src/zincvale/coordination/core/tick.py
+++ b/src/zincvale/coordination/core/tick.py
@@ -78,7 +78,7 @@
     effects = components.context.to_other_cores(Chosen(key, position))
     for proposal in chosen.accepted:
         if key in DELIVERED_KEYS:
-            components.member_leases.applied_versions.trackers[key].wait(
+            components.member_leases.applied_versions.trackers[key].add_pending(
                 PendingChange(proposal.token, proposal.version)
             )
             continue
--- a/src/zincvale/coordination/delivery/applied_versions.py
+++ b/src/zincvale/coordination/delivery/applied_versions.py
@@ -41,7 +41,7 @@
     def take_rolled_out(self, key: str) -> list[PendingChange]:
         """Remove and return the pending changes of `key` whose versions are rolled out."""
         tracker = self.trackers[key]
-        if not tracker.is_stale:
+        if not tracker.needs_update:
             return []
         rules = QuorumRules(
             grantors=self._context.replica_sets.grantors(),
@@ -58,7 +58,7 @@
     def on_rules_changed(self) -> None:
         """Mark every tracker for an update, because the replica sets or the registry changed."""
         for tracker in self.trackers.values():
-            tracker.is_stale = True
+            tracker.needs_update = True
 
     def tick(self, now: float) -> list[Effect]:
         """Report what changed; send full reports at an interval, because reports may be lost."""
--- a/src/zincvale/coordination/delivery/rollout.py
+++ b/src/zincvale/coordination/delivery/rollout.py
@@ -69,23 +69,23 @@
         self._reports: dict[MemberId, AppliedVersionsReport] = {}
         self.pending: list[PendingChange] = []
         self.version = 0
-        self.is_stale = False
+        self.needs_update = False
         """Whether reports or pending changes were added since the last `update`, or the rules may
         have changed."""
 
     def record_report(self, sender: MemberId, report: AppliedVersionsReport) -> None:
         """Record a core's report in place of its previous one."""
         self._reports[sender] = report
-        self.is_stale = True
+        self.needs_update = True
 
-    def wait(self, change: PendingChange) -> None:
+    def add_pending(self, change: PendingChange) -> None:
         """Add a change that waits until its version is rolled out."""
         self.pending.append(change)
-        self.is_stale = True
+        self.needs_update = True
 
     def update(self, rules: QuorumRules) -> list[PendingChange]:
         """Update the rolled-out version; remove and return the pending changes it covers."""
-        self.is_stale = False
+        self.needs_update = False
         for version in sorted({report.version for report in self._reports.values()}, reverse=True):
             if version <= self.version:
                 break
--- a/src/zincvale/coordination/election/leader_election.py
+++ b/src/zincvale/coordination/election/leader_election.py
@@ -91,18 +91,18 @@
         last_grants.update(self._grantor.last_granted(now))
         return last_grants
 
-    def granted_here(self, now: float) -> list[str]:
+    def granted_roles(self, now: float) -> list[str]:
         """Return the roles for which a grant by this core is live."""
-        granted = self._grantor.last_granted(now)
-        return [role for role, (holder, _) in granted.items() if holder is not None]
+        last_grants = self._grantor.last_granted(now)
+        return [role for role, (holder, _) in last_grants.items() if holder is not None]
 
-    def drop_all(self, now: float) -> list[Effect]:
+    def give_up_all_leases(self, now: float) -> list[Effect]:
         """Give up every lease without notifying the grantors; used after a jump of the clock."""
         for holder in self._holders.values():
             holder.give_up(now + self._context.config.timings.role_renew_s)
         return self._record_leadership_changes(now)
 
-    def release_all(self, now: float) -> list[Effect]:
+    def release_all_leases(self, now: float) -> list[Effect]:
         """Give up every lease and notify the grantors, so that others need not wait for its end."""
         effects: list[Effect] = []
         for role, holder in self._holders.items():
--- a/src/zincvale/coordination/leases/lease_grantor.py
+++ b/src/zincvale/coordination/leases/lease_grantor.py
@@ -10,7 +10,7 @@
 - Renewals may arrive out of order. A renewal older than one already received is ignored: the node
   may have given evidence of a partition between the two, which the older renewal does not report.
 - A node may apply a version after it sent its renewal, and then use an older grant that was not
-  valid for it before. `LeaseRow.assured_version` therefore uses the lowest requirement of all
+  valid for it before. `GrantedLease.assured_version` therefore uses the lowest requirement of all
   grants that may still be in use.
 - A restarted node starts a new lease while its former process may still serve on the old one. The
   old lease is kept until its grants have expired.
@@ -30,7 +30,7 @@
 
 
 @attrs.define
-class LeaseRow:
+class GrantedLease:
     """The lease that this core granted to one node."""
 
     info: MemberInfo
@@ -80,8 +80,8 @@
         self._timings = timings
         self._lifetime_s = timings.lease_ttl_s * CLOCK_RATE_ALLOWANCE
         self._earlier_leases_until = earlier_leases_until
-        self.rows: dict[str, LeaseRow] = {}
-        self._replaced_leases: list[LeaseRow] = []
+        self.leases: dict[str, GrantedLease] = {}
+        self._replaced_leases: list[GrantedLease] = []
         """Leases of former processes of restarted nodes, which may still be in use."""
         self._chosen_versions: dict[str, _ChosenVersion] = {}
         self._stale_members: dict[str, set[str]] = {}
@@ -96,8 +96,8 @@
         self._chosen_versions[key] = _ChosenVersion(version, now)
         self._stale_members[key] = {
             member
-            for member, row in self.rows.items()
-            if row.applied_versions.get(key, 0) < version
+            for member, lease in self.leases.items()
+            if lease.applied_versions.get(key, 0) < version
         }
         self.applied_versions_changed = True
 
@@ -110,23 +110,23 @@
         ignored: the node may have given evidence of a partition between the two.
         """
         member = renewal.info.member
-        before = self.rows.get(member)
+        before = self.leases.get(member)
         if (
             before is not None
             and renewal.requested_at < before.requested_at
             and now < before.granted_until
         ):
             return dict(newest_versions)
-        row = self._extended_lease(before, renewal, now)
+        extended = self._extended_lease(before, renewal, now)
         granted_until = now + self._lifetime_s
-        if row is None:
+        if extended is None:
             applied = renewal.applied_versions
             required, previous, previous_until = dict(newest_versions), newest_versions, now
         else:
-            applied = _highest_versions(row.applied_versions, renewal.applied_versions)
-            required = row.required | self._overdue_versions(renewal.applied_versions, now)
-            previous, previous_until = _previous_requirements(row, required, now)
-        after = LeaseRow(
+            applied = _highest_versions(extended.applied_versions, renewal.applied_versions)
+            required = extended.required | self._overdue_versions(renewal.applied_versions, now)
+            previous, previous_until = _previous_requirements(extended, required, now)
+        after = GrantedLease(
             info=renewal.info,
             requested_at=renewal.requested_at,
             granted_until=granted_until,
@@ -137,16 +137,18 @@
             ready=renewal.ready,
             may_confirm=renewal.may_confirm,
         )
-        self.rows[member] = after
+        self.leases[member] = after
         self._record_changes(member, before, after)
         return required
 
     def expire(self, now: float) -> None:
         """Remove the leases whose grants have all expired."""
-        self._replaced_leases = [row for row in self._replaced_leases if now < row.granted_until]
-        expired = [member for member, row in self.rows.items() if now >= row.granted_until]
+        self._replaced_leases = [
+            lease for lease in self._replaced_leases if now < lease.granted_until
+        ]
+        expired = [member for member, lease in self.leases.items() if now >= lease.granted_until]
         for member in expired:
-            del self.rows[member]
+            del self.leases[member]
             for stale_members in self._stale_members.values():
                 stale_members.discard(member)
         if expired:
@@ -165,25 +167,25 @@
         """
         if now < self._earlier_leases_until:
             return 0
-        rows = [*self.rows.values(), *self._replaced_leases]
-        applied = [row.assured_version(key, now) for row in rows if now < row.granted_until]
+        leases = [*self.leases.values(), *self._replaced_leases]
+        applied = [lease.assured_version(key, now) for lease in leases if now < lease.granted_until]
         return min([chosen, *applied])
 
     def confirming_nodes(self, versions: dict[str, int], now: float) -> list[str]:
         """Return the nodes with a live lease that have applied `versions` and may confirm them."""
         return [
             member
-            for member, row in self.rows.items()
-            if row.may_confirm
-            and now < row.granted_until
+            for member, lease in self.leases.items()
+            if lease.may_confirm
+            and now < lease.granted_until
             and all(
-                row.applied_versions.get(key, 0) >= version for key, version in versions.items()
+                lease.applied_versions.get(key, 0) >= version for key, version in versions.items()
             )
         ]
 
     def _extended_lease(
-        self, before: LeaseRow | None, renewal: RenewLease, now: float
-    ) -> LeaseRow | None:
+        self, before: GrantedLease | None, renewal: RenewLease, now: float
+    ) -> GrantedLease | None:
         """Return the lease that this renewal extends; None when the renewal starts a new one."""
         if before is None:
             return None
@@ -192,7 +194,9 @@
             return None
         return before if now < before.granted_until else None
 
-    def _record_changes(self, member: str, before: LeaseRow | None, after: LeaseRow) -> None:
+    def _record_changes(
+        self, member: str, before: GrantedLease | None, after: GrantedLease
+    ) -> None:
         for key, chosen in self._chosen_versions.items():
             if after.applied_versions.get(key, 0) >= chosen.version:
                 self._stale_members[key].discard(member)
@@ -218,13 +222,13 @@
 
 
 def _previous_requirements(
-    row: LeaseRow, required: dict[str, int], now: float
+    lease: GrantedLease, required: dict[str, int], now: float
 ) -> tuple[dict[str, int], float]:
     """Return the lowest requirement of the grants older than the new one, and when they expire."""
-    if required == row.required:
-        return row.previous_required, row.previous_until
-    lowest = row.previous_required if now < row.previous_until else row.required
-    return lowest, row.granted_until
+    if required == lease.required:
+        return lease.previous_required, lease.previous_until
+    lowest = lease.previous_required if now < lease.previous_until else lease.required
+    return lowest, lease.granted_until
 
 
 def _highest_versions(first: dict[str, int], second: dict[str, int]) -> dict[str, int]:
--- a/src/zincvale/coordination/membership/member_table.py
+++ b/src/zincvale/coordination/membership/member_table.py
@@ -32,12 +32,12 @@
                 self._grantor.members_changed,
                 changed_nodes,
             )
-        if changed_nodes and len(self._grantor.rows) > SMALL_TABLE_MAX_NODES:
+        if changed_nodes and len(self._grantor.leases) > SMALL_TABLE_MAX_NODES:
             self._update_nodes_at = now + LARGE_TABLE_INTERVAL_S
         for member in changed_nodes:
-            row = self._grantor.rows.get(member)
-            if row is not None:
-                self._put_if_changed(member, encode_member(row.info, row.ready), puts)
+            lease = self._grantor.leases.get(member)
+            if lease is not None:
+                self._put_if_changed(member, encode_member(lease.info, lease.ready), puts)
             elif member in self._context.members.rows:
                 deletes.append(member)
         if not puts and not deletes:
--- a/src/zincvale/coordination/membership/registry_reconciler.py
+++ b/src/zincvale/coordination/membership/registry_reconciler.py
@@ -47,10 +47,10 @@
         if registry.is_change_open(registry_rows):
             return registry.close_change() if is_rolled_out else None
         nodes_to_add = [
-            row.info
-            for member, row in self._grantor.rows.items()
-            if now < row.granted_until
-            and _differs_from_registry(row.info, registry_rows.get(member))
+            lease.info
+            for member, lease in self._grantor.leases.items()
+            if now < lease.granted_until
+            and _differs_from_registry(lease.info, registry_rows.get(member))
         ]
         nodes_to_remove = self._nodes_to_remove(registry_rows, now)
         return (
@@ -66,7 +66,7 @@
         self._invite_at = now + INVITATION_INTERVAL_S
         effects: list[Effect] = []
         for node, value in self._registry_rows().items():
-            if node in self._grantor.rows:
+            if node in self._grantor.leases:
                 continue
             if self._context.cores.address_of(MemberId(node)) is None:
                 address = Address(registry.decode_row(value).peer_address)
@@ -80,13 +80,13 @@
 
     def _nodes_to_remove(self, registry_rows: Rows, now: float) -> list[str]:
         """Return the registered nodes that had no lease for more than `node_deregister_s`."""
-        for member in self._grantor.rows:
+        for member in self._grantor.leases:
             self._without_lease_since.pop(member, None)
         limit_s = self._context.config.timings.node_deregister_s
         return [
             member
             for member in registry_rows
-            if member not in self._grantor.rows
+            if member not in self._grantor.leases
             and now - self._without_lease_since.setdefault(member, now) > limit_s
         ]
 
--- a/src/zincvale/simulator/mutations/leases.py
+++ b/src/zincvale/simulator/mutations/leases.py
@@ -31,11 +31,11 @@
 
     def always_stale(self: Any, change: Any) -> None:
         self.pending.append(change)
-        self.is_stale = True
+        self.needs_update = True
 
     with (
         mock.patch.object(RolloutTracker, "update", at_once),
-        mock.patch.object(RolloutTracker, "wait", always_stale),
+        mock.patch.object(RolloutTracker, "add_pending", always_stale),
     ):
         yield
 
