--- a/src/zincvale/coordination/core/dispatch.py
+++ b/src/zincvale/coordination/core/dispatch.py
@@ -109,7 +109,7 @@
         case UnchangedHeartbeat():
             return _handle_unchanged_heartbeat(components, sender, message, now)
         case RequestHeartbeat():
-            components.heartbeats.send_full_to(sender, now)
+            components.heartbeats.schedule_full_to(sender, now)
         case CreateCluster():
             return components.cluster_creation.handle(sender, message, now)
         case RequestCores():
@@ -131,7 +131,7 @@
     match message:
         case RenewLease():
             response = _renew(components, message, now)
-            return [Send(sender, response), *components.member_leases.report_if_complete(now)]
+            return [Send(sender, response), *components.member_leases.report_if_all_applied(now)]
         case RelayedRenewal(renewal):
             return _handle_relayed_renewal(components, sender, renewal, now)
         case RelayedRenewals():
@@ -180,7 +180,7 @@
     previous = components.context.cores.live(now).get(sender)
     is_new = previous is None or previous.info.incarnation != heartbeat.info.incarnation
     if is_new:
-        components.heartbeats.send_full_to(sender, now)
+        components.heartbeats.schedule_full_to(sender, now)
     components.context.cores.record_heartbeat(sender, heartbeat, now)
     if (
         is_new
@@ -189,7 +189,7 @@
         # The sender does not know this process yet, or does not know that its heartbeats arrive
         # here. Taking keys and granting roles depend on what the cores report about each other, so
         # a heartbeat is sent soon instead of at the next interval.
-        components.heartbeats.send_soon(now)
+        components.heartbeats.schedule_soon(now)
     components.cluster_creation.record_existing_cluster(heartbeat.cluster_incarnation)
     effects = components.ownership.handle_heartbeat(sender, heartbeat, now)
     effects.extend(components.chosen_values.handle_heartbeat(sender, heartbeat, now))
@@ -214,7 +214,7 @@
     if not isinstance(response, LeaseGranted):
         return [Reply(token, response)]
     effects = components.renewal_batcher.add(token, renewal, response, now)
-    return [*effects, *components.member_leases.report_if_complete(now)]
+    return [*effects, *components.member_leases.report_if_all_applied(now)]
 
 
 def _handle_renewal_batch(
@@ -225,7 +225,10 @@
         response = _renew(components, renewal, now)
         if isinstance(response, LeaseGranted):
             grants.append(NodeGrant(renewal.info.member, response))
-    return [Send(sender, RelayedGrants(grants)), *components.member_leases.report_if_complete(now)]
+    return [
+        Send(sender, RelayedGrants(grants)),
+        *components.member_leases.report_if_all_applied(now),
+    ]
 
 
 def _handle_relayed_renewal(
@@ -235,7 +238,7 @@
     if not isinstance(response, LeaseGranted):
         return []
     grant = RelayedGrant(renewal.info.member, components.context.own_id, response)
-    return [Send(sender, grant), *components.member_leases.report_if_complete(now)]
+    return [Send(sender, grant), *components.member_leases.report_if_all_applied(now)]
 
 
 def _propose_replacement(
--- a/src/zincvale/coordination/core/machine.py
+++ b/src/zincvale/coordination/core/machine.py
@@ -136,7 +136,7 @@
         self._context.leaving = True
         self._components.ownership.resign()
         effects = self._components.leader_election.release_all_leases(now)
-        self._components.heartbeats.send_now()
+        self._components.heartbeats.schedule_immediately()
         return [*effects, *self._components.heartbeats.tick(now)]
 
     # --- queries --------------------------------------------------------------------------
--- a/src/zincvale/coordination/core/queries.py
+++ b/src/zincvale/coordination/core/queries.py
@@ -48,7 +48,7 @@
             owner=str(ownership.owner_of(key, now) or ""),
             epoch=context.replica.state(key).promised.number,
             chosen_version=chosen,
-            in_force_version=tracker.version if tracker is not None else chosen,
+            in_force_version=tracker.rolled_out_version if tracker is not None else chosen,
         )
         states.append(state)
     return states
--- a/src/zincvale/coordination/core/tick.py
+++ b/src/zincvale/coordination/core/tick.py
@@ -46,7 +46,7 @@
     effects.extend(components.long_poll_server.respond_if_due(now))
     effects.extend(components.renewal_batcher.forward_if_due(now))
     for key in DELIVERED_KEYS:
-        for change in components.member_leases.applied_versions.take_rolled_out(key):
+        for change in components.member_leases.applied_versions.take_rolled_out_changes(key):
             chosen_version = components.context.chosen_version(key)
             result = ChangeResult(IN_FORCE, change.version, chosen_version)
             effects.extend(components.proposal_router.finish(change.token, result, now))
@@ -73,7 +73,7 @@
     position = chosen.record.position
     if not components.member_leases.caught_up:
         # Other cores grant leases only once a heartbeat reports that this core owns the key.
-        components.heartbeats.send_soon(now)
+        components.heartbeats.schedule_soon(now)
     components.chosen_values.record_chosen(key, position.version, chosen.record.rows, now)
     effects = components.context.to_other_cores(Chosen(key, position))
     for proposal in chosen.accepted:
@@ -140,7 +140,7 @@
 def _reconcile_registry(components: CoreComponents, now: float) -> list[Effect]:
     if not components.owners[REGISTRY_KEY].is_serving():
         return []
-    change = components.member_leases.registry_change(now)
+    change = components.member_leases.next_registry_change(now)
     return _propose_internal(components, REGISTRY_KEY, change, now)
 
 
--- a/src/zincvale/coordination/delivery/applied_versions.py
+++ b/src/zincvale/coordination/delivery/applied_versions.py
@@ -38,7 +38,7 @@
         if tracker is not None:
             tracker.record_report(sender, report)
 
-    def take_rolled_out(self, key: str) -> list[PendingChange]:
+    def take_rolled_out_changes(self, key: str) -> list[PendingChange]:
         """Remove and return the pending changes of `key` whose versions are rolled out."""
         tracker = self.trackers[key]
         if not tracker.needs_update:
@@ -53,7 +53,7 @@
 
     def is_rolled_out(self, key: str) -> bool:
         """Whether the newest chosen version of `key` is rolled out."""
-        return self.trackers[key].version >= self._context.chosen_version(key)
+        return self.trackers[key].rolled_out_version >= self._context.chosen_version(key)
 
     def on_rules_changed(self) -> None:
         """Mark every tracker for an update, because the replica sets or the registry changed."""
--- a/src/zincvale/coordination/delivery/rollout.py
+++ b/src/zincvale/coordination/delivery/rollout.py
@@ -68,7 +68,7 @@
         self._strict = strict
         self._reports: dict[MemberId, AppliedVersionsReport] = {}
         self.pending: list[PendingChange] = []
-        self.version = 0
+        self.rolled_out_version = 0
         self.needs_update = False
         """Whether reports or pending changes were added since the last `update`, or the rules may
         have changed."""
@@ -87,13 +87,17 @@
         """Update the rolled-out version; remove and return the pending changes it covers."""
         self.needs_update = False
         for version in sorted({report.version for report in self._reports.values()}, reverse=True):
-            if version <= self.version:
+            if version <= self.rolled_out_version:
                 break
             if self._is_applied_everywhere(version, rules):
-                self.version = version
+                self.rolled_out_version = version
                 break
-        rolled_out = [change for change in self.pending if change.version <= self.version]
-        self.pending = [change for change in self.pending if change.version > self.version]
+        rolled_out = [
+            change for change in self.pending if change.version <= self.rolled_out_version
+        ]
+        self.pending = [
+            change for change in self.pending if change.version > self.rolled_out_version
+        ]
         return rolled_out
 
     def _is_applied_everywhere(self, version: int, rules: QuorumRules) -> bool:
--- a/src/zincvale/coordination/leases/core_leases.py
+++ b/src/zincvale/coordination/leases/core_leases.py
@@ -67,7 +67,7 @@
         infos = [row.info for row in self._context.replica_sets.cores.values()]
         return infos if infos else [self._context.info()]
 
-    def report_if_complete(self, now: float) -> list[Effect]:
+    def report_if_all_applied(self, now: float) -> list[Effect]:
         """Report changed applied versions if every node with a lease has all chosen versions."""
         if (
             not self.caught_up
@@ -88,7 +88,7 @@
         invitation_effects = self._registry.invite_nodes_without_lease(self.core_infos(), now)
         return [*self.applied_versions.tick(now), *invitation_effects]
 
-    def registry_change(self, now: float) -> bytes | None:
+    def next_registry_change(self, now: float) -> bytes | None:
         """Return the encoded change of the registry to propose next; None if none is due."""
         if not self.caught_up:
             return None
--- a/src/zincvale/coordination/membership/heartbeats.py
+++ b/src/zincvale/coordination/membership/heartbeats.py
@@ -49,18 +49,18 @@
         self._sent_full_to: set[MemberId] = set()
         """The cores that the newest heartbeat was sent to in full."""
 
-    def send_now(self) -> None:
+    def schedule_immediately(self) -> None:
         """Make the heartbeat due at the next tick, regardless of the minimum interval."""
         self._due_at = self._context.started_at
 
-    def send_soon(self, now: float) -> None:
+    def schedule_soon(self, now: float) -> None:
         """Make the heartbeat due at the next tick, but `MIN_INTERVAL_S` after the last one."""
         self._due_at = min(self._due_at, max(now, self._sent_at + MIN_INTERVAL_S))
 
-    def send_full_to(self, member: MemberId, now: float) -> None:
+    def schedule_full_to(self, member: MemberId, now: float) -> None:
         """Make the heartbeat due soon, and in full to `member`, which does not have it."""
         self._sent_full_to.discard(member)
-        self.send_soon(now)
+        self.schedule_soon(now)
 
     def tick(self, now: float) -> list[Effect]:
         """Send the heartbeat to the other cores if it is due."""
