--- a/src/zincvale/daemons/control_api_handler.py
+++ b/src/zincvale/daemons/control_api_handler.py
@@ -1,4 +1,4 @@
-"""HTTP binding of the control API: tornado requests in, effects of the pure API machine out."""
+"""HTTP binding of the control API: connects tornado requests to the I/O-free API machine."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class OperatorApi(Protocol):
-    """A pure machine behind the operators' address: `ControlApi` or `DocumentApi`."""
+    """A state machine without I/O that serves the operators' API: `ControlApi` or `DocumentApi`."""
 
     def handle(self, request: ApiRequest, now: float) -> list[ApiEffect]:
-        """Take one request; the response is among the effects now or later."""
+        """Handle one request; its response is among these effects or those of a later call."""
         ...
 
     def on_core_response(self, token: str, message: object) -> list[ApiEffect]:
-        """Take the core's reply to `CallCore(token, ...)`."""
+        """Handle the core's reply to `CallCore(token, ...)`."""
         ...
 
     def on_core_failure(self, token: str, reason: str) -> list[ApiEffect]:
-        """Take notice that `CallCore(token, ...)` failed without a reply."""
+        """Handle the failure of `CallCore(token, ...)`, which got no reply."""
         ...
 
     def abandon(self, token: str) -> None:
@@ -34,7 +34,7 @@
         ...
 
     def on_intent_changed(self, now: float) -> list[ApiEffect]:
-        """Respond to requests that waited for the newest intent."""
+        """Respond to the requests that wait for a newer intent."""
         ...
 
     def tick(self, now: float) -> list[ApiEffect]:
@@ -73,7 +73,7 @@
             self._api.abandon(token)
 
     def intent_changed(self) -> None:
-        """Respond to watches that wait for a newer intent."""
+        """Respond to the requests that wait for a newer intent."""
         self._execute(self._api.on_intent_changed(self._clock()))
 
     def tick(self, now: float) -> None:
@@ -96,13 +96,13 @@
     async def _call_core(self, effect: CallCore) -> None:
         reply = await self._driver.call_local(effect.message)
         if reply is None:
-            self._execute(self._api.on_core_failure(effect.token, "the core gave no answer"))
+            self._execute(self._api.on_core_failure(effect.token, "the core did not reply"))
             return
         self._execute(self._api.on_core_response(effect.token, reply))
 
 
 class HealthHandler(RequestHandler):
-    """`GET /healthz`: the process serves."""
+    """`GET /healthz`: reports that the process is serving."""
 
     def get(self) -> None:
         """Respond 200."""
@@ -110,12 +110,12 @@
 
 
 class ControlHandler(RequestHandler):
-    """Every path of the control API."""
+    """Handles every path of the control API."""
 
     _token = ""
 
     def initialize(self, server: ControlApiServer) -> None:
-        """Set the server that dispatches."""
+        """Set the server that receives the requests."""
         self.server = server
 
     async def prepare(self) -> None:
--- a/src/zincvale/daemons/core_assembly.py
+++ b/src/zincvale/daemons/core_assembly.py
@@ -1,8 +1,9 @@
-"""The assembly of a core process, whatever its operators and servers speak.
+"""The assembly of a core process, independent of the formats of its operators and servers.
 
-`CoreAssembly` holds what all deployments share: files, the coordination machine, the process around
-it, the operators' API, tracing and the tick. `CoreDaemon` (native) and `ForwardingCore` (forwarding
-by documents) add their own components and implement `CoreEventHandler`.
+`CoreAssembly` holds the parts that all deployments share: files, the coordination machine, the
+process around it, the operators' API, tracing and the periodic tick. `CoreDaemon` (native) and
+`ForwardingCore` (forwarding by documents) add their own components and implement
+`CoreEventHandler`.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from zincvale.daemons.control_api_handler import ControlApiServer, OperatorApi
 from zincvale.daemons.core_view import LocalCoreView
 from zincvale.daemons.disk_setup import open_disk
-from zincvale.daemons.http_application import without_access_log
+from zincvale.daemons.http_application import application_without_access_log
 from zincvale.daemons.http_fetch import HttpFetcher
 from zincvale.daemons.leadership_guard import LeadershipGuard
 from zincvale.daemons.placement_runner import PlacementRunner
@@ -39,22 +40,23 @@
 from zincvale.tracing.service import TracingService
 
 DEFAULT_GROUP_SIZE = 3
-"""Replicas of the control state: one may be lost."""
+"""Number of replicas of the control state: with three, one may be lost."""
 COMPONENTS_TICK_MS = 50
-"""Between two ticks of the components; longer ones delay orders to servers."""
+"""Interval between two ticks of the components; a longer one delays orders to servers."""
 
 
 @attrs.frozen(kw_only=True)
 class CoreOptions:
-    """How a core starts.
+    """Options of a core's start.
 
     Attributes
     ----------
-    bootstrap : this start may create the cluster.
-    recover : with `bootstrap`: every disk was lost, and nodes return the state that they store.
+    bootstrap : whether this start may create the cluster.
+    recover : with `bootstrap`, whether every disk was lost: the nodes then return the control state
+        that they store.
     timings : durations of the coordination machine.
-    group_size : replicas of the control state.
-    tick_interval_ms : between two ticks of the coordination machine.
+    group_size : number of replicas of the control state.
+    tick_interval_ms : interval between two ticks of the coordination machine.
     """
 
     bootstrap: bool
@@ -65,23 +67,23 @@
 
 
 class CoreEventHandler(Protocol):
-    """What a deployment's core does when its state changes and when time passes."""
+    """How a deployment's core reacts to changes of its state and to the passage of time."""
 
     def on_intent_changed(self) -> None:
-        """A newer version of the intent was chosen."""
+        """Handle a newer chosen version of the intent."""
         ...
 
     def on_topics_changed(self, topics: set[str]) -> None:
-        """Newer states of these topics were published."""
+        """Handle newer published states of these topics."""
         ...
 
     def on_tick(self, now: float) -> None:
-        """`COMPONENTS_TICK_MS` have passed."""
+        """Handle the tick that comes every `COMPONENTS_TICK_MS`."""
         ...
 
 
 class CoreAssembly:
-    """What every core process consists of; it owns the HTTP connections to servers and the tick.
+    """The parts of every core process; it owns the HTTP connections to servers and the tick.
 
     Parameters
     ----------
@@ -89,8 +91,8 @@
     incarnation : name of this run of the process; seeds the random source.
     options : how this core starts.
     reducer : applies operators' changes to the intent.
-    build_api : returns the operators' API on the view of this core.
-    handler : called with changes and ticks, first after `run` was called.
+    build_api : returns the operators' API, given this core's view of the control state.
+    handler : called with changes and ticks, but not before `run` is called.
     """
 
     def __init__(
@@ -134,7 +136,7 @@
 
     def run(self, placement: PlacementRunner, drain: Drain) -> None:
         """Serve until SIGTERM or SIGINT, then drain; raises `StartupError`."""
-        self.process.listen(without_access_log(self.api.routes()))
+        self.process.listen(application_without_access_log(self.api.routes()))
         placement.start()
         self._ticker.start()
         self.process.run(drain)
@@ -155,7 +157,7 @@
 
 
 def core_config(settings: DaemonSettings, incarnation: str, options: CoreOptions) -> CoreConfig:
-    """Return the coordination machine's configuration of a core."""
+    """Return the configuration of a core's coordination machine."""
     return CoreConfig(
         cluster_id=settings.cluster_id,
         member=MemberId(settings.member_id),
@@ -183,7 +185,7 @@
 
 
 def open_files(settings: DaemonSettings, random_source: random.Random) -> VersionFiles:
-    """Return the files of a core's state in its data folder."""
+    """Return the version files in a core's data folder, which hold its durable state."""
     return VersionFiles(
         Path(settings.data_folder),
         open_disk(settings),
@@ -196,7 +198,10 @@
 def core_tracing(
     settings: DaemonSettings, random_source: random.Random, process: DaemonProcess
 ) -> TracingService:
-    """Return a core's recorder, connected to its peers; a core samples no requests of its own."""
+    """Return a core's tracing service, connected to its peers.
+
+    A core serves no callers, so it samples no requests itself.
+    """
     service = TracingService(
         MemberId(settings.member_id),
         random_source,
--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -45,7 +45,8 @@
     ----------
     settings : the checked settings.
     bootstrap : whether this start may create the cluster.
-    recover : with `bootstrap`: every disk was lost, and nodes return the state that they store.
+    recover : with `bootstrap`, whether every disk was lost: the nodes then return the control state
+        that they store.
     """
 
     def __init__(self, settings: DaemonSettings, *, bootstrap: bool, recover: bool = False) -> None:
@@ -94,7 +95,10 @@
     # --- inputs of the components ---------------------------------------------------------
 
     def on_intent_changed(self) -> None:
-        """Pass the newest intent on; an unreadable one is logged and the last one stays in use."""
+        """Pass the newest intent to the components.
+
+        An unreadable one is logged, and the last readable one stays in use.
+        """
         try:
             intent = self._core.view.intent()
         except ZincvaleError as error:
@@ -105,7 +109,10 @@
         self._core.api.intent_changed()
 
     def on_topics_changed(self, topics: set[str]) -> None:
-        """Keep a controller that does not lead informed: its rows carry no observation time."""
+        """Pass the published directory to the controller of a core that does not lead.
+
+        Published rows carry no observation time, so they count as infinitely old.
+        """
         if DIRECTORY_TOPIC not in topics or self._leadership.epoch:
             return
         rows = self._core.view.directory().servers
@@ -129,7 +136,7 @@
     # --- time and leadership --------------------------------------------------------------
 
     def on_tick(self, now: float) -> None:
-        """Follow the leader lease, then let time pass for each component, in this order."""
+        """Update the state of the leader lease, then tick each component, in this order."""
         self._leadership.update(now)
         self._directory.feed(Tick())
         self._placement.feed(Tick())
--- a/src/zincvale/daemons/core_view.py
+++ b/src/zincvale/daemons/core_view.py
@@ -16,7 +16,7 @@
 
 
 class LocalCoreView:
-    """Implements `controlplane.api.core_view.CoreView`; decodes only what changed."""
+    """Implements `controlplane.core_view.CoreView`; decodes a table only when it changed."""
 
     def __init__(self, machine: CoreMachine, clock: Callable[[], float]) -> None:
         self._machine = machine
@@ -29,11 +29,11 @@
         return self._machine.may_show_state(self._clock())
 
     def intent_rows(self) -> KeyView:
-        """Return the newest chosen intent as rows."""
+        """Return the rows of the newest chosen intent."""
         return self._machine.value(INTENT_KEY)
 
     def intent(self) -> Intent:
-        """Return the same intent, typed."""
+        """Return the newest chosen intent, decoded."""
         rows = self.intent_rows()
         if rows.version != self._intent.intent.version:
             self._intent.update(rows.version, rows.rows)
@@ -48,26 +48,26 @@
         return self._machine.applied_versions(INTENT_KEY)
 
     def directory(self) -> Directory:
-        """Return the observed servers."""
+        """Return the newest published directory of servers."""
         topic = self._machine.topic(DIRECTORY_TOPIC)
-        known = self._directory.directory
-        if (topic.epoch, topic.version) != (known.epoch, known.version):
+        decoded = self._directory.directory
+        if (topic.epoch, topic.version) != (decoded.epoch, decoded.version):
             self._directory.update(topic.epoch, topic.version, topic.rows)
         return self._directory.directory
 
     def moves(self) -> Mapping[str, bytes]:
-        """Return the rows of planned and finished moves."""
+        """Return the published rows of planned and finished moves."""
         return self._machine.topic(MOVES_TOPIC).rows
 
     def roles(self) -> Sequence[RoleRow]:
-        """Return the singleton roles."""
+        """Return the singleton roles with their holders and epochs."""
         return [
             RoleRow(role, MemberId(holder) if holder else None, epoch)
             for role, (holder, epoch) in self._machine.role_holders(self._clock()).items()
         ]
 
     def replicas(self) -> Sequence[ReplicaRow]:
-        """Return the replicas of the control state."""
+        """Return the replicas of the control state with their status."""
         return [
             ReplicaRow(
                 member=row.member,
--- a/src/zincvale/daemons/demand_translation.py
+++ b/src/zincvale/daemons/demand_translation.py
@@ -1,4 +1,4 @@
-"""Translates the nodes' demand reports into inputs of the placement controller."""
+"""Converts demand reports of nodes to inputs of the placement controller."""
 
 from __future__ import annotations
 
--- a/src/zincvale/daemons/directory_runner.py
+++ b/src/zincvale/daemons/directory_runner.py
@@ -1,4 +1,4 @@
-"""Runs the directory machine of a native deployment: probes, the platform's list, publications."""
+"""Runs the directory machine of a native deployment: probes, server list and publications."""
 
 from __future__ import annotations
 
@@ -36,15 +36,15 @@
 
 HTTP_OK = 200
 
-OnReport = Callable[[ServerReported | ServerRemoved], None]
+ReportCallback = Callable[[ServerReported | ServerRemoved], None]
 
 
 class DirectoryRunner:
-    """Feeds the directory machine and executes its effects.
+    """Passes inputs to the directory machine and executes its effects.
 
     Parameters
     ----------
-    on_report : called with each report for the placement controller.
+    on_report : called with each observed or removed server, for the placement controller.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         publisher: TopicPublisher,
         platform_address: str,
         clock: Callable[[], float],
-        on_report: OnReport,
+        on_report: ReportCallback,
     ) -> None:
         self.machine = machine
         self._fetcher = fetcher
@@ -66,7 +66,7 @@
     def feed(self, event: DirectoryInput) -> None:
         """Apply one input and execute its effects, in order.
 
-        HTTP requests and publications start in a later turn of the loop.
+        HTTP requests and publications start in a later iteration of the event loop.
         """
         for effect in self.machine.handle(event, self._clock()):
             self._execute(effect)
@@ -87,7 +87,7 @@
 
     async def _fetch_list(self, timeout_s: float) -> None:
         if not self._platform_address:
-            self.feed(PlatformListFailed("settings name no platform_address"))
+            self.feed(PlatformListFailed("the settings have no platform_address"))
             return
         result = await self._fetcher.get(self._platform_address, PLATFORM_LIST_PATH, timeout_s)
         if result.status != HTTP_OK:
@@ -104,8 +104,8 @@
         requested_at = self._clock()
         result = await self._fetcher.get(effect.address, STATUS_PATH, effect.timeout_s)
         if result.status != HTTP_OK:
-            why = result.error or f"status {result.status}"
-            self.feed(StatusFailed(effect.server, why, not result.connected, requested_at))
+            reason = result.error or f"status {result.status}"
+            self.feed(StatusFailed(effect.server, reason, not result.connected, requested_at))
             return
         try:
             status = read_server_status(result.body)
@@ -118,8 +118,8 @@
         try:
             accepted = await self._publisher.publish(effect.message)
         except Exception as error:  # noqa: BLE001
-            # A defect of the local core's machine must not end publishing: the directory machine
-            # publishes again after `PublishFailed`.
+            # A defect in the local coordination machine must not stop publishing: the directory
+            # machine publishes again after `PublishFailed`.
             self.feed(PublishFailed(repr(error)))
             return
         self.feed(Published(accepted))
--- a/src/zincvale/daemons/discovery_runner.py
+++ b/src/zincvale/daemons/discovery_runner.py
@@ -1,4 +1,4 @@
-"""Runs leaderless server discovery: reads the list of servers and publishes what it shows."""
+"""Runs leaderless server discovery: reads the server list and publishes the servers in it."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 from zincvale.runtime.logs import log
 
 LIST_TIMEOUT_S = 1.0
-"""Of one page."""
+"""Time limit for the request of one page."""
 MAX_PAGES = 200
-"""A list whose pages never end is given up; a list of more pages could not be read."""
+"""Most pages of one list: reading a list with more, or with endless pages, fails."""
 HTTP_OK = 200
 
 
 class DiscoveryRunner:
-    """Feeds the machine and executes its effects.
+    """Passes inputs to the discovery machine and executes its effects.
 
     Parameters
     ----------
     send_to_cores : sends a one-way message to every other core.
-    on_observed : called with each observation of the servers.
+    on_observed : called with each set of servers that was read or received.
     """
 
     def __init__(
@@ -66,22 +66,23 @@
         self._on_observed = on_observed
 
     def document_changed(self, document: ForwardingDocument) -> None:
-        """Take a newer document."""
+        """Handle a newer forwarding document."""
         self._execute(self.machine.on_document_changed(document, self._clock()))
 
     def topic_changed(self, view: TopicView) -> None:
-        """Take the newest state of the topic, whichever core published it."""
+        """Handle the newest state of the server topic, whichever core published it."""
         self._execute(self.machine.on_published(view, self._clock()))
 
     def message_received(self, _sender: MemberId, message: Any) -> None:
-        """Take another core's announcement that it read the list."""
+        """Handle another core's announcement that it has read the list."""
         if isinstance(message, ListRead):
             self.machine.on_peer_read(message, self._clock())
 
     def tick(self, rank: int, epoch_seen: int, now: float) -> None:
-        """Read the list when it is this core's turn by its `rank`.
+        """Read the list when it is this core's turn.
 
-        `epoch_seen` is the newest epoch of the topic that a node has reported.
+        `rank` is this core's place in the order in which live cores read the list; `epoch_seen` is
+        the newest epoch of the server topic that a node has reported.
         """
         self.machine.on_epoch_seen(epoch_seen)
         if self._address:
@@ -111,25 +112,27 @@
             )
             if result.status != HTTP_OK:
                 is_throttled = self._dialect.is_throttled(result)
-                self._failed(result.error or f"status {result.status}", is_throttled=is_throttled)
+                self._report_read_failure(
+                    result.error or f"status {result.status}", is_throttled=is_throttled
+                )
                 return
             try:
-                read = self._dialect.read_page(result.body)
+                list_page = self._dialect.read_page(result.body)
             except MalformedBodyError as error:
-                self._failed(str(error), is_throttled=False)
+                self._report_read_failure(str(error), is_throttled=False)
                 return
-            servers.extend(read.servers)
-            page = read.next_page
+            servers.extend(list_page.servers)
+            page = list_page.next_page
             if not page:
                 break
         else:
-            self._failed(f"more than {MAX_PAGES} pages", is_throttled=False)
+            self._report_read_failure(f"more than {MAX_PAGES} pages", is_throttled=False)
             return
         now = self._clock()
         self._execute(self.machine.on_list_read(servers, requested_at, now, self._wall_clock()))
 
-    def _failed(self, why: str, *, is_throttled: bool) -> None:
-        self._execute(self.machine.on_list_failed(why, self._clock(), is_throttled=is_throttled))
+    def _report_read_failure(self, reason: str, *, is_throttled: bool) -> None:
+        self._execute(self.machine.on_list_failed(reason, self._clock(), is_throttled=is_throttled))
 
     async def _publish(self, effect: PublishServers) -> None:
         reply = await self._driver.call_local(effect.message)
--- a/src/zincvale/daemons/disk_setup.py
+++ b/src/zincvale/daemons/disk_setup.py
@@ -1,4 +1,4 @@
-"""The disk on which a core stores its state, as its settings say."""
+"""Opens the disk on which a core stores its state, as its settings say."""
 
 from __future__ import annotations
 
--- a/src/zincvale/daemons/draining_replicas.py
+++ b/src/zincvale/daemons/draining_replicas.py
@@ -1,4 +1,4 @@
-"""Marks replicas in the directory that planned moves are about to unload."""
+"""Marks the replicas in the directory that planned moves are about to unload."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def with_draining(directory: Directory, draining: Mapping[ServerId, frozenset[str]]) -> Directory:
-    """Return `directory` with `ServerRow.closing` set from `draining`."""
+    """Return `directory` with `ServerRow.closing` set to each server's names in `draining`."""
     if not draining:
         return directory
     servers = dict(directory.servers)
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -50,13 +50,15 @@
 from zincvale.runtime.settings import DaemonSettings
 
 MACHINE_TICK_MS = 50
-"""Between two ticks of the coordination machine."""
+"""Interval between two ticks of the coordination machine."""
 SLOW_TICK_INTERVAL_S = 0.25
-"""Between two ticks of the operators' API, traces and retries: each costs processor time."""
+"""Interval between two ticks of the operators' API, tracing and status retries; a shorter one costs
+processor time."""
 GRACE_MARGIN_S = 1.5
-"""A stopping core ends so long before the platform ends it."""
-HANDOVER_S = 0.6
-"""A stopping core still responds for so long, so that others take over by its messages."""
+"""How long before the platform kills a stopping core the core ends by itself."""
+MIN_HANDOVER_S = 0.6
+"""Least time for which a stopping core still responds, so that its messages let other cores take
+over."""
 
 
 class ForwardingCore:
@@ -66,7 +68,7 @@
     ----------
     settings : settings of every daemon.
     forwarding : settings of a forwarding deployment.
-    dialects : formats of operators, the server list and servers.
+    dialects : message formats of the operators, the server list and the servers.
     timings : durations of the coordination machine.
     bootstrap : whether this start may create the cluster.
     """
@@ -83,7 +85,7 @@
         incarnation = new_incarnation()
         self._member = MemberId(settings.member_id)
         self._forwarding = forwarding
-        self._name = f"{settings.member_id}/{incarnation}"
+        self._process_name = f"{settings.member_id}/{incarnation}"
         self._documents = DocumentDecoder()
         self._intent = DocumentIntent(StoreConfig(forwarding.store_window_s, forwarding.store_over))
         self._core = CoreAssembly(
@@ -96,7 +98,7 @@
                 tick_interval_ms=MACHINE_TICK_MS,
             ),
             DocumentReducer(),
-            lambda view: DocumentApi(view, dialects.operators, self._name),
+            lambda view: DocumentApi(view, dialects.operators, self._process_name),
             self,
         )
         self.process = self._core.process
@@ -108,18 +110,18 @@
         self._shutdown_started_at = 0.0
 
     def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then hand over; raises `StartupError`."""
+        """Serve until SIGTERM or SIGINT, then hand over leadership; raises `StartupError`."""
         limit_s = self._forwarding.grace_s - GRACE_MARGIN_S
         self._core.run(self._placement, Drain(self._start_shutdown, self._may_stop, limit_s))
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take seeds that changed while the process runs."""
+        """Replace the seeds while the process runs."""
         self._core.machine.use_seeds(seeds)
 
     def _build_discovery(self, dialects: ForwardingDialects) -> None:
         core = self._core
         self._discovery = DiscoveryRunner(
-            ServerDiscovery(self._name, self._forwarding.list_lag_s, core.clock()),
+            ServerDiscovery(self._process_name, self._forwarding.list_lag_s, core.clock()),
             dialects.server_list,
             core.fetcher,
             self._forwarding.list_address,
@@ -163,7 +165,10 @@
     # --- inputs of the components ---------------------------------------------------------
 
     def on_intent_changed(self) -> None:
-        """Pass the newest document on; an unreadable one is logged and the last one stays."""
+        """Pass the newest document to the components.
+
+        An unreadable one is logged, and the last readable one stays in use.
+        """
         rows = self._core.machine.value(INTENT_KEY)
         try:
             document = self._documents.update(rows.version, rows.rows)
@@ -175,15 +180,19 @@
         self._core.api.intent_changed()
 
     def on_topics_changed(self, topics: set[str]) -> None:
-        """Pass a newer server list on."""
+        """Pass a newer published server list to discovery."""
         if LISTED_TOPIC in topics:
             self._discovery.topic_changed(self._core.machine.topic(LISTED_TOPIC))
 
     def _on_servers_observed(self, observed: ServersObserved) -> None:
-        """Feed placement; a confirmed server's replicas change only by our orders."""
+        """Pass observed servers to placement.
+
+        The replicas of a confirmed server change only by this leader's orders, so the list does not
+        update them.
+        """
         reports = listed_reports(
             observed,
-            self._lower_bound_of_observation(observed.requested_at),
+            self._earliest_observation_time(observed.requested_at),
             lambda server: self._is_confirmed(server) or server in self._unreachable,
         )
         for server in observed.removed:
@@ -193,21 +202,24 @@
         self._residency.mark_changed(row.server for row in observed.rows)
 
     def _is_confirmed(self, server: ServerId) -> bool:
-        """Whether this leader knows the server's replicas from the server itself."""
+        """Whether this core leads and has learned the server's replicas from the server itself."""
         state = self._controller.state.servers.get(server)
         epoch = self._leadership.epoch
         return state is not None and bool(epoch) and state.confirmed_epoch == epoch
 
-    def _lower_bound_of_observation(self, requested_at: float) -> float:
-        """Return a time that a row of the list is certainly not older than, while leading."""
+    def _earliest_observation_time(self, requested_at: float) -> float:
+        """Return the earliest time of observation of a list that was requested at `requested_at`.
+
+        A core that does not lead returns minus infinity: its observations prove nothing.
+        """
         if not self._leadership.epoch:
             return float("-inf")
         return requested_at - self._forwarding.list_lag_s
 
     def _on_server_reachability(self, server: ServerId, is_reachable: bool) -> None:
-        """Take a server that cannot be reached out of placement until it responds again.
+        """Exclude a server that cannot be reached from placement until it responds again.
 
-        The list shows a server that crashed for some seconds more.
+        The list still contains a crashed server for some seconds.
         """
         if is_reachable:
             self._unreachable.remove(server)
@@ -220,20 +232,20 @@
         self._placement.feed(DirectoryChanged((StatusReport(down, self._core.clock()),)))
 
     def _on_demand_report(self, sender: MemberId, message: Any) -> None:
-        """Feed placement; the leader checks servers that the node could not reach."""
+        """Pass a node's demand report to placement; a leader checks its unreachable servers."""
         self._placement.feed(to_demand_reported(message))
         if not self._leadership.epoch:
             self._forward_demand(sender, message)
             return
         for name in message.unreachable:
-            # One request by the leader tells if the server failed or only the node's way to it.
+            # One request by the leader tells whether the server or only the node's link failed.
             self._unreachable.check(ServerId(name))
 
     def _forward_demand(self, sender: MemberId, report: Any) -> None:
-        """Send a node's report to the leader; one that another core forwarded goes no further."""
+        """Forward a node's report to the leader, unless another core already forwarded it."""
         if sender != report.node:
             return
-        leader = self._leader(self._core.clock())
+        leader = self._find_leader(self._core.clock())
         if leader is not None and leader != self._member:
             self._core.process.peers.send(leader, report)
 
@@ -241,7 +253,7 @@
         for core in self._core.machine.live_cores(self._core.clock()):
             self._core.process.peers.send(core, message)
 
-    def _leader(self, now: float) -> MemberId | None:
+    def _find_leader(self, now: float) -> MemberId | None:
         return self._core.machine.role_holders(now).get(PLACEMENT_ROLE, (None, 0))[0]
 
     def _expected_load_s(self, order: Order) -> float:
@@ -253,7 +265,7 @@
     # --- time and shutdown ----------------------------------------------------------------
 
     def on_tick(self, now: float) -> None:
-        """Follow the leader lease, then let time pass for each component, in this order."""
+        """Update the state of the leader lease, then tick each component, in this order."""
         self._leadership.update(now)
         epoch_seen = self._core.machine.topic_epoch_seen(LISTED_TOPIC)
         self._discovery.tick(self._reader_rank(now), epoch_seen, now)
@@ -267,15 +279,17 @@
             self._unreachable.tick(now)
 
     def _reader_rank(self, now: float) -> int:
-        leader = self._leader(now)
+        leader = self._find_leader(now)
         live_cores = [self._member, *self._core.machine.live_cores(now)]
         return reader_rank(self._member, leader, live_cores)
 
     def _start_shutdown(self, _not_before: float) -> None:
-        """Hand over ownership and leadership; a stand-in takes the vote, if there is one."""
+        """Start to hand over ownership, leadership and, if a replacement core exists, the vote."""
         self._shutdown_started_at = self._core.clock()
         self._core.process.driver.submit(ShutdownRequested())
 
     def _may_stop(self) -> bool:
         now = self._core.clock()
-        return now - self._shutdown_started_at >= HANDOVER_S and self._core.machine.may_stop(now)
+        return now - self._shutdown_started_at >= MIN_HANDOVER_S and self._core.machine.may_stop(
+            now
+        )
--- a/src/zincvale/daemons/forwarding_dialects.py
+++ b/src/zincvale/daemons/forwarding_dialects.py
@@ -1,4 +1,4 @@
-"""The dialects of a forwarding core: operators' API, list of servers, orders and statuses."""
+"""Message formats of a forwarding core: operators' API, list of servers, orders and statuses."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 
 
 class ServerListDialect(Protocol):
-    """How the list of servers is read."""
+    """Paths and format of the list of servers."""
 
     def list_path(self, page: str) -> str:
-        """Return the path of a page; the first one has an empty name."""
+        """Return the path of the page with token `page`; an empty token means the first page."""
         ...
 
     def read_page(self, body: bytes) -> ListPage:
-        """Return a page; raises `MalformedBodyError`."""
+        """Return the page in a response's body; raises `MalformedBodyError`."""
         ...
 
     def is_throttled(self, result: FetchResult) -> bool:
-        """Whether the list was requested too often."""
+        """Whether the response says that the list was requested too often."""
         ...
 
 
 @attrs.frozen
 class ForwardingDialects:
-    """Every dialect that a core of a forwarding deployment needs."""
+    """The dialects (message formats) that a core of a forwarding deployment needs."""
 
     operators: OperatorDialect
     server_list: ServerListDialect
--- a/src/zincvale/daemons/forwarding_node.py
+++ b/src/zincvale/daemons/forwarding_node.py
@@ -14,7 +14,7 @@
 from zincvale.coordination.changes import ChangeNotifications
 from zincvale.coordination.config import Timings
 from zincvale.coordination.replication.replica_sets import INTENT_KEY
-from zincvale.daemons.http_application import without_access_log
+from zincvale.daemons.http_application import application_without_access_log
 from zincvale.daemons.node_assembly import NodeAssembly, NodeOptions
 from zincvale.daemons.process import Drain
 from zincvale.daemons.residency_row_codec import RESIDENCY_TOPIC, ResidencyDecoder
@@ -34,25 +34,27 @@
 from zincvale.tracing.config import TracingConfig
 
 SERVICES_TICK_MS = 250
-"""Between two ticks of tracing and of the demand report."""
+"""Interval between two ticks of tracing and of the demand report."""
 DEMAND_INTERVAL_S = 0.5
-"""Between two demand reports; longer ones delay loads of models in demand."""
+"""Interval between two demand reports; a longer one delays loads of models in demand."""
 IDLE_DEMAND_INTERVAL_S = 1.5
-"""Without requests a report only says that the node is alive."""
+"""Interval between two demand reports without requests, which only say that the node is alive."""
 NODE_TRACES_PER_S = 0.25
-"""Sampled traces of ordinary requests; those of errors are sampled in addition. One costs both ends
-about 3 ms together, so that they stay below a thousandth of a core."""
-LAME_DUCK_S = 3.2
-"""A stopping node goes on taking callers for so long: the platform probes readiness each second
-and stops sending callers after two misses."""
+"""Rate at which ordinary requests are sampled for traces; failed requests are traced in addition.
+One trace costs about 3 ms at both ends together, so this rate stays below a thousandth of a CPU
+core."""
+MIN_DRAIN_S = 3.2
+"""Least time for which a stopping node still accepts callers: the platform probes readiness once a
+second and stops sending callers after two failed probes."""
 GRACE_MARGIN_S = 0.6
-"""A stopping node ends so long before the platform ends it."""
-FINAL_REFUSALS_S = 0.4
-"""So long before its end a stopping node refuses requests that are still pending."""
+"""How long before the platform kills a stopping node the node ends by itself."""
+FINAL_REFUSAL_S = 0.4
+"""How long before its end a stopping node rejects the requests that are still pending."""
 MAX_CALLER_BODY_BYTES = 64 * 1024 * 1024
-"""The HTTP servers refuse larger bodies."""
+"""Size limit of request bodies; the HTTP servers reject larger ones."""
 TOPICS = (LISTED_TOPIC, RESIDENCY_TOPIC)
-"""The topic of moves is not among them: what is about to be unloaded leaves the residency."""
+"""Topics that a node follows. Moves are not needed: the residency topic omits a replica as soon as
+its unload is planned."""
 
 
 class ForwardingNode:
@@ -72,10 +74,10 @@
         self._residencies = ResidencyDecoder()
         self._demand_due_at = 0.0
         self._is_demand_report_scheduled = False
-        self._was_ready = False
+        self._has_been_ready = False
         self._drain_started_at = 0.0
-        self._told_to_stop_at = 0.0
-        self._drain_limit_s = max(LAME_DUCK_S, forwarding.grace_s - GRACE_MARGIN_S)
+        self._stop_requested_at = 0.0
+        self._drain_limit_s = max(MIN_DRAIN_S, forwarding.grace_s - GRACE_MARGIN_S)
         options = NodeOptions(
             topics=TOPICS,
             services_tick_ms=SERVICES_TICK_MS,
@@ -96,7 +98,7 @@
         self._service.close()
 
     def _listen(self) -> list[HTTPServer]:
-        """Bind the addresses of callers and of readiness; `run` stops the servers."""
+        """Bind the addresses for callers and for readiness probes; `run` stops the servers."""
         callers = listen(
             self._service.caller_server(),
             self._settings.api_address,
@@ -104,7 +106,7 @@
             MAX_CALLER_BODY_BYTES,
         )
         readiness = listen(
-            without_access_log(self._own_routes()),
+            application_without_access_log(self._readiness_and_trace_routes()),
             self._forwarding.readiness_address,
             "readiness_address",
             MAX_CALLER_BODY_BYTES,
@@ -112,10 +114,10 @@
         return [callers, readiness]
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take seeds that changed while the process runs."""
+        """Replace the seeds while the process runs."""
         self._node.machine.use_seeds(seeds)
 
-    def _own_routes(self) -> list[Any]:
+    def _readiness_and_trace_routes(self) -> list[Any]:
         ready = (self._forwarding.ready_path, _ReadyHandler, {"node": self})
         return [ready, *trace_api_routes(self._node.tracing)]
 
@@ -143,22 +145,23 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers may come.
+        """Whether the platform may send callers to this node.
 
-        A started node must be fresh once; after that it serves by its last state, also while it is
-        partitioned from the cores: its callers have no other node.
+        A started node must have received current control state once. After that it serves with the
+        last state that it has, also while it is partitioned from the cores, because its callers
+        have no other node.
         """
         if self._service.is_draining:
             return False
-        if not self._was_ready:
+        if not self._has_been_ready:
             is_configured = self._service.routing.is_configured
-            self._was_ready = is_configured and self._node.machine.ready(self._node.clock())
-        return self._was_ready
+            self._has_been_ready = is_configured and self._node.machine.ready(self._node.clock())
+        return self._has_been_ready
 
     # --- updates of the control state -----------------------------------------------------
 
     def on_changes(self, changes: ChangeNotifications) -> None:
-        """Apply what was delivered: document, servers, residency, members, in this order."""
+        """Apply delivered changes: document, servers, residency and members, in this order."""
         try:
             if INTENT_KEY in changes.keys:
                 rows = self._node.machine.intent()
@@ -181,7 +184,7 @@
     # --- time -----------------------------------------------------------------------------
 
     def on_tick(self, now: float) -> None:
-        """Let time pass for tracing, and report demand when it is due."""
+        """Tick tracing, and report demand when that is due."""
         self._node.tracing.tick(now)
         if now >= self._demand_due_at:
             self._report_demand()
@@ -202,31 +205,33 @@
             self._node.process.peers.send(core, report)
 
     def _core_for_demand(self) -> MemberId | None:
-        """Return the core that forwards demand to the leader: one of this zone, if possible."""
+        """Return a core that forwards demand to the leader, in this zone if there is one."""
         rows = self._node.machine.members(self._node.clock()).rows.values()
         cores = sorted(row.member for row in rows if row.role is Role.CORE)
-        near = [row.member for row in rows if row.role is Role.CORE and row.zone == self._node.zone]
-        return min(near, default=cores[0] if cores else None)
+        in_zone = [
+            row.member for row in rows if row.role is Role.CORE and row.zone == self._node.zone
+        ]
+        return min(in_zone, default=cores[0] if cores else None)
 
     def _start_draining(self, not_before: float) -> None:
         self._drain_started_at = self._node.clock()
-        self._told_to_stop_at = not_before
+        self._stop_requested_at = not_before
         self._service.start_draining(not_before, self._drain_limit_s)
         self._node.tracing.leave()
 
     def _is_drained(self) -> bool:
         now = self._node.clock()
-        if now - self._told_to_stop_at >= self._drain_limit_s - FINAL_REFUSALS_S:
+        if now - self._stop_requested_at >= self._drain_limit_s - FINAL_REFUSAL_S:
             self._service.refuse_pending()
-        noticed = now - self._drain_started_at >= LAME_DUCK_S
-        return noticed and not self._service.active_requests
+        min_drain_passed = now - self._drain_started_at >= MIN_DRAIN_S
+        return min_drain_passed and not self._service.active_requests
 
 
 class _ReadyHandler(RequestHandler):
-    """The platform's readiness probe."""
+    """Responds to the platform's readiness probe."""
 
     def initialize(self, node: ForwardingNode) -> None:
-        """Set the node to respond for."""
+        """Set the node whose readiness is reported."""
         self.node = node
 
     def get(self) -> None:
--- a/src/zincvale/daemons/forwarding_placement.py
+++ b/src/zincvale/daemons/forwarding_placement.py
@@ -1,8 +1,8 @@
 """Tunables of placement in a forwarding deployment.
 
-Its engines load a model within a second to a few, guard their own unloads and carry out one order
-at a time; demand shifts within seconds. So replicas follow short averages, and all items in demand
-are reviewed often.
+Its engines load a model within one to a few seconds, delay unloads until running requests end, and
+execute one order at a time; demand shifts within seconds. So replica counts follow averages over
+short times, and all items in demand are reviewed often.
 """
 
 from __future__ import annotations
@@ -10,15 +10,16 @@
 from zincvale.controlplane.placement.config import PlacementConfig
 
 ORDER_LIFETIME_S = 2.1
-"""Above the time-out of an order: after it no order of an earlier leader can arrive."""
+"""Time after which an order of an earlier leader can no longer arrive; it exceeds the time-out of
+an order."""
 
 
 def placement_config(order_quiet_s: float) -> PlacementConfig:
-    """Return the tunables.
+    """Return the tunables of placement.
 
     Parameters
     ----------
-    order_quiet_s : a new leader gives no order before it has led for this long.
+    order_quiet_s : time for which a new leader gives no orders.
     """
     return PlacementConfig(
         plan_interval_s=0.05,
--- a/src/zincvale/daemons/forwarding_timings.py
+++ b/src/zincvale/daemons/forwarding_timings.py
@@ -1,8 +1,8 @@
 """Durations of the coordination machines in a forwarding deployment.
 
-A replaced core must bear the next loss soon after it came, so learners replace unresponsive
-replicas quickly and leader leases are short: the replicas from before a change are removed only
-when every lease they granted has expired.
+The control state must tolerate the loss of another core soon after one was replaced. So learners
+replace unresponsive replicas quickly, and leader leases are short: the previous replicas are
+removed only when every lease that they granted has expired.
 """
 
 from __future__ import annotations
@@ -16,13 +16,14 @@
 BOOTSTRAP_LISTEN_S = 0.5
 CANDIDATE_STAGGER_S = 0.3
 RENEWAL_COLLECT_S = 0.1
-"""Each collection costs a message to every other granting core; a lease lasts 18 times as long."""
+"""Time over which lease renewals are collected into one batch. Each batch costs a message to every
+other granting core; a lease lasts 18 times as long."""
 EPHEMERAL_RESPONSES_PER_S = 60.0
-"""About 4% of a core, at 0.6 ms a response."""
+"""Limit on responses with ephemeral topics: about 4% of a CPU core, at 0.6 ms for each response."""
 
 
 def forwarding_timings() -> Timings:
-    """Return the durations."""
+    """Return the durations of the coordination machines."""
     return Timings(
         role_lease_s=ROLE_LEASE_S,
         role_margin_s=ROLE_MARGIN_S,
--- a/src/zincvale/daemons/http_application.py
+++ b/src/zincvale/daemons/http_application.py
@@ -1,4 +1,4 @@
-"""The HTTP application of a daemon."""
+"""Creates the HTTP application of a daemon."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tornado.web import Application
 
 
-def without_access_log(routes: list[Any]) -> Application:
-    """Return the application of `routes`; requests are recorded as traces, not in a log."""
+def application_without_access_log(routes: list[Any]) -> Application:
+    """Return an application for `routes` without an access log; requests are recorded as traces."""
     return Application(routes, log_function=_ignore_request)
 
 
--- a/src/zincvale/daemons/http_fetch.py
+++ b/src/zincvale/daemons/http_fetch.py
@@ -1,9 +1,9 @@
-"""JSON requests of a core to servers and the platform.
+"""HTTP client of a core for JSON requests to servers and the platform.
 
-A request that was given up must not arrive later: a leader's order that a partition delayed would
-reach its server under the next leader. So closing a connection resets it, which discards what the
-other side has not acknowledged, and the kernel aborts a connection whose bytes stay
-unacknowledged.
+A request that was abandoned must not arrive later: an order that a partition delayed would reach
+its server while the next leader already gives orders. So closing a connection resets it, which
+discards bytes that the other side has not acknowledged, and the kernel aborts a connection whose
+bytes stay unacknowledged.
 """
 
 from __future__ import annotations
@@ -24,26 +24,27 @@
 MEMBER_HEADER = "X-Zincvale-Member"
 """Header with the member id of the daemon that sends an order or probe."""
 UNACKNOWLEDGED_LIMIT_MS = 300
-"""At most the margin by which a leader stops before its lease ends: when the lease ends, what it
-sent has arrived or never will."""
+"""Time after which the kernel aborts a connection with unacknowledged bytes. It is at most the
+margin by which a leader stops before its lease ends, so that by then its orders have arrived or
+never will."""
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Value of SO_LINGER: on, with 0 seconds."""
+"""Value of SO_LINGER that makes closing reset the connection: on, with 0 seconds."""
 NO_RESPONSE_STATUS = 0
 
 
 @attrs.frozen
 class FetchResult:
-    """An HTTP response; status 0 means that none came, with the reason in `error`."""
+    """An HTTP response; status 0 means that there was none, with the reason in `error`."""
 
     status: int
     body: bytes = b""
     error: str = ""
     connected: bool = True
-    """False when no connection was made: the request certainly was not handled."""
+    """False when no connection was established: the request was certainly not handled."""
 
 
 class HttpFetcher:
-    """GET and POST; every address goes through the address map."""
+    """Sends GET and POST requests; the address map translates every address."""
 
     def __init__(self, address_map: dict[str, str], member_id: str, own_address: str) -> None:
         self._address_map = address_map
@@ -70,9 +71,10 @@
         headers: Mapping[str, str],
         timeout_s: float,
     ) -> FetchResult:
-        """Return the response to a request with further headers; a body is JSON.
+        """Send a request with additional headers and an optional JSON body; return the response.
 
-        A request is never sent twice: an order that may have been handled counts as unknown.
+        A request is never sent twice: the outcome of an order that may have been handled is
+        unknown.
         """
         sent_headers = {
             "Host": self._address_map.get(address, address),
@@ -99,18 +101,18 @@
         self._client.close()
 
     def _prepare(self, connected: socket.socket) -> None:
-        """Send from the daemon's own address, so that a server sees which machine calls."""
+        """Bind to the daemon's own address, so that a server sees which machine calls it."""
         discard_on_close(connected)
         connected.bind((self._own_host, 0))
 
 
 def discard_on_close(connected: socket.socket) -> None:
-    """Make closing discard unacknowledged bytes, and abort when bytes stay unacknowledged."""
+    """Set the socket to discard unacknowledged bytes on closing, and to abort when they stay so."""
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     connected.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS)
 
 
 def _accept_any_response(_status: int, _headers: Mapping[str, str]) -> bool:
-    """Accept every response: a connection carries one request at a time."""
+    """Accept every response, since a connection carries one request at a time."""
     return True
--- a/src/zincvale/daemons/leadership_guard.py
+++ b/src/zincvale/daemons/leadership_guard.py
@@ -1,4 +1,4 @@
-"""The fencing check at the moment an order or a publication is sent."""
+"""Checks the leader lease at the moment an order or a publication is sent."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class LeadershipGuard:
-    """Whether this process may act under an epoch of a role, checked at the moment of acting."""
+    """Checks whether this process still leads a role under a given epoch."""
 
     machine: CoreMachine
     role: str
@@ -20,8 +20,8 @@
     def may_act(self, epoch: int) -> bool:
         """Whether the leader lease of `epoch` covers this moment.
 
-        The clock is read here: a process that was frozen after it decided, before it sent, finds
-        its lease over.
+        The clock is read here, so that a process that was frozen between its decision and sending
+        notices that its lease has expired.
         """
         now = self.clock()
         state = self.machine.role(self.role, now)
--- a/src/zincvale/daemons/listed_reports.py
+++ b/src/zincvale/daemons/listed_reports.py
@@ -1,4 +1,4 @@
-"""What placement learns from the list of servers, which trails the servers themselves."""
+"""Converts rows of the server list, which lags behind the servers, to inputs of placement."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
     Parameters
     ----------
-    requested_at : a time that the rows are certainly not older than.
-    is_known : whether placement knows a server better than the list; of such a server only that it
-        drains is reported.
+    requested_at : earliest time at which the rows may have been observed.
+    is_known : whether placement has newer knowledge of a server than the list; such a server is
+        reported only when it is draining.
     """
     return tuple(
         StatusReport(_as_down_if_draining(row), requested_at, is_from_server=False)
@@ -31,7 +31,7 @@
 
 
 def _as_down_if_draining(row: ServerRow) -> ServerRow:
-    """Return a row as placement takes it: a server that is about to leave gets no loads."""
+    """Return `row`, as down if its server is draining, so that placement loads nothing there."""
     if not row.draining:
         return row
     return attrs.evolve(row, health=ServerHealth.DOWN)
--- a/src/zincvale/daemons/node_assembly.py
+++ b/src/zincvale/daemons/node_assembly.py
@@ -1,8 +1,8 @@
-"""The assembly of a node process, whatever its callers and servers speak.
+"""The assembly of a node process, independent of the formats of its callers and servers.
 
-`NodeAssembly` holds what all deployments share: the coordination machine, the process around it,
-tracing and the tick. `NodeDaemon` (native) and `ForwardingNode` (forwarding by documents) add their
-services and implement `NodeEventHandler`.
+`NodeAssembly` holds the parts that all deployments share: the coordination machine, the process
+around it, tracing and the periodic tick. `NodeDaemon` (native) and `ForwardingNode` (forwarding by
+documents) add their services and implement `NodeEventHandler`.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 from zincvale.tracing.service import TracingService
 
 MACHINE_TICK_MS = 100
-"""Between two ticks of the coordination machine. A lease renewal may come this much late in 600 ms;
-fewer ticks keep an idle node cheap."""
+"""Interval between two ticks of the coordination machine. It may delay a lease renewal, due every
+600 ms, by this much; a shorter one would cost an idle node more processor time."""
 
 
 @attrs.frozen(kw_only=True)
 class NodeOptions:
-    """What differs between the nodes of two deployments, beside their services.
+    """What differs between the nodes of native and forwarding deployments, besides their services.
 
     Attributes
     ----------
     topics : ephemeral topics that the node follows.
-    services_tick_ms : between two ticks of the services.
+    services_tick_ms : interval between two ticks of the services.
     timings : durations of the coordination machine.
     tracing : tunables of tracing.
     """
@@ -49,27 +49,29 @@
 
 
 class NodeEventHandler(Protocol):
-    """What a deployment's node does when control state changes and when time passes."""
+    """How a deployment's node reacts to changes of control state and to the passage of time."""
 
     def on_changes(self, changes: ChangeNotifications) -> None:
-        """Apply what was delivered before the next message is sent.
+        """Apply delivered changes before the next message is sent.
 
-        The machine confirms a version in the messages it just asked to send; they leave in a later
-        turn of the loop, so that nothing is confirmed that is not applied here.
+        The messages that the machine has just asked to send confirm the delivered versions. They
+        leave in a later iteration of the event loop, so that no version is confirmed before it is
+        applied here.
         """
         ...
 
     def on_tick(self, now: float) -> None:
-        """`services_tick_ms` have passed."""
+        """Handle the tick that comes every `services_tick_ms`."""
         ...
 
 
 class NodeAssembly:
-    """What every node process consists of; it owns the tick.
+    """The parts of every node process; it owns the periodic tick.
 
     Parameters
     ----------
-    handler : called with changes and ticks, first after `run` was called or peers are listened to.
+    handler : called with changes and ticks, but not before `run` is called or the peer address is
+        bound.
     """
 
     def __init__(
@@ -120,7 +122,7 @@
 
 
 def node_config(settings: DaemonSettings, incarnation: str, options: NodeOptions) -> NodeConfig:
-    """Return the coordination machine's configuration of a node."""
+    """Return the configuration of a node's coordination machine."""
     return NodeConfig(
         cluster_id=settings.cluster_id,
         member=MemberId(settings.member_id),
--- a/src/zincvale/daemons/node_daemon.py
+++ b/src/zincvale/daemons/node_daemon.py
@@ -1,4 +1,4 @@
-"""The node daemon: the request path, claims, stream journal and trace collector."""
+"""The node daemon of a native deployment: request path, claims, stream journal, trace collector."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from zincvale.coordination.changes import ChangeNotifications
 from zincvale.coordination.replication.replica_sets import INTENT_KEY, REGISTRY_KEY
 from zincvale.daemons.draining_replicas import with_draining
-from zincvale.daemons.http_application import without_access_log
+from zincvale.daemons.http_application import application_without_access_log
 from zincvale.daemons.node_assembly import NodeAssembly, NodeOptions
 from zincvale.daemons.process import Drain
 from zincvale.daemons.registry_rows import registered_zones
@@ -24,16 +24,19 @@
 from zincvale.tracing.metrics import register_metrics
 
 SERVICES_TICK_MS = 100
-"""Between two ticks of the services; longer ones delay their time-outs."""
+"""Interval between two ticks of the services; a longer one delays their time-outs."""
 DEMAND_INTERVAL_S = 0.5
-"""Between two demand reports to the cores; longer ones delay loads of models in demand."""
+"""Interval between two demand reports to the cores; a longer one delays loads of models in
+demand."""
 CLAIMS_READY_TIMEOUT_S = 9.0
-"""A starting node takes callers without claims after this long: above the quarantine after a start
-of the whole fleet, and below the twelve seconds in which a restart must serve."""
-LAME_DUCK_S = 1.5
-"""A stopping node goes on taking callers for so long: the platform polls readiness."""
+"""Time after which a starting node accepts callers although it cannot grant claims. It is above the
+quarantine after a start of the whole fleet, and below the twelve seconds within which a restarted
+node must serve."""
+MIN_DRAIN_S = 1.5
+"""Least time for which a stopping node still accepts callers: the platform polls readiness."""
 DRAIN_LIMIT_S = 20.0
-"""Streams that are still open then break off and are resumed at another node."""
+"""Time limit for the drain; streams that are still open then break off and are resumed at another
+node."""
 
 
 class NodeDaemon:
@@ -57,7 +60,7 @@
     def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then drain; raises `StartupError`."""
         routes = [*trace_api_routes(self._node.tracing), *self._service.http_routes()]
-        self._node.process.listen(without_access_log(routes))
+        self._node.process.listen(application_without_access_log(routes))
         self._node.run(Drain(self._start_draining, self._is_drained, DRAIN_LIMIT_S))
         self._service.close()
 
@@ -99,7 +102,11 @@
         router.add_service("streams", self._journal.handle_message)
 
     def _is_ready(self) -> bool:
-        """Whether callers may come: fresh, and able to grant claims or timed out on that."""
+        """Whether callers may be sent to this node.
+
+        Its control state must be current, and it must be able to grant claims or have waited for
+        that for `CLAIMS_READY_TIMEOUT_S`.
+        """
         now = self._node.clock()
         if not self._node.machine.ready(now):
             return False
@@ -113,7 +120,7 @@
     # --- updates of the control state -----------------------------------------------------
 
     def on_changes(self, changes: ChangeNotifications) -> None:
-        """Apply what was delivered: intent, members, registry, directory, in this order."""
+        """Apply delivered changes: intent, members, registry and directory, in this order."""
         if INTENT_KEY in changes.keys:
             self._apply_intent()
         if changes.members:
@@ -150,7 +157,7 @@
             log(log_events.INTENT_UNREADABLE, problem=str(error))
 
     def _mark_draining(self, directory: Directory) -> Directory:
-        """Mark what planned moves are about to unload, so that no new request is sent to it."""
+        """Mark replicas that planned moves are about to unload, so that they get no new request."""
         return with_draining(
             directory, self._draining_replicas.update(self._node.machine.topic(MOVES_TOPIC).rows)
         )
@@ -158,7 +165,7 @@
     # --- time -----------------------------------------------------------------------------
 
     def on_tick(self, now: float) -> None:
-        """Let time pass for each service, in this order, and report demand when it is due."""
+        """Tick each service, in this order, and report demand when that is due."""
         self._service.tick(now)
         self._claims.tick(now)
         self._journal.tick(now)
@@ -179,6 +186,6 @@
         self._node.tracing.leave()
 
     def _is_drained(self) -> bool:
-        """Whether callers had time to notice, and no request is active and no trace undecided."""
-        noticed = self._node.clock() - self._drain_started_at >= LAME_DUCK_S
-        return noticed and not self._service.active_requests and self._node.tracing.is_idle
+        """Whether `MIN_DRAIN_S` has passed, no request is active and no trace is undecided."""
+        min_drain_passed = self._node.clock() - self._drain_started_at >= MIN_DRAIN_S
+        return min_drain_passed and not self._service.active_requests and self._node.tracing.is_idle
--- a/src/zincvale/daemons/order_durations.py
+++ b/src/zincvale/daemons/order_durations.py
@@ -1,8 +1,8 @@
 """Learned durations of orders, so that a server is checked about when an order completes.
 
-Loads of models from the store have a declared time. Unloads and loads of adapters complete within
-milliseconds, and how soon depends on the engine, as does how long loads from a server's own disk
-take. Each check before completion is one more order to the server.
+Loads of models from the store have a declared duration. Unloads and loads of adapters complete
+within milliseconds; their duration depends on the engine, and so does that of loads from a server's
+own disk. Each check before completion sends one more order to the server.
 """
 
 from __future__ import annotations
@@ -13,32 +13,34 @@
 from zincvale.controlplane.placement.items import ItemKind
 
 INITIAL_ESTIMATE_S = 0.008
-"""Used until one order of a kind was seen to complete; also the shortest wait before a check."""
+"""Estimate until the first order of a kind completes; also the shortest wait before a check."""
 MAX_SAMPLE_S = 0.2
-"""Longer samples are dropped: an unload that waits for running requests says nothing of how long
-unloads take."""
+"""Longer samples are dropped: an unload that waits for running requests does not show how long an
+unload itself takes."""
 EWMA_WEIGHT = 0.2
-"""Of the newest sample. Near 1 one slow order delays the next checks; near 0 changes are learned
-late."""
+"""Weight of the newest sample in the moving average. Near 1, one slow order delays the next checks;
+near 0, changes are learned late."""
 CHECK_FRACTION = 0.85
-"""Part of the learned duration after which the server is first checked. Completion is seen only by
-a check, so samples are never too short; at 1 or above the average could never fall again."""
+"""Fraction of the learned duration after which the server is first checked. Completion is noticed
+only by a check, so a sample is never shorter than the wait before it: at 1 or above, the average
+could never fall."""
 
 
 @attrs.define
 class OrderDurations:
-    """Moving averages of the time from an order to the response that it is completed.
+    """Moving averages of the time from sending an order to the response that it is completed.
 
     Attributes
     ----------
-    disk_s_per_byte : of loads from servers' own disks; 0 until one was seen to complete.
+    disk_s_per_byte : average seconds per byte of loads from servers' own disks; 0 until one has
+        completed.
     """
 
     disk_s_per_byte: float = 0.0
     _averages: dict[tuple[OrderAction, ItemKind], float] = attrs.field(factory=dict)
 
     def first_check_s(self, order: Order) -> float:
-        """Return how long after the order the server is first checked for completion."""
+        """Return the time from sending an order to the first check of its completion."""
         if order.from_disk:
             return max(INITIAL_ESTIMATE_S, order.item_bytes * self.disk_s_per_byte * CHECK_FRACTION)
         average_s = self._averages.get((order.action, order.item_kind))
@@ -46,15 +48,15 @@
             return INITIAL_ESTIMATE_S
         return max(INITIAL_ESTIMATE_S, average_s * CHECK_FRACTION)
 
-    def record_completion(self, order: Order, took_s: float) -> None:
-        """Learn from an order that completed `took_s` after it was sent."""
+    def record_completion(self, order: Order, duration_s: float) -> None:
+        """Update the averages with an order that completed `duration_s` after it was sent."""
         if order.from_disk:
-            newest = took_s / max(order.item_bytes, 1)
-            before = self.disk_s_per_byte or newest
-            self.disk_s_per_byte = before + EWMA_WEIGHT * (newest - before)
+            sample = duration_s / max(order.item_bytes, 1)
+            previous = self.disk_s_per_byte or sample
+            self.disk_s_per_byte = previous + EWMA_WEIGHT * (sample - previous)
             return
-        if took_s > MAX_SAMPLE_S:
+        if duration_s > MAX_SAMPLE_S:
             return
         kind = (order.action, order.item_kind)
-        before_s = self._averages.get(kind, took_s)
-        self._averages[kind] = before_s + EWMA_WEIGHT * (took_s - before_s)
+        previous_s = self._averages.get(kind, duration_s)
+        self._averages[kind] = previous_s + EWMA_WEIGHT * (duration_s - previous_s)
--- a/src/zincvale/daemons/order_spans.py
+++ b/src/zincvale/daemons/order_spans.py
@@ -10,31 +10,32 @@
 from zincvale.tracing.recorder.recorder import SpanRecorder
 
 MAX_OPEN_SPANS = 10_000
-"""Above it the oldest span ends early: bounds memory when completions are never observed."""
-DONE = "done"
-"""The outcome of a completed order; any other one marks its span as failed."""
+"""Limit on open spans, above which the oldest one ends early; bounds memory when completions are
+never observed."""
+COMPLETED_OUTCOME = "done"
+"""Outcome of a completed order; any other outcome marks the order's span as failed."""
 
 
 @attrs.define
 class OrderSpans:
-    """One open span for each order that was sent and whose completion was not observed yet."""
+    """Holds one open span for each sent order whose completion was not observed yet."""
 
     recorder: SpanRecorder
     _open: dict[str, Any] = attrs.field(factory=dict)
 
-    def on_order_sent(self, fact: OrderRecorded) -> None:
+    def on_order_sent(self, effect: OrderRecorded) -> None:
         """Start the order's span."""
-        order = fact.order
+        order = effect.order
         span = self.recorder.start(
             "order",
             attributes={
                 "order_id": order.order_id,
-                "move_id": fact.move_id,
+                "move_id": effect.move_id,
                 "action": order.action.value,
                 "name": order.name,
-                "server": fact.server,
-                "reason": fact.reason.value,
-                "detail": fact.detail,
+                "server": effect.server,
+                "reason": effect.reason.value,
+                "detail": effect.detail,
             },
         )
         span.event("sent", epoch=order.epoch)
@@ -43,12 +44,12 @@
             self._open.pop(oldest).end()
         self._open[order.order_id] = span
 
-    def on_order_completed(self, fact: CompletionRecorded) -> None:
+    def on_order_completed(self, effect: CompletionRecorded) -> None:
         """End the order's span with its outcome."""
-        span = self._open.pop(fact.order_id, None)
+        span = self._open.pop(effect.order_id, None)
         if span is None:
             return
-        span.event("completed", outcome=fact.outcome)
-        if fact.outcome != DONE:
-            span.error(fact.outcome)
+        span.event("completed", outcome=effect.outcome)
+        if effect.outcome != COMPLETED_OUTCOME:
+            span.error(effect.outcome)
         span.end()
--- a/src/zincvale/daemons/placement_leadership.py
+++ b/src/zincvale/daemons/placement_leadership.py
@@ -13,13 +13,13 @@
 class PlacementLeadership:
     """Remembers the epoch under which this core leads placement.
 
-    The epoch goes from 0 to that of a lease, and from there to 0 or to that of a later lease; the
-    end of one epoch is reported before the next one begins.
+    The epoch changes from 0 to that of a lease, and then to 0 or to that of a later lease. The end
+    of one epoch is reported before the next one begins.
 
     Parameters
     ----------
-    on_gained : called with a new epoch, before the controller learns of it.
-    on_lost : called when an epoch ended, before the controller learns of it.
+    on_gained : called with a new epoch before the controller is informed of it.
+    on_lost : called when an epoch has ended, before the controller is informed of it.
 
     Attributes
     ----------
@@ -40,19 +40,19 @@
         self.epoch = 0
 
     def update(self, now: float) -> None:
-        """Take the state of the lease at `now`; the controller learns of every renewal."""
+        """Read the state of the lease at `now`; the controller is informed of every renewal."""
         state = self._machine.role(PLACEMENT_ROLE, now)
         if not state.is_leader:
-            self._end()
+            self._end_epoch()
             return
         if state.epoch != self.epoch:
-            self._end()
+            self._end_epoch()
             self.epoch = state.epoch
             self._placement.epoch = state.epoch
             self._on_gained(state.epoch)
         self._placement.feed(LeaderGained(state.epoch, state.acts_until))
 
-    def _end(self) -> None:
+    def _end_epoch(self) -> None:
         if not self.epoch:
             return
         self.epoch = 0
--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -1,7 +1,7 @@
 """Runs the placement controller: orders to servers, status requests and published topics.
 
-An order goes out only under the leader lease of its epoch. A server whose dialect confirms by
-repeating is sent the same order again until it says that it is completed (see
+An order is sent only under the leader lease of its epoch. Where the dialect confirms orders by
+repeating, the same order is sent again until the server replies that it is completed (see
 docs/design-placement.md).
 """
 
@@ -56,44 +56,48 @@
 from zincvale.runtime.logs import log
 
 ORDER_TIMEOUT_S = 2.0
-"""Below the controller's order lifetime, so that no order arrives after it was given up."""
+"""Time-out of an order. It is below the controller's order lifetime, so that no order arrives after
+the controller has given it up."""
 STATUS_TIMEOUT_S = 1.0
-"""Longer ones delay the finding that a server is unreachable."""
+"""Time-out of a status request; a longer one delays the detection of an unreachable server."""
 LOAD_CHECK_FRACTION = 0.97
-"""Part of a load's declared time after which the server is first checked for completion."""
+"""Fraction of a load's declared duration after which the server is first checked for completion."""
 DISK_LOAD_CHECK_FRACTION = 0.1
-"""As above for weights on the server's own disk, until one such load was seen to complete."""
+"""Same fraction for a load from the server's own disk, until the first such load has completed."""
 MIN_CONFIRM_INTERVAL_S = 0.015
-"""Between the first check and the second one; each check is one more order to the server."""
+"""Interval between the first and the second check; each check sends one more order to the
+server."""
 MAX_CONFIRM_INTERVAL_S = 0.06
-"""Bounds how late completion is noticed."""
+"""Longest interval between two checks; bounds how late completion is noticed."""
 CONFIRM_BACKOFF_FACTOR = 1.5
 BUSY_CHECK_INTERVAL_S = 1.0
-"""Above the lag of a report: one requested so long after an order shows whether it is executed."""
+"""Interval between two status requests about a busy server. It is above the lag of a status, so
+that a status requested this long after an order shows whether the server executes it."""
 CONFIRM_TIMEOUT_S = 30.0
-"""After it the order is unconfirmed, and only a status of the server tells its result."""
+"""Time after which an order is no longer repeated; only a status of the server then shows its
+result."""
 
 FindRow = Callable[[ServerId], ServerRow | None]
 ExpectedLoadTime = Callable[[Order], float]
 
 
-def _no_expected_load(_order: Order) -> float:
+def _no_declared_load_time(_order: Order) -> float:
     return 0.0
 
 
 @attrs.define
 class PlacementRunner:
-    """Feeds the placement controller and executes its effects.
+    """Passes inputs to the placement controller and executes its effects.
 
     Parameters
     ----------
-    find_row : returns the directory's row of a server.
+    find_row : returns the directory's row of a server, None if it has none.
     orders : formats of orders and statuses.
-    order_issuer : the name under which this process gives orders.
-    expected_load_s : returns how long a load of a model should take; 0 when nothing is declared.
-    on_replicas_changed : called with each server whose replicas, or whose draining marks, may have
+    order_issuer : name under which this process gives orders.
+    expected_load_s : returns the declared duration of a load, 0 when none is declared.
+    on_replicas_changed : called with each server whose replicas or their draining marks may have
         changed.
-    on_reachability : called with a server and whether a request just reached it.
+    on_reachability : called with a server and whether the last request reached it.
 
     Attributes
     ----------
@@ -109,7 +113,7 @@
     _spans: OrderSpans
     _orders: ServerOrders = attrs.field(factory=NativeServerOrders)
     _order_issuer: str = ""
-    _expected_load_s: ExpectedLoadTime = _no_expected_load
+    _expected_load_s: ExpectedLoadTime = _no_declared_load_time
     _on_replicas_changed: Callable[[ServerId], None] = lambda _server: None
     _on_reachability: Callable[[ServerId, bool], None] = lambda _server, _reached: None
     epoch: int = 0
@@ -119,7 +123,7 @@
     _durations: OrderDurations = attrs.field(factory=OrderDurations)
 
     def start(self) -> None:
-        """Start the task that publishes moves in order; it runs as long as the process."""
+        """Start the task that publishes messages in order; it runs until the process ends."""
         IOLoop.current().add_callback(self._publish_forever)
 
     def feed(self, event: Input) -> None:
@@ -131,7 +135,7 @@
             self._execute(effect)
 
     def publish(self, message: PublishTopic) -> None:
-        """Publish in order with the moves."""
+        """Queue a message, to be published in order with the published moves."""
         self._publications.put_nowait(message)
 
     def _execute(self, effect: Any) -> None:
@@ -141,7 +145,7 @@
             case RequestStatus():
                 IOLoop.current().add_callback(self._request_status, effect)
             case PublishMoves():
-                self._publications.put_nowait(self._publication(effect))
+                self._publications.put_nowait(self._publication_of_moves(effect))
             case MarkDraining():
                 self._on_replicas_changed(effect.server)
             case OrderRecorded():
@@ -152,7 +156,7 @@
             case Log(number, fields):
                 log(number, **fields)
 
-    def _publication(self, effect: PublishMoves) -> PublishTopic:
+    def _publication_of_moves(self, effect: PublishMoves) -> PublishTopic:
         rows = topic_rows(effect, self._wall_clock() - self._clock())
         puts = {row: content for row, content in rows.items() if content is not None}
         deletes = [row for row, content in rows.items() if content is None]
@@ -172,7 +176,7 @@
             self.feed(OrderRefused(order.order_id, OrderRefusal.WITHHELD))
             return
         self._active_orders[effect.server] = order
-        sequence = self._order_counts.of(effect.server)
+        sequence = self._order_counts.count_of(effect.server)
         reply = await self._post_order(effect, row, sequence)
         if reply is OrderReply.ACCEPTED and sequence is not None:
             sequence += 1
@@ -214,10 +218,10 @@
     async def _confirm_by_repeating(
         self, effect: SendOrder, row: ServerRow, sequence: int | None
     ) -> None:
-        """Repeat an order until the server says that it is completed: its own reports lag.
+        """Repeat an order until the server replies that it is completed; its status would lag.
 
-        The repeats carry the sequence that the order itself left, so that one which arrives after
-        another leader's orders is refused.
+        The repeats carry the sequence that the server has after the order, so that it refuses one
+        that arrives after another leader's orders.
         """
         order = effect.order
         started_at = self._clock()
@@ -249,15 +253,18 @@
         self.feed(OrderUnknown(order.order_id))
 
     async def _is_idle(self, effect: SendOrder) -> bool:
-        """Whether the server reports that it executes nothing: it refuses for another reason."""
+        """Whether the server has left or reports that it executes no order.
+
+        It then refuses this order for another reason than being busy with it.
+        """
         row = self._find_row(effect.server)
         if row is None:
             return True
-        reading = self._read(row, await self._fetch_status(effect.address, row))
+        reading = self._read_status(row, await self._fetch_status(effect.address, row))
         return reading is not None and not reading.is_busy
 
     def _clear_active_order(self, server: ServerId, order: Order) -> None:
-        """Record that `order` is not executed, as far as this process knows; a later one may be."""
+        """Record that the server no longer executes `order`; a later order stays recorded."""
         if self._active_orders.get(server) is order:
             del self._active_orders[server]
 
@@ -273,7 +280,7 @@
         return declared_s * LOAD_CHECK_FRACTION
 
     def request_status(self, server: ServerId) -> None:
-        """Request a server's status in the next turn of the loop."""
+        """Request a server's status in the next iteration of the event loop."""
         row = self._find_row(server)
         if row is not None:
             IOLoop.current().add_callback(self._request_status, RequestStatus(server, row.address))
@@ -286,21 +293,22 @@
             return
         requested_at = self._clock()
         result = await self._fetch_status(effect.address, row)
-        reading = self._read(row, result)
+        reading = self._read_status(row, result)
         if not result.status:
             self._on_reachability(effect.server, False)
         if reading is None:
             return
         self._on_reachability(effect.server, True)
-        own = self._active_order(effect.server)
-        if reading.is_busy and own is None:
-            # Another leader's order is executed: this status proves nothing. Its sequence must not
-            # be taken either: the next order would pass as if the result of that one were known.
+        active_order = self._active_order(effect.server)
+        if reading.is_busy and active_order is None:
+            # The server executes another leader's order, so this status proves nothing. Its
+            # sequence must not be recorded either: the server would accept the next order, which
+            # was planned without the result of the other leader's order.
             return
         if reading.sequence is not None:
             taken_at = requested_at - reading.age_s
             self._order_counts.record_status(effect.server, reading.sequence, taken_at)
-        self.feed(DirectoryChanged((_report(reading, own, requested_at),)))
+        self.feed(DirectoryChanged((_report(reading, active_order, requested_at),)))
 
     async def _fetch_status(self, address: Address, row: ServerRow) -> FetchResult:
         call = self._orders.status_call(row)
@@ -309,28 +317,30 @@
         )
 
     def _active_order(self, server: ServerId) -> Order | None:
-        """Return the order that this process gave the server under its present lease.
+        """Return the order that the server executes for this process under its current lease.
 
-        One from an earlier lease proves nothing any more: another leader may have ordered since.
+        An order from an earlier lease is dropped: another leader may have given orders since.
         """
-        own = self._active_orders.get(server)
-        if own is None or self._publisher.guard.may_act(own.epoch):
-            return own
+        active_order = self._active_orders.get(server)
+        if active_order is None or self._publisher.guard.may_act(active_order.epoch):
+            return active_order
         del self._active_orders[server]
         return None
 
-    def _read(self, row: ServerRow, result: FetchResult) -> StatusReading | None:
+    def _read_status(self, row: ServerRow, result: FetchResult) -> StatusReading | None:
         try:
             return self._orders.read_status(row, result)
         except MalformedBodyError:
             return None
 
 
-def _report(reading: StatusReading, own: Order | None, requested_at: float) -> StatusReport:
-    """Return the reading as the controller's input; the active order counts as being executed."""
+def _report(
+    reading: StatusReading, active_order: Order | None, requested_at: float
+) -> StatusReport:
+    """Return a status as input of the controller; it counts `active_order` as being executed."""
     row, unloading = reading.row, reading.unloading
-    if own is not None and own.action is OrderAction.LOAD:
-        row = attrs.evolve(row, loading=row.loading | {own.name})
-    elif own is not None:
-        unloading = unloading | {own.name}
+    if active_order is not None and active_order.action is OrderAction.LOAD:
+        row = attrs.evolve(row, loading=row.loading | {active_order.name})
+    elif active_order is not None:
+        unloading = unloading | {active_order.name}
     return StatusReport(row, requested_at - reading.age_s, unloading)
--- a/src/zincvale/daemons/process.py
+++ b/src/zincvale/daemons/process.py
@@ -1,4 +1,4 @@
-"""What every daemon shares: the peer endpoint, the machine driver, signals and the drain."""
+"""Parts that every daemon shares: the peer endpoint, the machine driver, signals and the drain."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tornado.ioloop import IOLoop
 from tornado.web import Application
 
-from zincvale.coordination import protocol as _protocol  # noqa: F401  messages by name
+from zincvale.coordination import protocol as _protocol  # noqa: F401  registers messages
 from zincvale.model.identifiers import MemberId
 from zincvale.runtime import log_events
 from zincvale.runtime.driver import TICK_INTERVAL_MS, Machine, MachineDriver, Storage
@@ -24,22 +24,22 @@
 from zincvale.transport.peer_server import MAX_PEER_BODY_BYTES, PeerServer
 
 MAX_API_BODY_BYTES = 32 * 1024 * 1024
-"""Larger bodies are refused: each one is buffered as a whole."""
+"""Size limit of API request bodies, since each one is buffered as a whole."""
 DRAIN_CHECK_INTERVAL_S = 0.05
-"""Longer ones delay the stop of a drained process."""
+"""Interval between two checks whether the drain is done; a longer one delays the stop."""
 GC_THRESHOLD_OBJECTS = 5_000
-"""Allocations minus deallocations between two collections of cycles. Python's default of 700 is
-passed several times a second by a node under load, which makes few cycles."""
+"""Allocations minus deallocations between two garbage collections. A node under load exceeds
+Python's default of 700 several times a second, although it creates few cycles."""
 
 
 @attrs.frozen
 class Drain:
-    """How a daemon drains: `begin`, then serve on until `is_done` or `limit_s` have passed.
+    """How a daemon drains: it calls `begin`, then serves until `is_done` or for `limit_s` seconds.
 
     Attributes
     ----------
-    begin : called with a time that the signal certainly did not come before. A process that stood
-        still notices it late, and whoever sent it counts from when it was sent.
+    begin : called with a time before which the signal was certainly not sent. A process that was
+        frozen notices the signal late, but the sender's grace period starts when it is sent.
     """
 
     begin: Callable[[float], None]
@@ -51,7 +51,7 @@
 
 
 def _no_reload() -> None:
-    """Settings are read once."""
+    """Ignore SIGHUP: the settings are read only once."""
 
 
 @attrs.define
@@ -69,12 +69,12 @@
     peers: PeerClient
     _clock: Callable[[], float]
     on_reload: Callable[[], None] = _no_reload
-    """Called on SIGHUP: the settings file may have changed."""
+    """Called on SIGHUP, since the settings file may have changed."""
     _http_servers: list[HTTPServer] = attrs.field(factory=list)
     _is_stopping: bool = False
 
     def listen(self, api: Application) -> None:
-        """Bind both addresses; raises `StartupError`."""
+        """Bind the API address and the peer address; raises `StartupError`."""
         settings = self.settings
         self._http_servers.append(
             listen(api, settings.api_address, "api_address", MAX_API_BODY_BYTES)
@@ -82,7 +82,7 @@
         self.listen_peers()
 
     def listen_peers(self) -> None:
-        """Bind the peer address alone; raises `StartupError`."""
+        """Bind only the peer address; raises `StartupError`."""
         self._http_servers.append(
             listen(
                 self.server,
@@ -99,15 +99,15 @@
         self.driver.start()
         _tune_garbage_collector()
 
-        def on_signal(_number: int, _frame: Any) -> None:
+        def on_stop_signal(_number: int, _frame: Any) -> None:
             loop.add_callback_from_signal(self._begin_drain, drain, self.driver.last_ran_at)
 
-        def on_hang_up(_number: int, _frame: Any) -> None:
+        def on_hangup_signal(_number: int, _frame: Any) -> None:
             loop.add_callback_from_signal(self.on_reload)
 
-        signal.signal(signal.SIGHUP, on_hang_up)
-        signal.signal(signal.SIGTERM, on_signal)
-        signal.signal(signal.SIGINT, on_signal)
+        signal.signal(signal.SIGHUP, on_hangup_signal)
+        signal.signal(signal.SIGTERM, on_stop_signal)
+        signal.signal(signal.SIGINT, on_stop_signal)
         log(
             log_events.DAEMON_STARTED,
             role=self.settings.role,
@@ -137,9 +137,9 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Exempt all objects so far from garbage collection: modules live as long as the process.
+    """Exempt all present objects from garbage collection: modules live as long as the process.
 
-    No collection comes first: it would take a tenth of a start to find about 2 MB.
+    There is no collection before that: it would take a tenth of the start to free about 2 MB.
     """
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD_OBJECTS)
@@ -160,13 +160,13 @@
 
     Parameters
     ----------
-    storage : where `Write` effects go; None for a machine that writes nothing.
+    storage : executes `Write` effects; None for a machine that writes nothing.
     address_of : returns the peer address of a member, None while it is unknown.
-    after_input : called after each run of inputs.
+    after_input : called after each batch of handled inputs.
     """
     member = MemberId(settings.member_id)
     identity = PeerIdentity(settings.cluster_id, member, incarnation)
-    replies = _Replies()
+    replies = _PeerReplies()
     driver = MachineDriver(
         machine, member, clock, storage, replies.send, after_input, tick_interval_ms
     )
@@ -185,8 +185,8 @@
 
 
 @attrs.define
-class _Replies:
-    """Sends replies to peers; breaks the construction cycle between driver and peer server."""
+class _PeerReplies:
+    """Sends replies to peers; lets driver and peer server be constructed one after the other."""
 
     server: PeerServer | None = None
 
--- a/src/zincvale/daemons/registry_rows.py
+++ b/src/zincvale/daemons/registry_rows.py
@@ -1,4 +1,4 @@
-"""The registered nodes with their zones, for the choice of claim voters."""
+"""Decodes the registered nodes and their zones, from which claim voters are chosen."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def registered_zones(rows: Rows) -> dict[MemberId, ZoneName]:
-    """Return the zone of each node that stays registered once the pending change completes.
+    """Return the zone of each node that stays registered after the pending change completes.
 
-    Every version of the registry is a view of its own, so that two nodes with the same version
+    The result depends only on the registry's version, so that two nodes with the same version
     choose the same voters.
     """
     zones: dict[MemberId, ZoneName] = {}
--- a/src/zincvale/daemons/residency_publisher.py
+++ b/src/zincvale/daemons/residency_publisher.py
@@ -17,11 +17,11 @@
 
 
 class ResidencyPublisher:
-    """Remembers the rows published under one lease, and servers whose row may have changed since.
+    """Stores the rows published under one lease, and the servers whose row may have changed since.
 
     Parameters
     ----------
-    servers : returns placement's states of servers.
+    servers : returns placement's state of each server.
     publish : publishes a change of the topic.
     """
 
@@ -40,7 +40,7 @@
         self._changed.update(servers)
 
     def restart(self) -> None:
-        """Publish every row again with the next changes: a new lease begins."""
+        """Discard the published rows, so that a new lease publishes every row again."""
         self._published = {}
         self._changed.update(self._servers())
 
--- a/src/zincvale/daemons/residency_row_codec.py
+++ b/src/zincvale/daemons/residency_row_codec.py
@@ -13,17 +13,17 @@
 
 
 class ResidencyDecoder:
-    """Stores the typed rows of the topic; decodes only rows that changed."""
+    """Decodes rows of the topic and caches them, so that only changed rows are decoded."""
 
     def __init__(self) -> None:
         self._rows: dict[str, bytes] = {}
         self._residencies: dict[ServerId, Residency] = {}
 
     def update(self, rows: Mapping[str, bytes]) -> dict[ServerId, Residency]:
-        """Return each server's residency in the complete `rows` of the topic."""
-        known = self._residencies
+        """Return each server's residency, given all `rows` of the topic."""
+        cached = self._residencies
         self._residencies = {
-            ServerId(server): known[ServerId(server)]
+            ServerId(server): cached[ServerId(server)]
             if self._rows.get(server) == content
             else _decode(content)
             for server, content in rows.items()
--- a/src/zincvale/daemons/server_orders.py
+++ b/src/zincvale/daemons/server_orders.py
@@ -1,7 +1,7 @@
-"""The interface between placement and back ends: formats of orders and of status requests.
+"""Interface between placement and back-end servers: formats of orders and status requests.
 
-`NativeServerOrders` is the product's own dialect; another dialect is another class that implements
-`ServerOrders`.
+`NativeServerOrders` implements `ServerOrders` for the native protocol; another dialect (protocol)
+is another class that implements it.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class HttpCall:
-    """One call to a server."""
+    """Path, body and headers of one HTTP call to a server."""
 
     path: str
     body: bytes
@@ -39,7 +39,7 @@
 class OrderReply(enum.Enum):
     """What a server's response to an order proves; a proven refusal is an `OrderRefusal`.
 
-    An order goes from `ACCEPTED` to `COMPLETED`; after `UNKNOWN` only a status of the server tells.
+    An order goes from `ACCEPTED` to `COMPLETED`; after `UNKNOWN` only a status shows its result.
     """
 
     ACCEPTED = "accepted"
@@ -47,12 +47,12 @@
     COMPLETED = "completed"
     """The server's state is as ordered."""
     UNKNOWN = "unknown"
-    """Nothing: the order may run."""
+    """The response proves nothing: the order may be executed."""
 
 
 @attrs.frozen
 class StatusReading:
-    """The status that a server reports of itself.
+    """The status that a server reports about itself.
 
     Attributes
     ----------
@@ -71,11 +71,11 @@
 
 
 class ServerOrders(Protocol):
-    """Formats of orders and statuses."""
+    """Formats of orders and statuses of one kind of server."""
 
     @property
     def confirms_by_repeating(self) -> bool:
-        """Whether sending an accepted order again tells whether it is completed."""
+        """Whether the reply to a repeated accepted order tells whether the order is completed."""
         ...
 
     def order_call(
@@ -85,14 +85,14 @@
 
         Parameters
         ----------
-        issuer : the name under which this process gives orders.
+        issuer : name under which this process gives orders.
         sequence : number of orders that the server must have accepted before this one, else it
-            refuses; None asks for no such check.
+            refuses; None requests no such check.
         """
         ...
 
     def order_reply(self, order: Order, result: FetchResult) -> OrderReply | OrderRefusal:
-        """Return what the response proves."""
+        """Return what the response to an order proves."""
         ...
 
     def status_call(self, row: ServerRow) -> HttpCall:
@@ -100,7 +100,7 @@
         ...
 
     def read_status(self, row: ServerRow, result: FetchResult) -> StatusReading | None:
-        """Return the status in a response, None when it is not this server's.
+        """Return the status in a response, None when it is not a status of this server.
 
         Raises `MalformedBodyError`.
         """
@@ -108,7 +108,7 @@
 
 
 class NativeServerOrders:
-    """Implements `ServerOrders` for the product's own back ends."""
+    """Implements `ServerOrders` for back ends that speak the native protocol."""
 
     confirms_by_repeating = False
 
@@ -120,7 +120,7 @@
         return HttpCall(f"/v1/{kind}/{order.action.value}", orjson.dumps(_order_body(order)))
 
     def order_reply(self, order: Order, result: FetchResult) -> OrderReply | OrderRefusal:
-        """Return what the response proves: only a proven refusal frees a reservation."""
+        """Return what the response proves; only a proven refusal releases a memory reservation."""
         if result.status in (HTTP_OK, HTTP_ACCEPTED):
             return OrderReply.ACCEPTED
         if not result.connected:
--- a/src/zincvale/daemons/topic_publisher.py
+++ b/src/zincvale/daemons/topic_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes ephemeral topics at the local core, one at a time, under a leader lease."""
+"""Publishes ephemeral topics through the local core, one at a time, under a leader lease."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @attrs.define
 class TopicPublisher:
-    """Checks the leader lease, then calls the local core."""
+    """Checks the leader lease before it sends a publication to the local core."""
 
     driver: MachineDriver
     guard: LeadershipGuard
 
     async def publish(self, message: PublishTopic) -> bool:
-        """Return whether the core accepted the publication."""
+        """Publish a message; return whether the core accepted it."""
         if not self.guard.may_act(message.epoch):
             return False
         reply = await self.driver.call_local(message)
--- a/tests/daemons/call_recorder.py
+++ b/tests/daemons/call_recorder.py
@@ -1,4 +1,4 @@
-"""A stand-in for a component that records which methods are called, and in which order."""
+"""A test double that records which methods of a component are called, and in which order."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CallRecorder:
-    """Stands for a component; writes the names of the calls to one list."""
+    """Replaces a component and appends the name of each call to one list."""
 
     def __init__(self, name: str, calls: list[str]) -> None:
         self._name = name
--- a/tests/daemons/order_soak.py
+++ b/tests/daemons/order_soak.py
@@ -1,8 +1,8 @@
-"""Soak of placement's orders: real controllers and runners of three cores, in virtual time.
+"""Soak test of orders: the real controllers and runners of three cores run in virtual time.
 
-The leader lease moves among cores that freeze, are cut off, or are killed; documents change all the
-time, demand moves, servers crash, are replaced and evacuated, answers and connections are lost. The
-simulated servers judge every order that they take.
+The leader lease moves among cores that are frozen, partitioned or killed. Documents and demand
+change continuously, servers crash, are replaced and evacuated, and responses and connections are
+lost. The simulated servers check every order that they execute.
 """
 
 from __future__ import annotations
@@ -58,26 +58,26 @@
 TICK_S = 0.05
 DEMAND_INTERVAL_S = 0.25
 DOCUMENT_INTERVAL_S = 0.25
-TROUBLE_INTERVAL_S = 0.5
+FAULT_INTERVAL_S = 0.5
 LEASE_S = 3.0
 LEASE_MARGIN_S = 0.3
 ORDER_QUIET_S = 3.0
 UNACKNOWLEDGED_LIMIT_S = 0.3
 LONGEST_ONE_WAY_S = 0.004
 NEW_CONNECTION_SHARE = 0.1
-POLL_S = 0.02
+LINK_POLL_INTERVAL_S = 0.02
 FREEZE_AT_SEND_SHARE = 0.05
-"""Of orders on new connections."""
-SAME_NAME_SHARE = 0.5
-"""Of restarts after a crash."""
+"""Share of orders on new connections at which the leader freezes before it sends them."""
+SAME_INSTANCE_SHARE = 0.5
+"""Share of restarts after a crash in which the server keeps its instance name."""
 
-ACTING: contextvars.ContextVar[Core] = contextvars.ContextVar("acting core")
+ACTING_CORE: contextvars.ContextVar[Core] = contextvars.ContextVar("acting core")
 
 
 async def sleep_as_core(seconds: float) -> None:
-    """Sleep as the acting core does: a frozen process wakes when it is thawed."""
+    """Sleep in the acting core; a frozen core continues only after it is thawed."""
     await asyncio.sleep(seconds)
-    await ACTING.get().awake()
+    await ACTING_CORE.get().wait_until_running()
 
 
 class Core:
@@ -87,11 +87,11 @@
         self.soak = soak
         self.name = name
         self.frozen_until = 0.0
-        self.is_dead = False
+        self.is_killed = False
         self.dropped_epoch = 0
         self.rows: dict[str, ServerRow] = {}
         self.document_version = 0
-        self.knows_documents_from = 0.0
+        self.receives_documents_from = 0.0
         self.intent = DocumentIntent(StoreConfig())
         self.controller = PlacementController(random.Random(seed), placement_config(ORDER_QUIET_S))
         guard = LeadershipGuard(self, PLACEMENT_ROLE, soak.clock)
@@ -115,23 +115,23 @@
     # --- the process ----------------------------------------------------------------------
 
     @property
-    def is_awake(self) -> bool:
-        return not self.is_dead and self.soak.clock() >= self.frozen_until
+    def is_running(self) -> bool:
+        return not self.is_killed and self.soak.clock() >= self.frozen_until
 
-    async def awake(self) -> None:
-        """Return once the process runs; a killed one never does."""
-        while not self.is_awake:
-            if self.is_dead:
+    async def wait_until_running(self) -> None:
+        """Return when the process runs; never return for a killed process."""
+        while not self.is_running:
+            if self.is_killed:
                 await asyncio.get_running_loop().create_future()
             await asyncio.sleep(self.frozen_until - self.soak.clock())
 
-    def act(self, action: Callable[[], None]) -> None:
-        """Run what the process does now; a frozen one does nothing."""
-        if self.is_awake:
-            contextvars.copy_context().run(self._act, action)
+    def run_if_running(self, action: Callable[[], None]) -> None:
+        """Run `action` in this process, unless the process is frozen or killed."""
+        if self.is_running:
+            contextvars.copy_context().run(self._run_as_core, action)
 
-    def _act(self, action: Callable[[], None]) -> None:
-        ACTING.set(self)
+    def _run_as_core(self, action: Callable[[], None]) -> None:
+        ACTING_CORE.set(self)
         action()
 
     def role(self, _role: str, now: float) -> SimpleNamespace:
@@ -151,15 +151,15 @@
 
     # --- inputs, as `ForwardingCore` takes them ---------------------------------------------
 
-    def on_list(self, rows: dict[str, ServerRow]) -> None:
+    def on_server_list(self, rows: dict[str, ServerRow]) -> None:
         removed = tuple(server for server in self.rows if server not in rows)
         self.rows = rows
         now = self.soak.clock()
         observed = ServersObserved(tuple(rows.values()), removed, now - LIST_LAG_S)
-        leads = bool(self.leadership.epoch)
+        is_leading = bool(self.leadership.epoch)
         reports = listed_reports(
             observed,
-            observed.requested_at - LIST_LAG_S if leads else float("-inf"),
+            observed.requested_at - LIST_LAG_S if is_leading else float("-inf"),
             lambda server: self.is_confirmed(server) or server in self.unreachable,
         )
         for server in removed:
@@ -199,22 +199,22 @@
         headers: Mapping[str, str],
         timeout_s: float,
     ) -> FetchResult:
-        """Carry a call over the simulated network, as `HttpFetcher.call` would."""
+        """Deliver a call over the simulated network, as `HttpFetcher.call` would."""
         soak, deadline = self.soak, self.soak.clock() + timeout_s
         if soak.random.random() < NEW_CONNECTION_SHARE or soak.is_cut(self, address):
             if not await soak.link_is_up(self, address, deadline):
                 return FetchResult(0, connected=False)
             await asyncio.sleep(soak.one_way_s())
-            if body is not None and soak.freezes_at_sends:
+            if body is not None and soak.freezes_at_send:
                 soak.freeze_at_send(self)
-            await self.awake()
-            server = soak.by_address.get(address)
+            await self.wait_until_running()
+            server = soak.server_by_address.get(address)
             if server is None or server.is_down:
                 return FetchResult(0, connected=False)
         elif not await soak.link_is_up(self, address, soak.clock() + UNACKNOWLEDGED_LIMIT_S):
             return FetchResult(0)
         await asyncio.sleep(soak.one_way_s())
-        server = soak.by_address.get(address)
+        server = soak.server_by_address.get(address)
         if server is None or server.is_down:
             return FetchResult(0)
         result = server.respond(HttpCall(path, b"", dict(headers)), body)
@@ -223,10 +223,10 @@
     async def _response(self, result: FetchResult, address: str, deadline: float) -> FetchResult:
         soak = self.soak
         if soak.random.random() < soak.reset_share:
-            await self.awake()
+            await self.wait_until_running()
             return FetchResult(0)
-        lost = soak.random.random() < soak.loss_share
-        if lost or not await soak.link_is_up(self, address, deadline):
+        is_lost = soak.random.random() < soak.loss_share
+        if is_lost or not await soak.link_is_up(self, address, deadline):
             await sleep_as_core(max(0.0, deadline - soak.clock()))
             return FetchResult(0)
         await sleep_as_core(soak.one_way_s())
@@ -234,12 +234,12 @@
 
 
 def _ignore(*_arguments: object, **_fields: object) -> None:
-    """Take what this rig does not look at."""
+    """Ignore a call whose effect the soak test does not observe."""
 
 
 @attrs.define
 class Lease:
-    """The leader lease as a majority of cores would grant it."""
+    """The leader lease, as a majority of cores would grant it."""
 
     holder: Core | None = None
     epoch: int = 0
@@ -247,50 +247,50 @@
 
 
 class OrderSoak:
-    """Runs one seed; `problems` holds every rule that an order broke.
+    """Runs one seed; `problems` lists every order that violated a rule, and every exception.
 
     Parameters
     ----------
-    freezes_at_sends : leaders also freeze between the check of their lease and the write of an
-        order whose connection comes up, and servers restart under the same name.
+    freezes_at_send : leaders also freeze between the check of their lease and sending an order on
+        a new connection, and some servers restart under the same instance name.
     """
 
-    def __init__(self, seed: int, *, freezes_at_sends: bool = False) -> None:
-        self.freezes_at_sends = freezes_at_sends
+    def __init__(self, seed: int, *, freezes_at_send: bool = False) -> None:
+        self.freezes_at_send = freezes_at_send
         self.random = random.Random(seed)
         self.loop = VirtualLoop()
         self.loop.set_exception_handler(self._on_failed_step)
         self.events: Counter[int] = Counter()
-        self.keeps_lines = False
-        self.lines: list[str] = []
+        self.keeps_log_lines = False
+        self.log_lines: list[str] = []
         self.clock = self.loop.time
         self.problems: list[str] = []
-        self.leaders_changed = 0
+        self.leader_changes = 0
         self.lease = Lease()
-        self.cut_off_until: dict[str, float] = {}
+        self.isolated_until: dict[str, float] = {}
         self.cut_links: dict[tuple[str, str], float] = {}
         self.reset_share = 0.0
         self.loss_share = 0.0
         self.catalog = self._make_catalog()
         self.document = self._make_document()
-        self.by_address: dict[str, SimulatedServer] = {}
+        self.server_by_address: dict[str, SimulatedServer] = {}
         self.listed: dict[str, str] = {}
         self.draining: set[str] = set()
-        self._slots = 0
+        self._slot_count = 0
         self._incarnations = 0
         for _ in range(SERVERS):
-            self._list(self._add_server(self.random.sample(sorted(self.catalog), 3)))
+            self._add_to_list(self._add_server(self.random.sample(sorted(self.catalog), 3)))
         self.cores = [self._new_core(f"core-{number}") for number in range(3)]
-        self.hot = [self._draw_demand() for _ in range(10)]
+        self.demanded_items = [self._random_item() for _ in range(10)]
 
     def run(self, seconds: float) -> None:
-        """Play `seconds` of virtual time."""
+        """Run for `seconds` of virtual time."""
         for interval_s, step in (
             (TICK_S, self._tick),
             (DOCUMENT_INTERVAL_S, self._change_document),
             (DEMAND_INTERVAL_S, self._report_demand),
             (LIST_INTERVAL_S, self._read_list),
-            (TROUBLE_INTERVAL_S, self._trouble),
+            (FAULT_INTERVAL_S, self._inject_faults),
         ):
             self._every(interval_s, step)
         with (
@@ -303,8 +303,8 @@
 
     def _on_log(self, number: int, **fields: object) -> None:
         self.events[number] += 1
-        if self.keeps_lines:
-            self.lines.append(f"{self.clock():.3f} {ACTING.get().name} {number} {fields}")
+        if self.keeps_log_lines:
+            self.log_lines.append(f"{self.clock():.3f} {ACTING_CORE.get().name} {number} {fields}")
 
     def _on_failed_callback(self, message: str, *arguments: object, **_options: object) -> None:
         failure = sys.exc_info()[1]
@@ -314,17 +314,17 @@
         self.problems.append(f"{self.clock():.3f}: {context.get('exception')!r}")
 
     def _every(self, interval_s: float, step: Callable[[], None]) -> None:
-        def again() -> None:
-            self.loop.call_later(interval_s, again)
+        def run_step() -> None:
+            self.loop.call_later(interval_s, run_step)
             step()
 
-        self.loop.call_later(interval_s, again)
+        self.loop.call_later(interval_s, run_step)
 
-    def orders_taken(self) -> int:
-        """Return the orders that servers executed."""
-        return sum(server.orders_taken for server in self.by_address.values())
+    def accepted_orders(self) -> int:
+        """Return the number of orders that the present servers have accepted."""
+        return sum(server.accepted_orders for server in self.server_by_address.values())
 
-    # --- what there is ----------------------------------------------------------------------
+    # --- models, servers and cores --------------------------------------------------------
 
     def _make_catalog(self) -> dict[str, SimulatedModel]:
         return {
@@ -346,11 +346,11 @@
         return ForwardingDocument(version=1, pools={POOL: ForwardPool(POOL, engine=engine)})
 
     def _add_server(self, models: list[str]) -> SimulatedServer:
-        self._slots += 1
+        self._slot_count += 1
         server = SimulatedServer(
-            self._slots,
-            f"10.0.0.{self._slots}:9000",
-            ZONES[self._slots % len(ZONES)],
+            self._slot_count,
+            f"10.0.0.{self._slot_count}:9000",
+            ZONES[self._slot_count % len(ZONES)],
             MEMORY_BYTES,
             ADAPTER_SLOTS,
             self.catalog,
@@ -359,11 +359,11 @@
             self.problems,
         )
         server.start(models)
-        self.by_address[server.address] = server
+        self.server_by_address[server.address] = server
         return server
 
-    def _list(self, server: SimulatedServer) -> None:
-        if server.address in self.by_address and not server.is_down:
+    def _add_to_list(self, server: SimulatedServer) -> None:
+        if server.address in self.server_by_address and not server.is_down:
             self.listed[server.address] = server.instance
 
     def _new_core(self, name: str) -> Core:
@@ -379,36 +379,36 @@
         return self.clock() < self.cut_links.get((core.name, address), 0.0)
 
     async def link_is_up(self, core: Core, address: str, deadline: float) -> bool:
-        """Wait for the link; return False when it stays cut until `deadline`."""
+        """Wait until the link works; return False if it stays cut until `deadline`."""
         while self.is_cut(core, address):
             if self.clock() >= deadline:
                 return False
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(LINK_POLL_INTERVAL_S)
         return True
 
-    # --- what happens all the time ------------------------------------------------------------
+    # --- periodic steps ------------------------------------------------------------
 
     def _tick(self) -> None:
         self._move_lease()
         for core in self.cores:
-            core.act(core.tick)
+            core.run_if_running(core.tick)
 
     def _move_lease(self) -> None:
         now, lease = self.clock(), self.lease
         holder = lease.holder
         if holder is not None and now < lease.until:
-            hears_others = now >= self.cut_off_until.get(holder.name, 0.0)
-            if holder.is_awake and hears_others and holder.dropped_epoch != lease.epoch:
+            is_connected = now >= self.isolated_until.get(holder.name, 0.0)
+            if holder.is_running and is_connected and holder.dropped_epoch != lease.epoch:
                 lease.until = now + LEASE_S
             return
-        able = [
+        candidates = [
             core
             for core in self.cores
-            if core.is_awake and now >= self.cut_off_until.get(core.name, 0.0)
+            if core.is_running and now >= self.isolated_until.get(core.name, 0.0)
         ]
-        if able:
-            self.leaders_changed += 1
-            self.lease = Lease(self.random.choice(able), lease.epoch + 1, now + LEASE_S)
+        if candidates:
+            self.leader_changes += 1
+            self.lease = Lease(self.random.choice(candidates), lease.epoch + 1, now + LEASE_S)
 
     def _change_document(self) -> None:
         self.document = attrs.evolve(self.document, version=self.document.version + 1)
@@ -419,10 +419,10 @@
             )
 
     def _deliver_document(self, core: Core, document: ForwardingDocument) -> None:
-        if self.clock() >= core.knows_documents_from:
-            core.act(lambda: core.on_document(document))
+        if self.clock() >= core.receives_documents_from:
+            core.run_if_running(lambda: core.on_document(document))
 
-    def _draw_demand(self) -> tuple[str, str | None]:
+    def _random_item(self) -> tuple[str, str | None]:
         model = self.random.choice(sorted(self.catalog))
         number = self.random.randrange(2 * ADAPTERS_PER_MODEL)
         return model, f"{model}/a{number}" if number < ADAPTERS_PER_MODEL else None
@@ -430,27 +430,29 @@
     def _report_demand(self) -> None:
         if self.random.random() < DEMAND_INTERVAL_S / 3.0:
             for _ in range(self.random.randint(1, 5)):
-                self.hot[self.random.randrange(len(self.hot))] = self._draw_demand()
+                self.demanded_items[self.random.randrange(len(self.demanded_items))] = (
+                    self._random_item()
+                )
         rows = tuple(
             DemandRow(model, adapter, requests=self.random.randrange(3), waiting=waiting)
-            for model, adapter in dict.fromkeys(self.hot)
+            for model, adapter in dict.fromkeys(self.demanded_items)
             for waiting in (0 if self._is_served(model, adapter) else 1,)
         )
         for core in self.cores:
-            core.act(lambda core=core: core.runner.feed(DemandReported("node-1", rows)))
+            core.run_if_running(lambda core=core: core.runner.feed(DemandReported("node-1", rows)))
 
     def _is_served(self, model: str, adapter: str | None) -> bool:
         return any(
             model in server.held
             and (adapter is None or adapter.rpartition("/")[2] in server.held[model])
-            for server in self.by_address.values()
+            for server in self.server_by_address.values()
             if not server.is_down
         )
 
     def _read_list(self) -> None:
         rows = {}
         for address, instance in self.listed.items():
-            server = self.by_address[address]
+            server = self.server_by_address[address]
             models = server.listed_models() if instance == server.instance else {}
             rows[instance] = ServerRow(
                 server=instance,
@@ -469,82 +471,82 @@
                 draining=address in self.draining,
             )
         for core in self.cores:
-            core.act(lambda core=core: core.on_list(dict(rows)))
+            core.run_if_running(lambda core=core: core.on_server_list(dict(rows)))
 
-    # --- trouble ----------------------------------------------------------------------------
+    # --- fault injection ------------------------------------------------------------------
 
-    def _trouble(self) -> None:
-        kinds = (
+    def _inject_faults(self) -> None:
+        faults = (
             (0.06, self._freeze_leader),
-            (0.03, self._cut_leader_off),
+            (0.03, self._isolate_leader),
             (0.02, self._kill_core),
             (0.05, self._cut_links),
             (0.02, self._crash_server),
             (0.02, self._replace_server),
             (0.02, self._evacuate),
-            (0.04, self._lose_answers),
+            (0.04, self._set_response_loss),
         )
-        for probability, trouble in kinds:
+        for probability, inject in faults:
             if self.random.random() < probability:
-                trouble()
+                inject()
 
     def freeze_at_send(self, core: Core) -> None:
-        """Let the core freeze at times: what it is about to write leaves when it thaws."""
-        if self.random.random() < FREEZE_AT_SEND_SHARE and core.is_awake:
+        """Freeze the core at random; the order that it is about to send leaves when it thaws."""
+        if self.random.random() < FREEZE_AT_SEND_SHARE and core.is_running:
             self._freeze(core)
 
     def _freeze_leader(self) -> None:
         core = self.lease.holder or self.cores[0]
-        if core.is_awake:
+        if core.is_running:
             self._freeze(core)
 
     def _freeze(self, core: Core) -> None:
         core.frozen_until = self.clock() + self.random.uniform(0.5, 9.0)
         if core is self.lease.holder:
-            # The jump of its clock makes the process drop its lease when it wakes.
+            # When the process is thawed, it detects the clock jump and drops its lease.
             core.dropped_epoch = self.lease.epoch
 
-    def _cut_leader_off(self) -> None:
+    def _isolate_leader(self) -> None:
         if self.lease.holder is not None:
             until = self.clock() + self.random.uniform(2.0, 8.0)
-            self.cut_off_until[self.lease.holder.name] = until
+            self.isolated_until[self.lease.holder.name] = until
 
     def _kill_core(self) -> None:
         number = self.random.randrange(len(self.cores))
-        self.cores[number].is_dead = True
+        self.cores[number].is_killed = True
         core = self._new_core(self.cores[number].name)
         core.frozen_until = self.clock() + self.random.uniform(0.3, 2.0)
-        core.knows_documents_from = core.frozen_until + self.random.uniform(0.0, 3.0)
+        core.receives_documents_from = core.frozen_until + self.random.uniform(0.0, 3.0)
         self.cores[number] = core
 
     def _cut_links(self) -> None:
         until = self.clock() + self.random.uniform(0.1, 4.0)
         share = self.random.choice((0.2, 0.5, 1.0))
         core = self.random.choice(self.cores)
-        for address in self.by_address:
+        for address in self.server_by_address:
             if self.random.random() < share:
                 self.cut_links[core.name, address] = until
 
     def _crash_server(self) -> None:
-        server = self.by_address[self.random.choice(sorted(self.by_address))]
+        server = self.server_by_address[self.random.choice(sorted(self.server_by_address))]
         down_s = self.random.uniform(0.5, 4.0)
-        keeps_instance = self.freezes_at_sends and self.random.random() < SAME_NAME_SHARE
+        keeps_instance = self.freezes_at_send and self.random.random() < SAME_INSTANCE_SHARE
         server.crash(down_s, keeps_instance=keeps_instance)
         self.loop.call_later(2.0, self.listed.pop, server.address, None)
-        self.loop.call_later(max(2.0, down_s) + LIST_LAG_S, self._list, server)
+        self.loop.call_later(max(2.0, down_s) + LIST_LAG_S, self._add_to_list, server)
 
     def _replace_server(self) -> None:
-        server = self.by_address[self.random.choice(sorted(self.by_address))]
+        server = self.server_by_address[self.random.choice(sorted(self.server_by_address))]
         if server.address in self.draining:
             return
         self.draining.add(server.address)
-        self.loop.call_later(LIST_LAG_S, self._list, self._add_server([]))
+        self.loop.call_later(LIST_LAG_S, self._add_to_list, self._add_server([]))
         self.loop.call_later(self.random.uniform(3.0, 8.0), self._remove_server, server.address)
 
     def _remove_server(self, address: str) -> None:
         self.listed.pop(address, None)
         self.draining.discard(address)
-        del self.by_address[address]
+        del self.server_by_address[address]
 
     def _evacuate(self) -> None:
         evacuated = (
@@ -554,6 +556,6 @@
             self.document, version=self.document.version + 1, evacuated=evacuated
         )
 
-    def _lose_answers(self) -> None:
+    def _set_response_loss(self) -> None:
         self.loss_share = self.random.choice((0.0, 0.05, 0.2))
         self.reset_share = self.random.choice((0.0, 0.02, 0.1))
--- a/tests/daemons/test_core_assembly.py
+++ b/tests/daemons/test_core_assembly.py
@@ -1,4 +1,4 @@
-"""Cores of both deployments, assembled: order of their ticks, changes and stop."""
+"""Assembled cores of both deployments: the order of their ticks, of changes and of the stop."""
 
 from __future__ import annotations
 
@@ -40,37 +40,39 @@
         self.settings = make_settings(str(Path(folder.name) / "data"))
         self.calls: list[str] = []
 
-    def native(self) -> CoreDaemon:
+    def native_core(self) -> CoreDaemon:
         return CoreDaemon(self.settings, bootstrap=True)
 
-    def forwarding(self) -> ForwardingCore:
+    def forwarding_core(self) -> ForwardingCore:
         dialects = ForwardingDialects(PlatformOperators(), PlatformServerList(), PlatformOrders())
         settings = ForwardingSettings(grace_s=8.0)
         return ForwardingCore(self.settings, settings, dialects, Timings(), bootstrap=True)
 
-    def record(self, core: CoreDaemon | ForwardingCore, *components: str) -> None:
-        """Replace components of a core by recorders."""
+    def replace_with_recorders(self, core: CoreDaemon | ForwardingCore, *components: str) -> None:
+        """Replace components of a core with call recorders."""
         for name in components:
             owner = core if hasattr(core, f"_{name}") else core._core
             attribute = f"_{name}" if owner is core else name
             setattr(owner, attribute, CallRecorder(name, self.calls))
 
-    def change(self, core: CoreDaemon | ForwardingCore, changes: ChangeNotifications) -> list[str]:
+    def calls_on_change(
+        self, core: CoreDaemon | ForwardingCore, changes: ChangeNotifications
+    ) -> list[str]:
         with mock.patch.object(core._core.machine, "take_changes", lambda: changes):
             core._core._after_input()
         return self.calls
 
-    def test_a_native_core_follows_its_lease_before_the_components_tick(self) -> None:
-        core = self.native()
-        self.record(core, "leadership", "directory", "placement", "api", "tracing")
+    def test_a_native_core_updates_its_lease_before_the_components_tick(self) -> None:
+        core = self.native_core()
+        self.replace_with_recorders(core, "leadership", "directory", "placement", "api", "tracing")
         core._core._tick()
         expected = ["leadership.update", "directory.feed Tick", "placement.feed Tick"]
         self.assertEqual([*expected, "api.tick", "tracing.tick"], self.calls)
 
     def test_a_forwarding_core_ticks_slow_components_after_the_others(self) -> None:
-        core = self.forwarding()
-        self.record(core, "leadership", "discovery", "placement", "residency")
-        self.record(core, "api", "tracing", "unreachable")
+        core = self.forwarding_core()
+        self.replace_with_recorders(core, "leadership", "discovery", "placement", "residency")
+        self.replace_with_recorders(core, "api", "tracing", "unreachable")
         core._leadership.epoch = 4
         core.on_tick(100.0)
         fast = ["leadership.update", "discovery.tick", "placement.feed Tick"]
@@ -81,34 +83,36 @@
         self.assertEqual([*fast, *slow, *fast], self.calls)
 
     def test_a_native_core_applies_the_intent_before_members_and_topics(self) -> None:
-        core = self.native()
-        self.record(core, "directory", "placement", "api", "tracing")
+        core = self.native_core()
+        self.replace_with_recorders(core, "directory", "placement", "api", "tracing")
         changes = ChangeNotifications({INTENT_KEY}, {DIRECTORY_TOPIC}, set(), True)
         expected = ["directory.feed", "placement.feed", "api.intent_changed"]
         expected += ["tracing.apply_members", "placement.feed"]
-        self.assertEqual(expected, self.change(core, changes))
+        self.assertEqual(expected, self.calls_on_change(core, changes))
 
     def test_a_forwarding_core_applies_the_document_before_members_and_topics(self) -> None:
-        core = self.forwarding()
-        self.record(core, "discovery", "placement", "api", "tracing")
+        core = self.forwarding_core()
+        self.replace_with_recorders(core, "discovery", "placement", "api", "tracing")
         changes = ChangeNotifications({INTENT_KEY}, {LISTED_TOPIC}, set(), True)
         expected = ["placement.feed", "discovery.document_changed", "api.intent_changed"]
         expected += ["tracing.apply_members", "discovery.topic_changed"]
-        self.assertEqual(expected, self.change(core, changes))
+        self.assertEqual(expected, self.calls_on_change(core, changes))
 
-    def test_other_topics_reach_no_component(self) -> None:
-        for core in (self.native(), self.forwarding()):
-            self.record(core, "placement", "api", "tracing")
-            self.assertEqual([], self.change(core, ChangeNotifications(topics={"moves"})))
+    def test_topics_that_a_core_does_not_read_reach_no_component(self) -> None:
+        for core in (self.native_core(), self.forwarding_core()):
+            self.replace_with_recorders(core, "placement", "api", "tracing")
+            self.assertEqual([], self.calls_on_change(core, ChangeNotifications(topics={"moves"})))
 
-    def test_a_core_that_leads_does_not_read_the_directory_that_it_publishes(self) -> None:
-        core = self.native()
-        self.record(core, "placement")
+    def test_a_leading_core_does_not_read_the_directory_that_it_publishes(self) -> None:
+        core = self.native_core()
+        self.replace_with_recorders(core, "placement")
         core._leadership.epoch = 2
-        self.assertEqual([], self.change(core, ChangeNotifications(topics={DIRECTORY_TOPIC})))
+        self.assertEqual(
+            [], self.calls_on_change(core, ChangeNotifications(topics={DIRECTORY_TOPIC}))
+        )
 
-    def test_connections_to_servers_are_closed_after_the_process_ended(self) -> None:
-        core = self.native()._core
+    def test_connections_to_servers_are_closed_after_the_process_has_stopped(self) -> None:
+        core = self.native_core()._core
         core.process = CallRecorder("process", self.calls)
         core._ticker = CallRecorder("ticker", self.calls)
         core.fetcher = CallRecorder("fetcher", self.calls)
--- a/tests/daemons/test_discovery_runner.py
+++ b/tests/daemons/test_discovery_runner.py
@@ -1,4 +1,4 @@
-"""Reading the list of servers: pages, failures, and what is announced to other cores."""
+"""Reading the list of servers: pages, failures, and the announcement to other cores."""
 
 from __future__ import annotations
 
@@ -19,17 +19,18 @@
 
 
 class PagesDialect:
-    """A body is `servers|next`: names separated by commas, and the next page's token."""
+    """Reads bodies of the form `servers|next`: comma-separated names and the next page's token."""
 
     def list_path(self, page):
         return f"/list/{page}"
 
     def read_page(self, body):
-        names, separator, token = body.decode().partition("|")
+        server_names, separator, token = body.decode().partition("|")
         if not separator:
             raise MalformedBodyError("no separator", "ask again")
         servers = [
-            ListedServer(name, f"10.0.0.1:{name[1:]}", "p", "z1") for name in names.split(",")
+            ListedServer(name, f"10.0.0.1:{name[1:]}", "p", "z1")
+            for name in server_names.split(",")
         ]
         return ListPage(servers, token)
 
@@ -56,13 +57,13 @@
         return TopicPublished(True, 1)
 
 
-def ok(body: str) -> FetchResult:
+def ok_response(body: str) -> FetchResult:
     return FetchResult(200, body.encode())
 
 
 class DiscoveryRunnerTest(testtools.TestCase):
     def read_with(self, responses, readings: int = 1) -> DiscoveryRunner:
-        """Let one core read the list as often as it may within a few virtual seconds."""
+        """Tick the runner of one core `readings` times, 2 s apart, and return the runner."""
         self.now = 100.0
         self.driver = FakeDriver()
         self.fetcher = FakeFetcher(responses)
@@ -90,33 +91,35 @@
         asyncio.run(main())
         return runner
 
-    def names(self, runner: DiscoveryRunner) -> list[str]:
+    def server_names(self, runner: DiscoveryRunner) -> list[str]:
         return sorted(runner.machine.rows)
 
-    def test_every_page_is_read(self) -> None:
-        runner = self.read_with([ok("s1,s2|next"), ok("s3|")])
+    def test_every_page_of_the_list_is_read(self) -> None:
+        runner = self.read_with([ok_response("s1,s2|next"), ok_response("s3|")])
         self.assertEqual(["/list/", "/list/next"], self.fetcher.requested_paths)
-        self.assertEqual(["s1", "s2", "s3"], self.names(runner))
+        self.assertEqual(["s1", "s2", "s3"], self.server_names(runner))
 
-    def test_what_was_read_is_published_and_announced_to_the_other_cores(self) -> None:
-        self.read_with([ok("s1|")])
+    def test_a_list_that_was_read_is_published_and_announced_to_the_other_cores(self) -> None:
+        self.read_with([ok_response("s1|")])
         self.assertIsInstance(self.driver.published[0], PublishTopic)
         self.assertIn(ListRead, [type(each) for each in self.announced])
 
-    def test_an_incomplete_list_changes_nothing(self) -> None:
-        runner = self.read_with([ok("s1,s2|"), ok("s1|next"), NO_RESPONSE], readings=2)
-        self.assertEqual(["s1", "s2"], self.names(runner))
+    def test_a_list_with_an_unavailable_page_does_not_change_the_servers(self) -> None:
+        runner = self.read_with(
+            [ok_response("s1,s2|"), ok_response("s1|next"), NO_RESPONSE], readings=2
+        )
+        self.assertEqual(["s1", "s2"], self.server_names(runner))
 
-    def test_a_page_that_cannot_be_read_changes_nothing(self) -> None:
-        runner = self.read_with([ok("s1,s2|"), ok("garbage")], readings=2)
-        self.assertEqual(["s1", "s2"], self.names(runner))
+    def test_a_malformed_page_does_not_change_the_servers(self) -> None:
+        runner = self.read_with([ok_response("s1,s2|"), ok_response("garbage")], readings=2)
+        self.assertEqual(["s1", "s2"], self.server_names(runner))
 
-    def test_pages_that_never_end_are_given_up(self) -> None:
-        runner = self.read_with(lambda path: ok("s1|again"))
+    def test_reading_a_list_with_endless_pages_is_aborted(self) -> None:
+        runner = self.read_with(lambda path: ok_response("s1|again"))
         self.assertEqual(MAX_PAGES, len(self.fetcher.requested_paths))
-        self.assertEqual([], self.names(runner))
+        self.assertEqual([], self.server_names(runner))
 
-    def test_without_an_address_nothing_is_read(self) -> None:
+    def test_no_list_is_requested_without_a_list_address(self) -> None:
         runner = self.read_with([NO_RESPONSE])
         runner._address = ""
         runner.tick(0, 0, self.now + 10.0)
--- a/tests/daemons/test_http_fetch.py
+++ b/tests/daemons/test_http_fetch.py
@@ -1,4 +1,4 @@
-"""Calls of a core to servers: what is given up is discarded, and does not arrive later."""
+"""HTTP calls of a core to servers; data of an abandoned call must not arrive later."""
 
 import asyncio
 import socket
@@ -19,8 +19,8 @@
 from zincvale.transport.server_exchange import ResponseHead
 
 
-class DiscardTest(TestCase):
-    """An order that a partition holds up must not reach its server under the next leader."""
+class DiscardOnCloseTest(TestCase):
+    """An order that a partition delays must not reach its server under the next leader."""
 
     def setUp(self):
         super().setUp()
@@ -32,13 +32,13 @@
         packed = self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_LINGER, 8)
         self.assertEqual((1, 0), struct.unpack("ii", packed))
 
-    def test_bytes_that_nobody_acknowledges_are_given_up_before_the_lease_ends(self):
+    def test_unacknowledged_bytes_are_discarded_before_the_lease_ends(self):
         discard_on_close(self.socket)
         limit_ms = self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
         self.assertEqual(UNACKNOWLEDGED_LIMIT_MS, limit_ms)
         self.assertLessEqual(limit_ms / 1000.0, forwarding_timings().role_margin_s)
 
-    def test_the_socket_stays_open(self):
+    def test_setting_the_options_leaves_the_socket_open(self):
         discard_on_close(self.socket)
         self.assertGreaterEqual(self.socket.fileno(), 0)
         self.socket.getsockname()
@@ -53,8 +53,8 @@
         self.assertEqual("127.0.0.1", self.socket.getsockname()[0])
 
 
-class Scripted:
-    """Connections on which each request meets what the script says."""
+class ScriptedClient:
+    """A client whose `script` determines what happens to each request."""
 
     def __init__(self, script):
         self.script = script
@@ -73,13 +73,13 @@
     listener.on_complete()
 
 
-class CallTest(TestCase):
+class HttpFetcherCallTest(TestCase):
     def call(self, script, body=b"{}", timeout_s=1.0):
         fetcher = HttpFetcher({}, "core-1", "127.0.0.1:7000")
-        fetcher._client = self.client = Scripted(script)
+        fetcher._client = self.client = ScriptedClient(script)
         return asyncio.run(fetcher.call("10.0.0.1:1", "POST", "/o", body, {"X-A": "b"}, timeout_s))
 
-    def test_a_response_is_returned_complete(self):
+    def test_a_response_is_returned_with_its_complete_body(self):
         self.assertEqual(FetchResult(202, b"done"), self.call(respond))
         ((address, request),) = self.client.requests
         self.assertEqual(("10.0.0.1:1", "POST", "/o"), (address, request.method, request.target))
@@ -87,12 +87,12 @@
         self.assertIn(("Content-Type", "application/json"), request.headers)
         self.assertIn(("X-A", "b"), request.headers)
 
-    def test_a_call_that_broke_off_may_have_been_handled_and_is_not_sent_again(self):
+    def test_a_call_on_a_broken_connection_counts_as_sent_and_is_not_repeated(self):
         result = self.call(lambda listener: listener.on_broken("reset"))
         self.assertEqual((0, True), (result.status, result.connected))
         self.assertEqual(1, len(self.client.requests))
 
-    def test_without_a_connection_nothing_was_handled(self):
+    def test_a_call_without_a_connection_counts_as_not_sent(self):
         result = self.call(lambda listener: listener.on_not_sent("refused"))
         self.assertEqual((0, False), (result.status, result.connected))
 
--- a/tests/daemons/test_node_assembly.py
+++ b/tests/daemons/test_node_assembly.py
@@ -1,4 +1,4 @@
-"""Nodes of both deployments, assembled: order of their ticks, changes and stop."""
+"""Assembled nodes of both deployments: the order of their ticks, of changes and of the stop."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from zincvale.runtime.settings import DaemonSettings
 
 SETTINGS = DaemonSettings("c1", "node-1", "node", "z1", "127.0.0.1:9", "127.0.0.1:10")
-EVERYTHING = ChangeNotifications(
+ALL_CHANGES = ChangeNotifications(
     {INTENT_KEY, REGISTRY_KEY}, {DIRECTORY_TOPIC, LISTED_TOPIC, RESIDENCY_TOPIC}, set(), True
 )
 
@@ -29,36 +29,40 @@
         super().setUp()
         self.calls: list[str] = []
 
-    def native(self) -> NodeDaemon:
+    def native_node(self) -> NodeDaemon:
         daemon = NodeDaemon(SETTINGS)
         for name in ("service", "claims", "journal"):
             setattr(daemon, f"_{name}", CallRecorder(name, self.calls))
         daemon._node.tracing = CallRecorder("tracing", self.calls)
         return daemon
 
-    def forwarding(self) -> ForwardingNode:
+    def forwarding_node(self) -> ForwardingNode:
         daemon = ForwardingNode(SETTINGS, ForwardingSettings(), PlatformForwarding(), Timings())
         daemon._service = CallRecorder("service", self.calls)
         daemon._node.tracing = CallRecorder("tracing", self.calls)
         return daemon
 
-    def change(self, daemon: NodeDaemon | ForwardingNode) -> list[str]:
-        with mock.patch.object(daemon._node.machine, "take_changes", lambda: EVERYTHING):
+    def calls_on_change(self, daemon: NodeDaemon | ForwardingNode) -> list[str]:
+        with mock.patch.object(daemon._node.machine, "take_changes", lambda: ALL_CHANGES):
             daemon._node._after_input()
         return self.calls
 
     def test_a_native_node_applies_the_intent_before_the_directory(self) -> None:
         expected = ["service.apply_intent", "tracing.apply_members", "claims.apply_members"]
         expected += ["journal.apply_members", "service.apply_members", "claims.apply_registry"]
-        self.assertEqual([*expected, "service.apply_directory"], self.change(self.native()))
+        self.assertEqual(
+            [*expected, "service.apply_directory"], self.calls_on_change(self.native_node())
+        )
 
     def test_a_forwarding_node_applies_the_document_before_the_servers(self) -> None:
         expected = ["service.apply_document", "service.apply_directory"]
         expected += ["service.apply_residencies", "tracing.apply_members"]
-        self.assertEqual([*expected, "service.apply_members"], self.change(self.forwarding()))
+        self.assertEqual(
+            [*expected, "service.apply_members"], self.calls_on_change(self.forwarding_node())
+        )
 
     def test_a_native_node_ticks_its_services_before_it_reports_demand(self) -> None:
-        daemon = self.native()
+        daemon = self.native_node()
         daemon._node._tick()
         expected = ["service.tick", "claims.tick", "journal.tick", "tracing.tick"]
         self.assertEqual([*expected, "service.demand_report"], self.calls)
@@ -66,7 +70,7 @@
         self.assertEqual([*expected, "service.demand_report", *expected], self.calls)
 
     def test_a_forwarding_node_ticks_tracing_before_it_reports_demand(self) -> None:
-        daemon = self.forwarding()
+        daemon = self.forwarding_node()
         daemon._demand_due_at = 100.0
         daemon.on_tick(99.0)
         self.assertEqual(["tracing.tick"], self.calls)
@@ -74,8 +78,8 @@
             daemon.on_tick(100.0)
         self.assertEqual(["tracing.tick", "tracing.tick", "report"], self.calls)
 
-    def test_the_service_is_closed_after_the_process_ended(self) -> None:
-        daemon = self.forwarding()
+    def test_the_service_is_closed_after_the_process_has_stopped(self) -> None:
+        daemon = self.forwarding_node()
         daemon.process = daemon._node.process = CallRecorder("process", self.calls)
         daemon._node._ticker = CallRecorder("ticker", self.calls)
         server = CallRecorder("server", self.calls)
--- a/tests/daemons/test_placement_runner.py
+++ b/tests/daemons/test_placement_runner.py
@@ -1,4 +1,4 @@
-"""Orders to servers: what is sent, what is repeated to confirm completion, what is withheld."""
+"""Orders to servers: when they are sent, repeated to confirm completion, or withheld."""
 
 from __future__ import annotations
 
@@ -62,20 +62,20 @@
 
 
 class RunnerFixture:
-    """A runner whose server gives the listed responses in turn; sleeping moves the clock."""
+    """A runner whose server returns the listed statuses in turn; sleeping advances the clock."""
 
     def __init__(self, *statuses: int) -> None:
         self.now = 100.0
         self.statuses = list(statuses)
         self.called: list[tuple[float, str]] = []
-        self.fed: list[object] = []
+        self.inputs: list[object] = []
         self.reachability: list[tuple[str, bool]] = []
-        self.leads = True
+        self.is_leading = True
         self.orders = RepeatingOrders()
         self.runner = PlacementRunner(
             SimpleNamespace(handle=self.handle),
             SimpleNamespace(call=self.call),
-            SimpleNamespace(guard=SimpleNamespace(may_act=lambda epoch: self.leads)),
+            SimpleNamespace(guard=SimpleNamespace(may_act=lambda epoch: self.is_leading)),
             lambda: self.now,
             lambda: self.now,
             lambda server: make_row(server),
@@ -88,7 +88,7 @@
         )
 
     def handle(self, event, now):
-        self.fed.append(event)
+        self.inputs.append(event)
         return []
 
     async def call(self, address, method, path, body, headers, timeout_s):
@@ -112,50 +112,52 @@
         asyncio.run(self.runner._request_status(RequestStatus("server-1", "10.0.0.1:9000")))
 
 
-class StatusTest(testtools.TestCase):
+class StatusRequestTest(testtools.TestCase):
     def test_a_status_during_another_leaders_order_is_ignored(self) -> None:
-        """Else the next order would pass by its sequence, planned on the state before."""
+        """Otherwise the server would accept a next order that was planned without that order."""
         fixture = RunnerFixture(200)
         fixture.request_status(is_busy=False, sequence=4)
         fixture.request_status(is_busy=True, sequence=5)
         self.assertEqual(
-            1, len([each for each in fixture.fed if isinstance(each, DirectoryChanged)])
+            1, len([each for each in fixture.inputs if isinstance(each, DirectoryChanged)])
         )
-        self.assertEqual(4, fixture.runner._order_counts.of("server-1"))
+        self.assertEqual(4, fixture.runner._order_counts.count_of("server-1"))
 
-    def test_an_order_of_an_earlier_lease_does_not_explain_a_busy_server(self) -> None:
+    def test_an_order_from_an_earlier_lease_does_not_count_as_executed_by_a_busy_server(
+        self,
+    ) -> None:
         fixture = RunnerFixture(200)
         fixture.runner._active_orders["server-1"] = ORDER
         fixture.request_status(is_busy=True, sequence=5)
-        self.assertEqual(1, len(fixture.fed))
-        fixture.leads = False
+        self.assertEqual(1, len(fixture.inputs))
+        fixture.is_leading = False
         fixture.request_status(is_busy=True, sequence=6)
-        self.assertEqual(1, len(fixture.fed))
+        self.assertEqual(1, len(fixture.inputs))
         self.assertEqual({}, fixture.runner._active_orders)
 
-    def test_a_status_from_before_an_order_does_not_take_its_count_back(self) -> None:
+    def test_a_status_from_before_an_order_does_not_lower_the_count_of_orders(self) -> None:
         fixture = RunnerFixture(200)
         fixture.request_status(is_busy=False, sequence=7)
         fixture.now += 5.0
         fixture.statuses = [202, 200]
         fixture.send(not_after=200.0)
         fixture.request_status(is_busy=False, sequence=7, age_s=REPORT_AGE_S)
-        self.assertEqual(8, fixture.runner._order_counts.of("server-1"))
+        self.assertEqual(8, fixture.runner._order_counts.count_of("server-1"))
         fixture.now += REPORT_AGE_S
         fixture.request_status(is_busy=False, sequence=9, age_s=REPORT_AGE_S)
-        self.assertEqual(9, fixture.runner._order_counts.of("server-1"))
+        self.assertEqual(9, fixture.runner._order_counts.count_of("server-1"))
 
 
-class OrderTest(testtools.TestCase):
-    def test_an_order_is_repeated_about_when_it_should_be_completed(self) -> None:
+class SendOrderTest(testtools.TestCase):
+    def test_an_order_is_repeated_shortly_before_its_declared_completion(self) -> None:
         fixture = RunnerFixture(202, 200).send()
         self.assertEqual(
             [0.0, round(LOAD_S * LOAD_CHECK_FRACTION, 3)], [at for at, _ in fixture.called]
         )
         expected = [OrderAccepted("o1"), OrderAccepted("o1", done=True)]
-        self.assertEqual(expected, fixture.fed)
+        self.assertEqual(expected, fixture.inputs)
 
-    def test_short_orders_are_checked_after_the_learned_duration(self) -> None:
+    def test_the_first_check_of_an_adapter_load_follows_the_learned_duration(self) -> None:
         adapter = attrs.evolve(ORDER, item_kind=ItemKind.ADAPTER, name="m/a1")
         fixture = RunnerFixture(202, 409, 409, 200)
         fixture.send(order=adapter)
@@ -166,7 +168,7 @@
         self.assertEqual(4, first)
         self.assertEqual(first + 3 * 2, len(fixture.called))
 
-    def test_loads_from_the_servers_own_disk_are_checked_early_and_then_as_learned(
+    def test_loads_from_disk_are_checked_early_and_later_after_the_learned_duration(
         self,
     ) -> None:
         from_disk = attrs.evolve(ORDER, from_disk=True)
@@ -183,41 +185,43 @@
     def test_an_order_is_repeated_while_the_server_is_busy_with_it(self) -> None:
         fixture = RunnerFixture(202, 409, 409, 200).send()
         self.assertEqual(4, len(fixture.called))
-        self.assertEqual(OrderAccepted("o1", done=True), fixture.fed[-1])
+        self.assertEqual(OrderAccepted("o1", done=True), fixture.inputs[-1])
 
-    def test_an_order_without_an_end_is_unknown_after_the_timeout(self) -> None:
+    def test_the_outcome_of_an_order_that_never_completes_is_unknown_after_the_timeout(
+        self,
+    ) -> None:
         fixture = RunnerFixture(202, 409).send()
-        self.assertEqual(OrderUnknown("o1"), fixture.fed[-1])
+        self.assertEqual(OrderUnknown("o1"), fixture.inputs[-1])
         self.assertLess(fixture.now - 100.0, CONFIRM_TIMEOUT_S + 1.0)
 
-    def test_nothing_is_repeated_once_the_lease_ended(self) -> None:
+    def test_no_order_is_repeated_after_the_end_of_the_lease(self) -> None:
         fixture = RunnerFixture(202, 409)
         sleep = fixture.sleep
 
         async def lose_the_lease(seconds):
             await sleep(seconds)
-            fixture.leads = False
+            fixture.is_leading = False
 
         fixture.sleep = lose_the_lease
         fixture.send()
         self.assertEqual(1, len(fixture.called))
-        self.assertEqual([OrderAccepted("o1")], fixture.fed)
+        self.assertEqual([OrderAccepted("o1")], fixture.inputs)
 
     def test_an_order_without_a_lease_is_not_sent(self) -> None:
         fixture = RunnerFixture(202)
-        fixture.leads = False
+        fixture.is_leading = False
         fixture.send()
         self.assertEqual([], fixture.called)
-        self.assertEqual([OrderRefused("o1", OrderRefusal.WITHHELD)], fixture.fed)
+        self.assertEqual([OrderRefused("o1", OrderRefusal.WITHHELD)], fixture.inputs)
 
     def test_an_order_after_its_deadline_is_not_sent(self) -> None:
         fixture = RunnerFixture(202).send(not_after=99.9)
         self.assertEqual([], fixture.called)
-        self.assertEqual([OrderRefused("o1", OrderRefusal.WITHHELD)], fixture.fed)
+        self.assertEqual([OrderRefused("o1", OrderRefusal.WITHHELD)], fixture.inputs)
 
-    def test_an_order_without_a_response_is_unknown_and_the_server_unreachable(self) -> None:
+    def test_without_a_response_the_order_is_unknown_and_the_server_unreachable(self) -> None:
         fixture = RunnerFixture(0).send()
-        self.assertEqual([OrderUnknown("o1")], fixture.fed)
+        self.assertEqual([OrderUnknown("o1")], fixture.inputs)
         self.assertEqual([("server-1", False)], fixture.reachability)
 
     def test_each_accepted_order_raises_the_sequence_of_the_next_one(self) -> None:
@@ -227,4 +231,4 @@
         fixture.statuses = [412]
         fixture.send(not_after=200.0)
         self.assertEqual(["/orders/7", "/orders/8", "/orders/8"], [p for _, p in fixture.called])
-        self.assertEqual(OrderRefused("o1", OrderRefusal.STALE_EPOCH), fixture.fed[-1])
+        self.assertEqual(OrderRefused("o1", OrderRefusal.STALE_EPOCH), fixture.inputs[-1])
--- a/tests/daemons/test_repeated_orders.py
+++ b/tests/daemons/test_repeated_orders.py
@@ -1,4 +1,4 @@
-"""Repeats of an order, by which its end is learned, against a server that others order too."""
+"""Repeats of an order, which learn its completion, at a server that gets other leaders' orders."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 CATALOG = {name: SimulatedModel(70 * GB, LOAD_S, 0) for name in ("a", "b", "c", "d")}
 
 
-class OrderedServer:
-    """A server with room for three models, and the runner of a leader that orders a load there."""
+class OrderedServerFixture:
+    """A server with memory for three models, and a leader's runner that orders a load there."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.calls = 0
         self.freeze_s = FREEZE_S
-        self.fed: list[object] = []
+        self.inputs: list[object] = []
         self.problems: list[str] = []
         self.server = SimulatedServer(
             1,
@@ -65,7 +65,7 @@
         self.runner._order_counts.record_accepted("server-1", 0, 0.0)
 
     def handle(self, event: object, _now: float) -> list[object]:
-        self.fed.append(event)
+        self.inputs.append(event)
         return []
 
     def clock(self) -> float:
@@ -83,7 +83,7 @@
         headers: Mapping[str, str],
         timeout_s: float,
     ) -> FetchResult:
-        """Deliver the first repeat after a freeze during which another leader ordered."""
+        """Deliver a call; the first repeat is delayed by a freeze and another leader's orders."""
         self.calls += 1
         if self.calls == 2:
             self.now += self.freeze_s
@@ -93,7 +93,7 @@
     async def order_by_another_leader(self) -> None:
         orders = PlatformOrders()
         for action, name in ((OrderAction.UNLOAD, "c"), (OrderAction.LOAD, "d")):
-            call = orders.order_call(order(action, name, epoch=4), self.row, "core-2", None)
+            call = orders.order_call(make_order(action, name, epoch=4), self.row, "core-2", None)
             self.server.respond(call, call.body)
             self.now += 2 * LOAD_S
 
@@ -103,25 +103,25 @@
             asyncio.run(self.runner._send_order(effect))
 
 
-def order(action: OrderAction, name: str, epoch: int) -> Order:
+def make_order(action: OrderAction, name: str, epoch: int) -> Order:
     return Order("o1", epoch, action, ItemKind.MODEL, name, "", 70 * GB, "weights", "")
 
 
 class RepeatedOrderTest(testtools.TestCase):
-    def test_an_order_lost_with_its_servers_memory_is_given_up_soon(self) -> None:
-        ordered = OrderedServer()
+    def test_an_order_lost_in_a_server_restart_is_soon_reported_as_unknown(self) -> None:
+        fixture = OrderedServerFixture()
 
         async def restart_as_the_same_instance() -> None:
-            ordered.server.restart_empty()
-
-        ordered.order_by_another_leader = restart_as_the_same_instance
-        ordered.freeze_s = 0.0
-        ordered.send(order(OrderAction.LOAD, "c", epoch=3))
-        self.assertEqual(OrderUnknown("o1"), ordered.fed[-1])
-        self.assertLess(ordered.now, 2.0 * BUSY_CHECK_INTERVAL_S)
-
-    def test_a_late_repeat_of_a_load_does_not_load_beyond_room(self) -> None:
-        ordered = OrderedServer()
-        ordered.send(order(OrderAction.LOAD, "c", epoch=3))
-        self.assertEqual([], ordered.problems)
-        self.assertEqual({"a", "b", "d"}, set(ordered.server.held))
+            fixture.server.restart_empty()
+
+        fixture.order_by_another_leader = restart_as_the_same_instance
+        fixture.freeze_s = 0.0
+        fixture.send(make_order(OrderAction.LOAD, "c", epoch=3))
+        self.assertEqual(OrderUnknown("o1"), fixture.inputs[-1])
+        self.assertLess(fixture.now, 2.0 * BUSY_CHECK_INTERVAL_S)
+
+    def test_a_late_repeat_of_a_load_does_not_exceed_the_servers_memory(self) -> None:
+        fixture = OrderedServerFixture()
+        fixture.send(make_order(OrderAction.LOAD, "c", epoch=3))
+        self.assertEqual([], fixture.problems)
+        self.assertEqual({"a", "b", "d"}, set(fixture.server.held))
--- a/tests/daemons/test_residency_publisher.py
+++ b/tests/daemons/test_residency_publisher.py
@@ -1,4 +1,4 @@
-"""What the leader publishes to nodes of the servers' residency, and when."""
+"""Which models on servers the leader publishes as resident, and when."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     return state
 
 
-def loaded(draining: bool = False) -> Replica:
-    """Return a loaded replica, or one about to be unloaded."""
+def loaded_replica(draining: bool = False) -> Replica:
+    """Return a loaded replica; with `draining`, one that is about to be unloaded."""
     return Replica(ReplicaState.LOADED, 1, 0, 0.0, draining=draining)
 
 
@@ -38,7 +38,7 @@
         self.publisher = ResidencyPublisher(lambda: self.servers, self.published.append)
 
     def published_models(self) -> frozenset[str]:
-        """Publish what changed; return the models that nodes take as resident on the server."""
+        """Publish the changes; return the models that nodes regard as resident on the server."""
         self.publisher.mark_changed((SERVER,))
         self.publisher.publish_changes(1)
         rows: dict[str, bytes] = {}
@@ -46,24 +46,24 @@
             rows.update(message.puts)
         return ResidencyDecoder().update(rows)[SERVER].models
 
-    def test_what_is_about_to_be_unloaded_is_left_out_as_soon_as_that_is_planned(self) -> None:
-        self.servers[SERVER] = make_server(a=loaded(), b=loaded())
+    def test_a_replica_is_omitted_as_soon_as_its_unload_is_planned(self) -> None:
+        self.servers[SERVER] = make_server(a=loaded_replica(), b=loaded_replica())
         self.assertEqual(frozenset({"a", "b"}), self.published_models())
         self.servers[SERVER].replicas[model_key("b")].draining = True
         self.assertEqual(frozenset({"a"}), self.published_models())
 
-    def test_an_unload_that_was_given_up_brings_the_replica_back(self) -> None:
-        self.servers[SERVER] = make_server(a=loaded(draining=True))
+    def test_a_replica_is_published_again_when_its_unload_is_cancelled(self) -> None:
+        self.servers[SERVER] = make_server(a=loaded_replica(draining=True))
         self.assertEqual(frozenset(), self.published_models())
         self.servers[SERVER].replicas[model_key("a")].draining = False
         self.assertEqual(frozenset({"a"}), self.published_models())
 
-    def test_what_did_not_change_is_not_published_again(self) -> None:
-        self.servers[SERVER] = make_server(a=loaded())
+    def test_an_unchanged_residency_is_not_published_again(self) -> None:
+        self.servers[SERVER] = make_server(a=loaded_replica())
         self.published_models()
         self.published_models()
         self.assertEqual(1, len(self.published))
 
-    def test_nodes_follow_the_residency_and_not_the_calendar_of_moves(self) -> None:
+    def test_nodes_follow_the_residency_topic_and_not_the_topic_of_moves(self) -> None:
         self.assertIn(RESIDENCY_TOPIC, TOPICS)
         self.assertNotIn("moves", TOPICS)
--- a/tests/daemons/test_unreachable_servers.py
+++ b/tests/daemons/test_unreachable_servers.py
@@ -1,4 +1,4 @@
-"""When the status of a server that could not be reached is requested again."""
+"""When the status of an unreachable server is requested again."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self.now += seconds
         self.servers.tick(self.now)
 
-    def test_an_added_server_is_requested_once_in_each_interval(self) -> None:
+    def test_the_status_of_an_added_server_is_requested_once_per_interval(self) -> None:
         self.servers.add(S1)
         self.tick_after(RETRY_INTERVAL_S / 2)
         self.assertEqual([], self.requested)
@@ -31,7 +31,7 @@
         self.tick_after(RETRY_INTERVAL_S / 2)
         self.assertEqual([S1, S1], self.requested)
 
-    def test_a_check_requests_at_once_but_not_for_a_known_server(self) -> None:
+    def test_a_check_requests_a_status_at_once_except_for_a_tracked_server(self) -> None:
         self.servers.check(S1)
         self.servers.check(S1)
         self.assertEqual([S1], self.requested)
@@ -39,13 +39,13 @@
         self.servers.check(S2)
         self.assertEqual([S1], self.requested)
 
-    def test_due_servers_are_requested_in_the_order_in_which_they_were_added(self) -> None:
+    def test_due_statuses_are_requested_in_the_order_in_which_servers_were_added(self) -> None:
         self.servers.add(S2)
         self.servers.add(S1)
         self.tick_after(RETRY_INTERVAL_S)
         self.assertEqual([S2, S1], self.requested)
 
-    def test_a_removed_server_is_not_requested(self) -> None:
+    def test_the_status_of_a_removed_server_is_not_requested(self) -> None:
         self.servers.add(S1)
         self.assertIn(S1, self.servers)
         self.servers.remove(S1)
@@ -54,7 +54,7 @@
         self.assertEqual([], self.requested)
         self.assertNotIn(S1, self.servers)
 
-    def test_nothing_is_requested_after_the_end_of_leadership(self) -> None:
+    def test_no_status_is_requested_after_the_servers_are_cleared(self) -> None:
         self.servers.add(S1)
         self.servers.add(S2)
         self.servers.clear()
