--- a/src/zincvale/platform/__init__.py
+++ b/src/zincvale/platform/__init__.py
@@ -1,7 +1,7 @@
-"""Adapter to one platform: its names, formats and calls. It decides nothing.
+"""Adapter to one platform: its names, formats and calls. It contains no decisions.
 
-It owns the platform's external words (JSON fields, headers, settings), which stay as the
-platform writes them, and translates them at once. It may import the daemons and the packages
+It owns the platform's external names (JSON fields, headers, settings), keeps their spelling, and
+converts them immediately to the project's own types. It may import the daemons and the packages
 whose dialects it implements: `controlplane.documents`, `controlplane.directory`,
 `dataplane.forwarding`.
 
--- a/src/zincvale/platform/callers.py
+++ b/src/zincvale/platform/callers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and responses as the platform's callers and servers write them."""
+"""Request and response headers of the platform's callers and servers."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from zincvale.dataplane.forwarding.native_dialect import parse_prompt
 
 MS_PER_S = 1000.0
-MISDIRECTED = 421
+HTTP_MISDIRECTED_REQUEST = 421
 
 
 class PlatformForwarding:
-    """Implements `ForwardingDialect`."""
+    """Implements `ForwardingDialect` with the platform's headers."""
 
     def caller_facts(self, headers: Mapping[str, str]) -> CallerFacts:
-        """Read a caller's head."""
+        """Return what the headers of a caller's request say."""
         model, _, adapter = headers.get("model", "").partition("/")
         prompt = None
         if model:
-            tokens, parts = headers.get("token-counts", ""), headers.get("prompt-prefix", "")
-            prompt = parse_prompt(model, adapter, tokens, parts)
+            tokens, prompt_parts = headers.get("token-counts", ""), headers.get("prompt-prefix", "")
+            prompt = parse_prompt(model, adapter, tokens, prompt_parts)
         return CallerFacts(
             request_id=headers.get("request-id", ""),
-            deadline_s=_seconds(headers.get("deadline-ms", "")),
+            deadline_s=_seconds_from_ms(headers.get("deadline-ms", "")),
             prompt=prompt,
             last_event_id=headers.get("last-event-id", ""),
         )
 
     def attempt_headers(self, facts: AttemptFacts) -> dict[str, str]:
-        """Return the headers added for a server."""
+        """Return the headers that are added to a request to a server."""
         headers = {
             "Deadline-Ms": str(max(1, int(facts.deadline_s * MS_PER_S))),
             "Expect-Instance": facts.incarnation,
@@ -40,8 +40,8 @@
         return headers
 
     def response_facts(self, status: int, headers: Mapping[str, str]) -> ResponseFacts:
-        """Read a server's head."""
-        misdirected = status == MISDIRECTED
+        """Return what the status and headers of a server's response say."""
+        misdirected = status == HTTP_MISDIRECTED_REQUEST
         return ResponseFacts(
             request_id=headers.get("request-id", ""),
             never_ran=misdirected or "not-executed" in headers,
@@ -49,7 +49,7 @@
         )
 
 
-def _seconds(milliseconds: str) -> float | None:
+def _seconds_from_ms(milliseconds: str) -> float | None:
     try:
         value = float(milliseconds)
     except ValueError:
--- a/src/zincvale/platform/main.py
+++ b/src/zincvale/platform/main.py
@@ -19,16 +19,17 @@
     from zincvale.daemons.process import DaemonProcess
 
 SETTINGS_POLL_INTERVAL_MS = 2_000
-"""Between two looks at the settings file; longer ones delay changed seeds."""
+"""Interval between two checks of the settings file; a longer one delays the use of changed
+seeds."""
 EXIT_USAGE = 2
 
 
 def main(arguments: list[str]) -> int:
-    """Run the role that the arguments name; return the exit status."""
+    """Run the role in the first argument; return the exit status."""
     role = arguments[0] if arguments else ""
     try:
         if role not in ("core", "node"):
-            print("error: name the role, core or node", file=sys.stderr)
+            print("error: no valid role; pass core or node", file=sys.stderr)
             return EXIT_USAGE
         settings = load(role)
         open_log("", settings.daemon.member_id)
@@ -49,7 +50,7 @@
 
 
 def _run_core(settings: ProcessSettings) -> None:
-    # Imported here and below: each role needs only its own modules, and imports cost start time.
+    # Imported here and below, since imports cost start time and a role needs only its own modules.
     from zincvale.daemons.forwarding_core import ForwardingCore
     from zincvale.daemons.forwarding_dialects import ForwardingDialects
     from zincvale.platform.operators import PlatformOperators
@@ -67,7 +68,7 @@
 
 
 def _run_standby(settings: ProcessSettings) -> None:
-    """A machine without a disk cannot store votes; its process is a standby."""
+    """Run a standby: a machine without a disk cannot store votes."""
     from zincvale.daemons.standby_daemon import StandbyDaemon
 
     standby = StandbyDaemon(settings.daemon)
@@ -89,13 +90,13 @@
 def _watch_settings(
     role: str, use_seeds: Callable[[tuple[str, ...]], None], process: DaemonProcess
 ) -> None:
-    """Reload the seeds when the file changed or SIGHUP comes, as long as the process runs."""
-    watch = SettingsWatch(_changed_at, lambda: tuple(load(role).daemon.seeds), use_seeds)
+    """Reload the seeds whenever the settings file changes or SIGHUP arrives."""
+    watch = SettingsWatch(_settings_modified_at, lambda: tuple(load(role).daemon.seeds), use_seeds)
     process.on_reload = watch.reload
     PeriodicCallback(watch.poll, SETTINGS_POLL_INTERVAL_MS).start()
 
 
-def _changed_at() -> int:
+def _settings_modified_at() -> int:
     try:
         return os.stat(settings_path()).st_mtime_ns
     except OSError:
--- a/src/zincvale/platform/operators.py
+++ b/src/zincvale/platform/operators.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's operators: the configuration, and evacuated zones."""
+"""Requests of the platform's operators: the configuration, and the evacuation of zones."""
 
 from __future__ import annotations
 
@@ -37,36 +37,39 @@
     WeightedPool,
 )
 
-CONFIGURATION = ["v1", "configuration"]
-EVACUATE = ["v1", "evacuate"]
-STATUS_BY_RESULT = {IN_FORCE: 200, CONFLICT: 412, INVALID: 400}
-UNCONFIRMED, BAD_REQUEST = 503, 400
+CONFIGURATION_PATH = ["v1", "configuration"]
+EVACUATION_PATH = ["v1", "evacuate"]
+HTTP_STATUS_BY_RESULT = {IN_FORCE: 200, CONFLICT: 412, INVALID: 400}
+HTTP_SERVICE_UNAVAILABLE, HTTP_BAD_REQUEST = 503, 400
 BYTES_PER_MB = 1_000_000
 MS_PER_S = 1000.0
-OWN_FIELDS = ("version", "routes", "services", "limits")
+KNOWN_FIELDS = ("version", "routes", "services", "limits")
 
 
 class PlatformOperators:
-    """Implements `OperatorDialect`."""
+    """Implements `OperatorDialect` with the platform's paths and JSON fields."""
 
     def read(self, request: ApiRequest) -> Command:
-        """Return the command in a request; raises a `ZincvaleError`."""
+        """Return the command that a request contains; raises a `ZincvaleError`."""
         segments = [unquote(part) for part in request.path.split("/")[1:]]
-        if segments == CONFIGURATION and request.method == "GET":
+        if segments == CONFIGURATION_PATH and request.method == "GET":
             return ReadDocument()
-        if segments == CONFIGURATION and request.method in ("PUT", "PATCH"):
+        if segments == CONFIGURATION_PATH and request.method in ("PUT", "PATCH"):
             try:
                 return ChangeDocument(_change(request))
             except (KeyError, TypeError, ValueError, AttributeError) as error:
                 raise InvalidInputError(
-                    f"the configuration cannot be read: {error!r}", "correct it"
+                    f"the configuration cannot be read: {error!r}", "correct the request"
                 ) from error
-        if segments[:-1] == EVACUATE and request.method in ("POST", "DELETE"):
+        if segments[:-1] == EVACUATION_PATH and request.method in ("POST", "DELETE"):
             return ChangeDocument(EvacuationChange(segments[-1], request.method == "POST"))
-        raise NotFoundError(f"no call {request.method} {request.path[:200]!r}", "see the pages")
+        raise NotFoundError(
+            f"no such call: {request.method} {request.path[:200]!r}",
+            "see the documentation of the operators' API",
+        )
 
     def document_response(self, token: str, document: SourceDocument) -> ApiResponse:
-        """Return the configuration as it was written."""
+        """Return a response with the configuration as the operator wrote it."""
         body = {
             **(document.other or {}),
             "version": document.number,
@@ -78,15 +81,15 @@
         return json_response(token, 200, body)
 
     def change_response(self, token: str, result: ChangeResult) -> ApiResponse:
-        """Return the response to a change."""
-        status = STATUS_BY_RESULT.get(result.status, UNCONFIRMED)
+        """Return a response with the result of a change."""
+        status = HTTP_STATUS_BY_RESULT.get(result.status, HTTP_SERVICE_UNAVAILABLE)
         body = {"status": result.status, "problem": result.problem, "remedy": result.remedy}
         return json_response(token, status, body)
 
     def error_response(self, token: str, error: ZincvaleError) -> ApiResponse:
-        """Return the response that shows an error."""
+        """Return a response that reports an error."""
         status = (
-            BAD_REQUEST
+            HTTP_BAD_REQUEST
             if isinstance(error, InvalidInputError | MalformedBodyError)
             else error.http_status
         )
@@ -95,16 +98,18 @@
 
 def _change(request: ApiRequest) -> DocumentChange:
     try:
-        plain = orjson.loads(request.body)
+        decoded = orjson.loads(request.body)
     except orjson.JSONDecodeError as error:
-        raise MalformedBodyError(f"the body is not JSON: {error}", "send it whole") from error
+        raise MalformedBodyError(
+            f"the body is not JSON: {error}", "send the complete body"
+        ) from error
     is_complete = request.method == "PUT"
-    items = plain if is_complete else plain.get("set") or {}
-    removed = {} if is_complete else plain.get("remove") or {}
+    items = decoded if is_complete else decoded.get("set") or {}
+    removed = {} if is_complete else decoded.get("remove") or {}
     limits = items.get("limits")
     return DocumentChange(
         base=int(request.header("If-Match").strip().strip('"')),
-        number=_integer(plain["version"]),
+        number=_integer(decoded["version"]),
         is_complete=is_complete,
         routes=tuple(DeclaredRoute(_route(each), each) for each in items.get("routes") or ()),
         pools=tuple(DeclaredPool(_pool(each), each) for each in items.get("services") or ()),
@@ -112,52 +117,54 @@
         removed_pools=tuple(removed.get("services") or ()),
         limits=None if limits is None else _limits(limits),
         limits_source=limits,
-        other={name: plain[name] for name in plain if name not in OWN_FIELDS}
+        other={name: decoded[name] for name in decoded if name not in KNOWN_FIELDS}
         if is_complete
         else None,
     )
 
 
-def _route(plain: dict[str, Any]) -> ForwardRoute:
-    split = plain.get("trafficSplit") or [{"service": plain["service"], "weight": 1}]
-    kind = plain.get("kind", "unsafe")
+def _route(decoded: dict[str, Any]) -> ForwardRoute:
+    split = decoded.get("trafficSplit") or [{"service": decoded["service"], "weight": 1}]
+    kind = decoded.get("kind", "unsafe")
     return ForwardRoute(
-        name=_text(plain["name"]),
-        host=_text(plain["host"]),
-        path_prefix=_text(plain["pathPrefix"]),
-        split=[WeightedPool(_text(each["service"]), float(each["weight"])) for each in split],
+        name=_nonempty_string(decoded["name"]),
+        host=_nonempty_string(decoded["host"]),
+        path_prefix=_nonempty_string(decoded["pathPrefix"]),
+        split=[
+            WeightedPool(_nonempty_string(each["service"]), float(each["weight"])) for each in split
+        ],
         streaming=kind == "streaming",
         repeatable=kind == "safe",
-        resumable=bool(plain.get("resumable", False)),
-        attempts=int(plain.get("attempts", 1)),
-        timeout_s=plain.get("timeoutMs", 30_000) / MS_PER_S,
-        objective_s=plain.get("targetLatencyMs", 1000) / MS_PER_S,
-        gap_s=plain.get("gapAimMs", 0) / MS_PER_S,
-        priority=int(plain.get("priority", 0)),
+        resumable=bool(decoded.get("resumable", False)),
+        attempts=int(decoded.get("attempts", 1)),
+        timeout_s=decoded.get("timeoutMs", 30_000) / MS_PER_S,
+        objective_s=decoded.get("targetLatencyMs", 1000) / MS_PER_S,
+        gap_s=decoded.get("gapAimMs", 0) / MS_PER_S,
+        priority=int(decoded.get("priority", 0)),
     )
 
 
-def _pool(plain: dict[str, Any]) -> ForwardPool:
-    engine = plain.get("engine")
+def _pool(decoded: dict[str, Any]) -> ForwardPool:
+    engine = decoded.get("engine")
     return ForwardPool(
-        name=_text(plain["name"]),
-        health_path=plain.get("healthPath", ""),
-        connection_limit=int(plain.get("connectionLimit", 0)),
-        cold_start_s=float(plain.get("coldStartS", 0)),
-        cold_per_s=float(plain.get("coldPerS", 0)),
+        name=_nonempty_string(decoded["name"]),
+        health_path=decoded.get("healthPath", ""),
+        connection_limit=int(decoded.get("connectionLimit", 0)),
+        cold_start_s=float(decoded.get("coldStartS", 0)),
+        cold_per_s=float(decoded.get("coldPerS", 0)),
         engine=None if engine is None else _engine(engine),
     )
 
 
-def _engine(plain: dict[str, Any]) -> Engine:
+def _engine(decoded: dict[str, Any]) -> Engine:
     return Engine(
-        slots=int(plain.get("slots", 1)),
-        cache_tokens=int(plain.get("cacheTokens", 0)),
-        memory_bytes=_bytes(plain.get("weightsMb", 0)),
-        adapter_slots=int(plain.get("adapterSlots", 0)),
-        loads_per_s=float(plain.get("loadsPerS", 0)),
+        slots=int(decoded.get("slots", 1)),
+        cache_tokens=int(decoded.get("cacheTokens", 0)),
+        memory_bytes=_bytes(decoded.get("weightsMb", 0)),
+        adapter_slots=int(decoded.get("adapterSlots", 0)),
+        loads_per_s=float(decoded.get("loadsPerS", 0)),
         models={
-            _text(each["name"]): EngineModel(
+            _nonempty_string(each["name"]): EngineModel(
                 weight_bytes=_bytes(each["weightsMb"]),
                 load_s=float(each.get("loadS", 1)),
                 adapters=tuple(
@@ -165,30 +172,31 @@
                 ),
                 adapter_bytes=_bytes(each.get("adapterMb", 0)),
             )
-            for each in plain.get("models") or ()
+            for each in decoded.get("models") or ()
         },
     )
 
 
-def _limits(plain: dict[str, Any]) -> CallerLimits:
-    known = CallerLimits()
+def _limits(decoded: dict[str, Any]) -> CallerLimits:
+    defaults = CallerLimits()
     return CallerLimits(
-        max_header_bytes=int(plain.get("maxHeaderBytes", known.max_header_bytes)),
-        max_body_bytes=int(plain.get("maxBodyBytes", known.max_body_bytes)),
-        header_timeout_s=plain.get("headerTimeoutMs", known.header_timeout_s * MS_PER_S) / MS_PER_S,
-        idle_timeout_s=plain.get("idleTimeoutMs", known.idle_timeout_s * MS_PER_S) / MS_PER_S,
+        max_header_bytes=int(decoded.get("maxHeaderBytes", defaults.max_header_bytes)),
+        max_body_bytes=int(decoded.get("maxBodyBytes", defaults.max_body_bytes)),
+        header_timeout_s=decoded.get("headerTimeoutMs", defaults.header_timeout_s * MS_PER_S)
+        / MS_PER_S,
+        idle_timeout_s=decoded.get("idleTimeoutMs", defaults.idle_timeout_s * MS_PER_S) / MS_PER_S,
     )
 
 
-def _text(value: Any) -> str:
+def _nonempty_string(value: Any) -> str:
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{value!r} is not a text")
+        raise ValueError(f"{value!r} is not a non-empty string")
     return value
 
 
 def _integer(value: Any) -> int:
     if not isinstance(value, int) or isinstance(value, bool):
-        raise ValueError(f"version {value!r} is not a whole number")
+        raise ValueError(f"version {value!r} is not an integer")
     return value
 
 
--- a/src/zincvale/platform/servers.py
+++ b/src/zincvale/platform/servers.py
@@ -1,4 +1,4 @@
-"""Formats of the platform's list of servers, and of its servers' orders and reports."""
+"""Formats of the platform's list of servers and of its servers' orders and status reports."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 )
 
 REPORT_LAG_S = 0.6
-"""A server's report may be so much older than its response; were this too short, a report from
-before an order would count as one from after it."""
+"""Longest time by which a server's report may be older than the response with it. If this were too
+short, a report from before an order would count as one from after it."""
 MS_PER_S = 1000.0
 HTTP_OK = 200
 HTTP_TOO_MANY_REQUESTS = 429
@@ -42,28 +42,30 @@
 
 
 class PlatformServerList:
-    """Implements `ServerListDialect`."""
+    """Implements `ServerListDialect` with the platform's list of instances."""
 
     def list_path(self, page: str) -> str:
-        """Return the path of a page."""
+        """Return the path of the page with token `page`, or of the first page if it is empty."""
         return "/instances" if not page else f"/instances?pageToken={quote(page, safe='')}"
 
     def read_page(self, body: bytes) -> ListPage:
-        """Return a page; raises `MalformedBodyError`."""
+        """Return the page in a response's body; raises `MalformedBodyError`."""
         try:
-            plain = orjson.loads(body)
-            servers = [_listed_server(each) for each in plain["instances"]]
-            return ListPage(servers, plain.get("nextPageToken") or "")
+            decoded = orjson.loads(body)
+            servers = [_listed_server(each) for each in decoded["instances"]]
+            return ListPage(servers, decoded.get("nextPageToken") or "")
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise MalformedBodyError(f"the list cannot be read: {error!r}", "ask again") from error
+            raise MalformedBodyError(
+                f"the server list cannot be read: {error!r}", "request it again"
+            ) from error
 
     def is_throttled(self, result: FetchResult) -> bool:
-        """Whether the list was requested too often."""
+        """Whether the response says that the list was requested too often."""
         return result.status == HTTP_TOO_MANY_REQUESTS
 
 
 class PlatformOrders:
-    """Implements `ServerOrders`."""
+    """Implements `ServerOrders` with the platform's paths and JSON fields."""
 
     confirms_by_repeating = True
 
@@ -85,7 +87,7 @@
         return HttpCall("/v1/order", orjson.dumps(body), {"Expect-Instance": row.incarnation})
 
     def order_reply(self, _order: Order, result: FetchResult) -> OrderReply | OrderRefusal:
-        """Return what the response proves."""
+        """Return what the response to an order proves."""
         if not result.connected:
             return OrderRefusal.NOT_CONNECTED
         return REPLY_BY_STATUS.get(result.status, OrderReply.UNKNOWN)
@@ -99,30 +101,30 @@
         if result.status != HTTP_OK:
             return None
         try:
-            plain = orjson.loads(result.body)
-            models, adapters = _resident(plain["models"])
+            decoded = orjson.loads(result.body)
+            models, adapters = _resident(decoded["models"])
             return StatusReading(
-                attrs.evolve(row, models=models, adapters=adapters, running=plain["running"]),
+                attrs.evolve(row, models=models, adapters=adapters, running=decoded["running"]),
                 age_s=REPORT_LAG_S,
-                is_busy=bool(plain["busy"]),
-                sequence=int(plain["sequence"]),
+                is_busy=bool(decoded["busy"]),
+                sequence=int(decoded["sequence"]),
             )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise MalformedBodyError(
-                f"the report cannot be read: {error!r}", "ask again"
+                f"the server report cannot be read: {error!r}", "request it again"
             ) from error
 
 
-def _listed_server(plain: dict[str, Any]) -> ListedServer:
-    models, adapters = _resident(plain.get("models") or ())
+def _listed_server(decoded: dict[str, Any]) -> ListedServer:
+    models, adapters = _resident(decoded.get("models") or ())
     return ListedServer(
-        server=ServerId(plain["id"]),
-        address=Address(plain["address"]),
-        pool=PoolName(plain["service"]),
-        zone=ZoneName(plain["zone"]),
-        draining=plain.get("state") == "draining",
-        cold_remaining_s=(plain.get("coldRemainingMs") or 0) / MS_PER_S,
-        slots=int(plain.get("slots") or 0),
+        server=ServerId(decoded["id"]),
+        address=Address(decoded["address"]),
+        pool=PoolName(decoded["service"]),
+        zone=ZoneName(decoded["zone"]),
+        draining=decoded.get("state") == "draining",
+        cold_remaining_s=(decoded.get("coldRemainingMs") or 0) / MS_PER_S,
+        slots=int(decoded.get("slots") or 0),
         models=models,
         adapters=adapters,
     )
--- a/src/zincvale/platform/settings.py
+++ b/src/zincvale/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, as the daemons' own settings."""
+"""Converts the platform's settings file to the settings of a daemon."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 SETTINGS_VARIABLE = "ZINCVALE_CONFIG"
 CLUSTER_ID = "platform"
 NODE_PORT, CORE_PORT = 0, 1
-"""Which of the internal ports each role listens on."""
+"""Offset of each role's peer port from the first internal port."""
 MS_PER_S = 1000.0
 
 
 @attrs.frozen
 class ProcessSettings:
-    """All settings of one process."""
+    """All settings of one daemon process."""
 
     daemon: DaemonSettings
     forwarding: ForwardingSettings
@@ -30,7 +30,7 @@
 
 
 def settings_path() -> str:
-    """Return the path of the settings file, empty when none is named."""
+    """Return the path of the settings file, empty when the environment names none."""
     return os.environ.get(SETTINGS_VARIABLE, "")
 
 
@@ -38,8 +38,8 @@
     """Return the settings of this process; raises `InvalidInputError`."""
     path = settings_path()
     try:
-        plain = tomllib.loads(Path(path).read_text(encoding="utf-8"))
-        return read(plain, role)
+        decoded = tomllib.loads(Path(path).read_text(encoding="utf-8"))
+        return read(decoded, role)
     except OSError as error:
         raise InvalidInputError(
             f"settings file {path!r} cannot be read: {error.strerror}",
@@ -47,35 +47,35 @@
         ) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise InvalidInputError(
-            f"settings file {path!r} is not TOML: {error}", "write it whole"
+            f"settings file {path!r} is not TOML: {error}", "write the complete file"
         ) from error
     except (KeyError, TypeError, ValueError, IndexError) as error:
         raise InvalidInputError(
-            f"settings file {path!r}: {error!r} is missing or of another type", "add the field"
+            f"settings file {path!r} has a missing or invalid field: {error!r}", "correct the field"
         ) from error
 
 
-def read(plain: dict[str, Any], role: str) -> ProcessSettings:
-    """Return the decoded file as settings of `role`; fields that are not known are ignored."""
-    ports = plain["internalPorts"]
-    ip = plain["ip"]
-    seeds = [_host(seed) for seed in plain.get("seeds", [])]
-    bootstrap = bool(plain.get("bootstrap", False))
-    listen = plain.get("listen", {})
+def read(decoded: dict[str, Any], role: str) -> ProcessSettings:
+    """Return the settings of `role` in a decoded file; unknown fields are ignored."""
+    ports = decoded["internalPorts"]
+    ip = decoded["ip"]
+    seeds = [_host(seed) for seed in decoded.get("seeds", [])]
+    bootstrap = bool(decoded.get("bootstrap", False))
+    listen = decoded.get("listen", {})
     is_core = role == "core"
     daemon = DaemonSettings(
         cluster_id=CLUSTER_ID,
         member_id=f"{role}-{ip}",
         role=role,
-        zone=plain["zone"],
-        region=plain.get("region", ""),
+        zone=decoded["zone"],
+        region=decoded.get("region", ""),
         api_address=listen["control"] if is_core else listen["front"],
         peer_address=f"{ip}:{ports[0] + (CORE_PORT if is_core else NODE_PORT)}",
         seeds=[f"{seed}:{ports[0] + CORE_PORT}" for seed in seeds],
-        data_folder=plain.get("dataDirectory", ""),
+        data_folder=decoded.get("dataDirectory", ""),
         bootstrap_cores=[_initial_core(seed, ports[0]) for seed in seeds] if bootstrap else [],
     )
-    return ProcessSettings(daemon, _forwarding(plain), bootstrap)
+    return ProcessSettings(daemon, _forwarding(decoded), bootstrap)
 
 
 def _initial_core(ip: str, first_port: int) -> InitialCore:
@@ -83,11 +83,11 @@
     return InitialCore(member_id=f"core-{ip}", api_address=address, peer_address=address, zone="")
 
 
-def _forwarding(plain: dict[str, Any]) -> ForwardingSettings:
-    bounds = plain.get("bounds", {})
-    cloud = plain.get("cloud", {})
+def _forwarding(decoded: dict[str, Any]) -> ForwardingSettings:
+    bounds = decoded.get("bounds", {})
+    cloud = decoded.get("cloud", {})
     return ForwardingSettings(
-        readiness_address=plain.get("listen", {}).get("readiness", ""),
+        readiness_address=decoded.get("listen", {}).get("readiness", ""),
         ready_path="/v1/ready",
         list_address=cloud.get("address", ""),
         list_lag_s=cloud.get("lagMs", 1000) / MS_PER_S,
@@ -102,7 +102,7 @@
         grace_s=bounds.get("graceS", 8),
         change_limit_s=bounds.get("acknowledgeMs", 4000) / MS_PER_S,
         catch_up_s=bounds.get("catchUpS", 4),
-        cores_lost_at_once=max(1, plain.get("faultTolerance", {}).get("machines", 1)),
+        cores_lost_at_once=max(1, decoded.get("faultTolerance", {}).get("machines", 1)),
     )
 
 
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's messages as the product's types, and what cannot be read."""
+"""Conversion of the platform's messages to the project's types, and rejection of malformed ones."""
 
 from __future__ import annotations
 
@@ -81,45 +81,47 @@
     return PlatformOperators().read(request(*arguments, **headers))
 
 
-class OperatorsTest(testtools.TestCase):
-    def whole(self, **fields):
+class PlatformOperatorsTest(testtools.TestCase):
+    def read_complete_change(self, **fields):
         body = {"version": 7, "routes": [ROUTE], "services": [SERVICE, {"name": "s2"}], **fields}
         return read("PUT", "/v1/configuration", body, If_Match="5").change
 
-    def test_a_complete_configuration(self):
-        change = self.whole(limits={"maxBodyBytes": 10, "idleTimeoutMs": 15000}, extra=3)
+    def test_a_put_request_is_read_as_a_complete_change(self):
+        change = self.read_complete_change(
+            limits={"maxBodyBytes": 10, "idleTimeoutMs": 15000}, extra=3
+        )
         self.assertIsInstance(change, DocumentChange)
-        self.assertEqual((5, 7, True, {"extra": 3}), _head(change))
+        self.assertEqual((5, 7, True, {"extra": 3}), _change_attributes(change))
         spec = change.routes[0].spec
         self.assertEqual(ROUTE, change.routes[0].source)
         self.assertEqual((4.0, 0.8, 0.3), (spec.timeout_s, spec.objective_s, spec.gap_s))
-        self.assertEqual((True, True, False, 2), _kind(spec))
+        self.assertEqual((True, True, False, 2), _route_attributes(spec))
         self.assertEqual([("s1", 90.0), ("s2", 10.0)], _split(spec))
         model = change.pools[0].spec.engine.models["m1"]
         self.assertEqual((65_100_000_000, ("a1", "a2")), (model.weight_bytes, model.adapters))
         self.assertEqual((10, 15.0), (change.limits.max_body_bytes, change.limits.idle_timeout_s))
 
-    def test_a_patch(self):
+    def test_a_patch_request_is_read_as_a_partial_change(self):
         body = {"version": 9, "set": {"routes": [ROUTE]}, "remove": {"routes": ["old"]}}
         change = read("PATCH", "/v1/configuration", body, If_Match="7").change
-        self.assertEqual((7, 9, False, None), _head(change))
+        self.assertEqual((7, 9, False, None), _change_attributes(change))
         self.assertEqual(
             (1, ("old",), ()), (len(change.routes), change.removed_routes, change.pools)
         )
 
-    def test_one_service_is_a_split_of_one(self):
+    def test_a_route_to_one_service_is_read_as_a_split_with_one_share(self):
         plain = {**ROUTE, "service": "s1", "kind": "safe"}
         del plain["trafficSplit"]
         change = read("PUT", "/v1/configuration", {"version": 1, "routes": [plain]}, If_Match="0")
         self.assertEqual([("s1", 1.0)], _split(change.change.routes[0].spec))
         self.assertTrue(change.change.routes[0].spec.repeatable)
 
-    def test_zones(self):
+    def test_evacuations_and_reads_are_told_apart_by_path_and_method(self):
         self.assertEqual(EvacuationChange("z1", True), read("POST", "/v1/evacuate/z1").change)
         self.assertEqual(EvacuationChange("z1", False), read("DELETE", "/v1/evacuate/z1").change)
         self.assertIsInstance(read("GET"), ReadDocument)
 
-    def test_an_unreadable_call_is_refused(self):
+    def test_a_malformed_request_is_refused(self):
         for body in (
             b'{"version": 7, "rou',
             b"[]",
@@ -139,11 +141,11 @@
             response = PlatformOperators().error_response("t1", error)
             self.assertEqual(400, response.status)
         for broken in ({"name": "r1"}, {**ROUTE, "trafficSplit": [{"service": 3, "weight": 1}]}):
-            self.assertRaises(InvalidInputError, self.whole, routes=[broken])
+            self.assertRaises(InvalidInputError, self.read_complete_change, routes=[broken])
         self.assertRaises(InvalidInputError, read, "PUT", "/v1/configuration", {"version": 7})
         self.assertRaises(NotFoundError, read, "POST", "/v1/other")
 
-    def test_responses(self):
+    def test_results_and_documents_are_written_in_the_platforms_format(self):
         operators = PlatformOperators()
         statuses = {
             "in-force": 200,
@@ -168,11 +170,11 @@
         )
 
 
-def _head(change):
+def _change_attributes(change):
     return change.base, change.number, change.is_complete, change.other
 
 
-def _kind(spec):
+def _route_attributes(spec):
     return spec.streaming, spec.resumable, spec.repeatable, spec.attempts
 
 
@@ -180,8 +182,8 @@
     return [(share.pool, share.weight) for share in spec.split]
 
 
-class CallersTest(testtools.TestCase):
-    def test_headers(self):
+class PlatformForwardingTest(testtools.TestCase):
+    def test_caller_headers_are_read_and_attempt_headers_are_written(self):
         dialect = PlatformForwarding()
         facts = dialect.caller_facts(
             {
@@ -192,7 +194,7 @@
                 "prompt-prefix": "5c1e:800,91bd:410,e440:250",
             }
         )
-        self.assertEqual(("q1", 4.0, "m1", "a3"), _facts(facts))
+        self.assertEqual(("q1", 4.0, "m1", "a3"), _caller_attributes(facts))
         self.assertEqual([800, 410, 250], [part.tokens for part in facts.prompt.parts])
         self.assertEqual(
             {"Deadline-Ms": "250", "Expect-Instance": "i-1", "Request-Urgency": "3"},
@@ -202,24 +204,24 @@
             "9", dialect.attempt_headers(AttemptFacts("i", 1, 1, "9"))["Last-Event-Id"]
         )
 
-    def test_proofs(self):
+    def test_a_response_proves_that_a_request_never_ran_by_its_header_or_status(self):
         dialect = PlatformForwarding()
         self.assertFalse(dialect.response_facts(503, {"request-id": "q1"}).never_ran)
         self.assertTrue(dialect.response_facts(503, {"not-executed": "1"}).never_ran)
         facts = dialect.response_facts(421, {})
         self.assertEqual((True, True), (facts.never_ran, facts.misdirected))
 
-    def test_a_deadline_that_cannot_be_read_is_absent(self):
+    def test_a_malformed_deadline_is_ignored(self):
         for text in ("", "soon", "-5"):
             facts = PlatformForwarding().caller_facts({"deadline-ms": text})
             self.assertIsNone(facts.deadline_s)
 
 
-def _facts(facts):
+def _caller_attributes(facts):
     return facts.request_id, facts.deadline_s, facts.prompt.model, facts.prompt.adapter
 
 
-class ServerListTest(testtools.TestCase):
+class PlatformServerListTest(testtools.TestCase):
     def page(self, **fields):
         server = {
             "id": "i-1",
@@ -234,7 +236,7 @@
         }
         return orjson.dumps({"instances": [server], "nextPageToken": "p-50"})
 
-    def test_a_page(self):
+    def test_a_page_of_the_server_list_is_read(self):
         page = PlatformServerList().read_page(self.page())
         server = page.servers[0]
         self.assertEqual(
@@ -243,13 +245,13 @@
         self.assertEqual(({"m1"}, {"m1/a3"}), (server.models, server.adapters))
         self.assertEqual("/instances?pageToken=p%2F1", PlatformServerList().list_path("p/1"))
 
-    def test_bad_pages(self):
+    def test_a_malformed_page_is_rejected_and_throttling_is_detected(self):
         for body in (b"", b"{}", b'{"instances": [{}]}', b'{"instances": 3}', self.page()[:40]):
             self.assertRaises(MalformedBodyError, PlatformServerList().read_page, body)
         self.assertTrue(PlatformServerList().is_throttled(FetchResult(429)))
 
 
-class OrdersTest(testtools.TestCase):
+class PlatformOrdersTest(testtools.TestCase):
     def order(self, kind=ItemKind.ADAPTER, name="m1/a3"):
         return Order("o1", 41, OrderAction.LOAD, kind, name, "m1", 5, StoreName("s1"), Address(""))
 
@@ -258,7 +260,7 @@
         self.assertEqual({"Expect-Instance": "i-1"}, call.headers)
         return orjson.loads(call.body)
 
-    def test_orders(self):
+    def test_orders_contain_the_epoch_and_the_expected_sequence(self):
         self.assertEqual(
             {
                 "operation": "load",
@@ -274,7 +276,7 @@
         self.assertNotIn("adapter", plain)
         self.assertNotIn("expectedRevision", plain)
 
-    def test_what_responses_prove(self):
+    def test_the_reply_to_an_order_follows_from_status_and_connection(self):
         replies = {
             FetchResult(200): OrderReply.COMPLETED,
             FetchResult(202): OrderReply.ACCEPTED,
@@ -288,7 +290,7 @@
         for result, reply in replies.items():
             self.assertIs(reply, PlatformOrders().order_reply(self.order(), result))
 
-    def test_a_report(self):
+    def test_a_server_report_is_read_and_a_malformed_one_is_rejected(self):
         body = {
             "models": [{"name": "m1", "adapters": ["a3"]}],
             "busy": True,
--- a/tests/platform/test_build_packages.py
+++ b/tests/platform/test_build_packages.py
@@ -1,4 +1,4 @@
-"""The system packages that the deploy file names are all that its build and its roles need."""
+"""The system packages in the deploy file suffice for its build command and its roles."""
 
 from __future__ import annotations
 
@@ -17,9 +17,11 @@
 PACKAGE_OF_PROGRAM = {"python3": "python3"}
 PACKAGE_OF_MODULE = {"pip": "python3-pip", "compileall": "python3"}
 SHELL_BUILTINS = frozenset({"[", "true"})
-"""Words that the shell itself carries out."""
-C_LIBRARY = re.compile(r"^(libc|libm|libdl|libpthread|librt|libresolv|ld-linux[-\w]*)\.so\.\d+$")
-"""Comes with every machine that can run a program at all."""
+"""Commands that the shell executes itself."""
+C_RUNTIME_LIBRARY = re.compile(
+    r"^(libc|libm|libdl|libpthread|librt|libresolv|ld-linux[-\w]*)\.so\.\d+$"
+)
+"""Libraries of the C runtime, which every machine has."""
 PACKAGE_OF_LIBRARY = {
     "libz.so.1": "zlib1g",
     "libgcc_s.so.1": "libgcc-s1",
@@ -28,20 +30,20 @@
 
 
 def locked_packages() -> list[str]:
-    """Return the names that the build installs."""
+    """Return the names of the Python packages that the build installs."""
     lines = (DEPLOY / "requirements.txt").read_text(encoding="utf-8").split()
     return [line.partition("==")[0] for line in lines]
 
 
 def native_files(package: str) -> Iterator[Path]:
-    """Yield the shared objects that an installed package brought."""
+    """Yield the shared objects of an installed package."""
     for entry in importlib.metadata.files(package) or ():
         if ".so" in entry.suffixes:
             yield Path(str(entry.locate()))
 
 
 def needed_libraries(path: Path) -> set[str]:
-    """Return the shared libraries that a shared object names."""
+    """Return the names of the shared libraries that a shared object needs."""
     with path.open("rb") as content:
         sections = ELFFile(content).iter_sections()
         dynamic = [section for section in sections if isinstance(section, DynamicSection)]
@@ -50,7 +52,7 @@
 
 
 def commands(line: str) -> list[list[str]]:
-    """Return the simple commands of a shell line, each as its words."""
+    """Return the simple commands of a shell line, each as a list of words."""
     lexer = shlex.shlex(line, posix=True, punctuation_chars="()|&;")
     lexer.whitespace_split = True
     found: list[list[str]] = [[]]
@@ -69,32 +71,32 @@
         self.packages = set(deploy["packages"])
         self.lines = [deploy["build"], *(role["run"] for role in deploy["roles"].values())]
 
-    def test_every_program_is_of_a_listed_package(self) -> None:
+    def test_every_program_belongs_to_a_listed_package(self) -> None:
         for line in self.lines:
             for words in commands(line):
                 if words[0] not in SHELL_BUILTINS:
                     self.assertIn(PACKAGE_OF_PROGRAM[words[0]], self.packages, line)
 
-    def test_every_module_that_is_run_is_of_a_listed_package(self) -> None:
+    def test_every_module_that_is_run_belongs_to_a_listed_package(self) -> None:
         for line in self.lines:
             for words in commands(line):
                 for option, module in zip(words, words[1:], strict=False):
                     if option == "-m":
                         self.assertIn(PACKAGE_OF_MODULE[module], self.packages, line)
 
-    def test_every_native_library_is_in_its_wheel_or_of_a_listed_package(self) -> None:
-        looked_at = 0
+    def test_every_native_library_is_in_its_wheel_or_belongs_to_a_listed_package(self) -> None:
+        checked_files = 0
         for package in locked_packages():
             files = list(native_files(package))
-            inside = {path.name for path in files}
+            bundled = {path.name for path in files}
             for path in files:
-                looked_at += 1
-                for library in needed_libraries(path) - inside:
-                    if not C_LIBRARY.match(library):
+                checked_files += 1
+                for library in needed_libraries(path) - bundled:
+                    if not C_RUNTIME_LIBRARY.match(library):
                         self.assertIn(PACKAGE_OF_LIBRARY[library], self.packages, path.name)
-        self.assertGreater(looked_at, 10)
+        self.assertGreater(checked_files, 10)
 
-    def test_no_locked_package_is_compiled_on_the_machine(self) -> None:
+    def test_no_locked_package_must_be_compiled_on_the_machine(self) -> None:
         for package in locked_packages():
             wheel = importlib.metadata.distribution(package).read_text("WHEEL") or ""
             tags = re.findall(r"^Tag: (.+)$", wheel, re.MULTILINE)
--- a/tests/platform/test_roles.py
+++ b/tests/platform/test_roles.py
@@ -1,4 +1,4 @@
-"""Which daemon a role starts, and that one deploy file serves machines with and without disks."""
+"""Which daemon a role starts, and which machines of a site get the control roles."""
 
 from __future__ import annotations
 
@@ -18,38 +18,38 @@
 DATA_LINE = 'dataDirectory = "/data/core"\n'
 
 
-class RolesTest(testtools.TestCase):
-    def started(self, text: str, role: str) -> str:
-        """Return the daemon that `role` starts with this settings file."""
+class StartedDaemonTest(testtools.TestCase):
+    def started_daemon(self, text: str, role: str) -> str:
+        """Return the name of the function that starts `role` with this settings file."""
         names = ("_run_core", "_run_standby", "_run_node")
         with mock.patch.multiple(main, **dict.fromkeys(names, mock.DEFAULT)) as daemons:
             main._run(role, read(tomllib.loads(text), role))
         (name,) = [name for name, daemon in daemons.items() if daemon.called]
         return name
 
-    def test_a_core_with_a_disk_may_vote(self) -> None:
-        self.assertEqual("_run_core", self.started(TEXT, "core"))
+    def test_the_core_role_with_a_disk_starts_a_core(self) -> None:
+        self.assertEqual("_run_core", self.started_daemon(TEXT, "core"))
 
-    def test_a_core_without_a_disk_stands_by(self) -> None:
-        self.assertEqual("_run_standby", self.started(TEXT.replace(DATA_LINE, ""), "core"))
+    def test_the_core_role_without_a_disk_starts_a_standby(self) -> None:
+        self.assertEqual("_run_standby", self.started_daemon(TEXT.replace(DATA_LINE, ""), "core"))
 
-    def test_a_node_needs_no_disk(self) -> None:
-        self.assertEqual("_run_node", self.started(TEXT.replace(DATA_LINE, ""), "node"))
+    def test_the_node_role_without_a_disk_starts_a_node(self) -> None:
+        self.assertEqual("_run_node", self.started_daemon(TEXT.replace(DATA_LINE, ""), "node"))
 
 
 @attrs.frozen
 class Layout:
-    """A site: machines of each class by zone, and how many of a zone's first ones have a disk.
+    """A site: machines by class and zone, and how many of each zone's first machines have a disk.
 
     Attributes
     ----------
-    borne : losses of disks that must be borne at once.
+    tolerated_losses : number of simultaneous disk losses that must be tolerated.
     """
 
     name: str
     machines: dict[str, list[int]]
     disks: dict[str, list[int]]
-    borne: int
+    tolerated_losses: int
 
 
 LAYOUTS = (
@@ -81,8 +81,10 @@
         classes = {role["on"] for role in self.roles.values() if "control_plane" in role["serves"]}
         self.assertEqual({"core", "frontend"}, classes)
 
-    def test_the_control_roles_take_enough_of_each_zone_and_new_machines_too(self) -> None:
-        # A count is not given to machines that come during a day; a share is.
+    def test_control_roles_have_a_share_that_covers_two_of_twenty_machines_but_one_of_eleven(
+        self,
+    ) -> None:
+        # Machines that are added later get a role by its share, but not by a count.
         for name in ("core", "frontend-core"):
             self.assertNotIn("count", self.roles[name])
         share = self.roles["frontend-core"]["share"]
@@ -90,26 +92,26 @@
         self.assertLess(share * 11, 1.0)
 
     def control_processes(self, layout: Layout) -> tuple[int, int]:
-        """Return how many control processes with and without a disk a site gets."""
+        """Return the numbers of control processes with and without a disk at a site."""
         with_disk = without_disk = 0
         for role in self.roles.values():
             if "control_plane" not in role["serves"]:
                 continue
             counts = layout.machines.get(role["on"], [])
             disks = layout.disks.get(role["on"], [0] * len(counts))
-            for machines, disks_here in zip(counts, disks, strict=True):
-                taken = math.ceil(machines * role["share"])
-                with_disk += min(taken, disks_here)
-                without_disk += max(0, taken - disks_here)
+            for machines, zone_disks in zip(counts, disks, strict=True):
+                role_machines = math.ceil(machines * role["share"])
+                with_disk += min(role_machines, zone_disks)
+                without_disk += max(0, role_machines - zone_disks)
         return with_disk, without_disk
 
     def test_every_disk_of_every_layout_gets_a_core(self) -> None:
         for layout in LAYOUTS:
             with_disk, _ = self.control_processes(layout)
             self.assertEqual(sum(map(sum, layout.disks.values())), with_disk, layout.name)
-            self.assertGreaterEqual(with_disk, 2 * layout.borne + 1, layout.name)
+            self.assertGreaterEqual(with_disk, 2 * layout.tolerated_losses + 1, layout.name)
 
-    def test_few_processes_stand_by(self) -> None:
+    def test_few_control_processes_have_no_disk(self) -> None:
         for layout in LAYOUTS:
             _, without_disk = self.control_processes(layout)
             self.assertLessEqual(without_disk, 0.05 * sum(map(sum, layout.machines.values())) + 3)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, whole and broken."""
+"""Reading of complete and broken settings files of the platform."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 """
 
 
-class SettingsTest(testtools.TestCase):
-    def test_a_core(self):
+class PlatformSettingsTest(testtools.TestCase):
+    def test_a_core_gets_the_control_address_and_the_second_internal_port(self):
         settings = read(tomllib.loads(TEXT), "core")
         daemon = settings.daemon
         self.assertEqual(
@@ -53,9 +53,9 @@
             ["core-10.1.0.12", "core-10.2.0.22", "core-10.3.0.38"],
             [core.member_id for core in daemon.bootstrap_cores],
         )
-        self.assertEqual((2, 3.0, 0.8), _terms(settings.forwarding))
+        self.assertEqual((2, 3.0, 0.8), _forwarding_terms(settings.forwarding))
 
-    def test_a_node(self):
+    def test_a_node_gets_the_front_address_and_the_first_internal_port(self):
         settings = read(tomllib.loads(TEXT), "node")
         self.assertEqual("10.1.0.12:8144", settings.daemon.api_address)
         self.assertEqual("10.1.0.12:7660", settings.daemon.peer_address)
@@ -69,7 +69,7 @@
         settings = read(plain, "core")
         self.assertEqual((False, []), (settings.bootstrap, settings.daemon.bootstrap_cores))
 
-    def test_a_file_that_cannot_be_read_is_one_error_with_a_remedy(self):
+    def test_a_broken_settings_file_raises_one_error_with_a_remedy(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "boot.toml"
             for content in (TEXT[:60], TEXT.replace('ip = "10.1.0.12"', ""), "ip = 3", "\xff"):
@@ -81,5 +81,5 @@
                 self.assertRaises(InvalidInputError, load, "core")
 
 
-def _terms(forwarding):
+def _forwarding_terms(forwarding):
     return forwarding.cores_lost_at_once, forwarding.order_quiet_s, forwarding.list_lag_s
--- a/tests/platform/test_settings_watch.py
+++ b/tests/platform/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Seeds that change while a process runs."""
+"""Reloading of the seeds while a process runs."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 class SettingsWatchTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.changed_at = 1
+        self.modified_at = 1
         self.seeds: tuple[str, ...] | None = ("10.0.0.1:7000",)
         self.used: list[tuple[str, ...]] = []
-        self.watch = SettingsWatch(lambda: self.changed_at, self.load, self.used.append)
+        self.watch = SettingsWatch(lambda: self.modified_at, self.load, self.used.append)
 
     def load(self) -> tuple[str, ...]:
         if self.seeds is None:
-            raise InvalidInputError("half a file", "write it whole")
+            raise InvalidInputError("the file is incomplete", "write the complete file")
         return self.seeds
 
-    def test_nothing_is_read_while_the_file_stays(self) -> None:
+    def test_an_unchanged_file_is_not_reloaded(self) -> None:
         self.watch.poll()
         self.assertEqual([], self.used)
 
-    def test_a_changed_file_is_read_once(self) -> None:
-        self.changed_at, self.seeds = 2, ("10.0.0.2:7000",)
+    def test_a_changed_file_is_reloaded_once(self) -> None:
+        self.modified_at, self.seeds = 2, ("10.0.0.2:7000",)
         self.watch.poll()
         self.watch.poll()
         self.assertEqual([("10.0.0.2:7000",)], self.used)
 
-    def test_a_signal_reads_it_at_any_time(self) -> None:
+    def test_a_signal_reloads_an_unchanged_file(self) -> None:
         self.watch.reload()
         self.assertEqual([("10.0.0.1:7000",)], self.used)
 
-    def test_a_file_that_cannot_be_read_changes_nothing_and_is_read_when_it_is_complete(
+    def test_an_unreadable_file_keeps_the_seeds_until_a_readable_one_is_written(
         self,
     ) -> None:
-        self.changed_at, self.seeds = 2, None
+        self.modified_at, self.seeds = 2, None
         self.watch.poll()
         self.assertEqual([], self.used)
-        self.changed_at, self.seeds = 3, ("10.0.0.3:7000",)
+        self.modified_at, self.seeds = 3, ("10.0.0.3:7000",)
         self.watch.poll()
         self.assertEqual([("10.0.0.3:7000",)], self.used)
