--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,11 +1,11 @@
-"""Starts a daemon from a checkout: the sources lie beside this folder."""
+"""Starts a daemon from a source checkout, with the sources in `src` beside this folder."""
 
 import gc
 import sys
 from pathlib import Path
 
-# Nearly all that the imports make lives as long as the process: looking for cycles in it takes a
-# quarter of a start. The daemon turns the collector on again when it begins to serve.
+# Nearly all objects that the imports create live as long as the process, and collecting garbage
+# among them takes a quarter of the start. The daemon enables the collector before it serves.
 gc.disable()
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "src"))
--- a/src/zincvale/__init__.py
+++ b/src/zincvale/__init__.py
@@ -1,3 +1,3 @@
-"""zincvale: a router and placer for many models, and a library of coordination parts."""
+"""zincvale: request routing and model placement, and a library for replicated coordination."""
 
 __version__ = "0.1.0"
--- a/src/zincvale/model/addresses.py
+++ b/src/zincvale/model/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as `ip:port`."""
+"""Splits addresses of the form `ip:port`."""
 
 from __future__ import annotations
 
--- a/src/zincvale/model/checked.py
+++ b/src/zincvale/model/checked.py
@@ -1,4 +1,4 @@
-"""Reading of checked configuration: unknown fields are refused with the nearest known name."""
+"""Validated reading of configuration; an error about an unknown field suggests the nearest name."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 @dataclasses.dataclass
 class Checked(DataClassDictMixin):
-    """Base of every dataclass read from outside."""
+    """Base of every dataclass that is read from external data."""
 
     class Config(BaseConfig):
-        """Refuse what is not declared; use camelCase-free names as written."""
+        """Reject undeclared fields; field names are used as they are declared."""
 
         forbid_extra_keys = True
-        # Readers and writers are made at their first use: a daemon uses few of its types.
+        # Codecs are generated at their first use, since a daemon uses few of its types.
         lazy_compilation = True
 
 
@@ -36,18 +36,18 @@
 
 
 def read_checked(kind: type[CheckedType], data: object, where: str) -> CheckedType:
-    """Return `data` as a `kind`.
+    """Return `data` as an instance of `kind`.
 
     Parameters
     ----------
-    kind : the dataclass to read.
+    kind : the dataclass to create.
     data : a decoded JSON or YAML value.
-    where : how the error names the place, for example `Route quotes: spec`.
+    where : name of the data in errors, for example `Route quotes: spec`.
 
     Raises
     ------
     InvalidInputError
-        Naming the field and the remedy.
+        If the data is invalid; names the field and the remedy.
     """
     if not isinstance(data, Mapping):
         raise InvalidInputError(
--- a/src/zincvale/model/control_tables.py
+++ b/src/zincvale/model/control_tables.py
@@ -1,7 +1,7 @@
-"""Tables of the control state that nodes get: intent, server directory and members.
+"""Tables of the control state that nodes receive: intent, server directory and members.
 
-`Intent` is durable and versioned; `Directory` is observed and rebuilt from its sources; `Members`
-are those with live leases. Rows are keyed by typed ids.
+`Intent` is durable and versioned; `Directory` is observed and can be rebuilt; `Members` lists the
+daemons with live leases. Rows are keyed by typed ids.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class Intent:
-    """The operators' configuration at one version."""
+    """The operators' configuration at one version of the control state."""
 
     version: int = 0
     zones: dict[ZoneName, ZoneSpec] = attrs.field(factory=dict)
@@ -48,17 +48,17 @@
 
 
 class ServerHealth(enum.Enum):
-    """What probes last showed of a server."""
+    """Health of a server as last observed."""
 
     READY = "ready"
     COLD = "cold"
-    """It serves, but only a few requests at first: slow start."""
+    """The server serves, but gets only a few requests at first (slow start)."""
     DOWN = "down"
 
 
 @attrs.frozen
 class ServerRow:
-    """One back-end server as last observed."""
+    """One back-end server, as last observed."""
 
     server: ServerId
     address: Address
@@ -70,17 +70,19 @@
     memory_bytes: int = 0
     used_bytes: int = 0
     models: frozenset[ModelName] = frozenset()
-    """Models loaded and able to serve."""
+    """Models that are loaded and can serve requests."""
     adapters: frozenset[AdapterName] = frozenset()
     loading: frozenset[str] = frozenset()
     running: int = 0
     max_running: int = 0
     closing: frozenset[str] = frozenset()
-    """Models and adapters about to be unloaded: no new request is sent for them."""
+    """Models and adapters that are about to be unloaded; the server gets no new requests for
+    them."""
     draining: bool = False
-    """The server is about to leave: no new request is sent to it."""
+    """Whether the server is about to leave; it gets no new requests."""
     cold_remaining_s: float = 0.0
-    """Seconds of slow start that remain, counted from when the row was first published so."""
+    """Remaining slow start in seconds, counted from the first publication of the row with this
+    value."""
 
 
 @attrs.frozen
@@ -93,7 +95,7 @@
 
 
 class Role(enum.Enum):
-    """The part that a daemon plays in the cluster."""
+    """The role of a daemon in the cluster."""
 
     CORE = "core"
     NODE = "node"
--- a/src/zincvale/model/errors.py
+++ b/src/zincvale/model/errors.py
@@ -1,7 +1,7 @@
-"""Typed errors that reach operators and callers. Every message names the remedy.
+"""Typed errors that reach operators and callers; every message contains a remedy.
 
-Fields beside `problem` and `remedy` say what failed, for code and tests; they are in neither the
-text nor the JSON body.
+Fields other than `problem` and `remedy` are for code and tests; they appear neither in the text nor
+in the JSON body.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
     Attributes
     ----------
-    problem : what is wrong, naming the resource and the field where there is one.
-    remedy : what the reader can do about it.
+    problem : what is wrong; names the resource and the field, if there is one.
+    remedy : what the reader can do about the problem.
     """
 
     problem: str
@@ -26,7 +26,7 @@
     http_status = 500
 
     def __str__(self) -> str:
-        """Return the problem and its remedy in one line."""
+        """Return the problem and the remedy in one line."""
         return f"{self.problem}; {self.remedy}"
 
     def to_json(self) -> dict[str, str]:
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class InvalidInputError(ZincvaleError):
-    """A settings file, resource or request body fails a check; nothing was changed."""
+    """A settings file, resource or request body is invalid; nothing was changed."""
 
     kind = "invalid"
     http_status = 422
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class MalformedBodyError(ZincvaleError):
-    """A body is not what its content type says."""
+    """A body does not match its content type."""
 
     kind = "malformed"
     http_status = 400
@@ -56,7 +56,7 @@
 
     Attributes
     ----------
-    size_bytes, limit_bytes : of the body, and the most that is taken; 0 when not known.
+    size_bytes, limit_bytes : size of the body and the accepted maximum; 0 when unknown.
     """
 
     size_bytes: int = attrs.field(default=0, repr=False, kw_only=True)
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class NotFoundError(ZincvaleError):
-    """No such resource or path."""
+    """A resource or path does not exist."""
 
     kind = "not-found"
     http_status = 404
@@ -76,11 +76,11 @@
 
 @attrs.frozen
 class VersionConflictError(ZincvaleError):
-    """Another change won on the version this one was built on.
+    """Another change was applied first to the version on which this change is based.
 
     Attributes
     ----------
-    current_version : the version to build on now.
+    current_version : the version on which a new change must be based.
     """
 
     current_version: int = 0
@@ -91,7 +91,7 @@
 
 @attrs.frozen
 class NotConfirmedError(ZincvaleError):
-    """The change may or may not be in force; it can be sent again safely with the same key."""
+    """A change may or may not be in force; it can be safely sent again with the same key."""
 
     kind = "not-confirmed"
     http_status = 503
@@ -99,10 +99,10 @@
 
 @attrs.frozen
 class UnavailableError(ZincvaleError):
-    """The daemon cannot serve this now.
+    """The daemon cannot serve this request now.
 
-    Nothing was changed, except where a change of a document got no result from the core
-    (`controlplane.documents.api`): its outcome is unknown, and it can be sent again.
+    Nothing was changed, with one exception: the outcome of a document change for which the core
+    returned no result is unknown (`controlplane.documents.api`); the change can be sent again.
     """
 
     kind = "unavailable"
@@ -115,7 +115,7 @@
 
     Attributes
     ----------
-    expected_cluster, actual_cluster : this process's cluster id, and the one that was found.
+    expected_cluster, actual_cluster : the cluster id of this process and the one that was found.
     """
 
     expected_cluster: str = attrs.field(default="", repr=False, kw_only=True)
@@ -146,7 +146,7 @@
 
     Attributes
     ----------
-    address : `ip:port` that cannot be listened on; empty for other causes.
+    address : `ip:port` on which the daemon cannot listen; empty for other causes.
     """
 
     address: str = attrs.field(default="", repr=False, kw_only=True)
--- a/src/zincvale/model/field_types.py
+++ b/src/zincvale/model/field_types.py
@@ -1,7 +1,7 @@
-"""Strict JSON types of declared fields.
+"""Strict checks of the JSON types of declared fields.
 
-The reading library converts what it gets, so that `drained: "false"` would become true. Here a
-field must already have the JSON type of its declaration.
+The deserialization library converts values, so that `drained: "false"` would become true. These
+checks require that a value already has the JSON type of its declaration.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class FieldType:
-    """What one field accepts, and how a message says so."""
+    """The values that one field accepts, and their description in error messages."""
 
     accepts: Callable[[Any], bool]
     expected: str
@@ -31,7 +31,7 @@
 
 
 def check_field_types(kind: type, fields: Mapping[str, Any], where: str) -> None:
-    """Raise `InvalidInputError` for the first declared field of `fields` with another type."""
+    """Raise `InvalidInputError` for the first declared field whose value has another type."""
     field_types = _field_types(kind)
     for name, value in fields.items():
         field_type = field_types.get(name)
@@ -50,12 +50,12 @@
 
 
 def _field_types(kind: type) -> dict[str, FieldType]:
-    known = _TYPES_BY_KIND.get(kind)
-    if known is None:
+    cached = _TYPES_BY_KIND.get(kind)
+    if cached is None:
         hints = typing.get_type_hints(kind)
-        known = {field.name: _field_type(hints[field.name]) for field in dataclasses.fields(kind)}
-        _TYPES_BY_KIND[kind] = known
-    return known
+        cached = {field.name: _field_type(hints[field.name]) for field in dataclasses.fields(kind)}
+        _TYPES_BY_KIND[kind] = cached
+    return cached
 
 
 def _field_type(hint: Any) -> FieldType:
--- a/src/zincvale/model/forwarding.py
+++ b/src/zincvale/model/forwarding.py
@@ -1,8 +1,8 @@
-"""What operators declare about forwarding: routes by host and path, pools, and their engines.
+"""Forwarding configuration of operators: routes by host and path, pools, and their engines.
 
 A forwarding document is one numbered configuration that is replaced or patched in one change.
-Bodies are opaque to it; a dialect reads from the headers what a request needs. Times are seconds,
-sizes bytes, rates per second.
+Request bodies are opaque to forwarding; a dialect reads what a request needs from its headers.
+Times are seconds, sizes bytes, rates per second.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass
 class ForwardRoute(Checked):
-    """Which requests go to which pools, and what they were promised."""
+    """Which requests go to which pools, and their limits and objectives."""
 
     name: str
     host: str
@@ -35,17 +35,18 @@
     split: list[WeightedPool]
     streaming: bool = False
     repeatable: bool = False
-    """The request may run more than once."""
+    """Whether a request may be executed more than once."""
     resumable: bool = False
-    """A broken stream may be resumed at another server after its last event."""
+    """Whether an interrupted stream may be resumed at another server after its last event."""
     attempts: int = MIN_ATTEMPTS
-    """The most servers that one request of a caller may be sent to."""
+    """Maximum number of servers to which one request of a caller may be sent."""
     timeout_s: float = 30.0
     objective_s: float = 1.0
     gap_s: float = 0.0
-    """The longest pause between two events that keeps a stream in time; 0 when not declared."""
+    """Longest pause between two events with which a stream meets its objective; 0 when not
+    declared."""
     priority: int = 0
-    """0 is the most urgent."""
+    """Priority of the route's requests; 0 is the most urgent."""
 
 
 @dataclass
@@ -84,7 +85,7 @@
 
 @dataclass
 class CallerLimits(Checked):
-    """What one caller may send, and how long a connection may take or be idle."""
+    """Size limits of a caller's requests, and time limits of its connections."""
 
     max_header_bytes: int = 65_536
     max_body_bytes: int = 33_554_432
@@ -98,9 +99,9 @@
 
     Attributes
     ----------
-    version : version of the key that holds it.
+    version : version of the replicated key that stores the document.
     number : the operators' own number of the document, 0 before the first one.
-    evacuated : zones whose servers are to receive nothing.
+    evacuated : zones whose servers must get no requests.
     """
 
     version: int = 0
--- a/src/zincvale/model/log_events.py
+++ b/src/zincvale/model/log_events.py
@@ -1,10 +1,10 @@
 """Registry of numbered log events.
 
 Each package declares its events once, in its own `log_events.py`, with `declare(number, name,
-meaning)`; the number goes into `model.machine.Log`. docs/EVENTS.md lists them all, and a test holds
-the page against this registry. Ranges: 1xxx runtime and programs, 2xxx coordination, 3xxx storage,
-4xxx control plane, 5xxx placement, 6xxx data plane, 7xxx claims and stream journal, 8xxx tracing,
-9xxx rigs and stand-ins.
+meaning)`; `model.machine.Log` effects contain the number. docs/EVENTS.md lists all events, and a
+test compares that page with this registry. Ranges: 1xxx runtime and programs, 2xxx coordination,
+3xxx storage, 4xxx control plane, 5xxx placement, 6xxx data plane, 7xxx claims and stream journal,
+8xxx tracing, 9xxx test rigs and stand-ins.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class LogEvent:
-    """One kind of log line: its number, short dotted name and what it tells an operator."""
+    """One kind of log line: its number, its short dotted name and its meaning for an operator."""
 
     number: int
     name: str
@@ -33,10 +33,12 @@
 
 
 def log_event(number: int) -> LogEvent:
-    """Return the declared event `number`, or a placeholder that names the omission."""
-    return _EVENT_BY_NUMBER.get(number, LogEvent(number, "undeclared", "not in the catalogue"))
+    """Return the declared event `number`, or a placeholder if the number is not declared."""
+    return _EVENT_BY_NUMBER.get(
+        number, LogEvent(number, "undeclared", "this event number is not declared")
+    )
 
 
 def declared_events() -> list[LogEvent]:
-    """Return every declared event, by number."""
+    """Return every declared event in the order of the numbers."""
     return [_EVENT_BY_NUMBER[number] for number in sorted(_EVENT_BY_NUMBER)]
--- a/src/zincvale/model/machine.py
+++ b/src/zincvale/model/machine.py
@@ -1,8 +1,8 @@
 """Inputs and effects shared by every state machine.
 
-A state machine is pure: `handle(event, now)` takes one typed input and the time, and returns the
-effects (messages, writes, replies, log events) in the order in which they must be executed. It
-never reads a clock, opens a file or draws from a global random source. The daemons' event loop
+A state machine does no I/O: `handle(event, now)` takes one typed input and the time, and returns
+the effects (messages, writes, replies, log events) in the order in which they must be executed. It
+never reads a clock, opens a file or uses a global random source. The daemons' event loop
 (`runtime.driver`), the deterministic simulator and the transcript tests drive the same machines.
 
 A call goes `Call` -> `CallReplied` or `CallFailed`. At the called member it is `CallReceived` ->
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class CallAbandoned:
-    """Input: the caller of `token` disconnected; a later reply would be dropped."""
+    """Input: the caller of `token` disconnected, so a later reply would be dropped."""
 
     token: str
 
@@ -60,7 +60,7 @@
 class CallFailed:
     """Input: the call `token` got no reply, or an empty one; it may have been handled.
 
-    `reason` is for people: it names the time-out or what broke.
+    `reason` describes the time-out or the failure for people.
     """
 
     token: str
@@ -80,15 +80,15 @@
 
 @attrs.frozen
 class Tick:
-    """Input: the periodic timer fired; time-outs and renewals that are due happen now."""
+    """Input: the periodic timer fired; the machine handles time-outs and renewals that are due."""
 
 
 @attrs.frozen
 class ClockJumped:
     """Input: the clock advanced by `gap_s` seconds without an input (the process was frozen).
 
-    It comes before the inputs that arrived meanwhile. Leases may have expired: a machine drops its
-    own before it handles anything else.
+    It precedes the inputs that arrived meanwhile. Leases may have expired, so a machine drops the
+    leases that it holds before it handles another input.
     """
 
     gap_s: float
@@ -96,7 +96,7 @@
 
 @attrs.frozen
 class ShutdownRequested:
-    """Input: the process was asked to stop and will; leases and ownership are handed over."""
+    """Input: the process is about to stop; the machine hands over its leases and ownership."""
 
 
 @attrs.frozen
@@ -135,7 +135,7 @@
 
 @attrs.frozen
 class Reply:
-    """Effect: reply to the call `token` with `message`; dropped when its caller went away."""
+    """Effect: reply to the call `token` with `message`; dropped if its caller disconnected."""
 
     token: str
     message: Any
--- a/src/zincvale/model/messages.py
+++ b/src/zincvale/model/messages.py
@@ -1,4 +1,4 @@
-"""Registry of the internal protocol's messages.
+"""Registry of the messages of the internal protocol.
 
 A message is an attrs class whose fields are annotated with `int`, `float`, `bool`, `str`,
 `bytes`, `list[T]`, `dict[str, T]`, `T | None` or another attrs class. The Avro schema is derived
@@ -18,7 +18,7 @@
 
 
 def peer_message(name: str) -> Callable[[MessageType], MessageType]:
-    """Register the attrs class below as the message `name` (lower-case, dotted)."""
+    """Register the decorated attrs class as the message `name` (lower-case, dotted)."""
 
     def register(message_class: MessageType) -> MessageType:
         if not attrs.has(message_class):
--- a/src/zincvale/model/outcomes.py
+++ b/src/zincvale/model/outcomes.py
@@ -1,4 +1,4 @@
-"""The closed set of outcomes of one request, and how HTTP shows each."""
+"""The possible outcomes of a request, and their HTTP status codes and headers."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 
 class Outcome(enum.Enum):
-    """What became of a request, as its caller may rely on it (docs/outcomes.md)."""
+    """Outcome of a request, with the guarantee that its caller gets (docs/outcomes.md)."""
 
     ANSWERED = "answered"
     """The complete response was delivered."""
     REFUSED = "refused"
-    """The request never ran and never will."""
+    """The request was not executed and never will be."""
     UNKNOWN = "unknown"
-    """The request may have run; nothing is promised. A resend with the same id may learn more."""
+    """The request may have been executed; nothing is guaranteed, but a resend with the same id may
+    return its outcome."""
     INTERRUPTED = "interrupted"
-    """A stream broke off, marked as such, and may be resumed."""
+    """A stream ended early, is marked as interrupted, and may be resumed."""
 
 
 class RefusalReason(enum.Enum):
@@ -47,7 +48,8 @@
     RefusalReason.SERVER_REFUSED: 503,
     RefusalReason.IN_PROGRESS: 409,
 }
-"""`IN_PROGRESS` refuses only the duplicate attempt: the first attempt goes on."""
+"""HTTP status by refusal reason. `IN_PROGRESS` refuses only a duplicate attempt; the first one
+continues."""
 
 UNKNOWN_HTTP_STATUS = 504
 OUTCOME_HEADER = "Zincvale-Outcome"
--- a/src/zincvale/model/resources.py
+++ b/src/zincvale/model/resources.py
@@ -1,7 +1,7 @@
-"""Resources that operators declare: the intent.
+"""Resources that operators declare, which together are the intent.
 
-A resource file holds documents `{kind, name, spec}`; the status is observed, never declared.
-Sizes are bytes, rates are per second, times carry their unit in the name.
+A resource file contains documents `{kind, name, spec}`; the status is observed, never declared.
+Sizes are bytes, rates are per second, and names of times end with their unit.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 class Stake(enum.Enum):
-    """Priority of requests by what a caller loses when one is not served.
+    """Priority of requests, by what a caller loses when its request is not served.
 
-    The declared field and its values are called `stake` in files, so the class is too.
+    The class has the name of the field `stake` in resource files.
     """
 
     LOW = "low"
@@ -33,7 +33,7 @@
 
 @dataclass
 class ZoneSpec(Checked):
-    """A failure domain; `evacuated` closes it to requests and placement."""
+    """A failure domain; if `evacuated`, it gets no requests and no placement."""
 
     region: str = "region-1"
     evacuated: bool = False
@@ -41,7 +41,7 @@
 
 @dataclass
 class ServerSpec(Checked):
-    """Declared state of one back-end server; servers without one are in service."""
+    """Declared state of one back-end server; a server without a declared state is in service."""
 
     drained: bool = False
 
@@ -55,15 +55,15 @@
     """Names of filters and scorers, in order; empty means the default chain of the kind."""
     max_concurrent_per_server: int = 16
     max_requests_per_second_per_server: float = 0.0
-    """0 means no limit."""
+    """Rate limit of requests to one server; 0 means no limit."""
     max_queue: int = 256
     adapter_slots: int = 0
-    """Adapters that fit on one server, whatever their size; 0 means no limit."""
+    """Number of adapters, of any size, that fit on one server; 0 means no limit."""
 
 
 @dataclass
 class RouteSpec(Checked):
-    """Which requests go to which pool, and their objectives."""
+    """Which requests go to which pool, and their limits."""
 
     path: str
     """Exact HTTP path, for example `/v1/quotes`."""
@@ -74,18 +74,18 @@
     deadline_ms: int = 30_000
     max_concurrent: int = 512
     models: list[str] = field(default_factory=list)
-    """Models the route may ask for; empty means any."""
+    """Models that requests of the route may ask for; empty means any."""
 
 
 @dataclass
 class StoreSpec(Checked):
-    """A weight store and what it may be asked for across the fleet."""
+    """A weight store, and the limits of loads from it across the fleet."""
 
     address: str
     bytes_per_second: int = 1_000_000_000
     max_concurrent_loads: int = 4
     loads_per_window: int = 0
-    """Loads that may begin in any `window_s`; 0 means any number."""
+    """Number of loads that may start within any `window_s`; 0 means no limit."""
     window_s: float = 0.0
 
 
@@ -100,7 +100,7 @@
     min_replicas: int = 0
     stake: Stake = Stake.NORMAL
     load_s: float = 0.0
-    """How long a load from the store should take; 0 when nothing is declared."""
+    """Expected duration of a load from the store; 0 when not declared."""
 
 
 @dataclass
@@ -127,7 +127,7 @@
 
 @dataclass
 class Document(Checked):
-    """One resource as written in a file; `spec` of None deletes it in a merge."""
+    """One resource as written in a file; in a merge, a `spec` of None deletes the resource."""
 
     kind: str
     name: str
--- a/src/zincvale/runtime/driver.py
+++ b/src/zincvale/runtime/driver.py
@@ -1,4 +1,4 @@
-"""Drives a state machine from the event loop: feeds inputs and executes effects."""
+"""Drives a state machine from the event loop: passes inputs to it and executes its effects."""
 
 from __future__ import annotations
 
@@ -33,31 +33,32 @@
 from zincvale.transport.peer import PeerCaller, PeerCallError
 
 TICK_INTERVAL_MS = 50
-"""Longer ones delay every time-out of the machine."""
+"""Interval between two `Tick` inputs; a longer one delays every time-out of the machine."""
 CLOCK_JUMP_GAP_S = 0.9
-"""Half a member lease: a longer gap between two readings of the clock counts as a freeze."""
+"""Longest gap between two readings of the clock that does not count as a freeze: half a member
+lease."""
 LOCAL_TOKEN_PREFIX = "local-"
-"""Keeps tokens of calls within the process apart from those of peers."""
+"""Distinguishes the tokens of calls within the process from those of peers."""
 
 
 class Machine(Protocol):
-    """A pure state machine."""
+    """A state machine without I/O."""
 
     def handle(self, event: Input, now: float) -> list[Effect]:
-        """Apply one input and return what to do."""
+        """Apply one input and return the effects to execute."""
         ...
 
 
 class Storage(Protocol):
-    """Where `Write` effects go."""
+    """Executes `Write` effects."""
 
     def write(self, key: str, version: int, content: bytes) -> str:
-        """Make a version file durable; return an empty string or what went wrong."""
+        """Make a version file durable; return an empty string or the error."""
         ...
 
 
 class MachineDriver:
-    """Feeds one machine and executes its effects, in order, on the loop's thread.
+    """Passes inputs to one machine and executes its effects, in order, on the event loop's thread.
 
     Parameters
     ----------
@@ -66,7 +67,7 @@
     clock : the suspend-aware clock.
     storage : durable storage, or None for machines that write nothing.
     reply_to_peer : replies to a peer's call by token; returns whether the call was still pending.
-    after_input : called after each run of inputs, for readers of the machine's state.
+    after_input : called after each batch of handled inputs, for readers of the machine's state.
     tick_interval_ms : time between two `Tick` inputs.
     """
 
@@ -89,11 +90,11 @@
         self._after_input = after_input
         self._inputs: deque[Input] = deque()
         self._is_running = False
-        self._last_reading = clock()
+        self._last_input_at = clock()
         self._local_tokens = itertools.count(1)
         self._local_calls: dict[str, Future[Any]] = {}
         self._captured_sender: MemberId | None = None
-        self._captured: list[Any] = []
+        self._captured_messages: list[Any] = []
         self._ticker = PeriodicCallback(lambda: self.submit(Tick()), tick_interval_ms)
 
     def start(self) -> None:
@@ -106,39 +107,39 @@
 
     @property
     def last_ran_at(self) -> float:
-        """When an input was last fed: the process was certainly running then."""
-        return self._last_reading
+        """Time of the last submitted input, at which the process was certainly running."""
+        return self._last_input_at
 
     def submit(self, event: Input) -> None:
-        """Feed one input; its effects are executed before this returns.
+        """Pass one input to the machine and execute its effects before returning.
 
-        When called from within an effect, the input is queued and handled after the present one.
+        When called from within an effect, the input is queued and handled after the current one.
         """
         self._detect_clock_jump()
         self._inputs.append(event)
         self._run()
 
     def submit_messages(self, sender: MemberId, messages: list[Any]) -> list[Any]:
-        """Feed one-way messages; return what was sent back to `sender` meanwhile."""
+        """Pass one-way messages to the machine; return the messages it sends back to `sender`."""
         if self._is_running:
             for message in messages:
                 self._inputs.append(MessageReceived(sender, message))
             return []
         self._captured_sender = sender
-        self._captured = []
+        self._captured_messages = []
         try:
             for message in messages:
                 self.submit(MessageReceived(sender, message))
-            return self._captured
+            return self._captured_messages
         finally:
             self._captured_sender = None
 
     def submit_call(self, sender: MemberId, token: str, message: Any) -> None:
-        """Feed a peer's call."""
+        """Pass a peer's call to the machine."""
         self.submit(CallReceived(sender, token, message))
 
     def abandon_call(self, token: str) -> None:
-        """Feed that the caller of `token` went away."""
+        """Inform the machine that the caller of `token` disconnected."""
         self.submit(CallAbandoned(token))
 
     async def call_local(self, message: Any) -> Any:
@@ -150,10 +151,10 @@
         return await future
 
     def _detect_clock_jump(self) -> None:
-        """Feed `ClockJumped` ahead of the inputs that arrived during a freeze."""
+        """Queue `ClockJumped` ahead of the inputs that arrived during a freeze."""
         now = self._clock()
-        gap = now - self._last_reading
-        self._last_reading = now
+        gap = now - self._last_input_at
+        self._last_input_at = now
         if gap > CLOCK_JUMP_GAP_S:
             log(log_events.CLOCK_JUMPED, gap_s=round(gap, 3))
             self._inputs.append(ClockJumped(gap))
@@ -173,7 +174,7 @@
         try:
             effects = self.machine.handle(event, self._clock())
         except Exception as error:  # noqa: BLE001
-            # A defect of the machine must not end the process: the input is dropped, its caller
+            # A defect in the machine must not end the process: the input is dropped, its caller
             # gets an empty reply, and the next inputs are handled.
             log(log_events.HANDLER_FAILED, input=type(event).__name__, error=repr(error))
             if isinstance(event, CallReceived):
@@ -200,7 +201,7 @@
             self._inputs.append(MessageReceived(to, message))
             return
         if to == self._captured_sender:
-            self._captured.append(message)
+            self._captured_messages.append(message)
             return
         if self.peers is not None:
             self.peers.send(to, message)
--- a/src/zincvale/runtime/forwarding_settings.py
+++ b/src/zincvale/runtime/forwarding_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a deployment that forwards by documents, beside those of every daemon."""
+"""Settings of a deployment that forwards by documents, in addition to those of every daemon."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @dataclass
 class ForwardingSettings(Checked):
-    """What a forwarding deployment allows and where its list of servers is. Times are seconds."""
+    """Addresses, limits and time limits of a forwarding deployment. Times are seconds."""
 
     readiness_address: str = ""
-    """`ip:port` of the platform's readiness probe of a node."""
+    """`ip:port` at which a node responds to the platform's readiness probe."""
     ready_path: str = "/ready"
     list_address: str = ""
-    """`ip:port` of the list of servers."""
+    """`ip:port` that serves the list of servers."""
     list_lag_s: float = 1.0
-    """The list may be so much older than the time at which it is read."""
+    """Longest time by which the list may be older than the time at which it is read."""
     retry_ratio: float = 0.2
     retry_slack: float = 20.0
     retry_window_s: float = 10.0
@@ -26,14 +26,16 @@
     store_window_s: float = 5.0
     store_over: float = 1.0
     order_quiet_s: float = 3.0
-    """Time between the orders of two leaders to one server."""
+    """Least time between the orders of two successive leaders to one server."""
     grace_s: float = 10.0
-    """Time from a request to stop until the process is ended."""
+    """Time from a request to stop until the platform kills the process."""
     change_limit_s: float = 4.0
-    """An operator waits so long for the acknowledgement of a change."""
+    """Longest time for which an operator waits for the acknowledgement of a change."""
     catch_up_s: float = 4.0
-    """A replaced core must be able to bear the next loss after this time."""
+    """Time after which the cores must tolerate another loss, once a lost core was replaced."""
     cores_lost_at_once: int = 1
-    """Cores whose loss at one time must be borne: twice as many and one hold the control state."""
+    """Number of cores whose simultaneous loss must be tolerated; twice as many plus one hold the
+    control
+state."""
     policies: list[str] = field(default_factory=list)
     """Names of scorers; empty means the default chain."""
--- a/src/zincvale/runtime/incarnation.py
+++ b/src/zincvale/runtime/incarnation.py
@@ -8,5 +8,5 @@
 
 
 def new_incarnation() -> str:
-    """Return a random name for this run, so that a restart is told from a freeze."""
+    """Return a random name for this run, which distinguishes a restart from a freeze."""
     return secrets.token_hex(INCARNATION_BYTES)
--- a/src/zincvale/runtime/listening.py
+++ b/src/zincvale/runtime/listening.py
@@ -1,4 +1,4 @@
-"""Binding of HTTP servers, with typed errors that name the remedy."""
+"""Binds HTTP servers to addresses, with typed errors that contain a remedy."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 IDLE_CONNECTION_TIMEOUT_S = 75.0
 BODY_TIMEOUT_S = 10.0
-"""A slower body is cut off: bounds how long a slow sender occupies a connection."""
+"""Time limit for receiving a request body; bounds how long a slow sender occupies a connection."""
 MAX_HEADER_BYTES = 64 * 1024
 LISTEN_BACKLOG = 1_024
-"""Connections that wait to be accepted; a smaller one refuses bursts of callers."""
+"""Number of connections that may wait to be accepted; a smaller one refuses bursts of callers."""
 
 
 def listen(
@@ -31,9 +31,10 @@
 ) -> HTTPServer:
     """Serve `application` at `address`; raises `StartupError`.
 
-    Headers that trickle in are cut off after `IDLE_CONNECTION_TIMEOUT_S`, bodies after
-    `BODY_TIMEOUT_S`. With `expands_bodies` requests may come compressed by gzip: for peers only,
-    since nothing bounds what they expand to.
+    A connection is closed when the headers of a request take longer than
+    `IDLE_CONNECTION_TIMEOUT_S` or its body longer than `BODY_TIMEOUT_S`. With `expands_bodies`,
+    requests may be compressed with gzip; it is meant for peers only, since the expanded size is
+    not limited.
     """
     server = HTTPServer(
         application,
@@ -54,7 +55,7 @@
         return bind_sockets(port, host, backlog=LISTEN_BACKLOG)
     except OSError as error:
         raise StartupError(
-            f"{field_name} {address} cannot be listened on: {error.strerror}",
+            f"cannot listen on {field_name} {address}: {error.strerror}",
             _remedy(error),
             address=address,
         ) from error
--- a/src/zincvale/runtime/log_events.py
+++ b/src/zincvale/runtime/log_events.py
@@ -4,26 +4,40 @@
 
 from zincvale.model.log_events import declare
 
-DAEMON_STARTED = declare(1001, "daemon.started", "A daemon serves; names its role and addresses.")
-DAEMON_STOPPING = declare(1002, "daemon.stopping", "A daemon was asked to stop and drains.")
+DAEMON_STARTED = declare(
+    1001, "daemon.started", "A daemon has started to serve; names its role and addresses."
+)
+DAEMON_STOPPING = declare(1002, "daemon.stopping", "A daemon received a stop signal and drains.")
 CLOCK_JUMPED = declare(
-    1003, "clock.jumped", "The process was frozen or suspended; held leases are dropped."
+    1003, "clock.jumped", "The process was frozen or suspended; it drops the leases that it holds."
 )
 PEER_REFUSED = declare(
-    1004, "peer.refused", "A peer's batch was refused: another cluster id or an unreadable body."
+    1004,
+    "peer.refused",
+    "A peer's batch was rejected: its cluster id differs or its body is unreadable.",
 )
 PEER_UNREACHABLE = declare(
-    1005, "peer.unreachable", "Messages to a member fail; logged once until it answers again."
+    1005,
+    "peer.unreachable",
+    "Messages to a member fail; logged once until the member responds again.",
+)
+HANDLER_FAILED = declare(
+    1006,
+    "handler.failed",
+    "Handling an input raised an exception (a defect); the daemon continues.",
 )
-HANDLER_FAILED = declare(1006, "handler.failed", "A defect: an input raised; the daemon goes on.")
 ORDER_FENCED = declare(
-    1007, "order.fenced", "An order was withheld: the leader lease did not cover this moment."
+    1007,
+    "order.fenced",
+    "An order was not sent: it expired, its server is gone, or the leader lease has ended.",
 )
 INTENT_UNREADABLE = declare(
-    1008, "intent.unreadable", "A delivered intent cannot be read; the last one stays in use."
+    1008,
+    "intent.unreadable",
+    "A delivered intent or table is unreadable; the last one stays in use.",
 )
 ORDER_COUNT_DIFFERS = declare(
     1009,
     "order.count-differs",
-    "A server has accepted another number of orders than this process counted there.",
+    "A server reports another number of accepted orders than this process has counted.",
 )
--- a/src/zincvale/runtime/logs.py
+++ b/src/zincvale/runtime/logs.py
@@ -1,6 +1,6 @@
 """Structured logs: eliot messages with numbered events.
 
-The log file is opened once and stays open as long as the process.
+The log file is opened once and stays open until the process ends.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def open_log(path: str, member_id: str) -> None:
-    """Send log lines (one JSON object each) to the file `path`, or to standard error."""
+    """Write log lines (one JSON object each) to the file `path`; empty means standard error."""
     global _member_id
     _member_id = member_id
     destination = open(path, "a", buffering=1) if path else sys.stderr  # noqa: SIM115
@@ -24,6 +24,6 @@
 
 
 def log(number: int, **fields: Any) -> None:
-    """Write the numbered event with its fields."""
+    """Write the log event `number` with its fields."""
     event = log_event(number)
     eliot.log_message(message_type=event.name, number=number, member=_member_id, **fields)
--- a/src/zincvale/runtime/peer_router.py
+++ b/src/zincvale/runtime/peer_router.py
@@ -14,11 +14,11 @@
 from zincvale.runtime.logs import log
 
 ServiceHandler = Callable[[MemberId, Any], Any]
-"""Takes (sender, message); returns the reply, None, or an awaitable of either."""
+"""Is called with (sender, message); returns the reply, None, or an awaitable of either."""
 
 
 class PeerRouter:
-    """A `PeerEndpoint`: services by prefix, everything else to the coordination machine."""
+    """Implements `PeerEndpoint`: routes messages to services by prefix, others to the machine."""
 
     def __init__(self, driver: MachineDriver) -> None:
         self._driver = driver
@@ -26,28 +26,28 @@
         self.reply: Callable[[str, Any], bool] = lambda _token, _message: False
 
     def add_service(self, prefix: str, handler: ServiceHandler) -> None:
-        """Route messages whose name starts with `prefix` (up to the first dot) to `handler`."""
+        """Route messages to `handler` whose name up to the first dot is `prefix`."""
         self._services[prefix] = handler
 
     def messages_received(self, sender: MemberId, messages: list[Any]) -> list[Any]:
-        """Handle one-way messages; return what is sent back at once."""
+        """Handle one-way messages; return the messages that are sent back with the response."""
         replies: list[Any] = []
-        for_machine: list[Any] = []
+        machine_messages: list[Any] = []
         for message in messages:
-            handler = self._service_of(message)
+            handler = self._find_service(message)
             if handler is None:
-                for_machine.append(message)
+                machine_messages.append(message)
                 continue
             reply = self._run_service(handler, sender, message)
             if reply is not None and not inspect.isawaitable(reply):
                 replies.append(reply)
-        if for_machine:
-            replies += self._driver.submit_messages(sender, for_machine)
+        if machine_messages:
+            replies += self._driver.submit_messages(sender, machine_messages)
         return replies
 
     def call_received(self, sender: MemberId, token: str, message: Any) -> None:
-        """Handle a call."""
-        handler = self._service_of(message)
+        """Handle a peer's call, whose reply is sent with `token`."""
+        handler = self._find_service(message)
         if handler is None:
             self._driver.submit_call(sender, token, message)
             return
@@ -58,10 +58,10 @@
         self.reply(token, reply)
 
     def call_abandoned(self, token: str) -> None:
-        """Feed the machine that a caller went away."""
+        """Inform the machine that the caller of `token` disconnected."""
         self._driver.abandon_call(token)
 
-    def _service_of(self, message: Any) -> ServiceHandler | None:
+    def _find_service(self, message: Any) -> ServiceHandler | None:
         prefix = message.MESSAGE_NAME.partition(".")[0]
         return self._services.get(prefix)
 
@@ -69,7 +69,7 @@
         try:
             return handler(sender, message)
         except Exception as error:  # noqa: BLE001
-            # A defect of one service must not fail the peer's batch: other messages are handled.
+            # A defect in one service must not fail the peer's batch: other messages are handled.
             log(log_events.HANDLER_FAILED, input=message.MESSAGE_NAME, error=repr(error))
             return None
 
@@ -77,7 +77,7 @@
         try:
             message = await reply
         except Exception as error:  # noqa: BLE001
-            # A defect of one service: its caller gets an empty reply instead of a time-out.
+            # After a defect in a service, its caller gets an empty reply instead of a time-out.
             log(log_events.HANDLER_FAILED, input="reply", error=repr(error))
             message = None
         self.reply(token, message)
--- a/src/zincvale/runtime/settings.py
+++ b/src/zincvale/runtime/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon: one checked YAML file, with flags over it."""
+"""Settings of a daemon: a validated YAML file, whose fields command-line flags may override."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass
 class InitialCore(Checked):
-    """One of the cores that a cluster is created with."""
+    """One of the cores with which a cluster is created."""
 
     member_id: str
     api_address: str
@@ -25,7 +25,7 @@
 
 @dataclass
 class DaemonSettings(Checked):
-    """What a daemon is told of its place; everything else it learns from the cluster."""
+    """What a daemon must know to join the cluster; it learns everything else from the cluster."""
 
     cluster_id: str
     member_id: str
@@ -38,26 +38,27 @@
     """`ip:port` for other daemons."""
     region: str = "region-1"
     seeds: list[str] = field(default_factory=list)
-    """Peer addresses of other daemons, for first contact only."""
+    """Peer addresses of other daemons, used only for first contact."""
     data_folder: str = ""
-    """Where a core keeps its files; they outlive a restart only once synced."""
+    """Folder in which a core stores its files; unsynced files may not survive a restart."""
     bootstrap_cores: list[InitialCore] = field(default_factory=list)
     address_map: dict[str, str] = field(default_factory=dict)
-    """Advertised address to the address that is dialled instead."""
+    """Maps an advertised address to the address to which connections are made instead."""
     platform_address: str = ""
     log_file: str = ""
-    """Where structured logs go; empty means standard error."""
+    """File to which structured logs are written; empty means standard error."""
     disk_quota_file: str = ""
-    """A file with the number of bytes the data folder may still take; empty means no quota."""
+    """File with the number of bytes by which the data folder may still grow; empty means no
+    quota."""
 
 
 def load_settings(path: str, overrides: dict[str, Any] | None = None) -> DaemonSettings:
-    """Return the settings in the YAML file `path`, with `overrides` over it.
+    """Return the settings in the YAML file `path`, in which `overrides` replace fields.
 
     Raises
     ------
     InvalidInputError
-        Naming the file, the field and the remedy.
+        If the settings are invalid; names the file, the field and the remedy.
     """
     data = _read_yaml(path) if path else {}
     if not isinstance(data, dict):
@@ -71,7 +72,7 @@
 
 
 def _read_yaml(path: str) -> Any:
-    # Imported here: settings may come from elsewhere.
+    # Imported here, since a daemon whose settings come from elsewhere needs no YAML parser.
     import yaml
 
     try:
@@ -84,7 +85,7 @@
         return yaml.safe_load(text) or {}
     except yaml.YAMLError as error:
         raise InvalidInputError(
-            f"settings file {path} is not YAML: {error}", "correct it"
+            f"settings file {path} is not YAML: {error}", "correct the file"
         ) from error
 
 
@@ -92,7 +93,9 @@
     if settings.role not in ("core", "node"):
         raise InvalidInputError(f"role is {settings.role!r}", "write `core` or `node`")
     if settings.role == "core" and not settings.data_folder:
-        raise InvalidInputError("a core has no data_folder", "name a folder on a disk of its own")
+        raise InvalidInputError(
+            "a core has no data_folder", "name a folder on a disk that only this core uses"
+        )
     for name in ("api_address", "peer_address"):
         check_address(getattr(settings, name), name)
     for seed in settings.seeds:
--- a/tests/model/test_errors.py
+++ b/tests/model/test_errors.py
@@ -1,4 +1,4 @@
-"""What an error shows to people, and which fields say what failed."""
+"""Which fields of an error appear in its text, JSON body and logs."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class ErrorTest(testtools.TestCase):
-    def test_fields_of_what_failed_are_in_neither_the_text_nor_the_body(self) -> None:
+    def test_detail_fields_appear_neither_in_the_text_nor_in_the_json_body(self) -> None:
         for error, kind, status in ERRORS:
             self.assertEqual({"kind": kind, "problem": "p", "remedy": "r"}, error.to_json())
             self.assertEqual("p; r", str(error))
             self.assertEqual(status, error.http_status)
 
-    def test_fields_of_what_failed_are_not_in_logs(self) -> None:
+    def test_detail_fields_do_not_appear_in_the_logged_representation(self) -> None:
         self.assertEqual("StorageError(problem='p', remedy='r')", repr(ERRORS[3][0]))
         self.assertEqual("StorageError(problem='p', remedy='r')", repr(StorageError("p", "r")))
 
-    def test_they_can_be_read(self) -> None:
+    def test_detail_fields_can_be_read_as_attributes(self) -> None:
         too_large, _, wrong_cluster, storage, startup = (error for error, _, _ in ERRORS)
         self.assertEqual((9, 8), (too_large.size_bytes, too_large.limit_bytes))
         clusters = (wrong_cluster.expected_cluster, wrong_cluster.actual_cluster)
--- a/tests/runtime/test_driver.py
+++ b/tests/runtime/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver: a freeze is fed ahead of what arrived meanwhile; effects go out in order."""
+"""The machine driver: order of inputs after a freeze, execution of effects, and defects."""
 
 from __future__ import annotations
 
@@ -62,29 +62,29 @@
         self.replies.append((token, message))
         return True
 
-    def test_a_freeze_is_fed_before_the_message_that_arrived_in_it(self) -> None:
+    def test_a_clock_jump_precedes_a_message_that_arrived_during_the_freeze(self) -> None:
         self.clock.now += 25.0
         self.driver.submit(MessageReceived(PEER, "late"))
         self.assertThat(
             self.machine.inputs, Equals([ClockJumped(25.0), MessageReceived(PEER, "late")])
         )
 
-    def test_a_failed_write_is_reported(self) -> None:
+    def test_a_failed_write_is_reported_to_the_machine(self) -> None:
         self.machine.effects[MessageReceived] = [Write("w1", "intent", 1, b"x")]
         self.driver.submit(MessageReceived(PEER, "go"))
         self.assertThat(self.machine.inputs[-1], Equals(WriteCompleted("w1", "disk full")))
 
-    def test_what_goes_back_to_the_sender_is_in_the_response(self) -> None:
+    def test_messages_to_the_sender_are_returned_with_the_response(self) -> None:
         self.machine.effects[MessageReceived] = [Send(PEER, "answer")]
         self.assertThat(self.driver.submit_messages(PEER, ["question"]), Equals(["answer"]))
 
-    def test_a_message_to_itself_is_an_input(self) -> None:
+    def test_a_message_to_the_member_itself_becomes_an_input(self) -> None:
         self.machine.effects[CallReceived] = [Send(OWN, "self"), Reply("t", "done")]
         self.driver.submit_call(PEER, "t", "call")
         self.assertThat(self.machine.inputs[-1], Equals(MessageReceived(OWN, "self")))
         self.assertThat(self.replies, Equals([("t", "done")]))
 
-    def test_a_defect_in_one_input_replies_to_its_call_and_goes_on(self) -> None:
+    def test_a_call_whose_handling_fails_is_replied_to_and_the_next_is_handled(self) -> None:
         class Defective(RecordingMachine):
             def handle(self, event: Input, now: float) -> list[Effect]:
                 super().handle(event, now)
