--- a/src/zincvale/daemons/core_assembly.py
+++ b/src/zincvale/daemons/core_assembly.py
@@ -87,7 +87,7 @@
 
     Parameters
     ----------
-    settings : the checked settings.
+    settings : the validated settings.
     incarnation : name of this run of the process; seeds the random source.
     options : how this core starts.
     reducer : applies operators' changes to the intent.
--- a/src/zincvale/daemons/core_daemon.py
+++ b/src/zincvale/daemons/core_daemon.py
@@ -43,7 +43,7 @@
 
     Parameters
     ----------
-    settings : the checked settings.
+    settings : the validated settings.
     bootstrap : whether this start may create the cluster.
     recover : with `bootstrap`, whether every disk was lost: the nodes then return the control state
         that they store.
--- a/src/zincvale/daemons/core_view.py
+++ b/src/zincvale/daemons/core_view.py
@@ -1,4 +1,4 @@
-"""The control API's read access to the core in whose process it runs."""
+"""Read access of the control API to the core that runs in the same process."""
 
 from __future__ import annotations
 
--- a/src/zincvale/daemons/discovery_runner.py
+++ b/src/zincvale/daemons/discovery_runner.py
@@ -92,7 +92,7 @@
         for effect in effects:
             match effect:
                 case FetchList():
-                    IOLoop.current().add_callback(self._read)
+                    IOLoop.current().add_callback(self._read_list)
                 case PublishServers():
                     IOLoop.current().add_callback(self._publish, effect)
                 case AnnounceRead(message):
@@ -102,7 +102,7 @@
                 case Log(number, fields):
                     log(number, **fields)
 
-    async def _read(self) -> None:
+    async def _read_list(self) -> None:
         requested_at = self._clock()
         servers: list[ListedServer] = []
         page = ""
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -106,7 +106,7 @@
         self._build_placement(dialects)
         self._core.process.router.add_service("dataplane", self._on_demand_report)
         self._core.process.router.add_service("listed", self._discovery.message_received)
-        self._slow_due_at = 0.0
+        self._slow_tick_due_at = 0.0
         self._shutdown_started_at = 0.0
 
     def run(self) -> None:
@@ -272,8 +272,8 @@
         self._placement.feed(Tick())
         if self._leadership.epoch:
             self._residency.publish_changes(self._leadership.epoch)
-        if now >= self._slow_due_at:
-            self._slow_due_at = now + SLOW_TICK_INTERVAL_S
+        if now >= self._slow_tick_due_at:
+            self._slow_tick_due_at = now + SLOW_TICK_INTERVAL_S
             self._core.api.tick(now)
             self._core.tracing.tick(now)
             self._unreachable.tick(now)
--- a/src/zincvale/daemons/order_durations.py
+++ b/src/zincvale/daemons/order_durations.py
@@ -1,4 +1,4 @@
-"""Learned durations of orders, so that a server is checked about when an order completes.
+"""Learned durations of orders, used to check a server at about the time an order completes.
 
 Loads of models from the store have a declared duration. Unloads and loads of adapters complete
 within milliseconds; their duration depends on the engine, and so does that of loads from a server's
--- a/src/zincvale/daemons/placement_leadership.py
+++ b/src/zincvale/daemons/placement_leadership.py
@@ -11,7 +11,7 @@
 
 
 class PlacementLeadership:
-    """Remembers the epoch under which this core leads placement.
+    """Tracks the epoch under which this core leads placement.
 
     The epoch changes from 0 to that of a lease, and then to 0 or to that of a later lease. The end
     of one epoch is reported before the next one begins.
--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -308,7 +308,7 @@
         if reading.sequence is not None:
             taken_at = requested_at - reading.age_s
             self._order_counts.record_status(effect.server, reading.sequence, taken_at)
-        self.feed(DirectoryChanged((_report(reading, active_order, requested_at),)))
+        self.feed(DirectoryChanged((_status_report(reading, active_order, requested_at),)))
 
     async def _fetch_status(self, address: Address, row: ServerRow) -> FetchResult:
         call = self._orders.status_call(row)
@@ -334,7 +334,7 @@
             return None
 
 
-def _report(
+def _status_report(
     reading: StatusReading, active_order: Order | None, requested_at: float
 ) -> StatusReport:
     """Return a status as input of the controller; it counts `active_order` as being executed."""
--- a/src/zincvale/daemons/server_orders.py
+++ b/src/zincvale/daemons/server_orders.py
@@ -45,7 +45,7 @@
     ACCEPTED = "accepted"
     """The server executes the order; whether it is completed is not known yet."""
     COMPLETED = "completed"
-    """The server's state is as ordered."""
+    """The server's state is what the order requests."""
     UNKNOWN = "unknown"
     """The response proves nothing: the order may be executed."""
 
@@ -58,9 +58,9 @@
     ----------
     row : the directory's row, updated from the response.
     unloading : models and adapters that are being unloaded.
-    age_s : how much older than its response the status may be.
-    is_busy : the server executes an order.
-    sequence : number of orders that the server accepted; None when it does not count them.
+    age_s : longest time by which the status may be older than the response with it.
+    is_busy : whether the server executes an order.
+    sequence : number of orders that the server has accepted; None if it does not count them.
     """
 
     row: ServerRow
--- a/src/zincvale/model/control_tables.py
+++ b/src/zincvale/model/control_tables.py
@@ -87,7 +87,7 @@
 
 @attrs.frozen
 class Directory:
-    """The observed servers at one version of one publisher epoch."""
+    """The observed servers at one version of the directory in one epoch of its publisher."""
 
     epoch: int = 0
     version: int = 0
--- a/src/zincvale/model/log_events.py
+++ b/src/zincvale/model/log_events.py
@@ -2,7 +2,7 @@
 
 Each package declares its events once, in its own `log_events.py`, with `declare(number, name,
 meaning)`; `model.machine.Log` effects contain the number. docs/EVENTS.md lists all events, and a
-test compares that page with this registry. Ranges: 1xxx runtime and programs, 2xxx coordination,
+test compares that page with this registry. Ranges: 1xxx runtime and daemons, 2xxx coordination,
 3xxx storage, 4xxx control plane, 5xxx placement, 6xxx data plane, 7xxx claims and stream journal,
 8xxx tracing, 9xxx test rigs and stand-ins.
 """
--- a/src/zincvale/model/machine.py
+++ b/src/zincvale/model/machine.py
@@ -9,7 +9,7 @@
 `Reply`, or `CallAbandoned`, after which a `Reply` is dropped. A write goes `Write` ->
 `WriteCompleted`. A token pairs the two ends of such an exchange.
 
-Times are seconds on a monotonic clock that counts suspension.
+Times are seconds on a monotonic clock that includes suspension.
 """
 
 from __future__ import annotations
--- a/src/zincvale/platform/main.py
+++ b/src/zincvale/platform/main.py
@@ -11,7 +11,7 @@
 
 from zincvale.daemons.forwarding_timings import forwarding_timings
 from zincvale.model.errors import ZincvaleError
-from zincvale.platform.settings import ProcessSettings, load, settings_path
+from zincvale.platform.settings import ProcessSettings, load_process_settings, settings_path
 from zincvale.platform.settings_watch import SettingsWatch
 from zincvale.runtime.logs import open_log
 
@@ -31,7 +31,7 @@
         if role not in ("core", "node"):
             print("error: no valid role; pass core or node", file=sys.stderr)
             return EXIT_USAGE
-        settings = load(role)
+        settings = load_process_settings(role)
         open_log("", settings.daemon.member_id)
         _run(role, settings)
     except ZincvaleError as error:
@@ -91,7 +91,9 @@
     role: str, use_seeds: Callable[[tuple[str, ...]], None], process: DaemonProcess
 ) -> None:
     """Reload the seeds whenever the settings file changes or SIGHUP arrives."""
-    watch = SettingsWatch(_settings_modified_at, lambda: tuple(load(role).daemon.seeds), use_seeds)
+    watch = SettingsWatch(
+        _settings_modified_at, lambda: tuple(load_process_settings(role).daemon.seeds), use_seeds
+    )
     process.on_reload = watch.reload
     PeriodicCallback(watch.poll, SETTINGS_POLL_INTERVAL_MS).start()
 
--- a/src/zincvale/platform/settings.py
+++ b/src/zincvale/platform/settings.py
@@ -34,12 +34,12 @@
     return os.environ.get(SETTINGS_VARIABLE, "")
 
 
-def load(role: str) -> ProcessSettings:
+def load_process_settings(role: str) -> ProcessSettings:
     """Return the settings of this process; raises `InvalidInputError`."""
     path = settings_path()
     try:
         decoded = tomllib.loads(Path(path).read_text(encoding="utf-8"))
-        return read(decoded, role)
+        return process_settings(decoded, role)
     except OSError as error:
         raise InvalidInputError(
             f"settings file {path!r} cannot be read: {error.strerror}",
@@ -55,7 +55,7 @@
         ) from error
 
 
-def read(decoded: dict[str, Any], role: str) -> ProcessSettings:
+def process_settings(decoded: dict[str, Any], role: str) -> ProcessSettings:
     """Return the settings of `role` in a decoded file; unknown fields are ignored."""
     ports = decoded["internalPorts"]
     ip = decoded["ip"]
--- a/src/zincvale/runtime/driver.py
+++ b/src/zincvale/runtime/driver.py
@@ -117,7 +117,7 @@
         """
         self._detect_clock_jump()
         self._inputs.append(event)
-        self._run()
+        self._handle_queued_inputs()
 
     def submit_messages(self, sender: MemberId, messages: list[Any]) -> list[Any]:
         """Pass one-way messages to the machine; return the messages it sends back to `sender`."""
@@ -159,18 +159,18 @@
             log(log_events.CLOCK_JUMPED, gap_s=round(gap, 3))
             self._inputs.append(ClockJumped(gap))
 
-    def _run(self) -> None:
+    def _handle_queued_inputs(self) -> None:
         if self._is_running:
             return
         self._is_running = True
         try:
             while self._inputs:
-                self._handle_one(self._inputs.popleft())
+                self._handle_input(self._inputs.popleft())
         finally:
             self._is_running = False
         self._after_input()
 
-    def _handle_one(self, event: Input) -> None:
+    def _handle_input(self, event: Input) -> None:
         try:
             effects = self.machine.handle(event, self._clock())
         except Exception as error:  # noqa: BLE001
--- a/src/zincvale/runtime/forwarding_settings.py
+++ b/src/zincvale/runtime/forwarding_settings.py
@@ -38,4 +38,4 @@
     control
 state."""
     policies: list[str] = field(default_factory=list)
-    """Names of scorers; empty means the default chain."""
+    """Names of the scorers that choose a server; empty means the default chain."""
--- a/src/zincvale/runtime/log_events.py
+++ b/src/zincvale/runtime/log_events.py
@@ -1,4 +1,4 @@
-"""Log events of the runtime and the programs (1xxx)."""
+"""Log events of the runtime and the daemons (1xxx)."""
 
 from __future__ import annotations
 
--- a/src/zincvale/runtime/settings.py
+++ b/src/zincvale/runtime/settings.py
@@ -30,12 +30,12 @@
     cluster_id: str
     member_id: str
     role: str
-    """`core` or `node`."""
+    """Role of the daemon: `core` or `node`."""
     zone: str
     api_address: str
-    """`ip:port` for callers and operators."""
+    """`ip:port` on which the daemon serves callers or operators."""
     peer_address: str
-    """`ip:port` for other daemons."""
+    """`ip:port` on which the daemon serves other daemons."""
     region: str = "region-1"
     seeds: list[str] = field(default_factory=list)
     """Peer addresses of other daemons, used only for first contact."""
--- a/tests/platform/test_build_packages.py
+++ b/tests/platform/test_build_packages.py
@@ -96,7 +96,7 @@
                         self.assertIn(PACKAGE_OF_LIBRARY[library], self.packages, path.name)
         self.assertGreater(checked_files, 10)
 
-    def test_no_locked_package_must_be_compiled_on_the_machine(self) -> None:
+    def test_every_locked_package_has_a_prebuilt_wheel(self) -> None:
         for package in locked_packages():
             wheel = importlib.metadata.distribution(package).read_text("WHEEL") or ""
             tags = re.findall(r"^Tag: (.+)$", wheel, re.MULTILINE)
--- a/tests/platform/test_roles.py
+++ b/tests/platform/test_roles.py
@@ -12,7 +12,7 @@
 
 from tests.platform.test_settings import TEXT
 from zincvale.platform import main
-from zincvale.platform.settings import read
+from zincvale.platform.settings import process_settings
 
 DEPLOY_FILE = Path(__file__).resolve().parents[2] / "deploy" / "system.toml"
 DATA_LINE = 'dataDirectory = "/data/core"\n'
@@ -23,7 +23,7 @@
         """Return the name of the function that starts `role` with this settings file."""
         names = ("_run_core", "_run_standby", "_run_node")
         with mock.patch.multiple(main, **dict.fromkeys(names, mock.DEFAULT)) as daemons:
-            main._run(role, read(tomllib.loads(text), role))
+            main._run(role, process_settings(tomllib.loads(text), role))
         (name,) = [name for name, daemon in daemons.items() if daemon.called]
         return name
 
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -11,7 +11,7 @@
 import testtools
 
 from zincvale.model.errors import InvalidInputError
-from zincvale.platform.settings import SETTINGS_VARIABLE, load, read
+from zincvale.platform.settings import SETTINGS_VARIABLE, load_process_settings, process_settings
 
 TEXT = """
 node = "frontend-nasr-hall-1"
@@ -42,7 +42,7 @@
 
 class PlatformSettingsTest(testtools.TestCase):
     def test_a_core_gets_the_control_address_and_the_second_internal_port(self):
-        settings = read(tomllib.loads(TEXT), "core")
+        settings = process_settings(tomllib.loads(TEXT), "core")
         daemon = settings.daemon
         self.assertEqual(
             ("core-10.1.0.12", "10.1.0.12:8146"), (daemon.member_id, daemon.api_address)
@@ -56,17 +56,17 @@
         self.assertEqual((2, 3.0, 0.8), _forwarding_terms(settings.forwarding))
 
     def test_a_node_gets_the_front_address_and_the_first_internal_port(self):
-        settings = read(tomllib.loads(TEXT), "node")
+        settings = process_settings(tomllib.loads(TEXT), "node")
         self.assertEqual("10.1.0.12:8144", settings.daemon.api_address)
         self.assertEqual("10.1.0.12:7660", settings.daemon.peer_address)
         self.assertEqual(
             (62, 1.5), (settings.forwarding.retry_slack, settings.forwarding.cold_factor)
         )
 
-    def test_only_the_first_start_may_create_a_cluster(self):
+    def test_a_start_without_bootstrap_cannot_create_a_cluster(self):
         plain = tomllib.loads(TEXT)
         plain["bootstrap"] = False
-        settings = read(plain, "core")
+        settings = process_settings(plain, "core")
         self.assertEqual((False, []), (settings.bootstrap, settings.daemon.bootstrap_cores))
 
     def test_a_broken_settings_file_raises_one_error_with_a_remedy(self):
@@ -75,10 +75,10 @@
             for content in (TEXT[:60], TEXT.replace('ip = "10.1.0.12"', ""), "ip = 3", "\xff"):
                 path.write_text(content, encoding="latin-1")
                 with mock.patch.dict(os.environ, {SETTINGS_VARIABLE: str(path)}):
-                    error = self.assertRaises(InvalidInputError, load, "core")
+                    error = self.assertRaises(InvalidInputError, load_process_settings, "core")
                 self.assertTrue(error.remedy)
             with mock.patch.dict(os.environ, {SETTINGS_VARIABLE: f"{folder}/none"}):
-                self.assertRaises(InvalidInputError, load, "core")
+                self.assertRaises(InvalidInputError, load_process_settings, "core")
 
 
 def _forwarding_terms(forwarding):
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -45,7 +45,7 @@
         ]
         self.assertEqual([], importers)
 
-    def test_the_adapter_stays_small(self):
+    def test_the_adapter_stays_within_its_line_limit(self):
         lines = sum(
             len(path.read_text(encoding="utf-8").splitlines()) for path in ADAPTER.glob("*.py")
         )
