--- a/src/zincvale/coordination/delivery/applied_versions.py
+++ b/src/zincvale/coordination/delivery/applied_versions.py
@@ -33,7 +33,7 @@
         self._cached_quorum_sets: tuple[int, list[list[str]]] = (0, [])
 
     def handle(self, sender: MemberId, report: AppliedVersionsReport) -> None:
-        """Record another core's report."""
+        """Record another core's report, if it is about a delivered key."""
         tracker = self.trackers.get(report.key)
         if tracker is not None:
             tracker.record_report(sender, report)
--- a/src/zincvale/coordination/delivery/ephemeral_topics.py
+++ b/src/zincvale/coordination/delivery/ephemeral_topics.py
@@ -73,7 +73,7 @@
     def apply(self, delta: TopicDelta) -> bool:
         """Apply a received delta; return False if its base version is missing here.
 
-        A delta that is older than the topic here is ignored, and the result is True.
+        A delta that is not newer than the topic here is ignored, and the result is True.
         """
         epoch, version = self.position(delta.topic)
         if (delta.epoch, delta.version) <= (epoch, version):
--- a/src/zincvale/coordination/delivery/long_poll_client.py
+++ b/src/zincvale/coordination/delivery/long_poll_client.py
@@ -38,7 +38,8 @@
 """Delay before the next poll after a host reported that it hears no majority of the cores, in
 seconds."""
 ISOLATED_HOST_BACKOFF_S = 3.0
-"""How long such a host is polled only if there is no other host, in seconds."""
+"""How long a host that hears no majority of the cores is polled only if there is no other host, in
+seconds."""
 
 
 class LongPollClient:
--- a/src/zincvale/coordination/delivery/versioned_table.py
+++ b/src/zincvale/coordination/delivery/versioned_table.py
@@ -26,7 +26,7 @@
 class VersionedTable:
     """Rows, their version and the deltas between recent versions.
 
-    `rows` is replaced and never changed in place, so readers may retain it and compare identity.
+    `rows` is replaced, never changed in place, so readers may retain it and compare by identity.
     """
 
     def __init__(self, version: int = 0, rows: Rows | None = None) -> None:
--- a/src/zincvale/coordination/election/leader_election.py
+++ b/src/zincvale/coordination/election/leader_election.py
@@ -160,7 +160,7 @@
         return effects, roles_to_propose
 
     def _no_grant_is_live(self, now: float) -> bool:
-        """Whether every other grantor reported, after this process started, no live grant.
+        """Whether every other grantor has reported no live grant since this process started.
 
         A holder needs grants from a majority, including its own. The only grant that the reports
         cannot show is one that this process forgot, and that alone is no majority.
--- a/src/zincvale/coordination/election/leader_lease.py
+++ b/src/zincvale/coordination/election/leader_lease.py
@@ -1,7 +1,7 @@
 """Leader leases: the holder's and the grantor's side (docs/design-coordination.md).
 
-For the holder, the lifetime of a grant starts when it sent the request. The holder stops acting by
-a safety margin before the grants of a majority may have expired. The fencing epoch is the version
+For the holder, the lifetime of a grant starts when it sent the request. The holder stops acting a
+safety margin before its grants from a majority may have expired. The fencing epoch is the version
 of the durable key `role/NAME`, so it increases with every term and is never used again.
 
 Races that are handled here:
@@ -183,7 +183,7 @@
             self.give_up(now + self._timings.role_renew_s)
 
     def tick(self, quorum: ReplicaConfig, now: float) -> list[Effect]:
-        """Renew the lease; end it, or the candidacy, when its time has run out."""
+        """Repeat the requests for grants when due; give up an expired lease or candidacy."""
         if self.phase is LeasePhase.IDLE:
             return []
         if self.phase is LeasePhase.LEADING and now >= self.acts_until(quorum):
--- a/src/zincvale/coordination/leases/__init__.py
+++ b/src/zincvale/coordination/leases/__init__.py
@@ -4,8 +4,8 @@
 applied versions that nodes report; and the nodes' side of the lease. `delivery` decides from the
 applied versions when a change is acknowledged; `node` decides what a node without a lease may do.
 
-May import `replication` (quorums), `registers` (state of the keys), `membership` (how processes are
-reached), `delivery` (`applied_versions`), and of `core` the messages and the shared `context`;
+May import `replication` (quorums), `registers` (state of the keys), `membership` (the addresses of
+processes), `delivery` (`applied_versions`), and from `core` the messages and the shared `context`;
 never a machine of `core` or `node`.
 
 Read in this order: `messages`; `lease_grantor`, whose docstring states the invariant; its caller
--- a/src/zincvale/coordination/leases/lease_grantor.py
+++ b/src/zincvale/coordination/leases/lease_grantor.py
@@ -7,8 +7,9 @@
 
 Three races are handled here:
 
-- Renewals may arrive out of order. A renewal older than one already received is ignored: the node
-  may have given evidence of a partition between the two, which the older renewal does not report.
+- Renewals may arrive out of order. A renewal older than one already received does not change the
+  lease: the node may have given evidence of a partition between the two, which the older renewal
+  does not report.
 - A node may apply a version after it sent its renewal, and then use an older grant that was not
   valid for it before. `GrantedLease.assured_version` therefore uses the lowest requirement of all
   grants that may still be in use.
@@ -106,8 +107,8 @@
     ) -> dict[str, int]:
         """Grant or renew a lease; return the versions that its holder must have applied.
 
-        A new lease requires `newest_versions`. A renewal older than one already received is
-        ignored: the node may have given evidence of a partition between the two.
+        A new lease requires `newest_versions`. A renewal older than one already received does not
+        change the lease: the node may have given evidence of a partition between the two.
         """
         member = renewal.info.member
         before = self.leases.get(member)
--- a/src/zincvale/coordination/membership/heartbeats.py
+++ b/src/zincvale/coordination/membership/heartbeats.py
@@ -2,8 +2,8 @@
 
 A heartbeat that differs from the previous one only in its topics is sent as `UnchangedHeartbeat`,
 which is a tenth of its size. A receiver that lacks the full heartbeat that it refers to requests
-it. A lost message or a restart therefore costs one exchange, and a receiver never combines states
-of different heartbeats.
+it. A lost message or a restart therefore costs one exchange, and the receiver always acts on
+exactly the state that the sender reported.
 """
 
 from __future__ import annotations
--- a/src/zincvale/coordination/node/machine.py
+++ b/src/zincvale/coordination/node/machine.py
@@ -65,8 +65,9 @@
 """Base of the interval between renewals before the first lease, in seconds. It is short so that a
 node becomes ready soon after its start."""
 RETRY_GROWTH = 1.25
-"""Factor by which that interval grows with each renewal, up to `lease_renew_s`. Without growth,
-many nodes that start together while no core can grant would overload the cores."""
+"""Factor by which the interval between renewals before the first lease grows with each renewal, up
+to `lease_renew_s`. Without growth, many nodes that start together while no core can grant would
+overload the cores."""
 RELAY_PEERS = 2
 """Number of peers that a renewal is sent to in one round; each forwards it to every core."""
 RELAY_INTERVAL_S = 0.3
@@ -82,17 +83,17 @@
     Parameters
     ----------
     config : the identity, addresses and timings of this process.
-    random : the only source of randomness.
+    random_source : the only source of randomness.
     now : the time of the process's start, in seconds on the clock of every later input.
     """
 
-    def __init__(self, config: NodeConfig, random: random.Random, now: float) -> None:
+    def __init__(self, config: NodeConfig, random_source: random.Random, now: float) -> None:
         self._config = config
-        self._random = random
+        self._random = random_source
         self._lease = MemberLeaseHolder(config)
-        self._poll_client = LongPollClient(config, DELIVERED_KEYS, random)
-        self._partition_guard = PartitionGuard(config, random, now)
-        self._renewal_client = RenewalClient(config, random)
+        self._poll_client = LongPollClient(config, DELIVERED_KEYS, random_source)
+        self._partition_guard = PartitionGuard(config, random_source, now)
+        self._renewal_client = RenewalClient(config, random_source)
         self._poll_server = LongPollServer(
             config.timings,
             self._poll_client.values,
--- a/src/zincvale/coordination/node/partition_guard.py
+++ b/src/zincvale/coordination/node/partition_guard.py
@@ -60,7 +60,7 @@
         self._random = random_source
         self._lifetime_s = config.timings.lease_ttl_s
         self._requested_at: dict[str, float] = {}
-        """When the newest evidence was requested, by node; only of nodes with no newer version."""
+        """When the newest evidence that showed no newer version was requested, by node."""
         self._newer_versions: dict[str, tuple[float, dict[str, int]]] = {}
         """Peers that have applied a newer version: when their evidence was requested, and the
         versions that they have applied."""
