--- a/src/zincvale/controlplane/addresses.py
+++ b/src/zincvale/controlplane/addresses.py
@@ -1,4 +1,4 @@
-"""Check of `ip:port` addresses in declared and observed fields."""
+"""Check of the `ip:port` addresses in declared resources and in observed servers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def is_address(text: str) -> bool:
-    """Whether `text` is an IP number with a port, IPv6 in brackets."""
+    """Whether `text` is an IP address and a port, an IPv6 address in brackets."""
     host, separator, port = text.rpartition(":")
     if not separator or not port.isascii() or not port.isdigit():
         return False
--- a/src/zincvale/controlplane/api/dispatch.py
+++ b/src/zincvale/controlplane/api/dispatch.py
@@ -1,7 +1,7 @@
 """The control API as a pure state machine: one dispatch on method and path segments.
 
-The HTTP server hands in requests and carries out the effects; the core's response to a `CallCore`
-comes back as `on_core_response`. Nothing here waits, reads a clock or opens a connection.
+The HTTP server passes in requests and executes the effects; the core's response to a `CallCore`
+arrives through `on_core_response`. Nothing here blocks, reads a clock or opens a connection.
 """
 
 from __future__ import annotations
@@ -43,7 +43,11 @@
 from zincvale.controlplane.api.replica_changes import read_replacement
 from zincvale.controlplane.core_view import CoreView
 from zincvale.controlplane.intent.row_codec import KIND_BY_TABLE
-from zincvale.controlplane.status.cluster_snapshot import ClusterSnapshot, lagging_nodes, observe
+from zincvale.controlplane.status.cluster_snapshot import (
+    ClusterSnapshot,
+    lagging_nodes,
+    take_snapshot,
+)
 from zincvale.controlplane.status.drain_progress import DrainProgress
 from zincvale.coordination.registers.change_messages import (
     ChangeResult,
@@ -53,21 +57,21 @@
 from zincvale.model.errors import InvalidInputError, NotFoundError, UnavailableError, ZincvaleError
 
 MAX_PENDING_CHANGES = 1_000
-"""Changes that wait for the core's response; a burst beyond it is refused at once.
+"""Limit on the changes that wait for the core's response; further changes are refused at once.
 
-It bounds the memory of a core whose owner of the intent is unreachable: without it every retry of
-every operator would be kept for `CHANGE_TIMEOUT_S`.
+It bounds the memory of a core that cannot reach the owner of the intent: without the limit every
+retry of every operator would be kept for `CHANGE_TIMEOUT_S`.
 """
 
 Handler = Callable[[ApiRequest, float], list[ApiEffect]]
 
 
 class ControlApi:
-    """Operators' requests at one core.
+    """Handles the operators' requests to one core.
 
     Parameters
     ----------
-    view : state of the local core, read at the moment of each request.
+    view : state of the local core, read when each request is handled.
     """
 
     def __init__(self, view: CoreView) -> None:
@@ -78,35 +82,35 @@
         self._drains = DrainProgress()
 
     def handle(self, request: ApiRequest, now: float) -> list[ApiEffect]:
-        """Take one request; its `ApiResponse` is among these effects or those of a later input."""
+        """Handle one request; its `ApiResponse` is among the effects of this or a later input."""
         try:
             return self._dispatch(request, now)
         except ZincvaleError as error:
-            return [_with_allow(error_response(request.token, error), error)]
+            return [_with_allow_header(error_response(request.token, error), error)]
 
     def on_core_response(self, token: str, message: object) -> list[ApiEffect]:
-        """Take the core's response to `CallCore(token, ...)`."""
+        """Handle the core's response to `CallCore(token, ...)`."""
         pending = self._pending.pop(token, None)
         if pending is None:
             return []
         if isinstance(message, ChangeResult):
             return [change_response(pending, message)]
-        # The core replies to a change with a `ChangeResult` alone (`proposal_router`), so this
-        # only survives a defect there: the operator learns that nothing is promised.
+        # The core replies to a change only with a `ChangeResult` (`proposal_router`). Any other
+        # message is a defect there; the operator is told that the change is not confirmed.
         return [not_confirmed_response(pending, f"the core answered {type(message).__name__}")]
 
     def on_core_failure(self, token: str, reason: str) -> list[ApiEffect]:
-        """Take notice that `CallCore(token, ...)` gets no response."""
+        """Handle the notice that `CallCore(token, ...)` gets no response."""
         pending = self._pending.pop(token, None)
         return [] if pending is None else [not_confirmed_response(pending, reason)]
 
     def abandon(self, token: str) -> None:
-        """Forget a request whose client disconnected; its change goes on."""
+        """Forget a request whose client disconnected; its change is not cancelled."""
         self._pending.pop(token, None)
         self._watches.abandon(token)
 
     def on_intent_changed(self, now: float) -> list[ApiEffect]:
-        """Complete the watches that the newest intent is an update for."""
+        """Complete the watches that wait for a version which the newest intent has reached."""
         self._update_drains(now)
         return list(self._watches.complete(self._view.intent_rows(), now))
 
@@ -124,54 +128,55 @@
         try:
             intent = self._view.intent()
         except ZincvaleError:
-            # A row of a later release: reads say so; the last known drains stay as they are.
+            # A row was written by a later release: reads report that, and the drains keep their
+            # last known progress.
             return
         self._drains.update(
             intent, self._view.directory(), lambda: bool(lagging_nodes(self._view, intent)), now
         )
 
-    def _observe(self, now: float) -> ClusterSnapshot:
+    def _snapshot(self, now: float) -> ClusterSnapshot:
         """Return a snapshot; raises `UnavailableError` for a row of a later release."""
         self._update_drains(now)
         try:
-            return observe(self._view, self._drains, now)
+            return take_snapshot(self._view, self._drains, now)
         except InvalidInputError as error:
             raise UnavailableError(error.problem, error.remedy) from error
 
     def _dispatch(self, request: ApiRequest, now: float) -> list[ApiEffect]:
-        segments = _segments(request.path)
+        segments = _path_segments(request.path)
         handlers = self._handlers(segments)
         if not handlers:
             raise NotFoundError(
-                f"no path {request.path[:200]!r}", "see docs/PROTOCOLS.md for the paths"
+                f"unknown path {request.path[:200]!r}", "see docs/PROTOCOLS.md for the paths"
             )
         handler = handlers.get(request.method)
         if handler is None:
             raise MethodNotAllowedError(
-                f"{request.method} is not taken at {request.path}",
+                f"{request.method} is not supported at {request.path}",
                 f"use {', '.join(sorted(handlers))}",
                 allowed=tuple(sorted(handlers)),
             )
         return handler(request, now)
 
     def _handlers(self, segments: list[str]) -> dict[str, Handler]:
-        """Return the handler of each method that the path takes."""
+        """Return the handlers by method; none for an unknown path."""
         match segments:
             case ["v1", "intent"]:
                 return {"GET": self._read_intent, "POST": self._change_intent}
             case ["v1", "watch"]:
                 return {"GET": self._watch}
             case ["v1", "members"]:
-                return {"GET": self._read(members_body)}
+                return {"GET": self._read_handler(members_body)}
             case ["v1", "moves"]:
-                return {"GET": self._read(moves_body)}
+                return {"GET": self._read_handler(moves_body)}
             case ["v1", "moves", name]:
-                return {"GET": self._read(functools.partial(move_body, name=name))}
+                return {"GET": self._read_handler(functools.partial(move_body, name=name))}
             case ["v1", "roles"]:
-                return {"GET": self._read(roles_body)}
+                return {"GET": self._read_handler(roles_body)}
             case ["v1", "replicas"]:
                 return {
-                    "GET": self._read(replicas_body),
+                    "GET": self._read_handler(replicas_body),
                     "POST": self._replace_replica,
                 }
             case ["v1", table] if table in KIND_BY_TABLE:
@@ -180,19 +185,19 @@
                 return {"GET": functools.partial(self._read_resource, table, name)}
         return {}
 
-    def _read(self, read_body: Callable[[CoreView], bytes]) -> Handler:
+    def _read_handler(self, body_of: Callable[[CoreView], bytes]) -> Handler:
         def handler(request: ApiRequest, _now: float) -> list[ApiEffect]:
             _check_query(request.query, ())
-            return [json_response(request.token, 200, read_body(self._view))]
+            return [json_response(request.token, 200, body_of(self._view))]
 
         return handler
 
     def _check_current(self) -> None:
-        """Refuse to show control state that may be older than what was acknowledged."""
+        """Raise `UnavailableError` if this core may not know of an acknowledged change."""
         if not self._view.may_show_state():
             raise UnavailableError(
                 "this core cannot tell whether its state is the newest",
-                "ask another core, or again once this one hears a majority of the cores",
+                "ask another core, or retry when this core reaches a majority of the cores",
             )
 
     def _read_intent(self, request: ApiRequest, _now: float) -> list[ApiEffect]:
@@ -205,7 +210,7 @@
         _check_query(request.query, ("after", "limit"))
         self._check_current()
         after, limit = read_page(request.query.get("after", ""), request.query.get("limit", ""))
-        body = resource_list(self._view, self._observe(now), table, after, limit)
+        body = resource_list(self._view, self._snapshot(now), table, after, limit)
         return [json_response(request.token, 200, body)]
 
     def _read_resource(
@@ -213,7 +218,7 @@
     ) -> list[ApiEffect]:
         _check_query(request.query, ())
         self._check_current()
-        body = resource_body(self._view, self._observe(now), table, name)
+        body = resource_body(self._view, self._snapshot(now), table, name)
         return [json_response(request.token, 200, body)]
 
     def _watch(self, request: ApiRequest, now: float) -> list[ApiEffect]:
@@ -236,15 +241,15 @@
     ) -> list[ApiEffect]:
         if len(self._pending) >= MAX_PENDING_CHANGES:
             raise UnavailableError(
-                f"this core carries {MAX_PENDING_CHANGES} changes already",
+                f"this core already has {MAX_PENDING_CHANGES} pending changes",
                 "send the change to another core, or again in a second",
             )
         self._pending[token] = PendingChange(token, idempotency_key, now + CHANGE_TIMEOUT_S)
         return [CallCore(token, message)]
 
 
-def _segments(path: str) -> list[str]:
-    """Return the decoded segments of a path; none for a path that does not start with `/`."""
+def _path_segments(path: str) -> list[str]:
+    """Return the decoded segments of a path; an empty list if it does not start with `/`."""
     parts = path.split("/")
     if parts[0] != "":
         return []
@@ -258,8 +263,8 @@
             raise InvalidInputError(f"unknown query parameter {name[:80]!r}", remedy)
 
 
-def _with_allow(response: ApiResponse, error: ZincvaleError) -> ApiResponse:
-    """Return `response` with the header that a 405 must carry (RFC 9110, section 15.5.6)."""
+def _with_allow_header(response: ApiResponse, error: ZincvaleError) -> ApiResponse:
+    """Return `response`; a 405 gets the header `Allow` (RFC 9110, section 15.5.6)."""
     if not isinstance(error, MethodNotAllowedError):
         return response
     headers = {**response.headers, "Allow": ", ".join(error.allowed)}
--- a/src/zincvale/controlplane/api/intent_changes.py
+++ b/src/zincvale/controlplane/api/intent_changes.py
@@ -1,7 +1,7 @@
 """Changes of the intent: the proposal in an operator's request, and the response to its result.
 
-Nothing is decided here: a result `not-confirmed` comes from
-`coordination.registers.proposal_router`, or from `dispatch` when the core gives no result at all.
+This module decides nothing: a result `not-confirmed` comes from
+`coordination.registers.proposal_router`, or from `dispatch` when the core returns no result.
 """
 
 from __future__ import annotations
@@ -39,25 +39,25 @@
 )
 
 CHANGE_TIMEOUT_S = 10.0
-"""After this without a response of the core the operator gets `not-confirmed`.
+"""Time that the core has to respond before the operator gets `not-confirmed`.
 
-Longer than the core's own limit on a change, so that its result arrives first where there is one.
+Longer than the core's own limit on a change, so that a result of the core arrives first.
 """
 
 _BODY_FIELDS = ("baseVersion", "mode", "resources")
 _IDEMPOTENCY_KEY = re.compile(r"[A-Za-z0-9._:-]{1,128}")
 _IF_MATCH = re.compile(r'"?([0-9]{1,18})"?')
-_RETRY_REMEDY = "send the same order again, here or to another core"
+_RETRY_REMEDY = "send the same order again, to this core or another"
 
 
 @attrs.frozen
 class PendingChange:
-    """A change handed to the core whose result is pending.
+    """A change that was passed to the core and has no result yet.
 
     Attributes
     ----------
-    idempotency_key : identity of a resend; empty for a change of the replicas.
-    deadline : when the operator gets `not-confirmed`.
+    idempotency_key : the same for a change and its retries; empty for a change of the replicas.
+    deadline : time at which the operator gets `not-confirmed`.
     """
 
     token: str
@@ -68,9 +68,9 @@
 def read_proposal(request: ApiRequest, current_version: int) -> ProposeChange:
     """Return the proposal in `POST /v1/intent`; raises a `ZincvaleError`.
 
-    `current_version` only goes into the idempotency key of a change that names neither a base
+    `current_version` is used only in the idempotency key of a change that has neither a base
     version nor a key: the same body sent again after other changes is a new change, and never gets
-    the old one's result.
+    the result of the earlier one.
     """
     if len(request.body) > MAX_CHANGE_BYTES:
         raise BodyTooLargeError(
@@ -93,14 +93,14 @@
         idempotency_key = _digest(base_for_digest, change)
     elif not _IDEMPOTENCY_KEY.fullmatch(idempotency_key):
         raise InvalidInputError(
-            f"{IDEMPOTENCY_KEY_HEADER} {idempotency_key[:128]!r} is not usable",
+            f"{IDEMPOTENCY_KEY_HEADER} {idempotency_key[:128]!r} is invalid",
             "use 1 to 128 letters, digits and any of . _ : -",
         )
     return ProposeChange(INTENT_KEY, idempotency_key, base_version, change)
 
 
 def change_response(pending: PendingChange, result: ChangeResult) -> ApiResponse:
-    """Return the operator's response to a change that the core decided."""
+    """Return the HTTP response to a change, from the core's result."""
     if result.status == IN_FORCE:
         body = {"version": result.version, **_key_fields(pending), "state": IN_FORCE}
         return json_response(pending.token, 200, body)
@@ -119,7 +119,7 @@
 
 
 def not_confirmed_response(pending: PendingChange, problem: str) -> ApiResponse:
-    """Return the response that promises nothing about the change."""
+    """Return the response to a change that may or may not be in force."""
     error = NotConfirmedError(problem, _RETRY_REMEDY)
     return error_response(pending.token, error, **_key_fields(pending))
 
@@ -129,7 +129,7 @@
 
 
 def _refuse_unknown_fields(data: Mapping[str, Any]) -> None:
-    """Raise `InvalidInputError` for a field that is not of the request.
+    """Raise `InvalidInputError` for a field that the request body does not have.
 
     `intent.change_body` has its own check: a change that reaches the reducer has no base version.
     """
@@ -167,7 +167,7 @@
 
 
 def _canonical_change(data: Mapping[str, Any]) -> bytes:
-    """Return the change as bytes: equal JSON values, in any order and spacing, are equal bytes."""
+    """Return the change as bytes that do not depend on key order or spacing of the body."""
     change = {name: data[name] for name in ("mode", "resources") if name in data}
     try:
         return orjson.dumps(change, option=orjson.OPT_SORT_KEYS)
--- a/src/zincvale/controlplane/api/messages.py
+++ b/src/zincvale/controlplane/api/messages.py
@@ -14,12 +14,12 @@
 JSON_HEADERS = {"Content-Type": "application/json"}
 IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 RETRY_AFTER_S = 1
-"""Value of `Retry-After`: when a client should send an unconfirmed or unserved request again."""
+"""Value of `Retry-After`: seconds until a client should retry a request that got a 503."""
 
 
 @attrs.frozen
 class MethodNotAllowedError(ZincvaleError):
-    """The path is known and does not take this method."""
+    """The path exists but does not support this method."""
 
     allowed: tuple[str, ...] = ()
 
@@ -34,9 +34,9 @@
     Attributes
     ----------
     path : path without the query, percent-encoded as received.
-    query : decoded query parameters, the last value of each.
-    headers : header values by name in any case.
-    token : names the request in effects and later inputs.
+    query : decoded query parameters; the last value of a repeated one.
+    headers : header values by name; names are matched in any case.
+    token : identifies the request in effects and later inputs.
     """
 
     method: str
@@ -47,7 +47,7 @@
     token: str
 
     def header(self, name: str) -> str:
-        """Return a header's value, empty when absent."""
+        """Return a header's value, or an empty string when it is absent."""
         for known, value in self.headers.items():
             if known.lower() == name.lower():
                 return value
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class CallCore:
-    """Effect: hand `message` to the local core; `on_core_response(token, ...)` follows."""
+    """Effect: pass `message` to the local core; `on_core_response(token, ...)` follows."""
 
     token: str
     message: ProposeChange | ReplaceReplica
@@ -82,7 +82,7 @@
 
 
 def error_response(token: str, error: ZincvaleError, **extra: object) -> ApiResponse:
-    """Return the response that shows a typed error; `extra` fields go into its body."""
+    """Return the response for a typed error; `extra` fields are added to its body."""
     body: dict[str, object] = {**error.to_json(), **extra}
     if isinstance(error, VersionConflictError):
         body["current_version"] = error.current_version
--- a/src/zincvale/controlplane/api/pending_watches.py
+++ b/src/zincvale/controlplane/api/pending_watches.py
@@ -1,7 +1,7 @@
 """Long polls of `GET /v1/watch` that wait for a newer intent.
 
 The response is the complete intent, `{"version", "resources"}`; a watch that reaches its deadline
-first gets the version alone.
+first gets only the version.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from zincvale.model.errors import InvalidInputError, UnavailableError
 
 DEFAULT_WATCH_S = 30.0
-"""How long a watch waits when the client names no time-out."""
+"""Time-out of a watch when the client sets none."""
 MAX_WATCH_S = 300.0
-"""Longest time-out that a client may ask for."""
+"""Longest time-out that a client may set."""
 MAX_PENDING_WATCHES = 1_000
-"""Watches in wait at one core; each holds a connection."""
+"""Limit on the pending watches at one core; each holds a connection."""
 MAX_VERSION_DIGITS = 18
-"""A version beyond this does not fit a signed 64-bit number."""
+"""Most digits of a version: every number of that length fits a signed 64-bit integer."""
 
 
 @attrs.frozen
 class WatchRequest:
-    """A watch for an intent newer than `after`, pending until `deadline` at most."""
+    """A watch for an intent newer than version `after`, pending until `deadline` at most."""
 
     token: str
     after: int
@@ -39,7 +39,7 @@
     after = query.get("after", "0")
     if not after.isascii() or not after.isdigit() or len(after) > MAX_VERSION_DIGITS:
         raise InvalidInputError(
-            f"after is {after[:40]!r}, not a version", "write the version you hold"
+            f"after is {after[:40]!r}, not a version", "write the version that you have"
         )
     timeout_s = _read_timeout(query.get("timeout_s", str(DEFAULT_WATCH_S)))
     return WatchRequest(token, int(after), now + timeout_s)
@@ -58,14 +58,14 @@
 
 
 class PendingWatches:
-    """Watches in wait; each is completed by a newer intent or by its deadline."""
+    """Pending watches; each is completed by a newer intent or by its deadline."""
 
     def __init__(self, intent_bodies: IntentBodyCache) -> None:
         self._watches: dict[str, WatchRequest] = {}
         self._intent_bodies = intent_bodies
 
     def start(self, watch: WatchRequest, rows: KeyView) -> list[ApiResponse]:
-        """Return the response at once when `rows` are newer, else add the watch.
+        """Return the response if `rows` are newer than the watched version, else add the watch.
 
         Raises `UnavailableError` when too many watches are pending.
         """
@@ -73,13 +73,14 @@
             return [self._intent_response(watch, rows)]
         if len(self._watches) >= MAX_PENDING_WATCHES:
             raise UnavailableError(
-                f"this core holds {MAX_PENDING_WATCHES} watches already", "watch at another core"
+                f"this core already has {MAX_PENDING_WATCHES} pending watches",
+                "watch at another core",
             )
         self._watches[watch.token] = watch
         return []
 
     def complete(self, rows: KeyView, now: float) -> list[ApiResponse]:
-        """Return the responses of the watches that `rows` update, or whose deadline has passed."""
+        """Return the responses to watches older than `rows` and to those past their deadline."""
         responses = []
         for watch in list(self._watches.values()):
             if rows.version > watch.after:
--- a/src/zincvale/controlplane/api/reads.py
+++ b/src/zincvale/controlplane/api/reads.py
@@ -23,15 +23,18 @@
 from zincvale.model.identifiers import MemberId, ServerId
 
 DEFAULT_PAGE_ROWS = 1_000
-"""Resources of a page when the client names no limit."""
+"""Number of resources on a page when the client sets no limit."""
 MAX_PAGE_ROWS = 10_000
-"""Largest page; encoding one blocks the core's event loop, which also sends heartbeats."""
+"""Largest number of resources on a page.
+
+Encoding a page blocks the core's event loop, which also sends heartbeats.
+"""
 
 
 class IntentBodyCache:
-    """Keeps the body of `GET /v1/intent`, which is large, for the newest version.
+    """Caches the body of `GET /v1/intent`, which is large, for the newest version.
 
-    Every watch that one change completes gets the same bytes.
+    All watches that one change completes share the same bytes.
     """
 
     def __init__(self) -> None:
@@ -39,7 +42,7 @@
         self._body = b""
 
     def body_of(self, rows: KeyView) -> bytes:
-        """Return `{"version", "resources"}` of the complete intent, straight from its rows."""
+        """Return the body `{"version", "resources"}` with every resource in `rows`."""
         if rows.version != self._version:
             self._body = _intent_body(rows)
             self._version = rows.version
@@ -47,11 +50,11 @@
 
 
 def _intent_body(rows: KeyView) -> bytes:
-    resources = [_declared(row, rows.rows[row]) for row in sorted(rows.rows)]
+    resources = [_declared_resource(row, rows.rows[row]) for row in sorted(rows.rows)]
     return orjson.dumps({"version": rows.version, "resources": resources})
 
 
-def _declared(row: str, content: bytes) -> dict[str, Any]:
+def _declared_resource(row: str, content: bytes) -> dict[str, Any]:
     kind, _, name = row.partition("/")
     return {"kind": kind, "name": name, "spec": orjson.Fragment(content)}
 
@@ -61,14 +64,14 @@
 ) -> bytes:
     """Return one page of a kind's resources with spec and status, ordered by name.
 
-    `next` is in the body when there is more: pass it as `after`.
+    The body has `next` when more resources follow: it is the `after` of the next page.
     """
     kind = KIND_BY_TABLE[table]
     rows = view.intent_rows()
-    names = sorted(name for name in _names(snapshot, table) if name > after)
+    names = sorted(name for name in _names_in_table(snapshot, table) if name > after)
     body: dict[str, Any] = {
         "version": rows.version,
-        "resources": [_resource(kind, name, rows, snapshot) for name in names[:limit]],
+        "resources": [_resource_to_json(kind, name, rows, snapshot) for name in names[:limit]],
     }
     if len(names) > limit:
         body["next"] = names[limit - 1]
@@ -78,10 +81,10 @@
 def resource_body(view: CoreView, snapshot: ClusterSnapshot, table: str, name: str) -> bytes:
     """Return one resource with spec, effective spec and status; raises `NotFoundError`."""
     kind = KIND_BY_TABLE[table]
-    names = _names(snapshot, table)
+    names = _names_in_table(snapshot, table)
     if name not in names:
-        raise _no_resource(kind, name, names, table)
-    body = _resource(kind, name, view.intent_rows(), snapshot)
+        raise _resource_not_found(kind, name, names, table)
+    body = _resource_to_json(kind, name, view.intent_rows(), snapshot)
     spec = getattr(snapshot.intent, table).get(name)
     if spec is not None:
         body["effective_spec"] = spec.to_dict()
@@ -93,7 +96,7 @@
     """Return the members with live leases and the intent version that each node applied."""
     members = view.members()
     applied = view.applied_versions()
-    rows = [_member(members.rows[name], applied.get(name)) for name in sorted(members.rows)]
+    rows = [_member_to_json(members.rows[name], applied.get(name)) for name in sorted(members.rows)]
     return orjson.dumps({"version": members.version, "members": rows})
 
 
@@ -106,12 +109,12 @@
     """Return one move; raises `NotFoundError`."""
     content = view.moves().get(name)
     if content is None:
-        raise NotFoundError(f"no move {name!r}", "see GET /v1/moves; finished moves are forgotten")
+        raise NotFoundError(f"no move {name!r}", "see GET /v1/moves; finished moves are removed")
     return orjson.dumps(move_to_json(decode_move(content)))
 
 
 def roles_body(view: CoreView) -> bytes:
-    """Return the singleton roles and their leaders."""
+    """Return the singleton roles, each with its leader and epoch."""
     rows = [{"role": row.role, "holder": row.holder, "epoch": row.epoch} for row in view.roles()]
     return orjson.dumps({"roles": sorted(rows, key=lambda row: str(row["role"]))})
 
@@ -142,14 +145,16 @@
     return after, int(limit)
 
 
-def _names(snapshot: ClusterSnapshot, table: str) -> Collection[str]:
+def _names_in_table(snapshot: ClusterSnapshot, table: str) -> Collection[str]:
     declared: Mapping[str, Any] = getattr(snapshot.intent, table)
     if table == "servers":
         return declared.keys() | snapshot.directory.servers.keys()
     return declared.keys()
 
 
-def _resource(kind: str, name: str, rows: KeyView, snapshot: ClusterSnapshot) -> dict[str, Any]:
+def _resource_to_json(
+    kind: str, name: str, rows: KeyView, snapshot: ClusterSnapshot
+) -> dict[str, Any]:
     content = rows.rows.get(row_id(kind, name))
     status: dict[str, Any] = {
         "conditions": [
@@ -159,7 +164,7 @@
     }
     server = snapshot.directory.servers.get(ServerId(name)) if kind == "Server" else None
     if server is not None:
-        status["observed"] = _server(server)
+        status["observed"] = _server_to_json(server)
     return {
         "kind": kind,
         "name": name,
@@ -168,11 +173,11 @@
     }
 
 
-def _server(row: ServerRow) -> dict[str, Any]:
+def _server_to_json(row: ServerRow) -> dict[str, Any]:
     """Return a server as the API shows it.
 
-    Written out beside `directory.row_codec`, whose fields are the stored form: a field added there
-    must not appear in the API by itself.
+    The fields are listed here and not taken from `directory.row_codec`, which defines the stored
+    form: a field that is added there must not appear in the API unintentionally.
     """
     return {
         "address": row.address,
@@ -192,7 +197,7 @@
     }
 
 
-def _member(row: MemberRow, applied_version: int | None) -> dict[str, Any]:
+def _member_to_json(row: MemberRow, applied_version: int | None) -> dict[str, Any]:
     return {
         "member": MemberId(row.member),
         "role": row.role.value,
@@ -205,7 +210,7 @@
     }
 
 
-def _no_resource(kind: str, name: str, names: Collection[str], table: str) -> NotFoundError:
+def _resource_not_found(kind: str, name: str, names: Collection[str], table: str) -> NotFoundError:
     problem = f"no {kind} {name!r}"
     nearest = difflib.get_close_matches(name, names, n=1)
     if nearest:
--- a/src/zincvale/controlplane/api/replica_changes.py
+++ b/src/zincvale/controlplane/api/replica_changes.py
@@ -1,4 +1,4 @@
-"""The body of `POST /v1/replicas`: replace a core machine by another."""
+"""The body of `POST /v1/replicas`, which replaces one core's replica by another core's."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from zincvale.model.errors import BodyTooLargeError, InvalidInputError
 
 MAX_REPLACEMENT_BYTES = 4_096
-"""Largest body: two member ids with room to spare."""
+"""Largest body: far more than two member ids need."""
 
 
 @dataclass
 class Replacement(Checked):
-    """Which core loses its replica, and which gets one; one of the two may be empty.
+    """The core that loses its replica and the core that gets one; one of the two may be empty.
 
-    A core whose disk was lost is replaced by itself: its new disk is a new replica.
+    A core whose disk was lost is named in both: its new disk becomes a new replica.
     """
 
     remove: str
@@ -36,5 +36,5 @@
         )
     replacement = read_checked(Replacement, parse_json(request.body, "the body"), "the body")
     if not replacement.remove and not replacement.add:
-        raise InvalidInputError("the body names no core", "name a core's member id")
+        raise InvalidInputError("the body names no core", "set remove or add to a core's member id")
     return ReplaceReplica(replacement.remove, replacement.add)
--- a/src/zincvale/controlplane/core_view.py
+++ b/src/zincvale/controlplane/core_view.py
@@ -1,4 +1,4 @@
-"""What the control API reads of the core it runs in: a protocol that the core daemon implements."""
+"""What the control API reads from its core: a protocol that the core daemon implements."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @attrs.frozen
 class RoleRow:
-    """One singleton role and the member that leads it.
+    """One singleton role and the member that holds its leader lease.
 
     Attributes
     ----------
     holder : the member with the leader lease, or None while none is known.
-    epoch : fencing epoch of the lease.
+    epoch : fencing epoch of the leader lease.
     """
 
     role: str
@@ -37,16 +37,16 @@
     live: bool
     voting: bool
     disk: str = ""
-    """Random identity of the replica's data folder."""
+    """Random identifier of the replica's data folder."""
     chosen_version: int = 0
-    """Newest version of the intent that the replica knows to be chosen."""
+    """Newest intent version that the replica knows to be chosen by a quorum."""
 
 
 class CoreView(Protocol):
-    """State of the local core, read at the moment of a request."""
+    """State of the local core, read when a request is handled."""
 
     def may_show_state(self) -> bool:
-        """Whether the control state known here is the newest that was acknowledged."""
+        """Whether the control state known here includes every acknowledged change."""
         ...
 
     def intent_rows(self) -> KeyView:
@@ -54,7 +54,7 @@
         ...
 
     def intent(self) -> Intent:
-        """Return the same intent, typed."""
+        """Return the newest chosen intent, decoded into typed tables."""
         ...
 
     def members(self) -> Members:
@@ -70,7 +70,7 @@
         ...
 
     def moves(self) -> Mapping[str, bytes]:
-        """Return the move calendar's rows: JSON objects by move id."""
+        """Return the rows of the move calendar: one JSON object per move, by move id."""
         ...
 
     def roles(self) -> Sequence[RoleRow]:
--- a/src/zincvale/controlplane/log_events.py
+++ b/src/zincvale/controlplane/log_events.py
@@ -1,6 +1,6 @@
-"""Log events of the control plane but placement (40xx).
+"""Log events of the control plane except placement, with the numbers 40xx.
 
-Numbers never change; names and descriptions are shown by docs/EVENTS.md.
+The numbers never change; docs/EVENTS.md lists the names and descriptions.
 """
 
 from __future__ import annotations
@@ -15,25 +15,27 @@
 )
 SERVER_ADDED = declare(4003, "server.added", "The platform's list names a new server.")
 SERVER_REMOVED = declare(
-    4004, "server.removed", "A server that left the platform's list was forgotten."
+    4004, "server.removed", "A server that left the platform's list was removed."
 )
 SERVER_DELISTED = declare(
-    4005, "server.delisted", "A server left the platform's list; it is kept while it answers."
+    4005, "server.delisted", "A server left the platform's list; it is retained for a limited time."
 )
 SERVER_HEALTH_CHANGED = declare(
-    4006, "server.health", "Probes changed their verdict on a server; `why` tells the cause."
+    4006, "server.health", "Probes changed the health of a server; `why` tells the cause."
 )
 SERVER_RETURNED = declare(
-    4007, "server.returned", "A server answers as a new incarnation: it is cold and empty."
+    4007, "server.returned", "A server responds as a new incarnation: it is cold and empty."
 )
 SERVER_IDENTITY_MISMATCH = declare(
     4008,
     "server.identity-mismatch",
-    "Another server answers at a server's address; it counts as a failure.",
+    "Another server responds at a server's address; the probe counts as failed.",
 )
 PLATFORM_LIST_FAILED = declare(
-    4009, "platform.list-failed", "The platform's list cannot be read; the last one stays in use."
+    4009, "platform.list-failed", "The platform's list cannot be read; the last list stays in use."
 )
 PUBLICATION_FAILED = declare(
-    4010, "directory.publication-failed", "Rows were not taken; all of them are published again."
+    4010,
+    "directory.publication-failed",
+    "Rows were refused or got no response; all of them are published again.",
 )
--- a/src/zincvale/controlplane/status/cluster_snapshot.py
+++ b/src/zincvale/controlplane/status/cluster_snapshot.py
@@ -73,8 +73,8 @@
     return [member for member, version in applied.items() if version < intent.version]
 
 
-def observe(view: CoreView, drains: DrainProgress, now: float) -> ClusterSnapshot:
-    """Return the indexed observations of a core."""
+def take_snapshot(view: CoreView, drains: DrainProgress, now: float) -> ClusterSnapshot:
+    """Return the intent and observations that a core has now."""
     intent = view.intent()
     directory = view.directory()
     return ClusterSnapshot(
