--- a/src/zincvale/controlplane/intent/change_body.py
+++ b/src/zincvale/controlplane/intent/change_body.py
@@ -17,16 +17,19 @@
 from zincvale.model.resources import SPEC_BY_KIND, Document
 
 MAX_CHANGE_BYTES = 2 * 1024 * 1024
-"""Largest body of one change, some 18,000 resources; more goes into several changes.
+"""Largest body of one change, about 18,000 resources; larger intents take several changes.
 
-Checking blocks the event loop of the core that owns the intent: the limit keeps that well under the
-time-out after which the other cores count it as failed.
+Checking a change blocks the event loop of the core that owns the intent. The limit keeps that time
+well below the time-out after which the other cores consider that core failed.
 """
 
 MAX_NAME_CHARACTERS = 128
-"""Longest name of a resource; names are parts of row ids and of the API's paths."""
+"""Longest name of a resource; names are part of row ids and of the API's paths."""
 MAX_SPEC_DEPTH = 8
-"""Deeper values are no resource of any release; the limit bounds every recursion over a spec."""
+"""Deepest nesting of a spec: no resource of any release is nested deeper.
+
+The limit bounds every recursion over a spec.
+"""
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]*")
 _CHANGE_FIELDS = ("mode", "resources")
@@ -34,12 +37,12 @@
 
 
 class ChangeMode(enum.Enum):
-    """How the resources of a change relate to what is declared already."""
+    """How the resources of a change are combined with those already declared."""
 
     MERGE = "merge"
-    """Patch the named resources; everything else stays."""
+    """Patch the resources in the change; all others stay as they are."""
     REPLACE = "replace"
-    """The resources are the complete intent; everything else is deleted."""
+    """The change contains the complete intent; all other resources are deleted."""
 
 
 @attrs.frozen
@@ -49,7 +52,7 @@
     Attributes
     ----------
     row : row id of the resource.
-    spec : fields to patch or declare; None deletes the resource.
+    spec : fields to patch (merge) or to declare (replace); None deletes the resource.
     """
 
     kind: str
@@ -60,7 +63,7 @@
 
 @attrs.frozen
 class ChangeBody:
-    """A change as read, before it meets the rows."""
+    """A decoded change that was not yet checked against the rows."""
 
     mode: ChangeMode
     edits: list[ResourceEdit]
@@ -94,9 +97,9 @@
 
 
 def _refuse_unknown_fields(data: Mapping[str, Any]) -> None:
-    """Raise `InvalidInputError` for a field that is not of a change.
+    """Raise `InvalidInputError` for a field that a change does not have.
 
-    `api.intent_changes` has its own check: a request has a base version as well.
+    `api.intent_changes` has its own check: a request may also have a base version.
     """
     for name in data:
         if name not in _CHANGE_FIELDS:
@@ -146,7 +149,7 @@
 
 
 def _refuse_status(item: object, where: str) -> None:
-    """Raise `InvalidInputError` for a resource that was read back and sent with its status."""
+    """Raise `InvalidInputError` for a resource with a status, as a read returns it."""
     if isinstance(item, dict) and "status" in item:
         raise InvalidInputError(
             f"{where}: `status` is observed, never declared", "remove `status` from the resource"
@@ -169,7 +172,13 @@
 
 
 def read_name(value: object, where: str, what: str) -> str:
-    """Return a checked name of a `what`; raises `InvalidInputError`."""
+    """Return `value` as a valid name; raises `InvalidInputError`.
+
+    Parameters
+    ----------
+    where : place of the name in the input, for the message.
+    what : kind of the named resource or the name of the field, for the message.
+    """
     if value is None:
         raise InvalidInputError(f"{where}: {what}: name is missing", "add a name")
     if not isinstance(value, str):
@@ -178,7 +187,7 @@
         )
     if len(value) > MAX_NAME_CHARACTERS or not _NAME.fullmatch(value):
         raise InvalidInputError(
-            f"{where}: {what}: name {value[:MAX_NAME_CHARACTERS]!r} is not usable",
+            f"{where}: {what}: name {value[:MAX_NAME_CHARACTERS]!r} is invalid",
             f"use at most {MAX_NAME_CHARACTERS} letters, digits and any of . _ : -, "
             "beginning with a letter or digit",
         )
@@ -190,6 +199,6 @@
     for edit in edits:
         if edit.row in seen:
             raise InvalidInputError(
-                f"{edit.kind} {edit.name} stands twice in the change", "keep one of the two"
+                f"{edit.kind} {edit.name} is listed twice in the change", "keep one of the two"
             )
         seen.add(edit.row)
--- a/src/zincvale/controlplane/intent/merge_patch.py
+++ b/src/zincvale/controlplane/intent/merge_patch.py
@@ -6,9 +6,10 @@
 
 
 def apply_merge_patch(target: Any, patch: Any) -> Any:
-    """Return `target` changed by `patch`; neither is modified.
+    """Return `target` changed by `patch`; neither argument is modified.
 
-    Objects are merged member by member, null removes a member, and anything else replaces.
+    Objects are merged member by member, null removes a member, and any other value replaces the
+    target.
     """
     if not isinstance(patch, dict):
         return patch
--- a/src/zincvale/controlplane/intent/proposed_rows.py
+++ b/src/zincvale/controlplane/intent/proposed_rows.py
@@ -1,4 +1,4 @@
-"""The rows as they would be after a change: the stored ones under the changed ones."""
+"""The rows as they would be after a change: an overlay of changed rows over stored rows."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     ----------
     kind, name : the resource.
     fields : its declared fields; None when it is deleted.
-    content : the same as stored.
+    content : the encoded fields, as they are stored; None when the row is deleted.
     """
 
     kind: str
@@ -28,11 +28,11 @@
 
 
 class ProposedRows:
-    """An overlay of changed rows over the stored rows; neither is modified.
+    """Read access to the rows after a change; neither argument is modified.
 
     Parameters
     ----------
-    stored : rows in force.
+    stored : rows before the change.
     changed : rows that the change puts or deletes, by row id.
     """
 
@@ -48,14 +48,14 @@
         return row in self._stored
 
     def fields(self, row: str) -> dict[str, Any]:
-        """Return the declared fields of a row, empty when there is no such row."""
+        """Return the declared fields of a row after the change; empty if the row does not exist."""
         changed = self.changed.get(row)
         if changed is not None:
             return changed.fields or {}
         return self.stored_fields(row)
 
     def stored_fields(self, row: str) -> dict[str, Any]:
-        """Return the declared fields of a row before the change."""
+        """Return the declared fields of a row before the change; empty if it does not exist."""
         content = self._stored.get(row)
         return {} if content is None else decode_fields(row, content)
 
@@ -69,13 +69,13 @@
         return (changed for changed in self.changed.values() if changed.fields is not None)
 
     def unchanged(self, kind: str) -> Iterator[tuple[str, bytes]]:
-        """Yield the stored rows of a kind that the change leaves alone; passes over all rows."""
+        """Yield the stored rows of a kind that the change leaves as they are; scans all rows."""
         prefix = f"{kind}/"
         for row, content in self._stored.items():
             if row.startswith(prefix) and row not in self.changed:
                 yield row, content
 
     def names(self, kind: str) -> list[str]:
-        """Return the names of every resource of a kind; passes over all rows."""
+        """Return the names of a kind's resources after the change; scans all rows."""
         names = [row.partition("/")[2] for row, _ in self.unchanged(kind)]
         return names + [changed.name for changed in self.written() if changed.kind == kind]
--- a/src/zincvale/controlplane/intent/reducer.py
+++ b/src/zincvale/controlplane/intent/reducer.py
@@ -1,4 +1,4 @@
-"""Reducer of the intent: checks a change against the rows and returns the rows it changes.
+"""Reducer of the intent: checks a change against the rows and returns the rows that it changes.
 
 Pure and stateless: the same rows and change give the same result on every core.
 """
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class IntentReducer:
-    """The intent's reducer, as the register of the intent calls it.
+    """Reducer of the intent, called by the register of the key `intent`.
 
     Attributes
     ----------
@@ -44,7 +44,7 @@
     known_policies: frozenset[str] | None = None
 
     def __call__(self, rows: Rows, change: bytes) -> Result[list[RowChange], ChangeRefused]:
-        """Return the row changes of a change, or why it is refused."""
+        """Return the rows that a change puts or deletes, or why the change is refused."""
         try:
             changed = self.changed_rows(rows, change)
         except ZincvaleError as error:
@@ -52,11 +52,11 @@
         return Success([RowChange(row, content) for row, content in changed.items()])
 
     def changed_rows(self, rows: Mapping[str, bytes], change: bytes) -> dict[str, bytes | None]:
-        """Return new content by row id, None for deleted rows; raises a `ZincvaleError`.
+        """Return the new content by row id, None for deleted rows; raises a `ZincvaleError`.
 
         Parameters
         ----------
-        rows : rows in force.
+        rows : rows before the change.
         change : JSON of `{mode, resources}`.
         """
         if len(change) > MAX_CHANGE_BYTES:
@@ -72,7 +72,7 @@
         return {row: changed.content for row, changed in proposed.changed.items()}
 
     def _check(self, proposed: ProposedRows) -> None:
-        """Raise a `ZincvaleError` for the first rule broken: fields before what they refer to."""
+        """Raise a `ZincvaleError` for the first broken rule: fields first, then references."""
         for changed in proposed.written():
             check_fields(changed.kind, changed.name, changed.fields or {}, self.known_policies)
         for changed in proposed.written():
@@ -82,7 +82,7 @@
 
 
 def _apply_edits(rows: Mapping[str, bytes], body: ChangeBody) -> dict[str, ChangedRow]:
-    """Return the rows whose content a change makes different, by row id, unchecked."""
+    """Return the rows whose content a change modifies, by row id; no rule is checked."""
     changed: dict[str, ChangedRow] = {}
     for edit in body.edits:
         fields = _fields_after(rows, edit, body.mode)
--- a/src/zincvale/controlplane/intent/row_codec.py
+++ b/src/zincvale/controlplane/intent/row_codec.py
@@ -1,8 +1,8 @@
 """Codec between the replicated rows of the intent and its typed tables.
 
-A row's id is `Kind/name`; its content is the JSON of the fields that the operator declared, in
-sorted order, so that equal declarations are equal bytes. Fields that were not declared take the
-defaults of the running release when the row is decoded.
+A row's id is `Kind/name`; its content is the JSON of the fields that the operator declared, sorted
+by name, so that equal declarations are equal bytes. Fields that were not declared get the defaults
+of the running release when the row is decoded.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     kind, separator, name = row.partition("/")
     if not separator or not name or kind not in SPEC_BY_KIND:
         raise InvalidInputError(
-            f"intent row {row!r} is of no known kind", "run the same release on every machine"
+            f"intent row {row!r} has an unknown kind", "run the same release on every machine"
         )
     return kind, name
 
@@ -50,14 +50,14 @@
 def encode_spec(spec: Mapping[str, Any]) -> bytes:
     """Return the row content of declared fields.
 
-    orjson returns its result in a buffer of several kilobytes; rows stay in memory, so it is copied
-    to its own size.
+    orjson returns its result in an oversized buffer of several kilobytes. Rows stay in memory, so
+    the result is copied into bytes of the exact size.
     """
     return bytes(memoryview(orjson.dumps(spec, option=orjson.OPT_SORT_KEYS)))
 
 
 def decode_fields(row: str, content: bytes) -> dict[str, Any]:
-    """Return the declared fields of a row; raises `InvalidInputError` if it is no JSON object."""
+    """Return the declared fields of a row; raises `InvalidInputError` if not a JSON object."""
     try:
         fields = orjson.loads(content)
     except orjson.JSONDecodeError as error:
@@ -74,15 +74,15 @@
 def decode_spec(kind: str, name: str, content: bytes) -> Checked:
     """Return the typed spec of a row; raises `InvalidInputError`.
 
-    Only rows that a reducer accepted are decoded here, so the fast path skips the checks that
-    produce readable messages.
+    Only rows that a reducer accepted are decoded here. So the fast decoder is used, without the
+    checks that produce detailed messages.
     """
     row = row_id(kind, name)
     fields = decode_fields(row, content)
     try:
         return SPEC_BY_KIND[kind].from_dict(fields)
     except Exception as error:
-        # The decoder raises many types; whichever it is, this release cannot read the row.
+        # The decoder raises many exception types; each means that this release cannot read the row.
         raise InvalidInputError(
             f"intent row {row} cannot be read: {error}", "run the same release on every machine"
         ) from error
@@ -94,7 +94,7 @@
 
 
 def encode_intent(intent: Intent) -> dict[str, bytes]:
-    """Return the rows of an intent, with every field written out."""
+    """Return the rows of an intent, with every field, also those equal to their defaults."""
     rows = {}
     for kind, table in TABLE_BY_KIND.items():
         for name, spec in getattr(intent, table).items():
@@ -103,7 +103,7 @@
 
 
 class IntentDecoder:
-    """Keeps the typed intent of a changing set of rows; decodes only rows that changed."""
+    """Maintains the typed intent of a changing set of rows; decodes only rows that changed."""
 
     def __init__(self) -> None:
         self._rows: dict[str, bytes] = {}
@@ -111,20 +111,19 @@
 
     @property
     def intent(self) -> Intent:
-        """The intent at the last successful update."""
+        """The intent as of the last successful update."""
         return self._intent
 
     def update(
         self, version: int, rows: Mapping[str, bytes], changed: Iterable[str] | None = None
     ) -> Intent:
-        """Return the intent of `rows`; an unreadable row leaves the last intent in place.
+        """Return the intent of `rows`; for an unreadable row it raises and keeps the last intent.
 
         Parameters
         ----------
         version : version of the rows.
         rows : every row of the intent.
-        changed : ids of the rows that may differ from the last update, where the caller knows
-            them; otherwise every row is compared.
+        changed : ids of the rows that may differ from the last update; None compares every row.
         """
         candidates = self._differing_rows(rows) if changed is None else changed
         contents = {row: rows.get(row) for row in candidates}
@@ -140,9 +139,9 @@
         return differing
 
     def _apply(self, version: int, contents: Mapping[str, bytes | None]) -> Intent:
-        """Decode changed rows (None: deleted) and return the new intent.
+        """Decode changed rows (None if deleted) and return the new intent.
 
-        The tables are copied on write: an intent that was returned before never changes.
+        The tables are copied on write: an intent that was returned earlier never changes.
         """
         tables: dict[str, Any] = {}
         for row, content in contents.items():
@@ -154,7 +153,7 @@
                 tables[table].pop(name, None)
             else:
                 tables[table][name] = decode_spec(kind, name, content)
-        # Nothing of this object changes before every row was read.
+        # The state is modified only after every row was decoded.
         self._intent = attrs.evolve(self._intent, version=version, **tables)
         for row, content in contents.items():
             if content is None:
--- a/src/zincvale/controlplane/intent/validation/fields.py
+++ b/src/zincvale/controlplane/intent/validation/fields.py
@@ -1,4 +1,4 @@
-"""Rules on the fields of one resource: sizes, limits, paths, addresses."""
+"""Rules on the fields of a single resource: sizes, limits, paths, addresses."""
 
 from __future__ import annotations
 
@@ -21,16 +21,19 @@
 )
 
 MAX_DEADLINE_MS = 24 * 3_600 * 1_000
-"""Longest deadline that a route may declare, one day."""
+"""Longest deadline that a route may declare: one day."""
 MAX_WEIGHT_BYTES = 2**50
-"""No model has a pebibyte: a larger size is a slip of units."""
+"""Largest declared size of weights.
+
+No model is as large as a pebibyte; a larger value is a mistaken unit.
+"""
 MAX_PATH_CHARACTERS = 256
-"""Longest path of a route."""
+"""Longest path that a route may declare."""
 
 RESERVED_PATHS = frozenset({"/ready", "/healthz", "/metrics"})
-"""Paths that every node serves itself."""
+"""Paths that every node serves itself and that no route may declare."""
 RESERVED_PATH_PREFIXES = ("/v1/traces", "/v1/requests", "/peer")
-"""Beginnings of the paths that every node serves itself."""
+"""Prefixes of paths that every node serves itself and that no route may declare."""
 
 _PATH = re.compile(r"(/[A-Za-z0-9._~-]+)+")
 
@@ -38,22 +41,22 @@
 def check_fields(
     kind: str, name: str, fields: Mapping[str, Any], known_policies: frozenset[str] | None
 ) -> Checked:
-    """Return the typed spec of declared `fields`; raises `InvalidInputError` for the first bad one.
+    """Return the typed spec of `fields`; raises `InvalidInputError` for the first invalid one.
 
     Parameters
     ----------
     kind, name : the resource.
     fields : its declared fields.
-    known_policies : names a pool may list; None accepts every name.
+    known_policies : names that a pool may list; None accepts every name.
     """
     where = f"{kind} {name}: spec"
     spec = read_checked(SPEC_BY_KIND[kind], fields, where)
     if isinstance(spec, PoolSpec):
         _check_pool(spec, where, known_policies)
     else:
-        rule = _RULE_BY_SPEC.get(type(spec))
-        if rule is not None:
-            rule(spec, where)
+        check = _CHECK_BY_SPEC.get(type(spec))
+        if check is not None:
+            check(spec, where)
     return spec
 
 
@@ -62,18 +65,18 @@
 
 
 def _check_pool(spec: PoolSpec, where: str, known_policies: frozenset[str] | None) -> None:
-    _at_least(spec.max_concurrent_per_server, 1, where, "max_concurrent_per_server")
-    _at_least(
+    _check_at_least(spec.max_concurrent_per_server, 1, where, "max_concurrent_per_server")
+    _check_at_least(
         spec.max_requests_per_second_per_server, 0, where, "max_requests_per_second_per_server"
     )
-    _at_least(spec.max_queue, 0, where, "max_queue")
+    _check_at_least(spec.max_queue, 0, where, "max_queue")
     _refuse_repeats(spec.policies, where, "policies")
     if known_policies is None:
         return
     for policy in spec.policies:
         if policy not in known_policies:
             raise InvalidInputError(
-                f"{where}: policies names {policy!r}, which is no policy",
+                f"{where}: policies names {policy!r}, which is not a known policy",
                 f"use any of {', '.join(sorted(known_policies))}",
             )
 
@@ -88,9 +91,9 @@
         raise InvalidInputError(
             f"{where}: path {spec.path!r} is served by the node itself", "choose another path"
         )
-    _at_least(spec.deadline_ms, 1, where, "deadline_ms")
-    _at_most(spec.deadline_ms, MAX_DEADLINE_MS, where, "deadline_ms")
-    _at_least(spec.max_concurrent, 1, where, "max_concurrent")
+    _check_at_least(spec.deadline_ms, 1, where, "deadline_ms")
+    _check_at_most(spec.deadline_ms, MAX_DEADLINE_MS, where, "deadline_ms")
+    _check_at_least(spec.max_concurrent, 1, where, "max_concurrent")
     _refuse_repeats(spec.models, where, "models")
 
 
@@ -98,16 +101,16 @@
     if not is_address(spec.address):
         raise InvalidInputError(
             f"{where}: address {spec.address!r} is not `ip:port`",
-            "write an IP number and a port, not a host name",
+            "write an IP address and a port, not a host name",
         )
-    _at_least(spec.bytes_per_second, 1, where, "bytes_per_second")
-    _at_least(spec.max_concurrent_loads, 1, where, "max_concurrent_loads")
+    _check_at_least(spec.bytes_per_second, 1, where, "bytes_per_second")
+    _check_at_least(spec.max_concurrent_loads, 1, where, "max_concurrent_loads")
 
 
 def _check_model(spec: ModelSpec, where: str) -> None:
     _check_weight(spec.weight_bytes, where)
-    _at_least(spec.kv_bytes_per_token, 0, where, "kv_bytes_per_token")
-    _at_least(spec.min_replicas, 0, where, "min_replicas")
+    _check_at_least(spec.kv_bytes_per_token, 0, where, "kv_bytes_per_token")
+    _check_at_least(spec.min_replicas, 0, where, "min_replicas")
 
 
 def _check_adapter(spec: AdapterSpec, where: str) -> None:
@@ -115,16 +118,16 @@
 
 
 def _check_weight(weight_bytes: int, where: str) -> None:
-    _at_least(weight_bytes, 1, where, "weight_bytes")
-    _at_most(weight_bytes, MAX_WEIGHT_BYTES, where, "weight_bytes")
+    _check_at_least(weight_bytes, 1, where, "weight_bytes")
+    _check_at_most(weight_bytes, MAX_WEIGHT_BYTES, where, "weight_bytes")
 
 
-def _at_least(value: float, lowest: float, where: str, field: str) -> None:
+def _check_at_least(value: float, lowest: float, where: str, field: str) -> None:
     if not value >= lowest:
         raise InvalidInputError(f"{where}: {field} is {value}", f"write {lowest} or more")
 
 
-def _at_most(value: float, highest: float, where: str, field: str) -> None:
+def _check_at_most(value: float, highest: float, where: str, field: str) -> None:
     if not value <= highest:
         raise InvalidInputError(f"{where}: {field} is {value}", f"write {highest} or less")
 
@@ -139,7 +142,7 @@
         seen.add(value)
 
 
-_RULE_BY_SPEC: dict[type[Checked], Callable[[Any, str], None]] = {
+_CHECK_BY_SPEC: dict[type[Checked], Callable[[Any, str], None]] = {
     ZoneSpec: _check_zone,
     RouteSpec: _check_route,
     StoreSpec: _check_store,
--- a/src/zincvale/controlplane/intent/validation/references.py
+++ b/src/zincvale/controlplane/intent/validation/references.py
@@ -1,4 +1,4 @@
-"""Which fields of a resource name other resources, and whether those exist."""
+"""Finds the references between resources and checks that their targets exist."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     "Model": {"pool": "Pool", "store": "Store"},
     "Adapter": {"base_model": "Model", "store": "Store"},
 }
-"""For each kind, the fields that name resources and the kind that each names."""
+"""For each kind with references: the fields that name resources, with the kind of the target."""
 
 REFERRING_KINDS: dict[str, list[str]] = {
     target: [kind for kind, fields in TARGET_KIND_BY_FIELD.items() if target in fields.values()]
     for target in ("Pool", "Store", "Model")
 }
-"""For each kind that is named, the kinds that name it."""
+"""For each kind that is referenced, the kinds that refer to it."""
 
 _PREFIX_BY_FIELD: dict[str, list[tuple[str, str]]] = {
     kind: [(field, f"{target}/") for field, target in fields.items()]
@@ -30,7 +30,7 @@
 
 
 def references_of(kind: str, fields: Mapping[str, Any]) -> Iterator[tuple[str, str]]:
-    """Yield field and row id of each reference in the declared fields of a resource."""
+    """Yield the field and the target's row id of each reference in a resource's fields."""
     for field, prefix in _PREFIX_BY_FIELD.get(kind, ()):
         value = fields.get(field)
         if isinstance(value, str):
@@ -43,19 +43,19 @@
 def check_references(
     kind: str, name: str, fields: Mapping[str, Any], proposed: ProposedRows
 ) -> None:
-    """Raise `InvalidInputError` for the first reference that names nothing."""
+    """Raise `InvalidInputError` for the first reference whose target does not exist."""
     for field, row in references_of(kind, fields):
         if row not in proposed:
-            raise _dangling(kind, name, field, row, proposed)
+            raise _dangling_reference_error(kind, name, field, row, proposed)
 
 
-def _dangling(
+def _dangling_reference_error(
     kind: str, name: str, field: str, row: str, proposed: ProposedRows
 ) -> InvalidInputError:
     target_kind, _, target_name = row.partition("/")
     target = f"{target_kind} {target_name}"
     if kind == "Adapter" and target_kind == "Model" and row_id("Adapter", target_name) in proposed:
-        return _stacked_adapter(name, target_name, proposed)
+        return _stacked_adapter_error(name, target_name, proposed)
     if proposed.deletes(row):
         return InvalidInputError(
             f"{target} cannot be deleted: {kind} {name} names it in spec.{field}",
@@ -68,7 +68,7 @@
     return InvalidInputError(problem, f"declare {target} in the same change, or name another")
 
 
-def _stacked_adapter(name: str, base: str, proposed: ProposedRows) -> InvalidInputError:
+def _stacked_adapter_error(name: str, base: str, proposed: ProposedRows) -> InvalidInputError:
     chain = [name]
     following: str | None = base
     while following is not None and following not in chain:
@@ -79,7 +79,7 @@
         problem = f"Adapter {name}: spec.base_model runs in a cycle: {path}"
     else:
         problem = f"Adapter {name}: spec.base_model names an adapter: {path}"
-    return InvalidInputError(problem, "name a Model; an adapter goes on a base model only")
+    return InvalidInputError(problem, "name a Model; the base of an adapter must be a model")
 
 
 def _base_adapter(name: str, proposed: ProposedRows) -> str | None:
--- a/src/zincvale/controlplane/intent/validation/resources.py
+++ b/src/zincvale/controlplane/intent/validation/resources.py
@@ -1,4 +1,4 @@
-"""Rules between resources, beyond that each reference names an existing resource."""
+"""Rules between resources, apart from the existence of references' targets."""
 
 from __future__ import annotations
 
@@ -16,30 +16,34 @@
 from zincvale.model.resources import PoolKind
 
 _UNIQUE_FIELD_BY_KIND = {"Route": "path", "Store": "address"}
-"""A path leads to one route; a store under two names would be pulled beyond its bandwidth."""
+"""Fields whose values must differ between all resources of the kind.
+
+A path selects one route. Loads from a store that is declared under two names would exceed its
+bandwidth.
+"""
 
 MAX_PREFILTER_NAMES = 8
-"""Most names that are searched for in a row's bytes before it is decoded.
+"""Limit on the names that are searched for in a row's bytes before the row is decoded.
 
-Above it every row is decoded; the result of a check is the same either way, only slower.
+With more names every row is decoded; the result is the same but slower to compute.
 """
 
 _DEFAULT_POOL_KIND = PoolKind.LANGUAGE_MODEL.value
 
 
 def check_resource(kind: str, name: str, fields: Mapping[str, Any], proposed: ProposedRows) -> None:
-    """Raise `InvalidInputError` when a resource does not fit the resources that it names."""
+    """Raise `InvalidInputError` if a resource is inconsistent with those that it references."""
     check_references(kind, name, fields, proposed)
     if kind == "Route":
         _check_route(name, fields, proposed)
     if kind == "Model":
         _check_model(name, fields, proposed)
     if kind == "Adapter" and row_id("Model", name) in proposed:
-        raise _shared_name(name)
+        raise _shared_name_error(name)
 
 
 def check_unique_fields(proposed: ProposedRows) -> None:
-    """Raise `InvalidInputError` when two resources claim one path or store address."""
+    """Raise `InvalidInputError` if two routes have one path or two stores one address."""
     for kind, field in _UNIQUE_FIELD_BY_KIND.items():
         written = [row for row in proposed.written() if row.kind == kind]
         if written:
@@ -47,10 +51,10 @@
 
 
 def check_referrers(proposed: ProposedRows) -> None:
-    """Raise `InvalidInputError` when an unchanged resource no longer fits what it names.
+    """Raise `InvalidInputError` if an unchanged resource is inconsistent with a changed target.
 
-    Costs a pass over the referring kinds, made only when a change deletes a resource or moves one
-    to another pool or pool kind.
+    Iterates over the referring kinds, but only if a change deletes a resource, moves a model to
+    another pool or changes the kind of a pool.
     """
     targets_by_kind: dict[str, list[str]] = {}
     for row in proposed.changed:
@@ -61,7 +65,7 @@
 
 
 def _check_referrers_of(kind: str, targets: frozenset[str], proposed: ProposedRows) -> None:
-    may_refer = _content_prefilter(targets)
+    may_refer = _reference_prefilter(targets)
     for row, content in proposed.unchanged(kind):
         if not may_refer(content):
             continue
@@ -70,10 +74,10 @@
             check_resource(kind, row.partition("/")[2], fields, proposed)
 
 
-def _content_prefilter(targets: Collection[str]) -> Callable[[bytes], bool]:
-    """Return a test on a row's JSON that is true whenever the row may name one of `targets`.
+def _reference_prefilter(targets: Collection[str]) -> Callable[[bytes], bool]:
+    """Return a predicate on a row's JSON that is true if the row may refer to one of `targets`.
 
-    Names need no escapes in JSON (`change_body.read_name`).
+    It compares bytes: valid names contain nothing that JSON escapes (`change_body.read_name`).
     """
     quoted = [f'"{row.partition("/")[2]}"'.encode() for row in targets]
     if len(quoted) == 1:
@@ -85,7 +89,7 @@
 
 
 def _kinds_to_recheck(row: str, proposed: ProposedRows) -> list[str]:
-    """Return the kinds whose resources must be checked again when they name `row`."""
+    """Return the kinds whose resources must be checked again if they refer to `row`."""
     kind = row.partition("/")[0]
     if proposed.deletes(row):
         return REFERRING_KINDS.get(kind, [])
@@ -127,7 +131,7 @@
 
 def _check_model(name: str, fields: Mapping[str, Any], proposed: ProposedRows) -> None:
     if row_id("Adapter", name) in proposed:
-        raise _shared_name(name)
+        raise _shared_name_error(name)
     if _pool_kind(proposed.fields(row_id("Pool", fields["pool"]))) == PoolKind.LOOKUP.value:
         raise InvalidInputError(
             f"Model {name}: spec.pool names Pool {fields['pool']}, which serves lookups",
@@ -135,9 +139,10 @@
         )
 
 
-def _shared_name(name: str) -> InvalidInputError:
+def _shared_name_error(name: str) -> InvalidInputError:
     return InvalidInputError(
-        f"Model {name} and Adapter {name} share a name", "servers tell them apart by name: rename"
+        f"Model {name} and Adapter {name} share a name",
+        "servers distinguish models and adapters by name only: rename one of them",
     )
 
 
@@ -155,6 +160,6 @@
         other = claimed.setdefault(value, name)
         if other != name:
             raise InvalidInputError(
-                f"{kind} {other}: spec.{field} {value!r} is that of {kind} {name} as well",
+                f"{kind} {other}: spec.{field} {value!r} is also that of {kind} {name}",
                 f"no two resources of kind {kind} may have the same {field}",
             )
