--- a/src/zincvale/controlplane/documents/api.py
+++ b/src/zincvale/controlplane/documents/api.py
@@ -1,11 +1,11 @@
 """The operators' calls about the forwarding document, as a pure state machine.
 
-A dialect reads requests into commands and writes responses; this module carries changes to the
-owner of the document and completes reads only with what is certainly the newest: before a read is
-completed, the owner confirms the current version by a quorum (a linearizable read).
+A dialect decodes requests into commands and encodes responses; this module sends changes to the
+owner of the document. Reads are linearizable: before a read is completed, the owner confirms the
+current version with a quorum, and the response shows that version or a newer one.
 
-A change gets `not-confirmed` from `coordination.registers.proposal_router` after its limit. If the
-core gives no result at all, it gets `unavailable`, and then the change may be in force as well.
+A change gets `not-confirmed` from `coordination.registers.proposal_router` after its time limit. If
+the core returns no result, the change gets `unavailable`; it may be in force in both cases.
 """
 
 from __future__ import annotations
@@ -29,22 +29,22 @@
 from zincvale.model.errors import UnavailableError, ZincvaleError
 
 CALL_TIMEOUT_S = 4.5
-"""After this a call gets an error; longer than the core's own limit on a change (4 s by default),
-so that its result arrives first where there is one."""
+"""Time after which a call gets an error; longer than the core's own limit on a change (4 s by
+default), so that a result of the core arrives first."""
 MAX_PENDING_CALLS = 1_000
-"""Calls that wait for the core; it bounds memory while the owner is unreachable."""
+"""Limit on the calls that wait for the core; it bounds memory while the owner is unreachable."""
 NO_VERSION = -1
-"""A base that no version has: the owner replies with the current version and changes nothing."""
+"""A base version that never exists: the owner replies with the current version as a conflict."""
 
 
 @attrs.frozen
 class ReadDocument:
-    """Read the newest document back."""
+    """Read the newest document."""
 
 
 @attrs.frozen
 class ChangeDocument:
-    """Change the document, or evacuate or open a zone."""
+    """Change the document, or evacuate a zone or return it to service."""
 
     change: DocumentChange | EvacuationChange
 
@@ -68,7 +68,7 @@
         ...
 
     def error_response(self, token: str, error: ZincvaleError) -> ApiResponse:
-        """Return the response that shows an error."""
+        """Return the response for an error."""
         ...
 
 
@@ -76,7 +76,7 @@
     """State of the local core."""
 
     def intent_rows(self) -> KeyView:
-        """Return the newest chosen rows known here."""
+        """Return the newest chosen rows that this core knows."""
         ...
 
 
@@ -87,16 +87,16 @@
     command: Command
     deadline: float
     needed_version: int | None = None
-    """Of a read: the version that it must show at least, once the owner confirmed one."""
+    """For a read: the version that the owner confirmed, the oldest that the response may show."""
 
 
 class DocumentApi:
-    """Operators' calls at one core.
+    """Handles the operators' calls to one core.
 
     Parameters
     ----------
-    view : state of the local core, read at the moment of each response.
-    name : unique name of this process, for calls whose content is no idempotency key.
+    view : state of the local core, read when each response is made.
+    name : unique name of this process, used in idempotency keys of reads and evacuations.
     """
 
     def __init__(self, view: DocumentView, dialect: OperatorDialect, name: str) -> None:
@@ -107,41 +107,41 @@
         self._pending: dict[str, _PendingCall] = {}
 
     def handle(self, request: ApiRequest, now: float) -> list[ApiEffect]:
-        """Take one request; its `ApiResponse` is among these effects or those of a later input."""
+        """Handle one request; its `ApiResponse` is among the effects of this or a later input."""
         try:
             command = self._dialect.read(request)
             if len(self._pending) >= MAX_PENDING_CALLS:
-                raise UnavailableError("this core carries too many calls", "ask another core")
+                raise UnavailableError("this core has too many pending calls", "ask another core")
         except ZincvaleError as error:
             return [self._dialect.error_response(request.token, error)]
         self._pending[request.token] = _PendingCall(command, now + CALL_TIMEOUT_S)
         return [CallCore(request.token, self._proposal(command))]
 
     def on_core_response(self, token: str, message: object) -> list[ApiEffect]:
-        """Take the core's response to `CallCore(token, ...)`."""
+        """Handle the core's response to `CallCore(token, ...)`."""
         pending = self._pending.get(token)
         if pending is None:
             return []
         if not isinstance(message, ChangeResult):
-            return self._fail(token, "the core gave no usable answer")
+            return self._fail(token, "the core returned an unexpected message")
         if isinstance(pending.command, ChangeDocument):
             del self._pending[token]
             return [self._dialect.change_response(token, message)]
         if message.status != CONFLICT:
-            return self._fail(token, "no quorum tells the newest version now")
+            return self._fail(token, "no quorum confirmed the newest version")
         pending.needed_version = message.current_version
         return self._complete_reads()
 
     def on_core_failure(self, token: str, reason: str) -> list[ApiEffect]:
-        """Take notice that `CallCore(token, ...)` gets no response."""
+        """Handle the notice that `CallCore(token, ...)` gets no response."""
         return self._fail(token, reason) if token in self._pending else []
 
     def abandon(self, token: str) -> None:
-        """Forget a request whose client disconnected; its change goes on."""
+        """Forget a request whose client disconnected; its change is not cancelled."""
         self._pending.pop(token, None)
 
     def on_intent_changed(self, now: float) -> list[ApiEffect]:
-        """Complete the reads that waited for the version that has just arrived."""
+        """Complete the reads whose needed version this core has now."""
         return self._complete_reads()
 
     def tick(self, now: float) -> list[ApiEffect]:
@@ -153,14 +153,14 @@
         return effects
 
     def _proposal(self, command: Command) -> ProposeChange:
-        """Return the message to the owner; that of a read changes nothing."""
-        own_id = f"{self._name}:{next(self._call_numbers)}"
+        """Return the proposal for the owner; for a read it is one that changes nothing."""
+        unique_key = f"{self._name}:{next(self._call_numbers)}"
         if isinstance(command, ReadDocument):
-            return ProposeChange(INTENT_KEY, own_id, NO_VERSION, b"")
+            return ProposeChange(INTENT_KEY, unique_key, NO_VERSION, b"")
         content = encode_change(command.change)
         if isinstance(command.change, EvacuationChange):
-            # It sets a state, so that each call is a change of its own.
-            return ProposeChange(INTENT_KEY, own_id, None, content)
+            # An evacuation sets a state: equal calls at different times are different changes.
+            return ProposeChange(INTENT_KEY, unique_key, None, content)
         return ProposeChange(INTENT_KEY, change_identity(content), None, content)
 
     def _complete_reads(self) -> list[ApiEffect]:
@@ -179,5 +179,5 @@
 
     def _fail(self, token: str, reason: str) -> list[ApiEffect]:
         self._pending.pop(token, None)
-        error = UnavailableError(reason, "send the same call again, to any core")
+        error = UnavailableError(reason, "send the same request again, to any core")
         return [self._dialect.error_response(token, error)]
--- a/src/zincvale/controlplane/documents/changes.py
+++ b/src/zincvale/controlplane/documents/changes.py
@@ -1,7 +1,7 @@
-"""Changes of the forwarding document, as they travel to the owner of its key.
+"""Changes of the forwarding document, as they are sent to the owner of its key.
 
-An operator's dialect reads what was sent into these types; `source` is the item as the operator
-wrote it, stored unchanged so that it can be read back.
+An operator dialect decodes requests into these types; `source` is an item as the operator wrote it,
+stored unchanged so that it can be read back.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class DeclaredRoute:
-    """A route and what the operator wrote."""
+    """A route, decoded and as the operator wrote it."""
 
     spec: ForwardRoute
     source: Any
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class DeclaredPool:
-    """A pool and what the operator wrote."""
+    """A pool, decoded and as the operator wrote it."""
 
     spec: ForwardPool
     source: Any
@@ -43,11 +43,11 @@
     Attributes
     ----------
     base : number of the document that the change was built on.
-    number : number of the document that the change makes.
-    is_complete : the routes and pools listed are all there are; otherwise the change is a patch.
-    removed_routes, removed_pools : names that a patch takes away.
-    limits : what callers may send; None leaves the limits as they are.
-    other : what else the operator wrote at the top of the document.
+    number : number of the document that the change creates.
+    is_complete : whether the change lists every route and pool; otherwise it is a patch.
+    removed_routes, removed_pools : names that a patch removes.
+    limits : limits on callers; None leaves them unchanged in a patch and resets them otherwise.
+    other : all other top-level fields of the document, as the operator wrote them.
     """
 
     base: int
@@ -64,14 +64,14 @@
 
 @attrs.frozen
 class EvacuationChange:
-    """Evacuate a zone, or open it to requests again."""
+    """Evacuate a zone, or return it to service."""
 
     zone: str
     evacuated: bool
 
 
 def encode_change(change: DocumentChange | EvacuationChange) -> bytes:
-    """Return a change as the owner's reducer takes it; equal changes are equal bytes."""
+    """Return a change encoded for the owner's reducer; equal changes are equal bytes."""
     if isinstance(change, EvacuationChange):
         return orjson.dumps(
             {"mode": EVACUATE, "zone": change.zone, "evacuated": change.evacuated},
@@ -81,13 +81,13 @@
         "mode": REPLACE if change.is_complete else PATCH,
         "base": change.base,
         "number": change.number,
-        "routes": [_declared(each.spec.to_dict(), each.source) for each in change.routes],
-        "pools": [_declared(each.spec.to_dict(), each.source) for each in change.pools],
+        "routes": [_item_to_json(each.spec.to_dict(), each.source) for each in change.routes],
+        "pools": [_item_to_json(each.spec.to_dict(), each.source) for each in change.pools],
         "removed_routes": list(change.removed_routes),
         "removed_pools": list(change.removed_pools),
         "limits": None
         if change.limits is None
-        else _declared(change.limits.to_dict(), change.limits_source),
+        else _item_to_json(change.limits.to_dict(), change.limits_source),
         "other": change.other,
     }
     return orjson.dumps(plain, option=orjson.OPT_SORT_KEYS)
@@ -99,10 +99,12 @@
         plain = orjson.loads(content)
     except orjson.JSONDecodeError as error:
         raise MalformedBodyError(
-            f"the change is not JSON: {error}", "send it again whole"
+            f"the change is not JSON: {error}", "send the complete change again"
         ) from error
     if not isinstance(plain, dict):
-        raise MalformedBodyError("the change is not a JSON object", "send it again whole")
+        raise MalformedBodyError(
+            "the change is not a JSON object", "send the complete change again"
+        )
     return plain
 
 
@@ -111,5 +113,5 @@
     return xxhash.xxh3_128_hexdigest(change)
 
 
-def _declared(spec: dict[str, Any], source: object) -> dict[str, Any]:
+def _item_to_json(spec: dict[str, Any], source: object) -> dict[str, Any]:
     return {"spec": spec, "source": source}
--- a/src/zincvale/controlplane/documents/derived_intent.py
+++ b/src/zincvale/controlplane/documents/derived_intent.py
@@ -1,7 +1,8 @@
 """The intent that placement follows, derived from a forwarding document.
 
-Every pool with an engine is a pool of language-model servers with one weight store; its models and
-their adapters are declared resources. Unchanged parts of the document give the same objects.
+Each pool with an engine becomes a pool of language-model servers with one store for weights and one
+for adapters; its models and their adapters become declared resources. Unchanged pools of the
+document yield the same objects again.
 """
 
 from __future__ import annotations
@@ -28,15 +29,16 @@
 
 REQUESTS_PER_REPLICA = 8
 """Concurrent requests that one replica of a model serves within usual objectives; an engine has
-more slots, but reads prompts one after the other."""
+more slots, but processes prompts one after the other."""
 MAX_CONCURRENT_ADAPTER_LOADS = 256
 ADAPTER_BYTES_PER_S = 100_000_000_000
-"""Adapters load in milliseconds: their store is declared with limits that do not delay them."""
+"""Bandwidth of an adapter store. Adapters load in milliseconds, so that this and
+`MAX_CONCURRENT_ADAPTER_LOADS` are set high enough never to delay a load."""
 
 
 @attrs.frozen
 class StoreConfig:
-    """How many loads a store allows: `over` times its rate in any `window_s`."""
+    """Limit on the loads from a store: in any `window_s`, `over` times what its rate allows."""
 
     window_s: float = 5.0
     over: float = 1.0
@@ -44,7 +46,7 @@
 
 @attrs.define
 class _PoolResources:
-    """The resources derived from one pool, reused while its declaration is the same object."""
+    """The resources derived from one pool, reused while the pool's spec is the same object."""
 
     spec: ForwardPool
     pool: PoolSpec
@@ -55,7 +57,7 @@
 
 
 class DocumentIntent:
-    """Keeps the derived intent of a changing document; derives only pools that changed."""
+    """Derives the intent from a changing document; only pools that changed are derived again."""
 
     def __init__(self, config: StoreConfig) -> None:
         self._config = config
@@ -69,7 +71,7 @@
             if cached is not None and cached.spec is spec:
                 known[name] = cached
             elif spec.engine is not None:
-                known[name] = self._resources(name, spec, spec.engine)
+                known[name] = self._derive_resources(name, spec, spec.engine)
         self._known = known
         models: dict[ModelName, ModelSpec] = {}
         adapters: dict[AdapterName, AdapterSpec] = {}
@@ -79,7 +81,7 @@
         stores: dict[StoreName, StoreSpec] = {}
         for name, each in known.items():
             stores[StoreName(name)] = each.store
-            stores[StoreName(_adapter_store(name))] = each.adapter_store
+            stores[StoreName(_adapter_store_name(name))] = each.adapter_store
         return Intent(
             version=document.version,
             zones={ZoneName(zone): ZoneSpec(evacuated=True) for zone in document.evacuated},
@@ -89,7 +91,7 @@
             adapters=adapters,
         )
 
-    def _resources(self, name: str, spec: ForwardPool, engine: Engine) -> _PoolResources:
+    def _derive_resources(self, name: str, spec: ForwardPool, engine: Engine) -> _PoolResources:
         models: dict[ModelName, ModelSpec] = {}
         adapters: dict[AdapterName, AdapterSpec] = {}
         for model, each in engine.models.items():
@@ -102,7 +104,7 @@
             )
             for adapter in each.adapters:
                 adapters[AdapterName(f"{model}/{adapter}")] = AdapterSpec(
-                    model, each.adapter_bytes, store=_adapter_store(name)
+                    model, each.adapter_bytes, store=_adapter_store_name(name)
                 )
         pool = PoolSpec(
             kind=PoolKind.LANGUAGE_MODEL,
@@ -110,10 +112,10 @@
             adapter_slots=engine.adapter_slots,
         )
         return _PoolResources(
-            spec, pool, self._store(engine), _store_of_adapters(), models, adapters
+            spec, pool, self._weight_store_spec(engine), _adapter_store_spec(), models, adapters
         )
 
-    def _store(self, engine: Engine) -> StoreSpec:
+    def _weight_store_spec(self, engine: Engine) -> StoreSpec:
         config = self._config
         largest = max((each.weight_bytes for each in engine.models.values()), default=1)
         per_window = int(engine.loads_per_s * config.window_s * config.over)
@@ -126,15 +128,15 @@
         )
 
 
-def _adapter_store(pool: str) -> str:
-    """Return the name of the store that a pool's adapters come from.
+def _adapter_store_name(pool: str) -> str:
+    """Return the name of the store that a pool's adapters are loaded from.
 
-    Adapters load in milliseconds, and the weights' store does not count them.
+    Adapters load in milliseconds and do not count towards the limits of the store for weights.
     """
     return f"{pool}/adapters"
 
 
-def _store_of_adapters() -> StoreSpec:
+def _adapter_store_spec() -> StoreSpec:
     return StoreSpec(
         address="",
         bytes_per_second=ADAPTER_BYTES_PER_S,
@@ -143,7 +145,7 @@
 
 
 def _loads_at_full_speed(engine: Engine) -> int:
-    """Return how many concurrent loads use the store's full rate: more slow each other down."""
+    """Return how many concurrent loads use the store's full rate; more would slow each other."""
     times = [each.load_s for each in engine.models.values()]
     mean_s = sum(times) / max(1, len(times))
     return max(1, int(engine.loads_per_s * mean_s))
--- a/src/zincvale/controlplane/documents/reducer.py
+++ b/src/zincvale/controlplane/documents/reducer.py
@@ -1,7 +1,8 @@
 """Reducer of the forwarding document: checks a change against the rows and returns the new rows.
 
-Pure and stateless: the same rows and change give the same result on every core. A change is
-built on a document number; of two that were built on the same number one wins.
+Pure and stateless: the same rows and change give the same result on every core. A change names the
+number of the document that it was built on; of two changes with the same base number only one is
+accepted.
 """
 
 from __future__ import annotations
@@ -29,22 +30,22 @@
     POOL_PREFIX,
     ROUTE_PREFIX,
     encode_item,
-    item_order,
+    item_position,
     number_of,
 )
 from zincvale.coordination.changes import ChangeRefused, RowChange, Rows
 from zincvale.model.errors import InvalidInputError, VersionConflictError, ZincvaleError
 
-FIRST_ORDER = 0
-"""Order of the first item of a table, and of the limits, which have no order."""
+FIRST_POSITION = 0
+"""Position of the first item of a table; also stored for the limits, which have no position."""
 
 
 @attrs.frozen
 class DocumentReducer:
-    """The reducer, as the register of the document's key calls it."""
+    """Reducer of the forwarding document, called by the register of its key."""
 
     def __call__(self, rows: Rows, change: bytes) -> Result[list[RowChange], ChangeRefused]:
-        """Return the row changes of a change, or why it is refused."""
+        """Return the rows that a change puts or deletes, or why the change is refused."""
         try:
             changed = changed_rows(rows, change)
         except VersionConflictError as error:
@@ -55,14 +56,14 @@
 
 
 def changed_rows(rows: Mapping[str, bytes], change: bytes) -> dict[str, bytes | None]:
-    """Return new content by row id, None for removed rows; raises a `ZincvaleError`."""
+    """Return the new content by row id, None for removed rows; raises a `ZincvaleError`."""
     plain = decode_change(change)
     if plain["mode"] == EVACUATE:
         row = f"{EVACUATED_PREFIX}{plain['zone']}"
         return {row: EVACUATED if plain["evacuated"] else None}
     identity = change_identity(change).encode()
     if rows.get(LAST_CHANGE_ROW) == identity:
-        # A retry after its idempotency entry was dropped: it is what is in force.
+        # A retry of the change in force, whose idempotency entry was already removed.
         return {}
     _check_numbers(rows, plain)
     changed = _changed_items(rows, plain)
@@ -88,7 +89,7 @@
 
 
 def _changed_items(rows: Mapping[str, bytes], plain: Mapping[str, Any]) -> dict[str, bytes | None]:
-    """Return the rows of routes, pools and limits that the change makes different."""
+    """Return the rows of routes, pools, limits and other fields that the change modifies."""
     changed: dict[str, bytes | None] = {}
     is_complete = plain["mode"] == REPLACE
     for prefix, items, removed in (
@@ -98,7 +99,7 @@
         changed.update(_changed_table(rows, prefix, items, removed, is_complete=is_complete))
     if plain["limits"] is not None:
         limits = plain["limits"]
-        changed[LIMITS_ROW] = encode_item(FIRST_ORDER, limits["spec"], limits["source"])
+        changed[LIMITS_ROW] = encode_item(FIRST_POSITION, limits["spec"], limits["source"])
     elif is_complete and LIMITS_ROW in rows:
         changed[LIMITS_ROW] = None
     if is_complete:
@@ -116,16 +117,16 @@
 ) -> dict[str, bytes | None]:
     """Return the rows of one table after a change, None for removed ones.
 
-    A patch leaves an item that it names again at its order and appends new ones.
+    A patch keeps the position of an item that exists already and appends new items.
     """
     stored = {row: content for row, content in rows.items() if row.startswith(prefix)}
     changed: dict[str, bytes | None] = {f"{prefix}{name}": None for name in removed}
     if is_complete:
         changed.update(dict.fromkeys(stored))
-        next_order = FIRST_ORDER
+        next_position = FIRST_POSITION
     else:
-        next_order = max(
-            (item_order(content) + 1 for content in stored.values()), default=FIRST_ORDER
+        next_position = max(
+            (item_position(content) + 1 for content in stored.values()), default=FIRST_POSITION
         )
     named: set[str] = set()
     for item in items:
@@ -134,17 +135,17 @@
             raise InvalidInputError(f"{row} is declared twice", "declare each name once")
         named.add(row)
         if is_complete or row not in stored:
-            order, next_order = next_order, next_order + 1
+            position, next_position = next_position, next_position + 1
         else:
-            order = item_order(stored[row])
-        changed[row] = encode_item(order, item["spec"], item["source"])
+            position = item_position(stored[row])
+        changed[row] = encode_item(position, item["spec"], item["source"])
     return changed
 
 
 def _check_consistency(rows: Mapping[str, bytes], changed: Mapping[str, bytes | None]) -> None:
-    """Check what concerns several items: pools named by routes, and paths claimed twice.
+    """Check each route and its pools, and that no two routes have one host and path prefix.
 
-    Raises `InvalidInputError` for the first rule broken.
+    Raises `InvalidInputError` for the first broken rule.
     """
     after = {**rows, **changed}
     route_specs = {
@@ -171,10 +172,10 @@
                 "declare the pool or correct the name",
             )
         if share["weight"] < 0:
-            raise InvalidInputError(f"{row}: a weight is below 0", "use weights of 0 and more")
+            raise InvalidInputError(f"{row}: a weight is below 0", "use weights of 0 or more")
     if sum(share["weight"] for share in spec["split"]) <= 0:
         raise InvalidInputError(f"{row}: its weights add up to 0", "give one pool a weight above 0")
     if spec["timeout_s"] <= 0:
-        raise InvalidInputError(f"{row}: its time-out is 0", "give it a time-out above 0")
+        raise InvalidInputError(f"{row}: its time-out is not above 0", "give it a time-out above 0")
     if spec["attempts"] < 1:
         raise InvalidInputError(f"{row}: attempts is below 1", "allow at least one attempt")
--- a/src/zincvale/controlplane/documents/rows.py
+++ b/src/zincvale/controlplane/documents/rows.py
@@ -1,8 +1,8 @@
-"""Rows of the forwarding document in the control state, and the typed document of these rows.
+"""Rows of the forwarding document in the control state, and their typed form.
 
 Row ids: `number`, `last-change`, `limits`, `other`, `route/NAME`, `pool/NAME`, `evacuated/ZONE`.
-A route's or pool's row holds its order in the document (JSON `place`), its spec and what the
-operator wrote (JSON `source`).
+A route's or pool's row contains its position in the document (JSON `place`), its spec and the item
+as the operator wrote it (JSON `source`).
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 POOL_PREFIX = "pool/"
 EVACUATED_PREFIX = "evacuated/"
 EVACUATED = b"1"
-"""Content of the row of an evacuated zone; an open zone has no row."""
+"""Content of the row of an evacuated zone; a zone in service has no row."""
 
 
 def number_of(rows: Mapping[str, bytes]) -> int:
@@ -40,22 +40,22 @@
     return int(rows.get(NUMBER_ROW, b"0"))
 
 
-def encode_item(order: int, spec: Mapping[str, Any], source: object) -> bytes:
-    """Return the row of a route, a pool or the limits; `order` is its position in the document.
+def encode_item(position: int, spec: Mapping[str, Any], source: object) -> bytes:
+    """Return the row of a route, a pool or the limits; `position` is its index in the document.
 
-    Copied to its own size, as `intent.row_codec.encode_spec` does and for its reason.
+    Copied into bytes of the exact size, for the reason given at `intent.row_codec.encode_spec`.
     """
-    return bytes(memoryview(orjson.dumps({"place": order, "spec": spec, "source": source})))
+    return bytes(memoryview(orjson.dumps({"place": position, "spec": spec, "source": source})))
 
 
-def item_order(row: bytes) -> int:
+def item_position(row: bytes) -> int:
     """Return the position of an item in its document, from 0."""
     return int(orjson.loads(row)["place"])
 
 
 @attrs.frozen
 class SourceDocument:
-    """The document as operators wrote it, for reading back."""
+    """The document as operators wrote it, returned to readers."""
 
     number: int
     routes: list[Any]
@@ -69,21 +69,21 @@
     limits = rows.get(LIMITS_ROW)
     return SourceDocument(
         number=number_of(rows),
-        routes=_sources(rows, ROUTE_PREFIX),
-        pools=_sources(rows, POOL_PREFIX),
+        routes=_sources_in_order(rows, ROUTE_PREFIX),
+        pools=_sources_in_order(rows, POOL_PREFIX),
         limits=orjson.loads(limits)["source"] if limits is not None else None,
         other=orjson.loads(rows.get(OTHER_ROW, b"null")),
     )
 
 
-def _sources(rows: Mapping[str, bytes], prefix: str) -> list[Any]:
+def _sources_in_order(rows: Mapping[str, bytes], prefix: str) -> list[Any]:
     items = [orjson.loads(content) for row, content in rows.items() if row.startswith(prefix)]
     items.sort(key=lambda item: item["place"])
     return [item["source"] for item in items]
 
 
 class DocumentDecoder:
-    """Keeps the typed document of a changing set of rows; decodes only rows that changed."""
+    """Maintains the typed document of a changing set of rows; decodes only rows that changed."""
 
     def __init__(self) -> None:
         self._rows: dict[str, bytes] = {}
@@ -93,11 +93,11 @@
 
     @property
     def document(self) -> ForwardingDocument:
-        """The document at the last update."""
+        """The document as of the last successful update."""
         return self._document
 
     def update(self, version: int, rows: Mapping[str, bytes]) -> ForwardingDocument:
-        """Return the document of `rows`; raises `InvalidInputError` and keeps the last one."""
+        """Return the document of `rows`; for an unreadable row it raises and keeps the last one."""
         routes = self._decode_items(rows, ROUTE_PREFIX, self._routes, ForwardRoute)
         pools = self._decode_items(rows, POOL_PREFIX, self._pools, ForwardPool)
         limits = self._document.limits
@@ -141,7 +141,7 @@
     try:
         return spec_type.from_dict(orjson.loads(content)["spec"])
     except Exception as error:
-        # The decoder raises many types; whichever it is, this release cannot read the row.
+        # The decoder raises many exception types; each means that this release cannot read the row.
         raise InvalidInputError(
             f"document row {row} cannot be read: {error}", "run the same release on every machine"
         ) from error
--- a/src/zincvale/controlplane/status/cluster_snapshot.py
+++ b/src/zincvale/controlplane/status/cluster_snapshot.py
@@ -23,9 +23,9 @@
     Attributes
     ----------
     lagging : nodes with a live lease that applied only an older intent.
-    node_count : nodes with a live lease that reported a version.
+    node_count : number of nodes with a live lease that reported a version.
     servers_by_pool : observed servers by pool.
-    drains : progress of the servers out of service.
+    drains : progress of the drains of servers out of service.
     """
 
     intent: Intent
@@ -37,11 +37,11 @@
     now: float
 
     def is_drain_done(self, server: ServerId) -> bool:
-        """Whether the drain of a server out of service is complete."""
+        """Whether the server is out of service and its drain is complete."""
         return self.drains.is_done(server, self.now)
 
     def is_out_of_service(self, row: ServerRow) -> bool:
-        """Whether the intent keeps new requests away from a server."""
+        """Whether the intent excludes the server from new requests."""
         return self.is_drained(row.server) or self.is_evacuated(row)
 
     def is_drained(self, server: ServerId) -> bool:
@@ -62,7 +62,7 @@
         ]
 
     def largest_memory_bytes(self, pool: PoolName) -> int:
-        """Return the largest memory of the pool's servers; 0 when none was observed."""
+        """Return the largest memory size of the pool's servers; 0 if none was observed."""
         rows = self.servers_by_pool.get(pool, [])
         return max((row.memory_bytes for row in rows), default=0)
 
@@ -82,13 +82,13 @@
         directory=directory,
         lagging=tuple(sorted(lagging_nodes(view, intent))),
         node_count=len(view.applied_versions()),
-        servers_by_pool=_by_pool(directory.servers.values()),
+        servers_by_pool=_group_by_pool(directory.servers.values()),
         drains=drains,
         now=now,
     )
 
 
-def _by_pool(rows: Iterable[ServerRow]) -> dict[PoolName, list[ServerRow]]:
+def _group_by_pool(rows: Iterable[ServerRow]) -> dict[PoolName, list[ServerRow]]:
     by_pool: dict[PoolName, list[ServerRow]] = {}
     for row in rows:
         by_pool.setdefault(row.pool, []).append(row)
--- a/src/zincvale/controlplane/status/conditions.py
+++ b/src/zincvale/controlplane/status/conditions.py
@@ -1,4 +1,4 @@
-"""Conditions of a resource's status, as Kubernetes users know them."""
+"""Conditions of a resource's status, in the form that Kubernetes uses."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ConditionStatus(enum.Enum):
-    """Whether a condition is true; any status may follow any other."""
+    """Whether a condition is true; a condition may change from any status to any other."""
 
     TRUE = "True"
     FALSE = "False"
@@ -22,10 +22,10 @@
 
     Attributes
     ----------
-    type : the fact, for example `InForce`.
+    type : name of the fact, for example `InForce`.
     status : whether it is true.
-    reason : one word for programs.
-    message : one sentence for people.
+    reason : one word that programs may match.
+    message : explanation for operators.
     """
 
     type: str
@@ -43,34 +43,34 @@
         }
 
 
-def known(condition_type: str, reason: str, message: str, *, is_true: bool) -> Condition:
-    """Return a condition that is known to be true or known to be false."""
+def known_condition(condition_type: str, reason: str, message: str, *, is_true: bool) -> Condition:
+    """Return a condition whose status is known to be true or false."""
     status = ConditionStatus.TRUE if is_true else ConditionStatus.FALSE
     return Condition(condition_type, status, reason, message)
 
 
-def unknown(condition_type: str, reason: str, message: str) -> Condition:
-    """Return a condition of which nothing is known."""
+def unknown_condition(condition_type: str, reason: str, message: str) -> Condition:
+    """Return a condition whose status is unknown."""
     return Condition(condition_type, ConditionStatus.UNKNOWN, reason, message)
 
 
 ACCEPTED = "Accepted"
-"""The declaration was checked and is durable at a majority of the core's disks."""
+"""The declaration was checked and is durable on a majority of the cores' disks."""
 IN_FORCE = "InForce"
-"""Every node with a live lease applied a version that contains the declaration."""
+"""Every node with a live lease applied an intent version that contains the declaration."""
 READY = "Ready"
-"""Probes find the server ready."""
+"""According to its probes, the server is ready."""
 DRAINING = "Draining"
-"""The server takes nothing new and still runs requests."""
+"""The server gets no new requests, but may still run earlier ones."""
 DRAINED = "Drained"
-"""The server takes nothing new and runs nothing."""
+"""The server gets no new requests and runs none."""
 EVACUATING = "Evacuating"
-"""The zone's servers take nothing new and some still run requests."""
+"""The zone's servers get no new requests, but some may still run earlier ones."""
 EVACUATED = "Evacuated"
-"""The zone's servers take nothing new and run nothing."""
+"""The zone's servers get no new requests and run none."""
 SERVING = "Serving"
-"""At least one server in service can take a request."""
+"""At least one ready server of the pool is in service."""
 RESIDENT = "Resident"
-"""As many ready servers have it loaded as were declared, and at least one."""
+"""The declared number of ready servers, and at least one, have the model or adapter loaded."""
 FITS = "Fits"
-"""Some server of the pool has memory for it."""
+"""Some server of the pool has enough memory for the model or adapter."""
--- a/src/zincvale/controlplane/status/resource_status.py
+++ b/src/zincvale/controlplane/status/resource_status.py
@@ -6,19 +6,19 @@
 
 from zincvale.controlplane.status import conditions
 from zincvale.controlplane.status.cluster_snapshot import ClusterSnapshot
-from zincvale.controlplane.status.conditions import Condition, known, unknown
+from zincvale.controlplane.status.conditions import Condition, known_condition, unknown_condition
 from zincvale.controlplane.status.server_status import server_conditions, zone_conditions
 from zincvale.model.control_tables import ServerRow
 from zincvale.model.identifiers import AdapterName, ModelName, PoolName, RouteName
 
 MAX_NAMES_SHOWN = 5
-"""Longest list of names inside a message; the rest is counted."""
+"""Most names listed in a message; of the others only the number is given."""
 
 
 def conditions_of(
     kind: str, name: str, snapshot: ClusterSnapshot, *, is_declared: bool
 ) -> list[Condition]:
-    """Return the conditions of a resource; `is_declared` is whether the intent has it."""
+    """Return the conditions of a resource; `is_declared` tells whether the intent contains it."""
     shared = _declaration_conditions(snapshot) if is_declared else []
     conditions_of_kind = _CONDITIONS_BY_KIND.get(kind)
     return shared if conditions_of_kind is None else shared + conditions_of_kind(name, snapshot)
@@ -26,38 +26,40 @@
 
 def _declaration_conditions(snapshot: ClusterSnapshot) -> list[Condition]:
     version = snapshot.intent.version
-    accepted = known(
+    accepted = known_condition(
         conditions.ACCEPTED, "Durable", f"part of intent version {version}", is_true=True
     )
-    return [accepted, _in_force(snapshot)]
+    return [accepted, _in_force_condition(snapshot)]
 
 
-def _in_force(snapshot: ClusterSnapshot) -> Condition:
+def _in_force_condition(snapshot: ClusterSnapshot) -> Condition:
     version = snapshot.intent.version
     if snapshot.lagging:
-        message = f"version {version} is not yet held by {_joined(snapshot.lagging)}"
-        return known(conditions.IN_FORCE, "NodesLag", message, is_true=False)
+        message = f"version {version} is not yet held by {_join_names(snapshot.lagging)}"
+        return known_condition(conditions.IN_FORCE, "NodesLag", message, is_true=False)
     if snapshot.node_count == 0:
         message = "no node has a live lease: nothing routes on it"
-        return unknown(conditions.IN_FORCE, "NoNodes", message)
+        return unknown_condition(conditions.IN_FORCE, "NoNodes", message)
     message = f"version {version} is held by every node with a live lease ({snapshot.node_count})"
-    return known(conditions.IN_FORCE, "Held", message, is_true=True)
+    return known_condition(conditions.IN_FORCE, "Held", message, is_true=True)
 
 
 def _pool_conditions(name: str, snapshot: ClusterSnapshot) -> list[Condition]:
-    return [_serving(PoolName(name), snapshot)]
+    return [_serving_condition(PoolName(name), snapshot)]
 
 
 def _route_conditions(name: str, snapshot: ClusterSnapshot) -> list[Condition]:
     route = snapshot.intent.routes[RouteName(name)]
-    return [_serving(PoolName(route.pool), snapshot)]
+    return [_serving_condition(PoolName(route.pool), snapshot)]
 
 
-def _serving(pool: PoolName, snapshot: ClusterSnapshot) -> Condition:
+def _serving_condition(pool: PoolName, snapshot: ClusterSnapshot) -> Condition:
     observed = len(snapshot.servers_by_pool.get(pool, []))
     ready = len(snapshot.ready_servers(pool))
     message = f"{ready} of {observed} servers of pool {pool} are ready and in service"
-    return known(conditions.SERVING, "Ready" if ready else "NoServer", message, is_true=ready > 0)
+    return known_condition(
+        conditions.SERVING, "Ready" if ready else "NoServer", message, is_true=ready > 0
+    )
 
 
 def _model_conditions(name: str, snapshot: ClusterSnapshot) -> list[Condition]:
@@ -65,8 +67,8 @@
     pool = PoolName(model.pool)
     servers = [row for row in snapshot.ready_servers(pool) if ModelName(name) in row.models]
     return [
-        _resident(servers, max(1, model.min_replicas)),
-        _fits(pool, model.weight_bytes, snapshot),
+        _resident_condition(servers, max(1, model.min_replicas)),
+        _fits_condition(pool, model.weight_bytes, snapshot),
     ]
 
 
@@ -76,32 +78,34 @@
     pool = PoolName(base.pool)
     servers = [row for row in snapshot.ready_servers(pool) if AdapterName(name) in row.adapters]
     return [
-        _resident(servers, 1),
-        _fits(pool, base.weight_bytes + adapter.weight_bytes, snapshot),
+        _resident_condition(servers, 1),
+        _fits_condition(pool, base.weight_bytes + adapter.weight_bytes, snapshot),
     ]
 
 
-def _resident(servers: list[ServerRow], desired: int) -> Condition:
-    names = _joined(row.server for row in servers)
+def _resident_condition(servers: list[ServerRow], desired: int) -> Condition:
+    names = _join_names(row.server for row in servers)
     if len(servers) >= desired:
-        return known(conditions.RESIDENT, "Loaded", f"loaded on {names}", is_true=True)
+        return known_condition(conditions.RESIDENT, "Loaded", f"loaded on {names}", is_true=True)
     if servers:
         message = f"loaded on {names}: {len(servers)} of {desired} servers"
-        return known(conditions.RESIDENT, "TooFew", message, is_true=False)
-    return known(conditions.RESIDENT, "NotLoaded", "loaded on no server in service", is_true=False)
+        return known_condition(conditions.RESIDENT, "TooFew", message, is_true=False)
+    return known_condition(
+        conditions.RESIDENT, "NotLoaded", "loaded on no server in service", is_true=False
+    )
 
 
-def _fits(pool: PoolName, needed_bytes: int, snapshot: ClusterSnapshot) -> Condition:
+def _fits_condition(pool: PoolName, needed_bytes: int, snapshot: ClusterSnapshot) -> Condition:
     largest = snapshot.largest_memory_bytes(pool)
     if largest == 0:
         message = f"no server of pool {pool} was observed"
-        return unknown(conditions.FITS, "NoServer", message)
+        return unknown_condition(conditions.FITS, "NoServer", message)
     message = f"needs {needed_bytes} bytes; the largest server of pool {pool} has {largest}"
     fits = needed_bytes <= largest
-    return known(conditions.FITS, "Memory" if fits else "TooLarge", message, is_true=fits)
+    return known_condition(conditions.FITS, "Memory" if fits else "TooLarge", message, is_true=fits)
 
 
-def _joined(names: Iterable[str]) -> str:
+def _join_names(names: Iterable[str]) -> str:
     ordered = sorted(names)
     shown = ", ".join(ordered[:MAX_NAMES_SHOWN])
     if len(ordered) <= MAX_NAMES_SHOWN:
--- a/src/zincvale/controlplane/status/server_status.py
+++ b/src/zincvale/controlplane/status/server_status.py
@@ -4,7 +4,7 @@
 
 from zincvale.controlplane.status import conditions
 from zincvale.controlplane.status.cluster_snapshot import ClusterSnapshot
-from zincvale.controlplane.status.conditions import Condition, known, unknown
+from zincvale.controlplane.status.conditions import Condition, known_condition, unknown_condition
 from zincvale.controlplane.status.drain_progress import may_run_requests
 from zincvale.model.control_tables import ServerHealth, ServerRow
 from zincvale.model.identifiers import ServerId, ZoneName
@@ -17,16 +17,16 @@
 
 
 def server_conditions(name: str, snapshot: ClusterSnapshot) -> list[Condition]:
-    """Return readiness and drain of a server."""
+    """Return the conditions of a server's readiness and drain."""
     row = snapshot.directory.servers.get(ServerId(name))
     if row is None:
         message = "no such server was observed; check the name against `get servers`"
-        return [unknown(conditions.READY, "NotObserved", message)]
-    return [_ready(row), *_drain_conditions(row, snapshot)]
+        return [unknown_condition(conditions.READY, "NotObserved", message)]
+    return [_ready_condition(row), *_drain_conditions(row, snapshot)]
 
 
 def zone_conditions(name: str, snapshot: ClusterSnapshot) -> list[Condition]:
-    """Return the progress of an evacuation; nothing for an open zone."""
+    """Return the conditions of a zone's evacuation; none for a zone in service."""
     spec = snapshot.intent.zones.get(ZoneName(name))
     if spec is None or not spec.evacuated:
         return []
@@ -39,15 +39,15 @@
     )
     reason = _drain_reason(rows, snapshot, is_done=done)
     return [
-        known(conditions.EVACUATING, reason, message, is_true=not done),
-        known(conditions.EVACUATED, reason, message, is_true=done),
+        known_condition(conditions.EVACUATING, reason, message, is_true=not done),
+        known_condition(conditions.EVACUATED, reason, message, is_true=done),
     ]
 
 
-def _ready(row: ServerRow) -> Condition:
+def _ready_condition(row: ServerRow) -> Condition:
     ready = row.health is ServerHealth.READY
     message = f"probes find it {row.health.value}, incarnation {row.incarnation or 'unknown'}"
-    return known(conditions.READY, _REASON_BY_HEALTH[row.health], message, is_true=ready)
+    return known_condition(conditions.READY, _REASON_BY_HEALTH[row.health], message, is_true=ready)
 
 
 def _drain_conditions(row: ServerRow, snapshot: ClusterSnapshot) -> list[Condition]:
@@ -60,13 +60,13 @@
     done = snapshot.is_drain_done(row.server)
     reason = _drain_reason([row], snapshot, is_done=done)
     return [
-        known(conditions.DRAINING, reason, message, is_true=not done),
-        known(conditions.DRAINED, reason, message, is_true=done),
+        known_condition(conditions.DRAINING, reason, message, is_true=not done),
+        known_condition(conditions.DRAINED, reason, message, is_true=done),
     ]
 
 
 def _drain_reason(rows: list[ServerRow], snapshot: ClusterSnapshot, *, is_done: bool) -> str:
-    """Return the reason of a drain's conditions: what it waits for, or `Idle` when it is done."""
+    """Return the reason of a drain's conditions: what the drain waits for, or `Idle` if done."""
     if is_done:
         return "Idle"
     if any(not snapshot.drains.is_applied(row.server) for row in rows) or not rows:
