--- a/src/zincvale/controlplane/directory/backend_status.py
+++ b/src/zincvale/controlplane/directory/backend_status.py
@@ -1,7 +1,7 @@
 """Adapter for the back ends' `GET /status` and the platform's `GET /v1/servers`.
 
-The only module of the control plane that knows the field names of these responses: another back-end
-dialect is another module with the same two functions.
+This is the only module of the control plane that knows the field names of these responses. Another
+back-end dialect needs another module with the same two functions.
 """
 
 from __future__ import annotations
@@ -21,19 +21,21 @@
 STATUS_PATH = "/status"
 PLATFORM_LIST_PATH = "/v1/servers"
 MAX_STATUS_BYTES = 1024 * 1024
-"""Largest status: decoding blocks the event loop of the process that probes."""
+"""Largest accepted status; decoding it blocks the event loop of the process that probes."""
 MAX_PLATFORM_LIST_BYTES = 16 * 1024 * 1024
 
 Decoded = TypeVar("Decoded")
 
 _HEALTH_BY_STATE = {"ready": ServerHealth.READY, "cold": ServerHealth.COLD}
-_STATUS_REMEDY = "check that the address is a back end's and that its dialect is the configured one"
+_STATUS_REMEDY = (
+    "check that the address belongs to a back end and that its dialect is the configured one"
+)
 _LIST_REMEDY = "check the platform's address and its list"
 
 
 @attrs.frozen
 class ServerStatus:
-    """A server's own report; sizes are bytes."""
+    """A server's report on itself; sizes are in bytes."""
 
     server: ServerId
     incarnation: str
@@ -44,7 +46,7 @@
     queued: int
     max_running: int
     models: frozenset[ModelName]
-    """Loaded and able to serve."""
+    """Models that are loaded and can serve requests."""
     adapters: frozenset[AdapterName]
     loading: frozenset[str]
     """Models and adapters being loaded."""
@@ -90,23 +92,27 @@
     models = data["models"]
     adapters = data.get("adapters", [])
     return ServerStatus(
-        server=ServerId(_text(data["server"])),
-        incarnation=_text(data["incarnation"]),
+        server=ServerId(_read_text(data["server"])),
+        incarnation=_read_text(data["incarnation"]),
         health=_HEALTH_BY_STATE[data["state"]],
-        memory_bytes=_count(data["memory_bytes"]),
-        used_bytes=_count(data["used_bytes"]),
-        running=_count(data["running"]),
-        queued=_count(data["queued"]),
-        max_running=_count(data["max_running"]),
-        models=frozenset(ModelName(name) for name in _names(models, "loaded")),
-        adapters=frozenset(AdapterName(name) for name in _names(adapters, "loaded")),
-        loading=frozenset([*_names(models, "loading"), *_names(adapters, "loading")]),
-        unloading=frozenset([*_names(models, "unloading"), *_names(adapters, "unloading")]),
+        memory_bytes=_read_count(data["memory_bytes"]),
+        used_bytes=_read_count(data["used_bytes"]),
+        running=_read_count(data["running"]),
+        queued=_read_count(data["queued"]),
+        max_running=_read_count(data["max_running"]),
+        models=frozenset(ModelName(name) for name in _names_in_state(models, "loaded")),
+        adapters=frozenset(AdapterName(name) for name in _names_in_state(adapters, "loaded")),
+        loading=frozenset(
+            [*_names_in_state(models, "loading"), *_names_in_state(adapters, "loading")]
+        ),
+        unloading=frozenset(
+            [*_names_in_state(models, "unloading"), *_names_in_state(adapters, "unloading")]
+        ),
     )
 
 
-def _names(items: Iterable[Mapping[str, Any]], state: str) -> list[str]:
-    return [_text(item["name"]) for item in items if item["state"] == state]
+def _names_in_state(items: Iterable[Mapping[str, Any]], state: str) -> list[str]:
+    return [_read_text(item["name"]) for item in items if item["state"] == state]
 
 
 def _platform_servers(data: Mapping[str, Any]) -> list[PlatformServer]:
@@ -114,25 +120,25 @@
 
 
 def _platform_server(item: Mapping[str, Any]) -> PlatformServer:
-    address = _text(item["address"])
+    address = _read_text(item["address"])
     if not is_address(address):
         raise ValueError(f"{address!r} is not ip:port")
     return PlatformServer(
-        server=ServerId(_text(item["server"])),
+        server=ServerId(_read_text(item["server"])),
         address=Address(address),
-        pool=PoolName(_text(item["pool"])),
-        zone=ZoneName(_text(item["zone"])),
+        pool=PoolName(_read_text(item["pool"])),
+        zone=ZoneName(_read_text(item["zone"])),
         kind=PoolKind(item["kind"]),
     )
 
 
-def _text(value: object) -> str:
+def _read_text(value: object) -> str:
     if not isinstance(value, str) or not value:
         raise ValueError(f"{value!r} is not a name")
     return value
 
 
-def _count(value: object) -> int:
+def _read_count(value: object) -> int:
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
         raise ValueError(f"{value!r} is not a count")
     return value
--- a/src/zincvale/controlplane/directory/events.py
+++ b/src/zincvale/controlplane/directory/events.py
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class DirectoryRoleGained:
-    """Input: this process publishes under `epoch`; `published` is what is published so far."""
+    """Input: this process becomes the publisher under `epoch`; `published` is the current table."""
 
     epoch: int
     published: TopicView
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class DirectoryRoleLost:
-    """Input: this process publishes no longer."""
+    """Input: this process is no longer the publisher."""
 
 
 @attrs.frozen
@@ -45,7 +45,7 @@
 
     Attributes
     ----------
-    requested_at : a time before which the status was certainly not taken.
+    requested_at : lower bound of the time at which the status was taken.
     """
 
     server: ServerId
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class StatusFailed:
-    """Input: a probe that left at `requested_at` failed; `refused` when nothing listens there."""
+    """Input: a probe sent at `requested_at` failed; `refused` if no process listens there."""
 
     server: ServerId
     why: str
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class PassiveFailureObserved:
-    """Input: requests of a node fail at a server; it is probed at once."""
+    """Input: a node's requests fail at a server, which is therefore probed without delay."""
 
     server: ServerId
 
@@ -84,21 +84,21 @@
 
 @attrs.frozen
 class IntentChanged:
-    """Input: the operators' intent; servers out of service are reported without delay."""
+    """Input: the operators' intent; load changes of servers out of service are not delayed."""
 
     intent: Intent
 
 
 @attrs.frozen
 class ProbersChanged:
-    """Input: the members that probe, this process among them; empty means this process alone."""
+    """Input: the members that probe, including this one; if empty, this one probes alone."""
 
     probers: tuple[MemberId, ...]
 
 
 @attrs.frozen
 class Published:
-    """Input: the core accepted the last publication, or refused its epoch."""
+    """Input: the core accepted the last publication, or refused it."""
 
     accepted: bool
 
@@ -146,7 +146,7 @@
 
 @attrs.frozen
 class PublishRows:
-    """Effect: hand `message` to the local core while the role's lease covers the moment.
+    """Effect: pass `message` to the local core if the role's lease is valid at that time.
 
     `Published` or `PublishFailed` follows.
     """
@@ -160,7 +160,7 @@
 
     Attributes
     ----------
-    requested_at : a time before which the status was certainly not taken.
+    requested_at : lower bound of the time at which the status was taken.
     unloading : models and adapters being unloaded.
     """
 
--- a/src/zincvale/controlplane/directory/machine.py
+++ b/src/zincvale/controlplane/directory/machine.py
@@ -1,10 +1,10 @@
-"""The server directory as a pure machine, run by the process that publishes it.
+"""The server directory as a pure state machine, run by the process that publishes it.
 
-The platform's list lags: it only adds candidates. Probes decide health; a server that responds
-as another incarnation is taken as it describes itself, cold and empty. The table is published on
-an ephemeral topic under the role's fencing epoch. A new publisher starts from what its predecessor
-published and publishes nothing until it has probed every server once, so that a change of leader
-never empties the nodes' directory.
+The platform's list lags behind, so it only adds candidates; probes decide their health. When a
+server responds as another incarnation, its new status replaces all that was known of it. The table
+is published on an ephemeral topic under the role's fencing epoch. A new publisher starts from the
+rows that its predecessor published and publishes nothing until it has probed every server once, so
+that a change of leader never empties the nodes' directory.
 """
 
 from __future__ import annotations
@@ -42,13 +42,13 @@
 from zincvale.model.resources import ServerSpec, ZoneSpec
 
 LIST_INTERVAL_S = 2.0
-"""Between two reads of the platform's list."""
+"""Interval between two reads of the platform's list."""
 LIST_TIMEOUT_S = 2.0
-"""Time that the platform has to respond."""
+"""Time-out of a read of the platform's list."""
 FIRST_PROBES_TIMEOUT_S = 3.0
-"""Longest wait of a new publisher for the first probe of every server.
+"""Longest time for which a new publisher waits for the first probe of every server.
 
-Without the bound one server whose probes get no result would hold back the whole directory.
+Without this limit a single server whose probes get no result would delay the whole directory.
 """
 
 _OPEN_ZONE = ZoneSpec()
@@ -56,7 +56,7 @@
 
 
 class DirectoryMachine:
-    """Keeps and publishes the directory while this process leads the role `directory`.
+    """Maintains and publishes the directory while this process leads the role `directory`.
 
     Parameters
     ----------
@@ -77,7 +77,7 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether this process publishes."""
+        """Whether this process is the publisher."""
         return self._publication is not None
 
     def rows(self) -> dict[ServerId, ServerRow]:
@@ -85,14 +85,14 @@
         return self._table.rows()
 
     def handle(self, event: DirectoryInput, now: float) -> list[DirectoryEffect]:
-        """Apply one input and return what to do."""
+        """Apply one input and return its effects."""
         match event:
             case DirectoryRoleGained(epoch, published):
                 return self._start_publishing(epoch, published, now)
             case IntentChanged(intent):
                 self._intent = intent
                 if self._publication is not None:
-                    self._publication.mark_delayed_rows()
+                    self._publication.reconsider_delayed_rows()
             case ProbersChanged(probers):
                 self._probers = probers
                 self._table.assign(probers, now)
@@ -182,9 +182,9 @@
     def _apply_change(
         self, change: TableChange, publication: DirectoryPublication, now: float
     ) -> list[DirectoryEffect]:
-        """Mark the touched rows; return the effects, with a publication if the change is urgent."""
-        for server in change.touched:
-            publication.mark_touched(server)
+        """Mark the changed rows; return the effects, with a publication if the change is urgent."""
+        for server in change.dirty:
+            publication.mark_dirty(server)
         if not change.is_urgent:
             return change.effects
         return change.effects + self._publish(publication, now)
@@ -196,7 +196,7 @@
         return [] if message is None else [PublishRows(message)]
 
     def _may_publish(self, now: float) -> bool:
-        """Whether every server was probed once, or the wait for that is over."""
+        """Whether every server was probed once or the time limit for that has passed."""
         if now >= self._first_probes_until:
             return len(self._table) > 0 or self._has_list
         if self._has_list and self._table.all_probed():
@@ -210,8 +210,8 @@
         if accepted:
             publication.on_accepted()
             return self._publish(publication, now)
-        # The lease did not cover the moment, or another epoch publishes. Only the role tells which:
-        # it ends by `DirectoryRoleLost`, never by a guess made here.
+        # Either the lease was not valid at that time, or a newer epoch publishes. Nothing here can
+        # tell which; this process stops publishing only on `DirectoryRoleLost`.
         return self._on_publish_failed("refused", publication, now)
 
     def _on_publish_failed(
@@ -226,5 +226,5 @@
         try:
             yield decode_server_row(server, content)
         except InvalidInputError:
-            # A row of another release: the platform's list and a probe bring it back.
+            # A row of another release: the platform's list and a probe will restore it.
             continue
--- a/src/zincvale/controlplane/directory/messages.py
+++ b/src/zincvale/controlplane/directory/messages.py
@@ -14,9 +14,9 @@
     Attributes
     ----------
     status : body of the server's `GET /status`; empty when the probe failed.
-    why : cause of the failure.
-    refused : no connection was made: nothing listens at the address.
-    age_s : time from the request to the server until this was sent.
+    why : cause of the failure; empty when the probe succeeded.
+    refused : whether the connection was refused, as no process listens at the address.
+    age_s : time from the sending of the probe to the sending of this message.
     """
 
     server: str
@@ -29,7 +29,7 @@
 @peer_message("directory.observed")
 @attrs.frozen
 class ServerObservations:
-    """Results of a prober's probes of the servers that it is assigned."""
+    """Results of a prober's probes of the servers that are assigned to it."""
 
     observations: list[ServerObservation]
 
@@ -37,7 +37,7 @@
 @peer_message("directory.passive-failures")
 @attrs.frozen
 class PassiveFailures:
-    """Servers that failed requests at the sender; the publisher probes them at once."""
+    """Servers at which the sender's requests failed; the publisher probes them without delay."""
 
     servers: list[str]
 
@@ -45,9 +45,9 @@
 @peer_message("directory.closing")
 @attrs.frozen
 class MarkServerDraining:
-    """The placement controller drains `names` on a server: nodes send nothing new for them.
+    """The placement controller drains `names` on a server: nodes send no new requests for them.
 
-    `epoch` is the fencing epoch of the placement role; older ones are ignored.
+    `epoch` is the fencing epoch of the placement role; messages of older epochs are ignored.
     """
 
     server: str
@@ -58,6 +58,6 @@
 @peer_message("listed.read")
 @attrs.frozen
 class ListRead:
-    """Between cores: the sender read the outside list just now and has published it."""
+    """Sent between cores: the sender has just read the external list and published it."""
 
     epoch: int
--- a/src/zincvale/controlplane/directory/probe_schedule.py
+++ b/src/zincvale/controlplane/directory/probe_schedule.py
@@ -1,7 +1,7 @@
-"""When each server is probed next: jittered intervals, quick confirmation of a failure, backoff.
+"""Schedule of probes: jittered intervals, quick confirmation of a failure, exponential backoff.
 
-A tick costs what is due, not what is known: due times are in a heap, and a heap item whose
-time was changed meanwhile is skipped when it comes up.
+The cost of a tick depends on the number of due probes, not of servers: due times are in a heap, and
+a heap item whose due time was changed later is skipped when it is popped.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 from zincvale.model.identifiers import ServerId
 
 PROBE_INTERVAL_S = 1.0
-"""Between two probes of a server that responds."""
+"""Mean interval between two probes of a server that responds."""
 CONFIRMATION_DELAY_S = 0.2
-"""Between the first failure of a server that responded and the probe that decides."""
+"""Mean delay between the first failed probe of a server and the probe that confirms it."""
 BACKOFF_START_S = 0.5
-"""Time to the next probe once a server is down; it doubles with each failure."""
+"""Mean delay after the second failed probe in a row; it doubles with each further failure."""
 BACKOFF_LIMIT_S = 4.0
-"""Longest time between two probes of a server that is down."""
+"""Largest mean delay between two probes of a server that is down."""
 JITTER = 0.2
-"""Every delay is drawn from this fraction around it, so that probes do not bunch."""
+"""Largest relative deviation of each delay from its mean, so that probes do not synchronize."""
 PROBE_TIMEOUT_S = 1.0
-"""Time that a server has to respond to a probe."""
+"""Time-out of a probe."""
 MAX_BACKOFF_DOUBLINGS = 10
-"""Bounds the exponent; `BACKOFF_LIMIT_S` is reached long before."""
+"""Limit on the exponent of the backoff; `BACKOFF_LIMIT_S` is reached long before."""
 RESULT_TIMEOUT_S = 2.0
-"""A probe without a result for this long counts as failed; its late result still counts.
+"""Time after which a probe without a result counts as failed; a late result is still applied.
 
-More than `PROBE_TIMEOUT_S`: it covers a result that the process lost."""
+It exceeds `PROBE_TIMEOUT_S` and covers the case that the process lost a result."""
 
 
 @attrs.define
@@ -39,8 +39,8 @@
 
     Attributes
     ----------
-    due_at : when it is probed next; ignored while a probe is in flight.
-    failures : failed probes in a row.
+    due_at : time of the next probe; ignored while a probe is in flight.
+    failures : number of failed probes in a row.
     """
 
     due_at: float
@@ -48,18 +48,18 @@
 
 
 class ProbeSchedule:
-    """Table of the servers that this process probes; at most one probe of each is in flight."""
+    """Schedule of the servers that this process probes; at most one probe of each is in flight."""
 
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
         self._states: dict[ServerId, ProbeState] = {}
         self._in_flight: dict[ServerId, float] = {}
-        """When each probe left, oldest first."""
+        """Time at which each probe was sent, oldest first."""
         self._heap: list[tuple[float, int, ServerId]] = []
-        self._pushed = 0
+        self._push_count = 0
 
     def add(self, server: ServerId, now: float) -> None:
-        """Probe a server from now on, at once for the first time."""
+        """Start probing a server; its first probe is due immediately."""
         if server not in self._states:
             self._states[server] = ProbeState(now)
             self._set_due(server, now)
@@ -70,7 +70,7 @@
         self._in_flight.pop(server, None)
 
     def assign(self, servers: list[ServerId], now: float) -> None:
-        """Probe exactly these servers; those that stay keep their due times."""
+        """Probe exactly these servers; servers already scheduled keep their due times."""
         assigned = set(servers)
         for server in [known for known in self._states if known not in assigned]:
             self.remove(server)
@@ -88,7 +88,7 @@
             self._set_due(server, now)
 
     def restart(self, now: float) -> None:
-        """Forget probes in flight and probe every server at once, as after a freeze."""
+        """Forget probes in flight and make every server due, as after a pause of the process."""
         self._in_flight.clear()
         for server in self._states:
             self._set_due(server, now)
@@ -114,7 +114,7 @@
         return due
 
     def overdue(self, now: float) -> list[ServerId]:
-        """Return servers whose probe got no result in time."""
+        """Return the servers whose probe got no result in time."""
         overdue: list[ServerId] = []
         for server, sent_at in self._in_flight.items():
             if now - sent_at <= RESULT_TIMEOUT_S:
@@ -133,8 +133,8 @@
 
     def _set_due(self, server: ServerId, due_at: float) -> None:
         self._states[server].due_at = due_at
-        self._pushed += 1
-        heapq.heappush(self._heap, (due_at, self._pushed, server))
+        self._push_count += 1
+        heapq.heappush(self._heap, (due_at, self._push_count, server))
 
     def _delay_after_failure(self, failures: int) -> float:
         if failures == 1:
--- a/src/zincvale/controlplane/directory/prober_assignment.py
+++ b/src/zincvale/controlplane/directory/prober_assignment.py
@@ -1,4 +1,4 @@
-"""Which members probe which server: rendezvous hash, so that a change of members moves few."""
+"""Assignment of servers to probers by rendezvous hashing: few move when the members change."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def probers_of(server: ServerId, probers: Collection[MemberId], count: int = 1) -> list[MemberId]:
-    """Return the `count` members that probe `server`, the first choice first."""
+    """Return the `count` members that probe `server`, in order of preference."""
     ranked = sorted(probers, key=lambda member: (_weight(server, member), member), reverse=True)
     return ranked[:count]
 
--- a/src/zincvale/controlplane/directory/publication.py
+++ b/src/zincvale/controlplane/directory/publication.py
@@ -1,7 +1,7 @@
-"""Which rows are published when.
+"""Decides which rows of the directory are published when.
 
-What decides routing (health, residency, address) is published at once. Load figures alone are
-delayed: each node counts its own load, and every row is sent to every node.
+Fields that decide routing (health, residency, address) are published without delay. A change of
+load figures alone is delayed, as each node counts its own load and every row is sent to every node.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from zincvale.model.identifiers import ServerId
 
 LOAD_BYTES_PER_SECOND = 1_000
-"""What load figures alone may cost each node, over all servers."""
+"""Bandwidth to each node that publications of load figures alone may use, over all servers."""
 LOAD_INTERVAL_S = 2.0
-"""Shortest time between two publications of a row whose load alone changed."""
+"""Shortest interval between two publications of a row of which only load figures changed."""
 PUBLICATION_TIMEOUT_S = 3.0
-"""A publication without a response for this long counts as failed."""
+"""Time after which a publication without a response counts as failed."""
 PAUSE_AFTER_FAILURE_S = 0.25
-"""Pause before all rows are published again; it bounds the load of a core that refuses them."""
+"""Pause before all rows are published again; it bounds the load on a core that refuses them."""
 
 
 @attrs.frozen
 class _SentRow:
-    """A row as last published."""
+    """A row as it was last published."""
 
     row: ServerRow
     content: bytes
@@ -40,7 +40,7 @@
     Parameters
     ----------
     epoch : fencing epoch of the role.
-    is_urgent : whether a row's load matters at once, because its server is being drained.
+    is_urgent : whether a row's load is published without delay, as its server is being drained.
     """
 
     def __init__(self, epoch: int, is_urgent: Callable[[ServerRow], bool]) -> None:
@@ -48,42 +48,42 @@
         self._is_urgent = is_urgent
         self._sent: dict[ServerId, _SentRow] = {}
         self._sent_bytes = 0
-        self._touched: set[ServerId] = set()
+        self._dirty: set[ServerId] = set()
         self._delayed: set[ServerId] = set()
-        """Rows whose load alone changed, until `_delayed_until`."""
+        """Rows of which only load figures changed; they wait until `_delayed_until`."""
         self._delayed_until = float("inf")
         self._is_full_due = True
         self._in_flight_since: float | None = None
         self._paused_until = float("-inf")
 
-    def mark_touched(self, server: ServerId) -> None:
-        """Consider a server's row in the next publication."""
-        self._touched.add(server)
+    def mark_dirty(self, server: ServerId) -> None:
+        """Compare a server's row with the published one in the next publication."""
+        self._dirty.add(server)
 
-    def mark_delayed_rows(self) -> None:
-        """Consider the delayed rows again: other servers are being drained now."""
-        self._touched |= self._delayed
+    def reconsider_delayed_rows(self) -> None:
+        """Check the delayed rows in the next publication: other servers may be draining now."""
+        self._dirty |= self._delayed
 
     def has_work(self, now: float) -> bool:
-        """Whether `next_message` may have something to publish."""
+        """Whether `next_message` may return a message."""
         if self._in_flight_since is not None:
             return now - self._in_flight_since >= PUBLICATION_TIMEOUT_S
         if now < self._paused_until:
             return False
-        return self._is_full_due or bool(self._touched) or now >= self._delayed_until
+        return self._is_full_due or bool(self._dirty) or now >= self._delayed_until
 
     def on_accepted(self) -> None:
-        """Note that the core accepted the publication in flight."""
+        """Record that the core accepted the publication in flight."""
         self._in_flight_since = None
 
     def on_failed(self, now: float) -> None:
-        """Publish everything again after a pause: it is unknown what the core has stored."""
+        """Publish all rows again after a pause, as it is unknown which the core has stored."""
         self._in_flight_since = None
         self._is_full_due = True
         self._paused_until = now + PAUSE_AFTER_FAILURE_S
 
     def next_message(self, rows: Mapping[ServerId, ServerRow], now: float) -> PublishTopic | None:
-        """Return the next publication of `rows`, the complete directory, or None if none is due."""
+        """Return the next publication from `rows`, the complete directory; None if none is due."""
         if not self.has_work(now):
             return None
         if self._in_flight_since is not None:
@@ -98,7 +98,7 @@
     def _full_message(self, rows: Mapping[ServerId, ServerRow], now: float) -> PublishTopic | None:
         self._sent = {}
         self._sent_bytes = 0
-        self._touched = set()
+        self._dirty = set()
         self._set_delayed(set(), 0.0)
         for server, row in rows.items():
             self._record_sent(server, row, now)
@@ -109,12 +109,12 @@
     def _delta_message(self, rows: Mapping[ServerId, ServerRow], now: float) -> PublishTopic | None:
         interval_s = max(LOAD_INTERVAL_S, self._sent_bytes / LOAD_BYTES_PER_SECOND)
         if now >= self._delayed_until:
-            self._touched |= self._delayed
+            self._dirty |= self._delayed
             self._delayed = set()
         puts: dict[str, bytes] = {}
         deletes: list[str] = []
-        delayed = self._delayed - self._touched
-        for server in sorted(self._touched):
+        delayed = self._delayed - self._dirty
+        for server in sorted(self._dirty):
             row = rows.get(server)
             if row is None:
                 if self._remove_sent(server):
@@ -123,14 +123,14 @@
                 puts[server] = self._record_sent(server, row, now)
             elif row != self._sent[server].row:
                 delayed.add(server)
-        self._touched = set()
+        self._dirty = set()
         self._set_delayed(delayed, interval_s)
         if not puts and not deletes:
             return None
         return PublishTopic(DIRECTORY_TOPIC, self._epoch, puts, deletes)
 
     def _set_delayed(self, delayed: set[ServerId], interval_s: float) -> None:
-        """Replace the delayed rows; the time of those that stay is not put off."""
+        """Replace the delayed rows without extending the delay of those that stay."""
         added = delayed - self._delayed
         known_until = self._delayed_until if delayed & self._delayed else float("inf")
         added_until = min((self._sent[server].sent_at for server in added), default=float("inf"))
@@ -155,7 +155,7 @@
         return content
 
     def _remove_sent(self, server: ServerId) -> bool:
-        """Remove a row from those published; return whether there was one."""
+        """Remove a server's published row; return whether there was one."""
         sent = self._sent.pop(server, None)
         if sent is None:
             return False
@@ -164,5 +164,5 @@
 
 
 def differs_in_load_alone(row: ServerRow, other: ServerRow) -> bool:
-    """Whether two rows of one server are equal but for load figures."""
+    """Whether two rows of one server are equal except for their load figures."""
     return attrs.evolve(row, running=other.running, used_bytes=other.used_bytes) == other
--- a/src/zincvale/controlplane/directory/row_codec.py
+++ b/src/zincvale/controlplane/directory/row_codec.py
@@ -1,4 +1,4 @@
-"""Codec of the server directory's table rows: one JSON object per server, keyed by its id."""
+"""Codec of the server directory's rows: one JSON object per server, keyed by the server's id."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from zincvale.model.resources import PoolKind
 
 DIRECTORY_TOPIC = "directory"
-"""Name of the published table of servers."""
+"""Topic of the directory that its leader publishes."""
 LISTED_TOPIC = f"{LEADERLESS_PREFIX}servers"
-"""The same table where it follows a list that an outside system keeps."""
+"""Topic of the directory that follows a list maintained by an external system."""
 
 
 def encode_server_row(row: ServerRow) -> bytes:
@@ -78,7 +78,7 @@
 
 
 class DirectoryDecoder:
-    """Keeps the typed directory of a changing set of rows; decodes only rows that changed."""
+    """Maintains the typed directory of a changing set of rows; decodes only rows that changed."""
 
     def __init__(self) -> None:
         self._rows: dict[str, bytes] = {}
@@ -86,11 +86,11 @@
 
     @property
     def directory(self) -> Directory:
-        """The directory at the last successful update."""
+        """The directory as of the last successful update."""
         return self._directory
 
     def update(self, epoch: int, version: int, rows: Mapping[str, bytes]) -> Directory:
-        """Return the directory of `rows`; an unreadable row leaves the last one in place."""
+        """Return the directory of `rows`; raises for an unreadable row and keeps the last one."""
         servers: dict[ServerId, ServerRow] = {}
         for server, content in rows.items():
             known = self._directory.servers.get(ServerId(server))
--- a/src/zincvale/controlplane/directory/server_discovery.py
+++ b/src/zincvale/controlplane/directory/server_discovery.py
@@ -1,13 +1,15 @@
-"""The directory of servers from a list that an outside system keeps, without a leader.
+"""The directory of servers from a list that an external system maintains, without a leader.
 
-Reading the list is safe for any number of cores, so no lease guards it: one core reads and
-publishes, and each other core begins to read when it has heard of no read for a time that grows
-with its rank. Of two readers the one with the newer publication stays. Epochs of the publication
-are made unique by the reader's name; they are no fencing epochs. They grow with the wall clock, so
-that what a reader publishes after a restart of all cores is newer than what nodes still store; a
-clock that went back shows in the epochs that nodes poll with.
+Any number of cores may read the list safely, so no lease is needed: one core reads and publishes,
+and each other core starts to read when no read was announced to it for a time that grows with its
+rank. Of two readers, the one with the newer publication remains.
 
-Times are seconds on the process's clock.
+Epochs of publications are made unique by the reader's name; they are not fencing epochs. They grow
+with the wall clock, so that a publication made after a restart of all cores is newer than the rows
+that nodes still store. If the clock was set back, the cores notice it by the epochs that nodes send
+with their polls.
+
+Times are in seconds on the process's clock.
 """
 
 from __future__ import annotations
@@ -40,24 +42,26 @@
 from zincvale.model.resources import PoolKind
 
 READ_INTERVAL_S = 0.8
-"""Between two reads of the list by the reader."""
+"""Interval between two reads of the list by the reader."""
 READER_TIMEOUT_S = 1.3
-"""Time since the last known read after which the core of rank 0 reads; a started core that knows of
-none yet does not wait for it. Below `READ_INTERVAL_S` a second core reads as well."""
+"""Time since the last known read after which the core of rank 0 becomes a reader.
+
+A core that has just started and knows of no read yet does not wait for it. With a value below
+`READ_INTERVAL_S`, a second core would read as well."""
 RANK_DELAY_S = 0.4
-"""What each further rank waits longer, so that the ranks before it are heard first."""
+"""Additional delay for each rank, so that announcements of lower ranks arrive first."""
 THROTTLED_PAUSE_S = 1.0
-"""Pause after the outside system refused a read for its rate limit."""
+"""Pause after the external system rejected a read by its rate limit."""
 EMPTY_READS_UNTIL_ACCEPTED = 3
-"""So many empty reads in a row make an empty list; fewer are taken for a fault of the list."""
+"""Number of empty reads in a row after which the list counts as empty; fewer count as a fault."""
 EPOCH_NAME_BITS = 20
-"""Low bits of an epoch that come from a hash of the reader's name: two readers that begin at
-the same count differ in them. With fewer bits, equal epochs of two readers become likelier."""
+"""Number of low bits of an epoch that are a hash of the reader's name: they distinguish two readers
+that start with the same count. With fewer bits, equal epochs of two readers are more likely."""
 
 
 @attrs.frozen
 class ListedServer:
-    """One server as the list shows it."""
+    """One server of the external list."""
 
     server: ServerId
     address: Address
@@ -68,7 +72,7 @@
     slots: int = 0
     models: frozenset[ModelName] = frozenset()
     adapters: frozenset[AdapterName] = frozenset()
-    """Each as `MODEL/ADAPTER`."""
+    """Adapters, each as `MODEL/ADAPTER`."""
 
 
 # effects
@@ -81,26 +85,26 @@
 
 @attrs.frozen
 class AnnounceRead:
-    """Effect: tell the other cores that the list was read."""
+    """Effect: announce to the other cores that the list was read."""
 
     message: ListRead
 
 
 @attrs.frozen
 class PublishServers:
-    """Effect: publish at the local core; `on_publication_refused` follows if it is refused."""
+    """Effect: publish `message` at the local core; `on_publication_refused` follows a refusal."""
 
     message: PublishTopic
 
 
 @attrs.frozen
 class ServersObserved:
-    """Effect: rows as last observed.
+    """Effect: report all rows as last observed.
 
     Attributes
     ----------
-    removed : servers observed before and no longer.
-    requested_at : a time before which the rows were certainly not taken.
+    removed : servers that were in the previous observation but not in this one.
+    requested_at : lower bound of the time at which the rows were taken.
     """
 
     rows: tuple[ServerRow, ...]
@@ -112,12 +116,12 @@
 
 
 class ServerDiscovery:
-    """The list as one core knows it.
+    """State machine of one core that reads the list or follows another core's publications.
 
     Parameters
     ----------
     name : unique name of this process.
-    lag_s : longest time by which the list trails the servers.
+    lag_s : longest time by which the list may lag behind the state of the servers.
     """
 
     def __init__(self, name: str, lag_s: float, now: float) -> None:
@@ -136,25 +140,25 @@
 
     @property
     def rows(self) -> dict[ServerId, ServerRow]:
-        """The servers as last observed."""
+        """Rows of the servers as last observed."""
         return self._rows
 
     @property
     def is_reader(self) -> bool:
-        """Whether the newest publication is this process's."""
+        """Whether this process made the newest known publication."""
         return self._own_epoch != 0 and self._own_epoch == self._known_epoch
 
     # --- inputs ---------------------------------------------------------------------------
 
     def on_document_changed(self, document: ForwardingDocument, now: float) -> list[Effect]:
-        """Take a newer document, which declares the engines of the pools."""
+        """Apply a newer document, which declares the engines of the pools."""
         self._document = document
         if not self.is_reader:
             return []
         return self._update_servers(list(self._listed.values()), now - self._lag_s)
 
     def on_published(self, view: TopicView, now: float) -> list[Effect]:
-        """Take what another core published."""
+        """Apply the publication of another core."""
         if view.epoch <= self._known_epoch and view.epoch != 0 and self.is_reader:
             return []
         if view.epoch < self._known_epoch or view.epoch == self._own_epoch:
@@ -167,7 +171,7 @@
             try:
                 rows[ServerId(server)] = decode_server_row(server, content)
             except InvalidInputError:
-                # A row of another release: the next read of the list brings it back.
+                # A row of another release: the next read of the list restores it.
                 continue
         removed = tuple(server for server in self._rows if server not in rows)
         self._rows = rows
@@ -176,7 +180,7 @@
         return [ServersObserved(tuple(rows.values()), removed, requested_at)]
 
     def on_peer_read(self, message: ListRead, now: float) -> None:
-        """Take the message that another core read the list."""
+        """Handle the announcement that another core read the list."""
         if message.epoch >= self._known_epoch:
             self._known_epoch = message.epoch
             self._last_read_at = now
@@ -184,7 +188,7 @@
     def on_list_read(
         self, servers: list[ListedServer], requested_at: float, now: float, wall_s: float
     ) -> list[Effect]:
-        """Take a complete read that began at `requested_at`, at `wall_s` of the wall clock."""
+        """Apply a complete read that began at `requested_at`; `wall_s` is the wall-clock time."""
         self._is_reading = False
         self._read_due_at = now + READ_INTERVAL_S
         if not servers and self._listed:
@@ -198,27 +202,27 @@
         return [*effects, AnnounceRead(ListRead(self._own_epoch))]
 
     def on_list_failed(self, why: str, now: float, *, is_throttled: bool) -> list[Effect]:
-        """Take the failure of a read; `is_throttled` when it was refused for its rate."""
+        """Handle a failed read; `is_throttled` if a rate limit rejected it."""
         self._is_reading = False
         self._read_due_at = now + (THROTTLED_PAUSE_S if is_throttled else READ_INTERVAL_S / 2)
         return [Log(log_events.PLATFORM_LIST_FAILED, {"why": why})]
 
     def on_publication_refused(self, known_epoch: int) -> None:
-        """Give up reading: the local core knows a newer publication of another one."""
+        """Stop being the reader: the local core has a newer publication of another core."""
         self._known_epoch = max(self._known_epoch, known_epoch)
         self._own_epoch = 0
 
     def on_epoch_seen(self, epoch: int) -> None:
-        """Take the epoch that a node stores, perhaps from before this process started."""
+        """Handle the epoch that a node stores; it may come from before this process started."""
         if epoch > self._known_epoch:
             self._known_epoch = epoch
 
     def tick(self, rank: int, now: float) -> list[Effect]:
-        """Read when it is this core's turn.
+        """Read the list if this core is the reader or must take over from one.
 
         Parameters
         ----------
-        rank : 0 for the core that should read, then the order in which the others take over.
+        rank : 0 for the preferred reader; the others take over in the order of their ranks.
         """
         if self._is_reading or now < self._read_due_at:
             return []
@@ -237,19 +241,19 @@
         self._published = {}
 
     def _update_servers(self, servers: list[ListedServer], requested_at: float) -> list[Effect]:
-        """Replace the servers; return the observation and, if rows changed, a publication."""
+        """Replace the servers; return their observation and, if rows changed, a publication."""
         self._listed = {server.server: server for server in servers}
-        rows = {server.server: self._row(server) for server in servers}
+        rows = {server.server: self._server_row(server) for server in servers}
         removed = tuple(server for server in self._rows if server not in rows)
         self._rows = rows
         effects: list[Effect] = [ServersObserved(tuple(rows.values()), removed, requested_at)]
-        message = self._next_publication()
+        message = self._take_publication()
         if message is not None:
             effects.append(PublishServers(message))
         return effects
 
-    def _next_publication(self) -> PublishTopic | None:
-        """Return what differs from the last publication, which it becomes; None if nothing does."""
+    def _take_publication(self) -> PublishTopic | None:
+        """Return the rows that differ from the last publication; None if none does."""
         encoded = {str(server): encode_server_row(row) for server, row in self._rows.items()}
         puts = {row: value for row, value in encoded.items() if self._published.get(row) != value}
         deletes = [row for row in self._published if row not in encoded]
@@ -261,7 +265,7 @@
             LISTED_TOPIC, self._own_epoch, encoded if is_first else puts, deletes, replace=is_first
         )
 
-    def _row(self, listed: ListedServer) -> ServerRow:
+    def _server_row(self, listed: ListedServer) -> ServerRow:
         pool = self._document.pools.get(listed.pool)
         engine = pool.engine if pool is not None else None
         return ServerRow(
@@ -281,7 +285,7 @@
         )
 
     def _cold_remaining_s(self, listed: ListedServer) -> float:
-        """Return the slow-start time as first observed, so that the published row stays."""
+        """Return the slow-start time as first observed: the published row then stays the same."""
         if listed.cold_remaining_s <= 0:
             return 0.0
         known = self._rows.get(listed.server)
@@ -291,7 +295,7 @@
 
 
 def reader_rank(own: MemberId, leader: MemberId | None, cores: list[MemberId]) -> int:
-    """Return this core's rank as a reader: the leader of placement has 0."""
+    """Return this core's rank as a reader: 0 for the leader of placement, then by member id."""
     others = sorted(core for core in cores if core != leader)
     if own == leader or own not in others:
         return 0
--- a/src/zincvale/controlplane/directory/server_prober.py
+++ b/src/zincvale/controlplane/directory/server_prober.py
@@ -1,8 +1,8 @@
-"""A prober apart from the directory's publisher: probes its share and reports the results.
+"""A prober other than the directory's publisher: probes its share and reports the results.
 
-With many servers, the publisher alone would spend its event loop on probes. Every prober knows the
-servers from the published directory and the probers from the member table, and takes its share by
-rendezvous hash; no member hands out assignments.
+With many servers, probes would take up the event loop of a single publisher. Every prober knows the
+servers from the published directory and the probers from the member table, and computes its share
+by rendezvous hashing; no member distributes assignments.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from zincvale.model.machine import ClockJumped, Tick
 
 REPORT_INTERVAL_S = 0.25
-"""Observations are collected for this long before they are sent."""
+"""Shortest interval between two reports; observations are collected in between."""
 
 
 @attrs.frozen
 class DirectoryPublished:
-    """Input: the directory as last published."""
+    """Input: a newer directory was published."""
 
     directory: Directory
 
 
 @attrs.frozen
 class ProbeSucceeded:
-    """Input: a server responded to its probe with `body`, not decoded yet."""
+    """Input: a server responded to its probe with `body`, which is not decoded."""
 
     server: ServerId
     body: bytes
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class ProbeFailed:
-    """Input: a probe failed; `refused` when nothing listens at the address."""
+    """Input: a probe failed; `refused` if no process listens at the address."""
 
     server: ServerId
     why: str
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class ReportObservations:
-    """Effect: send `message` to the leader of the role `directory`; it may be lost."""
+    """Effect: send `message` to the leader of the role `directory`; the message may be lost."""
 
     message: ServerObservations
 
@@ -74,7 +74,7 @@
         self._report_at = 0.0
 
     def handle(self, event: ProberInput, now: float) -> list[ProberEffect]:
-        """Apply one input and return what to do."""
+        """Apply one input and return its effects."""
         match event:
             case DirectoryPublished(directory):
                 self._addresses = {row.server: row.address for row in directory.servers.values()}
@@ -89,7 +89,7 @@
                 self._schedule.on_failure(server, now)
                 self._results[server] = event
             case ClockJumped():
-                # Results from before a freeze are too old to report.
+                # Results from before a pause of the process are too old to report.
                 self._results = {}
                 self._schedule.restart(now)
             case Tick():
@@ -97,8 +97,8 @@
         return []
 
     def _assign(self, now: float) -> None:
-        mine = assigned_to(self._member, self._addresses, self._probers)
-        self._schedule.assign(mine, now)
+        assigned = assigned_to(self._member, self._addresses, self._probers)
+        self._schedule.assign(assigned, now)
 
     def _tick(self, now: float) -> list[ProberEffect]:
         for server in self._schedule.overdue(now):
--- a/src/zincvale/controlplane/directory/server_table.py
+++ b/src/zincvale/controlplane/directory/server_table.py
@@ -1,7 +1,7 @@
-"""Table of the servers that the directory's publisher knows, and what changes it.
+"""Table of the servers that the directory's publisher knows, and the operations that change it.
 
-Each change tells which rows it touched and whether routing depends on it, so that the publisher
-looks at those rows alone.
+Each operation returns which rows may have changed and whether routing depends on the change, so
+that the publisher examines only those rows.
 """
 
 from __future__ import annotations
@@ -39,23 +39,23 @@
 from zincvale.model.machine import Log
 
 UNREPORTED_TIMEOUT_S = 6.0
-"""A server without a result of its prober for this long is probed by the publisher."""
+"""Time without a result from its prober after which the publisher probes a server."""
 UNREPORTED_CHECK_INTERVAL_S = 1.0
-"""How often the publisher looks for such servers."""
+"""Interval at which the publisher searches for servers without results."""
 
 
 @attrs.frozen
 class TableChange:
-    """What an input did to the table.
+    """The result of an operation on the table.
 
     Attributes
     ----------
-    touched : servers whose rows may have changed.
+    dirty : servers whose rows may differ from the published ones.
     is_urgent : whether routing depends on the change.
     """
 
     effects: list[DirectoryEffect] = attrs.field(factory=list)
-    touched: list[ServerId] = attrs.field(factory=list)
+    dirty: list[ServerId] = attrs.field(factory=list)
     is_urgent: bool = False
 
 
@@ -66,7 +66,7 @@
     ----------
     member : this process.
     random_source : draws the jitter of probes.
-    rows : what an earlier publisher left.
+    rows : rows that an earlier publisher published.
     """
 
     def __init__(
@@ -96,16 +96,16 @@
         return all(tracked.is_probed for tracked in self._servers.values())
 
     def assign(self, probers: tuple[MemberId, ...], now: float) -> None:
-        """Probe this process's share; without probers, every server."""
-        mine = assigned_to(self._member, self._servers, probers or (self._member,))
-        self._schedule.assign(mine, now)
+        """Probe the share of this process; every server if `probers` is empty."""
+        assigned = assigned_to(self._member, self._servers, probers or (self._member,))
+        self._schedule.assign(assigned, now)
 
     def probe_soon(self, server: ServerId, now: float) -> None:
         """Probe a server at the next tick."""
         self._schedule.probe_soon(server, now)
 
     def restart_probes(self, now: float) -> None:
-        """Probe every server at once, as after a freeze."""
+        """Make every assigned server due for a probe, as after a pause of the process."""
         self._schedule.restart(now)
 
     def apply_platform_list(self, rows: list[PlatformServer], now: float) -> TableChange:
@@ -116,9 +116,9 @@
             tracked = self._servers.get(server)
             if tracked is None:
                 self._servers[server] = new_candidate(row, now)
-                effects.append(_log(log_events.SERVER_ADDED, server, address=row.address))
+                effects.append(_server_log(log_events.SERVER_ADDED, server, address=row.address))
             elif apply_listing(tracked, row, now):
-                # Forget the probe in flight: it went to the old address.
+                # Forget the probe in flight, which was sent to the old address.
                 self._schedule.remove(server)
         for server in listed:
             self._delisted.pop(server, None)
@@ -126,11 +126,11 @@
             if server not in listed and tracked.delisted_at is None:
                 tracked.delisted_at = now
                 self._delisted[server] = None
-                effects.append(_log(log_events.SERVER_DELISTED, server))
+                effects.append(_server_log(log_events.SERVER_DELISTED, server))
         return TableChange(effects, list(listed))
 
     def apply_status(self, event: StatusObserved, now: float) -> TableChange:
-        """Apply a successful probe; one requested before the newest known is dropped."""
+        """Apply a successful probe; drop one that was sent before the newest applied probe."""
         tracked = self._servers.get(event.server)
         if tracked is None or event.requested_at < tracked.requested_at:
             return TableChange()
@@ -142,37 +142,39 @@
         effects: list[DirectoryEffect] = []
         if before.incarnation and before.incarnation != tracked.row.incarnation:
             fields = {"incarnation": tracked.row.incarnation}
-            effects.append(_log(log_events.SERVER_RETURNED, event.server, **fields))
-        effects += _health_log(before, tracked.row, "answered")
+            effects.append(_server_log(log_events.SERVER_RETURNED, event.server, **fields))
+        effects += _health_logs(before, tracked.row, "answered")
         effects.append(ServerReported(tracked.row, event.requested_at, event.status.unloading))
-        return _change(effects, before, tracked.row)
+        return _table_change(effects, before, tracked.row)
 
     def apply_failure(self, event: StatusFailed, now: float) -> TableChange:
-        """Apply a failed probe."""
+        """Apply a failed probe; drop one that was sent before the newest applied status."""
         tracked = self._servers.get(event.server)
         if tracked is None or event.requested_at < tracked.requested_at:
             return TableChange()
-        return self._fail(tracked, event.why, now, refused=event.refused)
+        return self._record_failure(tracked, event.why, now, refused=event.refused)
 
     def fail_overdue_probes(self, now: float) -> list[TableChange]:
-        """Count probes without a result in time as failed."""
+        """Apply a failure for each probe that got no result in time."""
         return [
-            self._fail(self._servers[server], "the probe got no result", now, refused=False)
+            self._record_failure(
+                self._servers[server], "the probe got no result", now, refused=False
+            )
             for server in self._schedule.overdue(now)
         ]
 
     def mark_draining(self, event: DrainingMarked) -> TableChange:
-        """Apply the models that placement drains on a server; older epochs are dropped."""
+        """Apply the names that placement drains on a server; drop those of an older epoch."""
         tracked = self._servers.get(event.server)
         if tracked is None or event.epoch < self._draining_epoch:
             return TableChange()
         self._draining_epoch = event.epoch
         before = tracked.row
         tracked.row = attrs.evolve(tracked.row, closing=event.names)
-        return _change([], before, tracked.row)
+        return _table_change([], before, tracked.row)
 
     def remove_overdue(self, now: float) -> TableChange:
-        """Remove servers that left the platform's list long enough ago."""
+        """Remove servers whose retention after leaving the platform's list has ended."""
         overdue = [
             server for server in self._delisted if is_due_for_removal(self._servers[server], now)
         ]
@@ -180,11 +182,11 @@
         for server in overdue:
             del self._servers[server], self._delisted[server]
             self._schedule.remove(server)
-            effects += [_log(log_events.SERVER_REMOVED, server), ServerRemoved(server)]
+            effects += [_server_log(log_events.SERVER_REMOVED, server), ServerRemoved(server)]
         return TableChange(effects, overdue, is_urgent=bool(overdue))
 
     def due_probes(self, now: float) -> list[DirectoryEffect]:
-        """Return the probes to send now, also of servers whose own prober is unresponsive."""
+        """Return the probes to send now, also for servers whose assigned prober reports nothing."""
         if now >= self._unreported_check_at:
             self._unreported_check_at = now + UNREPORTED_CHECK_INTERVAL_S
             for server, tracked in self._servers.items():
@@ -199,33 +201,41 @@
         self, event: StatusObserved, tracked: TrackedServer, now: float
     ) -> TableChange:
         answered_as = event.status.server
-        change = self._fail(tracked, f"{answered_as} answers at its address", now, refused=True)
-        mismatch = _log(log_events.SERVER_IDENTITY_MISMATCH, event.server, answered_as=answered_as)
+        change = self._record_failure(
+            tracked, f"{answered_as} answers at its address", now, refused=True
+        )
+        mismatch = _server_log(
+            log_events.SERVER_IDENTITY_MISMATCH, event.server, answered_as=answered_as
+        )
         return attrs.evolve(change, effects=[mismatch, *change.effects])
 
-    def _fail(self, tracked: TrackedServer, why: str, now: float, *, refused: bool) -> TableChange:
+    def _record_failure(
+        self, tracked: TrackedServer, why: str, now: float, *, refused: bool
+    ) -> TableChange:
         before = tracked.row
         apply_failure(tracked, now, refused=refused)
         self._schedule.on_failure(before.server, now)
-        effects = _health_log(before, tracked.row, why)
+        effects = _health_logs(before, tracked.row, why)
         if tracked.row != before:
             effects.append(ServerReported(tracked.row, now))
-        return _change(effects, before, tracked.row)
+        return _table_change(effects, before, tracked.row)
 
 
-def _change(effects: list[DirectoryEffect], before: ServerRow, after: ServerRow) -> TableChange:
+def _table_change(
+    effects: list[DirectoryEffect], before: ServerRow, after: ServerRow
+) -> TableChange:
     if before == after:
         return TableChange(effects)
     is_urgent = not differs_in_load_alone(before, after)
     return TableChange(effects, [after.server], is_urgent=is_urgent)
 
 
-def _log(number: int, server: ServerId, **fields: object) -> Log:
+def _server_log(number: int, server: ServerId, **fields: object) -> Log:
     return Log(number, {"server": server, **fields})
 
 
-def _health_log(before: ServerRow, after: ServerRow, why: str) -> list[DirectoryEffect]:
+def _health_logs(before: ServerRow, after: ServerRow, why: str) -> list[DirectoryEffect]:
     if before.health is after.health:
         return []
     fields = {"before": before.health.value, "after": after.health.value, "why": why}
-    return [_log(log_events.SERVER_HEALTH_CHANGED, after.server, **fields)]
+    return [_server_log(log_events.SERVER_HEALTH_CHANGED, after.server, **fields)]
--- a/src/zincvale/controlplane/directory/tracked_servers.py
+++ b/src/zincvale/controlplane/directory/tracked_servers.py
@@ -1,4 +1,4 @@
-"""One server as the directory machine knows it, and how observations change it."""
+"""State of a single server in the directory, and how observations change it."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 from zincvale.model.control_tables import ServerHealth, ServerRow
 
 FAILURES_UNTIL_DOWN = 2
-"""Failed probes in a row that make a server down; one is enough when the connection is refused.
+"""Number of failed probes in a row after which a server is down; a refused connection needs one.
 
-With 1, one lost packet takes a server out of service."""
+With 1, a single lost packet would take a server out of service."""
 DOWN_RETENTION_S = 5.0
-"""How long a server that is down is retained after it left the platform's list."""
+"""Retention of a server that is down, from the time at which it left the platform's list."""
 RESPONDING_RETENTION_S = 300.0
-"""How long a server that still responds is retained after it left the platform's list."""
+"""Retention of a server that responds, from the time at which it left the platform's list."""
 
 
 @attrs.define
 class TrackedServer:
-    """A server in the directory machine's table.
+    """A server in the table of the directory's publisher.
 
     Attributes
     ----------
-    row : as published.
-    failures : failed probes in a row.
-    is_probed : whether any probe of this machine succeeded or failed.
-    delisted_at : when it left the platform's list, or None.
-    requested_at : when the newest status applied was requested.
-    last_result_at : when the newest result of a probe arrived.
+    row : current row, which is to be published.
+    failures : number of failed probes in a row.
+    is_probed : whether this publisher got the result of a probe at the current address.
+    delisted_at : time at which it left the platform's list, or None.
+    requested_at : time at which the newest applied status was requested.
+    last_result_at : time at which the newest result of a probe arrived.
     """
 
     row: ServerRow
@@ -40,7 +40,7 @@
 
 
 def new_candidate(listed: PlatformServer, now: float) -> TrackedServer:
-    """Return a newly listed server: down until its first probe succeeds."""
+    """Return a newly listed server, which is down until its first probe succeeds."""
     row = ServerRow(
         server=listed.server,
         address=listed.address,
@@ -53,9 +53,9 @@
 
 
 def apply_listing(server: TrackedServer, listed: PlatformServer, now: float) -> bool:
-    """Apply the platform's row; return whether the server moved to another address.
+    """Apply the platform's row; return whether the server's address changed.
 
-    A server at a new address is another process: nothing observed of the old one is valid.
+    A server at a new address is a new process: no earlier observation applies to it.
     """
     server.delisted_at = None
     moved = server.row.address != listed.address
@@ -81,9 +81,9 @@
 
 
 def observed_row(row: ServerRow, status: ServerStatus) -> ServerRow:
-    """Return `row` with what its server says of itself.
+    """Return `row` with the status that its server reported.
 
-    A new incarnation starts without the marks of the old one.
+    A new incarnation starts without the draining marks (`closing`) of the previous one.
     """
     same = status.incarnation == row.incarnation
     return attrs.evolve(
@@ -102,7 +102,7 @@
 
 
 def apply_failure(server: TrackedServer, now: float, *, refused: bool) -> None:
-    """Apply a failed probe; `refused` when nothing listens at the address."""
+    """Apply a failed probe; `refused` if no process listens at the address."""
     server.failures += 1
     server.is_probed = True
     server.last_result_at = now
@@ -111,7 +111,7 @@
 
 
 def is_due_for_removal(server: TrackedServer, now: float) -> bool:
-    """Whether a server that left the platform's list is to be removed."""
+    """Whether a server left the platform's list and its retention has ended."""
     if server.delisted_at is None:
         return False
     is_responding = server.row.health is not ServerHealth.DOWN
@@ -120,5 +120,5 @@
 
 
 def restored_server(row: ServerRow, now: float) -> TrackedServer:
-    """Return the server of a row that an earlier publisher left."""
+    """Return the server of a row that an earlier publisher published."""
     return TrackedServer(row, last_result_at=now)
--- a/src/zincvale/controlplane/documents/rows.py
+++ b/src/zincvale/controlplane/documents/rows.py
@@ -97,7 +97,7 @@
         return self._document
 
     def update(self, version: int, rows: Mapping[str, bytes]) -> ForwardingDocument:
-        """Return the document of `rows`; for an unreadable row it raises and keeps the last one."""
+        """Return the document of `rows`; raises for an unreadable row and keeps the last one."""
         routes = self._decode_items(rows, ROUTE_PREFIX, self._routes, ForwardRoute)
         pools = self._decode_items(rows, POOL_PREFIX, self._pools, ForwardPool)
         limits = self._document.limits
--- a/src/zincvale/controlplane/intent/row_codec.py
+++ b/src/zincvale/controlplane/intent/row_codec.py
@@ -117,7 +117,7 @@
     def update(
         self, version: int, rows: Mapping[str, bytes], changed: Iterable[str] | None = None
     ) -> Intent:
-        """Return the intent of `rows`; for an unreadable row it raises and keeps the last intent.
+        """Return the intent of `rows`; raises for an unreadable row and keeps the last intent.
 
         Parameters
         ----------
