--- a/tests/controlplane/api/api_driver.py
+++ b/tests/controlplane/api/api_driver.py
@@ -1,4 +1,4 @@
-"""Drives the control API and writes down the exchange."""
+"""Drives the control API in tests and records the exchange as a transcript."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ApiDriver:
-    """One operator's exchange with one core, as text."""
+    """Sends an operator's requests to one core and records the exchange as text."""
 
     def __init__(self, view: FakeView | None = None) -> None:
         self.view = view or FakeView()
@@ -31,7 +31,7 @@
         headers: dict[str, str] | None = None,
         query: dict[str, str] | None = None,
     ) -> list[ApiEffect]:
-        """Send one request and record what comes back at once."""
+        """Send one request and record its immediate effects."""
         self._count += 1
         content = body if isinstance(body, bytes) else orjson.dumps(body)
         token = f"t{self._count}"
@@ -43,38 +43,38 @@
         return self.record(self.api.handle(request, self.now))
 
     def reply(self, token: str, message: Any) -> list[ApiEffect]:
-        """Give the core's answer."""
+        """Deliver the core's response to a `CallCore`."""
         self.lines.append(f"core -> {token} {message}")
         return self.record(self.api.on_core_response(token, message))
 
     def tick(self, seconds: float) -> list[ApiEffect]:
-        """Let time pass."""
+        """Advance the clock and tick the API."""
         self.now += seconds
         self.lines.append(f"tick at {self.now:g}")
         return self.record(self.api.tick(self.now))
 
     def note(self, text: str) -> None:
-        """Write a remark into the transcript."""
+        """Add a comment to the transcript."""
         self.lines.append(f"# {text}")
 
     def record(self, effects: list[ApiEffect]) -> list[ApiEffect]:
-        """Write effects into the transcript."""
+        """Add effects to the transcript."""
         for effect in effects:
-            self.lines.append(_shown(effect))
+            self.lines.append(_effect_text(effect))
         return effects
 
     def transcript(self) -> str:
-        """Return the exchange so far."""
+        """Return the exchange recorded so far."""
         return "\n".join(self.lines)
 
 
 def set_resource(driver: ApiDriver, row: str, spec: dict[str, object]) -> None:
-    """Bring the next version of the intent into the core's view."""
+    """Merge one resource into the core's intent as its next version."""
     rows = apply_change(driver.view.rows.rows, change("merge", resource(row, spec)))
     driver.view.rows = KeyView(driver.view.rows.version + 1, rows)
 
 
-def _shown(effect: ApiEffect) -> str:
+def _effect_text(effect: ApiEffect) -> str:
     if isinstance(effect, CallCore):
         return f"call core {effect.token} {effect.message}"
     assert isinstance(effect, ApiResponse)
--- a/tests/controlplane/api/test_dispatch.py
+++ b/tests/controlplane/api/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Approved transcripts of whole exchanges with the control API."""
+"""Approved transcripts of complete exchanges with the control API."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ApiTranscriptTest(testtools.TestCase):
-    def test_reads(self) -> None:
+    def test_read_responses_are_as_approved(self) -> None:
         driver = ApiDriver(FakeView(applied={NODE_1: 7, NODE_2: 7}))
         driver.view.calendar = {"m-1": move_row("m-1")}
         for path in (
@@ -43,27 +43,27 @@
             driver.send("GET", path)
         verify(self, "reads", driver.transcript())
 
-    def test_a_core_that_may_be_behind_shows_nothing(self) -> None:
+    def test_a_core_with_possibly_stale_state_shows_no_intent(self) -> None:
         driver = ApiDriver(FakeView(applied={NODE_1: 7}, current=False))
         for path in ("/v1/intent", "/v1/zones", "/v1/zones/zone-a", "/v1/watch", "/v1/members"):
             driver.send("GET", path)
         verify(self, "may_be_behind", driver.transcript())
 
-    def test_pages(self) -> None:
+    def test_a_list_is_returned_in_pages(self) -> None:
         driver = ApiDriver()
         driver.send("GET", "/v1/models", query={"limit": "1"})
         driver.send("GET", "/v1/models", query={"limit": "1", "after": "base-1"})
         verify(self, "pages", driver.transcript())
 
-    def test_changes(self) -> None:
+    def test_responses_to_changes_are_as_approved(self) -> None:
         driver = ApiDriver()
         driver.note("in force")
         driver.send("POST", "/v1/intent", {"baseVersion": 7, **EVACUATE})
         driver.reply("t1", ChangeResult("in-force", version=8))
-        driver.note("the same order again: the same id, whatever the order of the fields")
+        driver.note("the same change sent again has the same order id, in any order of its fields")
         driver.send("POST", "/v1/intent", {**EVACUATE, "baseVersion": 7})
         driver.reply("t2", ChangeResult("in-force", version=8))
-        driver.note("another operator won")
+        driver.note("conflict with the change of another operator")
         driver.send("POST", "/v1/intent", EVACUATE, {"Idempotency-Key": "op-2", "If-Match": '"7"'})
         driver.reply("t3", ChangeResult("conflict", 0, 8, "built on version 7, now 8", "rebuild"))
         driver.note("refused by the reducer")
@@ -72,18 +72,18 @@
         driver.note("not confirmed by the core")
         driver.send("POST", "/v1/intent", EVACUATE, {"Idempotency-Key": "op-4"})
         driver.reply("t5", ChangeResult("not-confirmed", problem="no majority of the nodes"))
-        driver.note("no word of the core in time; its late answer is dropped")
+        driver.note("no response of the core in time; its late response is dropped")
         driver.send("POST", "/v1/intent", EVACUATE, {"Idempotency-Key": "op-5"})
         driver.tick(5.0)
         driver.tick(5.0)
         driver.reply("t6", ChangeResult("in-force", version=9))
-        driver.note("without base and key the order id follows the version")
+        driver.note("without base version and key, the order id depends on the current version")
         driver.send("POST", "/v1/intent", EVACUATE)
         driver.view.rows = KeyView(8, driver.view.rows.rows)
         driver.send("POST", "/v1/intent", EVACUATE)
         verify(self, "changes", driver.transcript())
 
-    def test_bad_requests(self) -> None:
+    def test_invalid_requests_get_a_problem_and_a_remedy(self) -> None:
         driver = ApiDriver()
         driver.send("GET", "/v2/intent")
         driver.send("GET", "v1/intent")
@@ -110,25 +110,25 @@
         driver.send("POST", "/v1/intent", b" " * (change_body.MAX_CHANGE_BYTES + 1))
         verify(self, "bad_requests", driver.transcript())
 
-    def test_watch(self) -> None:
+    def test_a_watch_completes_on_a_newer_intent_or_at_its_deadline(self) -> None:
         driver = ApiDriver()
-        driver.note("news at once")
+        driver.note("a newer intent exists: immediate response")
         driver.send("GET", "/v1/watch", query={"after": "6"})
-        driver.note("held, then news")
+        driver.note("pending until the intent changes")
         driver.send("GET", "/v1/watch", query={"after": "7", "timeout_s": "20"})
         driver.send("GET", "/v1/watch", query={"after": "8", "timeout_s": "20"})
         driver.view.rows = KeyView(8, {"Zone/zone-a": b'{"evacuated":true}'})
         driver.record(driver.api.on_intent_changed(driver.now))
-        driver.note("held to the end")
+        driver.note("pending until the deadline")
         driver.tick(19.0)
         driver.tick(1.0)
-        driver.note("gone before the end")
+        driver.note("the client disconnects before the deadline")
         driver.send("GET", "/v1/watch", query={"after": "8", "timeout_s": "20"})
         driver.api.abandon("t4")
         driver.tick(30.0)
         verify(self, "watch", driver.transcript())
 
-    def test_a_burst_beyond_the_limits_is_refused_at_once(self) -> None:
+    def test_requests_beyond_the_pending_limits_are_refused_at_once(self) -> None:
         driver = ApiDriver()
         for number in range(MAX_PENDING_CHANGES):
             driver.send("POST", "/v1/intent", EVACUATE, {"Idempotency-Key": f"op-{number}"})
@@ -142,7 +142,7 @@
         driver.reply("t1", ChangeResult("in-force", version=8))
         self.assertEqual(1, len(driver.send("POST", "/v1/intent", EVACUATE)))
 
-    def test_a_response_that_is_no_result_promises_nothing(self) -> None:
+    def test_an_unexpected_core_message_leaves_a_change_unconfirmed(self) -> None:
         driver = ApiDriver()
         driver.send("POST", "/v1/intent", EVACUATE, {"Idempotency-Key": "op-1"})
         effects = driver.api.on_core_response("t1", object())
@@ -151,7 +151,7 @@
         self.assertIn(b"the core answered object", effects[0].body)
         self.assertIn(b'"order_id":"op-1"', effects[0].body)
 
-    def test_replacement_of_a_core(self) -> None:
+    def test_responses_to_replica_replacements_are_as_approved(self) -> None:
         driver = ApiDriver()
         driver.send("POST", "/v1/replicas", {"remove": "core-2", "add": "core-4"})
         driver.reply("t1", ChangeResult("in-force", version=3))
@@ -166,7 +166,7 @@
         driver.send("PUT", "/v1/replicas")
         verify(self, "replacement_of_a_core", driver.transcript())
 
-    def test_an_intent_of_a_later_release_is_unavailable_not_invalid(self) -> None:
+    def test_a_row_of_a_later_release_makes_reads_unavailable_not_invalid(self) -> None:
         driver = ApiDriver()
         rows = {**driver.view.rows.rows, "Zone/zone-a": b'{"added_later":1}'}
         driver.view.rows = KeyView(8, rows)
--- a/tests/controlplane/approval.py
+++ b/tests/controlplane/approval.py
@@ -1,4 +1,4 @@
-"""The approved transcripts of the control plane, beside the tests that compare with them."""
+"""Comparison with the control plane's approved transcripts, which are stored beside the tests."""
 
 from __future__ import annotations
 
--- a/tests/controlplane/directory/directory_driver.py
+++ b/tests/controlplane/directory/directory_driver.py
@@ -1,4 +1,4 @@
-"""Drives the directory machine and writes down the exchange."""
+"""Drives the directory machine in tests and records the exchange as a transcript."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     running: int = 0,
     health: ServerHealth = ServerHealth.READY,
 ) -> ServerStatus:
-    """Return what a server says of itself."""
+    """Return a server's decoded status."""
     return ServerStatus(
         server=ServerId(name),
         incarnation=incarnation,
@@ -92,7 +92,7 @@
 
 
 class DirectoryDriver:
-    """One publisher of the directory, its exchange as text."""
+    """Drives one publisher of the directory and records the exchange as text."""
 
     def __init__(self, seed: int = 1) -> None:
         self.machine = DirectoryMachine(MemberId("core-1"), random.Random(seed))
@@ -101,25 +101,25 @@
         self.published: dict[str, bytes] = {}
 
     def give(self, event: DirectoryInput) -> list[DirectoryEffect]:
-        """Hand in one input and record the effects."""
+        """Pass in one input and record its effects."""
         effects = self.machine.handle(event, self.now)
-        shown = [] if isinstance(event, Tick) else [f"{self.now:.2f} -> {_shown_input(event)}"]
-        self.lines += shown + [f"{self.now:.2f} <- {_shown(effect)}" for effect in effects]
+        shown = [] if isinstance(event, Tick) else [f"{self.now:.2f} -> {_input_text(event)}"]
+        self.lines += shown + [f"{self.now:.2f} <- {_effect_text(effect)}" for effect in effects]
         for effect in effects:
             if isinstance(effect, PublishRows):
-                self._take(effect)
+                self._apply_publication(effect)
         return effects
 
-    def take_role(self, epoch: int = 1, rows: dict[str, bytes] | None = None) -> None:
+    def gain_role(self, epoch: int = 1, rows: dict[str, bytes] | None = None) -> None:
         """Become the publisher."""
         self.give(DirectoryRoleGained(epoch, TopicView(epoch - 1, 1, rows or {})))
 
     def list_servers(self, *rows: PlatformServer) -> None:
-        """Answer a fetch of the platform's list."""
+        """Respond to a fetch of the platform's list."""
         self.give(PlatformListed(list(rows)))
 
     def answer(self, name: str, **fields: object) -> list[DirectoryEffect]:
-        """Answer a probe of a server."""
+        """Respond successfully to a probe of a server."""
         observed = status(name, **fields)  # type: ignore[arg-type]
         return self.give(StatusObserved(ServerId(name), observed, self.now))
 
@@ -128,7 +128,7 @@
         return self.give(StatusFailed(ServerId(name), "timeout", refused, self.now))
 
     def tick(self, seconds: float = TICK_S) -> list[DirectoryEffect]:
-        """Let time pass in steps of the timer."""
+        """Advance the clock in steps of the tick interval."""
         effects = []
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
@@ -136,7 +136,7 @@
         return effects
 
     def note(self, text: str) -> None:
-        """Write a remark into the transcript."""
+        """Add a comment to the transcript."""
         self.lines.append(f"# {text}")
 
     def health(self, name: str) -> str:
@@ -144,10 +144,10 @@
         return str(orjson.loads(self.published[name])["health"])
 
     def transcript(self) -> str:
-        """Return the exchange so far."""
+        """Return the exchange recorded so far."""
         return "\n".join(self.lines)
 
-    def _take(self, effect: PublishRows) -> None:
+    def _apply_publication(self, effect: PublishRows) -> None:
         if effect.message.replace:
             self.published = {}
         self.published.update(effect.message.puts)
@@ -155,7 +155,7 @@
             del self.published[row]
 
 
-def _shown_input(event: DirectoryInput) -> str:
+def _input_text(event: DirectoryInput) -> str:
     match event:
         case PlatformListed(rows):
             return f"listed {[f'{row.server} at {row.address}' for row in rows]}"
@@ -167,7 +167,7 @@
     return str(event)
 
 
-def _shown(effect: DirectoryEffect) -> str:
+def _effect_text(effect: DirectoryEffect) -> str:
     match effect:
         case FetchPlatformList():
             return "fetch the platform's list"
--- a/tests/controlplane/directory/test_backend_status.py
+++ b/tests/controlplane/directory/test_backend_status.py
@@ -1,4 +1,4 @@
-"""The back ends' and the platform's answers, whole and broken."""
+"""Decoding of valid and malformed responses of back ends and of the platform."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class BackendStatusTest(testtools.TestCase):
-    def test_status(self) -> None:
+    def test_a_valid_status_is_decoded(self) -> None:
         status = read_server_status(status_body("s1", running=3))
         self.assertEqual(
             ("s1", 3, ServerHealth.READY), (status.server, status.running, status.health)
@@ -43,14 +43,14 @@
             ({"base-1"}, set(), {"tone-1"}), (status.models, status.adapters, status.loading)
         )
 
-    def test_platform_list(self) -> None:
+    def test_a_valid_platform_list_is_decoded(self) -> None:
         row = read_platform_list(list_with())[0]
         self.assertEqual(
             ("s1", "127.0.0.20:8000", "lookup"), (row.server, row.address, row.kind.value)
         )
         self.assertEqual([], read_platform_list(b'{"servers":[]}'))
 
-    def test_broken_answers_are_typed_errors(self) -> None:
+    def test_malformed_responses_raise_typed_errors(self) -> None:
         for body in (
             b"",
             b"<html>",
--- a/tests/controlplane/directory/test_server_prober.py
+++ b/tests/controlplane/directory/test_server_prober.py
@@ -1,4 +1,4 @@
-"""Probers apart from the publisher: shares, reports and the way of a status to the directory."""
+"""Probers other than the publisher: their shares, reports and effect on the directory."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def probed(effects: list[ProberEffect]) -> list[ServerId]:
-    """Return the servers that effects probe."""
+    """Return the servers that are probed by `effects`."""
     return [effect.server for effect in effects if isinstance(effect, ProbeServer)]
 
 
@@ -56,21 +56,21 @@
         self.assertEqual(sorted(SERVERS), sorted(sum(shares, [])))
         self.assertTrue(all(len(share) > 10 for share in shares))
 
-    def test_a_prober_that_leaves_hands_on_its_share_alone(self) -> None:
+    def test_only_the_share_of_a_leaving_prober_is_reassigned(self) -> None:
         for name in SERVERS:
             before = probers_of(name, PROBERS)
             after = probers_of(name, PROBERS[:2])
             if before[0] in PROBERS[:2]:
                 self.assertEqual(before, after)
 
-    def test_a_server_that_left_is_probed_no_more(self) -> None:
+    def test_a_removed_server_is_no_longer_probed(self) -> None:
         machine = prober(PROBERS[0])
         machine.handle(DirectoryPublished(directory()), 0.0)
         self.assertEqual([], machine.handle(Tick(), 0.0))
 
 
 class ReportTest(testtools.TestCase):
-    def test_observations_are_collected_and_carry_their_age(self) -> None:
+    def test_observations_are_batched_and_contain_their_age(self) -> None:
         machine = prober(PROBERS[0])
         first, second = probed(machine.handle(Tick(), 10.0))[:2]
         machine.handle(ProbeSucceeded(first, status_body(first), 10.0), 10.02)
@@ -85,7 +85,7 @@
         self.assertAlmostEqual(0.05, seen[0].age_s, places=6)
         self.assertEqual(status_body(first), seen[0].status)
 
-    def test_what_was_seen_before_a_freeze_is_not_reported(self) -> None:
+    def test_observations_from_before_a_process_pause_are_not_reported(self) -> None:
         machine = prober(PROBERS[0])
         first = probed(machine.handle(Tick(), 10.0))[0]
         machine.handle(ProbeSucceeded(first, status_body(first), 10.0), 10.01)
@@ -100,10 +100,10 @@
         later = [machine.handle(Tick(), 10.0 + TICK_S * step) for step in range(1, 60)]
         self.assertIn(first, [name for effects in later for name in probed(effects)])
 
-    def test_reported_observations_make_the_directory(self) -> None:
+    def test_reported_observations_determine_the_published_health(self) -> None:
         publisher = DirectoryDriver()
         publisher.give(ProbersChanged(PROBERS))
-        publisher.take_role()
+        publisher.gain_role()
         remote = next(name for name in SERVERS if probers_of(name, PROBERS)[0] != PROBERS[0])
         publisher.list_servers(listed(remote))
         publisher.tick()
--- a/tests/controlplane/documents/test_documents.py
+++ b/tests/controlplane/documents/test_documents.py
@@ -1,4 +1,4 @@
-"""The forwarding document: changes, races, resends, reading back."""
+"""The forwarding document: changes, conflicts, retries, reads and the derived intent."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class Document:
-    """Rows under the reducer, as the register keeps them."""
+    """Rows that are changed by the reducer, as the register stores them."""
 
     def __init__(self):
         self.rows = {}
@@ -86,14 +86,14 @@
 
 
 class ReducerTest(testtools.TestCase):
-    def test_what_was_written_is_read_back_in_its_order(self):
+    def test_a_document_is_read_back_as_written_and_in_order(self):
         document = Document().accept(complete_document(0, 5, route("b"), route("a")))
         read = source_document(document.rows)
         self.assertEqual((5, {"x": 1}), (read.number, read.other))
         self.assertEqual(["b", "a"], [each["name"] for each in read.routes])
         self.assertEqual([{"name": "p"}], read.pools)
 
-    def test_a_patch_changes_by_name_and_keeps_places(self):
+    def test_a_patch_changes_items_by_name_and_keeps_their_positions(self):
         document = Document().accept(complete_document(0, 5, route("a"), route("b")))
         changed = DeclaredRoute(route("a", "/new/").spec, {"name": "a", "as": "changed"})
         patch = DocumentChange(5, 9, False, (changed, route("c")), removed_routes=("b",))
@@ -103,24 +103,24 @@
         self.assertEqual("changed", read.routes[0]["as"])
         self.assertEqual((9, {"x": 1}), (read.number, read.other))
 
-    def test_of_two_changes_on_one_number_one_wins(self):
+    def test_only_one_of_two_changes_of_the_same_base_is_accepted(self):
         document = Document().accept(complete_document(0, 5, route("a")))
         document.accept(complete_document(5, 7, route("b")))
         refusal = document.refusal(complete_document(5, 8, route("c")))
         self.assertTrue(refusal.is_conflict)
 
-    def test_the_last_change_sent_again_changes_nothing_and_is_accepted(self):
+    def test_a_retry_of_the_last_change_is_accepted_without_effect(self):
         change = complete_document(0, 5, route("a"))
         document = Document().accept(change)
         before = dict(document.rows)
         document.accept(change)
         self.assertEqual(before, document.rows)
 
-    def test_another_change_under_the_same_number_is_refused(self):
+    def test_another_change_with_the_same_number_is_a_conflict(self):
         document = Document().accept(complete_document(0, 5, route("a")))
         self.assertTrue(document.refusal(complete_document(0, 5, route("b"))).is_conflict)
 
-    def test_invalid_documents_change_nothing(self):
+    def test_an_invalid_document_changes_nothing(self):
         document = Document().accept(complete_document(0, 5, route("a")))
         for change in (
             complete_document(5, 5, route("a", "/x/")),
@@ -138,11 +138,11 @@
             self.assertFalse(document.refusal(change).is_conflict, change)
         self.assertEqual(5, source_document(document.rows).number)
 
-    def test_a_pool_that_a_patch_brings_may_be_named_by_its_routes(self):
+    def test_routes_of_a_patch_may_name_pools_of_the_same_patch(self):
         document = Document().accept(complete_document(0, 5, route("a")))
         document.accept(DocumentChange(5, 6, False, (route("b", pool="q"),), (pool("q"),)))
 
-    def test_evacuations_are_states_beside_the_document(self):
+    def test_evacuations_are_independent_of_document_changes(self):
         document = Document().accept(complete_document(0, 5, route("a")))
         document.accept(EvacuationChange("z1", True)).accept(EvacuationChange("z1", True))
         self.assertEqual({"z1"}, DocumentDecoder().update(1, document.rows).evacuated)
@@ -153,7 +153,7 @@
 
 
 class DecoderTest(testtools.TestCase):
-    def test_rows_that_did_not_change_are_the_same_objects(self):
+    def test_unchanged_rows_are_not_decoded_again(self):
         document = Document().accept(complete_document(0, 5, route("a"), route("b")))
         decoder = DocumentDecoder()
         first = decoder.update(1, document.rows)
@@ -165,7 +165,7 @@
 
 
 class DocumentIntentTest(testtools.TestCase):
-    def test_an_engine_becomes_models_adapters_and_two_stores(self):
+    def test_an_engine_yields_models_adapters_and_two_stores(self):
         models = {"m": EngineModel(100, 0.5, ("a1", "a2"), 3)}
         engine = Engine(64, 1000, 300, 8, 4.0, models)
         document = Document().accept(
@@ -194,7 +194,7 @@
             DocumentIntent(StoreConfig(5.0, 1.1)).update(typed).pools["p"].max_concurrent_per_server
         )
 
-    def test_replicas_are_counted_by_fewer_requests_than_an_engine_has_slots(self):
+    def test_requests_per_replica_are_limited_below_an_engines_slots(self):
         self.assertEqual(REQUESTS_PER_REPLICA, self.requests_per_replica(slots=64))
         self.assertEqual(2, self.requests_per_replica(slots=2))
 
@@ -208,7 +208,7 @@
 
 
 class PlainDialect:
-    """`GET` reads, `PUT` changes; anything else is unknown."""
+    """`GET` reads, `PUT` changes, `POST` evacuates a zone; other methods are unknown."""
 
     def read(self, request):
         if request.method == "GET":
@@ -242,20 +242,20 @@
         assert len(effects) == 1 and isinstance(effects[0], CallCore), effects
         return effects[0].message
 
-    def test_the_same_change_is_the_same_order_at_any_core(self):
+    def test_equal_changes_have_one_idempotency_key_at_any_core(self):
         first = self.proposal(self.call("PUT"))
         other = DocumentApi(FakeView(), PlainDialect(), "core-2/y")
         again = self.proposal(other.handle(ApiRequest("PUT", "/", {}, {}, b"", "t"), 9.0))
         self.assertEqual(first.idempotency_key, again.idempotency_key)
 
-    def test_each_evacuation_is_an_order_of_its_own(self):
+    def test_each_evacuation_has_its_own_idempotency_key(self):
         first, second = self.proposal(self.call("POST")), self.proposal(self.call("POST", "t2"))
         self.assertNotEqual(first.idempotency_key, second.idempotency_key)
 
-    def test_a_read_waits_for_the_version_that_a_quorum_proved(self):
+    def test_a_read_waits_for_the_version_that_a_quorum_confirmed(self):
         self.assertEqual(NO_VERSION, self.proposal(self.call("GET")).base_version)
-        proved = ChangeResult(CONFLICT, current_version=3)
-        self.assertEqual([], self.api.on_core_response("t1", proved))
+        confirmed = ChangeResult(CONFLICT, current_version=3)
+        self.assertEqual([], self.api.on_core_response("t1", confirmed))
         document = Document().accept(complete_document(0, 5, route("a")))
         self.view.view = KeyView(2, document.rows)
         self.assertEqual([], self.api.on_intent_changed(0.2))
@@ -263,21 +263,21 @@
         response = self.api.on_intent_changed(0.3)[0]
         self.assertEqual({"number": 5}, orjson.loads(response.body))
 
-    def test_a_read_without_a_quorum_has_no_clear_answer(self):
+    def test_a_read_without_a_quorum_is_unavailable(self):
         self.call("GET")
         response = self.api.on_core_response("t1", ChangeResult("not-confirmed"))[0]
         self.assertEqual(503, response.status)
 
-    def test_a_change_is_answered_once(self):
+    def test_a_change_gets_only_one_response(self):
         self.call("PUT")
         response = self.api.on_core_response("t1", ChangeResult(IN_FORCE, 1))
         self.assertIsInstance(response[0], ApiResponse)
         self.assertEqual([], self.api.on_core_response("t1", ChangeResult(IN_FORCE, 1)))
 
-    def test_what_takes_too_long_has_no_clear_answer(self):
+    def test_a_call_past_its_deadline_is_unavailable(self):
         self.call("PUT")
         self.assertEqual([], self.api.tick(CALL_TIMEOUT_S - 0.1))
         self.assertEqual(503, self.api.tick(CALL_TIMEOUT_S)[0].status)
 
-    def test_an_unknown_call_is_answered_at_once(self):
+    def test_an_unknown_call_gets_an_immediate_error(self):
         self.assertEqual(404, self.call("DELETE")[0].status)
--- a/tests/controlplane/fake_cores.py
+++ b/tests/controlplane/fake_cores.py
@@ -1,7 +1,7 @@
-"""Cores in memory, behind the transport of the operator commands.
+"""In-memory cores behind the transport of the operator commands.
 
-Every core runs the real control API over one shared intent with the real reducer; what the network
-does to each attempt is scripted.
+Each core runs the real control API and the real reducer on one shared intent; the outcome of each
+attempt in the network is scripted.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @attrs.define
 class FakeCores:
-    """Implements `CoreTransport`; `script` says what becomes of the next changes."""
+    """Implements `CoreTransport`; `script` lists the outcomes of the next changes."""
 
     view: FakeView = attrs.field(factory=FakeView)
     script: deque[str] = attrs.field(factory=deque)
@@ -39,7 +39,7 @@
     clock: float = 0.0
     down: set[str] = attrs.field(factory=set)
     apis: dict[str, ControlApi] = attrs.field(factory=dict)
-    _orders: dict[str, int] = attrs.field(factory=dict)
+    _versions_by_key: dict[str, int] = attrs.field(factory=dict)
     _count: int = 0
 
     async def fetch(
@@ -52,24 +52,24 @@
         timeout_s: float,
     ) -> CoreAnswer:
         path, _, query = target.partition("?")
-        fate = ANSWER
+        outcome = ANSWER
         if method == "POST":
-            fate = self.script.popleft() if self.script else ANSWER
-            self.attempts.append(f"{address} {headers['Idempotency-Key']} {fate}")
+            outcome = self.script.popleft() if self.script else ANSWER
+            self.attempts.append(f"{address} {headers['Idempotency-Key']} {outcome}")
             self.bodies.append(body)
-        if address in self.down or fate == NOT_REACHED:
+        if address in self.down or outcome == NOT_REACHED:
             raise CoreUnreachableError("Connection refused", sent=False)
-        if fate == LOST_REQUEST:
+        if outcome == LOST_REQUEST:
             self.clock += timeout_s
             raise CoreUnreachableError("Timeout", sent=True)
-        if fate == NOT_CONFIRMED:
+        if outcome == NOT_CONFIRMED:
             return CoreAnswer(503, b'{"kind":"not-confirmed","problem":"no majority"}')
         self._count += 1
         request = ApiRequest(
             method, path, dict(urllib.parse.parse_qsl(query)), headers, body, f"t{self._count}"
         )
         answer = self._handle(address, request, timeout_s)
-        if fate == LOST_ANSWER:
+        if outcome == LOST_ANSWER:
             self.clock += timeout_s
             raise CoreUnreachableError("Connection reset", sent=True)
         return answer
@@ -83,7 +83,7 @@
         return self.clock
 
     def apply(self, change: bytes) -> None:
-        """Make a change as another operator does."""
+        """Apply a change of another operator."""
         self._decide(ProposeChange("intent", f"other-{self.view.rows.version}", None, change))
 
     def _handle(self, address: str, request: ApiRequest, timeout_s: float) -> CoreAnswer:
@@ -101,8 +101,8 @@
 
     def _decide(self, proposal: ProposeChange) -> ChangeResult:
         rows = self.view.rows
-        if proposal.idempotency_key in self._orders:
-            return ChangeResult("in-force", self._orders[proposal.idempotency_key])
+        if proposal.idempotency_key in self._versions_by_key:
+            return ChangeResult("in-force", self._versions_by_key[proposal.idempotency_key])
         if proposal.base_version not in (None, rows.version):
             problem = f"built on version {proposal.base_version}, now {rows.version}"
             return ChangeResult("conflict", 0, rows.version, problem, "rebuild the change")
@@ -111,5 +111,5 @@
             refused = result.failure()
             return ChangeResult("invalid", 0, rows.version, refused.problem, refused.remedy)
         self.view.rows = KeyView(rows.version + 1, apply_changes(rows.rows, result.unwrap()))
-        self._orders[proposal.idempotency_key] = rows.version + 1
+        self._versions_by_key[proposal.idempotency_key] = rows.version + 1
         return ChangeResult("in-force", rows.version + 1)
--- a/tests/controlplane/fake_view.py
+++ b/tests/controlplane/fake_view.py
@@ -1,4 +1,4 @@
-"""A core's state written down by hand."""
+"""A fake view of a core's state, with rows that tests set."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
 
 @attrs.define
 class FakeView:
-    """Implements `CoreView` with tables that a test sets."""
+    """Implements `CoreView` with values that a test sets."""
 
     rows: KeyView = attrs.field(factory=lambda: KeyView(7, small_rows()))
     applied: dict[MemberId, int] = attrs.field(factory=dict)
--- a/tests/controlplane/intent/test_reducer.py
+++ b/tests/controlplane/intent/test_reducer.py
@@ -1,4 +1,4 @@
-"""Changes that are accepted, and the rows they leave."""
+"""Accepted changes of the intent and the rows that they result in."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
             rows["Model/base-1"],
         )
 
-    def test_null_returns_a_field_to_its_default(self) -> None:
+    def test_null_resets_a_field_to_its_default(self) -> None:
         rows = apply_change(
             small_rows(), change("merge", resource("Model/base-1", {"min_replicas": None}))
         )
         self.assertNotIn(b"min_replicas", rows["Model/base-1"])
 
-    def test_lists_are_replaced_whole(self) -> None:
+    def test_a_merge_replaces_lists_completely(self) -> None:
         rows = apply_change(
             small_rows(), change("merge", resource("Route/quotes", {"models": ["base-2"]}))
         )
         self.assertIn(b'"models":["base-2"]', rows["Route/quotes"])
 
-    def test_a_merge_leaves_other_rows_alone(self) -> None:
+    def test_a_merge_changes_no_other_rows(self) -> None:
         changed = IntentReducer().changed_rows(
             small_rows(), change("merge", resource("Zone/zone-a", {"evacuated": True}))
         )
         self.assertEqual({"Zone/zone-a": b'{"evacuated":true}'}, changed)
 
-    def test_a_merge_that_changes_nothing_has_no_rows(self) -> None:
+    def test_a_merge_without_effect_changes_no_rows(self) -> None:
         body = change("merge", *SMALL_INTENT, resource("Zone/never-was", None))
         self.assertEqual({}, IntentReducer().changed_rows(small_rows(), body))
 
-    def test_a_reference_and_its_target_may_come_or_go_together(self) -> None:
+    def test_a_change_may_add_or_delete_a_reference_with_its_target(self) -> None:
         body = change(
             "merge",
             resource("Adapter/tone-1", None),
@@ -63,11 +63,11 @@
 
 
 class ReplaceTest(testtools.TestCase):
-    def test_replace_deletes_what_is_left_out(self) -> None:
+    def test_replace_deletes_resources_that_it_omits(self) -> None:
         changed = IntentReducer().changed_rows(small_rows(), change("replace", *SMALL_INTENT[:-1]))
         self.assertEqual({"Route/lookup": None}, changed)
 
-    def test_replace_returns_fields_left_out_to_their_defaults(self) -> None:
+    def test_replace_resets_omitted_fields_to_their_defaults(self) -> None:
         rows = apply_change(
             small_rows(),
             change(
@@ -78,7 +78,7 @@
         )
         self.assertEqual(b"{}", rows["Pool/chat"])
 
-    def test_replace_refuses_to_strand_what_it_keeps(self) -> None:
+    def test_replace_refuses_to_omit_a_referenced_resource(self) -> None:
         body = change("replace", *[item for item in SMALL_INTENT if item["kind"] != "Store"])
         error = self.assertRaises(
             InvalidInputError, IntentReducer().changed_rows, small_rows(), body
--- a/tests/controlplane/intent/test_reducer_properties.py
+++ b/tests/controlplane/intent/test_reducer_properties.py
@@ -1,4 +1,4 @@
-"""Properties of merges, of the reducer and of the incremental decoder over random changes."""
+"""Properties of merge patches, the reducer and the incremental decoder under random changes."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
     ]
 )
 
-START: Rows = {
+INITIAL_ROWS: Rows = {
     "Pool/p0": b"{}",
     "Pool/p1": b"{}",
     "Store/s0": b'{"address":"127.0.0.1:1"}',
@@ -109,7 +109,7 @@
 )
 
 
-def attempt(rows: Rows, body: bytes) -> Rows | None:
+def rows_after(rows: Rows, body: bytes) -> Rows | None:
     """Return the rows after a change, None when it is refused."""
     try:
         changed = IntentReducer().changed_rows(rows, body)
@@ -120,38 +120,38 @@
     return after
 
 
-def as_documents(rows: Rows) -> list[dict[str, Any]]:
+def as_resources(rows: Rows) -> list[dict[str, Any]]:
     return [resource(row, orjson.loads(content)) for row, content in rows.items()]
 
 
-def faults(rows: Rows) -> list[str]:
-    """Return what is wrong with a set of rows, by rules written anew for the test."""
+def broken_rules(rows: Rows) -> list[str]:
+    """Return the rules that rows break; the rules are implemented independently of the reducer."""
     intent = decode_intent(1, rows)
-    found = []
+    broken = []
     for name, route in intent.routes.items():
         if route.pool not in intent.pools:
-            found.append(f"route {name} has no pool")
-        found += [f"route {name} names {m}" for m in route.models if m not in intent.models]
-        found += [
+            broken.append(f"route {name} has no pool")
+        broken += [f"route {name} names {m}" for m in route.models if m not in intent.models]
+        broken += [
             f"route {name} and model {model} are in two pools"
             for model in route.models
             if model in intent.models and intent.models[model].pool != route.pool
         ]
     for name, model in intent.models.items():
         if model.pool not in intent.pools or intent.pools[model.pool].kind.value == "lookup":
-            found.append(f"model {name} has no pool for models")
+            broken.append(f"model {name} has no pool for models")
         if model.store not in intent.stores or model.weight_bytes < 1:
-            found.append(f"model {name} has no store or weight")
+            broken.append(f"model {name} has no store or weight")
     for name, adapter in intent.adapters.items():
         if adapter.base_model not in intent.models or adapter.store not in intent.stores:
-            found.append(f"adapter {name} has no base model or store")
+            broken.append(f"adapter {name} has no base model or store")
         if name in intent.models:
-            found.append(f"{name} is a model and an adapter")
+            broken.append(f"{name} is a model and an adapter")
     if len({route.path for route in intent.routes.values()}) < len(intent.routes):
-        found.append("two routes have one path")
+        broken.append("two routes have one path")
     if len({store.address for store in intent.stores.values()}) < len(intent.stores):
-        found.append("two stores have one address")
-    return found
+        broken.append("two stores have one address")
+    return broken
 
 
 class MergePatchTest(testtools.TestCase):
@@ -161,13 +161,13 @@
 
     @FIXED
     @given(OBJECTS, OBJECTS)
-    def test_a_patch_applied_twice_is_applied_once(self, target: Any, patch: Any) -> None:
+    def test_applying_a_patch_twice_equals_applying_it_once(self, target: Any, patch: Any) -> None:
         once = apply_merge_patch(target, patch)
         self.assertEqual(once, apply_merge_patch(once, patch))
 
     @FIXED
     @given(OBJECTS, OBJECTS)
-    def test_arguments_stay_as_they_are(self, target: Any, patch: Any) -> None:
+    def test_a_patch_does_not_modify_its_arguments(self, target: Any, patch: Any) -> None:
         before = orjson.dumps([target, patch])
         apply_merge_patch(target, patch)
         self.assertEqual(before, orjson.dumps([target, patch]))
@@ -176,43 +176,43 @@
 class ReducerPropertyTest(testtools.TestCase):
     @FIXED
     @given(CHANGES)
-    def test_accepted_changes_never_leave_a_fault(self, changes: list[bytes]) -> None:
-        rows = START
+    def test_accepted_changes_never_break_a_rule(self, changes: list[bytes]) -> None:
+        rows = INITIAL_ROWS
         for body in changes:
-            rows = attempt(rows, body) or rows
-            self.assertEqual([], faults(rows))
+            rows = rows_after(rows, body) or rows
+            self.assertEqual([], broken_rules(rows))
 
     @FIXED
     @given(CHANGES)
     def test_a_merge_sent_again_changes_nothing(self, changes: list[bytes]) -> None:
-        rows = START
+        rows = INITIAL_ROWS
         for body in changes:
-            after = attempt(rows, body)
+            after = rows_after(rows, body)
             if after is not None:
                 self.assertEqual({}, IntentReducer().changed_rows(after, body))
                 rows = after
 
     @FIXED
     @given(CHANGES, CHANGES)
-    def test_what_merges_made_can_be_declared_whole(
-        self, changes: list[bytes], others: list[bytes]
+    def test_a_replace_reproduces_the_rows_of_any_merges(
+        self, changes: list[bytes], other_changes: list[bytes]
     ) -> None:
-        rows, elsewhere = START, START
+        rows, other_rows = INITIAL_ROWS, INITIAL_ROWS
         for body in changes:
-            rows = attempt(rows, body) or rows
-        for body in others:
-            elsewhere = attempt(elsewhere, body) or elsewhere
-        body = change("replace", *as_documents(rows))
-        self.assertEqual(rows, attempt(elsewhere, body))
-        self.assertEqual(rows, attempt({}, body))
+            rows = rows_after(rows, body) or rows
+        for body in other_changes:
+            other_rows = rows_after(other_rows, body) or other_rows
+        body = change("replace", *as_resources(rows))
+        self.assertEqual(rows, rows_after(other_rows, body))
+        self.assertEqual(rows, rows_after({}, body))
 
     @FIXED
     @given(CHANGES)
-    def test_the_incremental_decoder_agrees_with_a_fresh_one(self, changes: list[bytes]) -> None:
+    def test_incremental_and_complete_decoding_agree(self, changes: list[bytes]) -> None:
         decoder = IntentDecoder()
-        rows = START
+        rows = INITIAL_ROWS
         for version, body in enumerate(changes):
-            rows = attempt(rows, body) or rows
+            rows = rows_after(rows, body) or rows
             intent = decoder.update(version, rows)
             self.assertEqual(decode_intent(version, rows), intent)
             self.assertEqual(intent, decode_intent(version, encode_intent(intent)))
@@ -221,15 +221,15 @@
 class DecoderTest(testtools.TestCase):
     def test_only_changed_rows_are_decoded_again(self) -> None:
         decoder = IntentDecoder()
-        before = decoder.update(1, START)
-        after = decoder.update(2, {**START, "Pool/p1": b'{"max_queue":1}'}, ["Pool/p1"])
+        before = decoder.update(1, INITIAL_ROWS)
+        after = decoder.update(2, {**INITIAL_ROWS, "Pool/p1": b'{"max_queue":1}'}, ["Pool/p1"])
         self.assertIs(before.models, after.models)
         self.assertIs(before.pools["p0"], after.pools["p0"])  # type: ignore[index]
         self.assertEqual(1, after.pools["p1"].max_queue)  # type: ignore[index]
 
-    def test_an_unreadable_row_leaves_the_last_intent(self) -> None:
+    def test_an_unreadable_row_keeps_the_last_intent(self) -> None:
         decoder = IntentDecoder()
-        known = decoder.update(1, START)
+        known = decoder.update(1, INITIAL_ROWS)
         for row, content in (
             ("Gadget/x", b"{}"),
             ("Pool", b"{}"),
@@ -237,8 +237,8 @@
             ("Pool/x", b"[]"),
             ("Pool/x", b'{"added_in_a_later_release":1}'),
         ):
-            rows = {"Zone/new": b"{}", **START, row: content}
+            rows = {"Zone/new": b"{}", **INITIAL_ROWS, row: content}
             error = self.assertRaises(ZincvaleError, decoder.update, 2, rows)
             self.assertEqual("invalid", error.kind)
             self.assertIs(known, decoder.intent)
-        self.assertIn("new", decoder.update(2, {**START, "Zone/new": b"{}"}).zones)
+        self.assertIn("new", decoder.update(2, {**INITIAL_ROWS, "Zone/new": b"{}"}).zones)
--- a/tests/controlplane/intent/test_reducer_refusals.py
+++ b/tests/controlplane/intent/test_reducer_refusals.py
@@ -1,4 +1,4 @@
-"""Every kind of invalid change, with the error that the operator reads."""
+"""Refused changes of every kind, with the error that the operator gets."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 
 
 def refusal(rows: dict[str, bytes], body: bytes) -> ZincvaleError | None:
-    """Return the error a change is refused with."""
+    """Return the error with which a change is refused; None if it is accepted."""
     try:
         REDUCER.changed_rows(rows, body)
     except ZincvaleError as error:
@@ -131,10 +131,10 @@
         self.assertEqual(untouched, rows)
         verify(self, "refused_changes", "\n".join(lines))
 
-    def test_one_bad_resource_refuses_the_whole_change(self) -> None:
+    def test_one_invalid_resource_refuses_the_complete_change(self) -> None:
         body = change("merge", resource("Zone/new", {}), resource("Zone/zone-a", {"evacuated": 1}))
         self.assertIsNotNone(refusal(small_rows(), body))
 
-    def test_oversize_change(self) -> None:
+    def test_a_change_beyond_the_size_limit_is_refused(self) -> None:
         error = refusal({}, b" " * (change_body.MAX_CHANGE_BYTES + 1))
         self.assertIsInstance(error, BodyTooLargeError)
--- a/tests/controlplane/samples.py
+++ b/tests/controlplane/samples.py
@@ -1,4 +1,4 @@
-"""Small intents that the tests start from."""
+"""A small intent from which tests start, and functions that build changes of it."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 
 
 def change(mode: str, *resources: dict[str, Any]) -> bytes:
-    """Return the bytes of a change."""
+    """Return an encoded change of `resources`."""
     return orjson.dumps({"mode": mode, "resources": list(resources)})
 
 
 def resource(row: str, spec: dict[str, Any] | None) -> dict[str, Any]:
-    """Return the document of `Kind/name`."""
+    """Return the resource with the row id `Kind/name` as part of a change."""
     kind, _, name = row.partition("/")
     return {"kind": kind, "name": name, "spec": spec}
 
@@ -55,7 +55,7 @@
 
 
 def apply_change(rows: dict[str, bytes], body: bytes) -> dict[str, bytes]:
-    """Return `rows` after a change that must be accepted."""
+    """Return `rows` after a change that the reducer must accept."""
     after = dict(rows)
     for row, content in IntentReducer().changed_rows(rows, body).items():
         if content is None:
--- a/tests/controlplane/test_bad_bytes.py
+++ b/tests/controlplane/test_bad_bytes.py
@@ -1,4 +1,4 @@
-"""Whatever is sent, the answer is typed: nothing escapes and nothing is changed."""
+"""Random input to the API, the reducer and the decoders gets only typed responses and errors."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
 
 def nested(depth: int) -> bytes:
-    """Return a change whose one field is a list in a list, `depth` times."""
+    """Return a change with one field that is `depth` nested lists."""
     return (
         b'{"resources":[{"kind":"Zone","name":"a","spec":{"region":'
         + b"[" * depth
@@ -88,43 +88,43 @@
 
 
 class BadBytesTest(testtools.TestCase):
-    def check_answer(self, request: ApiRequest) -> None:
+    def check_response(self, request: ApiRequest) -> None:
         api = ControlApi(FakeView())
         effects = api.handle(request, 1.0) or api.tick(1_000.0)
         self.assertEqual(1, len(effects))
         if isinstance(effects[0], CallCore):
             return
-        answer = effects[0]
-        assert isinstance(answer, ApiResponse)
-        body: Any = orjson.loads(answer.body)
-        if answer.status != 200:
-            self.assertIn(answer.status, (400, 404, 405, 413, 422, 503))
+        response = effects[0]
+        assert isinstance(response, ApiResponse)
+        body: Any = orjson.loads(response.body)
+        if response.status != 200:
+            self.assertIn(response.status, (400, 404, 405, 413, 422, 503))
             self.assertTrue(body["problem"] and body["remedy"])
 
     @FIXED
     @given(st.sampled_from(["GET", "POST", "DELETE"]), PATHS, BODIES)
-    def test_the_api_answers_everything(self, method: str, path: str, body: bytes) -> None:
-        self.check_answer(ApiRequest(method, path, {}, {}, body, "t"))
+    def test_the_api_responds_to_any_request(self, method: str, path: str, body: bytes) -> None:
+        self.check_response(ApiRequest(method, path, {}, {}, body, "t"))
 
     @FIXED
     @given(BODIES)
-    def test_the_reducer_answers_everything(self, body: bytes) -> None:
+    def test_the_reducer_returns_a_result_for_any_change(self, body: bytes) -> None:
         rows = small_rows()
         self.assertIsInstance(IntentReducer()(rows, body), Result)
         self.assertEqual(small_rows(), rows)
 
-    def test_deep_nesting(self) -> None:
+    def test_deeply_nested_changes_get_a_typed_response(self) -> None:
         for depth in (10, 200, 250, 260, 1_000, 2_000, 100_000):
-            self.check_answer(ApiRequest("POST", "/v1/intent", {}, {}, nested(depth), "t"))
+            self.check_response(ApiRequest("POST", "/v1/intent", {}, {}, nested(depth), "t"))
             self.assertIsInstance(IntentReducer()({}, nested(depth)), Result)
             objects = nested(depth).replace(b"[" * depth, b'{"a":' * depth + b"1")
             objects = objects.replace(b"]" * depth, b"}" * depth)
-            self.check_answer(ApiRequest("POST", "/v1/intent", {}, {}, objects, "t"))
+            self.check_response(ApiRequest("POST", "/v1/intent", {}, {}, objects, "t"))
             self.assertIsInstance(IntentReducer()({}, objects), Result)
 
     @FIXED
     @given(BODIES)
-    def test_back_ends_may_answer_anything(self, body: bytes) -> None:
+    def test_any_back_end_response_is_decoded_or_raises_a_typed_error(self, body: bytes) -> None:
         for read in (read_server_status, read_platform_list):
             try:
                 read(body)
--- a/tests/controlplane/test_operator_commands.py
+++ b/tests/controlplane/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""The operator commands through `fire`, against cores in memory."""
+"""The operator commands, run through `fire` against in-memory cores."""
 
 from __future__ import annotations
 
@@ -47,10 +47,10 @@
 """
 
 
-SWOLLEN = "kind: Zone\nname: a\nspec:\n  a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n" + "".join(
+ALIAS_BOMB = "kind: Zone\nname: a\nspec:\n  a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n" + "".join(
     f"  a{n}: &a{n} [{', '.join([f'*a{n - 1}'] * 10)}]\n" for n in range(1, 12)
 )
-"""A small file whose aliases stand for ten to the twelfth values."""
+"""A small YAML file whose nested aliases expand to 10**12 values."""
 
 
 class OperatorCase(testtools.TestCase):
@@ -69,14 +69,14 @@
         return str(path)
 
     def run_command(self, *arguments: str) -> int:
-        """Run a command line as the program does; return its exit code, keep what it prints."""
+        """Run a command line as the program does; record its output and return its exit code."""
         line = " ".join(arguments).replace(f" {CORES}", "")
         self.lines.append(f"$ zincvale {line}")
-        printed, complaints = io.StringIO(), io.StringIO()
+        printed, errors = io.StringIO(), io.StringIO()
         commands = operator_commands(self.commands(lambda text: print(text, file=printed)))
-        with contextlib.redirect_stdout(printed), contextlib.redirect_stderr(complaints):
+        with contextlib.redirect_stdout(printed), contextlib.redirect_stderr(errors):
             code = run_operator_command(list(arguments), commands)
-        self.lines += [*printed.getvalue().splitlines(), *complaints.getvalue().splitlines()]
+        self.lines += [*printed.getvalue().splitlines(), *errors.getvalue().splitlines()]
         self.lines.append(f"exit {code}")
         self.lines = [text.replace(str(self.folder), "FOLDER") for text in self.lines]
         return code
@@ -89,7 +89,7 @@
 
 
 class ApplyTest(OperatorCase):
-    def test_apply(self) -> None:
+    def test_apply_exit_codes_and_output_are_as_approved(self) -> None:
         file = self.file(NEW_ZONE)
         self.assertEqual(0, self.run_command("apply", "-f", file, "--order-id", "7", CORES))
         self.assertEqual(4, self.run_command("apply", "-f", file, "--base-version", "7", CORES))
@@ -118,7 +118,7 @@
         self.assertIn("Model/1.10", self.cores.view.rows.rows)
         self.verify_lines("cli_apply")
 
-    def test_a_lost_acknowledgement_is_sent_again_under_the_same_order_id(self) -> None:
+    def test_a_change_without_acknowledgement_is_retried_with_its_order_id(self) -> None:
         self.cores.script = deque(
             [
                 fake_cores.NOT_REACHED,
@@ -136,7 +136,7 @@
         self.lines += self.cores.attempts
         self.verify_lines("cli_lost_acknowledgement")
 
-    def test_an_unconfirmed_order_is_given_up_with_its_id(self) -> None:
+    def test_an_unconfirmed_change_fails_at_its_limit_and_shows_its_order_id(self) -> None:
         self.cores.script = deque([fake_cores.LOST_REQUEST] * 20)
         file = self.file(NEW_ZONE)
         code = self.run_command("apply", "-f", file, "--order-id", "o-1", "--limit-s", "20", CORES)
@@ -146,7 +146,7 @@
         self.assertEqual(3, self.run_command("apply", "-f", file, "--order-id", "o-1", CORES))
         self.verify_lines("cli_not_confirmed")
 
-    def test_other_cores_are_learnt_from_the_member_table(self) -> None:
+    def test_other_cores_are_discovered_from_the_member_table(self) -> None:
         self.cores.script = deque([fake_cores.NOT_CONFIRMED])
         file = self.file(NEW_ZONE)
         self.run_command("apply", "-f", file, "--order-id", "o-1", "--core", "127.0.0.1:7000")
@@ -166,7 +166,7 @@
 
 class TransportTest(testtools.TestCase):
     def fetch(self, outcome: Exception | HTTPResponse) -> CoreAnswer:
-        """Send one request whose fate is known."""
+        """Send one request with a given outcome."""
 
         class Client:
             async def fetch(self, request: HTTPRequest, raise_error: bool) -> HTTPResponse:
@@ -178,7 +178,7 @@
         transport._client = Client()  # type: ignore[assignment]
         return asyncio.run(transport.fetch("127.0.0.1:7000", "GET", "/v1/zones", {}, b"", 1.0))
 
-    def test_only_a_refused_connection_proves_that_nothing_left(self) -> None:
+    def test_only_a_refused_connection_proves_that_nothing_was_sent(self) -> None:
         for number, sent in (
             (pycurl.E_COULDNT_CONNECT, False),
             (pycurl.E_OPERATION_TIMEDOUT, True),
@@ -188,19 +188,19 @@
             error = self.assertRaises(CoreUnreachableError, self.fetch, CurlError(number, "why"))
             self.assertEqual((sent, "why"), (error.sent, str(error)))
 
-    def test_error_statuses_are_answers(self) -> None:
+    def test_a_response_with_an_error_status_is_returned(self) -> None:
         request = HTTPRequest("http://127.0.0.1:7000/")
         answer = self.fetch(HTTPResponse(request, 409, buffer=io.BytesIO(b"{}")))
         self.assertEqual(CoreAnswer(409, b"{}"), answer)
 
 
 class FileTest(OperatorCase):
-    def test_bad_files(self) -> None:
+    def test_invalid_files_are_rejected_before_any_request(self) -> None:
         contents = {
             "twice.yaml": "kind: Zone\nname: a\nname: b\n",
             "broken.yaml": "kind: [Zone\n",
             "cycle.yaml": "kind: Zone\nname: a\nspec: &s {inner: *s}\n",
-            "swollen.yaml": SWOLLEN,
+            "swollen.yaml": ALIAS_BOMB,
             "text.yaml": "just text\n",
             "empty.yaml": "# nothing\n",
             "infinite.yaml": "kind: Pool\nname: a\nspec: {max_queue: .inf}\n",
@@ -218,7 +218,7 @@
         self.assertEqual([], self.cores.attempts)
         self.verify_lines("cli_bad_files")
 
-    def test_folders_lists_and_what_get_prints_can_be_applied(self) -> None:
+    def test_folders_lists_and_the_output_of_get_can_be_applied(self) -> None:
         folder = self.folder / "intent"
         folder.mkdir()
         (folder / "a.yaml").write_text("kind: Zone\nname: 2024-01-02\nspec: {}\n")
@@ -238,7 +238,7 @@
 
 
 class ReadTest(OperatorCase):
-    def test_get_and_describe(self) -> None:
+    def test_get_and_describe_output_is_as_approved(self) -> None:
         self.cores.down = {"127.0.0.1:7000"}
         for line in (
             "get intent",
@@ -261,7 +261,7 @@
             self.assertEqual(0, self.run_command(*line.split(), CORES), line)
         self.verify_lines("cli_reads")
 
-    def test_bad_reads(self) -> None:
+    def test_failed_reads_return_their_exit_codes(self) -> None:
         for line, code in (
             ("get gadgets", 2),
             ("get zoness", 2),
@@ -279,7 +279,7 @@
 
 
 class DeclaredStateTest(OperatorCase):
-    def test_drain_evacuate_and_undo(self) -> None:
+    def test_drain_and_evacuate_declare_and_undo_state(self) -> None:
         for line, code in (
             ("drain s1 --order-id o-1", 0),
             ("drain s1 --undo --order-id o-2", 0),
@@ -294,7 +294,7 @@
         self.lines += [body.decode() for body in self.cores.bodies]
         self.verify_lines("cli_declared_state")
 
-    def test_wait_ends_when_the_condition_holds_or_the_time_is_over(self) -> None:
+    def test_wait_ends_when_the_condition_is_true_or_at_its_limit(self) -> None:
         self.cores.view.observed = directory(server("s1", running=1))
         self.cores.view.applied = {}
         code = self.run_command("drain", "s1", "--wait", "--order-id=o-1", "--limit-s", "5", CORES)
@@ -315,7 +315,7 @@
         )
 
         def write(line: str) -> None:
-            """Show what came, and let another operator make the next change."""
+            """Record a line of output, then apply the next change of another operator."""
             self.lines.append(line)
             if changes:
                 cores.apply(orjson.dumps({"resources": changes.popleft()}))
@@ -324,13 +324,13 @@
         self.assertGreaterEqual(cores.clock, 40.0)
         self.verify_lines("cli_watch")
 
-    def test_watch_rides_over_a_core_that_is_away(self) -> None:
+    def test_watch_continues_at_another_core_if_one_is_unreachable(self) -> None:
         self.cores.down = {"127.0.0.1:7000"}
         code = self.run_command("watch", "--limit-s", "3", "--core", "127.0.0.1:7000")
         self.assertEqual(3, code)
         self.assertEqual(0, self.run_command("watch", "--limit-s", "3", CORES))
 
-    def test_watch_of_one_resource(self) -> None:
+    def test_watch_of_one_resource_ends_at_its_limit_or_condition(self) -> None:
         code = self.run_command("watch", "server", "s1", "--limit-s", "2", CORES)
         self.assertEqual(0, code)
         code = self.run_command("watch", "server", "s1", "--until", "ready", CORES)
@@ -365,7 +365,7 @@
             seen,
         )
 
-    def test_without_the_check_numbers_of_fire_still_mean_what_was_typed(self) -> None:
+    def test_numbers_that_fire_converts_have_the_meaning_of_the_typed_text(self) -> None:
         file = self.file(NEW_ZONE)
         commands = self.commands(self.lines.append)
         arguments = ["apply", "-f", file, "--base-version", "0", "--order-id", "12", CORES]
@@ -374,7 +374,7 @@
             fire.Fire(commands, ["drain", "7", "--force", "--limit-s", "9", CORES])
         self.assertIn("Server/7", self.cores.view.rows.rows)
 
-    def test_help(self) -> None:
+    def test_help_of_a_command_is_printed(self) -> None:
         printed = io.StringIO()
         with contextlib.redirect_stdout(printed), contextlib.redirect_stderr(printed):
             self.assertEqual(0, run_operator_command(["drain", "s1", "--help"]))
