--- a/src/zincvale/dataplane/claims/claimant.py
+++ b/src/zincvale/dataplane/claims/claimant.py
@@ -1,16 +1,16 @@
-"""Claimant's side of claims: one request's way to a decision.
+"""Claimant's side of claims: the state machine that decides whether one request may run.
 
     claiming --majority of votes--> granted
     claiming --another attempt is preferred or has a majority--> waiting
     claiming --no majority in time--> refused
     waiting  --outcome recorded--> that outcome
     waiting  --the other attempts are closed--> claiming, as a new attempt
-    waiting  --their owners are gone--> blocking
-    blocking --a majority never voted for them--> claiming, as a new attempt
+    waiting  --their owners lost them or do not respond--> blocking
+    blocking --they provably never get a majority--> claiming, as a new attempt
     blocking --they may have run--> pending
 
-An attempt that leaves `claiming` without a grant is closed for ever before anything else happens,
-so that its late votes count for nothing.
+An attempt that leaves `claiming` without a grant is first closed permanently, so that votes for it
+that arrive late have no effect.
 """
 
 from __future__ import annotations
@@ -54,15 +54,17 @@
 from zincvale.model.outcomes import Outcome
 
 POLL_GROWTH = 1.5
-"""Factor between two pauses of polling; smaller ones load the voters of a long request more."""
+"""Factor by which each pause between two polls grows; a smaller factor would put more load on the
+voters of a request that runs long."""
 RETRY_GROWTH = 2.0
-"""Factor between two pauses of claiming; with 1 split votes may repeat in step."""
+"""Factor by which each pause between two rounds of claiming grows; without growth, competing
+attempts could stay synchronized and split the votes again and again."""
 
 
 class Phase(enum.Enum):
-    """Where a request is on its way.
+    """State of a claimant.
 
-    Legal transitions (the module's docstring says on what): CLAIMING to CLAIMING, WAITING and
+    Legal transitions (the module's docstring names the triggers): CLAIMING to CLAIMING, WAITING and
     FINISHED; WAITING to CLAIMING, BLOCKING and FINISHED; BLOCKING to CLAIMING, WAITING and
     FINISHED; FINISHED is final. A decision, `abandon` or the deadline leads to FINISHED.
     """
@@ -75,29 +77,31 @@
 
 @attrs.frozen
 class ClaimTask:
-    """What a claimant has to decide.
+    """A request for which a claimant is to make a decision.
 
     Attributes
     ----------
-    started_at : when the claim was requested; the rows of its attempts live from then.
-    deadline_at : the decision is made by then.
-    renewed : the granted attempt to be confirmed again, which is not closed on failure.
+    digest : identifies the route and the content; an attempt with another one is another request.
+    started_at : when the claim was requested; the time to live of its attempts' rows starts then.
+    deadline_at : the latest time of the decision.
+    renewed_attempt : the granted attempt that a renewal confirms again, which is not closed on
+        failure; None for a new claim.
     """
 
     request_id: RequestId
     digest: str
     started_at: float
     deadline_at: float
-    renewed: Attempt | None = None
+    renewed_attempt: Attempt | None = None
 
 
 class Claimant:
-    """Decides one claim call.
+    """Decides one claim, or renews a granted one.
 
     Parameters
     ----------
-    view : the newest registered nodes.
-    random : jitter of the pauses between rounds.
+    view : the newest known version of the registered nodes.
+    random : source of the jitter of the pauses between rounds.
     """
 
     def __init__(
@@ -116,27 +120,27 @@
         self._view = view
         self._random = random
         self._timings = timings
-        self._is_renewal = task.renewed is not None
-        self._attempt = task.renewed
-        self._known = ClaimRow(task.request_id)
+        self._is_renewal = task.renewed_attempt is not None
+        self._attempt = task.renewed_attempt
+        self._known_row = ClaimRow(task.request_id)
         self._claim_until = 0.0
         self._round_number = 0
         self._is_between_rounds = False
         self._awaited: set[MemberId] = set()
         self._requested_voters: set[MemberId] = set()
         self._votes = Votes(view, timings.dispatch_window_s)
-        self._owners = CompetingOwners()
+        self._competing_owners = CompetingOwners()
         self._poll_interval_s = timings.poll_interval_s
         self._retry_backoff_s = timings.retry_backoff_s
         self._block_proof = BlockProof(view, [], 0.0, timings.dispatch_window_s)
         self._next_block_at = 0.0
 
     def begin(self, now: float) -> list[ClaimantEffect]:
-        """Start claiming."""
+        """Start the first round of claiming."""
         return self._start_claiming(now)
 
     def on_view_changed(self, view: ClaimView, now: float) -> list[ClaimantEffect]:
-        """Go on with other voters: votes of the older view count no more."""
+        """Continue with the voters of a newer view; votes of the older view no longer count."""
         if self.phase is Phase.FINISHED or view.version <= self._view.version:
             return []
         self._view = view
@@ -146,14 +150,14 @@
         return self._poll(now)
 
     def abandon(self) -> list[ClaimantEffect]:
-        """Give up, since nobody waits for the decision."""
+        """Close the attempt because the caller no longer waits for the decision."""
         if self.phase is Phase.FINISHED:
             return []
         self.phase = Phase.FINISHED
         return self._close_attempt()
 
     def on_wake(self, now: float) -> list[ClaimantEffect]:
-        """Act on the time passed; does nothing before `wake_at`."""
+        """Handle timeouts and the ends of pauses; does nothing before `wake_at`."""
         if self.phase is Phase.FINISHED or now < self.wake_at:
             return []
         if now >= self._task.deadline_at:
@@ -169,12 +173,12 @@
                 return self._poll(now)
 
     def on_reply(self, request: Request, reply: ClaimReply, now: float) -> list[ClaimantEffect]:
-        """Apply one response."""
+        """Apply a voter's or owner's reply to one of this claimant's calls."""
         if self.phase is Phase.FINISHED:
             return []
         effects = self._merge_reply(request, reply)
-        if self._known.recorded is not None and not self._is_renewal:
-            return effects + self._finish_recorded(self._known.recorded)
+        if self._known_row.recorded is not None and not self._is_renewal:
+            return effects + self._finish_recorded(self._known_row.recorded)
         if request.round_number == self._round_number:
             self._awaited.discard(request.member)
         match request.message:
@@ -190,7 +194,7 @@
         if self.phase is Phase.FINISHED:
             return []
         if isinstance(request.message, QueryCall):
-            self._owners.on_timeout(
+            self._competing_owners.on_timeout(
                 self._competing_attempts(), request.member, request.requested_at
             )
         if request.round_number == self._round_number:
@@ -205,9 +209,11 @@
         return []
 
     def _merge_reply(self, request: Request, reply: ClaimReply) -> list[ClaimantEffect]:
-        """Merge the response, and notify voters that still count on attempts known to be closed."""
-        self._known.merge(attrs.evolve(reply.state, blocked=[]))
-        stale = [claim.attempt for claim in reply.state.open if claim.attempt in self._known.closed]
+        """Merge the reply, and send closed attempts to a member that still has them open."""
+        self._known_row.merge(attrs.evolve(reply.state, blocked=[]))
+        stale = [
+            claim.attempt for claim in reply.state.open if claim.attempt in self._known_row.closed
+        ]
         effects: list[ClaimantEffect] = []
         if stale:
             effects.append(Notify((request.member,), CloseCall(self.request_id, stale)))
@@ -217,7 +223,7 @@
 
     def _competing_attempts(self) -> list[Attempt]:
         """Return the other open attempts, the preferred one first."""
-        return self._known.others(self._attempt)
+        return self._known_row.other_open_attempts(self._attempt)
 
     def _request_from_all(
         self, members: list[MemberId], message: ClaimCall | QueryCall | BlockCall, now: float
@@ -261,12 +267,12 @@
         dispatch_by = self._votes.dispatch_by()
         if dispatch_by is not None and now < dispatch_by:
             return self._finish(ClaimGranted(), Grant(call.attempt, self._task.digest, dispatch_by))
-        if self._round_is_over() or self._votes.is_lost():
+        if self._round_is_over() or self._votes.another_has_majority():
             return self._evaluate_votes(now)
         return []
 
     def _restart_as_new_attempt(self, now: float) -> list[ClaimantEffect]:
-        """Go on as a new attempt after a pause, since this one was blocked."""
+        """Close the attempt, which a voter blocked, and claim as a new attempt after a pause."""
         effects = self._close_attempt()
         self._attempt = self._open_attempt()
         self._votes = Votes(self._view, self._timings.dispatch_window_s)
@@ -274,12 +280,12 @@
         return effects
 
     def _evaluate_votes(self, now: float) -> list[ClaimantEffect]:
-        """Yield, give up or try again after a round without a majority."""
+        """Yield to another attempt, give up or retry after a round without a majority."""
         competing = self._competing_attempts()
         is_late = now >= min(self._claim_until, self._task.deadline_at)
         if competing and not self._is_renewal:
             assert self._attempt is not None
-            if is_late or competing[0] < self._attempt or self._votes.is_lost():
+            if is_late or competing[0] < self._attempt or self._votes.another_has_majority():
                 return self._yield_to(competing, now)
         if is_late:
             return self._finish_undecided()
@@ -295,7 +301,7 @@
 
     def _yield_to(self, competing: list[Attempt], now: float) -> list[ClaimantEffect]:
         effects = self._close_attempt()
-        if any(self._known.open[competitor] != self._task.digest for competitor in competing):
+        if any(self._known_row.open[competitor] != self._task.digest for competitor in competing):
             return effects + self._finish(ClaimRefused(ClaimRefusal.OTHER_REQUEST))
         self._poll_interval_s = self._timings.poll_interval_s
         return effects + self._poll(now)
@@ -305,13 +311,13 @@
         return self._own_attempts.open(task.request_id, task.digest, task.started_at)
 
     def _close_attempt(self) -> list[ClaimantEffect]:
-        """Close the own attempt for ever and take its votes back."""
+        """Close this claimant's attempt permanently and withdraw its votes."""
         attempt = self._attempt
         if attempt is None or self._is_renewal:
             return []
         self._attempt = None
         self._own_attempts.close(self.request_id, attempt, self._task.started_at)
-        self._known.close(attempt)
+        self._known_row.close(attempt)
         members = tuple(sorted(self._requested_voters))
         return [Notify(members, CloseCall(self.request_id, [attempt]))]
 
@@ -334,7 +340,7 @@
     ) -> list[ClaimantEffect]:
         if self.phase is not Phase.WAITING:
             return []
-        self._owners.on_reply(self._competing_attempts(), request.member, reply)
+        self._competing_owners.on_reply(self._competing_attempts(), request.member, reply)
         return self._evaluate_competing(now)
 
     def _evaluate_competing(self, now: float) -> list[ClaimantEffect]:
@@ -342,7 +348,9 @@
         if not competing:
             return self._start_claiming(now)
         is_due = now >= self._next_block_at
-        if is_due and self._owners.all_unresponsive(competing, self._timings.suspect_after_s, now):
+        if is_due and self._competing_owners.all_unresponsive(
+            competing, self._timings.suspect_after_s, now
+        ):
             return self._request_blocks(competing, now)
         return []
 
@@ -369,11 +377,11 @@
         competing = self._block_proof.competing
         if self._block_proof.proves_never_ran(now):
             for competitor in competing:
-                self._known.close(competitor)
+                self._known_row.close(competitor)
             members = self._view.voters(self.request_id)
             effects: list[ClaimantEffect] = [Notify(members, CloseCall(self.request_id, competing))]
             return effects + self._start_claiming(now)
-        if self._owners.all_unresponsive(competing, self._timings.owner_timeout_s, now):
+        if self._competing_owners.all_unresponsive(competing, self._timings.owner_timeout_s, now):
             return self._finish(OutcomePending())
         self.phase = Phase.WAITING
         self._wake_by(now + self._poll_interval_s)
@@ -397,7 +405,7 @@
         effects = self._close_attempt()
         if has_competitors or self.phase is not Phase.CLAIMING:
             return effects + self._finish(OutcomePending())
-        never_ran = self._votes.proves_fresh()
+        never_ran = self._votes.proves_request_never_ran()
         return effects + self._finish(ClaimRefused(ClaimRefusal.UNAVAILABLE, never_ran=never_ran))
 
     def _finish(self, decision: ClaimDecision, grant: Grant | None = None) -> list[ClaimantEffect]:
--- a/src/zincvale/dataplane/claims/claimant_effects.py
+++ b/src/zincvale/dataplane/claims/claimant_effects.py
@@ -1,4 +1,4 @@
-"""Effects of a claimant, carried out by `ClaimRequests`."""
+"""Effects of a claimant, which `ClaimRequests` carries out."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Request:
-    """Effect: call `member`; `on_reply` or `on_failure` follows with this object."""
+    """Effect: call `member`, then pass this object to `on_reply` or `on_failure`."""
 
     member: MemberId
     message: ClaimCall | QueryCall | BlockCall
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class Notify:
-    """Effect: deliver `message` to the members, resent until confirmed or too late."""
+    """Effect: deliver `message` to the members, with resends until confirmation or a timeout."""
 
     members: tuple[MemberId, ...]
     message: CloseCall | RecordCall
@@ -36,14 +36,14 @@
 
 @attrs.frozen
 class FetchViews:
-    """Effect: request from `member` the newer versions of the registered nodes."""
+    """Effect: fetch from `member` the versions of the registered nodes that are newer than ours."""
 
     member: MemberId
 
 
 @attrs.frozen
 class Grant:
-    """A majority's votes: `attempt` may be dispatched before `dispatch_by`."""
+    """Permission by a majority of the voters to dispatch `attempt` before `dispatch_by`."""
 
     attempt: Attempt
     digest: str
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Finished:
-    """Effect: the decision, with the grant if it is `ClaimGranted`."""
+    """Effect: the claimant is finished; `grant` is set if the decision is `ClaimGranted`."""
 
     decision: ClaimDecision
     grant: Grant | None = None
--- a/src/zincvale/dataplane/claims/delivery.py
+++ b/src/zincvale/dataplane/claims/delivery.py
@@ -1,4 +1,4 @@
-"""Delivery of records and releases to the voters of a claim, resent until each confirmed it."""
+"""Delivery of outcomes and releases to the voters of a claim, resent until each voter confirms."""
 
 from __future__ import annotations
 
@@ -14,13 +14,16 @@
 
 @attrs.define
 class Delivery:
-    """One message for several members.
+    """One message to several members, and who has confirmed it.
 
     Attributes
     ----------
-    required_confirmations : those that make it safe, a majority of the voters.
-    token : of the `Confirmed` effect when that many confirmed, or empty.
-    ends_at : when members that still did not confirm are given up.
+    required_confirmations : a majority of the voters, after which the message is not lost again;
+        0 if nobody waits for the confirmation.
+    token : of the `Confirmed` effect that follows the required confirmations or the end of the
+        delivery; empty if there is none, or after it was sent.
+    ends_at : when resending to members that have not confirmed stops.
+    resend_at : the earliest time of the next resend.
     """
 
     message: CloseCall | RecordCall
@@ -42,7 +45,7 @@
         return members
 
     def confirm(self, member: MemberId) -> bool:
-        """Count a confirmation; returns whether it was the one that made it safe."""
+        """Count a confirmation; return whether it completed the required number."""
         self.in_flight.discard(member)
         if member not in self.unconfirmed:
             return False
@@ -51,24 +54,24 @@
         return len(self.confirmed) == self.required_confirmations
 
     def is_over(self, now: float) -> bool:
-        """Whether nothing is left to do."""
+        """Whether every member confirmed or the time for resends has ended."""
         return not self.unconfirmed or now >= self.ends_at
 
 
 class Deliveries:
-    """All deliveries that are not over."""
+    """The deliveries in progress."""
 
     def __init__(self, outbox: ClaimOutbox) -> None:
         self._outbox = outbox
         self._deliveries: dict[int, Delivery] = {}
 
     def add(self, delivery: Delivery, now: float) -> None:
-        """Send to all members, and again every `RESEND_INTERVAL_S` to those that do not confirm."""
+        """Send to all members, and every `RESEND_INTERVAL_S` to those that have not confirmed."""
         number = self._outbox.next_number()
         self._deliveries[number] = delivery
         self._send_due(number, delivery, now)
 
-    def confirmed(self, pending: PendingDelivery) -> None:
+    def on_confirmation(self, pending: PendingDelivery) -> None:
         """Count the confirmation of a member that stored the message."""
         delivery = self._deliveries.get(pending.number)
         if delivery is not None and delivery.confirm(pending.member) and delivery.token:
@@ -82,7 +85,7 @@
             delivery.in_flight.discard(pending.member)
 
     def tick(self, now: float) -> None:
-        """Resend what is due, and end what is over."""
+        """Send the resends that are due, and remove the deliveries that are over."""
         for number, delivery in list(self._deliveries.items()):
             if not delivery.is_over(now):
                 self._send_due(number, delivery, now)
--- a/src/zincvale/dataplane/claims/events.py
+++ b/src/zincvale/dataplane/claims/events.py
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class ClaimRequested:
-    """Input: a request wants to run; `Decided(token, ...)` follows by `deadline_at`."""
+    """Input: claim the right to run a request; `Decided(token, ...)` follows by `deadline_at`."""
 
     token: str
     request_id: RequestId
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class RenewalRequested:
-    """Input: a granted claim grew too old to dispatch; `Confirmed(token, ...)` follows."""
+    """Input: renew a grant that is too old for a dispatch; `Confirmed(token, ...)` follows."""
 
     token: str
     request_id: RequestId
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class ClaimAbandoned:
-    """Input: nobody waits for the decision `token` any more."""
+    """Input: the caller no longer waits for the decision or renewal `token`."""
 
     token: str
 
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class ReleaseRequested:
-    """Input: the request provably never ran; `Confirmed(token, ...)` follows."""
+    """Input: release a request that provably never ran; `Confirmed(token, ...)` follows."""
 
     token: str
     request_id: RequestId
@@ -65,14 +65,14 @@
 
 @attrs.frozen
 class LiveMembersChanged:
-    """Input: incarnation by member with a live lease."""
+    """Input: the members with live leases, and the incarnation of each one's process."""
 
     incarnations: dict[MemberId, str]
 
 
 @attrs.frozen
 class Decided:
-    """Effect: the decision about the claim `token`."""
+    """Effect: complete the claim `token` with this decision."""
 
     token: str
     decision: ClaimDecision
@@ -80,7 +80,7 @@
 
 @attrs.frozen
 class Confirmed:
-    """Effect: whether a majority confirmed what `token` requested."""
+    """Effect: complete the renewal, outcome or release `token`, confirmed by a majority or not."""
 
     token: str
     is_confirmed: bool
@@ -88,6 +88,6 @@
 
 @attrs.frozen
 class WakeAt:
-    """Effect: feed a `Tick` at this time, besides the periodic ones."""
+    """Effect: pass a `Tick` to the machine at this time, in addition to the periodic ones."""
 
     at: float
--- a/src/zincvale/dataplane/claims/log_events.py
+++ b/src/zincvale/dataplane/claims/log_events.py
@@ -5,19 +5,21 @@
 from zincvale.model.log_events import declare
 
 CLAIMS_COMPLETE = declare(
-    7001, "claims.complete", "This claim voter votes in the named view of registered nodes."
+    7001,
+    "claims.complete",
+    "This node's claim voter is complete and votes in the given view of the registered nodes.",
 )
 CLAIMS_QUARANTINED = declare(
     7002,
     "claims.quarantined",
-    "This claim voter votes although too few others could be read: claims from before the loss "
-    "may be forgotten, and a resend of such a request may run again.",
+    "This node's claim voter votes although it could not read from enough other voters: claims "
+    "from before their loss may be forgotten, and a resend of such a request may run again.",
 )
 CLAIMS_VIEW_UPDATED = declare(
     7003,
     "claims.view-updated",
-    "A new version of the registered nodes decides who votes on claims.",
+    "The voters of claims are now chosen from a newer version of the registered nodes.",
 )
 CLAIMS_FULL = declare(
-    7004, "claims.full", "The table of claims has no room; at-most-once requests are not taken."
+    7004, "claims.full", "The table of claims is full; new at-most-once requests are refused."
 )
--- a/src/zincvale/dataplane/claims/messages.py
+++ b/src/zincvale/dataplane/claims/messages.py
@@ -11,30 +11,31 @@
 
 
 class ClaimStatus(enum.StrEnum):
-    """What a voter responded, as `ClaimReply.status`."""
+    """Result of a call to a voter, the value of `ClaimReply.status`."""
 
     GRANTED = "granted"
     """The attempt has this voter's vote."""
     CONTENDED = "held"
-    """Another attempt is open; `state` names it. The text on the wire is older than the name."""
+    """Another attempt is open; `state` names it. The wire value is a former name of this status."""
     RECORDED = "recorded"
     """The request has an outcome, in `state`."""
     BLOCKED = "barred"
-    """To a claim: no vote for the attempt here. To a block: done; `state` names votes given."""
+    """To a `ClaimCall`: this voter never votes for the attempt. To a `BlockCall`: the attempts are
+    blocked, except those with this voter's vote, which `state` lists as open."""
     FREE = "free"
-    """To a query: no attempt is open."""
+    """To a `QueryCall`: no attempt is open."""
     FULL = "full"
-    """Nothing is known of the request, and there is no room for another claim."""
+    """The voter knows of no competing attempt, but has no room for this one."""
     NOT_READY = "not-ready"
-    """The voter restarted or learnt a new view, and does not vote yet."""
+    """The node does not vote yet after a restart or view change, or is no voter of the request."""
     STALE_VIEW = "stale-view"
-    """The caller's view is older than `view`."""
+    """The caller's view is older than `ClaimReply.view`, so its voters may be outdated."""
 
 
 @peer_message("claims.claim")
 @attrs.frozen
 class ClaimCall:
-    """Vote for `attempt` as the one that may run `request_id`."""
+    """Requests a vote for `attempt` as the only one that may run `request_id`."""
 
     view: int
     request_id: str
@@ -45,7 +46,7 @@
 @peer_message("claims.look")
 @attrs.frozen
 class QueryCall:
-    """Return what is known of `request_id`."""
+    """Requests what the node knows of `request_id`."""
 
     view: int
     request_id: str
@@ -54,7 +55,7 @@
 @peer_message("claims.bar")
 @attrs.frozen
 class BlockCall:
-    """Never vote for `attempts` from now on, unless the vote was given already."""
+    """Requests that the voter never votes for `attempts`, except those with its vote already."""
 
     view: int
     request_id: str
@@ -64,7 +65,7 @@
 @peer_message("claims.close")
 @attrs.frozen
 class CloseCall:
-    """`attempts` gave up, were released or can never get a majority: take their votes back."""
+    """Withdraws votes: `attempts` gave up, were released or can never get a majority."""
 
     request_id: str
     attempts: list[Attempt]
@@ -73,7 +74,7 @@
 @peer_message("claims.record")
 @attrs.frozen
 class RecordCall:
-    """Store the outcome of the attempt that ran."""
+    """Delivers the outcome of the attempt that ran, for the voter to store."""
 
     request_id: str
     recorded: RecordedClaim
@@ -82,13 +83,14 @@
 @peer_message("claims.reply")
 @attrs.frozen
 class ClaimReply:
-    """Response to `ClaimCall`, `QueryCall` and `BlockCall`.
+    """Reply to `ClaimCall`, `QueryCall` and `BlockCall`.
 
     Attributes
     ----------
-    status : a `ClaimStatus`.
-    view : the newest view version that the responding node has seen.
-    incarnation : of the responding node.
+    status : the value of a `ClaimStatus`.
+    view : the newest view version that the replying node has seen.
+    incarnation : of the replying node's process.
+    state : what the replying node knows of the request.
     """
 
     status: str
@@ -100,12 +102,12 @@
 @peer_message("claims.done")
 @attrs.frozen
 class ClaimAck:
-    """Response to `CloseCall`, `RecordCall` and `AnnounceCall`: it is stored."""
+    """Reply to `CloseCall`, `RecordCall` and `AnnounceCall`: the content is stored."""
 
 
 @attrs.frozen
 class CopiedClaim:
-    """One row on its way to another voter; `remaining_s` is the rest of its life."""
+    """A copy of one row for another voter; `remaining_s` is its remaining time to live."""
 
     request_id: str
     state: ClaimState
@@ -115,14 +117,14 @@
 @peer_message("claims.announce")
 @attrs.frozen
 class AnnounceCall:
-    """An ingress node's own claims, for voters that may have lost them."""
+    """Sends an ingress node's running claims to voters that may have lost or would expire them."""
 
     claims: list[CopiedClaim]
 
 
 @attrs.frozen
 class ViewList:
-    """One version of the registered nodes; `nodes` maps node to zone."""
+    """One version of the registered nodes; `nodes` maps each node to its zone."""
 
     version: int
     nodes: dict[str, str]
@@ -131,7 +133,7 @@
 @peer_message("claims.views")
 @attrs.frozen
 class ViewsCall:
-    """Return the versions of the registered nodes that are known from `newer_than` on."""
+    """Requests the known versions of the registered nodes, `newer_than` itself included."""
 
     newer_than: int
 
@@ -139,7 +141,7 @@
 @peer_message("claims.views_reply")
 @attrs.frozen
 class ViewsReply:
-    """Response to `ViewsCall`, the oldest version first."""
+    """Reply to `ViewsCall`, the oldest version first."""
 
     views: list[ViewList]
 
@@ -147,13 +149,14 @@
 @peer_message("claims.pull")
 @attrs.frozen
 class PullCall:
-    """Stop voting in views older than `view`, and copy out what the sender votes on.
+    """Requests a page of the claims that the sender votes on, and an end of votes in older views.
 
     Attributes
     ----------
-    own_claims : whether to read the claims of requests that the source received itself, rather than
-        those it votes on.
-    cursor : return changes after this sequence number.
+    view : the sender's view; the receiver stops voting in older ones.
+    own_claims : whether to read the claims of requests that the source received as an ingress node,
+        rather than those it votes on.
+    cursor : the page starts with the first change after this sequence number.
     """
 
     view: int
@@ -164,17 +167,16 @@
 @peer_message("claims.pull_reply")
 @attrs.frozen
 class PullReply:
-    """One page of claims.
+    """Reply to `PullCall`: one page of claims.
 
     Attributes
     ----------
-    view : the newest view the source has seen; pages are filled only when it is the requested
-        one.
-    is_usable : the source knows the view's nodes, and no newer one.
+    view : the newest view the source has seen; a page has claims only if it is the requested one.
+    is_usable : whether the source knows the nodes of the requested view and has seen no newer one.
     completed_views : the views in which the source votes or voted since its process started.
-    cursor : where the next page starts.
-    is_done : the table has no more pages.
-    views : versions of the registered nodes that the source knows.
+    cursor : `PullCall.cursor` of the next page.
+    is_done : whether this is the last page of the table.
+    views : versions of the registered nodes that the source knows; empty but on the first page.
     """
 
     view: int
@@ -188,7 +190,7 @@
 
 @attrs.frozen
 class NamedMessage:
-    """A registered message by its name, and its Avro body."""
+    """A peer message, encoded: its registered name and its Avro body."""
 
     name: str
     body: bytes
@@ -197,7 +199,7 @@
 @peer_message("claims.batch")
 @attrs.frozen
 class BatchCall:
-    """Several calls to one node, each handled as if it came alone."""
+    """Several calls to one node, each handled as if it were sent by itself."""
 
     calls: list[NamedMessage]
 
@@ -205,6 +207,6 @@
 @peer_message("claims.batch_reply")
 @attrs.frozen
 class BatchReply:
-    """Responses in the order of the calls."""
+    """Reply to `BatchCall`: the replies in the order of the calls."""
 
     replies: list[NamedMessage]
--- a/src/zincvale/dataplane/claims/node_machine.py
+++ b/src/zincvale/dataplane/claims/node_machine.py
@@ -1,4 +1,4 @@
-"""The claim service of one node as a state machine: voter, ingress node and repair together."""
+"""The claim service of one node as a state machine: its voter, its ingress side and repair."""
 
 from __future__ import annotations
 
@@ -68,15 +68,18 @@
 )
 
 FREEZE_GAP_S = 1.0
-"""A longer pause between two inputs is taken for a freeze; there is a tick every 50 ms."""
+"""A pause between two inputs longer than this means that the process was suspended.
+
+There is a tick every 50 ms.
+"""
 
 
 class ClaimsNode:
-    """Takes inputs and returns effects; see `events` for both.
+    """Turns each input into effects; `events` defines both.
 
     Parameters
     ----------
-    random : jitter of retries.
+    random : source of the jitter of retries.
     started_at : when the process started.
     """
 
@@ -88,7 +91,7 @@
         timings: ClaimTimings,
         started_at: float,
     ) -> None:
-        self._handled_at = started_at
+        self._last_input_at = started_at
         self.readiness = VoterReadiness(member_id, timings, started_at)
         votes = ClaimTable(_limits(timings, timings.ttl_s))
         own_claims = ClaimTable(_limits(timings, timings.own_claim_ttl_s))
@@ -99,10 +102,10 @@
         self._requests = ClaimRequests(own_attempts, random, timings, self._repair, self._outbox)
 
     def handle(self, event: ClaimsInput, now: float) -> list[ClaimsEffect]:
-        """Apply one input and return what to do, in order."""
-        if now > self._handled_at + FREEZE_GAP_S:
+        """Apply one input and return its effects in the order to carry them out."""
+        if now > self._last_input_at + FREEZE_GAP_S:
             self.readiness.restart_reading(now)
-        self._handled_at = now
+        self._last_input_at = now
         match event:
             case CallReceived(sender, token, message):
                 self._outbox.add(Reply(token, self._reply_to(sender, message, now)))
@@ -123,7 +126,7 @@
         return self._outbox.drain()
 
     def may_dispatch(self, request_id: RequestId, now: float) -> bool:
-        """Whether the granted claim still covers a dispatch at this very moment."""
+        """Whether the request's claim is granted and the grant permits a dispatch at `now`."""
         grant = self._requests.granted.get(request_id)
         return grant is not None and now < grant.dispatch_by
 
@@ -168,7 +171,7 @@
             case PendingRequest(), ClaimReply():
                 self._requests.on_reply(pending, message, now)
             case PendingDelivery(), ClaimAck():
-                self._requests.deliveries.confirmed(pending)
+                self._requests.deliveries.on_confirmation(pending)
             case PendingPull(), PullReply():
                 if self._repair.on_page(pending, message, now):
                     self._on_view_changed(now)
--- a/src/zincvale/dataplane/claims/outbox.py
+++ b/src/zincvale/dataplane/claims/outbox.py
@@ -1,4 +1,4 @@
-"""Effects on their way out of the claim service, and what each call in flight was made for."""
+"""Collects the effects of the claim service, and maps each call in flight to its purpose."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class PendingRequest:
-    """A claimant's call; `token` names the claimant."""
+    """A claimant's call is in flight; `token` identifies the claimant."""
 
     token: str
     request: Request
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class PendingDelivery:
-    """A record or release on its way to `member`."""
+    """A message of the delivery `number` is in flight to `member`."""
 
     number: int
     member: MemberId
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class PendingPull:
-    """A page that is read from `member`."""
+    """A request for a page of claims is in flight to `member`."""
 
     member: MemberId
     call: PullCall
@@ -41,14 +41,14 @@
 
 @attrs.frozen
 class PendingViews:
-    """Versions of the registered nodes that are requested from `member`."""
+    """A request for versions of the registered nodes is in flight to `member`."""
 
     member: MemberId
 
 
 @attrs.frozen
 class PendingAnnounce:
-    """Own claims on their way to `member`; nothing depends on the response."""
+    """An announcement of own claims is in flight to `member`; its reply is ignored."""
 
     member: MemberId
 
@@ -57,7 +57,7 @@
 
 
 class ClaimOutbox:
-    """Collects effects in order; the parts of the claim service share one."""
+    """Collects effects in order; all parts of one node's claim service share it."""
 
     def __init__(self, call_timeout_s: float) -> None:
         self._call_timeout_s = call_timeout_s
@@ -66,24 +66,24 @@
         self._effects: list[ClaimsEffect] = []
 
     def next_number(self) -> int:
-        """Return a number that was not used before in this process."""
+        """Return a number that is unique in this process."""
         return next(self._numbers)
 
     def add(self, effect: ClaimsEffect) -> None:
-        """Add one effect."""
+        """Append one effect."""
         self._effects.append(effect)
 
     def call(self, member: MemberId, message: object, pending: Pending) -> None:
-        """Call a member; `take(token)` returns `pending` when the call ended."""
+        """Call a member; `take(token)` returns `pending` once, when the call has ended."""
         token = f"claims-{self.next_number()}"
         self._pending[token] = pending
         self.add(Call(member, token, message, self._call_timeout_s))
 
     def take(self, token: str) -> Pending | None:
-        """Return what the ended call was made for."""
+        """Remove and return the purpose of a call that ended; None for an unknown token."""
         return self._pending.pop(token, None)
 
     def drain(self) -> list[ClaimsEffect]:
-        """Return the effects since the last time."""
+        """Remove and return the collected effects."""
         effects, self._effects = self._effects, []
         return effects
--- a/src/zincvale/dataplane/claims/own_attempts.py
+++ b/src/zincvale/dataplane/claims/own_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of this node as an ingress node, opened and closed in its own table."""
+"""Opens and closes the attempts of this ingress node, in a table of their own."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class OwnAttempts:
-    """Numbers this process's attempts and stores what became of them.
+    """Numbers the attempts of this process and stores which of them are open or closed.
 
     Parameters
     ----------
     table : the node's table of its own attempts.
-    next_number : returns a number that this process did not use before.
+    next_number : returns a number that is unique in this process.
     """
 
     def __init__(
@@ -31,11 +31,11 @@
         self.table = table
 
     def open(self, request_id: RequestId, digest: str, now: float) -> Attempt:
-        """Open a new attempt at a request."""
+        """Open and return a new attempt at a request."""
         attempt = Attempt(self._member_id, self._incarnation, self._next_number())
         self.table.merge(request_id, ClaimState(open=[OpenClaim(attempt, digest)]), now)
         return attempt
 
     def close(self, request_id: RequestId, attempt: Attempt, now: float) -> None:
-        """Close an attempt for ever: it is never dispatched after this."""
+        """Close an attempt permanently; it is never dispatched after this."""
         self.table.merge(request_id, ClaimState(closed=[attempt]), now)
--- a/src/zincvale/dataplane/claims/peer_call_queues.py
+++ b/src/zincvale/dataplane/claims/peer_call_queues.py
@@ -1,7 +1,7 @@
 """Calls to other nodes' claim services: a few in flight to each, the rest queued and batched.
 
-At low rates every call leaves at once and alone. Under load, and while a node does not respond,
-the calls queued for it leave as one batch.
+At low rates every call is sent immediately and by itself. Under load, and while a node does not
+respond, the calls queued for it are sent as one batch.
 """
 
 from __future__ import annotations
@@ -23,23 +23,24 @@
 MAX_MESSAGES_IN_BATCH = 64
 
 OnReply = Callable[[str, Any], None]
-"""Receives a call's token and the reply, or None when there was none."""
+"""Callback with a call's token and its reply, or None if the call got no reply."""
 
 
 @attrs.define
 class _PeerQueue:
-    """The calls to one node."""
+    """The calls to one node: those queued, with the time of each, and the number in flight."""
 
     pending: deque[tuple[Call, float]] = attrs.field(factory=deque)
     in_flight: int = 0
 
 
 class PeerCallQueues:
-    """Carries out `Call` effects.
+    """Carries out `Call` effects over peer calls.
 
     Parameters
     ----------
-    clock : seconds on the monotonic clock that counts suspension.
+    clock : returns seconds of a monotonic clock that also runs while the machine is suspended.
+    on_reply : called once for each call.
     """
 
     def __init__(self, peers: PeerCaller, clock: Callable[[], float], on_reply: OnReply) -> None:
@@ -50,7 +51,7 @@
         self._tasks: set[asyncio.Future[None]] = set()
 
     def call(self, call: Call) -> None:
-        """Make a call now, or together with others when enough are in flight."""
+        """Send a call now, or queue it for a batch while `MAX_CALLS_IN_FLIGHT` are in flight."""
         queue = self._queues.setdefault(call.to, _PeerQueue())
         if queue.in_flight >= MAX_CALLS_IN_FLIGHT:
             queue.pending.append((call, self._clock()))
@@ -71,22 +72,22 @@
             self._on_reply(call.token, reply)
 
     async def _exchange(self, calls: list[Call]) -> list[Any]:
-        """Return the reply to each call, None for those without."""
-        nothing = [None] * len(calls)
+        """Send the calls in one message and return the reply to each, None where there is none."""
+        no_replies = [None] * len(calls)
         message = calls[0].message if len(calls) == 1 else pack_calls(calls)
         try:
             reply = await self._peers.call(calls[0].to, message, calls[0].timeout_s)
             replies = [reply] if len(calls) == 1 else unpack_replies(reply)
-        except Exception:  # whatever the reason, the machine must not wait for ever
-            return nothing
-        return replies if len(replies) == len(calls) else nothing
+        except Exception:  # any unhandled error would leave the state machine waiting
+            return no_replies
+        return replies if len(replies) == len(calls) else no_replies
 
     def _start_pending(self, queue: _PeerQueue) -> None:
         now = self._clock()
         batch: list[Call] = []
         while queue.pending and len(batch) < MAX_MESSAGES_IN_BATCH:
-            call, since = queue.pending.popleft()
-            if now < since + call.timeout_s:
+            call, queued_at = queue.pending.popleft()
+            if now < queued_at + call.timeout_s:
                 batch.append(call)
             else:
                 self._on_reply(call.token, None)
@@ -95,20 +96,20 @@
 
 
 def pack_calls(calls: list[Call]) -> BatchCall:
-    """Return the messages of several calls as one."""
+    """Return one message that holds the messages of several calls."""
     return BatchCall([pack_message(call.message) for call in calls])
 
 
 def pack_message(message: Any) -> NamedMessage:
-    """Return a registered message with its name."""
+    """Return a peer message, encoded, with its registered name."""
     return NamedMessage(message.MESSAGE_NAME, encode_message(message))
 
 
 def unpack_message(named: NamedMessage) -> Any:
-    """Return the message; raises `MalformedBodyError`."""
+    """Return the decoded message; raises `MalformedBodyError`."""
     return decode_message(named.name, named.body)
 
 
 def unpack_replies(reply: BatchReply) -> list[Any]:
-    """Return the replies in a batch's reply; raises `MalformedBodyError`."""
+    """Return the decoded replies of a batch; raises `MalformedBodyError`."""
     return [unpack_message(named) for named in reply.replies]
--- a/src/zincvale/dataplane/claims/records.py
+++ b/src/zincvale/dataplane/claims/records.py
@@ -1,8 +1,8 @@
-"""What is known of one claimed request, and how knowledge of two sources is merged.
+"""The state of one claimed request, and how copies of it from several nodes are merged.
 
 The state of a request is a join semilattice: attempts are only ever added, closing wins over
-opening, and a recorded response wins over a recorded unknown outcome. Merging copies in any order,
-any number of times, gives the same state, so that repair may read from as many sources as respond.
+opening, and a recorded response wins over a recorded unknown outcome. Merging copies in any order
+and any number of times gives the same state, so that repair may read from every node that responds.
 """
 
 from __future__ import annotations
@@ -13,20 +13,23 @@
 from zincvale.model.outcomes import Outcome
 
 MAX_ENDED_ATTEMPTS = 256
-"""A request with more closed and blocked attempts is refused: a forgotten one could get votes."""
+"""Limit of closed and blocked attempts of one request, above which new attempts are refused.
+
+The table can not drop old ones instead, because a forgotten attempt could get votes again.
+"""
 
 
 @attrs.frozen(order=True)
 class Attempt:
-    """One ingress node's try to run one request; never used again after it was closed.
+    """One ingress node's attempt to run one request; it is never reused after it was closed.
 
-    Attempts are ordered, which decides split votes: the smaller one goes on, the other yields.
+    The order of attempts resolves split votes: the smaller attempt continues, the other one yields.
 
     Attributes
     ----------
     owner : the ingress node.
-    incarnation : of the owner's process.
-    number : counts the owner's attempts.
+    incarnation : identifies the owner's process.
+    number : sequence number that is unique in the owner's process.
     """
 
     owner: MemberId
@@ -36,7 +39,7 @@
 
 @attrs.frozen
 class OpenClaim:
-    """An attempt that may run the request, with the digest of the request it would run."""
+    """An attempt that may run the request, and the digest of the request that it would run."""
 
     attempt: Attempt
     digest: str
@@ -49,7 +52,7 @@
     Attributes
     ----------
     outcome : value of a `model.outcomes.Outcome`.
-    has_body : False when the body was larger than voters store.
+    has_body : False if the body was omitted because it exceeds a limit of the voters.
     """
 
     attempt: Attempt
@@ -61,13 +64,16 @@
     has_body: bool = True
 
     def supersedes(self, other: RecordedClaim | None) -> bool:
-        """Whether this record is more definite than `other`: a response beats unknown."""
+        """Whether this record replaces `other`.
+
+        A response replaces an unknown outcome, and a record with its body one without it.
+        """
         if other is None:
             return True
         return _definiteness(self) > _definiteness(other)
 
     def without_body(self) -> RecordedClaim:
-        """Return the same record for a voter that has no room for the body."""
+        """Return a copy without the body, for a voter that has no room for it."""
         return attrs.evolve(self, body=b"", has_body=False)
 
 
@@ -77,7 +83,7 @@
 
 @attrs.frozen
 class ClaimState:
-    """The state of one request, as sent between nodes; see `ClaimRow`."""
+    """The state of one request as sent between nodes; `ClaimRow` explains the fields."""
 
     open: list[OpenClaim] = attrs.field(factory=list)
     closed: list[Attempt] = attrs.field(factory=list)
@@ -91,15 +97,16 @@
 
     Attributes
     ----------
-    open : digest by attempt that holds this voter's vote or was learnt from other voters.
-    closed : attempts that gave up, were released, or provably never had a majority; no voter
-        needs to count with them any more.
-    blocked : attempts that this voter never votes for; only a majority of such voters proves
-        that the attempt can not run, so that `blocked` says nothing to others.
-    expires_at : seconds on the voter's clock.
-    sequence : place in the table's order of changes.
-    voters, voters_view : the voters of the request in the view of that version, stored so that
-        they are not computed for each page that is read.
+    open : digest by attempt, for attempts with this voter's vote or learnt from other voters.
+    closed : attempts that gave up, were released, or provably never had a majority; they can not
+        run any more, so that voters may vote for other attempts.
+    blocked : attempts that this voter never votes for. Only a majority of such voters proves that
+        an attempt can not run, so that one voter's blocks prove nothing to others.
+    recorded : the outcome of the attempt that ran, if known.
+    expires_at : in seconds on the voter's clock.
+    sequence : sequence number of the row's last change in its table.
+    voters, voters_view : the voters of the request in the view of that version, cached so that they
+        are not computed again for each page that is read.
     """
 
     request_id: RequestId
@@ -112,26 +119,29 @@
     voters: tuple[MemberId, ...] = ()
     voters_view: int = 0
 
-    def others(self, attempt: Attempt | None) -> list[Attempt]:
-        """Return the open attempts besides `attempt`, the preferred one first."""
+    def other_open_attempts(self, attempt: Attempt | None) -> list[Attempt]:
+        """Return the open attempts other than `attempt`, the preferred one first."""
         return sorted(other for other in self.open if other != attempt)
 
     def open_attempt(self, attempt: Attempt, digest: str) -> None:
-        """Add an attempt unless it was closed before."""
+        """Add an open attempt, unless it was closed before."""
         if attempt not in self.closed:
             self.open[attempt] = digest
 
     def block(self, attempt: Attempt) -> None:
-        """Never vote for the attempt, unless it is open here already."""
+        """Exclude the attempt from votes permanently, unless it is open or closed here already."""
         if attempt not in self.open and attempt not in self.closed:
             self.blocked |= {attempt}
 
     def may_vote_for(self, attempt: Attempt) -> bool:
-        """Whether the attempt was neither closed nor blocked here."""
+        """Whether the attempt is neither closed nor blocked here."""
         return attempt not in self.closed and attempt not in self.blocked
 
     def close(self, attempt: Attempt) -> None:
-        """Close an attempt; an unknown outcome recorded for it is void, since it never ran."""
+        """Close an attempt, unless its response is recorded.
+
+        An unknown outcome that is recorded for it is removed, because a closed attempt never ran.
+        """
         if self._has_response_of(attempt):
             return
         self.open.pop(attempt, None)
@@ -140,14 +150,17 @@
             self.recorded = None
 
     def record(self, recorded: RecordedClaim) -> None:
-        """Store an outcome if it is more definite than the stored one."""
+        """Store an outcome if it supersedes the stored one.
+
+        An unknown outcome of a closed attempt is ignored, because the attempt never ran.
+        """
         if recorded.attempt in self.closed and recorded.outcome != Outcome.ANSWERED.value:
             return
         if recorded.supersedes(self.recorded):
             self.recorded = recorded
 
     def merge(self, state: ClaimState) -> None:
-        """Add what another source knows."""
+        """Merge the state that another node knows."""
         for attempt in state.closed:
             self.close(attempt)
         for claim in state.open:
@@ -158,7 +171,7 @@
             self.record(state.recorded)
 
     def state(self) -> ClaimState:
-        """Return the state to send."""
+        """Return the state as sent to other nodes."""
         return ClaimState(
             [OpenClaim(attempt, digest) for attempt, digest in sorted(self.open.items())],
             sorted(self.closed),
@@ -167,7 +180,7 @@
         )
 
     def body_bytes(self) -> int:
-        """Return the size of the stored body."""
+        """Return the size of the recorded body in bytes."""
         if self.recorded is None:
             return 0
         return len(self.recorded.body)
--- a/src/zincvale/dataplane/claims/repair.py
+++ b/src/zincvale/dataplane/claims/repair.py
@@ -1,4 +1,4 @@
-"""Repair of claims: learning views, reading from other voters, announcing running claims."""
+"""Repair of claims: fetches views, reads claims from other voters and announces running ones."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ClaimRepair:
-    """Keeps the voter complete, and the node's running claims known to their voters."""
+    """Makes the voter complete in each view, and announces running claims to their voters."""
 
     def __init__(
         self,
@@ -52,13 +52,13 @@
         return self._readiness.view
 
     def observe_version(self, member: MemberId, version: int) -> None:
-        """Stop voting in older views than `member` knows, and request the newer ones from it."""
+        """Stop voting in views older than `version`, and fetch unknown ones from `member`."""
         if version > self._readiness.view_version:
             self._readiness.observe_version(version)
             self.fetch_views(member)
 
     def fetch_views(self, member: MemberId) -> None:
-        """Request the versions that a member knows."""
+        """Request the versions of the registered nodes, unless such a request is in flight."""
         if member in self._fetching_from or member == self._voter.member_id:
             return
         self._fetching_from.add(member)
@@ -66,16 +66,16 @@
         self._outbox.call(member, call, PendingViews(member))
 
     def on_views(self, pending: PendingViews, reply: ViewsReply, now: float) -> bool:
-        """Learn the versions; returns whether the newest changed."""
+        """Add the fetched versions; return whether the newest one changed."""
         self._fetching_from.discard(pending.member)
         return self.update_views(reply.views, now)
 
     def on_fetch_failure(self, pending: PendingViews) -> None:
-        """Allow another request to a member that did not return its versions."""
+        """Allow another request to a member that did not respond."""
         self._fetching_from.discard(pending.member)
 
     def update_views(self, views: Iterable[ViewList], now: float) -> bool:
-        """Learn versions of the registered nodes; returns whether the newest changed."""
+        """Add versions of the registered nodes; return whether the newest one changed."""
         if not self._readiness.update_views(views, now):
             return False
         view = self._readiness.view
@@ -86,7 +86,7 @@
         return True
 
     def on_page(self, pending: PendingPull, reply: PullReply, now: float) -> bool:
-        """Merge a page; returns whether it carried a newer view."""
+        """Merge a page of claims; return whether it contained a newer view."""
         self.observe_version(pending.member, reply.view)
         is_newer = self.update_views(reply.views, now)
         if self._readiness.on_page(pending.member, pending.call.view, reply, now):
@@ -95,24 +95,24 @@
         return is_newer
 
     def on_page_failure(self, pending: PendingPull, now: float) -> None:
-        """Schedule another request to a source that did not respond."""
+        """Schedule a retry to a source that did not respond."""
         self._readiness.on_page_failure(pending.member, pending.call.view, now)
 
     def pull_due(self, now: float) -> None:
-        """Read a page from each source that is due."""
+        """Request a page from each source that is due."""
         for member, source in list(self._readiness.due_pulls(now)):
             source.is_in_flight = True
             call = PullCall(self._readiness.view_version, source.own_claims, source.cursor)
             self._outbox.call(member, call, PendingPull(member, call))
 
     def try_to_complete(self, now: float) -> None:
-        """Start voting once enough was read."""
+        """Start voting once enough was read from the other voters."""
         if not self._readiness.try_to_complete(now):
             return
-        number = log_events.CLAIMS_COMPLETE
+        log_event = log_events.CLAIMS_COMPLETE
         if self._readiness.used_quarantine:
-            number = log_events.CLAIMS_QUARANTINED
-        self._outbox.add(Log(number, {"view": self._readiness.complete_view}))
+            log_event = log_events.CLAIMS_QUARANTINED
+        self._outbox.add(Log(log_event, {"view": self._readiness.complete_view}))
 
     def on_live_members_changed(
         self,
@@ -120,7 +120,7 @@
         running: Collection[RequestId],
         now: float,
     ) -> None:
-        """Learn who has a lease, and announce running claims to voters that restarted."""
+        """Update the live members, and announce running claims to voters that have started."""
         before = self._incarnations
         self._incarnations = dict(incarnations)
         self._readiness.update_live_members(frozenset(incarnations))
@@ -133,14 +133,14 @@
             self._announce(running, restarted, now)
 
     def tick(self, running: Collection[RequestId], now: float) -> None:
-        """Read what is due; announce running claims now and then, so that they do not expire."""
+        """Request due pages, and periodically announce running claims so that none expires."""
         self.pull_due(now)
         if now >= self._announce_at:
             self._announce_at = now + self._timings.announce_interval_s
             self._announce(running, None, now)
 
     def _announce(
-        self, running: Collection[RequestId], only: set[MemberId] | None, now: float
+        self, running: Collection[RequestId], recipients: set[MemberId] | None, now: float
     ) -> None:
         view = self._readiness.view
         if view is None:
@@ -149,7 +149,7 @@
         for request_id in running:
             row = self._voter.own_claims.touch(request_id, now)
             for member in view.voters(request_id):
-                if only is None or member in only:
+                if recipients is None or member in recipients:
                     claims_by_member.setdefault(member, []).append(copy_of(row, now))
         for member, claims in claims_by_member.items():
             for start in range(0, len(claims), PAGE_ROWS):
--- a/src/zincvale/dataplane/claims/requests.py
+++ b/src/zincvale/dataplane/claims/requests.py
@@ -1,4 +1,4 @@
-"""Ingress node's side of the claim service: running claimants, granted claims, their outcomes."""
+"""Ingress node's side of the claim service: running claimants, granted claims and outcomes."""
 
 from __future__ import annotations
 
@@ -38,8 +38,14 @@
 
 
 @attrs.define
-class _Running:
-    """A running claimant; `is_renewal` says which effect ends it."""
+class _RunningClaimant:
+    """A running claimant.
+
+    Attributes
+    ----------
+    is_renewal : whether it ends with a `Confirmed` effect instead of a `Decided` one.
+    announced_wake_at : the time in the last `WakeAt` effect for this claimant.
+    """
 
     claimant: Claimant
     is_renewal: bool
@@ -47,13 +53,13 @@
 
 
 class ClaimRequests:
-    """The requests that this node entered.
+    """The claims of requests that this node received as their ingress node.
 
     Parameters
     ----------
     own_attempts : opens and closes this node's attempts.
-    random : jitter of the claimants' pauses.
-    repair : knows the newest view, and fetches newer ones.
+    random : source of the jitter of the claimants' pauses.
+    repair : has the newest known view, and fetches newer ones.
     """
 
     def __init__(
@@ -69,12 +75,12 @@
         self._timings = timings
         self._repair = repair
         self._outbox = outbox
-        self._running: dict[str, _Running] = {}
+        self._running: dict[str, _RunningClaimant] = {}
         self._deliveries = Deliveries(outbox)
         self.granted: dict[RequestId, Grant] = {}
 
     def claim(self, event: ClaimRequested, now: float) -> None:
-        """Start a claimant."""
+        """Start a claimant, or refuse if there is no usable view or no room for an attempt."""
         view = self._repair.view
         if view is None or not view.majority or not self._own_attempts.table.has_room(None):
             refusal = ClaimRefused(ClaimRefusal.UNAVAILABLE)
@@ -84,7 +90,7 @@
         self._start(event.token, task, view, now)
 
     def renew(self, event: RenewalRequested, now: float) -> None:
-        """Start a claimant that confirms a granted claim."""
+        """Start a claimant that renews a granted claim."""
         view = self._repair.view
         grant = self.granted.get(event.request_id)
         if view is None or grant is None:
@@ -94,13 +100,13 @@
         self._start(event.token, task, view, now)
 
     def abandon(self, token: str, now: float) -> None:
-        """Stop a claimant that nobody waits for."""
+        """Stop a claimant whose caller no longer waits for it."""
         running = self._running.pop(token, None)
         if running is not None:
             self._carry_out(token, running.claimant.abandon(), now)
 
     def record(self, event: OutcomeReached, now: float) -> None:
-        """Deliver a granted claim's outcome to its voters."""
+        """Deliver the outcome of a granted claim to its voters; a refusal releases the claim."""
         if event.outcome is Outcome.REFUSED:
             self.release(event.token, event.request_id, now)
             return
@@ -122,7 +128,7 @@
         self._deliver_to_voters(event.token, RecordCall(event.request_id, recorded), now)
 
     def release(self, token: str, request_id: RequestId, now: float) -> None:
-        """Close a granted claim; it is closed here before any other node learns of it."""
+        """Release a granted claim; its attempt is closed here before any voter is told."""
         grant = self.granted.pop(request_id, None)
         if grant is None:
             self._outbox.add(Confirmed(token, False))
@@ -131,12 +137,12 @@
         self._deliver_to_voters(token, CloseCall(request_id, [grant.attempt]), now)
 
     def on_view_changed(self, view: ClaimView, now: float) -> None:
-        """Let the claimants go on with the voters of a new view."""
+        """Let each claimant continue with the voters of the new view."""
         for token, running in list(self._running.items()):
             self._carry_out(token, running.claimant.on_view_changed(view, now), now)
 
     def on_reply(self, pending: PendingRequest, reply: ClaimReply, now: float) -> None:
-        """Hand a voter's response to its claimant."""
+        """Pass a reply to the claimant that made the call, or withdraw a late vote."""
         running = self._running.get(pending.token)
         if running is None:
             self._return_late_vote(pending.request, reply, now)
@@ -144,18 +150,18 @@
         self._carry_out(pending.token, running.claimant.on_reply(pending.request, reply, now), now)
 
     def on_failure(self, pending: PendingRequest, now: float) -> None:
-        """Tell a claimant that its call failed."""
+        """Notify the claimant that its call failed."""
         running = self._running.get(pending.token)
         if running is not None:
             self._carry_out(pending.token, running.claimant.on_failure(pending.request, now), now)
 
     @property
     def deliveries(self) -> Deliveries:
-        """Records and releases not yet confirmed."""
+        """The deliveries of outcomes, releases and closed attempts that are in progress."""
         return self._deliveries
 
     def tick(self, now: float) -> None:
-        """Wake claimants that are due."""
+        """Wake due claimants, resend deliveries and forget old claims without an outcome."""
         for token, running in list(self._running.items()):
             if now >= running.claimant.wake_at:
                 self._carry_out(token, running.claimant.on_wake(now), now)
@@ -163,7 +169,7 @@
         self._forget_abandoned(now)
 
     def _forget_abandoned(self, now: float) -> None:
-        """Stop announcing claims whose outcome never came; they expire at their voters."""
+        """Stop announcing claims without an outcome after `max_run_s`; their voters expire them."""
         for request_id, grant in list(self.granted.items()):
             if now < grant.dispatch_by + self._timings.max_run_s:
                 return
@@ -171,7 +177,9 @@
 
     def _start(self, token: str, task: ClaimTask, view: ClaimView, now: float) -> None:
         claimant = Claimant(task, self._own_attempts, view, self._random, self._timings)
-        self._running[token] = _Running(claimant, is_renewal=task.renewed is not None)
+        self._running[token] = _RunningClaimant(
+            claimant, is_renewal=task.renewed_attempt is not None
+        )
         self._carry_out(token, claimant.begin(now), now)
 
     def _carry_out(self, token: str, effects: Iterable[ClaimantEffect], now: float) -> None:
@@ -219,7 +227,7 @@
         self._deliveries.add(Delivery(message, view.majority, token, ends_at, voters), now)
 
     def _return_late_vote(self, request: Request, reply: ClaimReply, now: float) -> None:
-        """Take back a vote that arrived after its attempt was closed."""
+        """Withdraw a vote that arrived after its attempt was closed."""
         if not isinstance(request.message, ClaimCall):
             return
         row = self._own_attempts.table.find(RequestId(request.message.request_id), now)
--- a/src/zincvale/dataplane/claims/service.py
+++ b/src/zincvale/dataplane/claims/service.py
@@ -1,4 +1,4 @@
-"""The claim service: runs the claims state machine over peer calls and timers."""
+"""The claim service: connects the state machine of claims to peer calls and timers."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
 
     Parameters
     ----------
-    random : jitter of retries.
-    clock : seconds on the monotonic clock that counts suspension.
-    peers : calls to other nodes; calls to this one are answered within.
-    write_log : receives (number, fields) of log events.
+    random : source of the jitter of retries.
+    clock : returns seconds of a monotonic clock that also runs while the machine is suspended.
+    peers : makes calls to other nodes; calls to this node are handled without it.
+    write_log : called with the number and the fields of each log event.
     """
 
     def __init__(
@@ -67,18 +67,21 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this node votes: it restarted long enough ago and read what it must know."""
+        """Whether this node votes on claims, after it has read enough from the other voters."""
         return self._node.readiness.may_vote
 
     @property
     def view_version(self) -> int:
-        """The newest version of the registered nodes."""
+        """The newest version of the registered nodes that this node knows; 0 for none."""
         return self._node.readiness.view_version
 
     async def claim(
         self, request_id: RequestId, digest: str, route: RouteName, deadline_at: float
     ) -> ClaimDecision:
-        """Decide by `deadline_at`; waits for the outcome when another attempt has the claim."""
+        """Claim a request and return the decision by `deadline_at`.
+
+        While another attempt has the claim, this waits for that attempt's outcome.
+        """
         full_digest = f"{route}:{digest}"
 
         def on_cancelled(token: str, decision: ClaimDecision | None) -> None:
@@ -94,7 +97,7 @@
         return decision
 
     async def renew(self, request_id: RequestId, deadline_at: float) -> bool:
-        """Request a majority's votes again for a granted claim, so that it may be dispatched."""
+        """Renew a granted claim for a dispatch; returns whether a majority confirmed it."""
         is_confirmed: bool = await self._driver.request(
             lambda token: RenewalRequested(token, request_id, deadline_at),
             lambda token, _: self._driver.submit(ClaimAbandoned(token)),
@@ -102,7 +105,7 @@
         return is_confirmed
 
     def may_dispatch(self, request_id: RequestId) -> bool:
-        """Whether the grant is fresh enough for a send at this very moment."""
+        """Whether the request's grant permits a dispatch at this moment."""
         return self._node.may_dispatch(request_id, self._clock())
 
     async def record(
@@ -113,7 +116,7 @@
         headers: Mapping[str, str],
         body: bytes,
     ) -> bool:
-        """Store the outcome for later resends; False when no majority confirmed it in time."""
+        """Store the outcome for later resends; returns whether a majority confirmed it in time."""
         is_confirmed: bool = await self._driver.request(
             lambda token: OutcomeReached(
                 token, request_id, outcome, status, dict(headers), bytes(body)
@@ -122,7 +125,10 @@
         return is_confirmed
 
     async def release(self, request_id: RequestId) -> bool:
-        """Give the claim back: the request provably never ran, so that a resend may run."""
+        """Release the claim of a request that provably never ran, so that a resend may run.
+
+        Returns whether a majority confirmed it.
+        """
         is_confirmed: bool = await self._driver.request(
             lambda token: ReleaseRequested(token, request_id)
         )
@@ -135,17 +141,17 @@
         return self._driver.receive(sender, message)
 
     def apply_registry(self, view_version: int, nodes: Mapping[MemberId, ZoneName]) -> None:
-        """Learn one version of the registered nodes; call for each known version, in order."""
-        plain = {str(node): str(zone) for node, zone in nodes.items()}
-        self._driver.submit(ViewsReceived([ViewList(view_version, plain)]))
+        """Update the registered nodes; called for each known version, the oldest first."""
+        zone_by_node = {str(node): str(zone) for node, zone in nodes.items()}
+        self._driver.submit(ViewsReceived([ViewList(view_version, zone_by_node)]))
 
     def apply_members(self, members: Members) -> None:
-        """Learn the members with live leases."""
+        """Update the members with live leases."""
         incarnations = {member: row.incarnation for member, row in members.rows.items()}
         self._driver.submit(LiveMembersChanged(incarnations))
 
     def tick(self, now: float) -> None:
-        """Act on the time passed; call every 50 ms or so."""
+        """Handle timeouts and pending resends; called about every 50 ms."""
         self._driver.tick(now)
 
     def _on_effect(self, effect: ClaimsEffect) -> None:
@@ -170,7 +176,7 @@
 
     def _on_call_ended(self, token: str, reply: Any) -> None:
         if reply is None:
-            self._driver.submit(CallFailed(token, "no answer"))
+            self._driver.submit(CallFailed(token, "the peer did not reply"))
         else:
             self._driver.submit(CallReplied(token, reply))
 
--- a/src/zincvale/dataplane/claims/table.py
+++ b/src/zincvale/dataplane/claims/table.py
@@ -1,4 +1,4 @@
-"""Bounded table of claims, in the order of their last changes, with expiry."""
+"""Table of claims with limits and expiry, in the order of the last changes."""
 
 from __future__ import annotations
 
@@ -17,29 +17,34 @@
 from zincvale.model.identifiers import RequestId
 
 MAX_EXPIRIES_PER_SWEEP = 1_000
-"""Bounds the time of one sweep; a tick every 50 ms expires up to 20,000 rows a second."""
+"""Limit of rows that one sweep drops, so that it does not block the event loop for long.
+
+With a tick every 50 ms, up to 20,000 rows a second can expire.
+"""
 
 
 @attrs.frozen
 class TableLimits:
-    """Bounds of one table.
+    """Limits of one table.
 
     Attributes
     ----------
-    rows : new requests beyond are refused by `has_room`; merges of known claims are not.
-    body_bytes : largest body that is stored.
-    total_body_bytes : bodies beyond this sum are not stored; the outcome is.
-    ttl_s : a row lives this long after its last change or announcement.
+    max_rows : `has_room` refuses new requests from this number of rows on; claims copied from other
+        nodes are merged even then.
+    max_body_bytes : size of the largest body that is stored.
+    max_total_body_bytes : limit of the sum of all stored bodies; an outcome whose body would exceed
+        it is stored without the body.
+    ttl_s : a row expires this long after its last change or announcement.
     """
 
-    rows: int
-    body_bytes: int
-    total_body_bytes: int
+    max_rows: int
+    max_body_bytes: int
+    max_total_body_bytes: int
     ttl_s: float
 
 
 class ClaimTable:
-    """Rows by request identifier; no live row is ever dropped to make room."""
+    """Rows by request identifier; a row is dropped only when it expires, never to make room."""
 
     def __init__(self, limits: TableLimits) -> None:
         self._limits = limits
@@ -55,7 +60,7 @@
         return iter(list(self._rows.values()))
 
     def find(self, request_id: RequestId, now: float) -> ClaimRow | None:
-        """Return the row unless it is absent or expired."""
+        """Return the row of a request, or None if it is absent or expired."""
         row = self._rows.get(request_id)
         if row is None:
             return None
@@ -65,13 +70,16 @@
         return row
 
     def has_room(self, row: ClaimRow | None) -> bool:
-        """Whether a new attempt fits, into `row` or as a row of its own."""
+        """Whether there is room for a new attempt, in `row` or, if that is None, in a new row."""
         if row is None:
-            return len(self._rows) < self._limits.rows
+            return len(self._rows) < self._limits.max_rows
         return len(row.closed) + len(row.blocked) < MAX_ENDED_ATTEMPTS
 
-    def touch(self, request_id: RequestId, now: float, life_s: float | None = None) -> ClaimRow:
-        """Return the row, made if absent, as the last changed, alive for `life_s` at least."""
+    def touch(self, request_id: RequestId, now: float, ttl_s: float | None = None) -> ClaimRow:
+        """Return the row of a request, created if absent, and mark it as the one changed last.
+
+        It expires in `ttl_s` at the earliest, or in the time to live of the table if that is less.
+        """
         row = self.find(request_id, now)
         if row is None:
             row = ClaimRow(request_id)
@@ -81,31 +89,33 @@
         self._sequence += 1
         row.sequence = self._sequence
         self._by_sequence[row.sequence] = row
-        life = self._limits.ttl_s if life_s is None else min(life_s, self._limits.ttl_s)
-        row.expires_at = max(row.expires_at, now + life)
+        bounded_ttl_s = self._limits.ttl_s if ttl_s is None else min(ttl_s, self._limits.ttl_s)
+        row.expires_at = max(row.expires_at, now + bounded_ttl_s)
         return row
 
     def merge(
-        self, request_id: RequestId, state: ClaimState, now: float, life_s: float | None = None
+        self, request_id: RequestId, state: ClaimState, now: float, ttl_s: float | None = None
     ) -> ClaimRow:
-        """Add what another source knows of a request."""
-        row = self.touch(request_id, now, life_s)
-        before = row.body_bytes()
+        """Merge what another node knows of a request, without the body if that exceeds a limit."""
+        row = self.touch(request_id, now, ttl_s)
+        previous_body_bytes = row.body_bytes()
         if state.recorded is not None:
-            state = attrs.evolve(state, recorded=self._bounded(state.recorded, before))
+            state = attrs.evolve(
+                state, recorded=self._without_oversized_body(state.recorded, previous_body_bytes)
+            )
         row.merge(state)
-        self.total_body_bytes += row.body_bytes() - before
+        self.total_body_bytes += row.body_bytes() - previous_body_bytes
         return row
 
     def changes_after(self, cursor: int, now: float) -> Iterator[ClaimRow]:
-        """Yield the live rows changed after the sequence number `cursor`, in order."""
+        """Yield the unexpired rows changed after the sequence number `cursor`, in that order."""
         for sequence in self._by_sequence.irange(minimum=cursor, inclusive=(False, True)):
             row = self._by_sequence[sequence]
             if row.expires_at > now:
                 yield row
 
     def sweep(self, now: float) -> int:
-        """Drop expired rows, oldest change first, a bounded number; returns how many."""
+        """Drop up to `MAX_EXPIRIES_PER_SWEEP` expired rows, oldest first; return their number."""
         dropped = 0
         while self._by_sequence and dropped < MAX_EXPIRIES_PER_SWEEP:
             row = self._by_sequence.peekitem(0)[1]
@@ -115,11 +125,11 @@
             dropped += 1
         return dropped
 
-    def _bounded(self, recorded: RecordedClaim, stored_bytes: int) -> RecordedClaim:
+    def _without_oversized_body(self, recorded: RecordedClaim, stored_bytes: int) -> RecordedClaim:
         size = len(recorded.body)
-        if size > self._limits.body_bytes:
+        if size > self._limits.max_body_bytes:
             return recorded.without_body()
-        if self.total_body_bytes - stored_bytes + size > self._limits.total_body_bytes:
+        if self.total_body_bytes - stored_bytes + size > self._limits.max_total_body_bytes:
             return recorded.without_body()
         return recorded
 
@@ -130,5 +140,5 @@
 
 
 def copy_of(row: ClaimRow, now: float) -> CopiedClaim:
-    """Return `row` as sent to another voter."""
+    """Return a copy of `row` as sent to another voter."""
     return CopiedClaim(row.request_id, row.state(), row.expires_at - now)
--- a/src/zincvale/dataplane/claims/timings.py
+++ b/src/zincvale/dataplane/claims/timings.py
@@ -1,4 +1,4 @@
-"""Times and bounds of the claim protocol, in seconds unless the name says otherwise.
+"""Times and limits of the claim protocol, in seconds unless the name says otherwise.
 
 The proofs in the design note need: `dispatch_window_s` < `settle_s` < `quarantine_s` < `ttl_s`.
 """
@@ -10,36 +10,39 @@
 
 @attrs.frozen
 class ClaimTimings:
-    """Defaults fit eleven machines in one region.
+    """Times and limits of claims; the defaults suit a cluster of eleven machines in one region.
 
     Attributes
     ----------
-    dispatch_window_s : a grant counts for a dispatch this long after its vote was requested.
-    settle_s : a restarted voter reads from the others only this long after its start, when every
-        grant of its former self is too old to count.
-    quarantine_s : a voter whose sources are gone votes again after this time.
-    ttl_s : a claim is forgotten this long after it last changed or was announced.
-    own_claim_ttl_s : how long an ingress node remembers its own attempts; longer than `ttl_s`.
-    call_timeout_s : of one call to a peer.
-    round_timeout_s : a round of calls is evaluated after this time at the latest.
+    dispatch_window_s : how long a vote permits a dispatch after it was requested.
+    settle_s : delay between the start of a restarted voter and its first read from the others;
+        after it, every vote of the former process is too old to count.
+    quarantine_s : delay after which a voter votes again although too many of the nodes that it must
+        read from are lost.
+    ttl_s : time to live of a claim after it last changed or was announced.
+    own_claim_ttl_s : time to live of an ingress node's own attempts; longer than `ttl_s`.
+    call_timeout_s : timeout of one call to a peer.
+    round_timeout_s : timeout of a round of calls, after which the replies so far are evaluated.
     retry_backoff_s, max_retry_backoff_s : first and longest pause between two rounds; it doubles
         each time, and jitter adds up to as much again.
-    max_claiming_s : a claim that has no majority after this time is given up.
-    poll_interval_s, max_poll_interval_s : first and longest pause between two queries
-        for a competing attempt.
-    suspect_after_s : an owner that has not responded for so long may be blocked.
-    owner_timeout_s : a resend stops waiting for an owner that has not responded for so long.
-    announce_interval_s : interval at which an ingress node announces its running claims
-        to their voters.
-    max_run_s : a granted claim without an outcome is announced no longer after this time.
-    delivery_timeout_s : how long a record or release is resent to voters that did not
-        confirm it.
+    max_claiming_s : time after which a claim without a majority yields to a competing attempt or is
+        refused.
+    poll_interval_s, max_poll_interval_s : first and longest pause between two queries about a
+        competing attempt.
+    suspect_after_s : time without a response after which an owner's attempt may be blocked; also
+        the shortest time between two rounds of blocking.
+    owner_timeout_s : time without a response after which a resend stops waiting for an owner.
+    announce_interval_s : interval at which an ingress node announces its running claims to their
+        voters, so that they do not expire there.
+    max_run_s : time after which a granted claim without an outcome is no longer announced.
+    delivery_timeout_s : how long an outcome or release is resent to voters that did not confirm it.
     pull_retry_s : pause before a page is requested again from a source that did not respond.
-    pull_behind_retry_s : the same, for a source that did not know the view yet.
-    max_rows : claims voted on for others, and as many own ones; new ones beyond are refused, none
-        is dropped. With responses of 200 bytes a row takes about 1 KiB.
-    max_body_bytes : recorded responses larger than this are stored without body.
-    max_total_body_bytes : bodies beyond this sum are not stored.
+    pull_behind_retry_s : the same for a source that responded but did not know the view yet.
+    max_rows : limit of the claims that a node votes on, and separately of its own; beyond it, new
+        claims are refused and none is dropped. With responses of 200 bytes a row takes about 1 KiB.
+    max_body_bytes : largest recorded response that is stored with its body.
+    max_total_body_bytes : limit of the sum of all stored bodies of a table; a response that would
+        exceed it is stored without its body.
     """
 
     dispatch_window_s: float = 2.0
--- a/src/zincvale/dataplane/claims/voter.py
+++ b/src/zincvale/dataplane/claims/voter.py
@@ -1,4 +1,4 @@
-"""Voter's side of claims: one vote for each request, for the first attempt that asks for it."""
+"""Voter's side of claims: one vote for each request, given to the first attempt that calls."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from zincvale.model.identifiers import MemberId, RequestId
 
 PAGE_ROWS = 100
-"""Rows in one page or announcement; longer ones block the event loop longer."""
+"""Limit of rows in one page or announcement; longer ones would block the event loop for longer."""
 PAGE_BYTES = 256 * 1024
-"""A page ends after so much; peers limit the size of a message."""
+"""Size at which a page ends, because peers limit the size of a message."""
 ROW_OVERHEAD_BYTES = 200
-"""Estimate of a row's size without its body."""
+"""Estimate of a row's encoded size without its body."""
 EMPTY_STATE = ClaimState()
 
 
@@ -36,9 +36,9 @@
 
     Attributes
     ----------
-    votes : votes, closed attempts and outcomes of requests that this node is a voter of.
-    own_claims : this node's attempts as an ingress node; they carry no vote, but show what became
-        of them.
+    votes : votes, closed attempts and outcomes of the requests of which this node is a voter.
+    own_claims : this node's attempts as an ingress node; they carry no vote, but tell what became
+        of each attempt.
     readiness : whether this voter may vote, and in which view.
     """
 
@@ -49,7 +49,7 @@
     readiness: VoterReadiness
 
     def claim(self, call: ClaimCall, now: float) -> ClaimReply:
-        """Vote for the attempt if no other attempt can have this voter's vote."""
+        """Vote for the attempt unless another attempt may have this voter's vote."""
         request_id = RequestId(call.request_id)
         row = self.votes.find(request_id, now)
         if row is not None and row.recorded is not None:
@@ -59,7 +59,7 @@
             return self._reply(refusal, row)
         if row is not None and not row.may_vote_for(call.attempt):
             return self._reply(ClaimStatus.BLOCKED, row)
-        if row is not None and row.others(call.attempt):
+        if row is not None and row.other_open_attempts(call.attempt):
             return self._reply(ClaimStatus.CONTENDED, row)
         if not self.votes.has_room(row):
             return self._reply(ClaimStatus.FULL, row)
@@ -68,7 +68,7 @@
         return self._reply(ClaimStatus.GRANTED, row)
 
     def query(self, call: QueryCall, now: float) -> ClaimReply:
-        """Return what is known of a request, as a voter and as an ingress node."""
+        """Return what this node knows of a request, as a voter and as an ingress node."""
         request_id = RequestId(call.request_id)
         row = self._merged_row(request_id, now)
         refusal = self._reason_not_to_vote(call.view, request_id)
@@ -81,7 +81,7 @@
         return self._reply(ClaimStatus.FREE, row)
 
     def block(self, call: BlockCall, now: float) -> ClaimReply:
-        """Never vote for the attempts, save those that have this voter's vote already."""
+        """Exclude the attempts from votes permanently, except those with this voter's vote."""
         request_id = RequestId(call.request_id)
         row = self.votes.find(request_id, now)
         refusal = self._reason_not_to_vote(call.view, request_id)
@@ -93,23 +93,23 @@
         return self._reply(ClaimStatus.BLOCKED, row)
 
     def close(self, call: CloseCall, now: float) -> None:
-        """Take the votes of the attempts back."""
+        """Close the attempts, which withdraws this voter's votes for them."""
         state = ClaimState(closed=call.attempts)
         self.votes.merge(RequestId(call.request_id), state, now)
 
     def record(self, call: RecordCall, now: float) -> None:
-        """Store an outcome."""
+        """Store the outcome of a request."""
         state = ClaimState(recorded=call.recorded)
         self.votes.merge(RequestId(call.request_id), state, now)
 
     def merge_copies(self, claims: list[CopiedClaim], now: float) -> None:
-        """Merge claims copied from another node."""
+        """Merge claims that another node sent, except expired ones."""
         for claim in claims:
             if claim.remaining_s > 0:
                 self.votes.merge(RequestId(claim.request_id), claim.state, now, claim.remaining_s)
 
     def pull(self, sender: MemberId, call: PullCall, now: float) -> PullReply:
-        """Stop voting in older views; return a page of what `sender` votes on in this one."""
+        """Stop voting in older views, and return a page of claims that `sender` votes on."""
         self.readiness.observe_version(call.view)
         view = self.readiness.view
         is_usable = (
@@ -156,7 +156,7 @@
         return row.voters
 
     def _reason_not_to_vote(self, view_version: int, request_id: RequestId) -> ClaimStatus | None:
-        """Return why no vote can be given to a call of this view, or None."""
+        """Return why this node can not vote in this view, or None if it can."""
         if view_version < self.readiness.newest_seen_view:
             return ClaimStatus.STALE_VIEW
         if not self.readiness.may_vote or view_version != self.readiness.view_version:
--- a/src/zincvale/dataplane/claims/votes.py
+++ b/src/zincvale/dataplane/claims/votes.py
@@ -1,4 +1,4 @@
-"""Votes of the voters for one attempt in one view, and what they prove."""
+"""The votes for one attempt in one view, and whether they form a majority."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 class Votes:
-    """The last response of each voter to one attempt's call.
+    """The latest reply of each voter to the `ClaimCall` of one attempt.
 
     Parameters
     ----------
-    window_s : a vote counts this long after it was requested.
+    dispatch_window_s : how long a vote counts after it was requested.
     """
 
-    def __init__(self, view: ClaimView, window_s: float) -> None:
+    def __init__(self, view: ClaimView, dispatch_window_s: float) -> None:
         self.view = view
-        self._window_s = window_s
+        self._dispatch_window_s = dispatch_window_s
         self._granted_at: dict[MemberId, float] = {}
         self._competing_by_voter: dict[MemberId, list[Attempt]] = {}
-        self._full: set[MemberId] = set()
+        self._full_voters: set[MemberId] = set()
 
     def record(self, voter: MemberId, reply: ClaimReply, requested_at: float) -> None:
-        """Count one response."""
+        """Record the reply of a voter to a call sent at `requested_at`."""
         self._competing_by_voter.pop(voter, None)
         match reply.status:
             case ClaimStatus.GRANTED:
@@ -36,11 +36,11 @@
             case ClaimStatus.CONTENDED:
                 self._competing_by_voter[voter] = [claim.attempt for claim in reply.state.open]
             case ClaimStatus.FULL:
-                self._full.add(voter)
+                self._full_voters.add(voter)
 
     def voters_to_request(self, voters: tuple[MemberId, ...], now: float) -> list[MemberId]:
-        """Return the voters whose vote is missing, or more than half used up."""
-        oldest = now - self._window_s / 2
+        """Return the voters whose vote is missing or older than half the dispatch window."""
+        oldest = now - self._dispatch_window_s / 2
         return [
             voter
             for voter in voters
@@ -48,24 +48,27 @@
         ]
 
     def dispatch_by(self) -> float | None:
-        """Return until when a majority's votes count, None without a majority.
+        """Return until when the votes of a majority count, or None without a majority.
 
-        A vote counts from the moment it was requested: the voter can only have given it later.
+        The age of a vote starts when it was requested, because the voter gave it no earlier.
         """
         newest_first = sorted(self._granted_at.values(), reverse=True)
         majority = self.view.majority
         if majority == 0 or len(newest_first) < majority:
             return None
-        return newest_first[majority - 1] + self._window_s
+        return newest_first[majority - 1] + self._dispatch_window_s
 
-    def is_lost(self) -> bool:
+    def another_has_majority(self) -> bool:
         """Whether another attempt has the votes of a majority."""
         counts = Counter(
             attempt for competing in self._competing_by_voter.values() for attempt in competing
         )
         return max(counts.values(), default=0) >= self.view.majority
 
-    def proves_fresh(self) -> bool:
-        """Whether every majority has a voter that said it knows of no other attempt."""
-        clean = self._full | self._granted_at.keys()
-        return len(clean) >= self.view.voter_count - self.view.majority + 1
+    def proves_request_never_ran(self) -> bool:
+        """Whether every possible majority includes a voter that knows of no competing attempt.
+
+        Then no other attempt can have had a majority, and the request never ran.
+        """
+        without_competitor = self._full_voters | self._granted_at.keys()
+        return len(without_competitor) >= self.view.voter_count - self.view.majority + 1
--- a/tests/dataplane/claims/test_mutations.py
+++ b/tests/dataplane/claims/test_mutations.py
@@ -93,7 +93,7 @@
 
     def claim(self: ClaimVoter, call: ClaimCall, now: float) -> ClaimReply:
         row = self.votes.find(RequestId(call.request_id), now)
-        for competitor in row.others(call.attempt) if row is not None else ():
+        for competitor in row.other_open_attempts(call.attempt) if row is not None else ():
             if call.attempt < competitor:
                 del row.open[competitor]
         return original(self, call, now)
--- a/tests/dataplane/claims/test_table.py
+++ b/tests/dataplane/claims/test_table.py
@@ -20,7 +20,7 @@
 
 FIRST = Attempt(MemberId("node-1"), "a", 1)
 SECOND = Attempt(MemberId("node-2"), "b", 1)
-LIMITS = TableLimits(rows=3, body_bytes=100, total_body_bytes=150, ttl_s=300.0)
+LIMITS = TableLimits(max_rows=3, max_body_bytes=100, max_total_body_bytes=150, ttl_s=300.0)
 
 
 def view(*sizes: int) -> ClaimView:
@@ -71,8 +71,8 @@
         claims = view(3, 3, 2)
         zone = {MemberId(f"node-0-{number}") for number in range(3)}
         self.assertEqual(2, claims.most_in_one_group(zone))
-        self.assertEqual(1, claims.most_in_one_group(zone, beside=MemberId("node-0-0")))
-        self.assertEqual(2, claims.most_in_one_group(zone, beside=MemberId("node-1-0")))
+        self.assertEqual(1, claims.most_in_one_group(zone, containing=MemberId("node-0-0")))
+        self.assertEqual(2, claims.most_in_one_group(zone, containing=MemberId("node-1-0")))
         two = {MemberId("node-0-0"), MemberId("node-1-0")}
         self.assertEqual(2, claims.most_in_one_group(two))
 
