--- a/src/zincvale/dataplane/claims/timings.py
+++ b/src/zincvale/dataplane/claims/timings.py
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class ClaimTimings:
-    """Times and limits of claims; the defaults suit a cluster of eleven machines in one region.
+    """Times and limits of claims; the defaults suit eleven machines in one region.
 
     Attributes
     ----------
--- a/src/zincvale/dataplane/stream_journal/events.py
+++ b/src/zincvale/dataplane/stream_journal/events.py
@@ -10,12 +10,12 @@
 
 @attrs.frozen
 class AppendRequested:
-    """Input: chunks to replicate; `AppendCompleted(token, ...)` follows in a bounded time.
+    """Input: replicate chunks; `AppendCompleted(token, ...)` follows within a timeout.
 
     Attributes
     ----------
-    first_index : event number of the first chunk, from 1.
-    epoch : of the ingress node's right to the stream, or `NEWEST_STREAM_EPOCH`.
+    first_index : event number of the first chunk, counted from 1.
+    epoch : epoch in which the relay may write the stream, or `NEWEST_STREAM_EPOCH`.
     """
 
     token: str
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class EndRequested:
-    """Input: the stream ended after `count` chunks; `AppendCompleted(token, ...)` follows."""
+    """Input: the stream is complete with `count` chunks; `AppendCompleted(token, ...)` follows."""
 
     token: str
     request_id: str
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class ResumeRequested:
-    """Input: take a stream over whose caller has `after` chunks; `Resumed(token, ...)` follows."""
+    """Input: take over a stream whose caller has `after` chunks; `Resumed(token, ...)` follows."""
 
     token: str
     request_id: str
@@ -47,14 +47,14 @@
 
 @attrs.frozen
 class StreamForgotten:
-    """Input: the caller of a stream has left."""
+    """Input: the caller of a stream disconnected before its end."""
 
     request_id: str
 
 
 @attrs.frozen
 class NodesChanged:
-    """Input: zone and incarnation of each node with a live lease."""
+    """Input: the nodes with live leases, with the zone and incarnation of each."""
 
     zones: dict[MemberId, ZoneName]
     incarnations: dict[MemberId, str]
@@ -62,12 +62,12 @@
 
 @attrs.frozen
 class BatchDue:
-    """Input: the time of the last `FlushAt` came."""
+    """Input: the time of the latest `FlushAt` effect has come."""
 
 
 @attrs.frozen
 class AppendCompleted:
-    """Effect: the response to an append or end."""
+    """Effect: complete the append or end `token` with this result."""
 
     token: str
     result: JournalAppend
@@ -75,7 +75,7 @@
 
 @attrs.frozen
 class Resumed:
-    """Effect: the newest copy of a stream that was resumed, None when none has enough."""
+    """Effect: complete the resume `token`; `state` is None if no copy has enough chunks."""
 
     token: str
     state: JournalState | None
@@ -83,6 +83,6 @@
 
 @attrs.frozen
 class FlushAt:
-    """Effect: feed `BatchDue` at this time."""
+    """Effect: pass `BatchDue` to the machine at this time."""
 
     at: float
--- a/src/zincvale/dataplane/stream_journal/failover.py
+++ b/src/zincvale/dataplane/stream_journal/failover.py
@@ -1,9 +1,10 @@
-"""Failover of a stream: find its newest copy, and fence every earlier ingress node.
+"""Failover of a stream: finds its newest copy, and fences every earlier ingress node.
 
-Two rounds of calls to the same nodes. The first learns the newest fence, the second raises it
-everywhere and brings the chunks, which no one appends to any more. Chunks of the newest writer
-win; among copies of one writer, which are prefixes of each other, the longest. While no copy is
-long enough and some node did not respond, the rounds are repeated for a while.
+There are two rounds of calls to the same nodes. The first finds the newest fence. The second raises
+the fence at each node and returns its chunks, to which no earlier writer can append any more. The
+copy of the newest writer is chosen; among copies of one writer, which are prefixes of each other,
+the longest. While no copy is long enough and some node has not responded, the rounds are repeated
+until `JournalTimings.search_timeout_s`.
 """
 
 from __future__ import annotations
@@ -25,12 +26,15 @@
 from zincvale.model.identifiers import MemberId
 
 MAX_FENCE_ROUNDS = 4
-"""Failovers of one stream that outbid each other end after so many rounds instead of never."""
+"""Limit of the fencing rounds of one failover.
+
+Without it, concurrent failovers of one stream could supersede each other's fences endlessly.
+"""
 
 
 @attrs.frozen
 class JournalRequest:
-    """Effect: call `member`; `on_reply` or `on_failure` follows with `round_number`."""
+    """Effect: call `member`, then pass `round_number` to `on_reply` or `on_failure`."""
 
     member: MemberId
     message: ReadCall | FenceCall
@@ -39,12 +43,12 @@
 
 @attrs.frozen
 class FailoverCompleted:
-    """Effect: the failover is done.
+    """Effect: the failover is finished.
 
     Attributes
     ----------
-    fence : this node's right to write the stream from now on.
-    content : the newest copy, or None when none was found with enough chunks.
+    fence : the fence with which this node may write the stream from now on.
+    content : the newest copy, or None if none with enough chunks was found.
     """
 
     fence: StreamFence
@@ -55,7 +59,7 @@
 
 
 class _Phase(enum.Enum):
-    """Legal transitions: READING to FENCING; FENCING to FENCING (outbid), PAUSING and DONE.
+    """Legal transitions: READING to FENCING; FENCING to FENCING (superseded), PAUSING and DONE.
 
     PAUSING leads to READING; DONE is final.
     """
@@ -67,13 +71,13 @@
 
 
 class StreamFailover:
-    """One failover.
+    """State machine of one failover of one stream.
 
     Parameters
     ----------
-    owner : this node's process.
-    after : number of chunks the caller has; a shorter copy is of no use.
-    members : the nodes to call, this one among them.
+    owner : identifies this node's process in fences.
+    after : number of chunks that the caller has; shorter copies are not used.
+    members : the nodes to call, including this one.
     """
 
     def __init__(
@@ -96,16 +100,17 @@
         self._search_until = 0.0
         self._awaited: set[MemberId] = set()
         self._unresponsive: set[MemberId] = set()
-        self._found: dict[MemberId, ReadReply] = {}
-        self._contents: list[StreamContent] = []
+        self._read_replies: dict[MemberId, ReadReply] = {}
+        self._fenced_contents: list[StreamContent] = []
         self._fence = StreamFence(1, owner)
         self._fence_rounds = 0
-        self._newest = StreamFence(FIRST_STREAM_EPOCH, "")
+        self._newest_fence = StreamFence(FIRST_STREAM_EPOCH, "")
 
     def begin(self, now: float) -> list[FailoverEffect]:
-        """Request from each member how much it stores of the stream.
+        """Request from each member how much of the stream it stores.
 
-        Even if nobody does, the first ingress node may be about to write under the first epoch.
+        Fences are raised even if no member stores any, because the first ingress node may be about
+        to write in the first epoch.
         """
         self._search_until = now + (self._timings.search_timeout_s if self._after else 0.0)
         return self._request_from_all(ReadCall(self._request_id), now)
@@ -113,25 +118,25 @@
     def on_reply(
         self, member: MemberId, round_number: int, reply: ReadReply | FenceReply, now: float
     ) -> list[FailoverEffect]:
-        """Apply one response."""
+        """Apply the reply of a member."""
         match reply:
             case ReadReply(fence) if fence is not None:
-                self._found[member] = reply
-                self._newest = max(self._newest, fence)
+                self._read_replies[member] = reply
+                self._newest_fence = max(self._newest_fence, fence)
             case FenceReply(fence, content):
-                self._newest = max(self._newest, fence)
+                self._newest_fence = max(self._newest_fence, fence)
                 if content is not None:
-                    self._contents.append(content)
+                    self._fenced_contents.append(content)
         return self._on_response(member, round_number, now)
 
     def on_failure(self, member: MemberId, round_number: int, now: float) -> list[FailoverEffect]:
-        """Record that a member did not respond."""
+        """Record that a call to a member failed."""
         if round_number == self._round_number:
             self._unresponsive.add(member)
         return self._on_response(member, round_number, now)
 
     def on_wake(self, now: float) -> list[FailoverEffect]:
-        """Go on without the members that have not responded."""
+        """End a round or a pause whose time is over; does nothing before `wake_at`."""
         if self._phase is _Phase.DONE or now < self.wake_at:
             return []
         if self._phase is _Phase.PAUSING:
@@ -162,18 +167,18 @@
 
     def _has_enough(self) -> bool:
         if self._phase is _Phase.READING:
-            return any(reply.length >= self._after for reply in self._found.values())
-        best = self._best()
+            return any(reply.length >= self._after for reply in self._read_replies.values())
+        best = self._best_content()
         return best is not None and len(best.chunks) >= self._after
 
     def _end_round(self, now: float) -> list[FailoverEffect]:
         if self._phase is _Phase.READING:
             return self._request_fences(now)
-        was_outbid = self._newest > self._fence
-        if was_outbid and self._fence_rounds < MAX_FENCE_ROUNDS:
+        was_superseded = self._newest_fence > self._fence
+        if was_superseded and self._fence_rounds < MAX_FENCE_ROUNDS:
             return self._request_fences(now)
-        if not was_outbid and self._has_enough():
-            return self._finish(self._best())
+        if not was_superseded and self._has_enough():
+            return self._finish(self._best_content())
         if now < self._search_until and (self._unresponsive or self._awaited):
             self._phase = _Phase.PAUSING
             self.wake_at = now + self._timings.search_pause_s
@@ -187,11 +192,11 @@
     def _request_fences(self, now: float) -> list[FailoverEffect]:
         self._phase = _Phase.FENCING
         self._fence_rounds += 1
-        self._fence = StreamFence(self._newest.epoch + 1, self._owner)
-        self._newest = self._fence
+        self._fence = StreamFence(self._newest_fence.epoch + 1, self._owner)
+        self._newest_fence = self._fence
         return self._request_from_all(FenceCall(self._request_id, self._fence), now)
 
-    def _best(self) -> StreamContent | None:
-        if not self._contents:
+    def _best_content(self) -> StreamContent | None:
+        if not self._fenced_contents:
             return None
-        return max(self._contents, key=lambda content: (content.writer, len(content.chunks)))
+        return max(self._fenced_contents, key=lambda content: (content.writer, len(content.chunks)))
--- a/src/zincvale/dataplane/stream_journal/messages.py
+++ b/src/zincvale/dataplane/stream_journal/messages.py
@@ -10,26 +10,27 @@
 
 
 class WriteStatus(enum.StrEnum):
-    """What a journal did with one write, as `WriteResult.status`."""
+    """Result of one write at a replica, the value of `WriteResult.status`."""
 
     STORED = "kept"
-    """The chunks are stored."""
+    """The chunks are stored, by this write or a newer one."""
     FENCED = "fenced"
-    """Another ingress node resumed the stream."""
+    """The write is refused because another ingress node resumed the stream."""
     GAP = "gap"
-    """Chunks before these are not stored: send the stream from its first chunk."""
+    """Earlier chunks are missing; the writer must send the stream from its first chunk."""
     FULL = "full"
-    """There is no room; nothing of this write is stored."""
+    """The replica has no room, and stored nothing of this write."""
 
 
 @attrs.frozen(order=True)
 class StreamFence:
-    """Who may write a stream; the greater one wins.
+    """Right of one process to write a stream; a greater fence supersedes a smaller one.
 
     Attributes
     ----------
-    epoch : 1 for the node that began the stream, one more for each failover.
-    owner : the ingress node's process (`member/incarnation`); decides between two at once.
+    epoch : 1 for the node that began the stream, and one more for each failover.
+    owner : process of the ingress node (`member/incarnation`); orders fences of the same epoch,
+        which concurrent failovers can request.
     """
 
     epoch: int
@@ -38,13 +39,14 @@
 
 @attrs.frozen
 class StreamWrite:
-    """Chunks of one stream.
+    """Chunks of one stream to be stored at a replica.
 
     Attributes
     ----------
-    number : counts the writes of one writer; an older one that arrives late is ignored.
-    first_index : event number of the first chunk, from 1; 1 replaces what was stored before.
-    end_count : number of chunks of the whole stream when it ended, else 0.
+    number : sequence number among the writes of one writer; an older write that arrives late is
+        ignored.
+    first_index : event number of the first chunk, counted from 1; 1 replaces all stored chunks.
+    end_count : number of chunks of the whole stream if it has ended, else 0.
     """
 
     request_id: str
@@ -59,14 +61,14 @@
 @peer_message("streams.append")
 @attrs.frozen
 class AppendCall:
-    """The writes of many streams, together."""
+    """Requests that the replica stores the writes of one or more streams."""
 
     writes: list[StreamWrite]
 
 
 @attrs.frozen
 class WriteResult:
-    """Response to one write."""
+    """Result of one write; `status` is the value of a `WriteStatus`."""
 
     request_id: str
     number: int
@@ -76,19 +78,19 @@
 @peer_message("streams.append_reply")
 @attrs.frozen
 class AppendReply:
-    """Responses in the order of the writes."""
+    """Reply to `AppendCall`: the results in the order of the writes."""
 
     results: list[WriteResult]
 
 
 @attrs.frozen
 class StreamContent:
-    """What one place holds of a stream.
+    """Copy of a stream as stored at one node.
 
     Attributes
     ----------
-    writer : who wrote these chunks.
-    end_count : number of chunks of the whole stream when it ended, else 0.
+    writer : fence with which these chunks were written.
+    end_count : number of chunks of the whole stream if it has ended, else 0.
     """
 
     digest: str
@@ -100,7 +102,7 @@
 @peer_message("streams.read")
 @attrs.frozen
 class ReadCall:
-    """Return how much is stored of a stream."""
+    """Requests how much of a stream the node stores."""
 
     request_id: str
 
@@ -108,12 +110,12 @@
 @peer_message("streams.read_reply")
 @attrs.frozen
 class ReadReply:
-    """Response to `ReadCall`.
+    """Reply to `ReadCall`.
 
     Attributes
     ----------
-    fence : the newest failover known here; None when nothing is known of the stream.
-    length : number of chunks stored.
+    fence : the newest fence that the node knows; None if it does not know the stream.
+    length : number of chunks that the node stores.
     """
 
     fence: StreamFence | None
@@ -123,7 +125,7 @@
 @peer_message("streams.fence")
 @attrs.frozen
 class FenceCall:
-    """Take a stream over: accept no write below `fence` any more."""
+    """Takes over a stream: requests that the node refuses writes with a smaller fence."""
 
     request_id: str
     fence: StreamFence
@@ -132,12 +134,13 @@
 @peer_message("streams.fence_reply")
 @attrs.frozen
 class FenceReply:
-    """Response to `FenceCall`.
+    """Reply to `FenceCall`.
 
     Attributes
     ----------
-    fence : the newest failover known here; another one than requested has won.
-    content : what is stored, which no one appends to any more; None when nothing is.
+    fence : the newest fence that the node knows; a greater one than requested supersedes the call.
+    content : the stored copy, to which no writer with a smaller fence can append; None if nothing
+        is stored.
     """
 
     fence: StreamFence
--- a/src/zincvale/dataplane/stream_journal/node_machine.py
+++ b/src/zincvale/dataplane/stream_journal/node_machine.py
@@ -1,4 +1,4 @@
-"""The stream journal of one node as a state machine: writers, store and failovers together."""
+"""The stream journal of one node as a state machine: its writers, replica store and failovers."""
 
 from __future__ import annotations
 
@@ -92,14 +92,14 @@
 
 
 @attrs.define
-class _Running:
+class _RunningFailover:
     request_id: str
     after: int
     failover: StreamFailover
 
 
 class StreamJournalNode:
-    """Takes inputs and returns effects; see `events` for both."""
+    """Turns each input into effects; `events` defines both."""
 
     def __init__(
         self, member_id: MemberId, incarnation: str, zone: ZoneName, timings: JournalTimings
@@ -111,18 +111,18 @@
         self._nodes: list[MemberId] = []
         self._zones: dict[MemberId, ZoneName] = {}
         self._live_owners: set[str] = set()
-        self._copy_at = 0.0
+        self._next_copy_at = 0.0
         self._pending_resumes: dict[str, tuple[ResumeRequested, float]] = {}
         self._store = ReplicaStore(timings)
         self._writers = StreamWriters(timings)
-        self._failovers: dict[str, _Running] = {}
+        self._failovers: dict[str, _RunningFailover] = {}
         self._pending: dict[str, _PendingBatch | _PendingCopy | _PendingRequest] = {}
         self._numbers = itertools.count(1)
         self._flush_at = float("inf")
         self._effects: list[JournalEffect] = []
 
     def handle(self, event: JournalInput, now: float) -> list[JournalEffect]:
-        """Apply one input and return what to do, in order."""
+        """Apply one input and return its effects in the order to carry them out."""
         match event:
             case AppendRequested():
                 self._handle_append(event, now)
@@ -149,7 +149,7 @@
         return effects
 
     def writer(self, request_id: str) -> StreamWriter | None:
-        """Return the stream whose requests this node received, if it remembers it."""
+        """Return the writer of a stream of which this node is the ingress node, None for others."""
         return self._writers.find(request_id)
 
     # Requests of this node's relays
@@ -159,7 +159,7 @@
         if writer is None:
             fence = StreamFence(FIRST_STREAM_EPOCH, self._owner)
             writer = StreamWriter(event.request_id, event.digest, fence)
-            self._writers.begin(writer, now)
+            self._writers.add(writer, now)
         if event.epoch not in (NEWEST_STREAM_EPOCH, writer.fence.epoch):
             self._effects.append(AppendCompleted(event.token, JournalAppend.FENCED))
             return
@@ -175,7 +175,7 @@
         self._carry_out(self._writers.end(event.token, writer, event.count, now))
 
     def _handle_resume(self, event: ResumeRequested, now: float) -> None:
-        """Start a failover; one that comes before the nodes are known waits for them."""
+        """Start a failover, or postpone it until the live nodes are known."""
         if not self._nodes:
             self._pending_resumes[event.token] = (event, now + self._timings.search_timeout_s)
             return
@@ -186,7 +186,7 @@
         failover = StreamFailover(
             event.request_id, self._owner, event.after, members, self._timings
         )
-        self._failovers[event.token] = _Running(event.request_id, event.after, failover)
+        self._failovers[event.token] = _RunningFailover(event.request_id, event.after, failover)
         self._carry_out_failover(event.token, failover.begin(now), now)
 
     def _handle_nodes(self, event: NodesChanged, now: float) -> None:
@@ -213,25 +213,26 @@
             self._carry_out_failover(token, running.failover.on_wake(now), now)
 
     def _copy_orphaned_streams(self, now: float) -> None:
-        """Give streams whose ingress node is lost to a second node, until their callers come back.
+        """Copy the streams whose ingress node is lost to a second node.
 
-        Without it the loss of this node as well would end them.
+        Without the copy, such a stream could not be resumed if this node is lost as well before its
+        caller reconnects.
         """
-        if now < self._copy_at or not self._live_owners:
+        if now < self._next_copy_at or not self._live_owners:
             return
-        self._copy_at = now + self._timings.copy_interval_s
+        self._next_copy_at = now + self._timings.copy_interval_s
         for write in self._store.orphaned_streams(self._live_owners):
-            others = {
+            zone_by_candidate = {
                 member: zone for member, zone in self._zones.items() if member != self._member_id
             }
-            order = rendezvous_order(write.request_id, others)
-            order.sort(key=lambda member: others[member] == self._zone)
-            if order:
+            candidates = rendezvous_order(write.request_id, zone_by_candidate)
+            candidates.sort(key=lambda member: zone_by_candidate[member] == self._zone)
+            if candidates:
                 call = AppendCall([write])
                 timeout_s = self._timings.call_timeout_s
-                self._call(order[0], call, timeout_s, _PendingCopy(write.request_id))
+                self._call(candidates[0], call, timeout_s, _PendingCopy(write.request_id))
 
-    # Calls of peers
+    # Calls from peers
 
     def _reply_to(self, message: object, now: float) -> object:
         match message:
@@ -265,7 +266,7 @@
         best = max(contents, key=lambda content: (content.writer, len(content.chunks)))
         return FenceReply(max(own.fence, stored.fence), best)
 
-    # Responses of peers
+    # Replies of peers
 
     def _call(self, member: MemberId, message: object, timeout_s: float, pending: object) -> None:
         token = f"streams-{next(self._numbers)}"
@@ -273,7 +274,7 @@
         self._effects.append(Call(member, token, message, timeout_s))
 
     def _handle_reply(self, token: str, message: object, now: float) -> None:
-        """Apply a response, or None for a call that failed."""
+        """Apply the reply to a call; `message` is None if the call failed."""
         pending = self._pending.pop(token, None)
         match pending, message:
             case _PendingBatch(peer), AppendReply():
@@ -297,7 +298,7 @@
                 effects = running.failover.on_failure(member, number, now)
         self._carry_out_failover(pending.token, effects, now)
 
-    # Effects of the parts
+    # Effects of writers and failovers
 
     def _carry_out(self, effects: Iterable[WriterEffect]) -> None:
         for effect in effects:
@@ -337,11 +338,11 @@
             )
             writer.end_count = content.end_count
             writer.is_over = content.end_count > 0
-            self._writers.begin(writer, now)
+            self._writers.add(writer, now)
             self._effects.append(Resumed(token, _state_of(writer)))
             return
         if running.after == 0:
-            self._writers.begin(StreamWriter(running.request_id, "", result.fence), now)
+            self._writers.add(StreamWriter(running.request_id, "", result.fence), now)
         self._effects.append(Resumed(token, None))
 
 
--- a/src/zincvale/dataplane/stream_journal/replica_store.py
+++ b/src/zincvale/dataplane/stream_journal/replica_store.py
@@ -1,4 +1,4 @@
-"""Replica's side of the stream journal: chunks of other nodes' streams, fenced and bounded."""
+"""Replica's side of the stream journal: stores chunks of other nodes' streams up to a limit."""
 
 from __future__ import annotations
 
@@ -19,27 +19,32 @@
 from zincvale.dataplane.stream_journal.timings import JournalTimings
 
 CHUNK_OVERHEAD_BYTES = 64
-"""Estimate of a stored chunk's size beside its text; too small, and the bound is exceeded."""
+"""Estimate of the memory of a stored chunk besides its text.
+
+If it were too small, the store would use more memory than its limit allows.
+"""
 STREAM_OVERHEAD_BYTES = 512
-"""The same for a stream beside its chunks."""
+"""Estimate of the memory of a stored stream besides its chunks."""
 NO_WRITER = StreamFence(0, "")
 
 
 def size_of(chunks: list[str]) -> int:
-    """Return the bytes accounted for chunks."""
+    """Return the estimated memory of the chunks in bytes."""
     return sum(len(chunk) + CHUNK_OVERHEAD_BYTES for chunk in chunks)
 
 
 @attrs.define
 class StreamReplica:
-    """One stream.
+    """Stored copy of one stream.
 
     Attributes
     ----------
-    fence : the newest failover; writes below it are refused.
-    writer : who wrote the chunks that are stored.
-    number : of the last write.
-    is_copied : whether another node was given a copy since the writer was lost.
+    fence : the newest known fence; writes with a smaller one are refused.
+    writer : fence with which the stored chunks were written.
+    number : sequence number of the latest write of this writer.
+    end_count : number of chunks of the whole stream if it has ended, else 0.
+    size_bytes : estimated memory of the copy.
+    is_copied : whether another node stored a copy since the writer was lost.
     """
 
     fence: StreamFence
@@ -48,24 +53,24 @@
     number: int = 0
     chunks: list[str] = attrs.field(factory=list)
     end_count: int = 0
-    bytes: int = 0
+    size_bytes: int = 0
     expires_at: float = 0.0
     is_copied: bool = False
 
 
 class ReplicaStore:
-    """Streams by request identifier, the longest unchanged first."""
+    """Replicas of streams by request identifier, the least recently changed first."""
 
     def __init__(self, timings: JournalTimings) -> None:
         self._timings = timings
         self._replicas: OrderedDict[str, StreamReplica] = OrderedDict()
-        self.bytes = 0
+        self.total_bytes = 0
 
     def __len__(self) -> int:
         return len(self._replicas)
 
     def write(self, write: StreamWrite, now: float) -> WriteResult:
-        """Apply one write."""
+        """Store the chunks of one write if it is accepted, and return the result."""
         replica = self._replicas.get(write.request_id)
         if replica is not None and write.fence < replica.fence:
             status = WriteStatus.FENCED
@@ -81,14 +86,14 @@
         return WriteResult(write.request_id, write.number, status.value)
 
     def read(self, request_id: str) -> ReadReply:
-        """Return how much is stored of a stream."""
+        """Return how much of a stream is stored."""
         replica = self._replicas.get(request_id)
         if replica is None:
             return ReadReply(None, 0)
         return ReadReply(replica.fence, len(replica.chunks))
 
     def fence(self, call: FenceCall, now: float) -> FenceReply:
-        """Raise the fence, unless a greater one stands, and return what is stored."""
+        """Raise the fence of a stream, unless it is greater already, and return the stored copy."""
         replica = self._touch(call.request_id, call.fence, now)
         replica.fence = max(replica.fence, call.fence)
         if replica.writer == NO_WRITER:
@@ -99,7 +104,7 @@
         return FenceReply(replica.fence, content)
 
     def orphaned_streams(self, live_owners: set[str]) -> list[StreamWrite]:
-        """Return, as writes, the running streams whose writers are lost and which have no copy."""
+        """Return writes of the streams whose writers are lost and which were not copied yet."""
         return [
             StreamWrite(
                 request_id,
@@ -121,7 +126,7 @@
             replica.is_copied = True
 
     def sweep(self, now: float) -> None:
-        """Drop what expired."""
+        """Drop expired streams."""
         while self._replicas:
             request_id, replica = next(iter(self._replicas.items()))
             if replica.expires_at > now:
@@ -142,23 +147,23 @@
         added = size_of(write.chunks)
         if replica is not None and write.first_index == 1:
             added -= size_of(replica.chunks)
-        if self.bytes + added <= self._timings.max_bytes:
+        if self.total_bytes + added <= self._timings.max_bytes:
             return True
         self._drop_ended(except_for=write.request_id)
-        return self.bytes + added <= self._timings.max_bytes
+        return self.total_bytes + added <= self._timings.max_bytes
 
     def _apply(self, write: StreamWrite, now: float) -> None:
         replica = self._touch(write.request_id, write.fence, now)
         replica.fence = write.fence
         if write.first_index == 1:
-            self._resize(replica, -size_of(replica.chunks))
+            self._adjust_size(replica, -size_of(replica.chunks))
             replica.chunks = []
         replica.digest = write.digest
         replica.writer = write.fence
         replica.number = write.number
         replica.chunks.extend(write.chunks)
         replica.end_count = write.end_count
-        self._resize(replica, size_of(write.chunks))
+        self._adjust_size(replica, size_of(write.chunks))
         if write.end_count:
             replica.expires_at = now + self._timings.ended_ttl_s
 
@@ -167,13 +172,13 @@
         if replica is None:
             replica = StreamReplica(fence)
             self._replicas[request_id] = replica
-            self._resize(replica, STREAM_OVERHEAD_BYTES)
+            self._adjust_size(replica, STREAM_OVERHEAD_BYTES)
         replica.expires_at = now + self._timings.idle_ttl_s
         self._replicas.move_to_end(request_id)
         return replica
 
     def _drop_ended(self, except_for: str) -> None:
-        """Make room by forgetting streams that ended complete; running ones are never dropped."""
+        """Drop all complete streams to make room; running ones are never dropped."""
         ended = [
             request_id
             for request_id, replica in self._replicas.items()
@@ -182,9 +187,9 @@
         for request_id in ended:
             self._drop(request_id)
 
-    def _resize(self, replica: StreamReplica, added_bytes: int) -> None:
-        replica.bytes += added_bytes
-        self.bytes += added_bytes
+    def _adjust_size(self, replica: StreamReplica, added_bytes: int) -> None:
+        replica.size_bytes += added_bytes
+        self.total_bytes += added_bytes
 
     def _drop(self, request_id: str) -> None:
-        self.bytes -= self._replicas.pop(request_id).bytes
+        self.total_bytes -= self._replicas.pop(request_id).size_bytes
--- a/src/zincvale/dataplane/stream_journal/service.py
+++ b/src/zincvale/dataplane/stream_journal/service.py
@@ -1,4 +1,4 @@
-"""The stream journal service: runs the journal's state machine over peer calls and timers."""
+"""The stream journal service: connects the journal's state machine to peer calls and timers."""
 
 from __future__ import annotations
 
@@ -42,9 +42,9 @@
 
     Parameters
     ----------
-    clock : seconds on the monotonic clock that counts suspension.
-    peers : calls to other nodes.
-    write_log : receives (number, fields) of log events.
+    clock : returns seconds of a monotonic clock that also runs while the machine is suspended.
+    peers : makes calls to other nodes.
+    write_log : called with the number and the fields of each log event.
     """
 
     def __init__(
@@ -73,10 +73,10 @@
         chunks: list[str],
         epoch: int = FIRST_STREAM_EPOCH,
     ) -> JournalAppend:
-        """Store `chunks`, whose first has event number `first_index`, at a peer.
+        """Replicate `chunks`, the first of which has event number `first_index`, to a peer.
 
         `epoch` is that of the `JournalState` with which the stream was resumed, or
-        `NEWEST_STREAM_EPOCH` for whichever this node has.
+        `NEWEST_STREAM_EPOCH` for the epoch that this node has.
         """
         result: JournalAppend = await self._driver.request(
             lambda token: AppendRequested(
@@ -88,15 +88,18 @@
     async def close(
         self, request_id: RequestId, count: int, epoch: int = FIRST_STREAM_EPOCH
     ) -> None:
-        """Record that the stream ended complete after `count` chunks."""
+        """Record that the stream is complete with `count` chunks."""
         await self._driver.request(lambda token: EndRequested(token, request_id, count, epoch))
 
     def forget(self, request_id: RequestId) -> None:
-        """Let a stream expire whose caller has left, though it may come back at any node."""
+        """Allow a stream to expire because its caller disconnected.
+
+        Until it expires, the caller may resume it at any node.
+        """
         self._driver.submit(StreamForgotten(request_id))
 
     async def resume(self, request_id: RequestId, after: int) -> JournalState | None:
-        """Take the stream over and return its newest copy, if it has `after` chunks."""
+        """Take over the stream and return its newest copy; None if none has `after` chunks."""
         state: JournalState | None = await self._driver.request(
             lambda token: ResumeRequested(token, request_id, after)
         )
@@ -107,14 +110,14 @@
         return self._driver.receive(sender, message)
 
     def apply_members(self, members: Members) -> None:
-        """Learn the nodes with live leases."""
+        """Update the nodes with live leases."""
         nodes = {member: row for member, row in members.rows.items() if row.role is Role.NODE}
         zones = {member: row.zone for member, row in nodes.items()}
         incarnations = {member: row.incarnation for member, row in nodes.items()}
         self._driver.submit(NodesChanged(zones, incarnations))
 
     def tick(self, now: float) -> None:
-        """Act on the time passed; call every 50 ms or so."""
+        """Handle timeouts and due batches; called about every 50 ms."""
         self._driver.tick(now)
 
     def _on_effect(self, effect: JournalEffect) -> None:
@@ -135,7 +138,7 @@
     async def _call(self, call: Call) -> None:
         try:
             reply = await self._peers.call(call.to, call.message, call.timeout_s)
-        except Exception as error:  # whatever the reason, the machine must not wait for ever
+        except Exception as error:  # any unhandled error would leave the state machine waiting
             self._driver.submit(CallFailed(call.token, str(error)))
             return
         self._driver.submit(CallReplied(call.token, reply))
--- a/src/zincvale/dataplane/stream_journal/timings.py
+++ b/src/zincvale/dataplane/stream_journal/timings.py
@@ -1,4 +1,4 @@
-"""Times and bounds of the stream journal, in seconds unless the name says otherwise."""
+"""Times and limits of the stream journal, in seconds unless the name says otherwise."""
 
 from __future__ import annotations
 
@@ -7,26 +7,29 @@
 
 @attrs.frozen
 class JournalTimings:
-    """Defaults fit eleven machines in one region.
+    """Times and limits of the journal; the defaults suit eleven machines in one region.
 
     Attributes
     ----------
     min_batch_interval_s : shortest time between the starts of two calls to one peer.
-    call_timeout_s : of one call; a peer that does not respond is replaced.
-    append_timeout_s : an append is `UNREPLICATED` after this time.
-    avoid_failed_peer_s : a peer that failed is not chosen again for this time.
-    copy_interval_s : how often streams without a live ingress node are looked for, to be copied.
-    read_timeout_s : a failover waits for responses so long once it has found enough.
-    max_read_timeout_s : a failover waits for responses so long in all, in each of its two rounds.
-    search_timeout_s : a stream that is not found is looked for so long while some node does not
-        respond.
-    search_pause_s : pause before it is looked for again.
-    idle_ttl_s : a stream is forgotten this long after its last write or fence.
-    ended_ttl_s : the same, for one that ended complete.
-    max_candidates : nodes that a failover calls at once.
-    max_bytes : chunks stored for others; what goes beyond is refused.
-    max_own_bytes : chunks remembered of this node's own streams that are over.
-    max_batch_bytes : chunks in one call.
+    call_timeout_s : timeout of one call that stores chunks; a peer that does not respond in time is
+        replaced.
+    append_timeout_s : time after which an append that is not stored is `UNREPLICATED`.
+    avoid_failed_peer_s : how long a peer that failed or is full is not chosen again.
+    copy_interval_s : interval between searches for streams without a live ingress node, which are
+        copied to a second node.
+    read_timeout_s : how long a round of a failover waits for more replies once a copy that is long
+        enough has been found.
+    max_read_timeout_s : timeout of each of the two rounds of a failover.
+    search_timeout_s : how long a failover repeats its rounds while no copy is long enough and some
+        node has not responded; also how long a resume waits until the live nodes are known.
+    search_pause_s : pause before a failover repeats its rounds.
+    idle_ttl_s : time to live of a stream after its last write or fence.
+    ended_ttl_s : the same for a stream that is complete.
+    max_candidates : limit of the nodes that a failover calls, besides the node that runs it.
+    max_bytes : limit of the memory of chunks stored for other nodes; writes beyond it are refused.
+    max_own_bytes : limit of the memory of this node's own streams that are over.
+    max_batch_bytes : size of the chunks at which one call takes no more writes.
     """
 
     min_batch_interval_s: float = 0.003
--- a/src/zincvale/dataplane/stream_journal/writer.py
+++ b/src/zincvale/dataplane/stream_journal/writer.py
@@ -1,8 +1,8 @@
-"""Ingress node's side of the stream journal: streams being written, in batches for each peer.
+"""Ingress node's side of the stream journal: writes streams to peers in batches.
 
-One call is in flight to a peer at a time, and carries what all streams placed there added
-meanwhile (group commit). A peer that fails or is full is replaced; the next one gets each stream
-from its first chunk, out of this node's memory.
+One call is in flight to a peer at a time. It carries the chunks that all streams of this peer added
+during the previous call (group commit). A peer that fails or is full is replaced, and the next one
+gets each stream from its first chunk, which this node still has in memory.
 """
 
 from __future__ import annotations
@@ -29,16 +29,17 @@
 from zincvale.model.identifiers import MemberId
 
 FREEZE_GAP_S = 0.4
-"""A longer pause between two ticks is taken for a freeze; there is a tick every 50 ms.
+"""A pause between two ticks longer than this means that the process was suspended.
 
-Greater than `append_timeout_s`, it would let appends time out that a thawed node could still learn
-to be fenced; below a few ticks, a busy event loop would extend every timeout.
+There is a tick every 50 ms. With a limit above `append_timeout_s`, appends could time out at once
+after a suspension, although a reply may still tell that their streams were fenced meanwhile. With a
+limit of less than a few ticks, a busy event loop would extend every timeout.
 """
 
 
 @attrs.frozen
 class SendBatch:
-    """Effect: call `peer` with `call`; `on_batch_reply` or `on_batch_failure` follows."""
+    """Effect: send `call` to `peer`, then call `on_batch_reply` or `on_batch_failure`."""
 
     peer: MemberId
     call: AppendCall
@@ -46,7 +47,7 @@
 
 @attrs.frozen
 class AppendResult:
-    """Effect: the response to the append or close `token`."""
+    """Effect: complete the append or end `token` with this result."""
 
     token: str
     result: JournalAppend
@@ -54,7 +55,7 @@
 
 @attrs.frozen
 class PeerReplaced:
-    """Effect: log that `peer` failed, or is full."""
+    """Effect: log that `peer` failed or is full, and that this many streams move to another one."""
 
     peer: MemberId
     streams: int
@@ -73,16 +74,20 @@
 
 @attrs.define
 class StreamWriter:
-    """One stream whose requests this node received.
+    """One stream of which this node is or was the ingress node.
 
     Attributes
     ----------
-    fence : this node's right to write it.
+    fence : the fence with which this node writes the stream.
     chunks : the whole stream so far.
-    peer : where it is journalled, or None while no peer can be had.
-    replicated_count : number of chunks that `peer` stores.
-    sent : number of chunks in the call in flight, None when there is none for this stream.
-    is_over : ended, fenced or forgotten; retained in memory for a failover.
+    end_count : number of chunks of the whole stream if it has ended, else 0.
+    is_end_replicated : whether `peer` knows that the stream has ended.
+    peer : the peer that stores the stream, or None while no peer is available.
+    replicated_count : number of chunks that `peer` has confirmed.
+    number : sequence number of the latest write.
+    is_over : whether the stream ended, was fenced or lost its caller; it is retained in memory for
+        a failover.
+    size_bytes : estimated memory of the chunks.
     """
 
     request_id: str
@@ -96,13 +101,13 @@
     number: int = 0
     is_fenced: bool = False
     is_over: bool = False
-    bytes: int = 0
+    size_bytes: int = 0
     expires_at: float = 0.0
     pending_appends: deque[_PendingAppend] = attrs.field(factory=deque)
 
     @property
     def is_dirty(self) -> bool:
-        """Whether the peer lacks something."""
+        """Whether the peer lacks chunks or the end of the stream."""
         if self.is_fenced:
             return False
         return self.replicated_count < len(self.chunks) or (
@@ -110,7 +115,7 @@
         )
 
     def next_write(self) -> StreamWrite:
-        """Return what the peer lacks."""
+        """Return the next write, with all chunks that the peer has not confirmed."""
         self.number += 1
         return StreamWrite(
             self.request_id,
@@ -123,7 +128,7 @@
         )
 
     def move_to(self, peer: MemberId | None) -> None:
-        """Journal at `peer` from now on, from the first chunk."""
+        """Store the stream at `peer` from now on, starting again with the first chunk."""
         self.peer = peer
         self.replicated_count = 0
         self.is_end_replicated = False
@@ -131,7 +136,14 @@
 
 @attrs.define
 class _PeerQueue:
-    """The calls to one peer."""
+    """The writes to one peer.
+
+    Attributes
+    ----------
+    dirty : streams with chunks or an end to write, as the keys of an ordered set.
+    in_flight : the writes in the call in flight, None if there is none.
+    next_at : the earliest time of the next call.
+    """
 
     dirty: OrderedDict[str, None] = attrs.field(factory=OrderedDict)
     in_flight: list[StreamWrite] | None = None
@@ -139,7 +151,7 @@
 
 
 class StreamWriters:
-    """The streams whose requests this node received; returns effects for each input."""
+    """The streams of which this node is or was the ingress node; each input returns effects."""
 
     def __init__(self, timings: JournalTimings) -> None:
         self._timings = timings
@@ -147,13 +159,13 @@
         self._queues: dict[MemberId, _PeerQueue] = {}
         self._peers: list[MemberId] = []
         self._avoid_until: dict[MemberId, float] = {}
-        self._ticked_at = float("inf")
+        self._last_tick_at = float("inf")
         self.wake_at = float("inf")
 
     def set_peers(self, peers: list[MemberId], now: float) -> list[WriterEffect]:
         """Replace the peers that may store streams, the preferred one first.
 
-        Streams of a departed peer are journalled elsewhere at once, not at their next chunk.
+        Streams of a peer that is gone move to another one immediately, not at their next chunk.
         """
         self._peers = peers
         effects: list[WriterEffect] = []
@@ -163,31 +175,31 @@
         return effects
 
     def find(self, request_id: str) -> StreamWriter | None:
-        """Return a stream of this node."""
+        """Return the writer of a stream, or None if this node has none."""
         return self._writers.get(request_id)
 
-    def begin(self, writer: StreamWriter, now: float) -> None:
-        """Take up a stream, in place of any older one with its identifier."""
-        old = self._writers.pop(writer.request_id, None)
-        if old is not None:
-            writer.pending_appends = old.pending_appends
+    def add(self, writer: StreamWriter, now: float) -> None:
+        """Add a stream, which replaces an older one of the same request and gets its appends."""
+        replaced = self._writers.pop(writer.request_id, None)
+        if replaced is not None:
+            writer.pending_appends = replaced.pending_appends
         self._writers[writer.request_id] = writer
-        writer.bytes = size_of(writer.chunks)
+        writer.size_bytes = size_of(writer.chunks)
         writer.expires_at = now + self._timings.idle_ttl_s
 
     def append(
         self, token: str, writer: StreamWriter, first_index: int, chunks: list[str], now: float
     ) -> list[WriterEffect]:
-        """Add chunks; `AppendResult(token, ...)` follows once they are stored or it failed."""
+        """Add chunks; `AppendResult(token, ...)` follows once they are stored or on failure."""
         expected = len(writer.chunks) + 1
         if writer.is_fenced or writer.end_count or first_index != expected:
             return [AppendResult(token, JournalAppend.FENCED)]
         writer.chunks.extend(chunks)
-        writer.bytes += size_of(chunks)
+        writer.size_bytes += size_of(chunks)
         return self._wait_for(token, writer, needs_end=False, now=now)
 
     def end(self, token: str, writer: StreamWriter, count: int, now: float) -> list[WriterEffect]:
-        """Record the complete stream's number of chunks; `AppendResult(token, ...)` follows."""
+        """Record that the stream ended with `count` chunks; `AppendResult(token, ...)` follows."""
         if writer.is_fenced or count != len(writer.chunks) or count == 0:
             return [AppendResult(token, JournalAppend.UNREPLICATED)]
         writer.end_count = count
@@ -195,20 +207,23 @@
         return self._wait_for(token, writer, needs_end=True, now=now)
 
     def forget(self, request_id: str) -> None:
-        """Retain a stream only as long as there is room for those that are over."""
+        """Mark a stream as over, so that it may be dropped early to make room."""
         writer = self._writers.get(request_id)
         if writer is not None:
             writer.is_over = True
 
     def read(self, request_id: str) -> ReadReply | None:
-        """Return how much this node has of a stream that it writes itself."""
+        """Return how much of a stream this node has written; None if it has no writer for it."""
         writer = self._writers.get(request_id)
         if writer is None:
             return None
         return ReadReply(writer.fence, len(writer.chunks))
 
     def fence(self, call: FenceCall) -> tuple[FenceReply | None, list[WriterEffect]]:
-        """Stop writing a stream that another node takes over, and return its chunks."""
+        """Stop writing a stream that another node takes over, and return its chunks.
+
+        A call whose fence is not greater than the writer's returns the chunks but stops nothing.
+        """
         writer = self._writers.get(call.request_id)
         if writer is None:
             return None, []
@@ -219,7 +234,7 @@
         return FenceReply(call.fence, content), effects
 
     def on_batch_reply(self, peer: MemberId, reply: AppendReply, now: float) -> list[WriterEffect]:
-        """Apply the responses to the call in flight to `peer`."""
+        """Apply the results of the call in flight to `peer`, and send the next batch."""
         queue = self._queues[peer]
         writes = queue.in_flight or []
         queue.in_flight = None
@@ -227,11 +242,11 @@
         for write, result in zip(writes, reply.results, strict=False):
             writer = self._writers.get(write.request_id)
             if writer is not None and writer.peer == peer and writer.fence == write.fence:
-                effects += self._apply(writer, write, result, now)
+                effects += self._apply_result(writer, write, result, now)
         return effects + self._flush(peer, now)
 
     def on_batch_failure(self, peer: MemberId, now: float) -> list[WriterEffect]:
-        """Journal the streams of a peer that does not respond elsewhere."""
+        """Move the streams of a peer that did not respond to another peer."""
         queue = self._queues[peer]
         queue.in_flight = None
         queue.dirty.clear()
@@ -243,7 +258,7 @@
         return effects
 
     def flush_due(self, now: float) -> list[WriterEffect]:
-        """Send what waited for the end of a pause between two calls."""
+        """Send the batches whose minimum interval since the previous call has passed."""
         self.wake_at = float("inf")
         effects: list[WriterEffect] = []
         for peer in list(self._queues):
@@ -251,7 +266,7 @@
         return effects
 
     def tick(self, now: float) -> list[WriterEffect]:
-        """Send what is due, give up what waited too long, forget what expired."""
+        """Send due batches, time out appends and drop expired streams."""
         self._extend_timeouts_after_freeze(now)
         effects = self.flush_due(now)
         for writer in list(self._writers.values()):
@@ -262,9 +277,12 @@
         return effects
 
     def _extend_timeouts_after_freeze(self, now: float) -> None:
-        """Wait for responses again after a freeze: another node may have fenced streams."""
-        gap_s = now - self._ticked_at
-        self._ticked_at = now
+        """Extend the timeouts of pending appends by the time that the process was suspended.
+
+        Another node may have fenced streams meanwhile, which the replies will tell.
+        """
+        gap_s = now - self._last_tick_at
+        self._last_tick_at = now
         if gap_s < FREEZE_GAP_S:
             return
         for writer in self._writers.values():
@@ -310,7 +328,7 @@
         return self._flush(writer.peer, now)
 
     def _flush(self, peer: MemberId, now: float) -> list[WriterEffect]:
-        """Send what waits for `peer`, unless a call is in flight or was just begun."""
+        """Send the dirty streams of `peer`, unless a call is in flight or was just started."""
         queue = self._queues[peer]
         if queue.in_flight is not None or not queue.dirty:
             return []
@@ -337,7 +355,7 @@
             writes.append(write)
         return writes
 
-    def _apply(
+    def _apply_result(
         self, writer: StreamWriter, write: StreamWrite, result: WriteResult, now: float
     ) -> list[WriterEffect]:
         match result.status:
@@ -377,12 +395,12 @@
         return effects
 
     def _sweep(self, now: float) -> None:
-        """Forget expired streams, and those over when they take too much room."""
+        """Drop expired streams, and streams that are over while they exceed `max_own_bytes`."""
         over = [writer for writer in self._writers.values() if writer.is_over]
-        spare = self._timings.max_own_bytes - sum(writer.bytes for writer in over)
+        spare_bytes = self._timings.max_own_bytes - sum(writer.size_bytes for writer in over)
         for writer in over:
-            if spare < 0:
-                spare += writer.bytes
+            if spare_bytes < 0:
+                spare_bytes += writer.size_bytes
                 writer.expires_at = now
         for request_id, writer in list(self._writers.items()):
             if writer.expires_at <= now and not writer.pending_appends:
--- a/tests/dataplane/stream_journal/test_replica_store.py
+++ b/tests/dataplane/stream_journal/test_replica_store.py
@@ -82,7 +82,7 @@
         statuses = [store.write(one, 0.0).status for one in (ended, running, third, fourth)]
         self.assertEqual(["kept", "kept", "kept", "full"], statuses)
         self.assertEqual(0, store.read("ended").length)
-        self.assertEqual(2 * size, store.bytes)
+        self.assertEqual(2 * size, store.total_bytes)
 
     def test_streams_expire(self) -> None:
         timings = JournalTimings()
@@ -90,4 +90,4 @@
         self.store.sweep(timings.idle_ttl_s - 0.1)
         self.assertEqual(1, self.store.read("s").length)
         self.store.sweep(timings.idle_ttl_s + 0.1)
-        self.assertEqual((0, 0), (len(self.store), self.store.bytes))
+        self.assertEqual((0, 0), (len(self.store), self.store.total_bytes))
--- a/tests/dataplane/stream_journal/test_writer.py
+++ b/tests/dataplane/stream_journal/test_writer.py
@@ -50,7 +50,7 @@
 
     def _writer(self, request_id: str = "s") -> StreamWriter:
         writer = StreamWriter(request_id, "d", FENCE)
-        self.writers.begin(writer, 0.0)
+        self.writers.add(writer, 0.0)
         return writer
 
     def test_appends_complete_once_a_peer_stores_them(self) -> None:
