--- a/tests/dataplane/claims/claims_cluster.py
+++ b/tests/dataplane/claims/claims_cluster.py
@@ -1,6 +1,7 @@
-"""Seeded world for claims: nodes, a faulty network, back ends that count what ran, and callers.
+"""Simulated cluster for claims: nodes, a faulty network, back ends that count runs, and callers.
 
-Virtual time only. The world checks what callers were promised, from what really ran.
+It runs in virtual time from a seed. It checks the guarantees for callers against the runs that the
+back ends counted.
 """
 
 from __future__ import annotations
@@ -38,65 +39,77 @@
 
 
 @attrs.define
-class Profile:
-    """How bad the world is."""
+class SimulationProfile:
+    """Workload and faults of one simulation.
+
+    Attributes
+    ----------
+    loss, duplicate, slow : probability that a message is lost, is sent twice, or is delayed by up
+        to `max_slow_delay_s`.
+    fault_interval_s, request_interval_s : mean time between two faults, or two new requests.
+    max_attempts : limit of the attempts at one request, which start within up to
+        `max_attempt_spread_s`.
+    slow_dispatch : probability that a dispatch is delayed by up to 3 s after its grant.
+    restarts_fleet : whether all nodes but one restart at once, 3 s after the workload starts.
+    faults : kinds of faults, of which `inject_fault` chooses one at random.
+    """
 
     loss: float = 0.02
     duplicate: float = 0.03
     slow: float = 0.05
-    slow_s: float = 2.5
-    fault_every_s: float = 1.0
-    request_every_s: float = 0.25
-    attempts: int = 4
+    max_slow_delay_s: float = 2.5
+    fault_interval_s: float = 1.0
+    request_interval_s: float = 0.25
+    max_attempts: int = 4
     slow_dispatch: float = 0.15
     duration_s: float = 12.0
-    fleet_restart: bool = False
-    spread_s: float = 6.0
+    restarts_fleet: bool = False
+    max_attempt_spread_s: float = 6.0
     faults: tuple[str, ...] = ("crash", "zone", "freeze", "cut", "isolate", "replace")
 
 
 PROFILES = {
-    "calm": Profile(loss=0.0, duplicate=0.0, slow=0.0, faults=(), duration_s=3.0),
-    "mixed": Profile(),
-    "views": Profile(
+    "calm": SimulationProfile(loss=0.0, duplicate=0.0, slow=0.0, faults=(), duration_s=3.0),
+    "mixed": SimulationProfile(),
+    "views": SimulationProfile(
         faults=("replace", "replace", "replace", "freeze", "cut", "crash"),
-        fault_every_s=0.8,
+        fault_interval_s=0.8,
         slow=0.1,
     ),
-    "restarts": Profile(
+    "restarts": SimulationProfile(
         faults=("crash", "zone", "crash", "freeze"),
-        fault_every_s=0.5,
-        request_every_s=0.12,
+        fault_interval_s=0.5,
+        request_interval_s=0.12,
         slow=0.15,
     ),
-    "lossy-restarts": Profile(
+    "lossy-restarts": SimulationProfile(
         faults=("crash", "zone", "crash"),
-        fault_every_s=0.6,
-        request_every_s=0.1,
+        fault_interval_s=0.6,
+        request_interval_s=0.1,
         loss=0.35,
         slow=0.1,
     ),
-    "lossy-views": Profile(
+    "lossy-views": SimulationProfile(
         faults=("replace", "replace", "crash"),
-        fault_every_s=1.0,
-        request_every_s=0.1,
+        fault_interval_s=1.0,
+        request_interval_s=0.1,
         loss=0.3,
         slow=0.1,
     ),
-    "fleet": Profile(
+    "fleet": SimulationProfile(
         faults=("freeze", "crash"),
-        request_every_s=0.25,
+        request_interval_s=0.25,
         slow_dispatch=0.6,
-        fleet_restart=True,
-        attempts=8,
-        spread_s=14.0,
+        restarts_fleet=True,
+        max_attempts=8,
+        max_attempt_spread_s=14.0,
         duration_s=16.0,
     ),
-    "cuts": Profile(
+    "cuts": SimulationProfile(
         faults=("cut", "cut", "isolate", "freeze", "crash"),
-        fault_every_s=0.3,
-        request_every_s=0.12,
-        attempts=6,
+        fault_interval_s=0.3,
+        request_interval_s=0.12,
+        max_attempts=6,
         slow=0.1,
         loss=0.1,
     ),
@@ -105,7 +118,7 @@
 
 @attrs.define
 class Node:
-    """One node's process."""
+    """One node and its current process."""
 
     name: MemberId
     zone: str
@@ -119,32 +132,32 @@
 
 
 class SimulatedCluster:
-    """Runs one seed."""
+    """Simulates one cluster with one seed."""
 
     releases_unknown = False
-    """Mutation: give claims back whose request may have run."""
+    """Whether claims with an unknown outcome are released; only a mutation sets it."""
 
-    def __init__(self, seed: int, profile: Profile | None = None, nodes: int = 8) -> None:
+    def __init__(self, seed: int, profile: SimulationProfile | None = None, nodes: int = 8) -> None:
         self.random = Random(seed)
-        self.profile = profile or Profile()
+        self.profile = profile or SimulationProfile()
         self.timings = ClaimTimings()
         self.now = 100.0
         self.nodes: dict[MemberId, Node] = {}
         self.runs: Counter[str] = Counter()
         self.dispatches: Counter[str] = Counter()
-        self.served: Counter[str] = Counter()
-        self.answers: dict[str, set[bytes]] = {}
+        self.served_calls: Counter[str] = Counter()
+        self.response_bodies: dict[str, set[bytes]] = {}
         self.decisions: list[tuple[str, object]] = []
-        self.forgotten: set[str] = set()
-        self.delays: dict[tuple[MemberId, MemberId], float] = {}
-        self.fixed_fate: float | None = None
-        self.fixed_dispatch_s: float | None = None
+        self.excluded_requests: set[str] = set()
+        self.link_delays: dict[tuple[MemberId, MemberId], float] = {}
+        self.fixed_outcome_draw: float | None = None
+        self.fixed_dispatch_delay_s: float | None = None
         self.trace: list[str] = []
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._tokens = itertools.count(1)
         self._on_token: dict[str, Callable[[object], None]] = {}
-        self._cuts: set[tuple[MemberId, MemberId]] = set()
+        self._down_links: set[tuple[MemberId, MemberId]] = set()
         self._node_numbers = itertools.count(1)
         self.views: list[ViewList] = []
         registered = {}
@@ -157,7 +170,7 @@
 
     # Time
 
-    def at(self, delay_s: float, action: Callable[[], None]) -> None:
+    def schedule(self, delay_s: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.now + delay_s, next(self._order), action))
 
     def run_for(self, duration_s: float) -> None:
@@ -178,7 +191,7 @@
         return node
 
     def add_node(self) -> Node:
-        """Start a process that is not registered yet."""
+        """Start a node that is not registered yet, and return it."""
         node = self._new_node()
         self.start(node)
         return node
@@ -192,8 +205,8 @@
             node.name, node.incarnation, Random(next(self._tokens)), self.timings, self.now
         )
         incarnation = node.incarnation
-        self.at(self.random.random() * 0.3, lambda: self._poll_core(node, incarnation))
-        self.at(self.random.random() * TICK_S, lambda: self._tick(node, incarnation))
+        self.schedule(self.random.random() * 0.3, lambda: self._poll_core(node, incarnation))
+        self.schedule(self.random.random() * TICK_S, lambda: self._tick(node, incarnation))
 
     def crash(self, node: Node) -> None:
         self.trace.append(f"{self.now:.3f} crash {node.name}")
@@ -204,7 +217,7 @@
         self.trace.append(f"{self.now:.3f} freeze {node.name} {duration_s:.2f}")
         node.frozen_at = self.now
         node.frozen_until = self.now + duration_s
-        self.at(duration_s, lambda: self._thaw(node))
+        self.schedule(duration_s, lambda: self._thaw(node))
 
     def _thaw(self, node: Node) -> None:
         if node.is_up and node.frozen_until <= self.now:
@@ -212,38 +225,40 @@
             for action in backlog:
                 action()
 
-    def on_node(self, node: Node, incarnation: str, action: Callable[[], None]) -> None:
-        """Run `action` in the process, after its freeze, unless it died."""
+    def run_on_node(self, node: Node, incarnation: str, action: Callable[[], None]) -> None:
+        """Run `action` in the process, after its freeze, unless it crashed."""
         if not node.is_up or node.incarnation != incarnation:
             return
         if node.frozen_until > self.now:
-            node.backlog.append(lambda: self.on_node(node, incarnation, action))
+            node.backlog.append(lambda: self.run_on_node(node, incarnation, action))
             return
         action()
 
-    def feed(self, node: Node, event: object) -> None:
+    def handle_input(self, node: Node, event: object) -> None:
         self._carry_out(node, node.machine.handle(event, self.now))  # type: ignore[arg-type]
 
     def _tick(self, node: Node, incarnation: str) -> None:
         if not node.is_up or node.incarnation != incarnation:
             return
         if node.frozen_until <= self.now:
-            self.feed(node, Tick())
-        self.at(TICK_S, lambda: self._tick(node, incarnation))
+            self.handle_input(node, Tick())
+        self.schedule(TICK_S, lambda: self._tick(node, incarnation))
 
     def _poll_core(self, node: Node, incarnation: str) -> None:
-        """The node hears of members and of registered nodes, unless cut off from the core."""
+        """Give the node the live members and registered nodes, unless it can not reach the core."""
         if not node.is_up or node.incarnation != incarnation:
             return
         if not node.is_isolated and node.frozen_until <= self.now:
             live = {
-                other.name: other.incarnation for other in self.nodes.values() if self.leases(other)
+                other.name: other.incarnation
+                for other in self.nodes.values()
+                if self.has_lease(other)
             }
-            self.feed(node, LiveMembersChanged(live))
-            self.feed(node, ViewsReceived(self.views[-4:]))
-        self.at(0.2 + self.random.random() * 0.6, lambda: self._poll_core(node, incarnation))
+            self.handle_input(node, LiveMembersChanged(live))
+            self.handle_input(node, ViewsReceived(self.views[-4:]))
+        self.schedule(0.2 + self.random.random() * 0.6, lambda: self._poll_core(node, incarnation))
 
-    def leases(self, node: Node) -> bool:
+    def has_lease(self, node: Node) -> bool:
         is_frozen = node.frozen_until > self.now and self.now > node.frozen_at + LEASE_S
         return node.is_up and not node.is_isolated and not is_frozen
 
@@ -260,28 +275,30 @@
                 case Confirmed(token, is_confirmed):
                     self._on_token.pop(token)(is_confirmed)
                 case WakeAt(at):
-                    self.at(
+                    self.schedule(
                         max(0.0, at - self.now),
-                        lambda: self.on_node(node, incarnation, lambda: self.feed(node, Tick())),
+                        lambda: self.run_on_node(
+                            node, incarnation, lambda: self.handle_input(node, Tick())
+                        ),
                     )
 
     def _call(self, node: Node, call: Call) -> None:
         other = self.nodes[call.to]
         incarnation = node.incarnation
-        is_answered = [False]
+        is_finished = [False]
 
         def finish(event: object) -> None:
-            if not is_answered[0]:
-                is_answered[0] = True
-                self.on_node(node, incarnation, lambda: self.feed(node, event))
+            if not is_finished[0]:
+                is_finished[0] = True
+                self.run_on_node(node, incarnation, lambda: self.handle_input(node, event))
 
         if other is node:
             reply = self._serve(node, node.name, call.message)
-            self.at(0.0, lambda: finish(CallReplied(call.token, reply)))
+            self.schedule(0.0, lambda: finish(CallReplied(call.token, reply)))
             return
-        self.at(call.timeout_s, lambda: finish(CallFailed(call.token, "timeout")))
+        self.schedule(call.timeout_s, lambda: finish(CallFailed(call.token, "timeout")))
         for _ in range(2 if self.random.random() < self.profile.duplicate else 1):
-            self._carry(node, other, lambda: self._arrive(node, other, call, finish))
+            self._transmit(node, other, lambda: self._arrive(node, other, call, finish))
 
     def _arrive(self, node: Node, other: Node, call: Call, finish: Callable) -> None:
         if not other.is_up:
@@ -290,44 +307,44 @@
 
         def serve() -> None:
             reply = self._serve(other, node.name, call.message)
-            self._carry(other, node, lambda: finish(CallReplied(call.token, reply)))
+            self._transmit(other, node, lambda: finish(CallReplied(call.token, reply)))
 
-        self.on_node(other, other.incarnation, serve)
+        self.run_on_node(other, other.incarnation, serve)
 
     def _serve(self, node: Node, sender: MemberId, message: object) -> object:
         token = f"serve-{next(self._tokens)}"
-        self.served[type(message).__name__] += 1
+        self.served_calls[type(message).__name__] += 1
         effects = node.machine.handle(CallReceived(sender, token, message), self.now)
         replies = [effect for effect in effects if isinstance(effect, Reply)]
         self._carry_out(node, [effect for effect in effects if not isinstance(effect, Reply)])
         return replies[0].message
 
-    def _carry(self, node: Node, other: Node, deliver: Callable[[], None]) -> None:
-        if (node.name, other.name) in self._cuts or self.random.random() < self.profile.loss:
+    def _transmit(self, node: Node, other: Node, deliver: Callable[[], None]) -> None:
+        if (node.name, other.name) in self._down_links or self.random.random() < self.profile.loss:
             return
         delay_s = 0.0005 + self.random.random() * 0.004
         if self.random.random() < self.profile.slow:
-            delay_s = self.random.random() * self.profile.slow_s
-        delay_s += self.delays.get((node.name, other.name), 0.0)
-        self.at(delay_s, deliver)
+            delay_s = self.random.random() * self.profile.max_slow_delay_s
+        delay_s += self.link_delays.get((node.name, other.name), 0.0)
+        self.schedule(delay_s, deliver)
 
-    def cut(self, node: MemberId, *others: MemberId) -> None:
-        """Lose every message between `node` and the others."""
+    def cut_links(self, node: MemberId, *others: MemberId) -> None:
+        """Lose every message between `node` and the others, in both directions."""
         for other in others:
-            self._cuts |= {(node, other), (other, node)}
+            self._down_links |= {(node, other), (other, node)}
 
-    def mend(self) -> None:
-        """Lose no more messages than the profile says."""
-        self._cuts.clear()
-        self.delays.clear()
+    def restore_links(self) -> None:
+        """Restore all cut links and remove all extra delays."""
+        self._down_links.clear()
+        self.link_delays.clear()
 
-    def mend_links(self, node: MemberId) -> None:
-        """Lose no more messages from or to a node."""
-        self._cuts = {link for link in self._cuts if node not in link}
+    def restore_links_of(self, node: MemberId) -> None:
+        """Restore all cut links from and to a node."""
+        self._down_links = {link for link in self._down_links if node not in link}
 
-    # Faults within what the group is made to survive
+    # Faults that a group of voters tolerates
 
-    def impaired(self) -> list[Node]:
+    def impaired_nodes(self) -> list[Node]:
         registered = self.views[-1].nodes
         return [
             node
@@ -341,11 +358,11 @@
             )
         ]
 
-    def survives_loss_of(self, nodes: list[Node]) -> bool:
-        lost = {node.name: node for node in [*self.impaired(), *nodes]}
+    def tolerates_loss_of(self, nodes: list[Node]) -> bool:
+        lost = {node.name: node for node in [*self.impaired_nodes(), *nodes]}
         return len(lost) <= 2 or len({node.zone for node in lost.values()}) == 1
 
-    def fault(self) -> None:
+    def inject_fault(self) -> None:
         if not self.profile.faults:
             return
         kind = self.random.choice(self.profile.faults)
@@ -353,51 +370,51 @@
         if not node.is_up or node.frozen_until > self.now or node.is_isolated:
             return
         match kind:
-            case "crash" if self.survives_loss_of([node]):
+            case "crash" if self.tolerates_loss_of([node]):
                 self.crash(node)
-                self.at(0.2 + self.random.random() * 3, lambda: self.start(node))
+                self.schedule(0.2 + self.random.random() * 3, lambda: self.start(node))
             case "zone":
-                self._lose_zone(node.zone)
-            case "freeze" if self.survives_loss_of([node]):
+                self._crash_zone(node.zone)
+            case "freeze" if self.tolerates_loss_of([node]):
                 self.freeze(node, self.random.choice((0.5, 2.5, 4.0)) * self.random.random() * 2)
             case "cut":
                 self._cut(node)
-            case "isolate" if self.survives_loss_of([node]):
+            case "isolate" if self.tolerates_loss_of([node]):
                 self._isolate(node)
-            case "replace" if not self.impaired():
+            case "replace" if not self.impaired_nodes():
                 self._replace(node)
 
-    def _lose_zone(self, zone: str) -> None:
+    def _crash_zone(self, zone: str) -> None:
         lost = [node for node in self.nodes.values() if node.zone == zone and node.is_up]
-        if not self.survives_loss_of(lost):
+        if not self.tolerates_loss_of(lost):
             return
         for node in lost:
             self.crash(node)
-            self.at(0.2 + self.random.random() * 2, lambda node=node: self.start(node))
+            self.schedule(0.2 + self.random.random() * 2, lambda node=node: self.start(node))
 
     def _cut(self, node: Node) -> None:
         other = self.random.choice(list(self.nodes.values()))
-        pairs = {(node.name, other.name), (other.name, node.name)}
+        links = {(node.name, other.name), (other.name, node.name)}
         if self.random.random() < 0.5:
-            pairs = {(node.name, other.name)}
-        self._cuts |= pairs
-        self.at(self.random.random() * 3, lambda: self._cuts.difference_update(pairs))
+            links = {(node.name, other.name)}
+        self._down_links |= links
+        self.schedule(self.random.random() * 3, lambda: self._down_links.difference_update(links))
 
     def _isolate(self, node: Node) -> None:
         others = self.nodes
-        pairs = {(node.name, other) for other in others} | {(other, node.name) for other in others}
+        links = {(node.name, other) for other in others} | {(other, node.name) for other in others}
         self.trace.append(f"{self.now:.3f} isolate {node.name}")
         node.is_isolated = True
-        self._cuts |= pairs
+        self._down_links |= links
 
-        def heal() -> None:
+        def reconnect() -> None:
             node.is_isolated = False
-            self._cuts.difference_update(pairs)
+            self._down_links.difference_update(links)
 
-        self.at(self.random.random() * 5, heal)
+        self.schedule(self.random.random() * 5, reconnect)
 
     def _replace(self, node: Node) -> None:
-        """Register new nodes in place of one, which may be lost, or of up to three."""
+        """Register new nodes in place of up to three; a single one may also crash."""
         registered = dict(self.views[-1].nodes)
         if node.name not in registered:
             return
@@ -413,10 +430,10 @@
             self.crash(node)
 
     def restart_fleet(self) -> None:
-        """Restart every node but one at once, which stays frozen meanwhile.
+        """Restart all nodes at once except one, which is frozen meanwhile.
 
-        What ran before may run again, and is not counted any more; what had not run must not run
-        twice afterwards.
+        Requests that ran before may run again and are excluded from the check; all others must not
+        run twice afterwards.
         """
         running = [node for node in self.nodes.values() if node.is_up]
         frozen = running.pop(self.random.randrange(len(running)))
@@ -426,42 +443,48 @@
         for node in self.nodes.values():
             if not node.is_up:
                 self.start(node)
-        self.forgotten = set(self.runs)
+        self.excluded_requests = set(self.runs)
 
     # Request path and callers
 
-    def attempt(
+    def send_request(
         self,
         node: Node,
         request_id: str,
         deadline_s: float = 6.0,
-        then: Callable[[object], None] = lambda decision: None,
+        on_decision: Callable[[object], None] = lambda decision: None,
     ) -> None:
-        """One caller's attempt through `node`."""
+        """Send a request, or a resend of it, to `node` as its ingress node."""
         if not node.is_up:
             return
         incarnation = node.incarnation
-        self.on_node(
-            node, incarnation, lambda: self._claim(node, RequestId(request_id), deadline_s, then)
+        self.run_on_node(
+            node,
+            incarnation,
+            lambda: self._claim(node, RequestId(request_id), deadline_s, on_decision),
         )
 
     def _claim(
-        self, node: Node, request_id: RequestId, deadline_s: float, then: Callable[[object], None]
+        self,
+        node: Node,
+        request_id: RequestId,
+        deadline_s: float,
+        on_decision: Callable[[object], None],
     ) -> None:
         token = f"claim-{next(self._tokens)}"
         incarnation = node.incarnation
         deadline_at = self.now + deadline_s
 
-        def decided(decision: object) -> None:
+        def on_decided(decision: object) -> None:
             self.decisions.append((request_id, decision))
-            then(decision)
+            on_decision(decision)
             if isinstance(decision, RecordedOutcome) and decision.outcome is Outcome.ANSWERED:
-                self.answers.setdefault(request_id, set()).add(decision.body)
+                self.response_bodies.setdefault(request_id, set()).add(decision.body)
             if isinstance(decision, ClaimGranted):
                 self._dispatch_later(node, incarnation, request_id, deadline_at)
 
-        self._on_token[token] = decided
-        self.feed(node, ClaimRequested(token, request_id, "digest", deadline_at))
+        self._on_token[token] = on_decided
+        self.handle_input(node, ClaimRequested(token, request_id, "digest", deadline_at))
 
     def _dispatch_later(
         self, node: Node, incarnation: str, request_id: RequestId, deadline_at: float
@@ -469,11 +492,11 @@
         delay_s = self.random.random() * 0.005
         if self.random.random() < self.profile.slow_dispatch:
             delay_s = self.random.random() * 3
-        if self.fixed_dispatch_s is not None:
-            delay_s = self.fixed_dispatch_s
-        self.at(
+        if self.fixed_dispatch_delay_s is not None:
+            delay_s = self.fixed_dispatch_delay_s
+        self.schedule(
             delay_s,
-            lambda: self.on_node(
+            lambda: self.run_on_node(
                 node, incarnation, lambda: self._dispatch(node, request_id, deadline_at)
             ),
         )
@@ -483,77 +506,89 @@
             self._renew(node, request_id, deadline_at)
             return
         self.dispatches[request_id] += 1
-        fate = self.random.random() if self.fixed_fate is None else self.fixed_fate
+        outcome_draw = (
+            self.random.random() if self.fixed_outcome_draw is None else self.fixed_outcome_draw
+        )
         incarnation = node.incarnation
-        if fate < 0.25:
-            self._after(node, incarnation, lambda: self._refused(node, request_id))
+        if outcome_draw < 0.25:
+            self._run_later(node, incarnation, lambda: self._release(node, request_id))
             return
         self.runs[request_id] += 1
         self.trace.append(f"{self.now:.3f} run {request_id} by {node.name}/{incarnation}")
-        outcome = Outcome.ANSWERED if fate < 0.85 else Outcome.UNKNOWN
+        outcome = Outcome.ANSWERED if outcome_draw < 0.85 else Outcome.UNKNOWN
         body = f"{request_id} run {self.runs[request_id]}".encode()
-        self._after(node, incarnation, lambda: self._ended(node, request_id, outcome, body))
+        self._run_later(
+            node, incarnation, lambda: self._report_outcome(node, request_id, outcome, body)
+        )
 
     def _renew(self, node: Node, request_id: RequestId, deadline_at: float) -> None:
         token = f"renew-{next(self._tokens)}"
         incarnation = node.incarnation
 
-        def renewed(is_confirmed: object) -> None:
+        def on_renewed(is_confirmed: object) -> None:
             if is_confirmed:
                 self._dispatch_later(node, incarnation, request_id, deadline_at)
             else:
-                self._refused(node, request_id)
+                self._release(node, request_id)
 
-        self._on_token[token] = renewed
-        self.feed(node, RenewalRequested(token, request_id, max(deadline_at, self.now + 1)))
+        self._on_token[token] = on_renewed
+        self.handle_input(node, RenewalRequested(token, request_id, max(deadline_at, self.now + 1)))
 
-    def _after(self, node: Node, incarnation: str, action: Callable[[], None]) -> None:
+    def _run_later(self, node: Node, incarnation: str, action: Callable[[], None]) -> None:
         delay_s = self.random.random() * (2.0 if self.random.random() < 0.1 else 0.05)
-        self.at(delay_s, lambda: self.on_node(node, incarnation, action))
+        self.schedule(delay_s, lambda: self.run_on_node(node, incarnation, action))
 
-    def _refused(self, node: Node, request_id: RequestId) -> None:
+    def _release(self, node: Node, request_id: RequestId) -> None:
         token = f"release-{next(self._tokens)}"
         self._on_token[token] = lambda confirmed: None
-        self.feed(node, ReleaseRequested(token, request_id))
+        self.handle_input(node, ReleaseRequested(token, request_id))
 
-    def _ended(self, node: Node, request_id: RequestId, outcome: Outcome, body: bytes) -> None:
+    def _report_outcome(
+        self, node: Node, request_id: RequestId, outcome: Outcome, body: bytes
+    ) -> None:
         if outcome is Outcome.UNKNOWN and self.releases_unknown:
-            self._refused(node, request_id)
+            self._release(node, request_id)
             return
         token = f"record-{next(self._tokens)}"
         self._on_token[token] = lambda confirmed: None
         if outcome is Outcome.ANSWERED:
-            self.answers.setdefault(request_id, set()).add(body)
-        self.feed(node, OutcomeReached(token, request_id, outcome, 200, {}, body))
+            self.response_bodies.setdefault(request_id, set()).add(body)
+        self.handle_input(node, OutcomeReached(token, request_id, outcome, 200, {}, body))
 
-    # A whole run
+    # Complete simulations
 
-    def play(self) -> None:
-        """Start, let callers and faults loose, heal, and let everything settle."""
+    def run_workload(self) -> None:
+        """Wait for the voters, generate requests and faults, then let all requests finish."""
         self.run_for(self.timings.quarantine_s + 1.0)
         end = self.now + self.profile.duration_s
         fleet_restart_at = self.now + 3.0
         numbers = itertools.count(1)
         while self.now < end:
-            if self.profile.fleet_restart and not self.forgotten and self.now >= fleet_restart_at:
+            if (
+                self.profile.restarts_fleet
+                and not self.excluded_requests
+                and self.now >= fleet_restart_at
+            ):
                 self.restart_fleet()
-            if self.random.random() < TICK_S / self.profile.request_every_s:
-                self._new_request(f"request-{next(numbers)}")
-            if self.random.random() < TICK_S / self.profile.fault_every_s:
-                self.fault()
+            if self.random.random() < TICK_S / self.profile.request_interval_s:
+                self._send_new_request(f"request-{next(numbers)}")
+            if self.random.random() < TICK_S / self.profile.fault_interval_s:
+                self.inject_fault()
             self.run_for(TICK_S)
         self.run_for(8.0)
 
-    def _new_request(self, request_id: str) -> None:
-        spread_s = self.random.choice((0.003, 0.3, self.profile.spread_s))
-        for _ in range(self.random.randint(1, self.profile.attempts)):
-            self.at(
+    def _send_new_request(self, request_id: str) -> None:
+        spread_s = self.random.choice((0.003, 0.3, self.profile.max_attempt_spread_s))
+        for _ in range(self.random.randint(1, self.profile.max_attempts)):
+            self.schedule(
                 self.random.random() * spread_s,
-                lambda: self.attempt(self.random.choice(list(self.nodes.values())), request_id),
+                lambda: self.send_request(
+                    self.random.choice(list(self.nodes.values())), request_id
+                ),
             )
 
     def violations(self) -> list[str]:
-        """The requests that ran twice, or were answered in two ways."""
+        """Return the requests that ran twice or had two different responses."""
         found = [name for name, count in self.runs.items() if count > 1]
-        found += [name for name, seen in self.answers.items() if len(seen) > 1]
-        return sorted(set(found) - self.forgotten)
+        found += [name for name, seen in self.response_bodies.items() if len(seen) > 1]
+        return sorted(set(found) - self.excluded_requests)
--- a/tests/dataplane/claims/test_mutations.py
+++ b/tests/dataplane/claims/test_mutations.py
@@ -1,4 +1,4 @@
-"""Each rule of the claim protocol is needed: without it some seed runs a request twice."""
+"""Each rule of the claim protocol is necessary: without it, some seed runs a request twice."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def majority_of_one(patch: Patch) -> None:
-    """A single vote is enough."""
+    """A single vote counts as a majority."""
     original = ClaimView.__init__
 
     def init(self: ClaimView, version: int, nodes: dict) -> None:
@@ -33,7 +33,7 @@
 
 
 def restarted_voter_votes_at_once(patch: Patch) -> None:
-    """An empty voter counts as complete as soon as it knows the nodes."""
+    """A restarted voter is complete as soon as it knows the registered nodes."""
 
     def try_to_complete(self: VoterReadiness, now: float) -> bool:
         self.completed_views.add(self.view_version)
@@ -43,7 +43,7 @@
 
 
 def one_source_is_enough(patch: Patch) -> None:
-    """A restarted voter votes after it read a single complete source."""
+    """A restarted voter is complete after it has read a single complete node."""
 
     def read_this_view(self: VoterReadiness, view: ClaimView) -> bool:
         return any(view.version in views for views in self._completed_by_node().values())
@@ -52,7 +52,7 @@
 
 
 def no_dispatch_window(patch: Patch) -> None:
-    """A grant covers a dispatch however old it is, and votes of any age add up."""
+    """A grant permits a dispatch however old it is."""
 
     def may_dispatch(self: ClaimsNode, request_id: str, now: float) -> bool:
         return request_id in self._requests.granted
@@ -83,13 +83,13 @@
     patch(ClaimVoter, "_reason_not_to_vote", reason_not_to_vote)
 
 
-def release_after_dispatch(patch: Patch) -> None:
-    """An unknown outcome is treated as a refusal, so that the claim is given back."""
+def unknown_outcome_releases_the_claim(patch: Patch) -> None:
+    """An unknown outcome is treated as a refusal, so that the claim is released."""
     patch(SimulatedCluster, "releases_unknown", True)
 
 
 def voter_moves_its_vote(patch: Patch) -> None:
-    """A voter gives its vote to a preferred attempt that requests it later."""
+    """A voter withdraws its vote in favour of a preferred attempt that requests it later."""
 
     def claim(self: ClaimVoter, call: ClaimCall, now: float) -> ClaimReply:
         row = self.votes.find(RequestId(call.request_id), now)
@@ -102,13 +102,13 @@
     patch(ClaimVoter, "claim", claim)
 
 
-def unresponsive_owner_is_taken_for_dead(patch: Patch) -> None:
+def unresponsive_owner_counts_as_crashed(patch: Patch) -> None:
     """A resend closes the attempts of an owner that does not respond, without proof."""
     patch(BlockProof, "proves_never_ran", lambda self, now: True)
 
 
 def one_block_is_enough(patch: Patch) -> None:
-    """One voter without a vote counts as the proof that the attempt never ran."""
+    """A single voter that never voted for an attempt is taken for proof that it never ran."""
 
     def proves_never_ran(self: BlockProof, now: float) -> bool:
         return all(self._without_vote.get(competitor) for competitor in self.competing)
@@ -116,13 +116,13 @@
     patch(BlockProof, "proves_never_ran", proves_never_ran)
 
 
-def blocks_do_not_last(patch: Patch) -> None:
-    """A voter that was counted on never to vote for an attempt votes for it."""
+def blocks_are_not_stored(patch: Patch) -> None:
+    """A voter does not store a block, so that it can still vote for the attempt."""
     patch(ClaimRow, "block", lambda self, attempt: None)
 
 
-def block_is_taken_for_proof(patch: Patch) -> None:
-    """An attempt blocked at one voter is closed for all, as the first draft had it."""
+def block_at_one_voter_counts_as_proof(patch: Patch) -> None:
+    """An attempt blocked at one voter is closed for all, as in the first draft of the protocol."""
 
     def block(self: ClaimRow, attempt: object) -> None:
         if attempt not in self.open:
@@ -131,50 +131,50 @@
     patch(ClaimRow, "block", block)
 
 
-def reads_without_waiting(patch: Patch) -> None:
-    """A restarted voter reads at once, while grants of its former self still count."""
+def restarted_voter_reads_at_once(patch: Patch) -> None:
+    """A restarted voter reads immediately, while votes of its former process still count."""
     patch(VoterReadiness, "_reading_starts_at", lambda self: self._pending_since)
 
 
 @contextlib.contextmanager
 def mutated(mutation: Mutation) -> Iterator[None]:
-    """Break one rule for a while."""
-    undo: list[Callable[[], None]] = []
+    """Apply one mutation inside the context."""
+    restorations: list[Callable[[], None]] = []
 
     def patch(target: object, attribute: str, value: object) -> None:
         original = getattr(target, attribute)
-        undo.append(lambda: setattr(target, attribute, original))
+        restorations.append(lambda: setattr(target, attribute, original))
         setattr(target, attribute, value)
 
     mutation(patch)
     try:
         yield
     finally:
-        for action in reversed(undo):
+        for action in reversed(restorations):
             action()
 
 
-CAUGHT_IN: dict[Mutation, str] = {
+DETECTING_PROFILES: dict[Mutation, str] = {
     majority_of_one: "calm",
     voter_moves_its_vote: "calm",
-    release_after_dispatch: "calm",
-    unresponsive_owner_is_taken_for_dead: "mixed",
+    unknown_outcome_releases_the_claim: "calm",
+    unresponsive_owner_counts_as_crashed: "mixed",
     one_block_is_enough: "restarts",
-    block_is_taken_for_proof: "lossy-restarts",
+    block_at_one_voter_counts_as_proof: "lossy-restarts",
 }
-"""The profile in which one of the seeds catches each mutation; see also the scenarios."""
+"""The profile in which at least one seed detects each mutation; `test_scenarios` has the others."""
 
 SEEDS = range(1, 9)
 
 
 class MutationsTest(testtools.TestCase):
-    def test_each_mutation_is_caught(self) -> None:
-        for mutation, profile in CAUGHT_IN.items():
+    def test_each_mutation_violates_the_guarantee_with_some_seed(self) -> None:
+        for mutation, profile in DETECTING_PROFILES.items():
             with mutated(mutation):
-                caught = any(self._breaks(profile, seed) for seed in SEEDS)
-            self.assertTrue(caught, mutation.__name__)
+                is_detected = any(self._violates_guarantee(profile, seed) for seed in SEEDS)
+            self.assertTrue(is_detected, mutation.__name__)
 
-    def _breaks(self, profile: str, seed: int) -> bool:
+    def _violates_guarantee(self, profile: str, seed: int) -> bool:
         cluster = SimulatedCluster(seed, PROFILES[profile])
-        cluster.play()
+        cluster.run_workload()
         return bool(cluster.violations())
--- a/tests/dataplane/claims/test_network.py
+++ b/tests/dataplane/claims/test_network.py
@@ -1,4 +1,4 @@
-"""Racing resends over a faulty network: nothing runs twice, and what was released can run."""
+"""Concurrent resends over a faulty network: no request runs twice, and a released one can run."""
 
 from __future__ import annotations
 
@@ -8,33 +8,35 @@
 from zincvale.dataplane.inference.dependencies import ClaimGranted
 
 SEED = 1
-PLAYED = ("mixed", "lossy-restarts", "lossy-views", "cuts")
+PROFILE_NAMES = ("mixed", "lossy-restarts", "lossy-views", "cuts")
 
 
 class NetworkTest(testtools.TestCase):
-    def test_nothing_runs_twice(self) -> None:
-        for name in PLAYED:
+    def test_no_request_runs_twice(self) -> None:
+        for name in PROFILE_NAMES:
             cluster = SimulatedCluster(SEED, PROFILES[name])
-            cluster.play()
+            cluster.run_workload()
             self.assertEqual([], cluster.violations(), name)
-            self.assertTrue(cluster.runs, f"{name} ran nothing")
+            self.assertTrue(cluster.runs, f"{name}: no request ran")
 
-    def test_every_new_request_runs_after_the_faults(self) -> None:
+    def test_every_new_request_is_granted_after_the_faults(self) -> None:
         for name in ("lossy-restarts", "views"):
             cluster = SimulatedCluster(3, PROFILES[name])
-            cluster.play()
+            cluster.run_workload()
             cluster.profile = PROFILES["calm"]
             decisions: list[object] = []
             running = [node for node in cluster.nodes.values() if node.is_up]
             for number, node in enumerate(running):
-                cluster.attempt(node, f"late-{number}", deadline_s=1.0, then=decisions.append)
+                cluster.send_request(
+                    node, f"late-{number}", deadline_s=1.0, on_decision=decisions.append
+                )
             cluster.run_for(1.1)
             granted = [isinstance(decision, ClaimGranted) for decision in decisions]
             self.assertEqual([True] * len(running), granted, name)
 
-    def test_a_released_request_runs_on_a_resend(self) -> None:
+    def test_a_resend_of_a_released_request_is_granted(self) -> None:
         cluster = SimulatedCluster(5, PROFILES["mixed"])
-        cluster.play()
+        cluster.run_workload()
         cluster.profile = PROFILES["calm"]
         never_ran = [
             name
@@ -43,7 +45,9 @@
         ]
         decisions: list[object] = []
         for name in never_ran:
-            cluster.attempt(cluster.nodes["node-1"], name, deadline_s=3.0, then=decisions.append)
+            cluster.send_request(
+                cluster.nodes["node-1"], name, deadline_s=3.0, on_decision=decisions.append
+            )
         cluster.run_for(4.0)
         self.assertTrue(never_ran)
         granted = [isinstance(decision, ClaimGranted) for decision in decisions]
--- a/tests/dataplane/claims/test_scenarios.py
+++ b/tests/dataplane/claims/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The narrow races that the rules of the claim protocol are for, played step by step."""
+"""Step-by-step simulations of the races that single rules of the claim protocol prevent."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from tests.dataplane.claims.claims_cluster import PROFILES, SimulatedCluster
 from tests.dataplane.claims.test_mutations import (
     Mutation,
-    blocks_do_not_last,
+    blocks_are_not_stored,
     mutated,
     no_dispatch_window,
     one_source_is_enough,
-    reads_without_waiting,
+    restarted_voter_reads_at_once,
     restarted_voter_votes_at_once,
     view_is_ignored,
 )
@@ -23,38 +23,38 @@
 from zincvale.model.identifiers import MemberId
 
 REQUEST = "request-x"
-RUNS = 0.5
-"""Fate of a dispatch: it runs and is answered."""
+RUNS_WITH_RESPONSE = 0.5
+"""Value of `fixed_outcome_draw` with which each dispatch runs and gets a response."""
 
 
 @attrs.define
-class Cast:
-    """A settled world, a request's five voters, and the ingress nodes beside them."""
+class ScenarioSetup:
+    """A cluster after its start, the five voters of `REQUEST`, and its other nodes."""
 
     cluster: SimulatedCluster
     voters: list[MemberId]
     ingress_nodes: list[MemberId]
 
 
-def settled() -> Cast:
+def start_cluster() -> ScenarioSetup:
     cluster = SimulatedCluster(1, PROFILES["calm"])
-    cluster.fixed_fate = RUNS
-    cluster.fixed_dispatch_s = 0.001
+    cluster.fixed_outcome_draw = RUNS_WITH_RESPONSE
+    cluster.fixed_dispatch_delay_s = 0.001
     cluster.run_for(9.0)
     view = cluster.nodes[MemberId("node-1")].machine.readiness.view
     assert view is not None
     voters = list(view.voters(REQUEST))
-    return Cast(cluster, voters, [name for name in cluster.nodes if name not in voters])
+    return ScenarioSetup(cluster, voters, [name for name in cluster.nodes if name not in voters])
 
 
-def run_with_three_votes_and_crash(cast: Cast) -> None:
-    """The first ingress node runs the request by the first three voters' votes, and dies."""
-    cluster, ingress_node = cast.cluster, cast.ingress_nodes[0]
-    cluster.cut(ingress_node, *cast.voters[3:])
-    cluster.attempt(cluster.nodes[ingress_node], REQUEST)
+def run_with_three_votes_and_crash(setup: ScenarioSetup) -> None:
+    """Run the request at the first ingress node with the votes of three voters, and crash it."""
+    cluster, ingress_node = setup.cluster, setup.ingress_nodes[0]
+    cluster.cut_links(ingress_node, *setup.voters[3:])
+    cluster.send_request(cluster.nodes[ingress_node], REQUEST)
     run_until(cluster, lambda: bool(cluster.runs))
     cluster.crash(cluster.nodes[ingress_node])
-    cluster.mend()
+    cluster.restore_links()
 
 
 def run_until(cluster: SimulatedCluster, is_reached: Callable[[], bool]) -> None:
@@ -63,54 +63,54 @@
         cluster.run_for(0.001)
 
 
-def resend(cast: Cast, ingress_node: MemberId, *voters: MemberId) -> None:
-    """Another ingress node claims, and reaches only some voters."""
-    cluster = cast.cluster
-    cluster.mend()
+def resend(setup: ScenarioSetup, ingress_node: MemberId, *voters: MemberId) -> None:
+    """Send the request to another ingress node, which reaches only the given voters."""
+    cluster = setup.cluster
+    cluster.restore_links()
     others = [voter for voter in cluster.nodes if voter not in (*voters, ingress_node)]
-    cluster.cut(ingress_node, *others)
-    cluster.attempt(cluster.nodes[ingress_node], REQUEST)
+    cluster.cut_links(ingress_node, *others)
+    cluster.send_request(cluster.nodes[ingress_node], REQUEST)
     cluster.run_for(5.0)
 
 
 def restarted_voter_reads_one_source() -> SimulatedCluster:
-    """A voter forgets its vote and reaches only a voter that never voted."""
-    cast = settled()
-    cluster, (first, *_, fourth, fifth) = cast.cluster, cast.voters
-    run_with_three_votes_and_crash(cast)
+    """A voter that voted restarts, and reaches only a voter that did not vote."""
+    setup = start_cluster()
+    cluster, (first, *_, fourth, fifth) = setup.cluster, setup.voters
+    run_with_three_votes_and_crash(setup)
     cluster.crash(cluster.nodes[first])
-    cluster.cut(first, *[name for name in cluster.nodes if name != fourth])
+    cluster.cut_links(first, *[name for name in cluster.nodes if name != fourth])
     cluster.start(cluster.nodes[first])
     cluster.run_for(4.0)
-    resend(cast, cast.ingress_nodes[1], first, fourth, fifth)
+    resend(setup, setup.ingress_nodes[1], first, fourth, fifth)
     return cluster
 
 
-def vote_is_forgotten_between_two_others() -> SimulatedCluster:
-    """A voter restarts before the other two votes are given, and reads before them too."""
-    cast = settled()
-    cluster, (first, second, third, fourth, fifth) = cast.cluster, cast.voters
-    ingress_node = cast.ingress_nodes[0]
-    cluster.cut(ingress_node, fourth, fifth)
-    cluster.delays[ingress_node, second] = cluster.delays[ingress_node, third] = 0.4
-    cluster.attempt(cluster.nodes[ingress_node], REQUEST)
+def voter_restarts_before_the_other_votes() -> SimulatedCluster:
+    """A voter restarts and could read from the others before two of them vote as well."""
+    setup = start_cluster()
+    cluster, (first, second, third, fourth, fifth) = setup.cluster, setup.voters
+    ingress_node = setup.ingress_nodes[0]
+    cluster.cut_links(ingress_node, fourth, fifth)
+    cluster.link_delays[ingress_node, second] = cluster.link_delays[ingress_node, third] = 0.4
+    cluster.send_request(cluster.nodes[ingress_node], REQUEST)
     cluster.run_for(0.02)
     cluster.crash(cluster.nodes[first])
-    cluster.cut(first, ingress_node)
+    cluster.cut_links(first, ingress_node)
     cluster.start(cluster.nodes[first])
     run_until(cluster, lambda: bool(cluster.runs))
     cluster.crash(cluster.nodes[ingress_node])
     cluster.run_for(4.0)
-    resend(cast, cast.ingress_nodes[1], first, fourth, fifth)
+    resend(setup, setup.ingress_nodes[1], first, fourth, fifth)
     return cluster
 
 
-def owner_sleeps_through_a_restart_of_all() -> SimulatedCluster:
-    """An ingress node freezes between claim and dispatch; all others restart and claim anew."""
-    cast = settled()
-    cluster, ingress_node = cast.cluster, cast.ingress_nodes[0]
-    cluster.fixed_dispatch_s = 0.5
-    cluster.attempt(cluster.nodes[ingress_node], REQUEST)
+def owner_is_frozen_during_a_restart_of_all_others() -> SimulatedCluster:
+    """An ingress node freezes between grant and dispatch; the others restart and get a resend."""
+    setup = start_cluster()
+    cluster, ingress_node = setup.cluster, setup.ingress_nodes[0]
+    cluster.fixed_dispatch_delay_s = 0.5
+    cluster.send_request(cluster.nodes[ingress_node], REQUEST)
     cluster.run_for(0.1)
     cluster.freeze(cluster.nodes[ingress_node], 11.0)
     for node in cluster.nodes.values():
@@ -118,16 +118,16 @@
             cluster.crash(node)
             cluster.start(node)
     cluster.run_for(9.0)
-    cluster.attempt(cluster.nodes[cast.ingress_nodes[1]], REQUEST)
+    cluster.send_request(cluster.nodes[setup.ingress_nodes[1]], REQUEST)
     cluster.run_for(5.0)
     return cluster
 
 
 def two_voters_are_replaced() -> SimulatedCluster:
-    """Two voters leave the registry; the new voters know nothing unless they read it."""
-    cast = settled()
-    cluster, (first, second, third, *_) = cast.cluster, cast.voters
-    run_with_three_votes_and_crash(cast)
+    """Two voters leave the registry; the new voters know of their votes only by reading."""
+    setup = start_cluster()
+    cluster, (first, second, third, *_) = setup.cluster, setup.voters
+    run_with_three_votes_and_crash(setup)
     registered = {
         name: zone for name, zone in cluster.views[-1].nodes.items() if name not in (first, second)
     }
@@ -137,31 +137,31 @@
         view = ClaimView(2, {**registered, node.name: node.zone})
         if node.name in view.voters(REQUEST):
             registered[node.name] = node.zone
-            new_voters = set(view.voters(REQUEST)) - set(cast.voters)
+            new_voters = set(view.voters(REQUEST)) - set(setup.voters)
     cluster.views.append(ViewList(2, registered))
     cluster.run_for(2.0)
-    cluster.cut(cast.ingress_nodes[1], third, first, second)
-    cluster.attempt(cluster.nodes[cast.ingress_nodes[1]], REQUEST)
+    cluster.cut_links(setup.ingress_nodes[1], third, first, second)
+    cluster.send_request(cluster.nodes[setup.ingress_nodes[1]], REQUEST)
     cluster.run_for(5.0)
     return cluster
 
 
 def blocked_attempt_requests_again() -> SimulatedCluster:
-    """An attempt blocked by four voters requests their votes again, while its rival node sleeps."""
-    cast = settled()
-    cluster, (_, second, third, fourth, fifth) = cast.cluster, cast.voters
-    owner, other = cast.ingress_nodes[:2]
-    cluster.cut(owner, other, second, third, fourth, fifth)
-    cluster.attempt(cluster.nodes[owner], REQUEST)
+    """A blocked attempt requests votes again while the ingress node that blocked it is frozen."""
+    setup = start_cluster()
+    cluster, (_, second, third, fourth, fifth) = setup.cluster, setup.voters
+    owner, other = setup.ingress_nodes[:2]
+    cluster.cut_links(owner, other, second, third, fourth, fifth)
+    cluster.send_request(cluster.nodes[owner], REQUEST)
     cluster.run_for(0.02)
-    cluster.cut(other, second, third)
-    cluster.attempt(cluster.nodes[other], REQUEST)
+    cluster.cut_links(other, second, third)
+    cluster.send_request(cluster.nodes[other], REQUEST)
     cluster.run_for(0.4)
-    cluster.mend_links(other)
-    cluster.cut(other, owner)
-    run_until(cluster, lambda: cluster.served["BlockCall"] >= 5)
+    cluster.restore_links_of(other)
+    cluster.cut_links(other, owner)
+    run_until(cluster, lambda: cluster.served_calls["BlockCall"] >= 5)
     cluster.freeze(cluster.nodes[other], 1.0)
-    cluster.mend_links(owner)
+    cluster.restore_links_of(owner)
     run_until(cluster, lambda: bool(cluster.runs))
     cluster.crash(cluster.nodes[owner])
     cluster.run_for(5.0)
@@ -170,21 +170,21 @@
 
 SCENARIOS: dict[Callable[[], SimulatedCluster], tuple[Mutation, ...]] = {
     restarted_voter_reads_one_source: (one_source_is_enough, restarted_voter_votes_at_once),
-    vote_is_forgotten_between_two_others: (reads_without_waiting,),
-    owner_sleeps_through_a_restart_of_all: (no_dispatch_window,),
+    voter_restarts_before_the_other_votes: (restarted_voter_reads_at_once,),
+    owner_is_frozen_during_a_restart_of_all_others: (no_dispatch_window,),
     two_voters_are_replaced: (view_is_ignored,),
-    blocked_attempt_requests_again: (blocks_do_not_last,),
+    blocked_attempt_requests_again: (blocks_are_not_stored,),
 }
 
 
 class ScenariosTest(testtools.TestCase):
-    def test_nothing_runs_twice(self) -> None:
+    def test_the_request_runs_exactly_once(self) -> None:
         for scenario in SCENARIOS:
             cluster = scenario()
             self.assertEqual([], cluster.violations(), scenario.__name__)
             self.assertEqual(1, cluster.runs[REQUEST], scenario.__name__)
 
-    def test_each_rule_is_needed(self) -> None:
+    def test_each_mutation_violates_the_guarantee_in_its_scenario(self) -> None:
         for scenario, mutations in SCENARIOS.items():
             for mutation in mutations:
                 with mutated(mutation):
--- a/tests/dataplane/claims/test_service.py
+++ b/tests/dataplane/claims/test_service.py
@@ -1,4 +1,4 @@
-"""The claim service over calls that are answered within the process, without waiting."""
+"""Claim services that call each other within one process, without a network."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 
 
 class Cluster:
-    """Five services; the clock moves only when told."""
+    """Five claim services with a simulated clock."""
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.lost: set[MemberId] = set()
+        self.lost_members: set[MemberId] = set()
         self.services: dict[MemberId, ClaimService] = {}
         for number, member in enumerate(NODES):
             self.services[member] = ClaimService(
-                member, "i", Random(number), lambda: self.now, Peers(self, member)
+                member, "i", Random(number), lambda: self.now, InProcessPeers(self, member)
             )
         rows = {
             member: MemberRow(member, Role.NODE, zone, Address(""), Address(""), "i")
@@ -49,8 +49,8 @@
             service.apply_registry(1, NODES)
             service.apply_members(Members(1, rows))
 
-    async def serve(self) -> None:
-        """Let the quarantine of the first start pass."""
+    async def become_ready(self) -> None:
+        """Advance the clock until the quarantine after the first start has passed."""
         end = self.now + ClaimTimings().quarantine_s + 1.0
         while self.now < end:
             self.now += 0.5
@@ -60,8 +60,8 @@
                 await asyncio.sleep(0)
 
 
-class Peers:
-    """Calls answered at once, in the next turn of the loop."""
+class InProcessPeers:
+    """Peer calls that get their reply in the next iteration of the event loop."""
 
     def __init__(self, cluster: Cluster, member: MemberId) -> None:
         self._cluster = cluster
@@ -69,7 +69,7 @@
 
     async def call(self, member: MemberId, message: Any, timeout_s: float) -> Any:
         await asyncio.sleep(0)
-        if member in self._cluster.lost:
+        if member in self._cluster.lost_members:
             raise PeerUnreachableError(member)
         return self._cluster.services[member].handle_message(self._member, message)
 
@@ -88,22 +88,22 @@
     def test_a_resend_gets_the_recorded_response(self) -> None:
         async def scenario() -> None:
             cluster = Cluster()
-            await cluster.serve()
+            await cluster.become_ready()
             first = cluster.services[MemberId("node-0")]
             self.assertEqual(ClaimGranted(), await self._claim(cluster, 0))
             self.assertTrue(first.may_dispatch(REQUEST))
-            answer = (Outcome.ANSWERED, 200, {"Content-Type": "text/plain"}, b"42")
-            self.assertTrue(await first.record(REQUEST, *answer))
-            self.assertEqual(RecordedOutcome(*answer), await self._claim(cluster, 3))
+            response = (Outcome.ANSWERED, 200, {"Content-Type": "text/plain"}, b"42")
+            self.assertTrue(await first.record(REQUEST, *response))
+            self.assertEqual(RecordedOutcome(*response), await self._claim(cluster, 3))
             other = await self._claim(cluster, 3, digest="another body")
             self.assertEqual(ClaimRefused(ClaimRefusal.OTHER_REQUEST), other)
 
         self._run(scenario())
 
-    def test_a_released_request_may_run_elsewhere(self) -> None:
+    def test_a_released_request_may_run_at_another_node(self) -> None:
         async def scenario() -> None:
             cluster = Cluster()
-            await cluster.serve()
+            await cluster.become_ready()
             first = cluster.services[MemberId("node-0")]
             await self._claim(cluster, 0)
             self.assertTrue(await first.release(REQUEST))
@@ -112,10 +112,10 @@
 
         self._run(scenario())
 
-    def test_a_stale_grant_is_renewed_before_a_dispatch(self) -> None:
+    def test_an_expired_grant_permits_a_dispatch_after_renewal(self) -> None:
         async def scenario() -> None:
             cluster = Cluster()
-            await cluster.serve()
+            await cluster.become_ready()
             first = cluster.services[MemberId("node-0")]
             await self._claim(cluster, 0)
             cluster.now += ClaimTimings().dispatch_window_s
@@ -128,16 +128,16 @@
     def test_two_lost_nodes_do_not_stop_claims(self) -> None:
         async def scenario() -> None:
             cluster = Cluster()
-            await cluster.serve()
-            cluster.lost = {MemberId("node-1"), MemberId("node-2")}
+            await cluster.become_ready()
+            cluster.lost_members = {MemberId("node-1"), MemberId("node-2")}
             self.assertEqual(ClaimGranted(), await self._claim(cluster, 0))
 
         self._run(scenario())
 
-    def test_a_cancelled_claim_is_given_back(self) -> None:
+    def test_a_cancelled_claim_is_released(self) -> None:
         async def scenario() -> None:
             cluster = Cluster()
-            await cluster.serve()
+            await cluster.become_ready()
             claim = asyncio.ensure_future(self._claim(cluster, 0))
             await asyncio.sleep(0)
             claim.cancel()
@@ -151,7 +151,7 @@
     def test_each_call_of_a_batch_gets_its_reply(self) -> None:
         async def scenario() -> None:
             cluster = Cluster()
-            await cluster.serve()
+            await cluster.become_ready()
             peers = RecordingPeers(cluster)
             replies: dict[str, Any] = {}
             queues = PeerCallQueues(peers, lambda: cluster.now, replies.__setitem__)
@@ -170,10 +170,10 @@
 
         self._run(scenario())
 
-    def test_calls_that_waited_too_long_fail(self) -> None:
+    def test_calls_queued_beyond_their_timeout_fail(self) -> None:
         async def scenario() -> None:
             cluster = Cluster()
-            cluster.lost = {MemberId("node-1")}
+            cluster.lost_members = {MemberId("node-1")}
             replies: dict[str, Any] = {}
             queues = PeerCallQueues(
                 RecordingPeers(cluster), lambda: cluster.now, replies.__setitem__
@@ -188,8 +188,8 @@
         self._run(scenario())
 
 
-class RecordingPeers(Peers):
-    """Keeps what was sent."""
+class RecordingPeers(InProcessPeers):
+    """Peer calls that record the messages that are sent."""
 
     def __init__(self, cluster: Cluster) -> None:
         super().__init__(cluster, MemberId("node-0"))
@@ -199,5 +199,5 @@
         self.messages.append(message)
         reply = await super().call(member, message, timeout_s)
         if isinstance(message, BatchCall) and not isinstance(reply, BatchReply):
-            raise PeerCallError("not a batch's reply")
+            raise PeerCallError("the reply to a batch is not a BatchReply")
         return reply
--- a/tests/dataplane/claims/test_table.py
+++ b/tests/dataplane/claims/test_table.py
@@ -1,4 +1,4 @@
-"""Placement of claims, their table's bounds, and how knowledge is merged."""
+"""Choice of voters, limits and expiry of the claim table, and merging of claim states."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 LIMITS = TableLimits(max_rows=3, max_body_bytes=100, max_total_body_bytes=150, ttl_s=300.0)
 
 
-def view(*sizes: int) -> ClaimView:
-    """Return a view with so many nodes in each zone."""
+def view_of_zones(*sizes: int) -> ClaimView:
+    """Return a view with the given number of nodes in each zone."""
     nodes = {
         MemberId(f"node-{zone}-{number}"): ZoneName(f"zone-{zone}")
         for zone, size in enumerate(sizes)
@@ -39,46 +39,52 @@
 
 class ClaimViewTest(testtools.TestCase):
     def test_no_zone_holds_a_majority(self) -> None:
-        claims = view(3, 3, 2)
+        claim_view = view_of_zones(3, 3, 2)
         for number in range(200):
-            voters = claims.voters(f"request-{number}")
-            zones = Counter(claims.nodes[voter] for voter in voters)
+            voters = claim_view.voters(f"request-{number}")
+            zones = Counter(claim_view.nodes[voter] for voter in voters)
             self.assertEqual(5, len(set(voters)))
             self.assertTrue(max(zones.values()) <= 2, zones)
 
     def test_voters_are_spread_evenly(self) -> None:
-        claims = view(3, 3, 3)
+        claim_view = view_of_zones(3, 3, 3)
         counts: Counter[MemberId] = Counter()
         for number in range(2_000):
-            counts.update(claims.voters(f"request-{number}"))
+            counts.update(claim_view.voters(f"request-{number}"))
         self.assertTrue(max(counts.values()) < 1.15 * min(counts.values()), counts)
 
-    def test_a_lost_node_moves_few_claims(self) -> None:
-        claims = view(3, 3, 3)
-        rest = {node: zone for node, zone in claims.nodes.items() if node != "node-0-0"}
-        fewer = ClaimView(2, rest)
+    def test_removal_of_a_node_changes_few_voters(self) -> None:
+        claim_view = view_of_zones(3, 3, 3)
+        rest = {node: zone for node, zone in claim_view.nodes.items() if node != "node-0-0"}
+        smaller_view = ClaimView(2, rest)
         moved = 0
         for number in range(500):
-            before = set(claims.voters(f"request-{number}")) - {MemberId("node-0-0")}
-            moved += len(before - set(fewer.voters(f"request-{number}")))
+            before = set(claim_view.voters(f"request-{number}")) - {MemberId("node-0-0")}
+            moved += len(before - set(smaller_view.voters(f"request-{number}")))
         self.assertTrue(moved < 250, moved)
 
     def test_small_clusters_have_an_odd_number_of_voters(self) -> None:
-        counts = [len(view(*sizes).voters("r")) for sizes in ((), (1,), (1, 1), (2, 2), (4, 1))]
+        counts = [
+            len(view_of_zones(*sizes).voters("r")) for sizes in ((), (1,), (1, 1), (2, 2), (4, 1))
+        ]
         self.assertEqual([0, 1, 1, 3, 5], counts)
 
-    def test_the_most_of_one_group_follows_the_zones(self) -> None:
-        claims = view(3, 3, 2)
-        zone = {MemberId(f"node-0-{number}") for number in range(3)}
-        self.assertEqual(2, claims.most_in_one_group(zone))
-        self.assertEqual(1, claims.most_in_one_group(zone, containing=MemberId("node-0-0")))
-        self.assertEqual(2, claims.most_in_one_group(zone, containing=MemberId("node-1-0")))
-        two = {MemberId("node-0-0"), MemberId("node-1-0")}
-        self.assertEqual(2, claims.most_in_one_group(two))
+    def test_the_maximum_in_one_group_respects_the_zone_limit(self) -> None:
+        claim_view = view_of_zones(3, 3, 2)
+        zone_nodes = {MemberId(f"node-0-{number}") for number in range(3)}
+        self.assertEqual(2, claim_view.most_in_one_group(zone_nodes))
+        self.assertEqual(
+            1, claim_view.most_in_one_group(zone_nodes, containing=MemberId("node-0-0"))
+        )
+        self.assertEqual(
+            2, claim_view.most_in_one_group(zone_nodes, containing=MemberId("node-1-0"))
+        )
+        two_nodes = {MemberId("node-0-0"), MemberId("node-1-0")}
+        self.assertEqual(2, claim_view.most_in_one_group(two_nodes))
 
 
 class ClaimRowTest(testtools.TestCase):
-    def test_merging_does_not_depend_on_the_order(self) -> None:
+    def test_merging_is_independent_of_order_and_repetition(self) -> None:
         states = [
             ClaimState(open=[OpenClaim(FIRST, "d"), OpenClaim(SECOND, "d")]),
             ClaimState(closed=[SECOND]),
@@ -94,13 +100,13 @@
             results.add(repr(row.state()))
         self.assertEqual(1, len(results))
 
-    def test_an_attempt_that_never_ran_has_no_outcome(self) -> None:
+    def test_closing_removes_an_unknown_outcome(self) -> None:
         row = ClaimRow(RequestId("r"))
         row.record(recorded(b"", outcome="unknown"))
         row.close(FIRST)
         self.assertIsNone(row.recorded)
 
-    def test_an_answer_stands(self) -> None:
+    def test_closing_keeps_a_recorded_response(self) -> None:
         row = ClaimRow(RequestId("r"))
         row.record(recorded(b"42"))
         row.close(FIRST)
@@ -121,7 +127,7 @@
         self.assertIsNotNone(table.find(RequestId("r1"), 499.0))
         self.assertIsNone(table.find(RequestId("r1"), 500.0))
 
-    def test_a_full_table_takes_known_requests_only(self) -> None:
+    def test_a_full_table_accepts_only_known_requests_and_copies(self) -> None:
         table = ClaimTable(LIMITS)
         for number in range(3):
             self._open(table, f"r{number}", 0.0)
@@ -130,18 +136,18 @@
         self._open(table, "copied", 0.0)
         self.assertEqual(4, len(table))
 
-    def test_bodies_are_bounded_one_by_one_and_together(self) -> None:
+    def test_bodies_are_limited_individually_and_in_total(self) -> None:
         table = ClaimTable(LIMITS)
         sizes = {"r1": 90, "r2": 101, "r3": 90, "r4": 60}
         for request_id, size in sizes.items():
             table.merge(RequestId(request_id), ClaimState(recorded=recorded(b"x" * size)), 0.0)
-        kept = [row.recorded.has_body for row in table if row.recorded]
-        self.assertEqual([True, False, False, True], kept)
+        has_body = [row.recorded.has_body for row in table if row.recorded]
+        self.assertEqual([True, False, False, True], has_body)
         self.assertEqual(150, table.total_body_bytes)
         table.sweep(300.0)
         self.assertEqual((0, 0), (table.total_body_bytes, len(table)))
 
-    def test_pages_follow_changes(self) -> None:
+    def test_a_page_has_the_rows_changed_after_its_cursor(self) -> None:
         table = ClaimTable(LIMITS)
         for number in range(3):
             self._open(table, f"r{number}", 0.0)
--- a/tests/dataplane/stream_journal/test_mutations.py
+++ b/tests/dataplane/stream_journal/test_mutations.py
@@ -1,4 +1,4 @@
-"""Each rule of the stream journal is needed: without it some seed loses or splices a stream."""
+"""Each rule of the stream journal is necessary: without it, some seed loses or splices a stream."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def failover_keeps_the_epoch(patch: Patch) -> None:
-    """A failover fences nobody off."""
+    """A failover does not raise the epoch, so that earlier writers are not fenced."""
 
     def request_fences(self: StreamFailover, now: float) -> list:
         effects = original(self, now)
@@ -31,13 +31,13 @@
 
 
 def new_peer_gets_no_prefix(patch: Patch) -> None:
-    """A stream that moves to another peer goes on there without its earlier chunks."""
+    """A stream that moves to another peer continues there without its earlier chunks."""
 
     def move_to(self: StreamWriter, peer: object) -> None:
         self.peer = peer  # type: ignore[assignment]
 
     patch(StreamWriter, "move_to", move_to)
-    patch(ReplicaStore, "_continues", lambda self, entry, write: True)
+    patch(ReplicaStore, "_continues", lambda self, replica, write: True)
 
 
 MUTATIONS: tuple[Callable[[Patch], None], ...] = (
@@ -47,13 +47,13 @@
 
 
 class StreamMutationsTest(testtools.TestCase):
-    def test_each_mutation_is_caught(self) -> None:
+    def test_each_mutation_loses_or_splices_a_stream(self) -> None:
         for mutation in MUTATIONS:
             with mutated(mutation):
-                caught = any(self._breaks(seed) for seed in SEEDS)
-            self.assertTrue(caught, mutation.__name__)
+                is_detected = any(self._violates_guarantee(seed) for seed in SEEDS)
+            self.assertTrue(is_detected, mutation.__name__)
 
-    def _breaks(self, seed: int) -> bool:
+    def _violates_guarantee(self, seed: int) -> bool:
         cluster = SimulatedStreams(seed)
-        cluster.play()
+        cluster.run_workload()
         return bool(cluster.problems or cluster.unfinished())
--- a/tests/dataplane/stream_journal/test_replica_store.py
+++ b/tests/dataplane/stream_journal/test_replica_store.py
@@ -1,4 +1,4 @@
-"""The journal's replica: fences, gaps, late writes and bounds."""
+"""Replica store of the stream journal: fences, gaps, late writes, limits and expiry."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return StreamWrite("s", "d", fence, number, first_index, list(chunks), end)
 
 
-class JournalStoreTest(testtools.TestCase):
+class ReplicaStoreTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.store = ReplicaStore(JournalTimings())
@@ -40,13 +40,13 @@
         content = self.store.fence(FenceCall("s", StreamFence(0, "")), 0.0).content
         return "".join(content.chunks) if content else ""
 
-    def test_chunks_follow_each_other(self) -> None:
+    def test_chunks_are_stored_without_gaps(self) -> None:
         self.assertEqual(WriteStatus.STORED, self._write(1, 1, "ab"))
         self.assertEqual(WriteStatus.STORED, self._write(2, 3, "c"))
         self.assertEqual(WriteStatus.GAP, self._write(3, 5, "e"))
         self.assertEqual("abc", self._chunks())
 
-    def test_a_gap_at_an_empty_replica_requests_the_complete_stream(self) -> None:
+    def test_an_unknown_stream_must_start_with_its_first_chunk(self) -> None:
         self.assertEqual(WriteStatus.GAP, self._write(7, 4, "d"))
         self.assertEqual(WriteStatus.STORED, self._write(8, 1, "abcd"))
 
@@ -64,15 +64,15 @@
         self.assertEqual(WriteStatus.STORED, self._write(1, 1, "abX", fence=SECOND))
         self.assertEqual("abX", self._chunks())
 
-    def test_a_fence_holds_where_nothing_was_written(self) -> None:
+    def test_a_fence_of_an_unknown_stream_stops_earlier_writers(self) -> None:
         self.store.fence(FenceCall("s", SECOND), 0.0)
         self.assertEqual(WriteStatus.FENCED, self._write(1, 1, "a"))
 
-    def test_an_older_fence_does_not_win(self) -> None:
+    def test_an_older_fence_does_not_replace_a_newer_one(self) -> None:
         self._write(1, 1, "a", fence=SECOND)
         self.assertEqual(SECOND, self.store.fence(FenceCall("s", FIRST), 0.0).fence)
 
-    def test_only_complete_streams_make_room(self) -> None:
+    def test_only_complete_streams_are_dropped_to_make_room(self) -> None:
         size = STREAM_OVERHEAD_BYTES + CHUNK_OVERHEAD_BYTES + 1
         store = ReplicaStore(JournalTimings(max_bytes=2 * size))
         ended = attrs.evolve(write(1, 1, "a", end=1), request_id="ended")
@@ -84,7 +84,7 @@
         self.assertEqual(0, store.read("ended").length)
         self.assertEqual(2 * size, store.total_bytes)
 
-    def test_streams_expire(self) -> None:
+    def test_idle_streams_expire(self) -> None:
         timings = JournalTimings()
         self._write(1, 1, "a")
         self.store.sweep(timings.idle_ttl_s - 0.1)
--- a/tests/dataplane/stream_journal/test_writer.py
+++ b/tests/dataplane/stream_journal/test_writer.py
@@ -1,4 +1,4 @@
-"""The ingress node's side of the journal, and the choice of a copy in a failover."""
+"""Stream writers of an ingress node, the order of peers, and the choice of a copy in a failover."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
         effects = self.writers.on_batch_reply(PEER, reply_to(batch), 0.005)
         self.assertEqual([AppendResult("t2", JournalAppend.REPLICATED)], effects)
 
-    def test_one_call_carries_what_all_streams_added(self) -> None:
+    def test_one_call_carries_the_new_chunks_of_all_streams(self) -> None:
         [batch] = self.writers.append("t", self._writer(), 1, ["a"], 0.0)
         for number in range(200):
             writer = self._writer(f"s{number}")
@@ -75,7 +75,7 @@
         [batch] = self.writers.flush_due(0.004)
         self.assertEqual(200, len(batch.call.writes))
 
-    def test_a_failed_peer_is_replaced_from_the_first_chunk(self) -> None:
+    def test_the_replacement_of_a_failed_peer_gets_all_chunks(self) -> None:
         writer = self._writer()
         [batch] = self.writers.append("t1", writer, 1, ["a"], 0.0)
         self.writers.on_batch_reply(PEER, reply_to(batch), 0.001)
@@ -94,12 +94,12 @@
             [OTHER], [effect.peer for effect in effects if isinstance(effect, SendBatch)]
         )
 
-    def test_without_any_peer_the_append_completes_at_once(self) -> None:
+    def test_an_append_without_any_peer_is_unreplicated_at_once(self) -> None:
         self.writers.set_peers([], 0.0)
         effects = self.writers.append("t1", self._writer(), 1, ["a"], 0.0)
         self.assertEqual([AppendResult("t1", JournalAppend.UNREPLICATED)], effects)
 
-    def test_a_fenced_writer_replicates_nothing_more(self) -> None:
+    def test_a_writer_fenced_by_its_peer_fails_every_append(self) -> None:
         writer = self._writer()
         [batch] = self.writers.append("t1", writer, 1, ["a"], 0.0)
         effects = self.writers.on_batch_reply(PEER, reply_to(batch, WriteStatus.FENCED), 0.001)
@@ -107,14 +107,14 @@
         effects = self.writers.append("t2", writer, 2, ["b"], 0.002)
         self.assertEqual([AppendResult("t2", JournalAppend.FENCED)], effects)
 
-    def test_a_fence_here_stops_the_writer_at_once(self) -> None:
+    def test_a_fence_at_the_ingress_node_stops_its_writer(self) -> None:
         writer = self._writer()
         self.writers.append("t1", writer, 1, ["a"], 0.0)
         reply, effects = self.writers.fence(FenceCall("s", StreamFence(2, "node-9/z")))
         self.assertEqual([AppendResult("t1", JournalAppend.FENCED)], effects)
         self.assertEqual(["a"], reply.content.chunks if reply and reply.content else None)
 
-    def test_after_a_freeze_timeouts_are_extended(self) -> None:
+    def test_a_freeze_extends_the_timeouts_of_appends(self) -> None:
         self.writers.tick(0.0)
         self.writers.append("t1", self._writer(), 1, ["a"], 0.01)
         self.assertEqual([], self.writers.tick(4.0))
@@ -122,7 +122,7 @@
         completed = [effects for effects in later if effects]
         self.assertEqual([[AppendResult("t1", JournalAppend.UNREPLICATED)]], completed)
 
-    def test_streams_of_a_lost_peer_move_without_waiting_for_a_chunk(self) -> None:
+    def test_streams_of_a_lost_peer_move_without_a_new_chunk(self) -> None:
         [batch] = self.writers.append("t1", self._writer(), 1, ["a"], 0.0)
         self.writers.on_batch_reply(PEER, reply_to(batch), 0.001)
         [batch] = self.writers.set_peers([OTHER], 1.0)
@@ -135,7 +135,7 @@
         self.assertEqual({"node-3", "node-6"}, set(peers[-2:]))
 
 
-class StreamTakeOverTest(testtools.TestCase):
+class StreamFailoverTest(testtools.TestCase):
     def _failover(
         self, contents: list[StreamContent | None], after: int
     ) -> FailoverCompleted | None:
@@ -167,7 +167,7 @@
         completed = self._failover([short, complete], after=1)
         self.assertEqual(complete, completed.content if completed else None)
 
-    def test_a_copy_shorter_than_the_callers_is_not_taken(self) -> None:
+    def test_a_copy_with_fewer_chunks_than_the_caller_is_not_used(self) -> None:
         short = StreamContent("d", FENCE, ["a"], 0)
         completed = self._failover([short, None], after=2)
         self.assertEqual(FailoverCompleted(StreamFence(2, "node-9/z"), None), completed)
