--- a/src/zincvale/storage/__init__.py
+++ b/src/zincvale/storage/__init__.py
@@ -1,9 +1,10 @@
 """Durable storage of a core: version files, and the disk they are written through.
 
 Owns the layout of a data folder, the identity of a disk, checksums, quarantine of unreadable files
-and the removal of old ones. It knows nothing of what a file says beyond its first byte.
+and the removal of old ones. Of the content of a file it interprets only the first byte.
 
-May import `model`, and of `coordination.registers` the marks of a file and the recovered state.
+May import `model`, and from `coordination.registers` the marks that files begin with and the
+recovered state.
 
-Reading order: `disk`, `version_files`, `quota_disk` (for rigs that fill a disk).
+Reading order: `disk`, `version_files`, `quota_disk` (for tests that fill a disk).
 """
--- a/src/zincvale/storage/disk.py
+++ b/src/zincvale/storage/disk.py
@@ -8,16 +8,16 @@
 
 
 class DiskInterface(Protocol):
-    """What storage needs of a file system.
+    """File system operations that storage uses.
 
     Raises
     ------
     OSError
-        By every call, when the file system fails.
+        From every method, when the file system reports an error.
     """
 
     def make_folder(self, folder: Path) -> None:
-        """Create a folder and its parents, and make that durable."""
+        """Create a folder and its missing parents durably."""
         ...
 
     def list_files(self, folder: Path) -> list[str]:
@@ -33,15 +33,15 @@
         ...
 
     def write_synced(self, path: Path, content: bytes) -> None:
-        """Write a new file and sync its content."""
+        """Write a file, replacing an existing one, and sync its content to disk."""
         ...
 
     def rename(self, source: Path, target: Path) -> None:
-        """Rename a file within a folder."""
+        """Rename a file, replacing an existing `target`."""
         ...
 
     def sync_folder(self, folder: Path) -> None:
-        """Make the names in a folder durable."""
+        """Sync a folder, which makes created, renamed and removed names in it durable."""
         ...
 
     def remove(self, path: Path) -> None:
@@ -53,7 +53,7 @@
     """The file system of this machine."""
 
     def make_folder(self, folder: Path) -> None:
-        """Create a folder and its parents, and make that durable."""
+        """Create a folder and its missing parents durably."""
         missing = [each for each in [folder, *folder.parents] if not each.exists()]
         for each in reversed(missing):
             each.mkdir(exist_ok=True)
@@ -78,7 +78,7 @@
         return path.read_bytes()
 
     def write_synced(self, path: Path, content: bytes) -> None:
-        """Write a new file and sync its content."""
+        """Write a file, replacing an existing one, and sync its content to disk."""
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o644)
         try:
             _write_all(descriptor, content)
@@ -87,11 +87,11 @@
             os.close(descriptor)
 
     def rename(self, source: Path, target: Path) -> None:
-        """Rename a file within a folder."""
+        """Rename a file, replacing an existing `target`."""
         os.rename(source, target)
 
     def sync_folder(self, folder: Path) -> None:
-        """Make the names in a folder durable."""
+        """Sync a folder, which makes created, renamed and removed names in it durable."""
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
--- a/src/zincvale/storage/quota_disk.py
+++ b/src/zincvale/storage/quota_disk.py
@@ -1,4 +1,4 @@
-"""A disk with a quota, so that a rig can fill it without filling the machine's."""
+"""A disk with a quota, so that a test can fill it without filling the machine's disk."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 
 class QuotaDisk:
-    """Refuses writes that a settings file leaves no room for; everything else passes through.
+    """Rejects writes above a quota that a file sets; passes all other operations on.
 
     Parameters
     ----------
-    disk : the disk below.
-    quota_file : holds the number of bytes that may still be written; read at each write, so that a
-        rig changes it while the daemon runs. A file that is missing or no number sets no limit.
+    disk : the disk that operations are passed on to.
+    quota_file : contains the number of bytes that may still be written. It is read on each write,
+        so that a test can change it while the daemon runs. If it is missing or contains no number,
+        there is no limit.
     """
 
     def __init__(self, disk: DiskInterface, quota_file: str) -> None:
@@ -25,7 +26,7 @@
         self._written_bytes = 0
 
     def make_folder(self, folder: Path) -> None:
-        """Create a folder and its parents, and make that durable."""
+        """Create a folder and its missing parents durably."""
         self._disk.make_folder(folder)
 
     def list_files(self, folder: Path) -> list[str]:
@@ -41,16 +42,16 @@
         return self._disk.read(path)
 
     def write_synced(self, path: Path, content: bytes) -> None:
-        """Write a new file and sync its content, or raise `OSError` when the quota is used up."""
+        """Write a file and sync its content to disk; raises `OSError` above the quota."""
         self._reserve_bytes(len(content), path)
         self._disk.write_synced(path, content)
 
     def rename(self, source: Path, target: Path) -> None:
-        """Rename a file within a folder."""
+        """Rename a file, replacing an existing `target`."""
         self._disk.rename(source, target)
 
     def sync_folder(self, folder: Path) -> None:
-        """Make the names in a folder durable."""
+        """Sync a folder, which makes created, renamed and removed names in it durable."""
         self._disk.sync_folder(folder)
 
     def remove(self, path: Path) -> None:
@@ -66,7 +67,7 @@
         self._written_bytes += size_bytes
 
     def _read_quota_bytes(self) -> int | None:
-        """Return the bytes allowed since the file last changed, or None without a limit."""
+        """Return the bytes allowed since the quota last changed, or None without a quota."""
         try:
             text = self._quota_file.read_text(encoding="ascii").strip()
             quota_bytes = int(text)
--- a/src/zincvale/storage/version_files.py
+++ b/src/zincvale/storage/version_files.py
@@ -1,10 +1,11 @@
 """Durable storage of one core: one file for each version of each key.
 
-A file is written under a temporary name, synced, renamed, and its folder synced, before its write
-is reported. Its folder carries the key and its name a number that increases; its content begins
-with a checksum over the cluster id, the disk's identity and the body. The first byte of a body says
-whether it is a snapshot (`S`) or continues the previous file (`D`), which decides what older files
-are still needed.
+A file is written under a temporary name, synced and renamed, and its folder is synced, before the
+write is reported as durable. The folder is named by the key and the file by an increasing number.
+The content begins with a checksum over the cluster id, the disk's identity and the body. The first
+byte of a body tells whether it is a snapshot (`S`) or a change to the previous file (`D`), which
+determines the older files that are still needed. A snapshot and the changes that follow it form a
+chain.
 
 Layout: `identity` (cluster id and disk identity, written once), `keys/<encoded key>/<number>`,
 `quarantine/`.
@@ -33,19 +34,20 @@
 QUARANTINE_FOLDER = "quarantine"
 TEMPORARY_SUFFIX = ".aside"
 NUMBER_DIGITS = 12
-"""Digits of a file's name; the names sort by number only while all have the same length."""
+"""Number of digits in a file's name; names of equal length sort by number."""
 CHECKSUM_BYTES = 8
-"""Length of the xxh3 checksum that a file begins with."""
+"""Length of the xxh3 checksum at the beginning of a file."""
 DISK_ID_BITS = 64
-"""Random bits of a disk's identity; two disks with one identity would share a vote."""
+"""Number of random bits in a disk's identity. Two disks with the same identity would share a
+vote."""
 CHAINS_RETAINED = 2
-"""Chains retained for each key: the newest, and the one before it for inspection."""
+"""Number of chains retained for each key: the newest, and the previous one for inspection."""
 
 LogFunction = Callable[[int, dict[str, Any]], None]
 
 
 def _discard_log(_number: int, _fields: dict[str, Any]) -> None:
-    """Drop a log event."""
+    """Ignore a log event."""
 
 
 @attrs.frozen
@@ -59,11 +61,11 @@
 
     Parameters
     ----------
-    folder : the data folder.
-    disk : the file system, injected.
-    cluster_id : a folder of another cluster is rejected.
-    random_source : draws the disk's identity when the folder is new.
-    log : takes numbered log events with fields.
+    folder : path of the data folder.
+    disk : the file system.
+    cluster_id : identifier of the cluster; a folder of another cluster is rejected.
+    random_source : source of the disk's identity when the folder is new.
+    log : called with the number and the fields of each log event.
     """
 
     def __init__(
@@ -83,7 +85,9 @@
         self._chains: dict[str, list[list[int]]] = {}
 
     def load(self) -> RecoveredState:
-        """Read everything; a new folder gets its identity.
+        """Return the records of the data folder, and create the identity of a new folder.
+
+        When a key is damaged, the folder gets a new identity and all files are quarantined.
 
         Raises
         ------
@@ -107,11 +111,12 @@
             ) from error
 
     def write(self, key: str, number: int, content: bytes) -> str:
-        """Make a file durable.
+        """Write a version file of `key` durably, and remove files that are no longer needed.
 
         Returns
         -------
-        str : empty, or what failed. It is no exception: the replica stops voting and retries.
+        str : empty on success, else the error message. A failed write raises no exception, because
+            the replica then stops voting and retries.
         """
         try:
             folder = self._key_folder(key)
@@ -171,18 +176,18 @@
             elif key_or_damage:
                 damaged[key] = key_or_damage
         if damaged:
-            self._abandon_identity(damaged)
+            self._replace_identity(damaged)
             keys = {}
         return RecoveredState(self._disk_id, keys, damaged)
 
     def _load_key(self, key: str) -> RecoveredKey | str:
-        """Return the files of one key, or what is wrong with them."""
+        """Return the newest chain of a key, a description of the damage, or "" for no records."""
         folder = self._key_folder(key)
         readable, unreadable = self._read_files(folder)
         self._chains[key] = _split_into_chains(readable)
         newest = self._chains[key][-1] if self._chains[key] else []
         if any(number >= (newest[0] if newest else 0) for number in unreadable):
-            return f"a file of key {key!r} is torn or foreign"
+            return f"a file of key {key!r} is torn or belongs to another disk"
         if not newest:
             return ""
         chain = [each for each in readable if each.number in newest]
@@ -209,20 +214,20 @@
                 unreadable.append(int(name))
         return readable, unreadable
 
-    def _abandon_identity(self, damaged: dict[str, str]) -> None:
-        """Give the folder a new identity: this disk may have lost what it promised.
+    def _replace_identity(self, damaged: dict[str, str]) -> None:
+        """Give the folder a new identity, since this disk may have lost promises to other replicas.
 
-        The new identity is durable before the first record moves, so that a crash in between leaves
-        files whose checksums no longer match.
+        The new identity is durable before the first file is moved. After a crash in between, the
+        checksums of the remaining files do not match the new identity.
         """
-        former = self._disk_id
+        former_disk_id = self._disk_id
         self._create_identity()
         for folder_name in self._disk.list_folders(self._folder / KEYS_FOLDER):
             folder = self._folder / KEYS_FOLDER / folder_name
             for name in self._disk.list_files(folder):
                 self._quarantine(folder, name)
         self._chains = {}
-        fields = {"former": former, "disk": self._disk_id, "problems": damaged}
+        fields = {"former": former_disk_id, "disk": self._disk_id, "problems": damaged}
         self._log(log_events.FOLDER_ABANDONED, fields)
 
     def _quarantine(self, folder: Path, name: str) -> None:
@@ -238,7 +243,7 @@
             self._disk.write_synced(temporary, content)
             self._disk.rename(temporary, folder / name)
         except OSError:
-            self._remove_quietly(temporary)
+            self._try_remove(temporary)
             raise
         self._disk.sync_folder(folder)
 
@@ -253,9 +258,9 @@
         chains = self._chains[key]
         while len(chains) > CHAINS_RETAINED:
             for number in chains.pop(0):
-                self._remove_quietly(self._key_folder(key) / _file_name(number))
+                self._try_remove(self._key_folder(key) / _file_name(number))
 
-    def _remove_quietly(self, path: Path) -> None:
+    def _try_remove(self, path: Path) -> None:
         try:
             self._disk.remove(path)
         except OSError:
--- a/src/zincvale/tracing/chunks.py
+++ b/src/zincvale/tracing/chunks.py
@@ -1,8 +1,8 @@
-"""Chunks: the spans of one trace that one member ends together, with the evidence for its verdict.
+"""Chunks: spans of one trace that one member sends together, with the evidence for its verdict.
 
 The evidence is what the policy chain needs, so that a collector decides without reading the body.
-`encode_chunks` frames many chunks for one message: a JSON array of evidence rows and the bodies
-back to back.
+`encode_chunks` encodes many chunks for one message: a JSON array of evidence rows, and the
+concatenated bodies.
 """
 
 from __future__ import annotations
@@ -13,27 +13,32 @@
 from zincvale.model.identifiers import MemberId, TraceId
 
 NO_ROOT_MS = -1.0
+"""Root duration of a chunk without the root span."""
 LONG_ROOT_MS = 5000.0
-"""Roots that run this long send open-root markers."""
-LENGTH_COLUMN = 10
-"""Where an evidence row holds the length of the body, and a chunk the body."""
+"""Duration from which an open root is reported by open-root markers, and from which the chunk with
+the root is backed up."""
+BODY_LENGTH_COLUMN = 10
+"""Index of the body's length in an evidence row; `TraceChunk` has the body at this position."""
 ROW_OVERHEAD_BYTES = 700
-"""Measured memory of a chunk and its table entries beyond its body (bench/tracing_bench.py)."""
+"""Memory of a chunk and its table entries beyond its body, measured by bench/tracing_bench.py."""
 
 
 @attrs.define(slots=True)
 class TraceChunk:
-    """Some ended spans of one trace, from one member.
+    """Ended spans of one trace, recorded by one member.
 
     Attributes
     ----------
-    origin, sequence : identify the chunk, also when it is sent twice or through another member.
-    sampled, probability : head decision of the trace and its probability (0.0: not known).
+    origin, sequence : the member that recorded the chunk and its number there; together they
+        identify the chunk, also when it is sent twice or through another member.
+    sampled, probability : head decision of the trace, and the probability of being sampled that it
+        was drawn with (0.0: not known).
     error : whether a span in the body has status ERROR.
     root_ms : duration of the root span if it is in the body, else `NO_ROOT_MS`.
-    root_open : the root runs on at `origin` while this chunk leaves: wait for more.
-    waited_s : how long a collector already had the chunk before it transferred it.
-    hops : members that forwarded the chunk because it belonged to another collector.
+    root_open : the root was still open at `origin` when the chunk was sent: more chunks follow.
+        Such a chunk is an open-root marker.
+    waited_s : how long the trace had waited at a collector that transferred the chunk; else 0.0.
+    hops : how many members forwarded the chunk because it belonged to another collector.
     """
 
     trace_id: TraceId
@@ -52,12 +57,12 @@
 
     @property
     def size_bytes(self) -> int:
-        """Memory the chunk is counted with."""
+        """Memory that the chunk counts for in byte budgets."""
         return len(self.body) + ROW_OVERHEAD_BYTES
 
 
 def encode_chunks(chunks: list[TraceChunk]) -> tuple[bytes, bytes]:
-    """Return the evidence rows and the joined bodies of `chunks`."""
+    """Return the evidence rows as JSON, and the concatenated bodies, of `chunks`."""
     rows = [
         (
             chunk.trace_id,
@@ -80,12 +85,12 @@
 
 
 def decode_chunks(evidence: bytes, bodies: bytes) -> list[TraceChunk]:
-    """Return the chunks that `encode_chunks` framed."""
+    """Return the chunks that `encode_chunks` encoded."""
     chunks = []
     start = 0
     for row in orjson.loads(evidence):
-        end = start + row[LENGTH_COLUMN]
-        row[LENGTH_COLUMN] = bodies[start:end]
+        end = start + row[BODY_LENGTH_COLUMN]
+        row[BODY_LENGTH_COLUMN] = bodies[start:end]
         chunks.append(TraceChunk(*row))
         start = end
     return chunks
--- a/src/zincvale/tracing/collector/collector.py
+++ b/src/zincvale/tracing/collector/collector.py
@@ -1,10 +1,10 @@
 """Collects the spans of the traces this member owns and decides them, as a pure state machine.
 
-Each trace waits a bounded time from its first span, then the policy chain decides on what came.
-Source: "Trace sampling: head, tail, adaptive". Added: open-root markers extend the wait within a
-bound, a verdict cache serves late spans, a late ERROR upgrades a verdict, a full table decides its
-oldest traces early (an ERROR among them is retained), and undecided traces move when the members
-change.
+Each trace waits a bounded time from its first span; then the policy chain decides on the evidence
+that arrived. Source: "Trace sampling: head, tail, adaptive". Added: open-root markers extend the
+wait up to a limit, a verdict cache handles late spans, a late ERROR revises a verdict, a full table
+decides its oldest traces early (those with an ERROR are retained), and undecided traces move to
+their new collectors when the members change.
 """
 
 from __future__ import annotations
@@ -49,26 +49,31 @@
 from zincvale.tracing.recorder.spans import MS_PER_S
 
 OPEN_ROOT_TIMEOUT_S = 16.0
-"""Three open-root markers may be lost before the root counts as lost."""
+"""How long after its last open-root marker a root counts as open; it allows for the loss of three
+markers."""
 RECHECK_S = 5.0
-"""How often a trace that waits for its root is checked."""
+"""Interval at which a trace whose root is open is checked again."""
 LATE_WAIT_S = 2.0
-"""Wait of a trace that is evaluated afresh for a late ERROR."""
+"""Wait of a dropped trace that is evaluated again for a late ERROR; also the shortest wait of a
+transferred trace."""
 MAX_HOPS = 1
-"""A chunk that was forwarded is accepted where it arrives: two members that disagree on its owner
-(one of them drains) would forward it in a loop. The next change of members moves it."""
+"""A chunk that was forwarded this often is accepted by the collector that receives it: two members
+that disagree on its owner (because one of them drains) would forward it in a loop. The next change
+of members moves it."""
 CREDIT_SHARE = 0.9
-"""Above this share of the byte budget no more credit is given."""
+"""Fraction of the byte budget up to which senders get credit."""
 BACKUP_SHARE = 0.25
-"""Share of the byte budget that backups may take besides."""
+"""Size of the backup store, as a fraction of the byte budget and in addition to it."""
 BACKUP_MARGIN_S = 30.0
-MAX_GRANT_BYTES = 256 * 1024
-MIN_GRANT_BYTES = 4 * 1024
+"""How much longer than the decision wait a backup is retained."""
+MAX_CREDIT_BYTES = 256 * 1024
+MIN_CREDIT_BYTES = 4 * 1024
+"""Below this share of the remaining budget a sender gets no credit."""
 
 
 @attrs.define(slots=True)
 class Collector:
-    """State machine: batches in, verdicts out."""
+    """State machine that takes batches of chunks and returns verdicts."""
 
     member_id: MemberId
     config: TracingConfig
@@ -78,11 +83,11 @@
     size_bytes: int = 0
     _pending: dict[TraceId, PendingTrace] = attrs.field(factory=dict)
     _waiting: deque[TraceId] = attrs.field(factory=deque)
-    """New traces: they all wait equally long from their first span, so the first is due first."""
+    """New traces in the order of arrival; all have the same wait, so the first is due first."""
     _due_otherwise: list[tuple[float, TraceId]] = attrs.field(factory=list)
-    """Heap of the traces that wait for another time: transferred, extended, evaluated afresh."""
+    """Heap of the traces with a wait of their own: transferred, extended or evaluated again."""
     _acknowledged: dict[MemberId, list[int]] = attrs.field(factory=dict)
-    """Sequences of decided chunks by origin, until the running input is handled."""
+    """Sequences of decided chunks by origin, collected while one input is handled."""
     _verdicts: VerdictCache = attrs.field(factory=VerdictCache)
     _backups: BackupStore = attrs.field(init=False)
     _is_full: bool = False
@@ -99,11 +104,12 @@
         return len(self._pending)
 
     def handle(self, event: Input, now: float) -> list[CollectorEffect]:
-        """Apply one input and return what to do; verdicts are reported once for each origin."""
+        """Apply one input and return the effects, with one acknowledgement for each origin."""
         effects = self._apply(event, now)
         if self._acknowledged:
             effects += [
-                AcknowledgeChunks(origin, found) for origin, found in self._acknowledged.items()
+                AcknowledgeChunks(origin, sequences)
+                for origin, sequences in self._acknowledged.items()
             ]
             self._acknowledged = {}
         return effects
@@ -119,34 +125,34 @@
             case MembersChanged(departed):
                 return self._handle_members(departed, now)
             case DecisionDue():
-                return self._handle_due(now)
+                return self._decide_due(now)
 
     def credit_bytes(self) -> int:
-        """Return what one sender may send before the next ack: an even share of the room left."""
-        room = int(self.config.collector_bytes * CREDIT_SHARE) - self.size_bytes
-        share = room // max(1, len(self.collectors.members))
-        if share < MIN_GRANT_BYTES:
+        """Return how many bytes a sender may send next: an even share of the free budget."""
+        free_bytes = int(self.config.collector_bytes * CREDIT_SHARE) - self.size_bytes
+        share_bytes = free_bytes // max(1, len(self.collectors.members))
+        if share_bytes < MIN_CREDIT_BYTES:
             return 0
-        return min(share, MAX_GRANT_BYTES)
+        return min(share_bytes, MAX_CREDIT_BYTES)
 
     def pending(self, trace_id: TraceId) -> PendingTrace | None:
         """Return an undecided trace, or None."""
         return self._pending.get(trace_id)
 
     def pending_of_request(self, request_id: str) -> list[PendingTrace]:
-        """Return the undecided traces of a request; walks the table."""
+        """Return the undecided traces of a request; searches all undecided traces."""
         return [
-            row
-            for row in self._pending.values()
-            if any(chunk.request_id == request_id for chunk in row.chunks)
+            trace
+            for trace in self._pending.values()
+            if any(chunk.request_id == request_id for chunk in trace.chunks)
         ]
 
     def primary_of(self, trace_id: TraceId) -> MemberId | None:
-        """Return the primary of a decided trace, `DROPPED`, or None when it is not remembered."""
+        """Return the primary of a decided trace, `DROPPED`, or None when no verdict is cached."""
         return self._verdicts.primary(trace_id)
 
     def mark_retained_here(self, trace_id: TraceId) -> None:
-        """Record that this member has a replica of the trace: late spans belong here."""
+        """Record that this member has a replica of the trace and takes its late spans."""
         self._verdicts.remember(trace_id, self.member_id)
         self._backups.drop(trace_id)
 
@@ -159,13 +165,13 @@
     def _collect(self, chunk: TraceChunk, now: float) -> list[CollectorEffect]:
         self.stats.chunks += 1
         trace_id = chunk.trace_id
-        row = self._pending.get(trace_id)
-        if row is not None:
-            self._add(row, chunk, now)
+        trace = self._pending.get(trace_id)
+        if trace is not None:
+            self._add(trace, chunk, now)
             return []
         primary = self._verdicts.primary(trace_id)
         if primary is not None:
-            return self._collect_late(chunk, primary, now)
+            return self._handle_late_chunk(chunk, primary, now)
         if self._belongs_elsewhere(chunk):
             self.stats.passed_on += 1
             return [ForwardChunk(attrs.evolve(chunk, hops=chunk.hops + 1))]
@@ -173,8 +179,8 @@
             self._add_pending(chunk, now, self.config.decision_wait_s - chunk.waited_s)
             return []
         self._waiting.append(trace_id)
-        self._pending[trace_id] = row = PendingTrace(trace_id, now, [])
-        self._add(row, chunk, now)
+        self._pending[trace_id] = trace = PendingTrace(trace_id, now, [])
+        self._add(trace, chunk, now)
         return []
 
     def _belongs_elsewhere(self, chunk: TraceChunk) -> bool:
@@ -185,30 +191,30 @@
         return not is_collecting or chunk.hops < MAX_HOPS
 
     def _add_pending(self, chunk: TraceChunk, now: float, wait_s: float) -> None:
-        """Collect a trace that is due at a time of its own."""
-        row = PendingTrace(chunk.trace_id, now - chunk.waited_s, [])
-        self._pending[chunk.trace_id] = row
+        """Collect a trace that is due after `wait_s` instead of the usual wait."""
+        trace = PendingTrace(chunk.trace_id, now - chunk.waited_s, [])
+        self._pending[chunk.trace_id] = trace
         due_at = now + max(wait_s, LATE_WAIT_S)
         heapq.heappush(self._due_otherwise, (due_at, chunk.trace_id))
-        self._add(row, chunk, now)
+        self._add(trace, chunk, now)
 
-    def _add(self, row: PendingTrace, chunk: TraceChunk, now: float) -> None:
-        for stored in row.chunks:
+    def _add(self, trace: PendingTrace, chunk: TraceChunk, now: float) -> None:
+        for stored in trace.chunks:
             if stored.sequence == chunk.sequence and stored.origin == chunk.origin:
                 self.stats.duplicates += 1
                 return
-        row.chunks.append(chunk)
+        trace.chunks.append(chunk)
         self.size_bytes += chunk.size_bytes
         if chunk.error:
-            row.error = True
+            trace.error = True
         if chunk.root_open:
-            row.open_until = now + OPEN_ROOT_TIMEOUT_S
-            row.ingress = chunk.origin
+            trace.open_until = now + OPEN_ROOT_TIMEOUT_S
+            trace.ingress = chunk.origin
         elif chunk.root_ms >= 0.0:
-            row.root_ms = chunk.root_ms
-            row.open_until = 0.0
+            trace.root_ms = chunk.root_ms
+            trace.open_until = 0.0
 
-    def _collect_late(
+    def _handle_late_chunk(
         self, chunk: TraceChunk, primary: MemberId, now: float
     ) -> list[CollectorEffect]:
         if primary == self.member_id:
@@ -221,7 +227,7 @@
             self.stats.late_dropped += 1
             self._acknowledge(chunk)
             return []
-        # The earlier spans were dropped, but what failed late is still worth retaining.
+        # The earlier spans are lost, but the late ERROR is still retained.
         self.stats.revised += 1
         self._verdicts.forget(chunk.trace_id)
         self._add_pending(chunk, now, LATE_WAIT_S)
@@ -234,12 +240,12 @@
             verdict = evaluate(self.chain, evidence)
         return RetainTrace([chunk], verdict or Verdict(NO_POLICY, 1.0), chunk.error)
 
-    def _handle_due(self, now: float) -> list[CollectorEffect]:
+    def _decide_due(self, now: float) -> list[CollectorEffect]:
         effects: list[CollectorEffect] = []
-        seen_before = now - self.config.decision_wait_s
+        due_if_seen_by = now - self.config.decision_wait_s
         while self._waiting:
-            row = self._pending.get(self._waiting[0])
-            if row is not None and row.first_seen_at > seen_before:
+            trace = self._pending.get(self._waiting[0])
+            if trace is not None and trace.first_seen_at > due_if_seen_by:
                 break
             effects += self._decide_unless_open(self._waiting.popleft(), now)
         while self._due_otherwise and self._due_otherwise[0][0] <= now:
@@ -248,48 +254,48 @@
         return effects
 
     def _decide_unless_open(self, trace_id: TraceId, now: float) -> list[CollectorEffect]:
-        row = self._pending.get(trace_id)
-        if row is None:
+        trace = self._pending.get(trace_id)
+        if trace is None:
             return []
-        if self._must_wait(row, now):
+        if self._must_wait_for_root(trace, now):
             self.stats.extended += 1
             heapq.heappush(self._due_otherwise, (now + RECHECK_S, trace_id))
             return []
-        return self._decide(row, now)
+        return self._decide(trace, now)
 
-    def _must_wait(self, row: PendingTrace, now: float) -> bool:
-        if row.open_until <= now:
+    def _must_wait_for_root(self, trace: PendingTrace, now: float) -> bool:
+        if trace.open_until <= now:
             return False
-        return now - row.first_seen_at < self.config.longest_wait_s
+        return now - trace.first_seen_at < self.config.longest_wait_s
 
-    def _decide(self, row: PendingTrace, now: float) -> list[CollectorEffect]:
-        del self._pending[row.trace_id]
+    def _decide(self, trace: PendingTrace, now: float) -> list[CollectorEffect]:
+        del self._pending[trace.trace_id]
         self.stats.decided += 1
-        verdict = evaluate(self.chain, self._evidence(row, now))
-        for chunk in row.chunks:
+        verdict = evaluate(self.chain, self._evidence(trace, now))
+        for chunk in trace.chunks:
             self.size_bytes -= chunk.size_bytes
             if verdict is None:
                 self._acknowledge(chunk)
         if verdict is None:
-            self._verdicts.remember(row.trace_id, DROPPED)
+            self._verdicts.remember(trace.trace_id, DROPPED)
             return []
         self.stats.kept += 1
-        self._verdicts.remember(row.trace_id, self.member_id)
-        return [RetainTrace(row.chunks, verdict, row.error)]
+        self._verdicts.remember(trace.trace_id, self.member_id)
+        return [RetainTrace(trace.chunks, verdict, trace.error)]
 
     def _acknowledge(self, chunk: TraceChunk) -> None:
         self._acknowledged.setdefault(chunk.origin, []).append(chunk.sequence)
 
-    def _evidence(self, row: PendingTrace, now: float) -> Evidence:
-        if row.open_until <= 0.0:
-            return Evidence(row.trace_id, row.error, row.root_ms, now)
-        # The root runs on, or its member departed: it took at least as long as was observed.
-        seen_ms = (min(row.open_until, now) - row.first_seen_at) * MS_PER_S
-        is_ingress_lost = row.ingress not in self.collectors.live_members
-        return Evidence(row.trace_id, row.error, seen_ms, now, is_ingress_lost)
+    def _evidence(self, trace: PendingTrace, now: float) -> Evidence:
+        if trace.open_until <= 0.0:
+            return Evidence(trace.trace_id, trace.error, trace.root_ms, now)
+        # The root is open or its member departed: use its duration so far as a lower bound.
+        observed_ms = (min(trace.open_until, now) - trace.first_seen_at) * MS_PER_S
+        is_ingress_lost = trace.ingress not in self.collectors.live_members
+        return Evidence(trace.trace_id, trace.error, observed_ms, now, is_ingress_lost)
 
     def _enforce_budget(self, now: float) -> list[CollectorEffect]:
-        """Decide the oldest traces early: dropping new ones would lose ERRORs that come."""
+        """Decide the oldest traces early; dropping new chunks instead would lose their ERRORs."""
         effects: list[CollectorEffect] = []
         was_full = self._is_full
         self._is_full = False
@@ -309,29 +315,31 @@
 
     def _handle_members(self, departed: frozenset[MemberId], now: float) -> list[CollectorEffect]:
         self._verdicts.forget_primaries(departed)
-        effects = self._handle_batch(self._backups.take_of(departed), now)
+        effects = self._handle_batch(self._backups.take_from(departed), now)
         moved = [
-            (trace_id, row)
-            for trace_id, row in self._pending.items()
+            (trace_id, trace)
+            for trace_id, trace in self._pending.items()
             if self.collectors.owner(trace_id) not in (None, self.member_id)
         ]
-        for trace_id, row in moved:
-            effects += self._transfer(trace_id, row, now)
+        for trace_id, trace in moved:
+            effects += self._transfer(trace_id, trace, now)
         if moved:
             effects.append(Log(TRACES_HANDED_OVER, {"traces": len(moved)}))
         return effects + self._announce_moved_verdicts()
 
-    def _transfer(self, trace_id: TraceId, row: PendingTrace, now: float) -> list[CollectorEffect]:
+    def _transfer(
+        self, trace_id: TraceId, trace: PendingTrace, now: float
+    ) -> list[CollectorEffect]:
         del self._pending[trace_id]
-        waited_s = now - row.first_seen_at
+        waited_s = now - trace.first_seen_at
         effects: list[CollectorEffect] = []
-        for chunk in row.chunks:
+        for chunk in trace.chunks:
             self.size_bytes -= chunk.size_bytes
             effects.append(ForwardChunk(attrs.evolve(chunk, waited_s=waited_s, hops=MAX_HOPS)))
         return effects
 
     def _announce_moved_verdicts(self) -> list[CollectorEffect]:
-        """Notify new owners which retained traces stay here, so that late spans find them."""
+        """Notify new owners of the traces retained here, so that they forward late spans."""
         moved: dict[MemberId, list[str]] = {}
         for trace_id in self._verdicts.retained_by(self.member_id):
             owner = self.collectors.owner(trace_id)
--- a/src/zincvale/tracing/collector/effects.py
+++ b/src/zincvale/tracing/collector/effects.py
@@ -1,4 +1,4 @@
-"""Effects of the collector beside `Send` and `Log`."""
+"""Effects of the collector besides `Send` and `Log`."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @attrs.frozen
 class RetainTrace:
-    """The chain retains this trace: store its chunks under `verdict`, or add them to its row.
+    """A policy retains this trace: store its chunks, or add them to the trace if it is stored.
 
-    Whoever stores them also acknowledges them, once they are safe.
-    `is_error` says that the trace stands for itself alone (see `policies.weight`).
+    The component that stores the chunks also acknowledges them, once the trace is safe.
+    `is_error` is whether a span has status ERROR, which makes the weight 1 (see `policies.weight`).
     """
 
     chunks: list[TraceChunk]
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class ForwardChunk:
-    """The chunk belongs to another collector: send it there, with flow control and retries."""
+    """The chunk belongs to another collector: send it there with flow control and retries."""
 
     chunk: TraceChunk
 
--- a/src/zincvale/tracing/collector/inputs.py
+++ b/src/zincvale/tracing/collector/inputs.py
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class BatchReceived:
-    """Input: chunks arrived; `is_backup` ones are only stored for their origin's crash."""
+    """Input: chunks arrived; with `is_backup` they are stored only in case their origin is lost."""
 
     chunks: list[TraceChunk]
     is_backup: bool = False
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class VerdictsReceived:
-    """Input: `primary` retains these traces, whose hash owner is this member now."""
+    """Input: `primary` retains these traces, which this member now owns by the hash."""
 
     primary: MemberId
     trace_ids: list[TraceId]
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class MembersChanged:
-    """Input: the collector table changed; `departed` left, or restarted without their memory."""
+    """Input: the collector table changed; `departed` left, or restarted and lost their memory."""
 
     departed: frozenset[MemberId]
 
--- a/src/zincvale/tracing/collector/pending_trace.py
+++ b/src/zincvale/tracing/collector/pending_trace.py
@@ -1,4 +1,4 @@
-"""Rows of the collector's table, and its totals."""
+"""Undecided traces of the collector, and its totals."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 
 @attrs.define(slots=True, eq=False)
 class PendingTrace:
-    """One undecided trace.
+    """A trace that the collector has not decided yet.
 
     Attributes
     ----------
-    open_until : the root runs on at least until then, as its last marker says; 0.0 for none.
-    ingress : the member whose root is open.
+    open_until : the root counts as open until this time unless another open-root marker arrives;
+        0.0 while no marker says that it is open.
+    ingress : the member that has the open root.
     """
 
     trace_id: TraceId
--- a/src/zincvale/tracing/collector/policies.py
+++ b/src/zincvale/tracing/collector/policies.py
@@ -1,4 +1,4 @@
-"""The ordered chain of sampling policies: each retains or abstains, the first that retains wins.
+"""The ordered chain of sampling policies: each retains or abstains, and the first verdict counts.
 
 Source: "Trace sampling: head, tail, adaptive". Changed: the chain reads evidence instead of spans,
 the root is the span without a parent instead of the longest one, and the baseline is drawn from the
@@ -22,13 +22,14 @@
 SLOW_POLICY = "slow-always"
 BASELINE_POLICY = "random-baseline"
 NO_POLICY = ""
-"""Stands for late spans that are added to a retained trace without a reason of their own."""
+"""Policy of late spans that join a retained trace although no policy would retain them."""
 CERTAIN = 1.0
+"""Probability of a verdict that does not depend on a random draw."""
 
 
 @attrs.define(slots=True)
 class Evidence:
-    """What is known of a trace when the chain is evaluated."""
+    """What is known about a trace when the chain is evaluated."""
 
     trace_id: TraceId
     error: bool = False
@@ -37,7 +38,7 @@
     at: float = 0.0
     """When the chain is evaluated, in seconds on the collector's monotonic clock."""
     is_ingress_lost: bool = False
-    """The member that had the root departed while it was open."""
+    """Whether the member with the root departed while the root was open."""
 
 
 @attrs.frozen(slots=True)
@@ -89,22 +90,22 @@
 class RandomBaseline:
     """Retains a share of all traces, by a hash that is independent of the head decision.
 
-    The share falls as ordinary traces grow more frequent, down to the limiter's least rate: while
-    there is little traffic, every request can be explained.
+    The share falls as ordinary traces become more frequent, down to the limiter's minimum rate.
+    Under light traffic every trace is retained, so that every request can be explained.
     """
 
     limiter: AdaptiveLimiter
 
     def evaluate(self, evidence: Evidence) -> Verdict | None:
         """Return the verdict, or None to abstain."""
-        drawn = xxhash.xxh64_intdigest(evidence.trace_id.encode())
-        if not self.limiter.decide(drawn, evidence.at):
+        draw = xxhash.xxh64_intdigest(evidence.trace_id.encode())
+        if not self.limiter.decide(draw, evidence.at):
             return None
         return Verdict(BASELINE_POLICY, self.limiter.rate)
 
 
 def default_chain(config: TracingConfig) -> tuple[SamplingPolicy, ...]:
-    """Return the chain of the design: errors, lost ingress nodes, slow roots, baseline."""
+    """Return the default chain: errors, lost ingress nodes, slow roots, baseline."""
     baseline = AdaptiveLimiter(config.baseline_traces_per_s, MAX_RATE, config.baseline_share)
     if not config.baseline_traces_per_s:
         baseline.set_rate(config.baseline_share)
@@ -126,10 +127,10 @@
 
 
 def weight(verdict: Verdict, head_probability: float, is_error: bool) -> float:
-    """Return how many traces a retained one stands for: 1 / probability of its retention.
+    """Return how many traces a retained one represents: 1 / probability of its retention.
 
-    Every ERROR trace is retained, sampled or promoted, so it stands for itself alone. A trace whose
-    head probability is not known gets 0.0, which leaves it out of statistics.
+    Every ERROR trace is retained, because it is sampled or promoted, so its weight is 1. A trace
+    whose head probability is not known gets 0.0, which leaves it out of statistics.
     """
     if is_error:
         return 1.0
--- a/src/zincvale/tracing/config.py
+++ b/src/zincvale/tracing/config.py
@@ -1,4 +1,4 @@
-"""Settings of the tracing plane."""
+"""Settings of tracing."""
 
 from __future__ import annotations
 
@@ -11,36 +11,40 @@
 
 @dataclass
 class TracingConfig(Checked):
-    """Budgets, waits and thresholds; the defaults are those of the design page, or ours."""
+    """Budgets, waits and thresholds of tracing, with their defaults."""
 
     head_sampling: bool = True
-    """False samples every trace: for members that make few of them."""
+    """Whether new traces are sampled at an adaptive rate. False samples every trace, for members
+    that start few of them."""
     target_traces_per_s: float = 500.0
-    """Traces a second that the head decisions of all nodes together aim at."""
+    """Target number of traces that all nodes together sample per second."""
     node_traces_per_s: float = 0.0
-    """Traces a second that the head decisions of one node aim at, at most; 0 bounds only all nodes
-    together. With many collectors each trace is an exchange of its own."""
+    """Upper limit of the target of one node, in traces per second; 0 sets none beyond the node's
+    share of `target_traces_per_s`. With many collectors each trace needs a message exchange of its
+    own."""
     decision_wait_s: float = 30.0
-    """From a trace's first span at its collector until its verdict."""
+    """Time from the arrival of a trace's first span at its collector until its verdict."""
     longest_wait_s: float = 600.0
-    """Bound of the wait while open-root markers come."""
+    """Longest time until the verdict of a trace whose wait is extended by open-root markers."""
     slow_root_ms: float = 500.0
+    """Root duration above which a trace is retained as slow."""
     baseline_share: float = 0.01
-    """Least share of ordinary traces that a collector retains."""
+    """Smallest fraction of ordinary traces (no ERROR, not slow) that a collector retains."""
     baseline_traces_per_s: float = 10.0
-    """Ordinary traces a second that a collector retains as long as the share allows; 0 means just
-    the share."""
+    """Ordinary traces that a collector aims to retain per second, where `baseline_share` would give
+    fewer; 0 always retains just `baseline_share`."""
     num_traces: int = 200_000
-    """Most undecided traces in one collector."""
+    """Maximum number of undecided traces in one collector."""
     collector_bytes: int = 64 * MEBIBYTE
-    """Most bytes of undecided traces in one collector."""
+    """Maximum bytes of undecided traces in one collector."""
     sender_bytes: int = 32 * MEBIBYTE
-    """Most bytes queued for collectors, or retained until their verdict."""
+    """Maximum bytes of chunks queued for collectors or retained by the sender until their
+    verdict."""
     kept_bytes: int = 64 * MEBIBYTE
-    """Most bytes of retained traces in one member, replicas included."""
+    """Maximum bytes of retained traces in one member, including replicas."""
     kept_s: float = 24 * 3600.0
-    """Longest retention of a retained trace."""
+    """Maximum time in seconds for which a retained trace is stored."""
     open_bytes: int = 16 * MEBIBYTE
-    """Most bytes of ended spans whose trace is not flushed or dropped yet."""
+    """Maximum bytes of ended spans that a member buffers before their trace is sent or dropped."""
     copy_errors: bool = True
     """Whether retained ERROR traces are replicated to a second member."""
--- a/src/zincvale/tracing/log_events.py
+++ b/src/zincvale/tracing/log_events.py
@@ -1,21 +1,21 @@
-"""Log events of the tracing plane (8xxx)."""
+"""Log events of tracing (8xxx)."""
 
 from __future__ import annotations
 
 from zincvale.model.log_events import declare
 
 SPANS_DROPPED = declare(
-    8001, "tracing.spans.dropped", "Trace chunks were dropped at the sender: its buffer is full."
+    8001, "tracing.spans.dropped", "The sender dropped trace chunks because its buffer is full."
 )
 COLLECTOR_FULL = declare(
     8002,
     "tracing.collector.full",
-    "The collector's table is over its budget; the oldest traces are decided early.",
+    "Undecided traces are above the budget of this collector; the oldest are decided early.",
 )
 COLLECTOR_LOST = declare(
     8003,
     "tracing.collector.lost",
-    "A collector left or restarted; its undecided chunks are sent again to the new owners.",
+    "A collector left or restarted; the chunks it had not decided are sent to the new owners.",
 )
 TRACES_HANDED_OVER = declare(
     8004,
@@ -25,5 +25,6 @@
 RETAINED_EVICTED = declare(
     8005,
     "tracing.retained.evicted",
-    "Kept traces were evicted to hold the byte budget; names the class and its oldest trace.",
+    "Retained traces were evicted to keep the byte budget; `evicted` counts them by class, and"
+    " `complete_since` gives the time since which each class is complete.",
 )
--- a/src/zincvale/tracing/messages.py
+++ b/src/zincvale/tracing/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the tracing parts of daemons."""
+"""Messages that the tracing services of daemons exchange."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class SpanBatch:
     """Chunks for the collector (see `chunks.encode_chunks`); answered by `BatchAck`.
 
-    An empty batch asks for credit. `backup` chunks are only stored, in case their collector, which
-    is also their origin, is lost.
+    An empty batch asks for credit. Chunks sent with `backup` are only stored: their sender collects
+    them itself, and the backup replaces them if that member is lost.
     """
 
     batch: int
@@ -28,7 +28,8 @@
     """The batch arrived; the sender may send `credit_bytes` more before the next ack.
 
     The ack of a batch says only that it arrived: its chunks stay retained at the sender until
-    `acknowledged` (as in `ChunksAcknowledged`) names them. These ride on acks while batches come.
+    `acknowledged` (as in `ChunksAcknowledged`) names them. Acknowledgements are sent along with
+    acks as long as batches arrive, and as `ChunksAcknowledged` otherwise.
     """
 
     batch: int
@@ -39,7 +40,7 @@
 @peer_message("tracing.chunks-settled")
 @attrs.frozen
 class ChunksAcknowledged:
-    """The traces of these chunks are decided, and stored on two members where retained as ERROR."""
+    """The traces of these chunks are decided; retained ERROR traces are stored on two members."""
 
     sequences: list[int]
 
@@ -47,7 +48,7 @@
 @peer_message("tracing.kept-copy")
 @attrs.frozen
 class TraceReplica:
-    """Chunks of one retained trace, for the member that takes over when its primary is lost."""
+    """Chunks of one retained trace, sent to the member that takes over if its primary is lost."""
 
     replica_id: int
     trace_id: str
@@ -61,7 +62,7 @@
 @peer_message("tracing.kept-copy-ack")
 @attrs.frozen
 class TraceReplicaAck:
-    """The replica is stored."""
+    """The receiver stored the trace replica `replica_id`."""
 
     replica_id: int
 
@@ -69,7 +70,7 @@
 @peer_message("tracing.verdicts-moved")
 @attrs.frozen
 class VerdictsMoved:
-    """The sender is the primary of these retained traces; late spans of them belong there."""
+    """The sender is the primary of these retained traces; their late spans are sent to it."""
 
     trace_ids: list[str]
 
@@ -77,6 +78,6 @@
 @peer_message("tracing.promote")
 @attrs.frozen
 class PromoteTraces:
-    """These unsampled traces have an ERROR: send what is buffered of them to their collectors."""
+    """These unsampled traces have an ERROR: send their buffered spans to their collectors."""
 
     trace_ids: list[str]
--- a/src/zincvale/tracing/metrics.py
+++ b/src/zincvale/tracing/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of the tracing plane, read from the machines when scraped."""
+"""Prometheus metrics of tracing, read from its state machines when they are scraped."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class TracingMetrics(MetricsCollector):
-    """Reads one service's stats at each scrape: the request path pays nothing for metrics."""
+    """Reads the statistics of one service at each scrape, which costs requests nothing."""
 
     def __init__(self, service: TracingService) -> None:
         self._service = service
 
     def collect(self) -> Iterator[Metric]:
-        """Return every metric of the plane."""
-        yield from self._recorder()
-        yield from self._sender()
-        yield from self._collector()
-        yield from self._retained()
+        """Yield every metric of tracing."""
+        yield from self._recorder_metrics()
+        yield from self._sender_metrics()
+        yield from self._collector_metrics()
+        yield from self._retention_metrics()
 
-    def _recorder(self) -> Iterator[Metric]:
+    def _recorder_metrics(self) -> Iterator[Metric]:
         recorder = self._service.recorder
         stats = {"traces": recorder.limiter.counted, **attrs.asdict(recorder.stats)}
         yield from _counters("recorder", stats)
@@ -36,11 +36,11 @@
             recorder.limiter.pressure,
         )
 
-    def _sender(self) -> Iterator[Metric]:
+    def _sender_metrics(self) -> Iterator[Metric]:
         sender = self._service.sender
         stats = sender.stats
-        sent = {"batches": stats.batches, "chunks": stats.chunks, "resent": stats.resent}
-        yield from _counters("sender", sent)
+        totals = {"batches": stats.batches, "chunks": stats.chunks, "resent": stats.resent}
+        yield from _counters("sender", totals)
         dropped = CounterMetricFamily(
             "zincvale_tracing_sender_dropped",
             "Chunks dropped from the full sender buffer.",
@@ -56,13 +56,13 @@
             sender.retained_bytes,
         )
 
-    def _collector(self) -> Iterator[Metric]:
+    def _collector_metrics(self) -> Iterator[Metric]:
         collector = self._service.collector
         yield from _counters("collector", attrs.asdict(collector.stats))
         yield _gauge("collector_traces", "Undecided traces.", len(collector))
         yield _gauge("collector_bytes", "Bytes of undecided traces.", collector.size_bytes)
 
-    def _retained(self) -> Iterator[Metric]:
+    def _retention_metrics(self) -> Iterator[Metric]:
         replicator = self._service.replicator
         retained = CounterMetricFamily(
             "zincvale_tracing_kept", "Traces kept, by policy.", labels=["policy"]
@@ -81,7 +81,7 @@
 
 
 def register_metrics(service: TracingService, registry: CollectorRegistry) -> None:
-    """Add the plane's metrics to a daemon's registry."""
+    """Add the metrics of tracing to a daemon's registry."""
     registry.register(TracingMetrics(service))
 
 
--- a/src/zincvale/tracing/recorder/context.py
+++ b/src/zincvale/tracing/recorder/context.py
@@ -1,8 +1,9 @@
-"""Trace identifiers and the context that children inherit.
+"""Trace identifiers and the context that child spans inherit.
 
-The head decision is drawn from the low 64 bits of the trace identifier and travels in the sampled
-bit; the probability it was drawn with travels beside it, as in consistent probability sampling, so
-that a retained trace can be weighted by the inverse of its selection probability.
+The head decision is drawn from the low 64 bits of the trace identifier and sent in the sampled
+bit of the header. As in consistent probability sampling, the header also carries the probability
+that it was drawn with, so that a retained trace can be weighted by the inverse of its selection
+probability.
 """
 
 from __future__ import annotations
@@ -24,13 +25,14 @@
 
 @attrs.frozen(slots=True)
 class TraceContext:
-    """Position in a trace, as another member's header gives it.
+    """A span's place in a trace, as the header of another member gives it.
 
     Attributes
     ----------
     sampled : the head decision of the whole trace.
-    probability : probability of that decision being `sampled`; 0.0 means not known.
-    ingress : the member that minted the trace; empty means not known.
+    probability : the probability of being sampled that the decision was drawn with; 0.0 means not
+        known.
+    ingress : the member that started the trace; empty means not known.
     """
 
     trace_id: TraceId
@@ -47,7 +49,7 @@
 
 
 def parse_context(header: str) -> TraceContext | None:
-    """Return the context in a header line, or None when it is not one."""
+    """Return the context in a header line, or None when the line is malformed."""
     parent, *fields = header.split(";")
     parts = parent.split("-")
     if len(parts) != TRACEPARENT_FIELDS:
@@ -74,7 +76,7 @@
 
 
 def span_id_text(number: int) -> str:
-    """Return a span identifier as text."""
+    """Return a span identifier as 16 hexadecimal digits."""
     return f"{number:016x}"
 
 
--- a/src/zincvale/tracing/recorder/no_spans.py
+++ b/src/zincvale/tracing/recorder/no_spans.py
@@ -9,6 +9,7 @@
 from zincvale.tracing.recorder.spans import AttributeValue
 
 NO_CONTEXT = TraceContext("0" * 32, "0" * 16, False)  # type: ignore[arg-type]
+"""Context of `NoSpan`: all-zero identifiers, not sampled."""
 
 
 class NoSpan:
@@ -39,8 +40,8 @@
         parent: str | None = None,
         attributes: Mapping[str, AttributeValue] | None = None,
     ) -> NoSpan:
-        """Return the span that records nothing."""
-        del name, trace, parent, attributes  # The interface of `SpanRecorder.start`.
+        """Return a span that records nothing."""
+        del name, trace, parent, attributes  # Same interface as `SpanRecorder.start`.
         return _NO_SPAN
 
 
--- a/src/zincvale/tracing/recorder/open_trace.py
+++ b/src/zincvale/tracing/recorder/open_trace.py
@@ -1,7 +1,7 @@
-"""The part of a trace that is open on this member, and the span handles given out.
+"""Open traces of this member and the spans that its code records.
 
-This is the only part of tracing that every request pays for, sampled or not. Identifiers are
-numbers until they are sent, events stand flat in one list, and a span is its own context.
+This code runs for every request, sampled or not, and avoids allocations: identifiers are numbers
+until they are sent, events are stored flat in one list, and a span is its own context.
 """
 
 from __future__ import annotations
@@ -18,24 +18,27 @@
     Attributes,
     AttributeValue,
     SpanRow,
-    bounded,
+    truncate_texts,
 )
 
 MAX_EVENTS_PER_SPAN = 512
 MAX_ENDED_SPANS = 64
-"""Ended spans that one trace buffers while others of its spans run on."""
+"""Maximum number of ended spans that one trace buffers while other spans of it are open."""
 EVENTS_DROPPED_ATTRIBUTE = "events_dropped"
+"""Attribute that counts the events dropped beyond `MAX_EVENTS_PER_SPAN`."""
 UNNAMED_ERROR = "error"
+"""Stored in place of an empty error message."""
 OPEN_S = -1.0
-"""Duration of a span that did not end yet."""
+"""Duration of a span that has not ended yet."""
 
 FIELDS_OF_EVENT = 3
-"""Events stand flat in one list: name, time on the member's monotonic clock, attributes."""
+"""Elements of the flat event list for each event: its name, time on the member's monotonic clock,
+and attributes."""
 MAX_EVENT_FIELDS = MAX_EVENTS_PER_SPAN * FIELDS_OF_EVENT
 
 
 class SpanSink(Protocol):
-    """What a running span reports to: the recorder."""
+    """The recorder, as open spans use it."""
 
     @property
     def clock(self) -> Callable[[], float]:
@@ -43,42 +46,43 @@
         ...
 
     def on_span_failed(self, trace: OpenTrace) -> None:
-        """A span of the trace has status ERROR."""
+        """Called when a span of the trace gets status ERROR."""
         ...
 
     def on_trace_idle(self, trace: OpenTrace) -> None:
-        """The last open span of the trace ended."""
+        """Called when the last open span of the trace has ended."""
         ...
 
     def on_trace_full(self, trace: OpenTrace) -> None:
-        """The trace buffers `MAX_ENDED_SPANS` ended spans, and others run on."""
+        """Called when the trace has `MAX_ENDED_SPANS` ended spans while others are open."""
         ...
 
     def on_context_sent(self, trace: OpenTrace) -> None:
-        """The context of the trace is sent to another member."""
+        """Called when the context of the trace is sent to another member."""
         ...
 
 
 @attrs.define(slots=True, eq=False)
 class OpenTrace:
-    """Spans of one trace that this member made and has not sent or dropped yet.
+    """Spans of one trace that this member recorded and has not sent or dropped yet.
 
     Attributes
     ----------
     trace_id : 32 lower-case hexadecimal digits.
     ingress : the member that has the root; empty when not known.
-    is_ingress : this member minted the trace and has its root.
-    sampled, probability : the head decision, and the probability it was drawn with.
+    is_ingress : this member started the trace and has its root.
+    sampled, probability : the head decision, and the probability of being sampled that it was drawn
+        with.
     flushed_at : when ended spans or an open-root marker were last sent.
-    is_known : the recorder can find the trace by its identifier.
-    promoted : an unsampled trace that turned out ERROR, and is sent like a sampled one.
-    error : a span had status ERROR.
-    root_ended : the root span ended.
-    participants : members that were given the context.
+    is_known : the trace is registered in the recorder's table, which finds it by its identifier.
+    promoted : the trace is not sampled but has an ERROR, so it is sent like a sampled one.
+    error : a span of the trace has status ERROR.
+    root_ended : the root span has ended.
+    participants : members that were sent the context; None for none.
     """
 
     trace_id: TraceId
-    replicator: SpanSink
+    sink: SpanSink
     ingress: MemberId
     sampled: bool
     probability: float
@@ -94,13 +98,13 @@
 
     @property
     def is_sent(self) -> bool:
-        """Whether the trace's spans go to its collector."""
+        """Whether the spans of the trace are sent to its collector."""
         return self.sampled or self.promoted
 
 
 @attrs.define(slots=True, eq=False)
 class OpenSpan:
-    """A span: the handle its maker adds attributes and events to, and what its children inherit.
+    """A span: records attributes and events, and is the context that its children inherit.
 
     `number` and `parent_number` are span identifiers as numbers; the root has no parent.
     """
@@ -137,18 +141,18 @@
 
     @property
     def probability(self) -> float:
-        """The probability of the head decision."""
+        """The probability of being sampled that the head decision was drawn with."""
         return self.trace.probability
 
     @property
     def ingress(self) -> MemberId:
-        """The member that has the root."""
+        """The member that has the root of the trace."""
         return self.trace.ingress
 
     def header(self) -> str:
-        """Return the context as one line for other members."""
+        """Return the context as a header line for other members."""
         trace = self.trace
-        trace.replicator.on_context_sent(trace)
+        trace.sink.on_context_sent(trace)
         return TraceContext(
             trace.trace_id, self.span_id, trace.sampled, trace.probability, trace.ingress
         ).header()
@@ -160,42 +164,42 @@
         return self.header()
 
     def set(self, name: str, value: AttributeValue) -> None:
-        """Set one attribute; long text is truncated when it is sent."""
+        """Set one attribute; long text is truncated when the span is sent."""
         self.attributes[name] = value
 
     def event(self, name: str, **attributes: AttributeValue) -> None:
-        """Record something that happened now; beyond the limit events are only counted."""
+        """Record an event that happens now; beyond the limit events are only counted."""
         events = self.events
         if events is None:
-            self.events = [name, self.trace.replicator.clock(), attributes]
+            self.events = [name, self.trace.sink.clock(), attributes]
         elif len(events) < MAX_EVENT_FIELDS:
-            events += (name, self.trace.replicator.clock(), attributes)
+            events += (name, self.trace.sink.clock(), attributes)
         else:
             self._count_dropped_event()
 
     def error(self, message: str) -> None:
-        """Give the span status ERROR; the first message stays."""
+        """Set status ERROR and its message; later messages are ignored."""
         if not self.failure:
             self.failure = message[:MAX_TEXT_CHARACTERS] or UNNAMED_ERROR
-            self.trace.replicator.on_span_failed(self.trace)
+            self.trace.sink.on_span_failed(self.trace)
 
     def end(self) -> None:
-        """Finish the span now; a second call does nothing."""
+        """End the span now; a second call has no effect."""
         if self.duration_s != OPEN_S:
             return
         trace = self.trace
-        self.duration_s = trace.replicator.clock() - self.start_s
+        self.duration_s = trace.sink.clock() - self.start_s
         trace.ended.append(self)
         trace.open_spans -= 1
         if self.parent_number is None:
             trace.root_ended = True
         if not trace.open_spans:
-            trace.replicator.on_trace_idle(trace)
+            trace.sink.on_trace_idle(trace)
         elif len(trace.ended) >= MAX_ENDED_SPANS:
-            trace.replicator.on_trace_full(trace)
+            trace.sink.on_trace_full(trace)
 
     def to_row(self, member: MemberId, wall_offset_s: float) -> SpanRow:
-        """Return the row that is sent; `wall_offset_s` is wall clock minus monotonic clock."""
+        """Return the span as a row of a body; `wall_offset_s` is wall minus monotonic clock."""
         start_s = self.start_s
         parent = self.parent_number
         return (
@@ -207,7 +211,7 @@
             start_s,
             self.duration_s,
             self.failure,
-            bounded(self.attributes),
+            truncate_texts(self.attributes),
             [(name, at - start_s, attributes) for name, at, attributes in self._event_fields()],
         )
 
--- a/src/zincvale/tracing/recorder/spans.py
+++ b/src/zincvale/tracing/recorder/spans.py
@@ -1,8 +1,9 @@
-"""Finished spans and their compact body.
+"""Finished spans and their encoding as the body of a chunk.
 
-A body is a JSON array of rows, written by `orjson`; messages carry it as opaque bytes, and only
-retained traces are ever read back. Row: `[span_id, parent_id, name, member, start_wall_s, start_s,
-duration_s, failure, attributes, events]` with events `[name, offset_s, attributes]`.
+A body is a JSON array of rows, written by `orjson`; messages carry it as opaque bytes, and only the
+bodies of retained traces and of traces in API responses are decoded. Row:
+`[span_id, parent_id, name, member, start_wall_s, start_s, duration_s, failure, attributes, events]`
+with events `[name, offset_s, attributes]`.
 """
 
 from __future__ import annotations
@@ -18,16 +19,20 @@
 AttributeValue = str | int | float | bool
 Attributes = dict[str, AttributeValue]
 SpanRow = tuple[Any, ...]
-"""One span as it is sent; the columns stand in this module's docstring."""
+"""One encoded span; the docstring of this module lists the columns."""
 
 ROOT_PARENT = ""
+"""`parent_id` of the root span."""
 MS_PER_S = 1000.0
 MAX_BODY_BYTES = 128 * 1024
+"""A longer body is encoded again without events and with fewer spans and attributes."""
 MAX_SPANS_OF_LONG_BODY = 64
 MAX_ATTRIBUTES_OF_LONG_BODY = 24
 MAX_TEXT_CHARACTERS = 512
+"""Attribute values and error messages are truncated to this length."""
 SUBJECT_ATTRIBUTES = ("request_id", "order_id")
 TRUNCATED_ATTRIBUTE = "truncated_spans_of"
+"""Attribute that gives the number of spans in a body before it was truncated."""
 
 
 class SpanStatus(enum.Enum):
@@ -39,7 +44,7 @@
 
 @attrs.define(slots=True)
 class SpanEvent:
-    """Something that happened during a span, `offset_s` seconds after its start."""
+    """An event of a span, `offset_s` seconds after the span's start."""
 
     name: str
     offset_s: float
@@ -53,10 +58,10 @@
     Attributes
     ----------
     parent_id : the parent's span identifier; `ROOT_PARENT` for the root.
-    member : the daemon that made the span.
-    start_wall_s : seconds since the epoch, for people.
-    start_s, duration_s : on the member's monotonic clock.
-    failure : what failed; empty for status OK.
+    member : the member that recorded the span.
+    start_wall_s : start time in seconds since the epoch.
+    start_s, duration_s : start and duration on the member's monotonic clock.
+    failure : error message; empty for status OK.
     """
 
     span_id: str
@@ -72,7 +77,7 @@
 
     @property
     def status(self) -> SpanStatus:
-        """The span's status."""
+        """ERROR when the span has an error message, else OK."""
         return SpanStatus.ERROR if self.failure else SpanStatus.OK
 
     @property
@@ -81,13 +86,13 @@
         return self.parent_id == ROOT_PARENT
 
     def to_row(self) -> SpanRow:
-        """Return the span as it is sent."""
+        """Return the span as a row of a body."""
         events = [(event.name, event.offset_s, event.attributes) for event in self.events]
         fields = attrs.astuple(self, recurse=False)
         return (*fields[:-1], events)
 
     def to_json(self) -> dict[str, Any]:
-        """Return the span as the trace API shows it."""
+        """Return the span as the trace API returns it."""
         return {
             "span_id": self.span_id,
             "parent_id": self.parent_id,
@@ -103,20 +108,20 @@
         }
 
 
-def bounded(attributes: Attributes) -> Attributes:
+def truncate_texts(attributes: Attributes) -> Attributes:
     """Return the attributes with long text truncated."""
     for value in attributes.values():
         if type(value) is str and len(value) > MAX_TEXT_CHARACTERS:
-            return {name: _truncated(value) for name, value in attributes.items()}
+            return {name: _truncated_value(value) for name, value in attributes.items()}
     return attributes
 
 
-def _truncated(value: AttributeValue) -> AttributeValue:
+def _truncated_value(value: AttributeValue) -> AttributeValue:
     return value[:MAX_TEXT_CHARACTERS] if isinstance(value, str) else value
 
 
 def subject_of(attributes: Attributes) -> str:
-    """Return the subject of a root span: the identifier of its request or order."""
+    """Return the identifier of the request or order in the attributes of a root span."""
     for name in SUBJECT_ATTRIBUTES:
         value = attributes.get(name)
         if value:
@@ -127,32 +132,42 @@
 def encode_rows(rows: list[SpanRow]) -> bytes:
     """Return the body that holds the spans in `rows`.
 
-    An attribute that JSON cannot hold (a lone surrogate, an integer over 64 bits) is written as
-    text, and a body that would be too long loses its events: a span never fails the request that
-    made it.
+    When JSON cannot represent an attribute (a lone surrogate, an integer of more than 64 bits),
+    names and values are written as ASCII text. A body over `MAX_BODY_BYTES` is truncated. In this
+    way a span never fails the request that recorded it.
     """
     try:
         body = orjson.dumps(rows)
     except TypeError:
-        body = orjson.dumps([_as_text(row) for row in rows])
+        body = orjson.dumps([_row_as_text(row) for row in rows])
     if len(body) > MAX_BODY_BYTES:
-        body = orjson.dumps([_bare(row, len(rows)) for row in rows[:MAX_SPANS_OF_LONG_BODY]])
-    # orjson leaves its buffer several times too large, and bodies are retained for a long time.
+        body = orjson.dumps(
+            [_truncated_row(row, len(rows)) for row in rows[:MAX_SPANS_OF_LONG_BODY]]
+        )
+    # Copy: orjson over-allocates its buffer several times, and bodies are retained for a long time.
     return bytes(memoryview(body))
 
 
-def _as_text(row: SpanRow) -> SpanRow:
+def _row_as_text(row: SpanRow) -> SpanRow:
     *ids, name, member, start_wall_s, start_s, duration_s, failure, attributes, events = row
-    texts = [(event, at, _texts(values)) for event, at, values in events]
+    text_events = [(event, at, _attributes_as_text(values)) for event, at, values in events]
     times = (start_wall_s, start_s, duration_s)
-    return (*ids, ascii(name), member, *times, ascii(failure), _texts(attributes), texts)
-
-
-def _texts(attributes: Attributes) -> Attributes:
+    return (
+        *ids,
+        ascii(name),
+        member,
+        *times,
+        ascii(failure),
+        _attributes_as_text(attributes),
+        text_events,
+    )
+
+
+def _attributes_as_text(attributes: Attributes) -> Attributes:
     return {ascii(name)[1:-1]: ascii(value) for name, value in attributes.items()}
 
 
-def _bare(row: SpanRow, span_count: int) -> SpanRow:
+def _truncated_row(row: SpanRow, span_count: int) -> SpanRow:
     *others, attributes, _ = row
     first_attributes = dict(list(attributes.items())[:MAX_ATTRIBUTES_OF_LONG_BODY])
     first_attributes[TRUNCATED_ATTRIBUTE] = span_count
@@ -161,9 +176,9 @@
 
 def decode_spans(body: bytes) -> list[Span]:
     """Return the spans in a body."""
-    return [_read_row(row) for row in orjson.loads(body)]
+    return [_span_of_row(row) for row in orjson.loads(body)]
 
 
-def _read_row(row: list[Any]) -> Span:
+def _span_of_row(row: list[Any]) -> Span:
     row[-1] = [SpanEvent(*event) for event in row[-1]]
     return Span(*row)
--- a/src/zincvale/tracing/retention/retained_store.py
+++ b/src/zincvale/tracing/retention/retained_store.py
@@ -1,8 +1,9 @@
 """The retained traces of one member, in memory, within budgets of bytes and time.
 
-Rows live in one table per class of policy, oldest first. Over the byte budget the baseline goes
-first, then slow traces, then errors; statistics over a class are unbiased back to its
-`complete_since`, the time of the youngest row that was evicted.
+There is one table for each class of policies, with the oldest trace first. Above the byte budget
+traces of the baseline and other policies are evicted first, then slow traces, then errors.
+Statistics over a class are unbiased back to its `complete_since`, the latest start time of a trace
+that was evicted from it.
 """
 
 from __future__ import annotations
@@ -17,18 +18,19 @@
 from zincvale.tracing.retention.retained_trace import RetainedTrace
 
 OTHER_CLASS = "other"
+"""Class of every policy that `EVICTION_ORDER` does not name, such as the baseline."""
 EVICTION_ORDER = (OTHER_CLASS, SLOW_POLICY, ERROR_POLICY)
 DEFAULT_FIND_LIMIT = 100
 
 
 @attrs.frozen
 class TraceQuery:
-    """What `find` looks for; empty fields match everything.
+    """Conditions of a search with `find`; empty fields match every trace.
 
     Attributes
     ----------
-    since : seconds since the epoch; older traces are left out.
-    limit : most rows returned, newest first.
+    since : start time in seconds since the epoch; older traces are left out.
+    limit : maximum number of traces returned; the newest are returned.
     """
 
     name: str = ""
@@ -40,7 +42,7 @@
     limit: int = DEFAULT_FIND_LIMIT
 
     def matches(self, trace: RetainedTrace) -> bool:
-        """Whether a retained trace matches every field."""
+        """Return whether a retained trace matches every condition."""
         if self.name and trace.name != self.name:
             return False
         if self.route and trace.route != self.route:
@@ -56,7 +58,14 @@
 
 @attrs.define(slots=True)
 class RetainedTraceStore:
-    """Table of retained traces with its indexes and budgets."""
+    """Table of retained traces with its indexes and budgets.
+
+    Attributes
+    ----------
+    retention_s : how long a trace is retained at most.
+    evicted : number of traces evicted above the byte budget, by class.
+    complete_since : latest start time of an evicted trace, by class, in seconds since the epoch.
+    """
 
     budget_bytes: int
     retention_s: float
@@ -99,7 +108,7 @@
         yield from self._rows_by_class[ERROR_POLICY].values()
 
     def put(self, trace: RetainedTrace) -> None:
-        """Store a new row, or one that `take_out` returned and the caller changed."""
+        """Store a new trace, or one that `take_out` returned and the caller changed."""
         name = trace.policy if trace.policy in EVICTION_ORDER else OTHER_CLASS
         self._rows_by_class[name][trace.trace_id] = trace
         self._class_by_trace[trace.trace_id] = name
@@ -109,7 +118,7 @@
         self._enforce_budget()
 
     def take_out(self, trace_id: TraceId) -> RetainedTrace | None:
-        """Remove and return a row; change rows only between this and `put`."""
+        """Remove and return a trace; a trace may be changed only between this and `put`."""
         name = self._class_by_trace.pop(trace_id, None)
         if name is None:
             return None
@@ -119,7 +128,7 @@
         return trace
 
     def expire(self, wall_now_s: float) -> None:
-        """Drop rows past their retention."""
+        """Remove traces whose retention time has passed."""
         for rows in self._rows_by_class.values():
             while rows:
                 oldest = next(iter(rows.values()))
--- a/src/zincvale/tracing/retention/retained_trace.py
+++ b/src/zincvale/tracing/retention/retained_trace.py
@@ -1,4 +1,4 @@
-"""A retained trace: its bodies, why it was retained, and what it can be found by."""
+"""A retained trace: its chunks, why it was retained, and the fields that searches use."""
 
 from __future__ import annotations
 
@@ -13,23 +13,25 @@
 from zincvale.tracing.recorder.spans import Span, decode_spans, subject_of
 
 ROW_OVERHEAD_BYTES = 1000
-"""Memory of a retained row and its index entries beyond its bodies (bench/tracing_bench.py)."""
+"""Memory of a retained trace and its index entries beyond its bodies, measured by
+bench/tracing_bench.py."""
 MAX_RETAINED_TRACE_BYTES = 2 * 1024 * 1024
-"""Later bodies of a longer trace are only counted."""
+"""Maximum bytes of bodies stored for one trace; the bytes of later bodies are only counted."""
 
 
 @attrs.define(slots=True, eq=False)
 class RetainedTrace:
-    """One row of the store of retained traces.
+    """One trace in the store of retained traces.
 
     Attributes
     ----------
-    policy, weight : why it is retained, and how many traces it stands for (0.0: not known).
-    primary : the member that decided it; another than the store's own for a replica.
-    replica_member : the member that has a replica; empty for none.
-    name : of the root span: `request` or `order`.
-    request_id : of the request, or the identifier of the order.
-    dropped_bytes : bytes of late spans beyond `MAX_RETAINED_TRACE_BYTES`.
+    policy, weight : why it is retained, and how many traces it represents (0.0: not known).
+    primary : the member that decided the trace, or took it over; the member of this store unless
+        this is a replica.
+    replica_member : the member that confirmed a replica; empty while there is none.
+    name : name of the root span: `request` or `order`.
+    request_id : identifier of the request or of the order.
+    dropped_bytes : bytes of late spans that were dropped because of `MAX_RETAINED_TRACE_BYTES`.
     """
 
     trace_id: TraceId
@@ -58,16 +60,16 @@
 
     @property
     def size_bytes(self) -> int:
-        """Memory the row is counted with."""
+        """Memory that the trace counts for in the byte budget."""
         return self.body_bytes + ROW_OVERHEAD_BYTES + CHUNK_OVERHEAD_BYTES * len(self.chunks)
 
     def spans(self) -> list[Span]:
-        """Return the spans, by their start."""
+        """Return the spans in the order of their start times."""
         spans = [span for chunk in self.chunks for span in decode_spans(chunk.body)]
         return sorted(spans, key=lambda span: span.start_wall_s)
 
     def add(self, chunk: TraceChunk) -> bool:
-        """Add a chunk; return False when it is stored already or does not fit any more."""
+        """Add a chunk; return False when it is already stored or the trace is too large for it."""
         for stored in self.chunks:
             if stored.sequence == chunk.sequence and stored.origin == chunk.origin:
                 return False
@@ -82,13 +84,13 @@
         return True
 
     def revise(self, verdict: Verdict, is_error: bool) -> None:
-        """Adopt a stronger reason, such as an ERROR that came late: one with a lower weight."""
-        revised = weight(verdict, self.probability, is_error)
-        is_first = self.weight <= 0.0
-        is_stronger = 0.0 < revised < self.weight
-        if is_first or is_stronger or (is_error and not self.is_error):
+        """Adopt the policy and weight of a verdict with a lower weight, such as a late ERROR."""
+        new_weight = weight(verdict, self.probability, is_error)
+        has_no_weight = self.weight <= 0.0
+        is_stronger = 0.0 < new_weight < self.weight
+        if has_no_weight or is_stronger or (is_error and not self.is_error):
             self.policy = verdict.policy
-            self.weight = revised
+            self.weight = new_weight
 
     def _index(self, span: Span) -> None:
         attributes = span.attributes
@@ -108,7 +110,7 @@
             self.start_wall_s = span.start_wall_s
 
     def summary(self) -> dict[str, Any]:
-        """Return one line of `trace find`."""
+        """Return the fields that a search shows, without the spans."""
         return {
             "trace_id": self.trace_id,
             "name": self.name,
--- a/src/zincvale/tracing/retention/trace_replicator.py
+++ b/src/zincvale/tracing/retention/trace_replicator.py
@@ -1,7 +1,7 @@
-"""Stores retained traces and replicates the ERROR ones to a second member, as a pure machine.
+"""Stores retained traces and replicates ERROR traces to a second member: a pure state machine.
 
-A retained trace is acknowledged to its origins once it is stored; an ERROR trace only once its
-replica is confirmed, so that no crash of one member loses it.
+The chunks of a retained trace are acknowledged to their origins once they are stored, and those of
+an ERROR trace only once its replica is confirmed, so that the crash of one member does not lose it.
 """
 
 from __future__ import annotations
@@ -23,11 +23,14 @@
 from zincvale.tracing.retention.retained_trace import RetainedTrace
 
 REPLICA_ACK_TIMEOUT_S = 2.0
+"""A replica that is not confirmed after this time is sent again."""
 REPLICATION_BYTES_PER_TICK = 512 * 1024
-"""Replicas made again after a crash are sent at this pace."""
+"""Limit of the bytes sent per tick to replace replicas after a crash."""
 DRAIN_BYTES_PER_TICK = 8 * 1024 * 1024
-"""A draining member has little time to transfer its retained traces."""
+"""The same limit while this member drains; it is higher because little time is left to transfer the
+retained traces."""
 NO_PROBABILITY = 0.0
+"""Head probability of a trace before a chunk gives it."""
 
 
 @attrs.frozen
@@ -48,14 +51,14 @@
 
 @attrs.frozen
 class ReplicaMembersChanged:
-    """Input: the collector table was changed; `departed` left or lost their memory."""
+    """Input: the collector table changed; `departed` left, or restarted and lost their memory."""
 
     departed: frozenset[MemberId]
 
 
 @attrs.frozen
 class DrainStarted:
-    """Input: this member stops in order; what only it has must go elsewhere."""
+    """Input: this member drains; traces that only it has must be transferred."""
 
 
 @attrs.frozen
@@ -78,7 +81,7 @@
 
 @attrs.define(slots=True, eq=False)
 class PendingReplica:
-    """A replica in flight."""
+    """A replica that was sent and is not confirmed yet."""
 
     trace_id: TraceId
     to: MemberId
@@ -88,7 +91,7 @@
 
 @attrs.define(slots=True)
 class ReplicatorStats:
-    """Totals since the start, for metrics."""
+    """Totals since the start, for metrics; `adopted` traces are those of lost primaries."""
 
     retained_by_policy: dict[str, int] = attrs.field(factory=dict)
     replicas: int = 0
@@ -97,7 +100,7 @@
 
 @attrs.define(slots=True)
 class TraceReplicator:
-    """State machine over the store of retained traces."""
+    """State machine that stores and replicates retained traces."""
 
     member_id: MemberId
     config: TracingConfig
@@ -112,7 +115,7 @@
     _reported_evictions: int = 0
 
     def handle(self, event: Input, now: float) -> list[ReplicatorEffect]:
-        """Apply one input and return what to do."""
+        """Apply one input and return the effects."""
         match event:
             case RetainTrace(chunks, verdict, is_error):
                 return self._handle_retain(chunks, verdict, is_error, now)
@@ -129,7 +132,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no replica is in flight or due."""
+        """Whether no replica is unconfirmed or waiting to be sent."""
         return not (self._pending or self._to_replicate)
 
     def _handle_retain(
@@ -209,7 +212,7 @@
         return _acknowledgements(pending.chunks)
 
     def _handle_members(self, departed: frozenset[MemberId], now: float) -> list[ReplicatorEffect]:
-        """Take over from lost primaries, and replicate again what lost its replica."""
+        """Take over traces of lost primaries, and schedule replacements for lost replicas."""
         for trace in self.store.rows():
             if trace.primary in departed:
                 trace.primary = self.member_id
@@ -236,21 +239,23 @@
 
     def _handle_drain(self) -> list[ReplicatorEffect]:
         self._is_draining = True
-        mine = [trace for trace in self.store.rows() if trace.primary == self.member_id]
-        mine.sort(key=lambda trace: (not trace.is_error, -trace.retained_wall_s))
+        own_traces = [trace for trace in self.store.rows() if trace.primary == self.member_id]
+        own_traces.sort(key=lambda trace: (not trace.is_error, -trace.retained_wall_s))
         self._to_replicate.clear()
-        self._to_replicate.extend(trace.trace_id for trace in mine if not trace.replica_member)
+        self._to_replicate.extend(
+            trace.trace_id for trace in own_traces if not trace.replica_member
+        )
         return []
 
     def _replicate_due(self, now: float) -> list[ReplicatorEffect]:
-        """Replicate what is due, at a bounded pace."""
+        """Send the scheduled replicas, up to the limit of bytes per tick."""
         effects: list[ReplicatorEffect] = []
-        left = DRAIN_BYTES_PER_TICK if self._is_draining else REPLICATION_BYTES_PER_TICK
-        while self._to_replicate and left > 0:
+        remaining_bytes = DRAIN_BYTES_PER_TICK if self._is_draining else REPLICATION_BYTES_PER_TICK
+        while self._to_replicate and remaining_bytes > 0:
             trace = self.store.get(self._to_replicate.popleft())
             if trace is None or not self._needs_replica(trace):
                 continue
-            left -= trace.body_bytes
+            remaining_bytes -= trace.body_bytes
             effects += self._replicate(trace, list(trace.chunks), now)
         return effects
 
@@ -262,9 +267,9 @@
         trace = self.store.get(pending.trace_id)
         if trace is None:
             return _acknowledgements(pending.chunks)
-        # The new successor may have none of the trace: it gets all of it.
-        missing = [chunk for chunk in pending.chunks if chunk not in trace.chunks]
-        return self._replicate(trace, trace.chunks + missing, now)
+        # The successor may have changed and have no part of the trace, so send all of it.
+        unstored = [chunk for chunk in pending.chunks if chunk not in trace.chunks]
+        return self._replicate(trace, trace.chunks + unstored, now)
 
     def _report_evictions(self) -> list[ReplicatorEffect]:
         total = self.store.evicted.total()
--- a/src/zincvale/tracing/sender/links.py
+++ b/src/zincvale/tracing/sender/links.py
@@ -16,13 +16,18 @@
 MAX_BATCH_CHUNKS = 512
 INITIAL_CREDIT_BYTES = 64 * 1024
 ERROR_RESERVE_BYTES = 16 * 1024
-"""What a sender without credit may still send a second, errors only."""
+"""Limit of a batch sent without credit, which carries only chunks with an ERROR and is sent at most
+once per probe interval."""
 NO_BATCH = 0
+"""Batch number that means no batch is in flight, or that a message needs no ack."""
 
 
 @attrs.define(slots=True)
 class Link:
-    """The link to one collector: what is queued for it, what is in flight, and its credit."""
+    """The link to one collector: queued chunks, the batch in flight, and the credit.
+
+    `errors` are queued chunks with an ERROR, `others` those without.
+    """
 
     errors: deque[TraceChunk] = attrs.field(factory=deque)
     others: deque[TraceChunk] = attrs.field(factory=deque)
@@ -33,16 +38,17 @@
     encoded: tuple[bytes, bytes] = (b"", b"")
     """What `encode_chunks` returned for the batch in flight."""
     encoded_count: int = 0
+    """Number of chunks in `encoded`."""
     sent_at: float = float("-inf")
 
     @property
     def is_urgent(self) -> bool:
-        """Whether an ERROR or half a batch is queued."""
+        """Whether a chunk with an ERROR, or half a batch of other chunks, is queued."""
         return bool(self.errors) or len(self.others) >= MAX_BATCH_CHUNKS // 2
 
     @property
     def has_full_batch(self) -> bool:
-        """Whether what is queued fills a batch."""
+        """Whether enough chunks are queued to fill a batch."""
         return len(self.errors) + len(self.others) >= MAX_BATCH_CHUNKS
 
     @property
@@ -54,8 +60,8 @@
         """Return the queue that the chunk belongs in."""
         return self.errors if chunk.error else self.others
 
-    def forget_in_flight(self, origin: MemberId, sequences: set[int]) -> None:
-        """Release chunks in flight that are acknowledged already."""
+    def discard_acknowledged(self, origin: MemberId, sequences: set[int]) -> None:
+        """Remove chunks of `origin` from the batch in flight whose traces are already decided."""
         self.in_flight = [
             chunk
             for chunk in self.in_flight
@@ -63,7 +69,7 @@
         ]
 
     def put_in_flight(self, batch: int, chunks: list[TraceChunk], now: float) -> None:
-        """Record a batch that is sent now."""
+        """Record the batch that is being sent."""
         self.batch = batch
         self.in_flight = chunks
         self.encoded = encode_chunks(chunks)
@@ -78,13 +84,16 @@
         self.encoded_count = 0
 
     def return_in_flight(self) -> None:
-        """Put the batch in flight back to the front of the queues."""
+        """Put the chunks in flight back at the front of their queues."""
         for chunk in reversed(self.in_flight):
             self.queue_for(chunk).appendleft(chunk)
         self.clear_in_flight()
 
-    def take(self) -> list[TraceChunk]:
-        """Take chunks up to the credit, at least one; without credit only a few errors."""
+    def take_batch(self) -> list[TraceChunk]:
+        """Remove and return the chunks of the next batch, until they reach the credit.
+
+        Without credit these are chunks with an ERROR, up to `ERROR_RESERVE_BYTES`.
+        """
         queues: tuple[deque[TraceChunk], ...] = (self.errors, self.others)
         limit = min(self.credit_bytes, MAX_BATCH_BYTES)
         if not self.credit_bytes:
--- a/src/zincvale/tracing/sender/retained_batches.py
+++ b/src/zincvale/tracing/sender/retained_batches.py
@@ -1,8 +1,8 @@
 """Batches retained at their origin until their collector reports the verdicts.
 
-Retained are the encoded batch and the unacknowledged sequences: thousands of chunks wait for
-their verdict at any time, and as objects they would cost the garbage collector more than their
-making.
+Only the encoded batch and the unacknowledged sequences are retained. Thousands of chunks wait for
+their verdict at any time, and as objects they would cost more time in the garbage collector than
+it takes to create them.
 """
 
 from __future__ import annotations
@@ -15,19 +15,21 @@
 from zincvale.tracing.chunks import TraceChunk, decode_chunks, encode_chunks
 
 SHRINK_SHARE = 0.9
+"""Fraction of the limit that `shrink` reduces the table to."""
 COMPACT_SHARE = 0.25
-"""A batch with so few of its chunks unacknowledged is encoded anew without the others."""
+"""Fraction of unacknowledged chunks down to which a batch is encoded again without the others."""
 SEQUENCE_OVERHEAD_BYTES = 150
+"""Memory of a chunk's table entries beyond its encoding."""
 
 
 @attrs.define(slots=True, eq=False)
 class RetainedBatch:
-    """Chunks whose batch `collector` acked at `acked_at`; the verdicts are still open.
+    """Chunks of a batch that `collector` acked at `acked_at` and whose traces are undecided.
 
     Attributes
     ----------
-    sequences : the unacknowledged ones.
-    count : how many chunks are encoded.
+    sequences : the sequences of the unacknowledged chunks.
+    count : how many chunks are encoded, including those acknowledged since.
     """
 
     evidence: bytes
@@ -40,7 +42,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """Memory the batch is counted with."""
+        """Memory that the batch counts for in the byte budget."""
         return len(self.evidence) + len(self.bodies) + self.count * SEQUENCE_OVERHEAD_BYTES
 
     def chunks(self) -> list[TraceChunk]:
@@ -49,14 +51,14 @@
         return [chunk for chunk in chunks if chunk.sequence in self.sequences]
 
     def compact(self, errors_only: bool = False) -> list[int]:
-        """Encode the unacknowledged chunks anew, or just their errors; return what was left out."""
+        """Encode again only the unacknowledged chunks, or their errors; return what was dropped."""
         retained = [chunk for chunk in self.chunks() if chunk.error or not errors_only]
         sequences = {chunk.sequence for chunk in retained}
-        left_out = self.sequences - sequences
+        dropped = self.sequences - sequences
         self.evidence, self.bodies = encode_chunks(retained)
         self.sequences = sequences
         self.count = len(retained)
-        return list(left_out)
+        return list(dropped)
 
 
 @attrs.define(slots=True)
@@ -95,50 +97,50 @@
     def acknowledge(self, sequences: Iterable[int]) -> set[int]:
         """Release chunks whose traces are decided; return the sequences that are unknown here."""
         unknown = set()
-        touched = set()
+        changed = set()
         for sequence in sequences:
             number = self._batch_by_sequence.pop(sequence, None)
             if number is None:
                 unknown.add(sequence)
                 continue
             self._batches[number].sequences.discard(sequence)
-            touched.add(number)
-        for number in touched:
-            self._tidy(number)
+            changed.add(number)
+        for number in changed:
+            self._remove_or_compact(number)
         return unknown
 
     def take_sent_to(self, collectors: frozenset[MemberId]) -> list[TraceChunk]:
-        """Take out the chunks that these collectors had, to be sent again."""
+        """Remove and return the chunks that were sent to these collectors."""
         lost = [n for n, batch in self._batches.items() if batch.collector in collectors]
-        return [chunk for number in lost for chunk in self._take(number)]
+        return [chunk for number in lost for chunk in self._remove(number)]
 
     def take_acked_before(self, acked_before: float) -> list[TraceChunk]:
-        """Take out the chunks whose batch was acked before that time, to be sent again."""
-        old = []
+        """Remove and return the chunks of batches that were acked before that time."""
+        expired = []
         for number, batch in self._batches.items():
             if batch.acked_at >= acked_before:
                 break
-            old.append(number)
-        return [chunk for number in old for chunk in self._take(number)]
+            expired.append(number)
+        return [chunk for number in expired for chunk in self._remove(number)]
 
     def shrink(self, limit_bytes: int) -> None:
-        """Release chunks when over a limit: oldest first, those with an ERROR last.
+        """Drop chunks when over a limit: the oldest first, those with an ERROR last.
 
-        Goes some way below the limit, so that the walk over the table is rare.
+        Drops down to `SHRINK_SHARE` of the limit, so that the table is rarely searched.
         """
         if self.size_bytes <= limit_bytes:
             return
-        goal_bytes = limit_bytes * SHRINK_SHARE
-        for errors_too in (False, True):
+        target_bytes = limit_bytes * SHRINK_SHARE
+        for include_errors in (False, True):
             for number, batch in list(self._batches.items()):
-                if self.size_bytes <= goal_bytes:
+                if self.size_bytes <= target_bytes:
                     return
-                if batch.has_errors and not errors_too:
+                if batch.has_errors and not include_errors:
                     self._compact(number, errors_only=True)
                 else:
-                    self._take(number)
+                    self._remove(number)
 
-    def _tidy(self, number: int) -> None:
+    def _remove_or_compact(self, number: int) -> None:
         batch = self._batches[number]
         if not batch.sequences:
             del self._batches[number]
@@ -156,7 +158,7 @@
             del self._batches[number]
             self.size_bytes -= batch.size_bytes
 
-    def _take(self, number: int) -> list[TraceChunk]:
+    def _remove(self, number: int) -> list[TraceChunk]:
         batch = self._batches.pop(number)
         self.size_bytes -= batch.size_bytes
         for sequence in batch.sequences:
--- a/src/zincvale/tracing/sender/sender.py
+++ b/src/zincvale/tracing/sender/sender.py
@@ -1,10 +1,11 @@
 """Sends chunks to their collectors and retains them until the verdict, as a pure state machine.
 
-Flow control: one batch at a time is in flight to each collector (see `links`). Queued chunks
-are bounded; when the bound is hit, traces without an ERROR go first, counted.
+Flow control: one batch at a time is in flight to each collector (see `links`). The bytes of queued
+chunks are bounded; above the limit chunks without an ERROR are dropped first, and counted.
 
-Crash safety: a chunk is retained after its ack, until its collector acknowledges it. When the
-collector leaves or restarts, retained chunks go to the new owner of their trace.
+Crash safety: a chunk is retained after the ack of its batch, until its collector acknowledges the
+chunk. When the collector leaves or restarts, retained chunks are sent to the new owners of their
+traces.
 """
 
 from __future__ import annotations
@@ -24,26 +25,30 @@
 from zincvale.tracing.sender.retained_batches import RetainedChunks
 
 ACK_TIMEOUT_S = 1.5
-NOBODY = MemberId("")
+"""A batch without an ack after this time is sent again."""
+NO_COLLECTOR = MemberId("")
+"""Key of the link that queues chunks while no collector is known."""
 MIN_FLUSH_INTERVAL_S = 2.0
 MAX_FLUSH_INTERVAL_S = 10.0
 MAX_BATCHES_PER_S = 50.0
-"""Each batch costs both ends a message, so with many collectors each is served less often."""
+"""Limit that sets the flush interval: each batch costs both members a message, so with many
+collectors batches to each of them are sent less often."""
 PROBE_INTERVAL_S = 1.0
+"""Interval between batches to a collector that gives no credit."""
 ACKNOWLEDGEMENT_MARGIN_S = 15.0
-"""A chunk that is not acknowledged this long after the decision wait is sent again."""
+"""A chunk that is not acknowledged this long after the decision wait has passed is sent again."""
 
 
 @attrs.frozen
 class ChunksEnded:
-    """Input: chunks of this member, or forwarded for their origins, have to be sent."""
+    """Input: chunks recorded by this member, or forwarded for their origins, are to be sent."""
 
     chunks: list[TraceChunk]
 
 
 @attrs.frozen
 class BatchAckReceived:
-    """Input: a batch arrived at `collector`, which grants credit for the next."""
+    """Input: `collector` received a batch and grants credit for the next one."""
 
     collector: MemberId
     batch: int
@@ -52,14 +57,14 @@
 
 @attrs.frozen
 class AcknowledgementReceived:
-    """Input: a collector reports that the traces of these chunks are decided and safe."""
+    """Input: a collector reports that these chunks need not be retained any longer."""
 
     sequences: list[int]
 
 
 @attrs.frozen
 class CollectorsChanged:
-    """Input: these members collect now; `restarted` lost their memory but not their name."""
+    """Input: the collectors changed; `restarted` ones lost their memory but not their name."""
 
     members: frozenset[MemberId]
     restarted: frozenset[MemberId] = frozenset()
@@ -81,12 +86,12 @@
     chunks: int = 0
     resent: int = 0
     dropped: Counter[str] = attrs.field(factory=Counter)
-    """Chunks dropped before any collector had them, by `error` or `other`."""
+    """Queued chunks that were dropped, by `error` (those with an ERROR) and `other`."""
 
 
 @attrs.define(slots=True)
 class SpanSender:
-    """State machine: chunks in, batches out."""
+    """State machine that takes chunks and returns batches to send."""
 
     member_id: MemberId
     config: TracingConfig
@@ -106,7 +111,7 @@
             case BatchAckReceived(collector, batch, credit_bytes):
                 return self._handle_ack(collector, batch, credit_bytes, now)
             case AcknowledgementReceived(sequences):
-                return self._handle_decided(sequences)
+                return self._handle_acknowledgement(sequences)
             case CollectorsChanged(members, restarted):
                 return self._handle_members(members, restarted)
             case FlushDue():
@@ -114,12 +119,12 @@
 
     @property
     def queued_bytes(self) -> int:
-        """Bytes queued for a collector."""
+        """Bytes of the chunks that are queued for collectors."""
         return self._queued_bytes
 
     @property
     def retained_bytes(self) -> int:
-        """Bytes retained in case a collector is lost."""
+        """Bytes of acked batches that are retained in case their collector is lost."""
         return self._retained.size_bytes
 
     @property
@@ -128,10 +133,10 @@
         return all(link.is_idle for link in self._links.values())
 
     def pressure(self) -> float:
-        """Return the share of the sampling target that the queue leaves, in (0, 1].
+        """Return the factor that the queue puts on the sampling target, in [0, 1].
 
-        Sampling less leaves the weights of retained traces right; dropping from a full queue does
-        not.
+        Sampling less keeps the weights of retained traces correct; dropping chunks from a full
+        queue does not.
         """
         return max(0.0, 1.0 - 2.0 * self._queued_bytes / self.config.sender_bytes)
 
@@ -152,22 +157,24 @@
         link = self._links.get(collector)
         if link is None or link.batch != batch:
             return []
-        # A forwarded chunk stays with its origin, which retains it.
-        own = [chunk for chunk in link.in_flight if chunk.origin == self.member_id]
-        encoded = link.encoded if len(own) == link.encoded_count else encode_chunks(own)
-        self._retained.add(own, encoded, collector, now)
+        # A forwarded chunk is not retained here: its origin retains it.
+        own_chunks = [chunk for chunk in link.in_flight if chunk.origin == self.member_id]
+        encoded = (
+            link.encoded if len(own_chunks) == link.encoded_count else encode_chunks(own_chunks)
+        )
+        self._retained.add(own_chunks, encoded, collector, now)
         link.clear_in_flight()
         link.credit_bytes = credit_bytes
         if link.has_full_batch:
             return self._send_batch(collector, link, now)
         return []
 
-    def _handle_decided(self, sequences: list[int]) -> list[Effect]:
+    def _handle_acknowledgement(self, sequences: list[int]) -> list[Effect]:
         unknown = self._retained.acknowledge(sequences)
         if unknown:
-            # The verdict on a late span overtakes the ack of the batch that carried it.
+            # The verdict on a late span may arrive before the ack of the batch that carried it.
             for link in self._links.values():
-                link.forget_in_flight(self.member_id, unknown)
+                link.discard_acknowledged(self.member_id, unknown)
         return []
 
     def _handle_members(
@@ -178,24 +185,26 @@
         for collector in sorted(lost):
             link = self._links.pop(collector, None)
             if link is not None:
-                self._requeue(link)
-        again = self._retained.take_sent_to(lost)
-        for chunk in again:
+                self._requeue_chunks(link)
+        resent_chunks = self._retained.take_sent_to(lost)
+        for chunk in resent_chunks:
             self._enqueue(chunk)
-        self.stats.resent += len(again)
-        if again:
-            effects.append(Log(COLLECTOR_LOST, {"collectors": sorted(lost), "chunks": len(again)}))
+        self.stats.resent += len(resent_chunks)
+        if resent_chunks:
+            effects.append(
+                Log(COLLECTOR_LOST, {"collectors": sorted(lost), "chunks": len(resent_chunks)})
+            )
         self._reroute()
         self._enforce_budget()
         return effects
 
-    def _requeue(self, link: Link) -> None:
+    def _requeue_chunks(self, link: Link) -> None:
         self._queued_bytes -= sum(chunk.size_bytes for chunk in (*link.errors, *link.others))
         for chunk in (*link.in_flight, *link.errors, *link.others):
             self._enqueue(chunk)
 
     def _reroute(self) -> None:
-        """Move what waits for a collector that does not own it any more."""
+        """Move queued chunks to the collectors that own their traces now."""
         for link in list(self._links.values()):
             for queue in (link.errors, link.others):
                 for _ in range(len(queue)):
@@ -206,14 +215,14 @@
         effects: list[Effect] = []
         interval_s = self._flush_interval_s()
         for collector, link in list(self._links.items()):
-            if collector == NOBODY:
+            if collector == NO_COLLECTOR:
                 continue
             if link.batch and now - link.sent_at < ACK_TIMEOUT_S:
                 continue
-            is_lost = link.batch != NO_BATCH
-            if is_lost:
+            is_timed_out = link.batch != NO_BATCH
+            if is_timed_out:
                 self._return_in_flight(link)
-            if is_lost or link.is_urgent or now - link.sent_at >= interval_s:
+            if is_timed_out or link.is_urgent or now - link.sent_at >= interval_s:
                 effects += self._send_batch(collector, link, now)
         self._resend_unacknowledged(now)
         return effects + self._report_drops()
@@ -232,7 +241,7 @@
             return []
         if not link.credit_bytes and now - link.sent_at < PROBE_INTERVAL_S:
             return []
-        chunks = link.take()
+        chunks = link.take_batch()
         self._queued_bytes -= sum([chunk.size_bytes for chunk in chunks])
         link.put_in_flight(self._next_batch, chunks, now)
         self._next_batch += 1
@@ -241,9 +250,11 @@
         return sends + self._back_up_own(collector, chunks)
 
     def _back_up_own(self, collector: MemberId, chunks: list[TraceChunk]) -> list[Effect]:
-        """Copy what this member collects itself: else its crash takes origin and verdict.
+        """Return backups, for other members, of the chunks that this member collects itself.
 
-        Only errors and long traces: the others are not replicated when they are retained, either.
+        Without them its crash would lose both the origin and the collector of these chunks. Only
+        errors and long traces are backed up: other traces are not replicated when they are
+        retained, either.
         """
         if collector != self.member_id:
             return []
@@ -264,7 +275,7 @@
             self.stats.resent += 1
 
     def _enforce_budget(self) -> None:
-        """Drop insurance before data, and data without an ERROR before errors."""
+        """Drop retained chunks first, then queued chunks without an ERROR, then those with one."""
         budget = self.config.sender_bytes
         if self._queued_bytes + self._retained.size_bytes <= budget:
             return
@@ -290,8 +301,8 @@
         return [Log(SPANS_DROPPED, {"totals": dict(self.stats.dropped)})]
 
     def _link_of(self, chunk: TraceChunk) -> Link:
-        """Return the link to the chunk's collector; to nobody while no collector is known."""
-        collector = self.collectors.owner(chunk.trace_id) or NOBODY
+        """Return the link to the chunk's collector, or to `NO_COLLECTOR` while none is known."""
+        collector = self.collectors.owner(chunk.trace_id) or NO_COLLECTOR
         link = self._links.get(collector)
         if link is None:
             link = Link()
--- a/src/zincvale/tracing/service.py
+++ b/src/zincvale/tracing/service.py
@@ -1,7 +1,7 @@
-"""The tracing plane of one daemon: recorder, sender, collector and replicator as one object.
+"""Tracing in one daemon: combines recorder, sender, collector and replicator.
 
-It carries out the effects of the machines: messages go through `send`, or stay here when they are
-for this member.
+It executes the effects of the state machines: messages to other members are passed to `send`, and
+messages to this member are handled here.
 """
 
 from __future__ import annotations
@@ -57,23 +57,24 @@
 )
 
 SLOW_TICK_S = 1.0
-"""Decisions, retention and open-root markers are checked this often; flushes on each tick."""
+"""Interval at which decisions, retention and open-root markers are checked; the sender is flushed
+on each tick."""
 
 
-def _no_log(number: int, **fields: Any) -> None:
-    """Drop a log event."""
+def _discard_log(number: int, **fields: Any) -> None:
+    """Ignore a log event."""
 
 
 @attrs.define(eq=False)
 class TracingService:
-    """The tracing plane of one daemon.
+    """Tracing in one daemon.
 
     Parameters
     ----------
-    random : seeded source of identifiers.
+    random : random source of the identifiers.
     clock, wall_clock : seconds on the monotonic clock, and since the epoch.
-    send : sends a one-way message to a member; it may be lost.
-    log : writes a numbered event with its fields.
+    send : sends a one-way message, which may be lost, to a member.
+    log : writes a numbered log event with its fields.
 
     Call `tick` about four times a second, `apply_members` with each new member table, and
     `handle_message` with each `tracing.` message.
@@ -85,7 +86,7 @@
     wall_clock: Callable[[], float]
     send: Callable[[MemberId, Any], None]
     config: TracingConfig = attrs.field(factory=TracingConfig)
-    log: Callable[..., None] = _no_log
+    log: Callable[..., None] = _discard_log
     recorder: SpanRecorder = attrs.field(init=False)
     sender: SpanSender = attrs.field(init=False)
     collector: Collector = attrs.field(init=False)
@@ -95,11 +96,11 @@
     _is_draining: bool = False
     _last_slow_tick: float = float("-inf")
     _acknowledged: dict[MemberId, list[int]] = attrs.field(factory=dict)
-    """Sequences of decided chunks by origin, until an ack or the next slow tick takes them."""
+    """Sequences of decided chunks by origin, until they are sent with an ack or on a slow tick."""
     _outbox: list[TraceChunk] = attrs.field(factory=list)
-    """Chunks that wait for the next tick to reach the sender."""
+    """Chunks that are passed to the sender on the next tick."""
     _local: deque[Any] = attrs.field(factory=deque)
-    """Messages from this member to itself that wait for the running one to be handled."""
+    """Messages from this member to itself that are queued while another one is handled."""
     _is_delivering: bool = False
 
     def __attrs_post_init__(self) -> None:
@@ -122,11 +123,11 @@
 
     @property
     def store(self) -> RetainedTraceStore:
-        """The retained traces of this member."""
+        """The store of the traces that this member retains."""
         return self.replicator.store
 
     def apply_members(self, members: Members) -> None:
-        """Take a new member table: the nodes in it collect."""
+        """Apply a new member table; its nodes are the collectors."""
         incarnations = {member: row.incarnation for member, row in members.rows.items()}
         restarted = frozenset(
             member
@@ -142,66 +143,68 @@
         )
 
     def leave(self) -> None:
-        """Transfer what is undecided or retained here; keep ticking until `is_idle`."""
+        """Start to transfer undecided and retained traces; call `tick` until `is_idle`."""
         self._is_draining = True
         others = self.collectors.members - {self.member_id}
         self._change_collectors(others, self.collectors.live_members, frozenset())
         now = self.clock()
-        self._run(self.replicator.handle(DrainStarted(), now), now)
+        self._execute(self.replicator.handle(DrainStarted(), now), now)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing waits to be sent, decided or replicated."""
+        """Whether nothing is left to be sent, decided or replicated."""
         is_empty = not self._outbox and not len(self.collector)
         return is_empty and self.sender.is_idle and self.replicator.is_idle
 
     def tick(self, now: float) -> None:
-        """Run the timers."""
+        """Run the timers that are due at `now`."""
         if now - self._last_slow_tick >= SLOW_TICK_S:
             self._last_slow_tick = now
             self.recorder.tick(now)
-            self._run(self.replicator.handle(RetentionDue(self.wall_clock()), now), now)
+            self._execute(self.replicator.handle(RetentionDue(self.wall_clock()), now), now)
             self._send_acknowledgements()
-            self._run(self.collector.handle(DecisionDue(), now), now)
+            self._execute(self.collector.handle(DecisionDue(), now), now)
         if self._outbox:
             chunks = self._outbox.copy()
             self._outbox.clear()
-            self._run(self.sender.handle(ChunksEnded(chunks), now), now)
-        self._run(self.sender.handle(FlushDue(), now), now)
+            self._execute(self.sender.handle(ChunksEnded(chunks), now), now)
+        self._execute(self.sender.handle(FlushDue(), now), now)
         self.recorder.limiter.pressure = self.sender.pressure()
 
     def handle_message(self, sender: MemberId, message: Any) -> Any | None:
-        """Apply one message; the reply, if any, is for `sender`."""
+        """Handle one message; return the reply to `sender`, or None."""
         now = self.clock()
         match message:
             case SpanBatch(batch, evidence, bodies, is_backup):
                 chunks = decode_chunks(evidence, bodies)
-                self._run(self.collector.handle(BatchReceived(chunks, is_backup), now), now)
+                self._execute(self.collector.handle(BatchReceived(chunks, is_backup), now), now)
                 if batch == NO_BATCH:
                     return None
                 acknowledged = self._acknowledged.pop(sender, [])
                 return BatchAck(batch, self.collector.credit_bytes(), acknowledged)
             case BatchAck(batch, credit_bytes, acknowledged):
                 acked = BatchAckReceived(sender, batch, credit_bytes)
-                self._run(self.sender.handle(acked, now), now)
-                self._run(self.sender.handle(AcknowledgementReceived(acknowledged), now), now)
+                self._execute(self.sender.handle(acked, now), now)
+                self._execute(self.sender.handle(AcknowledgementReceived(acknowledged), now), now)
             case ChunksAcknowledged(sequences):
-                self._run(self.sender.handle(AcknowledgementReceived(sequences), now), now)
+                self._execute(self.sender.handle(AcknowledgementReceived(sequences), now), now)
             case TraceReplica():
-                self._run(self.replicator.handle(ReplicaReceived(sender, message), now), now)
+                self._execute(self.replicator.handle(ReplicaReceived(sender, message), now), now)
                 self.collector.mark_retained_here(TraceId(message.trace_id))
                 return TraceReplicaAck(message.replica_id)
             case TraceReplicaAck(replica_id):
-                self._run(self.replicator.handle(ReplicaAcknowledged(sender, replica_id), now), now)
+                self._execute(
+                    self.replicator.handle(ReplicaAcknowledged(sender, replica_id), now), now
+                )
             case VerdictsMoved(trace_ids):
                 received = VerdictsReceived(sender, [TraceId(text) for text in trace_ids])
-                self._run(self.collector.handle(received, now), now)
+                self._execute(self.collector.handle(received, now), now)
             case PromoteTraces(trace_ids):
                 self.recorder.promote(trace_ids)
         return None
 
     def _send_acknowledgements(self) -> None:
-        """Send the acknowledgements that no batch ack carried since the last slow tick."""
+        """Send the acknowledgements that were not sent along with a batch ack."""
         for origin, sequences in self._acknowledged.items():
             self._send(origin, ChunksAcknowledged(sequences))
         self._acknowledged = {}
@@ -213,18 +216,22 @@
         restarted: frozenset[MemberId],
     ) -> None:
         now = self.clock()
-        before = self.collectors.members
-        if collectors == before and live_members == self.collectors.live_members and not restarted:
+        former_collectors = self.collectors.members
+        if (
+            collectors == former_collectors
+            and live_members == self.collectors.live_members
+            and not restarted
+        ):
             return
-        departed = ((before - collectors) | restarted) - {self.member_id}
+        departed = ((former_collectors - collectors) | restarted) - {self.member_id}
         self.collectors.apply(collectors, live_members)
         self.recorder.divide_target(len(collectors))
-        self._run(self.collector.handle(MembersChanged(departed), now), now)
-        self._run(self.replicator.handle(ReplicaMembersChanged(departed), now), now)
+        self._execute(self.collector.handle(MembersChanged(departed), now), now)
+        self._execute(self.replicator.handle(ReplicaMembersChanged(departed), now), now)
         changed = CollectorsChanged(collectors, restarted)
-        self._run(self.sender.handle(changed, now), now)
+        self._execute(self.sender.handle(changed, now), now)
 
-    def _run(self, effects: Any, now: float) -> None:
+    def _execute(self, effects: Any, now: float) -> None:
         for effect in effects:
             match effect:
                 case Send(to, message):
@@ -234,7 +241,7 @@
                 case ForwardChunk(chunk):
                     self._outbox.append(chunk)
                 case RetainTrace():
-                    self._run(self.replicator.handle(effect, now), now)
+                    self._execute(self.replicator.handle(effect, now), now)
                 case Log(number, fields):
                     self.log(number, **fields)
 
@@ -242,7 +249,7 @@
         if to != self.member_id:
             self.send(to, message)
             return
-        # Queued, not handled in place: a machine must not be entered again while it runs.
+        # Queued instead of handled at once: a state machine must not be re-entered while it runs.
         self._local.append(message)
         if self._is_delivering:
             return
