--- a/src/zincvale/tracing/api/http.py
+++ b/src/zincvale/tracing/api/http.py
@@ -1,4 +1,4 @@
-"""HTTP binding of the trace API of one member."""
+"""HTTP handlers of the trace API of one member."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class _TraceHandler(RequestHandler):
-    """Base of the handlers: JSON out, typed errors out."""
+    """Base of the handlers: writes responses and errors as JSON."""
 
     def initialize(self, service: TracingService) -> None:
-        """Set the service to respond from."""
+        """Set the tracing service that responses are read from."""
         self.service = service
 
-    def respond(self, body_of: Callable[[], dict[str, Any]]) -> None:
-        """Write what `body_of` returns, or the error it raises."""
+    def respond(self, make_body: Callable[[], dict[str, Any]]) -> None:
+        """Write what `make_body` returns, or the error it raises."""
         try:
-            body = body_of()
+            body = make_body()
         except ZincvaleError as error:
             self.set_status(error.http_status)
             body = error.to_json()
@@ -47,11 +47,11 @@
     """`GET /v1/traces/ID`."""
 
     def get(self, trace_id: str) -> None:
-        """Respond with one trace."""
+        """Respond with one retained or undecided trace."""
         self.respond(lambda: get_trace(self.service, TraceId(trace_id)))
 
 
-class RequestHandlerOfTraces(_TraceHandler):
+class TracesOfRequestHandler(_TraceHandler):
     """`GET /v1/requests/ID/trace`."""
 
     def get(self, request_id: str) -> None:
@@ -65,5 +65,5 @@
     return [
         (r"/v1/traces", FindHandler, arguments),
         (r"/v1/traces/([0-9a-f]+)", TraceHandler, arguments),
-        (r"/v1/requests/([^/]+)/trace", RequestHandlerOfTraces, arguments),
+        (r"/v1/requests/([^/]+)/trace", TracesOfRequestHandler, arguments),
     ]
--- a/src/zincvale/tracing/api/query.py
+++ b/src/zincvale/tracing/api/query.py
@@ -1,4 +1,4 @@
-"""Responses of the trace API, from what this member retains and collects."""
+"""Responses of the trace API, from the retained and undecided traces of this member."""
 
 from __future__ import annotations
 
@@ -15,25 +15,26 @@
 from zincvale.tracing.service import TracingService
 
 MAX_LIMIT = 1000
-TEXT_ARGUMENTS = 5
-"""So many of the known arguments, from the first on, are text."""
+"""Maximum number of traces that a search returns."""
+TEXT_ARGUMENT_COUNT = 5
+"""How many of the known arguments are text; they come first."""
 RETAINED_STATE = "kept"
 PENDING_STATE = "pending"
-"""The trace still waits for its verdict."""
+"""State of a trace that has no verdict yet."""
 
 
 def read_query(arguments: Mapping[str, str]) -> TraceQuery:
-    """Return the query in URL arguments; raises `InvalidInputError`."""
+    """Return the query that URL arguments describe; raises `InvalidInputError`."""
     known = ("name", "route", "server", "outcome", "policy", "since", "limit")
     for name in arguments:
         if name not in known:
             raise InvalidInputError(f"unknown argument {name!r}", f"known are {', '.join(known)}")
-    since = _number(arguments, "since", 0.0)
-    limit = int(_number(arguments, "limit", TraceQuery().limit))
+    since = _read_number(arguments, "since", 0.0)
+    limit = int(_read_number(arguments, "limit", TraceQuery().limit))
     if not 0 < limit <= MAX_LIMIT:
         raise InvalidInputError(f"limit is {limit}", f"use 1 to {MAX_LIMIT}")
-    texts = {field: arguments.get(field, "") for field in known[:TEXT_ARGUMENTS]}
-    return TraceQuery(**texts, since=since, limit=limit)
+    text_arguments = {field: arguments.get(field, "") for field in known[:TEXT_ARGUMENT_COUNT]}
+    return TraceQuery(**text_arguments, since=since, limit=limit)
 
 
 def find_traces(service: TracingService, query: TraceQuery) -> dict[str, Any]:
@@ -57,12 +58,12 @@
     retained = service.store.get(trace_id)
     if retained is not None:
         return {"state": RETAINED_STATE, **retained.to_json()}
-    row = service.collector.pending(trace_id)
-    if row is not None:
-        return _pending_json(trace_id, row)
+    pending_trace = service.collector.pending(trace_id)
+    if pending_trace is not None:
+        return _pending_json(trace_id, pending_trace)
     if service.collector.primary_of(trace_id) == DROPPED:
         raise NotFoundError(
-            f"trace {trace_id} was not kept: no policy asked for it",
+            f"trace {trace_id} was not kept: no policy retained it",
             "only errors, slow requests and a share of the others are kept",
         )
     raise NotFoundError(f"no trace {trace_id} on {service.member_id}", "ask the other nodes")
@@ -75,7 +76,7 @@
         for trace in service.store.by_request(request_id)
     ]
     pending = service.collector.pending_of_request(request_id)
-    traces += [_pending_json(row.trace_id, row) for row in pending]
+    traces += [_pending_json(pending_trace.trace_id, pending_trace) for pending_trace in pending]
     if not traces:
         raise NotFoundError(
             f"no trace of request {request_id!r} on {service.member_id}", "ask the other nodes"
@@ -83,8 +84,8 @@
     return {"member": service.member_id, "traces": traces}
 
 
-def _pending_json(trace_id: TraceId, row: PendingTrace) -> dict[str, Any]:
-    spans = [span for chunk in row.chunks for span in decode_spans(chunk.body)]
+def _pending_json(trace_id: TraceId, pending_trace: PendingTrace) -> dict[str, Any]:
+    spans = [span for chunk in pending_trace.chunks for span in decode_spans(chunk.body)]
     spans.sort(key=lambda span: span.start_wall_s)
     root = next((span for span in spans if span.is_root), None)
     attributes = root.attributes if root else {}
@@ -102,7 +103,7 @@
     }
 
 
-def _number(arguments: Mapping[str, str], name: str, default: float) -> float:
+def _read_number(arguments: Mapping[str, str], name: str, default: float) -> float:
     text = arguments.get(name, "")
     if not text:
         return default
