--- a/src/zincvale/transport/codec.py
+++ b/src/zincvale/transport/codec.py
@@ -1,6 +1,6 @@
-"""Avro codec of the internal protocol.
+"""Avro codec of the peer protocol.
 
-Schemas are derived from the annotations of the registered message classes, so that a message is
+Schemas are derived from the annotations of the registered message classes, so that each message is
 declared in one place. A batch is `{cluster_id, sender, incarnation, messages: [{name, body}]}`.
 """
 
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class Batch:
-    """One body of the peer protocol."""
+    """The messages in one request or response body of the peer protocol, and their sender."""
 
     cluster_id: str
     sender: str
@@ -72,7 +72,7 @@
 
 
 def decode_message(name: str, body: bytes) -> Any:
-    """Return the message `name` read from its Avro body; raises `MalformedBodyError`."""
+    """Return the message of class `name` from its Avro body; raises `MalformedBodyError`."""
     message_class = message_classes().get(name)
     if message_class is None:
         raise MalformedBodyError(
@@ -121,7 +121,7 @@
 
 
 def schema_json(message_class: type) -> Any:
-    """Return the Avro schema of a message class as plain JSON, for the committed schemas."""
+    """Return the Avro schema of a message class as JSON values, for docs/schemas.json."""
     return _record_schema(message_class, set())
 
 
@@ -196,16 +196,17 @@
 
 
 Converter = Callable[[Any], Any]
+"""Converts a value to or from the values that fastavro writes and reads."""
 
 
 def _to_plain(value: Any) -> Any:
-    """Return the message as maps, lists and primitives."""
+    """Return a message as dicts, lists and primitive values, as fastavro writes them."""
     converter = _converter_of(type(value), _TO_PLAIN, _record_to_plain)
     return converter(value) if converter else value
 
 
 def _from_plain(message_class: type, plain: Any) -> Any:
-    """Return the message that `plain` describes."""
+    """Return the message whose dicts, lists and primitive values fastavro read."""
     converter = _converter_of(message_class, _FROM_PLAIN, _record_from_plain)
     return converter(plain) if converter else plain
 
@@ -217,32 +218,34 @@
 
 
 def _converter_of(
-    hint: Any, known: dict[type, Converter | None], of_record: RecordConverter
+    hint: Any, converters: dict[type, Converter | None], record_converter: RecordConverter
 ) -> Converter | None:
-    """Return the converter for a type, or None where the value passes unchanged."""
+    """Return the converter for values of a type, or None when they need no conversion."""
     hint = _without_newtype(hint)
-    if hint in known:
-        return known[hint]
-    converter = _build_converter(hint, known, of_record)
-    known[hint] = converter
+    if hint in converters:
+        return converters[hint]
+    converter = _build_converter(hint, converters, record_converter)
+    converters[hint] = converter
     return converter
 
 
 def _build_converter(
-    hint: Any, known: dict[type, Converter | None], of_record: RecordConverter
+    hint: Any, converters: dict[type, Converter | None], record_converter: RecordConverter
 ) -> Converter | None:
     if hint in _PRIMITIVES:
         return None
     if attrs.has(hint):
-        return of_record(hint)
+        return record_converter(hint)
     origin = typing.get_origin(hint)
     arguments = typing.get_args(hint)
     if origin is list:
-        return _list_converter(_converter_of(arguments[0], known, of_record))
+        return _list_converter(_converter_of(arguments[0], converters, record_converter))
     if origin is dict:
-        return _dict_converter(_converter_of(arguments[1], known, of_record))
+        return _dict_converter(_converter_of(arguments[1], converters, record_converter))
     if origin in (types.UnionType, typing.Union):
-        return _optional_converter(_converter_of(_non_null(arguments), known, of_record))
+        return _optional_converter(
+            _converter_of(_non_null(arguments), converters, record_converter)
+        )
     raise TypeError(f"no Avro type for {hint!r}")
 
 
--- a/src/zincvale/transport/complete_exchange.py
+++ b/src/zincvale/transport/complete_exchange.py
@@ -1,4 +1,4 @@
-"""One request and its complete response, over the connections of a `ServerClient`."""
+"""Sends a request with a `ServerClient` and waits for its complete response."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class NoResponseError(Exception):
-    """No complete response came.
+    """No complete response was received.
 
     Attributes
     ----------
-    connected : False when no connection was made: nothing of the request was sent.
-    reused : the request was sent on a connection that had served another one, and broke off before
-        any response; the other side may have closed it before the request arrived.
+    connected : False when no connection was established, so that nothing of the request was sent.
+    reused : the connection had served another request, and failed before any response; the other
+        side may have closed it before the request arrived.
     """
 
     def __init__(self, reason: str, *, connected: bool = True, reused: bool = False) -> None:
@@ -41,7 +41,7 @@
 ) -> CompleteResponse:
     """Return the response to `request`.
 
-    Raises `NoResponseError`; the connection of an exchange that did not complete is closed.
+    Raises `NoResponseError`. The connection is closed unless the exchange ended by itself.
     """
     loop = asyncio.get_running_loop()
     listener = _ResponseCollector(loop.create_future())
@@ -52,23 +52,23 @@
         return await listener.response
     finally:
         timer.cancel()
-        if not listener.is_over:
+        if not listener.is_finished:
             exchange.cancel()
 
 
 class _ResponseCollector:
-    """Listens to an exchange and collects its response."""
+    """Listener that collects the response of an exchange."""
 
     def __init__(self, response: asyncio.Future[CompleteResponse]) -> None:
         self.response = response
         self.exchange: ServerExchange | None = None
-        self.is_over = False
-        """The exchange ended by itself, so its connection may already serve another one."""
+        self.is_finished = False
+        """The exchange completed or failed; its connection may already serve another request."""
         self._head: ResponseHead | None = None
         self._body: list[bytes] = []
 
     def on_not_sent(self, reason: str) -> None:
-        """No connection came up."""
+        """Fail: no connection was established."""
         self._fail(NoResponseError(reason, connected=False))
 
     def on_head(self, head: ResponseHead) -> None:
@@ -80,8 +80,8 @@
         self._body.append(data)
 
     def on_complete(self) -> None:
-        """The response is complete."""
-        self.is_over = True
+        """Resolve the response."""
+        self.is_finished = True
         assert self._head is not None
         if not self.response.done():
             body = b"".join(self._body)
@@ -90,20 +90,20 @@
             )
 
     def on_broken(self, reason: str) -> None:
-        """The exchange broke."""
+        """Fail: the exchange failed after the request may have been sent."""
         has_no_head = self._head is None
         reused = has_no_head and self.exchange is not None and self.exchange.reused
         self._fail(NoResponseError(reason, reused=reused))
 
-    def on_timeout(self, after_s: float) -> None:
-        """Fail the exchange: the response is not complete in time."""
+    def on_timeout(self, timeout_s: float) -> None:
+        """Fail: the response was not complete in time."""
         connected = self.exchange is not None and self.exchange.is_attached
         if not self.response.done():
             self.response.set_exception(
-                NoResponseError(f"no answer within {after_s} s", connected=connected)
+                NoResponseError(f"no response within {timeout_s} s", connected=connected)
             )
 
     def _fail(self, failure: NoResponseError) -> None:
-        self.is_over = True
+        self.is_finished = True
         if not self.response.done():
             self.response.set_exception(failure)
--- a/src/zincvale/transport/compression.py
+++ b/src/zincvale/transport/compression.py
@@ -1,8 +1,9 @@
 """Compression of large bodies between peers.
 
-A document of many routes is a megabyte of rows: over a slow link it would take seconds and hold up
-the requests beside it. The HTTP server and the peer client expand what is marked as compressed.
-Responses to polls are the same for many pollers, so the last ones are cached in compressed form.
+A document with many routes is about a megabyte of rows: over a slow link it would take seconds and
+delay concurrent requests. The HTTP server and the peer client decompress bodies that are marked as
+compressed. Responses to polls are the same for many pollers, so the latest are cached in compressed
+form.
 """
 
 from __future__ import annotations
@@ -12,37 +13,39 @@
 from collections import OrderedDict
 
 GZIP = "gzip"
-"""The content coding, as headers name it."""
+"""Name of the content coding in HTTP headers."""
 MIN_COMPRESSED_BYTES = 8 * 1024
-"""Smaller bodies cost more to compress than to send."""
-LEVEL = 1
-"""The fastest level of gzip: a document of routes is compressed on the event loop."""
+"""Size from which bodies are compressed; smaller ones take more time to compress than to send."""
+GZIP_LEVEL = 1
+"""Compression level: the fastest of gzip, since large documents are compressed on the event
+loop."""
 MAX_CACHED_RESPONSES = 3
-"""With fewer than the large tables that are polled, each poll would compress its table again."""
+"""Number of cached responses. It must cover the large tables that are polled; otherwise each poll
+would compress its table again."""
 
 
 class DecompressionError(Exception):
-    """A body that is marked as compressed is not, or is incomplete."""
+    """A body that is marked as compressed is malformed or incomplete."""
 
 
 def expanded(body: bytes) -> bytes:
-    """Return what was compressed; for peers only, since nothing bounds its size.
+    """Return the decompressed body; only for bodies of peers, since its size is not limited.
 
     Raises `DecompressionError`.
     """
     try:
         return gzip.decompress(body)
     except (OSError, EOFError, zlib.error) as error:
-        raise DecompressionError(f"body cannot be expanded: {error}") from error
+        raise DecompressionError(f"body cannot be decompressed: {error}") from error
 
 
 def compressed(body: bytes) -> bytes:
-    """Return `body` by gzip; equal bodies give equal bytes."""
-    return gzip.compress(body, LEVEL, mtime=0)
+    """Return `body` compressed by gzip; equal bodies give equal bytes."""
+    return gzip.compress(body, GZIP_LEVEL, mtime=0)
 
 
 class ResponseCompressor:
-    """Caches the last few large responses in their compressed form."""
+    """Compresses large responses and caches the most recently used ones in compressed form."""
 
     def __init__(self) -> None:
         self._compressed: OrderedDict[bytes, bytes] = OrderedDict()
@@ -52,11 +55,11 @@
         return len(self._compressed)
 
     def compress(self, body: bytes) -> bytes:
-        """Return `body` compressed by gzip; the same bytes for the same body."""
-        known = self._compressed.get(body)
-        if known is None:
-            known = self._compressed[body] = compressed(body)
+        """Return `body` compressed by gzip, from the cache if it was compressed recently."""
+        compressed_body = self._compressed.get(body)
+        if compressed_body is None:
+            compressed_body = self._compressed[body] = compressed(body)
         self._compressed.move_to_end(body)
         while len(self._compressed) > MAX_CACHED_RESPONSES:
             self._compressed.popitem(last=False)
-        return known
+        return compressed_body
--- a/src/zincvale/transport/curl_client.py
+++ b/src/zincvale/transport/curl_client.py
@@ -1,8 +1,9 @@
 """HTTP/1.1 client on libcurl's multi interface, driven by the daemon's event loop.
 
 Unlike tornado's curl client it distinguishes a request that was provably not sent from one that may
-have run, pauses the server of a slow reader, and never sends a request twice: libcurl itself
-repeats a request when a pooled connection turns out to be closed, which `CurlHandle` forbids.
+have run, slows down the server when the listener is slow, and never sends a request twice: libcurl
+itself retries a request when a pooled connection turns out to be closed, which `CurlHandle`
+prevents.
 
 Listeners are called outside of libcurl's callbacks, so they may start, pause and cancel exchanges.
 """
@@ -28,17 +29,20 @@
 from zincvale.transport.curl_sockets import SocketTable
 
 IDLE_CONNECTION_LIMIT = 1024
-"""Idle connections to all servers together; fewer cost a connection set-up for each request."""
+"""Maximum number of idle connections to all servers together. With too few, requests often have to
+open new connections."""
 FREE_HANDLE_LIMIT = 512
-"""Handles are set up once and reused; with fewer a burst sets them up again."""
+"""Maximum number of unused handles that are retained for reuse. With too few, a burst of requests
+has to set up new ones."""
 
 
 class CurlClient:
-    """The exchanges of one daemon, on the running event loop.
+    """HTTP client of one daemon, on the running event loop.
 
     Parameters
     ----------
-    address_map : advertised address to the address that is dialled instead; read at each dial.
+    address_map : addresses to connect to, by the advertised addresses that they replace; read for
+        each exchange.
     """
 
     def __init__(self, address_map: Mapping[str, str] | None = None) -> None:
@@ -59,23 +63,23 @@
 
     @property
     def running(self) -> int:
-        """How many exchanges are in flight."""
+        """Number of exchanges in flight."""
         return len(self._handles)
 
     def start(self, request: ClientRequest, listener: ExchangeListener) -> CurlExchange:
-        """Begin an exchange; the listener is called later, never from here."""
+        """Start an exchange; the listener is called only after this returns."""
         if self._loop is None:
             self._loop = asyncio.get_running_loop()
         exchange = CurlExchange(request, listener, self)
-        self._launch(exchange)
+        self._start_transfer(exchange)
         return exchange
 
     async def fetch(self, request: ClientRequest, timeout_s: float) -> ClientResponse:
         """Return the complete response to a non-streaming request; raises `ExchangeError`."""
-        waiter = _FetchListener(asyncio.get_running_loop().create_future())
-        exchange = self.start(request, waiter)
+        listener = _FetchListener(asyncio.get_running_loop().create_future())
+        exchange = self.start(request, listener)
         try:
-            return await asyncio.wait_for(waiter.future, timeout_s)
+            return await asyncio.wait_for(listener.future, timeout_s)
         except TimeoutError:
             raise ExchangeError(ExchangeFailure("timeout", exchange.sent)) from None
         finally:
@@ -97,8 +101,8 @@
         for fd in list(self._events_by_fd):
             self._unregister(fd)
 
-    def _launch(self, exchange: CurlExchange) -> None:
-        handle = self._free.pop() if self._free else CurlHandle(self._touch, self._sockets)
+    def _start_transfer(self, exchange: CurlExchange) -> None:
+        handle = self._free.pop() if self._free else CurlHandle(self._mark_changed, self._sockets)
         advertised = exchange.request.address
         address = self._address_map.get(advertised, advertised)
         handle.prepare(exchange, address)
@@ -106,7 +110,7 @@
         self._handles[exchange] = handle
         self._multi.add_handle(handle.curl)
 
-    # libcurl asks for timers and socket events
+    # Callbacks of libcurl, which requests timers and socket events
 
     def _on_timer_change(self, timeout_ms: int) -> None:
         if self._timer is not None:
@@ -153,9 +157,9 @@
         self._multi.socket_action(pycurl.SOCKET_TIMEOUT, 0)
         self._deliver()
 
-    # listeners are notified outside of libcurl's callbacks
+    # Notification of listeners, outside of libcurl's callbacks
 
-    def _touch(self, exchange: CurlExchange) -> None:
+    def _mark_changed(self, exchange: CurlExchange) -> None:
         if not exchange.touched:
             exchange.touched = True
             self._touched.append(exchange)
@@ -191,13 +195,14 @@
             exchange.listener.on_body(data)
         if exchange.paused_by_curl and not exchange.body and not exchange.finished:
             exchange.paused_by_curl = False
-            # May call the write callback at once with what libcurl had buffered.
+            # This may call the write callback immediately with data that libcurl buffered.
             with contextlib.suppress(pycurl.error):
                 self._handles[exchange].curl.pause(pycurl.PAUSE_CONT)
 
     def _finish_completed(self) -> None:
         for exchange, error in self._completed():
-            # A listener notified before may have cancelled this one and reused its handle.
+            # A listener that was notified earlier may have cancelled this exchange and reused its
+            # handle.
             if not exchange.finished:
                 self._complete(exchange, error)
 
@@ -216,10 +221,10 @@
 
     def _complete(self, exchange: CurlExchange, error: str) -> None:
         if exchange.stale_connection and not exchange.sent and not exchange.relaunched:
-            # Nothing was sent, so sending over a fresh connection repeats nothing.
+            # Nothing was sent, so a new connection does not send the request twice.
             exchange.relaunched = True
-            self._recycle(exchange)
-            self._launch(exchange)
+            self._release_handle(exchange)
+            self._start_transfer(exchange)
             return
         self._notify(exchange)
         if exchange.finished:
@@ -234,7 +239,7 @@
         try:
             self._notify_end(exchange, error)
         finally:
-            self._recycle(exchange)
+            self._release_handle(exchange)
 
     def _notify_end(self, exchange: CurlExchange, error: str) -> None:
         if error:
@@ -245,14 +250,14 @@
         exchange.listener.on_done(body)
 
     def cancel(self, exchange: CurlExchange) -> None:
-        """Close the exchange's connection; its listener receives no more events."""
+        """Close the exchange's connection; its listener is not called any more."""
         exchange.finished = True
         # Removing an unfinished transfer makes libcurl close its connection.
-        self._recycle(exchange)
+        self._release_handle(exchange)
 
     def resume(self, exchange: CurlExchange) -> None:
-        """Deliver the body that was held back, from the event loop."""
-        self._touch(exchange)
+        """Deliver the buffered body in the next iteration of the event loop."""
+        self._mark_changed(exchange)
         assert self._loop is not None
         self._loop.call_soon(self._deliver_resumed)
 
@@ -260,7 +265,7 @@
         if not self._closed:
             self._deliver()
 
-    def _recycle(self, exchange: CurlExchange) -> None:
+    def _release_handle(self, exchange: CurlExchange) -> None:
         handle = self._handles.pop(exchange, None)
         if handle is None:
             return
@@ -268,7 +273,7 @@
         self._multi.remove_handle(handle.curl)
         handle.release()
         if exchange.finished:
-            # The listener usually refers to its exchange: the cycle would keep both alive.
+            # The listener usually refers to its exchange; this breaks the reference cycle.
             exchange.listener = NULL_LISTENER
         if len(self._free) < FREE_HANDLE_LIMIT and not self._closed:
             self._free.append(handle)
@@ -277,7 +282,7 @@
 
 
 class _NullListener:
-    """Listener of exchanges that are over."""
+    """Listener of finished exchanges, which ignores every event."""
 
     def on_connected(self) -> None:
         """Ignore it."""
@@ -300,14 +305,14 @@
 
 @attrs.define(eq=False)
 class _FetchListener:
-    """Listener behind `fetch`."""
+    """Listener that `fetch` uses."""
 
     future: asyncio.Future[ClientResponse]
     status: int = 0
     headers: dict[str, str] = attrs.field(factory=dict)
 
     def on_connected(self) -> None:
-        """Ignore it: the response is returned when complete."""
+        """Ignore it: `fetch` returns only the complete response."""
 
     def on_headers(self, status: int, headers: Mapping[str, str]) -> None:
         """Store status and headers for the response."""
@@ -318,11 +323,11 @@
         """Never called: `fetch` does not stream."""
 
     def on_done(self, body: bytes) -> None:
-        """Resolve `fetch` with the response."""
+        """Set the response as the result of `fetch`."""
         if not self.future.done():
             self.future.set_result(ClientResponse(self.status, self.headers, body))
 
     def on_failed(self, failure: ExchangeFailure) -> None:
-        """Fail `fetch`."""
+        """Make `fetch` raise `ExchangeError`."""
         if not self.future.done():
             self.future.set_exception(ExchangeError(failure))
--- a/src/zincvale/transport/curl_exchange.py
+++ b/src/zincvale/transport/curl_exchange.py
@@ -9,7 +9,8 @@
 import attrs
 
 CONNECT_TIMEOUT_S = 1.0
-"""Shorter fails on slow links; longer delays the retry at another server."""
+"""Time limit for establishing a connection. A shorter one fails on slow links; a longer one delays
+the retry at another server."""
 
 
 @attrs.frozen
@@ -18,13 +19,13 @@
 
     Attributes
     ----------
-    address : `ip:port` as advertised; the client's address map may redirect it.
+    address : `ip:port` as advertised; the client's address map may replace it.
     target : path with query, percent-encoded.
-    body : sent with POST; None makes it a GET.
-    streaming : the body is delivered in chunks as it arrives, instead of complete.
-    may_send : called when the connection is established and the first byte is about to be sent;
-        False fails the exchange with nothing sent. Guards against a freeze between start and
-        send.
+    body : body of a POST request; None makes it a GET request.
+    streaming : the response body is delivered in parts as it arrives, instead of complete.
+    may_send : called when the connection is established, before the first byte is sent; False fails
+        the exchange with nothing sent. It prevents that a request is sent too late because the
+        process was suspended after `start`.
     """
 
     address: str
@@ -38,9 +39,9 @@
 
 @attrs.frozen
 class ExchangeFailure:
-    """Why an exchange has no complete response.
+    """Why an exchange received no complete response.
 
-    `sent` is False only when no byte of the request can have been sent.
+    `sent` is False only when certainly no byte of the request was sent.
     """
 
     reason: str
@@ -49,26 +50,26 @@
 
 
 class ExchangeListener(Protocol):
-    """Receives the events of an exchange. After `on_done` or `on_failed` nothing more is called."""
+    """Receives the events of an exchange; `on_done` or `on_failed` is the last one."""
 
     def on_connected(self) -> None:
-        """A connection is established and the request is being sent."""
+        """Handle that a connection is established and the request is being sent."""
         ...
 
     def on_headers(self, status: int, headers: Mapping[str, str]) -> None:
-        """Take status and headers (names in lower case)."""
+        """Handle the status and headers (names in lower case)."""
         ...
 
     def on_body(self, data: bytes) -> None:
-        """Take the next part of a streaming body."""
+        """Handle the next part of a streaming body."""
         ...
 
     def on_done(self, body: bytes) -> None:
-        """Take the complete body, or `b""` for a streaming exchange, which ended complete."""
+        """Handle the complete body, or `b""` at the end of a complete streaming exchange."""
         ...
 
     def on_failed(self, failure: ExchangeFailure) -> None:
-        """Take a failure; the connection is closed."""
+        """Handle a failure; the connection is closed."""
         ...
 
 
@@ -76,11 +77,11 @@
     """The client that runs an exchange."""
 
     def cancel(self, exchange: CurlExchange) -> None:
-        """Close the exchange's connection and forget it."""
+        """Close the exchange's connection and remove the exchange."""
         ...
 
     def resume(self, exchange: CurlExchange) -> None:
-        """Deliver the body that was held back while the exchange was paused."""
+        """Deliver the body that was buffered while the exchange was paused."""
         ...
 
 
@@ -91,12 +92,17 @@
     Attributes
     ----------
     sent : whether a byte of the request may have been sent.
-    finished : nothing more happens.
-    paused : the listener takes no body now.
-    body, body_bytes : received and not yet delivered.
-    headers_complete, connected_notified, headers_notified, touched, paused_by_curl, completion :
-        the client's state; `completion` is the error of a transfer that ended (empty: none) while
-        body is still to be delivered.
+    finished : the exchange is over; the listener is not called any more.
+    paused : the listener accepts no body at the moment.
+    body, body_bytes : parts of the body that were received and not delivered yet, and their size.
+    headers_complete : the final status and all headers were received.
+    connected_notified, headers_notified : the listener's `on_connected` or `on_headers` was called.
+    touched : the exchange is in the client's list of changed exchanges.
+    paused_by_curl : libcurl reads no more of the body because too much is undelivered.
+    completion : error of a transfer (empty for success) that ended while a part of the body is
+        undelivered; else None.
+    shut_socket : shuts down the socket of the running transfer.
+    relaunched : the request was already started again over a new connection.
     """
 
     request: ClientRequest
@@ -118,25 +124,26 @@
     shut_socket: Callable[[], None] | None = None
     relaunched: bool = False
     stale_connection: bool = False
-    """A reused connection was closed or holds unread bytes; the request goes over a new one."""
+    """The reused connection was closed or had unread bytes, so the request needs a new
+    connection."""
 
     def cancel(self) -> None:
-        """Give up: the connection is closed, the listener receives no more events."""
+        """Abandon the exchange: its connection is closed and its listener not called any more."""
         if not self.finished:
             self.owner.cancel(self)
 
     def pause(self) -> None:
-        """Stop delivering body; the socket is read no further than the bounded buffer."""
+        """Stop delivering the body; the socket is read only until the bounded buffer is full."""
         self.paused = True
 
     def resume(self) -> None:
-        """Deliver body again."""
+        """Continue to deliver the body."""
         self.paused = False
         if not self.finished:
             self.owner.resume(self)
 
     def close_connection(self) -> None:
-        """Make sure the connection is never used again, also after a complete response."""
+        """Shut down the connection, so that it is not reused even after a complete response."""
         if self.shut_socket is not None:
             self.shut_socket()
 
@@ -151,7 +158,7 @@
 
 
 class ExchangeError(Exception):
-    """`fetch` got no complete response; `failure.sent` tells whether the request may have run."""
+    """`fetch` received no complete response; `failure.sent` is whether the request may have run."""
 
     def __init__(self, failure: ExchangeFailure) -> None:
         super().__init__(failure.reason)
--- a/src/zincvale/transport/curl_handle.py
+++ b/src/zincvale/transport/curl_handle.py
@@ -1,4 +1,4 @@
-"""One easy handle of libcurl, which carries one exchange after the other."""
+"""An easy handle of libcurl, which is reused for one exchange after another."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
 
 NO_DESCRIPTOR = -1
 IDLE_CONNECTION_AGE_S = 30
+"""Connections that were idle for longer are not reused."""
 MAX_BODY_BYTES = 64 * 1024 * 1024
+"""Maximum size of the body of a response that is not streamed."""
 PAUSE_BUFFER_BYTES = 64 * 1024
-"""A streaming exchange stops reading its socket while this much is undelivered."""
+"""A streaming exchange stops reading its socket while more bytes than this are undelivered."""
 FIRST_FINAL_STATUS = 200
+"""Responses with a lower status are interim responses."""
 
-# Results of callbacks; pycurl declares no types for its constants.
+# Results of callbacks. The annotations are needed because pycurl declares no types for them.
 _ABORT_REQUEST: int = pycurl.PREREQFUNC_ABORT
 _SEND_REQUEST: int = pycurl.PREREQFUNC_OK
 _SOCKET_ACCEPTED: int = pycurl.SOCKOPT_OK
@@ -28,10 +31,13 @@
 
 
 class CurlHandle:
-    """Set up once; `touch` is called, inside libcurl's callbacks, with exchanges that changed."""
+    """An easy handle with its fixed options.
 
-    def __init__(self, touch: Callable[[CurlExchange], None], sockets: SocketTable) -> None:
-        self._touch = touch
+    `mark_changed` is called inside libcurl's callbacks with an exchange whose state changed.
+    """
+
+    def __init__(self, mark_changed: Callable[[CurlExchange], None], sockets: SocketTable) -> None:
+        self._mark_changed = mark_changed
         self._sockets = sockets
         self._new_descriptor = NO_DESCRIPTOR
         self.exchange: CurlExchange | None = None
@@ -67,18 +73,18 @@
             curl.setopt(pycurl.COPYPOSTFIELDS, request.body)
 
     def release(self) -> None:
-        """Forget the exchange, whose transfer was removed from libcurl."""
+        """Detach the exchange, after its transfer was removed from libcurl."""
         if self.exchange is not None:
             self.exchange.shut_socket = None
         self.exchange = None
 
     def shut_socket(self) -> None:
-        """Shut the socket down so that libcurl finds the connection dead."""
+        """Shut down the socket, so that libcurl does not reuse the connection."""
         with contextlib.suppress(OSError, pycurl.error, ValueError):
-            number = self.curl.getinfo(pycurl.ACTIVESOCKET)
-            if number is None or number < 0:
+            descriptor = self.curl.getinfo(pycurl.ACTIVESOCKET)
+            if descriptor is None or descriptor < 0:
                 return
-            with socket.socket(fileno=socket.dup(number)) as duplicate:
+            with socket.socket(fileno=socket.dup(descriptor)) as duplicate:
                 duplicate.shutdown(socket.SHUT_RDWR)
 
     def _on_new_socket(self, descriptor: int, _purpose: int) -> int:
@@ -88,11 +94,11 @@
     def _before_request(
         self, _remote_host: str, local_host: str, _remote_port: int, local_port: int
     ) -> int:
-        """Let the request be sent, but only once and only over a connection with nothing to read.
+        """Allow the request to be sent only once and only over a connection with nothing to read.
 
-        Guards against libcurl's own retry on a reused connection that the server closed: the first
-        copy may have run. And against reused connections that are closed or hold bytes of a late
-        response: over those nothing is sent, so that the request can be sent elsewhere.
+        This prevents libcurl's own retry on a reused connection that the server closed, because the
+        first request may have run. Nothing is sent over a reused connection that is closed or has
+        unread bytes of a late response, so that the request can be sent over a new connection.
         """
         exchange = self.exchange
         if exchange is None or exchange.sent:
@@ -100,14 +106,14 @@
         endpoint = (local_host, local_port)
         if self._new_descriptor != NO_DESCRIPTOR:
             self._sockets.add(endpoint, self._new_descriptor)
-        elif not self._sockets.is_quiet(endpoint):
+        elif not self._sockets.is_reusable(endpoint):
             exchange.stale_connection = True
             return _ABORT_REQUEST
         may_send = exchange.request.may_send
         if may_send is not None and not may_send():
             return _ABORT_REQUEST
         exchange.sent = True
-        self._touch(exchange)
+        self._mark_changed(exchange)
         return _SEND_REQUEST
 
     def _on_header(self, line: bytes) -> None:
@@ -122,7 +128,7 @@
             return
         if not text:
             exchange.headers_complete = exchange.status >= FIRST_FINAL_STATUS
-            self._touch(exchange)
+            self._mark_changed(exchange)
             return
         name, _, value = text.partition(":")
         exchange.headers[name.strip().lower()] = value.strip()
@@ -137,7 +143,7 @@
         exchange.body.append(data)
         exchange.body_bytes += len(data)
         if exchange.request.streaming:
-            self._touch(exchange)
+            self._mark_changed(exchange)
         return len(data)
 
     def _pause_or_fail(self, exchange: CurlExchange) -> int:
--- a/src/zincvale/transport/curl_sockets.py
+++ b/src/zincvale/transport/curl_sockets.py
@@ -1,8 +1,8 @@
-"""Sockets of pooled connections, to check that one is open and quiet before it is reused.
+"""Sockets of pooled connections, to check that a connection is usable before it is reused.
 
-libcurl checks a pooled connection only when it was idle for a second. Within that second a request
-would be written into a connection that its server closed, and might be taken for sent; or bytes of
-a late response could wait there and be read as the next one.
+libcurl checks a pooled connection only when it has been idle for a second. Within that second a
+request could be written to a connection that its server has closed, and count as sent; or unread
+bytes of a late response could be read as the response to the next request.
 """
 
 from __future__ import annotations
@@ -13,7 +13,8 @@
 import attrs
 
 MAX_SOCKETS = 8192
-"""Must exceed the client's open connections: an evicted endpoint is reused unchecked."""
+"""Maximum number of entries. It must exceed the number of open connections of the client, because a
+connection whose entry was evicted is reused without a check."""
 
 LocalEndpoint = tuple[str, int]
 
@@ -22,20 +23,20 @@
 class SocketTable:
     """File descriptors of libcurl's sockets by their local address and port.
 
-    An entry is written when its connection is made, so it is right for as long as libcurl names
-    that endpoint; entries of closed connections are overwritten or age out.
+    An entry is written when its connection is established, so it is correct as long as libcurl uses
+    that endpoint; entries of closed connections are overwritten or evicted.
     """
 
     _descriptor_by_endpoint: OrderedDict[LocalEndpoint, int] = attrs.field(factory=OrderedDict)
 
     def add(self, endpoint: LocalEndpoint, descriptor: int) -> None:
-        """Record a connection that was just made."""
+        """Add a connection that was just established."""
         self._descriptor_by_endpoint[endpoint] = descriptor
         self._descriptor_by_endpoint.move_to_end(endpoint)
         if len(self._descriptor_by_endpoint) > MAX_SOCKETS:
             self._descriptor_by_endpoint.popitem(last=False)
 
-    def is_quiet(self, endpoint: LocalEndpoint) -> bool:
+    def is_reusable(self, endpoint: LocalEndpoint) -> bool:
         """Whether the pooled connection is open and has nothing to read; True when unknown."""
         descriptor = self._descriptor_by_endpoint.get(endpoint)
         return descriptor is None or _has_nothing_to_read(descriptor)
--- a/src/zincvale/transport/peer.py
+++ b/src/zincvale/transport/peer.py
@@ -1,6 +1,8 @@
-"""The interface through which a plane calls other daemons.
+"""The interface through which daemons call each other.
 
-`transport.peer_client.PeerClient` implements it; the simulators have their own."""
+`transport.peer_client.PeerClient` implements it over HTTP; the simulators have implementations of
+their own.
+"""
 
 from __future__ import annotations
 
@@ -10,20 +12,20 @@
 
 
 class PeerCallError(Exception):
-    """No reply came; whether the call was handled is not known."""
+    """No reply was received; it is not known whether the call was handled."""
 
 
 class PeerUnreachableError(PeerCallError):
-    """The call certainly was not handled: no connection was made."""
+    """No connection was established, so the call was certainly not handled."""
 
 
 class PeerCaller(Protocol):
-    """Calls and one-way messages to members, by id; addresses come from the member table."""
+    """Sends calls and one-way messages to members by identifier, without their addresses."""
 
     async def call(self, member: MemberId, message: Any, timeout_s: float) -> Any:
         """Return the member's reply; raises `PeerCallError` or `PeerUnreachableError`."""
         ...
 
     def send(self, member: MemberId, message: Any) -> None:
-        """Send one message without waiting; it may be lost."""
+        """Send a one-way message without waiting for it to arrive; it may be lost."""
         ...
--- a/src/zincvale/transport/peer_client.py
+++ b/src/zincvale/transport/peer_client.py
@@ -27,16 +27,18 @@
 from zincvale.transport.server_exchange import OutgoingRequest
 
 MIN_FAILURE_STATUS = 300
+"""Responses with this status or a higher one are failures."""
 SEND_TIMEOUT_S = 0.8
-"""One-way messages queue behind a batch in flight: longer delays those that follow."""
+"""Time limit of a batch of one-way messages; those sent meanwhile are queued until it ends."""
 MAX_QUEUED_MESSAGES = 2_000
-"""Bounds the memory of an unreachable peer's queue; one-way messages may be lost."""
+"""Maximum length of a peer's queue, which limits its memory while the peer is unreachable. The
+oldest messages are dropped, since one-way messages may be lost."""
 BATCH_CONTENT_TYPE = "application/vnd.zincvale.avro"
 
 
 @attrs.define
 class PeerIdentity:
-    """The sender that each batch names."""
+    """Identity of the sender, sent with each batch."""
 
     cluster_id: str
     member: MemberId
@@ -45,16 +47,16 @@
 
 @attrs.define
 class _Link:
-    """One-way messages to one member: at most one batch in flight, later ones queue."""
+    """Queue of one-way messages to one member; at most one batch of them is in flight."""
 
     queue: deque[Any] = attrs.field(factory=deque)
-    in_flight: bool = False
-    failing: bool = False
+    has_batch_in_flight: bool = False
+    is_failing: bool = False
 
 
 @attrs.define
 class PeerTraffic:
-    """Exchanges and body bytes of one client, for measurements."""
+    """Number of exchanges and bytes of bodies of one client, for measurements."""
 
     exchanges: int = 0
     sent_bytes: int = 0
@@ -62,20 +64,20 @@
 
 
 def make_connections(address_map: Mapping[str, str] | None = None) -> ServerClient:
-    """Return the connections of one process to its peers.
+    """Return a client for the connections of one process to its peers.
 
-    The machines time every call and lease, so an unreachable peer is detected without the kernel's
-    time-outs, which would break connections whose bytes cross a slow link.
+    The state machines have timeouts for every call and lease, so an unreachable peer is detected
+    without TCP timeouts, which would close connections whose bytes cross a slow link.
     """
-    return ServerClient(time.monotonic, address_map, _disable_send_delay)
+    return ServerClient(time.monotonic, address_map, _disable_nagle)
 
 
-def _disable_send_delay(connected: socket.socket) -> None:
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+def _disable_nagle(client_socket: socket.socket) -> None:
+    client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def _accept_any_response(_status: int, _headers: Mapping[str, str]) -> bool:
-    """Peers respond to each request once and in order, so every response is accepted."""
+    """Accept every response, since peers respond to each request once and in order."""
     return True
 
 
@@ -89,12 +91,13 @@
 
     Parameters
     ----------
-    identity : stamped on each batch.
-    resolve : returns a member's peer address, or None while it is not known.
-    address_map : advertised address to the address that is dialled instead.
-    on_messages : called with the messages that a peer's response to a batch carries.
-    on_link_state : called with (member, reachable, reason) when a link changes state.
-    connections : shared by several peer clients in one process; by default its own.
+    identity : identity of the sender, sent with each batch.
+    resolve : returns the peer address of a member, or None while it is not known.
+    address_map : addresses to connect to, by the advertised addresses that they replace.
+    on_messages : called with (member, messages) when a response to a batch carries messages.
+    on_link_state : called with (member, reachable, reason) when a member becomes unreachable or
+        reachable again.
+    connections : connections shared by several peer clients in one process; by default new ones.
     """
 
     def __init__(
@@ -120,16 +123,16 @@
         link.queue.append(message)
         if len(link.queue) > MAX_QUEUED_MESSAGES:
             link.queue.popleft()
-        if link.in_flight:
+        if link.has_batch_in_flight:
             return
-        link.in_flight = True
+        link.has_batch_in_flight = True
         IOLoop.current().add_callback(self._send_queued, member, link)
 
     async def call(self, member: MemberId, message: Any, timeout_s: float) -> Any:
         """Return the member's reply; raises `PeerCallError` or `PeerUnreachableError`."""
-        replies = await self._post(member, "/peer/call", [message], timeout_s)
+        replies = await self._exchange_batches(member, "/peer/call", [message], timeout_s)
         if not replies:
-            raise PeerCallError(f"{member} gave no reply")
+            raise PeerCallError(f"{member} sent no reply")
         return replies[0]
 
     def close(self) -> None:
@@ -143,23 +146,25 @@
                 link.queue.clear()
                 await self._send_batch(member, link, messages)
         finally:
-            link.in_flight = False
+            link.has_batch_in_flight = False
 
     async def _send_batch(self, member: MemberId, link: _Link, messages: list[Any]) -> None:
         try:
-            replies = await self._post(member, "/peer/messages", messages, SEND_TIMEOUT_S)
+            replies = await self._exchange_batches(
+                member, "/peer/messages", messages, SEND_TIMEOUT_S
+            )
         except PeerCallError as error:
-            if not link.failing:
-                link.failing = True
+            if not link.is_failing:
+                link.is_failing = True
                 self._on_link_state(member, False, str(error))
             return
-        if link.failing:
-            link.failing = False
+        if link.is_failing:
+            link.is_failing = False
             self._on_link_state(member, True, "")
         if replies:
             self._on_messages(member, replies)
 
-    async def _post(
+    async def _exchange_batches(
         self, member: MemberId, path: str, messages: list[Any], timeout_s: float
     ) -> list[Any]:
         address = self._address_of(member)
@@ -202,8 +207,8 @@
         try:
             response = await self._fetch_with_retry(address, request, timeout_s)
         except NoResponseError as error:
-            failure = PeerCallError if error.connected else PeerUnreachableError
-            raise failure(f"{member}: {error}") from error
+            error_class = PeerCallError if error.connected else PeerUnreachableError
+            raise error_class(f"{member}: {error}") from error
         if response.status >= MIN_FAILURE_STATUS:
             raise PeerCallError(f"{member}: HTTP status {response.status}")
         return response
@@ -211,9 +216,9 @@
     async def _fetch_with_retry(
         self, address: str, request: OutgoingRequest, timeout_s: float
     ) -> CompleteResponse:
-        """Retry once when a reused connection closes as the request is sent on it.
+        """Send a request, and retry once when a reused connection fails before any response.
 
-        The peer may have handled it: messages between peers may come twice, and may be lost.
+        The peer may have handled the first one: messages between peers may arrive twice or be lost.
         """
         try:
             return await fetch_response(self._connections, address, request, timeout_s)
--- a/src/zincvale/transport/peer_server.py
+++ b/src/zincvale/transport/peer_server.py
@@ -25,7 +25,8 @@
 from zincvale.transport.peer_client import BATCH_CONTENT_TYPE, PeerIdentity
 
 MAX_PEER_BODY_BYTES = 64 * 1024 * 1024
-"""A snapshot of all tables must fit; a larger body is rejected by the HTTP server."""
+"""Maximum size of a request body, enforced by the HTTP server; a snapshot of all tables must
+fit."""
 MESSAGES_TARGET = ("POST", "/peer/messages")
 CALL_TARGET = ("POST", "/peer/call")
 JSON_CONTENT_TYPE = "application/json"
@@ -33,26 +34,26 @@
 
 
 class PeerEndpoint(Protocol):
-    """Handles peers' messages."""
+    """Handles the messages and calls of peers."""
 
     def messages_received(self, sender: MemberId, messages: list[Any]) -> list[Any]:
-        """Handle one-way messages; return what handling sent back to `sender` at once."""
+        """Handle one-way messages; return the messages to send back to `sender` at once."""
         ...
 
     def call_received(self, sender: MemberId, token: str, message: Any) -> None:
-        """Handle a call; `PeerServer.reply(token, message)` responds."""
+        """Handle a call, whose reply is sent later by `PeerServer.reply(token, reply)`."""
         ...
 
     def call_abandoned(self, token: str) -> None:
-        """The caller of `token` closed its connection."""
+        """Handle that the caller of the call `token` closed its connection."""
         ...
 
 
 class PeerServer(HTTPServerConnectionDelegate):
-    """Serves `/peer/messages` and `/peer/call`, and holds the calls that are pending.
+    """Serves `/peer/messages` and `/peer/call`, and stores the pending calls.
 
-    It implements the connection delegate of tornado, one level below its request handlers: a core
-    serves hundreds of small requests a second, and a handler would double the cost of each.
+    It implements tornado's connection delegate, one level below the request handlers: a core serves
+    hundreds of small requests per second, and a request handler would double the cost of each.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         self.compressor = ResponseCompressor()
 
     def start_request(self, server_conn: object, request_conn: Any) -> HTTPMessageDelegate:
-        """Return the receiver of one request."""
+        """Return the delegate that receives one request."""
         return _PeerRequest(self, request_conn)
 
     def open_call(self) -> tuple[str, Future[Any]]:
@@ -80,7 +81,7 @@
         return token, future
 
     def reply(self, token: str, message: Any) -> bool:
-        """Respond to the call `token`; returns whether it was still pending."""
+        """Reply to the call `token`; return whether it was still pending."""
         future = self._pending.pop(token, None)
         if future is None:
             return False
@@ -89,7 +90,7 @@
         return True
 
     def abandon(self, token: str) -> None:
-        """Forget the call `token` and notify the endpoint."""
+        """Remove the call `token`, and notify the endpoint if it was pending."""
         if self._pending.pop(token, None) is not None:
             self.endpoint.call_abandoned(token)
 
@@ -102,7 +103,7 @@
             raise
         if batch.cluster_id != self.identity.cluster_id:
             refusal = WrongClusterError(
-                f"{batch.sender} is of cluster {batch.cluster_id!r}, this is "
+                f"{batch.sender} belongs to cluster {batch.cluster_id!r}, this member to "
                 f"{self.identity.cluster_id!r}",
                 "correct cluster_id or the seeds in its settings",
                 expected_cluster=self.identity.cluster_id,
@@ -127,27 +128,27 @@
         self._server = server
         self._connection = connection
         self._body: list[bytes] = []
-        self._target = ("", "")
+        self._method_and_path = ("", "")
         self._accepts_gzip = False
         self._token = ""
 
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Store the target."""
+        """Store method and path, and whether the sender accepts compressed responses."""
         assert isinstance(start_line, RequestStartLine)
-        self._target = (start_line.method, start_line.path)
+        self._method_and_path = (start_line.method, start_line.path)
         self._accepts_gzip = GZIP in headers.get("Accept-Encoding", "")
 
     def data_received(self, chunk: bytes) -> None:
-        """Store a part of the body; the HTTP server bounds its size before it is expanded."""
+        """Store a part of the body; the HTTP server limits its size before decompression."""
         self._body.append(chunk)
 
     def finish(self) -> None:
         """Handle the complete request."""
-        if self._target == MESSAGES_TARGET:
+        if self._method_and_path == MESSAGES_TARGET:
             self._handle_batch(self._handle_messages)
-        elif self._target == CALL_TARGET:
+        elif self._method_and_path == CALL_TARGET:
             self._handle_batch(self._handle_call)
         else:
             self._respond(404)
@@ -168,7 +169,7 @@
         handle(batch)
 
     def _handle_messages(self, batch: Batch) -> None:
-        """One-way messages; the response body carries the messages sent back at once."""
+        """Pass on one-way messages; the response carries the messages that handling sent back."""
         replies = self._server.endpoint.messages_received(MemberId(batch.sender), batch.messages)
         if replies:
             self._respond(200, self._server.encode(replies))
@@ -176,7 +177,7 @@
             self._respond(204)
 
     def _handle_call(self, batch: Batch) -> None:
-        """The response is pending until the endpoint replies."""
+        """Pass on a call; the response is sent when the endpoint replies."""
         if len(batch.messages) != 1:
             self._respond(400)
             return
@@ -209,4 +210,4 @@
             written.add_done_callback(lambda done: done.exception())
             self._connection.finish()
         except StreamClosedError:
-            """The caller closed its connection; it calls again."""
+            """The sender closed its connection, and sends again what it still needs."""
--- a/src/zincvale/transport/response_reader.py
+++ b/src/zincvale/transport/response_reader.py
@@ -1,7 +1,7 @@
-"""Reads the responses on one server connection; the framing is httptools' (llhttp, strict).
+"""Parses the responses on one server connection with httptools (llhttp in strict mode).
 
-The parser calls back while it is fed. Its events are collected and returned afterwards, so that a
-handler of an event may close the connection while the parser is not running.
+The parser calls methods while it is fed. Their events are collected and returned afterwards, so
+that the handler of an event can close the connection while the parser is not running.
 """
 
 from __future__ import annotations
@@ -14,7 +14,9 @@
 from zincvale.transport.server_exchange import HeaderList, ResponseHead
 
 FIRST_FINAL_STATUS = 200
+"""Responses with a lower status are interim responses."""
 BODILESS_STATUSES = frozenset({204, 304})
+"""Statuses of final responses that never have a body."""
 CHUNKED = "chunked"
 
 
@@ -22,14 +24,15 @@
     """How a response ended."""
 
     REUSABLE = "reusable"
-    """Another request may follow on the connection."""
+    """The connection can be used for another request."""
     LAST = "last"
-    """The server said, or its framing implies, that the connection ends."""
+    """The connection ends, because the server announced it or the framing of the response implies
+    it."""
 
 
 @attrs.frozen
 class UnreadableResponse:
-    """The bytes are no HTTP response; nothing after them can be read."""
+    """The bytes are no HTTP response; nothing that follows them is parsed."""
 
     problem: str
 
@@ -38,12 +41,12 @@
 
 
 class ResponseReader:
-    """Turns bytes into heads, contents and ends, in order.
+    """Converts received bytes to heads, parts of bodies and ends of responses, in order.
 
     Attributes
     ----------
     is_in_message : a response has begun and not ended.
-    ends_with_connection : the current response states no length: the connection's end ends it.
+    ends_with_connection : the current response has no length, so it ends with the connection.
     """
 
     def __init__(self) -> None:
@@ -58,42 +61,42 @@
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
 
     def expect(self, *, has_body: bool) -> None:
-        """Set whether the response to the next request may have a body; to HEAD it has none."""
+        """Set whether the response to the next request may have a body; that to HEAD has none."""
         self._has_body = has_body
 
     def feed(self, data: bytes | memoryview) -> list[ResponseEvent]:
-        """Return what `data` completes; after `UnreadableResponse` nothing follows."""
+        """Return the events in `data`; `UnreadableResponse` is the last one."""
         if self._parser is None or self._ignores_body:
             return []
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._events.append(UnreadableResponse(f"not an answer: {error}"))
+            self._events.append(UnreadableResponse(f"not an HTTP response: {error}"))
         events, self._events = self._events, []
         return events
 
     def close(self) -> None:
-        """Let go of the parser, which refers back to this reader."""
+        """Release the parser, to break the reference cycle between it and this reader."""
         self._parser = None
 
-    # --- called by the parser -------------------------------------------------------------
+    # --- Callbacks of the parser -------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """A response begins."""
+        """Handle the beginning of a response."""
         self.is_in_message = True
         self._reason = ""
         self._headers = []
 
     def on_status(self, reason: bytes) -> None:
-        """The reason phrase, perhaps in parts."""
+        """Append to the reason phrase, which may arrive in parts."""
         self._reason += reason.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header of the head, or of the trailer, which is not forwarded."""
+        """Add a header of the head; headers of a trailer are added too but never read."""
         self._headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """The head is complete."""
+        """Emit the complete head, unless the response is an interim one."""
         assert self._parser is not None
         status = self._parser.get_status_code()
         self._is_interim = status < FIRST_FINAL_STATUS
@@ -104,13 +107,14 @@
         self._events.append(head)
         self.ends_with_connection = status not in BODILESS_STATUSES and not _has_length(head)
         if not self._has_body:
-            # The parser would wait for the body that the length announces.
+            # The parser would wait for a body of the announced length, which a response to HEAD
+            # lacks.
             self._ignores_body = True
             self.is_in_message = False
             self._events.append(ResponseEnd.LAST)
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Emit a part of the body."""
         if self._ignores_body:
             return
         events = self._events
@@ -120,7 +124,7 @@
             events.append(data)
 
     def on_message_complete(self) -> None:
-        """The response is complete."""
+        """Emit the end of the response."""
         assert self._parser is not None
         if self._is_interim or self._ignores_body:
             return
--- a/src/zincvale/transport/server_client.py
+++ b/src/zincvale/transport/server_client.py
@@ -1,8 +1,8 @@
-"""Connections to servers: reused where that is safe, never repeating a request by themselves.
+"""HTTP client with a pool of connections, which are reused where that is safe.
 
-Idle connections are pooled by server and incarnation, and the one used last is used first. How long
-a server keeps an idle connection open comes from its Keep-Alive header, or is learned from the
-connections that it closed or reset.
+The client never repeats a request by itself. Idle connections are pooled by server and incarnation,
+and the most recently used one is reused first. How long a server keeps an idle connection open is
+taken from its Keep-Alive header and learned from the connections that it closed or reset.
 """
 
 from __future__ import annotations
@@ -14,38 +14,41 @@
 import attrs
 
 from zincvale.model.addresses import split_address
-from zincvale.transport.server_connection import ServerConnection, set_options
+from zincvale.transport.server_connection import ServerConnection, set_socket_options
 from zincvale.transport.server_exchange import OutgoingRequest, ResponseListener
 
 CONNECT_TIMEOUT_S = 0.5
-"""A retry at another server starts after this; shorter fails on slow links between zones."""
+"""Time limit for establishing a connection, after which a retry at another server can start. A
+shorter one fails on slow links between zones."""
 MAX_IDLE_PER_SERVER = 8
-"""More hold descriptors at both ends; fewer cost a connection set-up in a burst."""
+"""Maximum number of idle connections to a server. More take up file descriptors on both sides;
+fewer require new connections in a burst of requests."""
 INITIAL_IDLE_LIMIT_S = 10.0
-"""How long an idle connection is assumed to live before anything was learned of its server."""
+"""How long a server is assumed to keep an idle connection open before anything else is known."""
 MIN_IDLE_LIMIT_S = 0.2
-"""One early close must not stop reuse within a burst."""
+"""Smallest learned limit: one early close must not prevent reuse within a burst of requests."""
 IDLE_LIMIT_FACTOR = 0.7
-"""Factor on a known limit: the server measures from another moment. At 1 a request may meet a
-connection that its server is closing."""
+"""Factor on a known limit, as the server starts its timer at another moment. With a factor of 1 a
+request may be sent on a connection that its server is closing."""
 NON_REPEATABLE_IDLE_FACTOR = 0.6
-"""Further factor for requests that may not be repeated: for them such a meeting ends as unknown."""
+"""Additional factor for requests that may not be repeated: if one is sent on a connection that is
+being closed, its outcome stays unknown."""
 
 
 @attrs.define(eq=False)
 class _ConnectionPool:
-    """The idle connections to one incarnation of a server, and how long they live."""
+    """Idle connections to one incarnation of a server, and how long they may be idle for reuse."""
 
     idle: list[ServerConnection] = attrs.field(factory=list)
     idle_limit_s: float = INITIAL_IDLE_LIMIT_S
 
 
 class ServerExchange:
-    """One request in flight; `cancel` closes its connection.
+    """One request in flight.
 
     Attributes
     ----------
-    reused : the request was sent on a connection that had served another one.
+    reused : the request was sent on a connection that had served another request.
     """
 
     def __init__(self) -> None:
@@ -54,24 +57,24 @@
         self._cancelled = False
 
     def cancel(self) -> None:
-        """Give the exchange up: its listener receives no more events, its connection is closed."""
+        """Abandon the exchange: its connection is closed and its listener not called any more."""
         self._cancelled = True
         if self._connection is not None:
             self._connection.close()
 
     def pause(self) -> None:
-        """Read nothing more from the server for now."""
+        """Stop reading from the server until `resume`."""
         if self._connection is not None:
             self._connection.pause()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading from the server."""
         if self._connection is not None:
             self._connection.resume()
 
     @property
     def is_cancelled(self) -> bool:
-        """Whether the exchange was given up."""
+        """Whether the exchange was cancelled."""
         return self._cancelled
 
     @property
@@ -87,19 +90,19 @@
 
 @attrs.define
 class ClientCounts:
-    """Totals since the start, for metrics."""
+    """Connections opened and reused since the start, for metrics."""
 
     opened: int = 0
     reused: int = 0
 
 
 class ServerClient:
-    """All connections of one node to servers, on the running event loop.
+    """All connections of one process to servers, on the running event loop.
 
     Parameters
     ----------
-    clock : seconds.
-    address_map : advertised address to the address that is dialled instead.
+    clock : monotonic clock, in seconds.
+    address_map : addresses to connect to, by the advertised addresses that they replace.
     prepare : sets the options of a socket before it is connected.
     """
 
@@ -107,7 +110,7 @@
         self,
         clock: Callable[[], float],
         address_map: Mapping[str, str] | None = None,
-        prepare: Callable[[socket.socket], None] = set_options,
+        prepare: Callable[[socket.socket], None] = set_socket_options,
     ) -> None:
         self._clock = clock
         self._prepare = prepare
@@ -120,7 +123,7 @@
     def start(
         self, address: str, incarnation: str, request: OutgoingRequest, listener: ResponseListener
     ) -> ServerExchange:
-        """Begin an exchange; the listener is called later, never from here."""
+        """Start an exchange; the listener is called only after this returns."""
         exchange = ServerExchange()
         pool = self._pools.setdefault((address, incarnation), _ConnectionPool())
         if not self._send_on_idle(pool, request, listener, exchange):
@@ -132,7 +135,7 @@
         return exchange
 
     def keep_only(self, targets: set[tuple[str, str]]) -> None:
-        """Close the idle connections of servers that were removed."""
+        """Close the idle connections to all but `targets`, which are (address, incarnation)."""
         for key in [key for key in self._pools if key not in targets]:
             for connection in list(self._pools.pop(key).idle):
                 connection.close()
@@ -161,7 +164,7 @@
         if exchange.is_cancelled:
             self._return_to_pool(pool, connection)
             return
-        self._send_on(connection, request, listener, exchange)
+        self._send_on_connection(connection, request, listener, exchange)
 
     def _send_on_idle(
         self,
@@ -170,14 +173,14 @@
         listener: ResponseListener,
         exchange: ServerExchange,
     ) -> bool:
-        idle_factor = 1.0 if request.may_repeat else NON_REPEATABLE_IDLE_FACTOR
+        limit_factor = 1.0 if request.may_repeat else NON_REPEATABLE_IDLE_FACTOR
         while pool.idle:
             connection = pool.idle.pop()
             idle_s = self._clock() - connection.idle_since
             limit_s = pool.idle_limit_s
             if connection.keep_alive_s is not None:
                 limit_s = min(limit_s, connection.keep_alive_s * IDLE_LIMIT_FACTOR)
-            if idle_s > limit_s * idle_factor:
+            if idle_s > limit_s * limit_factor:
                 connection.close()
                 continue
             if connection.send(request, listener):
@@ -186,7 +189,7 @@
                 return True
         return False
 
-    def _send_on(
+    def _send_on_connection(
         self,
         connection: ServerConnection,
         request: OutgoingRequest,
@@ -196,28 +199,28 @@
         if connection.send(request, listener):
             exchange.attach(connection, reused=False)
         else:
-            listener.on_not_sent("the connection was closed at once")
+            listener.on_not_sent("the connection was closed before the request was sent")
 
     async def _connect(self, address: str, pool: _ConnectionPool) -> ServerConnection:
         host, port = split_address(self._address_map.get(address, address))
         loop = asyncio.get_running_loop()
-        connected = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        connected.setblocking(False)
+        client_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        client_socket.setblocking(False)
         try:
-            self._prepare(connected)
+            self._prepare(client_socket)
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                await loop.sock_connect(connected, (host, port))
+                await loop.sock_connect(client_socket, (host, port))
         except BaseException:
-            connected.close()
+            client_socket.close()
             raise
         self.counts.opened += 1
         connection = ServerConnection(
             self._clock,
             lambda each: self._return_to_pool(pool, each),
-            lambda each: self._on_closed(pool, each),
+            lambda each: self._handle_closed(pool, each),
         )
         self._open.add(connection)
-        await loop.create_connection(lambda: connection, sock=connected)
+        await loop.create_connection(lambda: connection, sock=client_socket)
         return connection
 
     def _return_to_pool(self, pool: _ConnectionPool, connection: ServerConnection) -> None:
@@ -227,7 +230,7 @@
         if len(pool.idle) > MAX_IDLE_PER_SERVER:
             pool.idle[0].close()
 
-    def _on_closed(self, pool: _ConnectionPool, connection: ServerConnection) -> None:
+    def _handle_closed(self, pool: _ConnectionPool, connection: ServerConnection) -> None:
         self._open.discard(connection)
         if connection not in pool.idle:
             return
@@ -237,5 +240,5 @@
             self._learn_idle_limit(pool, idle_s)
 
     def _learn_idle_limit(self, pool: _ConnectionPool, idle_s: float) -> None:
-        """The server closed an idle connection: others will not live longer."""
+        """Lower the idle limit after the server closed a connection that was idle for `idle_s`."""
         pool.idle_limit_s = max(MIN_IDLE_LIMIT_S, idle_s * IDLE_LIMIT_FACTOR)
--- a/src/zincvale/transport/server_connection.py
+++ b/src/zincvale/transport/server_connection.py
@@ -1,7 +1,7 @@
 """One HTTP/1.1 connection to a server.
 
-The connection is read all the time, so that a server that closes it or sends unrequested bytes is
-noticed while the connection is idle. A connection on which anything unexpected arrived is closed.
+The connection is read also while it is idle, so that it is noticed when the server closes it or
+sends bytes that were not requested. A connection that received anything unexpected is closed.
 """
 
 from __future__ import annotations
@@ -17,28 +17,30 @@
 from zincvale.transport.server_exchange import OutgoingRequest, ResponseHead, ResponseListener
 
 READ_BYTES = 65_536
+"""Size of the read buffer."""
 RESPONSE_START = b"HTTP/"
 KEEP_ALIVE_TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)", re.IGNORECASE)
 LINE_BREAKS = re.compile(r"[\r\n\0]")
 BODILESS_METHOD = "HEAD"
 PROBE_IDLE_S = 2
-"""With the two values below an idle connection to an unreachable peer fails within 4 s."""
+"""Idle time after which TCP keep-alive probes are sent. With the two values below, an idle
+connection to an unreachable peer fails within 4 s."""
 PROBE_INTERVAL_S = 1
 PROBE_COUNT = 2
 UNACKNOWLEDGED_LIMIT_MS = 1_500
-"""Bytes that a peer does not acknowledge for so long end the connection. Larger values delay the
-retry of requests at a machine that lost its network."""
+"""Time for which sent bytes may stay unacknowledged before the connection fails (TCP_USER_TIMEOUT).
+Larger values delay the retry of requests after a machine lost its network."""
 
-_received = memoryview(bytearray(READ_BYTES))
-"""Shared by all connections: what is read into it is parsed before anything else is read."""
+_read_buffer = memoryview(bytearray(READ_BYTES))
+"""Read buffer shared by all connections: its content is parsed before anything else is read."""
 
 
 class ServerConnection(asyncio.BufferedProtocol):
-    """A connected stream; carries one exchange at a time.
+    """A connection that carries one exchange at a time.
 
     Parameters
     ----------
-    on_idle : called when an exchange ended and the connection can be used again.
+    on_idle : called when an exchange has ended and the connection can be used again.
     on_closed : called once, when the connection is closed.
     """
 
@@ -57,23 +59,23 @@
         self._listener: ResponseListener | None = None
         self._is_own_response = False
         self._awaits_response = False
-        """Nothing was received since the request was sent."""
+        """Whether nothing was received since the request was sent."""
         self._is_closed = False
         self.used = False
         self.idle_since = clock()
         self.keep_alive_s: float | None = None
-        """How long an idle connection lives, as the server's Keep-Alive header says."""
+        """How long the server keeps an idle connection open, according to its Keep-Alive header."""
 
     @property
     def is_open(self) -> bool:
-        """Whether a request can be sent."""
+        """Whether the connection is established and not closed."""
         return not self._is_closed and self._transport is not None
 
     def send(self, request: OutgoingRequest, listener: ResponseListener) -> bool:
-        """Send a request; False when nothing was sent: the connection is closed, or the
-        head cannot be encoded.
+        """Send a request; return whether it was sent.
 
-        The listener is called later, never from here.
+        Nothing is sent when the connection is closed or the head cannot be encoded. The listener is
+        called only after this returns.
         """
         content = _encode(request)
         if content is None or self._transport is None or self._is_closed:
@@ -88,17 +90,17 @@
         return True
 
     def pause(self) -> None:
-        """Read nothing more until `resume`: the caller is slow."""
+        """Stop reading until `resume`, because the caller is slow."""
         if self._transport is not None and not self._is_closed:
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading."""
         if self._transport is not None and not self._is_closed:
             self._transport.resume_reading()
 
     def close(self) -> None:
-        """Close the connection; its listener receives no event."""
+        """Close the connection; the listener is not called any more."""
         self._listener = None
         self._request = None
         if self._is_closed:
@@ -106,55 +108,55 @@
         self._is_closed = True
         self._reader.close()
         if self._transport is not None:
-            # Unsent bytes must not reach the server after the caller gave the request up.
+            # Unsent bytes must not reach the server after the request was cancelled.
             self._transport.abort()
         self._on_closed(self)
 
-    # --- called by the event loop ---------------------------------------------------------
+    # --- Callbacks of the event loop ---------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Store the transport of the established connection."""
         self._transport = cast(asyncio.Transport, transport)
         if self._is_closed:
             self._transport.abort()
 
     def get_buffer(self, sizehint: int) -> memoryview:  # noqa: ARG002 (asyncio's interface)
-        """Return where to read into."""
-        return _received
+        """Return the buffer to read into."""
+        return _read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Bytes were read."""
+        """Parse the bytes that were read."""
         if self._is_closed:
             return
         if self._request is None:
-            # These bytes answer no request: a later request must not read them as its response.
+            # The bytes belong to no request: a later request must not take them for its response.
             self.close()
             return
-        self._parse(_received[:nbytes])
+        self._parse(_read_buffer[:nbytes])
 
     def eof_received(self) -> bool:
-        """The server will send nothing more."""
+        """Handle that the server closed its side of the connection."""
         self._end_of_stream("the server closed the connection", is_clean=True)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed."""
+        """Handle that the connection was closed or failed."""
         reason = "the server closed the connection" if exc is None else repr(exc)
         self._end_of_stream(reason, is_clean=False)
 
-    # --- reading --------------------------------------------------------------------------
+    # --- Reading --------------------------------------------------------------------------
 
     def _end_of_stream(self, reason: str, *, is_clean: bool) -> None:
         if self._is_closed:
             return
         reader = self._reader
         if is_clean and reader.is_in_message and reader.ends_with_connection:
-            self._on_end(ResponseEnd.LAST, is_last_event=True)
-        self._break(reason)
+            self._handle_end(ResponseEnd.LAST, is_last_event=True)
+        self._fail(reason)
 
     def _parse(self, data: memoryview) -> None:
         if self._awaits_response and not _may_begin_response(bytes(data[: len(RESPONSE_START)])):
-            self._break("not an answer: it begins with other bytes")
+            self._fail("not an HTTP response: it does not begin with HTTP/")
             return
         self._awaits_response = False
         events = self._reader.feed(data)
@@ -166,13 +168,13 @@
                 if self._is_own_response and self._listener is not None:
                     self._listener.on_content(event)
             elif isinstance(event, ResponseHead):
-                self._on_head(event)
+                self._handle_head(event)
             elif isinstance(event, ResponseEnd):
-                self._on_end(event, is_last_event=index == last)
+                self._handle_end(event, is_last_event=index == last)
             elif isinstance(event, UnreadableResponse):
-                self._break(event.problem)
+                self._fail(event.problem)
 
-    def _on_head(self, head: ResponseHead) -> None:
+    def _handle_head(self, head: ResponseHead) -> None:
         lowered = head.lowered()
         assert self._request is not None
         self._is_own_response = self._request.is_own_response(head.status, lowered)
@@ -182,11 +184,11 @@
         if self._is_own_response and self._listener is not None:
             self._listener.on_head(head)
 
-    def _on_end(self, end: ResponseEnd, *, is_last_event: bool) -> None:
+    def _handle_end(self, end: ResponseEnd, *, is_last_event: bool) -> None:
         if not self._is_own_response:
-            # A late response to an earlier request came first: this request's may follow.
+            # This is a late response to an earlier request; the one to this request may follow.
             if end is not ResponseEnd.REUSABLE:
-                self._break("an answer of another request")
+                self._fail("the response belongs to another request")
             return
         listener = self._listener
         self._listener = None
@@ -196,7 +198,11 @@
             listener.on_complete()
 
     def _finish_exchange(self, end: ResponseEnd, *, is_last_event: bool) -> None:
-        """Become idle, unless the stream ended, more bytes came, or the request is unsent."""
+        """Report the connection as idle, or close it if it cannot be reused.
+
+        It cannot when the connection ends, more bytes were received, or the request was not
+        completely sent.
+        """
         is_clean = (
             end is ResponseEnd.REUSABLE
             and is_last_event
@@ -211,7 +217,7 @@
         self.idle_since = self._clock()
         self._on_idle(self)
 
-    def _break(self, reason: str) -> None:
+    def _fail(self, reason: str) -> None:
         listener = self._listener
         self.close()
         if listener is not None:
@@ -223,7 +229,7 @@
 
 
 def _encode(request: OutgoingRequest) -> bytes | None:
-    """Return the request's bytes; None when a part of its head holds a line break."""
+    """Return the encoded request, or None when its head contains a line break or null character."""
     headers = list(request.headers)
     if request.body is not None:
         headers.append(("Content-Length", str(len(request.body))))
@@ -235,10 +241,13 @@
     return head.encode("latin-1", "replace") + (request.body or b"")
 
 
-def set_options(connected: socket.socket) -> None:
-    """Detect an unreachable peer: by unacknowledged bytes, or by keep-alive probes when idle."""
-    connected.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    connected.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+def set_socket_options(client_socket: socket.socket) -> None:
+    """Disable Nagle's algorithm, and detect an unreachable peer.
+
+    It is detected by unacknowledged bytes, or by keep-alive probes while the connection is idle.
+    """
+    client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_KEEPIDLE, PROBE_IDLE_S),
         (socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
@@ -246,4 +255,4 @@
         (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS),
     ):
         with contextlib.suppress(OSError):
-            connected.setsockopt(socket.IPPROTO_TCP, option, value)
+            client_socket.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/src/zincvale/transport/server_exchange.py
+++ b/src/zincvale/transport/server_exchange.py
@@ -12,16 +12,16 @@
 
 @attrs.frozen
 class OutgoingRequest:
-    """What leaves for a server.
+    """One request to a server.
 
     Attributes
     ----------
-    headers : without those that frame the body.
-    body : None sends no body at all.
-    is_own_response : whether a response with this status and these headers (names in lower case)
-        is this request's; others are read to their end and dropped.
-    may_repeat : the request may be sent twice, so it may use a connection that was idle for so
-        long that the server may have closed it.
+    headers : headers without `Content-Length`, which is added when there is a body.
+    body : body of the request; None sends neither a body nor a length.
+    is_own_response : returns whether a response with this status and these headers (names in lower
+        case) belongs to this request; other responses are read to their end and dropped.
+    may_repeat : the request may be sent twice, so it may use a connection that was idle for so long
+        that the server may have closed it.
     """
 
     method: str
@@ -34,14 +34,14 @@
 
 @attrs.frozen
 class ResponseHead:
-    """Status and headers of a response, in the order and spelling that the server used."""
+    """Status and headers of a response; headers have the order and spelling of the server."""
 
     status: int
     reason: str
     headers: HeaderList
 
     def lowered(self) -> dict[str, str]:
-        """Return the headers with names in lower case; of repeated ones the last."""
+        """Return the headers with names in lower case; of repeated headers the last one."""
         return {name.lower(): value for name, value in self.headers}
 
 
@@ -52,21 +52,21 @@
     """
 
     def on_not_sent(self, reason: str) -> None:
-        """No connection came up: nothing of the request was sent."""
+        """Handle that nothing of the request was sent, mostly for lack of a connection."""
         ...
 
     def on_head(self, head: ResponseHead) -> None:
-        """The head of the response."""
+        """Handle the head of the response."""
         ...
 
     def on_content(self, data: bytes) -> None:
-        """A part of the body."""
+        """Handle a part of the body."""
         ...
 
     def on_complete(self) -> None:
-        """The response is complete."""
+        """Handle the end of a complete response."""
         ...
 
     def on_broken(self, reason: str) -> None:
-        """The exchange broke after a part of the request may have been sent."""
+        """Handle a failure after a part of the request may have been sent."""
         ...
--- a/tests/transport/test_peer_client.py
+++ b/tests/transport/test_peer_client.py
@@ -78,7 +78,7 @@
     def send(self, peers, message):
         async def scenario():
             peers.send("core-1", message)
-            while peers._links["core-1"].in_flight:
+            while peers._links["core-1"].has_batch_in_flight:
                 await asyncio.sleep(0)
 
         asyncio.run(scenario())
