--- a/tests/storage/test_version_files.py
+++ b/tests/storage/test_version_files.py
@@ -1,4 +1,4 @@
-"""Version files on a real folder: restart, torn files, foreign folders, failed writes."""
+"""Tests of version files in a real folder: restarts, torn files, other clusters, failed writes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FullDisk(RealDisk):
-    """A disk that refuses writes while `full`."""
+    """A disk whose writes fail while `full` is set."""
 
     full = False
 
@@ -54,7 +54,7 @@
             ["000000000009", "000000000010"], self.disk.list_files(self.folder / "keys" / "k")
         )
 
-    def test_a_torn_file_costs_the_disk_its_identity(self) -> None:
+    def test_a_torn_file_replaces_the_identity_of_the_disk(self) -> None:
         files = self.new_files()
         identity = files.load().disk
         files.write("k", 1, b"Sone")
@@ -71,7 +71,7 @@
         )
         self.assertEqual({}, self.new_files().load().damaged)
 
-    def test_a_torn_file_before_the_newest_snapshot_is_harmless(self) -> None:
+    def test_a_torn_file_before_the_newest_snapshot_is_ignored(self) -> None:
         files = self.new_files()
         files.load()
         files.write("k", 1, b"Sone")
@@ -80,7 +80,7 @@
         state = self.new_files().load()
         self.assertEqual(([b"Stwo"], {}), (state.keys["k"].contents, state.damaged))
 
-    def test_a_missing_file_is_detected(self) -> None:
+    def test_a_missing_file_of_a_chain_is_reported_as_damage(self) -> None:
         files = self.new_files()
         files.load()
         for number, content in enumerate([b"Sone", b"Dtwo", b"Dthree"], start=1):
@@ -88,7 +88,7 @@
         (self.folder / "keys" / "k" / "000000000002").unlink()
         self.assertIn("missing", self.new_files(seed=2).load().damaged["k"])
 
-    def test_a_temporary_file_is_removed(self) -> None:
+    def test_a_temporary_file_is_not_reported_as_damage(self) -> None:
         files = self.new_files()
         files.load()
         files.write("k", 1, b"Sone")
@@ -96,7 +96,7 @@
         state = self.new_files().load()
         self.assertEqual({}, state.damaged)
 
-    def test_a_full_disk_is_reported_and_survived(self) -> None:
+    def test_a_write_to_a_full_disk_returns_the_error_and_a_later_write_succeeds(self) -> None:
         files = self.new_files()
         files.load()
         self.disk.full = True
@@ -105,12 +105,12 @@
         self.assertEqual("", files.write("k", 2, b"Stwo"))
         self.assertEqual([b"Stwo"], self.new_files().load().keys["k"].contents)
 
-    def test_a_folder_of_another_cluster_is_refused(self) -> None:
+    def test_a_folder_of_another_cluster_is_rejected(self) -> None:
         self.new_files().load()
         error = self.assertRaises(WrongClusterError, self.new_files("other").load)
         self.assertIn("'other'", error.remedy)
 
-    def test_records_without_identity_are_refused(self) -> None:
+    def test_records_without_an_identity_file_are_rejected(self) -> None:
         files = self.new_files()
         files.load()
         files.write("k", 1, b"Sone")
--- a/tests/transport/test_codec.py
+++ b/tests/transport/test_codec.py
@@ -1,4 +1,4 @@
-"""The Avro codec: round trips, refusals, and the committed schemas."""
+"""Tests of the Avro codec: round trips, unknown messages and truncated batches."""
 
 from __future__ import annotations
 
@@ -45,15 +45,15 @@
 
 
 class CodecTest(testtools.TestCase):
-    def test_batch_round_trip(self) -> None:
+    def test_a_batch_is_decoded_as_it_was_encoded(self) -> None:
         batch = Batch("cluster", "core-1", "ab", [SAMPLE, SAMPLE])
         self.assertThat(decode_batch(encode_batch(batch)), Equals(batch))
 
-    def test_unknown_message_names_the_remedy(self) -> None:
+    def test_the_error_on_an_unknown_message_names_the_remedy(self) -> None:
         error = self.assertRaises(MalformedBodyError, decode_message, "test.no-such", b"")
         self.assertThat(str(error), Contains("same release"))
 
-    def test_truncated_batch_is_refused(self) -> None:
+    def test_a_truncated_batch_is_rejected(self) -> None:
         body = encode_batch(Batch("cluster", "core-1", "ab", [SAMPLE]))
         for length in range(0, len(body), 7):
             self.assertRaises(MalformedBodyError, decode_batch, body[:length])
--- a/tests/transport/test_curl_client.py
+++ b/tests/transport/test_curl_client.py
@@ -1,4 +1,4 @@
-"""The curl client against a scripted server on an own loopback address."""
+"""Tests of the curl client against a scripted server on a loopback address of its own."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 PORT = 9117
 NEVER_S = 1e6
-"""No clock decides a test: an exchange ends by what the server does."""
+"""Timeout that is never reached: each exchange ends because of what the server does."""
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 BIG_BYTES = 32_000_000
 
 
-def own_loopback_host() -> str:
-    """An address that no other test run on this machine uses."""
+def unique_loopback_host() -> str:
+    """Return a loopback address that no other test run on this machine uses."""
     number = os.getpid()
     return f"127.{64 + (number >> 16) % 64}.{(number >> 8) % 256}.{number % 256 or 1}"
 
@@ -28,15 +28,15 @@
     return ClientRequest(address, path, body, streaming=streaming, connect_timeout_s=NEVER_S / 1000)
 
 
-async def turns(count):
-    """Let every ready socket be served `count` times."""
+async def run_event_loop(count):
+    """Run the event loop `count` times, so that every ready socket is served."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 @attrs.define(eq=False)
 class ScriptedServer:
-    """Responds by path; counts connections and requests."""
+    """Server whose behaviour depends on the path; counts connections and records requests."""
 
     requests: list = attrs.field(factory=list)
     connections: int = 0
@@ -96,12 +96,12 @@
 
 
 class Listener:
-    def __init__(self, pause_at_first=False):
+    def __init__(self, pauses_at_first_body=False):
         self.calls = []
         self.received = 0
         self.exchange = None
-        self.pause_at_first = pause_at_first
-        self.close_when_done = False
+        self.pauses_at_first_body = pauses_at_first_body
+        self.closes_when_done = False
         self.ended = asyncio.get_running_loop().create_future()
         self.headers_seen = asyncio.get_running_loop().create_future()
         self.first = asyncio.get_running_loop().create_future()
@@ -117,12 +117,12 @@
         self.received += len(data)
         if not self.first.done():
             self.first.set_result(None)
-            if self.pause_at_first:
+            if self.pauses_at_first_body:
                 self.exchange.pause()
 
     def on_done(self, body):
         self.calls.append("done")
-        if self.close_when_done:
+        if self.closes_when_done:
             self.exchange.close_connection()
         self.ended.set_result(body)
 
@@ -135,7 +135,7 @@
     def run_scenario(self, scenario):
         async def main():
             script = ScriptedServer()
-            host = own_loopback_host()
+            host = unique_loopback_host()
             server = await asyncio.start_server(script.serve, host, PORT)
             client = CurlClient({"10.0.0.1:1": f"{host}:{PORT}"})
             try:
@@ -161,7 +161,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_request_is_never_sent_twice_when_a_reused_connection_turns_out_closed(self):
+    def test_a_request_is_not_sent_twice_when_the_server_closed_a_reused_connection(self):
         async def scenario(client, script):
             for body in (b"{}", None):
                 await self.fetch(client, "/a", body)
@@ -181,7 +181,7 @@
 
         self.run_scenario(scenario)
 
-    def test_half_a_response_is_a_failure(self):
+    def test_an_incomplete_response_fails_the_exchange(self):
         async def scenario(client, script):
             for path in ("/short", "/cut-chunks"):
                 failure = await self.fetch(client, path)
@@ -189,7 +189,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_request_that_may_not_be_sent_any_more_is_not_sent(self):
+    def test_nothing_is_sent_when_may_send_returns_false(self):
         async def scenario(client, script):
             for may_send in (True, False):
                 request = attrs.evolve(request_to("/a"), may_send=lambda may=may_send: may)
@@ -201,9 +201,9 @@
 
         self.run_scenario(scenario)
 
-    def test_a_server_that_is_not_there_was_sent_nothing(self):
+    def test_a_refused_connection_reports_that_nothing_was_sent(self):
         async def scenario(client, script):
-            request = request_to("/a", b"{}", f"{own_loopback_host()}:1")
+            request = request_to("/a", b"{}", f"{unique_loopback_host()}:1")
             error = None
             try:
                 await client.fetch(request, NEVER_S)
@@ -213,7 +213,7 @@
 
         self.run_scenario(scenario)
 
-    def test_cancelling_closes_the_connection_and_ends_the_events(self):
+    def test_a_cancelled_exchange_closes_the_connection_and_reports_no_more_events(self):
         async def scenario(client, script):
             listener = Listener()
             exchange = client.start(request_to("/hang"), listener)
@@ -231,7 +231,7 @@
     def test_a_connection_closed_after_a_complete_response_is_not_used_again(self):
         async def scenario(client, script):
             listener = Listener()
-            listener.close_when_done = True
+            listener.closes_when_done = True
             listener.exchange = client.start(request_to("/a"), listener)
             await listener.ended
             await self.fetch(client, "/a")
@@ -239,16 +239,16 @@
 
         self.run_scenario(scenario)
 
-    def test_a_paused_exchange_holds_the_server_back(self):
+    def test_a_paused_exchange_reads_no_more_than_its_buffer(self):
         async def scenario(client, script):
-            listener = Listener(pause_at_first=True)
+            listener = Listener(pauses_at_first_body=True)
             request = request_to("/big", None, streaming=True)
             listener.exchange = client.start(request, listener)
             await listener.first
             before = -1
             while script.written != before:
                 before = script.written
-                await turns(200)
+                await run_event_loop(200)
             self.assertLess(listener.received, 300_000)
             self.assertLess(script.written, BIG_BYTES)
             listener.exchange.resume()
@@ -258,14 +258,14 @@
 
         self.run_scenario(scenario)
 
-    def test_body_from_before_a_pause_is_delivered_before_the_end(self):
+    def test_a_body_received_during_a_pause_is_delivered_before_the_end(self):
         async def scenario(client, script):
             listener = Listener()
             request = request_to("/a", None, streaming=True)
             listener.exchange = client.start(request, listener)
             listener.exchange.pause()
             await listener.headers_seen
-            await turns(50)
+            await run_event_loop(50)
             self.assertEqual(0, listener.received)
             listener.exchange.resume()
             await listener.ended
--- a/tests/transport/test_peer_client.py
+++ b/tests/transport/test_peer_client.py
@@ -1,4 +1,4 @@
-"""What a daemon sends to its peers."""
+"""Tests of the client side of the peer protocol."""
 
 import asyncio
 import gzip
@@ -12,12 +12,12 @@
 from zincvale.transport.server_client import ServerExchange
 from zincvale.transport.server_exchange import ResponseHead
 
-ASKED = LeaseRedirect([], "asked")
+REQUEST = LeaseRedirect([], "asked")
 REPLY = LeaseRedirect([], "reply")
 
 
 class Connections:
-    """Records the requests; each gets the next response of the script, then an empty one."""
+    """Records the requests; responds with the responses in `script`, and then with empty ones."""
 
     def __init__(self, *script):
         self.requests = []
@@ -26,28 +26,28 @@
     def start(self, address, incarnation, request, listener):
         self.requests.append(request)
         exchange = ServerExchange()
-        response = self.script.pop(0) if self.script else nothing
+        response = self.script.pop(0) if self.script else empty_response
         asyncio.get_running_loop().call_soon(response, exchange, listener)
         return exchange
 
 
-def nothing(exchange, listener):
+def empty_response(exchange, listener):
     listener.on_head(ResponseHead(204, "No Content", []))
     listener.on_complete()
 
 
-def reset(on_reused):
-    """Return an end of the connection before any response."""
+def reset_connection(on_reused):
+    """Return a script entry that resets the connection before any response."""
 
-    def end(exchange, listener):
+    def fail(exchange, listener):
         exchange.reused = on_reused
         listener.on_broken("reset")
 
-    return end
+    return fail
 
 
-def says(body, status=200, headers=()):
-    """Return a response."""
+def respond_with(body, status=200, headers=()):
+    """Return a script entry that sends this response."""
 
     def response(exchange, listener):
         listener.on_head(ResponseHead(status, "", list(headers)))
@@ -62,7 +62,7 @@
 
 
 class PeerTest(TestCase):
-    def peers(self, *script, resolve=lambda member: "10.0.0.1:1"):
+    def make_client(self, *script, resolve=lambda member: "10.0.0.1:1"):
         self.connections = Connections(*script)
         identity = PeerIdentity("cluster", "node-1", "a1")
         self.received, self.states = [], []
@@ -75,10 +75,10 @@
             self.connections,
         )
 
-    def send(self, peers, message):
+    def send(self, client, message):
         async def scenario():
-            peers.send("core-1", message)
-            while peers._links["core-1"].has_batch_in_flight:
+            client.send("core-1", message)
+            while client._links["core-1"].has_batch_in_flight:
                 await asyncio.sleep(0)
 
         asyncio.run(scenario())
@@ -86,69 +86,82 @@
 
 class ExchangeTest(PeerTest):
     def test_the_response_to_a_call_is_its_reply(self):
-        peers = self.peers(says(batch_of(REPLY)))
-        self.assertEqual(REPLY, asyncio.run(peers.call("core-1", ASKED, 1.0)))
+        client = self.make_client(respond_with(batch_of(REPLY)))
+        self.assertEqual(REPLY, asyncio.run(client.call("core-1", REQUEST, 1.0)))
         (request,) = self.connections.requests
         self.assertEqual(("POST", "/peer/call"), (request.method, request.target))
 
-    def test_a_compressed_response_is_expanded(self):
+    def test_a_compressed_response_is_decompressed(self):
         coding = [("Content-Encoding", "gzip")]
-        peers = self.peers(says(gzip.compress(batch_of(REPLY)), headers=coding))
-        self.assertEqual(REPLY, asyncio.run(peers.call("core-1", ASKED, 1.0)))
+        client = self.make_client(respond_with(gzip.compress(batch_of(REPLY)), headers=coding))
+        self.assertEqual(REPLY, asyncio.run(client.call("core-1", REQUEST, 1.0)))
 
-    def test_what_cannot_be_read_fails_the_call(self):
+    def test_an_unreadable_or_failed_response_fails_the_call(self):
         coding = [("Content-Encoding", "gzip")]
-        for response in (says(b"abc"), says(b"abc", headers=coding), says(b"", status=503)):
-            peers = self.peers(response)
-            self.assertRaises(PeerCallError, asyncio.run, peers.call("core-1", ASKED, 1.0))
-
-    def test_a_call_on_a_connection_that_had_ended_is_sent_once_more(self):
-        peers = self.peers(reset(on_reused=True), says(batch_of(REPLY)))
-        self.assertEqual(REPLY, asyncio.run(peers.call("core-1", ASKED, 1.0)))
-        peers = self.peers(reset(on_reused=True), reset(on_reused=True), says(batch_of(REPLY)))
-        self.assertRaises(PeerCallError, asyncio.run, peers.call("core-1", ASKED, 1.0))
+        for response in (
+            respond_with(b"abc"),
+            respond_with(b"abc", headers=coding),
+            respond_with(b"", status=503),
+        ):
+            client = self.make_client(response)
+            self.assertRaises(PeerCallError, asyncio.run, client.call("core-1", REQUEST, 1.0))
+
+    def test_a_call_is_retried_once_when_a_reused_connection_is_reset(self):
+        client = self.make_client(reset_connection(on_reused=True), respond_with(batch_of(REPLY)))
+        self.assertEqual(REPLY, asyncio.run(client.call("core-1", REQUEST, 1.0)))
+        client = self.make_client(
+            reset_connection(on_reused=True),
+            reset_connection(on_reused=True),
+            respond_with(batch_of(REPLY)),
+        )
+        self.assertRaises(PeerCallError, asyncio.run, client.call("core-1", REQUEST, 1.0))
         self.assertEqual(2, len(self.connections.requests))
 
-    def test_a_call_that_broke_off_on_a_new_connection_is_not_sent_again(self):
-        peers = self.peers(reset(on_reused=False), says(batch_of(REPLY)))
-        self.assertRaises(PeerCallError, asyncio.run, peers.call("core-1", ASKED, 1.0))
+    def test_a_call_is_not_retried_when_a_new_connection_is_reset(self):
+        client = self.make_client(reset_connection(on_reused=False), respond_with(batch_of(REPLY)))
+        self.assertRaises(PeerCallError, asyncio.run, client.call("core-1", REQUEST, 1.0))
         self.assertEqual(1, len(self.connections.requests))
 
-    def test_a_member_without_a_connection_or_an_address_was_not_reached(self):
-        peers = self.peers(lambda exchange, listener: listener.on_not_sent("refused"))
-        self.assertRaises(PeerUnreachableError, asyncio.run, peers.call("core-1", ASKED, 1.0))
-        peers = self.peers(resolve=lambda member: None)
-        self.assertRaises(PeerUnreachableError, asyncio.run, peers.call("core-1", ASKED, 1.0))
-
-    def test_a_call_is_given_up_after_its_time(self):
-        peers = self.peers(lambda exchange, listener: None)
-        self.assertRaises(PeerCallError, asyncio.run, peers.call("core-1", ASKED, 0.0))
-
-    def test_messages_that_come_back_are_delivered_and_link_states_are_reported_once(self):
-        peers = self.peers(says(batch_of(REPLY)), reset(False), reset(False), nothing)
+    def test_a_member_without_a_connection_or_an_address_is_unreachable(self):
+        client = self.make_client(lambda exchange, listener: listener.on_not_sent("refused"))
+        self.assertRaises(PeerUnreachableError, asyncio.run, client.call("core-1", REQUEST, 1.0))
+        client = self.make_client(resolve=lambda member: None)
+        self.assertRaises(PeerUnreachableError, asyncio.run, client.call("core-1", REQUEST, 1.0))
+
+    def test_a_call_fails_after_its_timeout(self):
+        client = self.make_client(lambda exchange, listener: None)
+        self.assertRaises(PeerCallError, asyncio.run, client.call("core-1", REQUEST, 0.0))
+
+    def test_messages_in_a_response_are_delivered_and_link_states_are_reported_once(self):
+        client = self.make_client(
+            respond_with(batch_of(REPLY)),
+            reset_connection(False),
+            reset_connection(False),
+            empty_response,
+        )
         for _ in range(4):
-            self.send(peers, ASKED)
+            self.send(client, REQUEST)
         self.assertEqual([("core-1", [REPLY])], self.received)
         self.assertEqual([("core-1", False), ("core-1", True)], self.states)
 
 
 class CompressionTest(PeerTest):
-    """Large bodies are compressed, so that they pass slow links before they are given up."""
+    """Large bodies are compressed, so that they cross slow links before the timeout."""
 
-    def sent(self, message):
-        self.send(self.peers(), message)
+    def send_and_get_request(self, message):
+        self.send(self.make_client(), message)
         (request,) = self.connections.requests
         return request
 
     def test_a_large_body_is_compressed(self):
         message = LeaseRedirect([], "text " * 4_000)
-        request = self.sent(message)
+        request = self.send_and_get_request(message)
         self.assertEqual("gzip", dict(request.headers)["Content-Encoding"])
         self.assertLess(len(request.body), 1_000)
         self.assertEqual([message], decode_batch(gzip.decompress(request.body)).messages)
 
-    def test_a_small_body_is_not(self):
+    def test_a_small_body_is_not_compressed(self):
         message = LeaseRedirect([], "text")
-        request = self.sent(message)
+        request = self.send_and_get_request(message)
         self.assertNotIn("Content-Encoding", dict(request.headers))
         self.assertEqual([message], decode_batch(request.body).messages)
