--- a/tests/tracing/api/test_trace_api.py
+++ b/tests/tracing/api/test_trace_api.py
@@ -1,4 +1,4 @@
-"""The trace API of a node, its HTTP binding and metrics, and what the commands make of it."""
+"""Tests of the trace API, its HTTP handlers and metrics, and the merging of its responses."""
 
 import random
 
@@ -33,7 +33,7 @@
 
 
 class FakeConnection:
-    """Takes what a handler writes, without a socket."""
+    """Connection that records what a handler writes, without a socket."""
 
     def __init__(self):
         self.status = 0
@@ -54,7 +54,7 @@
 
 
 def fetch(service, path):
-    """Return (status, body) of a GET, through tornado's dispatch, without an event loop."""
+    """Return (status, body) of a GET request, dispatched by tornado without an event loop."""
     connection = FakeConnection()
     request = HTTPServerRequest(
         connection=connection,
@@ -69,30 +69,30 @@
     return connection.status, orjson.loads(connection.body)
 
 
-class Answers(TestCase):
+class Responses(TestCase):
     def setUp(self):
         super().setUp()
         self.fleet = make_fleet()
         draw = random.Random(2)
-        entry = self.fleet.services[HERE]
-        self.trace_id, _ = trace_request(self.fleet, entry, RequestMix(1.0), draw)
+        ingress = self.fleet.services[HERE]
+        self.trace_id, _ = trace_request(self.fleet, ingress, RequestMix(1.0), draw)
         self.fleet.run_until(self.fleet.now + 5.0)
-        self.owner = self.fleet.services[entry.collectors.owner(self.trace_id)]
+        self.owner = self.fleet.services[ingress.collectors.owner(self.trace_id)]
 
-    def wait(self):
+    def run_until_decided(self):
         self.fleet.run_until(self.fleet.now + 60.0)
 
-    def test_a_trace_is_shown_before_and_after_its_verdict(self):
+    def test_a_trace_is_returned_before_and_after_its_verdict(self):
         pending = get_trace(self.owner, self.trace_id)
         self.assertThat((pending["state"], len(pending["spans"])), Equals(("pending", 2)))
         [same] = traces_of_request(self.owner, pending["request_id"])["traces"]
         self.assertThat(same, Equals(pending))
-        self.wait()
+        self.run_until_decided()
         kept = get_trace(self.owner, self.trace_id)
         self.assertThat((kept["state"], kept["policy"]), Equals(("kept", ERROR_POLICY)))
         self.assertThat(kept["spans"], Equals(pending["spans"]))
 
-    def test_errors_say_where_to_look(self):
+    def test_unknown_and_dropped_traces_are_not_found(self):
         self.assertRaises(NotFoundError, get_trace, self.owner, trace_id(77))
         self.assertRaises(NotFoundError, traces_of_request, self.owner, "no-such")
         self.owner.collector._verdicts.remember(trace_id(77), "")
@@ -100,7 +100,7 @@
         self.assertThat(error.problem, Contains("not kept"))
 
     def test_a_search_lists_replicas_but_counts_each_trace_once(self):
-        self.wait()
+        self.run_until_decided()
         found = [find_traces(s, TraceQuery(route="quotes")) for s in self.fleet.services.values()]
         self.assertThat(sum(len(body["traces"]) for body in found), Equals(2))
         merged = merge_found(found, 10)
@@ -108,8 +108,8 @@
         self.assertThat(merged["estimate"]["total"], Equals(1.0))
         self.assertThat(round(merged["estimate"]["mean_ms"]), Equals(50))
 
-    def test_over_http(self):
-        self.wait()
+    def test_http_requests_get_responses_and_error_statuses(self):
+        self.run_until_decided()
         status, found = fetch(self.owner, "/v1/traces?route=quotes&since=5&limit=3")
         self.assertThat((status, len(found["traces"])), Equals((200, 1)))
         status, trace = fetch(self.owner, f"/v1/traces/{self.trace_id}")
@@ -120,30 +120,30 @@
         status, error = fetch(self.owner, "/v1/traces?rout=quotes")
         self.assertThat((status, error["kind"]), Equals((422, "invalid")))
 
-    def test_metrics(self):
+    def test_metrics_count_decided_and_retained_traces(self):
         registry = CollectorRegistry()
         register_metrics(self.owner, registry)
-        self.wait()
+        self.run_until_decided()
         text = generate_latest(registry).decode()
         self.assertThat(text, Contains('zincvale_tracing_kept_total{policy="errors-always"} 1.0'))
         self.assertThat(text, Contains("zincvale_tracing_collector_decided_total 1.0"))
 
 
 class Queries(TestCase):
-    def test_arguments_are_checked(self):
+    def test_url_arguments_are_parsed_and_validated(self):
         query = read_query({"route": "quotes", "since": "12.5", "limit": "7"})
         self.assertThat(query, Equals(TraceQuery(route="quotes", since=12.5, limit=7)))
         for arguments in ({"since": "yesterday"}, {"limit": "0"}, {"colour": "red"}):
             self.assertRaises(InvalidInputError, read_query, arguments)
 
-    def test_ages(self):
+    def test_ages_are_parsed_in_every_unit(self):
         ages = [age_s(text) for text in ("90s", "15m", "2h", "1d", "30")]
         self.assertThat(ages, Equals([90.0, 900.0, 7200.0, 86_400.0, 30.0]))
         self.assertRaises(InvalidInputError, age_s, "soon")
 
 
 class Merging(TestCase):
-    def test_the_fullest_response_wins_and_attempts_are_in_order(self):
+    def test_merging_keeps_each_trace_once_with_the_attempts_in_order(self):
         fleet = make_fleet()
         here, other = fleet.services[HERE], fleet.services[OTHER]
         first = make_chunk(1, 1, request_id="r-7")
--- a/tests/tracing/api/test_transcripts.py
+++ b/tests/tracing/api/test_transcripts.py
@@ -1,11 +1,11 @@
-"""Approved transcripts of `trace show`, `trace why` and `trace find`."""
+"""Tests of `trace show`, `trace why` and `trace find` against approved transcripts."""
 
 from pathlib import Path
 
 from testtools import TestCase
 from testtools.matchers import Equals
 
-from tests.tracing.builders import HERE, Recording, table
+from tests.tracing.builders import HERE, Recording, collector_table
 from zincvale.tracing.api.explain import explain
 from zincvale.tracing.api.render import render_table, render_tree
 from zincvale.tracing.collector.effects import RetainTrace
@@ -18,7 +18,7 @@
 
 
 def record_retried_quote(run):
-    """A quote that waits, is refused by one server and answered by the next."""
+    """Record a request that is queued, fails at one server and succeeds at the next."""
     root = run.recorder.start("request", attributes={"route": "quotes"})
     root.set("request_id", "quote-17\x1b[2J")
     root.set("model", "tariff-7b")
@@ -50,7 +50,7 @@
 
 
 def record_order(run):
-    """An order to load a model, completed ninety seconds later."""
+    """Record an order to load a model that is completed after ninety seconds."""
     root = run.recorder.start(
         "order",
         attributes={
@@ -68,9 +68,9 @@
 
 
 def retain(run, verdict, is_error):
-    """Return the retained trace of what the run recorded, as the trace API writes it."""
+    """Return the retained trace of the recorded spans, as the trace API returns it."""
     store = RetainedTraceStore(10**6, 3600.0)
-    replicator = TraceReplicator(HERE, TracingConfig(), table(HERE), store, run.now)
+    replicator = TraceReplicator(HERE, TracingConfig(), collector_table(HERE), store, run.now)
     replicator.handle(RetainTrace(run.chunks, verdict, is_error), run.now)
     [trace] = store.rows()
     return {"state": "kept", **trace.to_json()}
@@ -86,24 +86,24 @@
     def assert_approved(self, name, text):
         self.assertThat(text + "\n", Equals((APPROVED / name).read_text(encoding="utf-8")))
 
-    def test_a_retried_quote(self):
+    def test_transcripts_of_a_retried_request(self):
         trace = retain(self.quote, Verdict(ERROR_POLICY, 1.0), True)
         self.assert_approved("quote-show.txt", render_tree(trace))
         self.assert_approved("quote-why.txt", explain(trace))
 
-    def test_an_order(self):
+    def test_transcripts_of_an_order(self):
         trace = retain(self.order, Verdict(SLOW_POLICY, 1.0), False)
         self.assert_approved("order-show.txt", render_tree(trace))
         self.assert_approved("order-why.txt", explain(trace))
 
-    def test_a_search(self):
+    def test_transcript_of_a_search(self):
         rows = [
             retain(self.quote, Verdict(ERROR_POLICY, 1.0), True),
             retain(self.order, Verdict(SLOW_POLICY, 1.0), False),
         ]
         self.assert_approved("find.txt", render_table(rows))
 
-    def test_parts_without_their_ingress_node(self):
+    def test_explanation_of_a_trace_without_its_root(self):
         trace = retain(self.quote, Verdict(ERROR_POLICY, 1.0), True)
         trace["spans"] = [span for span in trace["spans"] if span["parent_id"]]
         self.assert_approved("no-root-why.txt", explain({**trace, "state": "pending"}))
--- a/tests/tracing/builders.py
+++ b/tests/tracing/builders.py
@@ -1,4 +1,4 @@
-"""Short ways to make chunks, machines and recorded requests for the tests."""
+"""Builders of chunks, collector tables and recorders for the tests of tracing."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def make_chunk(number: int, sequence: int = 1, **fields: Any) -> TraceChunk:
-    """Return a chunk of trace `number`: an ordinary fast request, unless `fields` differ."""
+    """Return a chunk of trace `number`; by default that of a fast request without an error."""
     error = fields.get("error", False)
     root_ms = fields.get("root_ms", 20.0)
     span = Span("aa", "", "request", HERE, WALL_S + number, 1.0, root_ms / 1000.0)
@@ -44,14 +44,14 @@
     return TraceChunk(trace_id(number), sequence=sequence, **values)
 
 
-def table(*members: MemberId) -> CollectorTable:
+def collector_table(*members: MemberId) -> CollectorTable:
     collectors = CollectorTable()
     collectors.apply(frozenset(members))
     return collectors
 
 
 def owned_by(member: MemberId, collectors: CollectorTable, count: int = 1) -> list[int]:
-    """Return numbers of traces that `member` collects."""
+    """Return the numbers of `count` traces that `member` collects."""
     numbers = [n for n in range(60 * count) if collectors.owner(trace_id(n)) == member]
     return numbers[:count]
 
@@ -61,7 +61,7 @@
 
 
 class Recording:
-    """A recorder with a clock that the test moves, and what it gave out."""
+    """A span recorder whose clock the test sets, with the chunks and messages that it emitted."""
 
     def __init__(self, rate: float | None = 1.0, seed: int = 5, **config: Any) -> None:
         self.now = 100.0
--- a/tests/tracing/collector/test_policies.py
+++ b/tests/tracing/collector/test_policies.py
@@ -1,4 +1,4 @@
-"""The keep-or-abstain chain against the published replay of its source, and its weights."""
+"""Tests of the policy chain, with the published figures of its source, and of the weights."""
 
 import random
 from collections import Counter
@@ -31,14 +31,15 @@
     return TraceId(f"{random.Random(number).getrandbits(128):032x}")
 
 
-class PublishedReplay(TestCase):
+class PublishedFigures(TestCase):
     """100,000 traces with the published numbers of errors and slow roots.
 
-    The published script cannot give its printed figures (its durations make about 11 slow traces,
-    not 867), so the population is built to hold them; the chain has no customer tiers.
+    The published script cannot give the figures printed with it (its durations produce about 11
+    slow traces, not 867), so the traces are built to have these numbers. Unlike the published
+    chain, this one has no customer tiers.
     """
 
-    def test_every_error_every_slow_and_one_percent_of_the_rest(self):
+    def test_every_error_every_slow_trace_and_one_percent_of_the_rest_are_retained(self):
         retained = Counter()
         for number in range(TRACES):
             error = number < PUBLISHED_ERRORS
@@ -54,8 +55,8 @@
         self.assertThat(deviation, LessThan(four_sigma))
 
 
-class Order(TestCase):
-    def test_first_verdict_wins(self):
+class PolicyOrder(TestCase):
+    def test_the_first_policy_that_retains_gives_the_verdict(self):
         policies = [
             evaluate(CHAIN, Evidence(TraceId("0"), True, 900.0, is_ingress_lost=True)).policy,
             evaluate(CHAIN, Evidence(TraceId("0"), False, 900.0, is_ingress_lost=True)).policy,
@@ -63,15 +64,15 @@
         ]
         self.assertThat(policies, Equals([ERROR_POLICY, INGRESS_LOST_POLICY, SLOW_POLICY]))
 
-    def test_threshold_is_exclusive_and_unknown_roots_are_not_slow(self):
-        unlucky = next(
+    def test_the_slow_threshold_is_exclusive_and_unknown_roots_are_not_slow(self):
+        not_retained = next(
             trace_id(number)
             for number in range(100)
             if evaluate(CHAIN, Evidence(trace_id(number), False, 500.0)) is None
         )
-        self.assertIsNone(evaluate(CHAIN, Evidence(unlucky, False, 500.0)))
-        self.assertIsNone(evaluate(CHAIN, Evidence(unlucky)))
-        self.assertIsNotNone(evaluate(CHAIN, Evidence(unlucky, False, 500.1)))
+        self.assertIsNone(evaluate(CHAIN, Evidence(not_retained, False, 500.0)))
+        self.assertIsNone(evaluate(CHAIN, Evidence(not_retained)))
+        self.assertIsNotNone(evaluate(CHAIN, Evidence(not_retained, False, 500.1)))
 
 
 class AdaptiveBaseline(TestCase):
@@ -82,11 +83,11 @@
         ]
         return [verdict for verdict in verdicts if verdict]
 
-    def test_everything_is_retained_below_the_baseline_rate(self):
+    def test_every_trace_is_retained_below_the_baseline_rate(self):
         chain = default_chain(TracingConfig(baseline_traces_per_s=10.0))
         self.assertThat(self.retained(chain, 8, 20), HasLength(160))
 
-    def test_the_share_falls_to_the_target_and_never_below_its_floor(self):
+    def test_the_share_falls_to_the_target_rate_but_not_below_the_minimum_share(self):
         chain = default_chain(TracingConfig(baseline_traces_per_s=10.0))
         last = self.retained(chain, 100, 60)[-1]
         self.assertThat(round(last.probability, 3), Equals(0.1))
@@ -95,13 +96,13 @@
 
 
 class Weights(TestCase):
-    def test_inverse_of_the_probability(self):
+    def test_the_weight_is_the_inverse_of_the_retention_probability(self):
         self.assertThat(weight(Verdict(SLOW_POLICY, 1.0), 0.05, False), Equals(20.0))
         self.assertThat(weight(Verdict(BASELINE_POLICY, 0.01), 0.5, False), Equals(200.0))
         self.assertThat(weight(Verdict(ERROR_POLICY, 1.0), 0.05, True), Equals(1.0))
         self.assertThat(weight(Verdict(SLOW_POLICY, 1.0), 0.0, False), Equals(0.0))
 
-    def test_weighted_estimates_find_the_truth_that_plain_means_miss(self):
+    def test_weighted_estimates_are_close_to_the_true_values_where_the_plain_mean_is_not(self):
         draw = random.Random(3)
         head = 0.2
         rows, true_ms, true_errors = [], 0.0, 0
--- a/tests/tracing/recorder/test_limiter.py
+++ b/tests/tracing/recorder/test_limiter.py
@@ -1,4 +1,4 @@
-"""The adaptive limiter against the published figures of its source."""
+"""Tests of the adaptive limiter, with the published figures of its source."""
 
 import functools
 import random
@@ -18,28 +18,29 @@
 
 @functools.cache
 def run_published_load() -> dict[int, tuple[int, float]]:
-    """Offer 5,000 a second for 60 s, then 30,000 for 60 s; return (kept, rate) by second."""
+    """Return (sampled traces, rate) by second, at 5,000 traces/s for 60 s, then 30,000 for 60 s."""
     limiter = AdaptiveLimiter()
     draw = random.Random(7)
     figures = {}
     for second in range(120):
         offered = 5_000 if second < 60 else 30_000
-        kept = 0
+        sampled = 0
         for number in range(offered):
             now = START_S + second + number / offered
-            kept += limiter.decide(draw.getrandbits(64), now)
-        figures[second] = (kept, limiter.rate)
+            sampled += limiter.decide(draw.getrandbits(64), now)
+        figures[second] = (sampled, limiter.rate)
     return figures
 
 
 class PublishedTable(TestCase):
-    """The table's steady rows follow from the algorithm; its rows at 5, 61 and 65 s do not.
+    """The published table, as far as it follows from the algorithm.
 
-    With a 10 s window and 0.3 smoothing the rate cannot go from 10% to 1.747% within a second;
-    those rows are replaced by what the algorithm gives.
+    Its rows for the steady rate do, but those at 5, 61 and 65 s do not: with a 10 s window and 0.3
+    smoothing the rate cannot fall from 10% to 1.747% within a second. The tests expect what the
+    algorithm gives instead of these rows.
     """
 
-    def test_steady_rates_and_kept_traces(self):
+    def test_steady_rates_and_sampled_traces_match_the_published_table(self):
         figures = run_published_load()
         for second, rate in {0: 0.05, 30: 0.1, 59: 0.1, 90: 1 / 60, 119: 1 / 60}.items():
             self.assertThat(figures[second][1], between(rate * 0.999, rate * 1.001))
@@ -47,7 +48,7 @@
             self.assertThat(figures[second][0], between(450, 550))
         self.assertThat(figures[0][0], between(210, 290))
 
-    def test_convergence_after_the_step(self):
+    def test_the_rate_converges_after_the_load_rises_sixfold(self):
         figures = run_published_load()
         self.assertThat(figures[10][1], between(0.095, 0.1))
         self.assertThat(figures[60][0], between(2_800, 3_150))
@@ -58,30 +59,30 @@
 
 
 class Bounds(TestCase):
-    def test_rate_stays_in_its_clamp(self):
-        flood = AdaptiveLimiter(target_per_s=0.001)
-        trickle = AdaptiveLimiter()
+    def test_the_rate_stays_between_its_minimum_and_maximum(self):
+        overloaded = AdaptiveLimiter(target_per_s=0.001)
+        underloaded = AdaptiveLimiter()
         for step in range(4_000):
-            flood.decide(0, START_S + step / 100)
-            trickle.decide(0, START_S + step)
-        self.assertThat(flood.rate, between(MIN_RATE * 0.999, MIN_RATE * 1.01))
-        self.assertThat(trickle.rate, between(MAX_RATE * 0.999, MAX_RATE * 1.001))
+            overloaded.decide(0, START_S + step / 100)
+            underloaded.decide(0, START_S + step)
+        self.assertThat(overloaded.rate, between(MIN_RATE * 0.999, MIN_RATE * 1.01))
+        self.assertThat(underloaded.rate, between(MAX_RATE * 0.999, MAX_RATE * 1.001))
 
-    def test_memory_does_not_grow_with_the_rate(self):
+    def test_the_number_of_buckets_does_not_grow_with_the_rate(self):
         limiter = AdaptiveLimiter()
         for number in range(50_000):
             limiter.decide(number, START_S + number / 50_000)
         self.assertThat(len(limiter._buckets), Equals(BUCKET_COUNT))
         self.assertThat(limiter.observed_per_s(START_S + 1.0), between(49_000, 51_000))
 
-    def test_window_forgets_after_a_pause(self):
+    def test_observations_leave_the_window_after_a_pause(self):
         limiter = AdaptiveLimiter()
         for number in range(1_000):
             limiter.decide(number, START_S + number / 1_000)
         limiter.decide(0, START_S + 60.0)
         self.assertThat(limiter.observed_per_s(START_S + 60.0), LessThan(1.0))
 
-    def test_decision_is_a_function_of_the_identifier(self):
+    def test_the_decision_depends_only_on_the_identifier_and_the_rate(self):
         limiter = AdaptiveLimiter(rate=0.25)
         self.assertTrue(limiter.decide(2**62 - 2**20, START_S))
         self.assertFalse(limiter.decide(2**62, START_S))
--- a/tests/tracing/recorder/test_recorder.py
+++ b/tests/tracing/recorder/test_recorder.py
@@ -1,4 +1,4 @@
-"""Spans, the head decision and what becomes of a trace when its root ends."""
+"""Tests of the recorder: spans, the head decision, promotion, long traces and limits."""
 
 from testtools import TestCase
 from testtools.matchers import Equals, HasLength, LessThan
@@ -11,16 +11,16 @@
 from zincvale.tracing.recorder.recorder import OPEN_MARKER_INTERVAL_S, SpanRecorder
 from zincvale.tracing.recorder.spans import MAX_BODY_BYTES, decode_spans
 
-NEVER = 0.0
+NEVER_SAMPLED = 0.0
 
 
-def as_data_plane_sees_it(recorder: SpanRecorder) -> Spans:
-    """Have the type checker hold the recorder against the data plane's protocol."""
+def as_data_plane_spans(recorder: SpanRecorder) -> Spans:
+    """Make the type checker verify that the recorder implements the protocol of the data plane."""
     return recorder
 
 
 class OrdinaryTraces(TestCase):
-    def test_a_trace_leaves_as_one_chunk_when_its_last_span_ends(self):
+    def test_a_trace_is_sent_as_one_chunk_when_its_last_span_ends(self):
         run = Recording()
         root = run.recorder.start("request", attributes={"route": "quotes"})
         root.set("request_id", "r-1")
@@ -59,14 +59,14 @@
         self.assertThat(len(run.chunks), Equals(run.recorder.stats.sampled))
         self.assertTrue(all(chunk.probability == 0.5 for chunk in run.chunks))
 
-    def test_ending_twice_is_ending_once(self):
+    def test_a_span_that_is_ended_twice_is_sent_once(self):
         run = Recording()
         root = run.recorder.start("request")
         root.end()
         root.end()
         self.assertThat(run.chunks, HasLength(1))
 
-    def test_a_core_samples_every_trace_of_its_orders(self):
+    def test_every_trace_is_sampled_without_head_sampling(self):
         run = Recording(rate=None, head_sampling=False, target_traces_per_s=1.0)
         run.recorder.divide_target(8)
         for _ in range(2_000):
@@ -75,13 +75,13 @@
         probabilities = [chunk.probability for chunk in run.chunks]
         self.assertThat(probabilities, Equals([1.0] * 2_000))
 
-    def test_a_node_aims_at_no_more_than_its_own_bound_however_many_collect(self):
+    def test_the_sampling_target_of_a_node_does_not_exceed_its_own_limit(self):
         for members, target in ((1, 0.25), (60, 0.25), (100_000, 0.25)):
             run = Recording(rate=None, node_traces_per_s=0.25)
             run.recorder.divide_target(members)
             self.assertThat(run.recorder.limiter.target_per_s, Equals(target))
 
-    def test_without_a_bound_a_node_aims_at_its_share(self):
+    def test_without_its_own_limit_the_sampling_target_of_a_node_is_its_share(self):
         for members, target in ((1, 500.0), (100, 5.0), (100_000, 1.0)):
             run = Recording(rate=None)
             run.recorder.divide_target(members)
@@ -89,8 +89,8 @@
 
 
 class Promotion(TestCase):
-    def test_an_unsampled_trace_without_error_leaves_nothing(self):
-        run = Recording(rate=NEVER)
+    def test_an_unsampled_trace_without_an_error_is_dropped(self):
+        run = Recording(rate=NEVER_SAMPLED)
         root = run.recorder.start("request")
         run.recorder.start("dispatch", root.context).end()
         root.end()
@@ -98,7 +98,7 @@
         self.assertThat((len(run.recorder._open), run.recorder.buffered_spans()), Equals((0, 0)))
 
     def test_an_unsampled_trace_with_an_error_is_sent_complete(self):
-        run = Recording(rate=NEVER)
+        run = Recording(rate=NEVER_SAMPLED)
         root = run.recorder.start("request")
         run.recorder.start("hold", root.context).end()
         dispatch = run.recorder.start("dispatch", root.context)
@@ -109,34 +109,34 @@
         self.assertThat((chunk.sampled, chunk.error, chunk.span_count), Equals((False, True, 3)))
 
     def test_other_members_are_notified_and_send_what_they_buffered(self):
-        entry, other = Recording(rate=NEVER), Recording(rate=NEVER)
-        root = entry.recorder.start("request")
+        ingress, other = Recording(rate=NEVER_SAMPLED), Recording(rate=NEVER_SAMPLED)
+        root = ingress.recorder.start("request")
         header = root.header_for(OTHER)
         context = other.recorder.context_from(header)
         other.recorder.start("claim", context).end()
         self.assertThat(other.chunks, HasLength(0))
         root.error("deadline")
-        [(to, message)] = entry.sent
+        [(to, message)] = ingress.sent
         self.assertThat((to, message), Equals((OTHER, PromoteTraces([context.trace_id]))))
         other.recorder.promote(message.trace_ids)
         [chunk] = other.chunks
         self.assertThat((chunk.trace_id, chunk.root_ms), Equals((context.trace_id, -1.0)))
 
     def test_an_error_elsewhere_promotes_the_trace_at_its_ingress_node(self):
-        entry, other = Recording(rate=NEVER), Recording(rate=NEVER)
-        root = entry.recorder.start("request")
+        ingress, other = Recording(rate=NEVER_SAMPLED), Recording(rate=NEVER_SAMPLED)
+        root = ingress.recorder.start("request")
         context = other.recorder.context_from(root.context.header())
         span = other.recorder.start("claim", context)
         span.error("no majority")
         span.end()
         self.assertThat(other.chunks, HasLength(1))
         [(_, message)] = other.sent
-        entry.recorder.promote(message.trace_ids)
+        ingress.recorder.promote(message.trace_ids)
         root.end()
-        self.assertThat(entry.chunks, HasLength(1))
+        self.assertThat(ingress.chunks, HasLength(1))
 
-    def test_buffered_spans_expire_after_the_wait(self):
-        other = Recording(rate=NEVER)
+    def test_buffered_spans_expire_after_the_decision_wait(self):
+        other = Recording(rate=NEVER_SAMPLED)
         context = TraceContext("0" * 32, "1" * 16, False)
         other.recorder.start("claim", context).end()
         other.now += 31.0
@@ -146,7 +146,7 @@
 
 
 class LongTraces(TestCase):
-    def test_an_open_root_sends_parts_with_markers(self):
+    def test_a_long_trace_is_sent_in_parts_with_open_root_markers(self):
         run = Recording()
         root = run.recorder.start("request")
         run.recorder.start("dispatch", root.context).end()
@@ -160,7 +160,7 @@
         self.assertThat(markers, Equals([(True, 1), (True, 0), (False, 1)]))
 
     def test_ended_spans_of_one_trace_are_bounded(self):
-        unsampled, sampled = Recording(rate=NEVER), Recording()
+        unsampled, sampled = Recording(rate=NEVER_SAMPLED), Recording()
         for run in (unsampled, sampled):
             root = run.recorder.start("request")
             for _ in range(2 * MAX_ENDED_SPANS + 5):
@@ -172,7 +172,7 @@
         self.assertThat(counts, Equals([MAX_ENDED_SPANS, MAX_ENDED_SPANS, 6]))
 
     def test_buffered_spans_of_all_traces_are_bounded(self):
-        other = Recording(rate=NEVER, open_bytes=10 * 1024)
+        other = Recording(rate=NEVER_SAMPLED, open_bytes=10 * 1024)
         for number in range(50):
             context = TraceContext(f"{number:032x}", "1" * 16, False)
             other.recorder.start("claim", context).end()
@@ -189,7 +189,7 @@
         [span] = decode_spans(run.chunks[0].body)
         self.assertThat(span.attributes["count"], Equals(str(2**80)))
 
-    def test_bodies_and_events_are_bounded(self):
+    def test_the_size_of_bodies_and_the_number_of_events_are_bounded(self):
         run = Recording()
         root = run.recorder.start("request", attributes={"key": "x" * 1_000_000})
         for number in range(MAX_EVENTS_PER_SPAN + 5):
@@ -201,11 +201,11 @@
 
 
 class Headers(TestCase):
-    def test_round_trip(self):
+    def test_a_context_is_read_from_its_header_unchanged(self):
         context = TraceContext("ab" * 16, "cd" * 8, True, 0.0123, HERE)
         self.assertThat(parse_context(context.header()), Equals(context))
 
-    def test_bad_headers_are_refused(self):
+    def test_malformed_headers_are_rejected(self):
         zeros = f"00-{'0' * 32}-{'0' * 16}-01"
         for header in ("", "00-1-2-01", zeros.replace("0-", "g-"), zeros + ";p=much"):
             self.assertIsNone(parse_context(header))
--- a/tests/tracing/retention/test_retention.py
+++ b/tests/tracing/retention/test_retention.py
@@ -1,9 +1,17 @@
-"""Retained traces: budgets, searches, weights that are revised, and replicas."""
+"""Tests of retained traces: budgets, searches, revised weights, and replicas."""
 
 from testtools import TestCase
 from testtools.matchers import Equals, HasLength, LessThan
 
-from tests.tracing.builders import HERE, OTHER, WALL_S, make_chunk, owned_by, table, trace_id
+from tests.tracing.builders import (
+    HERE,
+    OTHER,
+    WALL_S,
+    collector_table,
+    make_chunk,
+    owned_by,
+    trace_id,
+)
 from zincvale.model.identifiers import MemberId
 from zincvale.model.machine import Log, Send
 from zincvale.tracing.collector.effects import AcknowledgeChunks, RetainTrace
@@ -45,10 +53,10 @@
 class Store(TestCase):
     def setUp(self):
         super().setUp()
-        self.replicator = make_replicator(HERE, table(HERE))
+        self.replicator = make_replicator(HERE, collector_table(HERE))
         self.store = self.replicator.store
 
-    def test_searches(self):
+    def test_searches_filter_and_limit_traces_with_the_newest_first(self):
         for number, verdict in enumerate((ERROR, SLOW, BASELINE, SLOW)):
             self.replicator.handle(retain(number, verdict), 0.0)
         found = self.store.find(TraceQuery(route="quotes", policy=SLOW_POLICY))
@@ -58,7 +66,7 @@
         [trace] = self.store.by_request("r-0002")
         self.assertThat((trace.trace_id, trace.route), Equals((trace_id(2), "quotes")))
 
-    def test_over_the_byte_budget_errors_go_last(self):
+    def test_errors_are_evicted_last_above_the_byte_budget(self):
         size = 0
         for number, verdict in enumerate((ERROR, SLOW, BASELINE)):
             self.replicator.handle(retain(number, verdict), 0.0)
@@ -75,7 +83,7 @@
         self.assertThat((type(log), log.fields["evicted"]), Equals((Log, evicted)))
         self.assertThat(self.store.by_request("r-0000"), Equals([]))
 
-    def test_retention_ends(self):
+    def test_traces_expire_after_the_retention_time(self):
         self.replicator.handle(retain(1, ERROR), 0.0)
         self.replicator.handle(RetentionDue(WALL_S + 3599.0), 0.0)
         self.assertThat(len(self.store), Equals(1))
@@ -97,13 +105,13 @@
 class Replicas(TestCase):
     def setUp(self):
         super().setUp()
-        self.collectors = table(HERE, OTHER, THIRD)
+        self.collectors = collector_table(HERE, OTHER, THIRD)
         self.replicator = make_replicator(HERE, self.collectors)
         [self.number] = owned_by(HERE, self.collectors)
         self.trace_id = trace_id(self.number)
         self.successor = self.collectors.successor(self.trace_id, HERE)
 
-    def lose(self, replicator, *departed):
+    def remove_members(self, replicator, *departed):
         self.collectors.apply(self.collectors.members - set(departed))
         return replicator.handle(ReplicaMembersChanged(frozenset(departed)), 5.0)
 
@@ -125,7 +133,7 @@
             self.replicator.store.get(self.trace_id).replica_member, Equals(self.successor)
         )
 
-    def test_slow_traces_are_acknowledged_at_once(self):
+    def test_slow_traces_are_acknowledged_without_a_replica(self):
         effects = self.replicator.handle(retain(self.number, SLOW), 0.0)
         self.assertThat(effects, Equals([AcknowledgeChunks(HERE, [1])]))
 
@@ -135,27 +143,27 @@
         replicator.handle(ReplicaReceived(HERE, replica.message), 0.0)
         trace = replicator.store.get(self.trace_id)
         self.assertThat((trace.primary, trace.weight), Equals((HERE, 1.0)))
-        self.lose(replicator, HERE)
+        self.remove_members(replicator, HERE)
         [next_replica] = replicator.handle(RetentionDue(WALL_S), 6.0)
         self.assertThat(trace.primary, Equals(self.successor))
         self.assertThat(next_replica.to, Equals(({OTHER, THIRD} - {self.successor}).pop()))
 
-    def test_a_lost_replica_is_made_again(self):
+    def test_a_lost_replica_is_replaced(self):
         [replica] = self.replicator.handle(retain(self.number, ERROR), 0.0)
         self.replicator.handle(ReplicaAcknowledged(self.successor, replica.message.replica_id), 0.1)
-        self.lose(self.replicator, self.successor)
+        self.remove_members(self.replicator, self.successor)
         [again] = self.replicator.handle(RetentionDue(WALL_S), 6.0)
         self.assertThat(again.to, Equals(({OTHER, THIRD} - {self.successor}).pop()))
         self.assertFalse(self.replicator.is_idle)
 
-    def test_a_draining_member_transfers_what_only_it_has(self):
+    def test_a_draining_member_transfers_traces_without_a_replica(self):
         self.replicator.handle(retain(self.number, SLOW), 0.0)
         self.replicator.handle(DrainStarted(), 1.0)
         [replica] = self.replicator.handle(RetentionDue(WALL_S), 1.0)
         self.assertThat((type(replica), replica.message.policy), Equals((Send, SLOW_POLICY)))
 
-    def test_a_lone_member_acknowledges_without_a_replica(self):
-        replicator = make_replicator(HERE, table(HERE))
+    def test_the_only_member_acknowledges_errors_without_a_replica(self):
+        replicator = make_replicator(HERE, collector_table(HERE))
         self.assertThat(
             replicator.handle(retain(1, ERROR), 0.0), Equals([AcknowledgeChunks(HERE, [1])])
         )
--- a/tests/tracing/test_fleet.py
+++ b/tests/tracing/test_fleet.py
@@ -1,4 +1,4 @@
-"""Whole exchanges between tracing services over a virtual clock and network."""
+"""Tests of tracing services that exchange messages over a virtual clock and network."""
 
 import random
 
@@ -19,7 +19,7 @@
 
 
 class Load:
-    """Requests spread over a fleet, and which of them failed."""
+    """A load of requests on the nodes of a fleet, and the traces of those that failed."""
 
     def __init__(self, seed, loss=0.0, nodes=NODES, **config):
         self.fleet = TracingFleet(seed, TracingConfig(**config), loss)
@@ -53,28 +53,28 @@
 
 
 class ErrorsAreRetained(TestCase):
-    def test_all_of_them_while_every_process_lives_and_messages_are_lost(self):
+    def test_all_errors_are_retained_when_messages_are_lost_but_no_process_is(self):
         load = Load(1, loss=0.05)
         load.run()
         self.assertThat(len(load.failed), GreaterThan(150))
         self.assertThat(load.fleet.lost_messages, GreaterThan(50))
         self.assertThat(load.retained_share(), Equals(1.0))
 
-    def test_through_the_crash_of_any_one_collector(self):
+    def test_errors_survive_the_crash_of_any_one_collector(self):
         for number in range(1, NODES + 1):
             load = Load(10 + number)
             load.at(11.0, lambda load=load, n=number: load.fleet.crash(MemberId(f"node-{n}")))
             load.run()
             self.assertThat(load.retained_share(), GreaterThan(0.99))
 
-    def test_through_a_crash_long_after_the_verdicts_and_a_second_one(self):
+    def test_errors_survive_two_crashes_long_after_their_verdicts(self):
         load = Load(3)
         load.at(60.0, lambda: load.fleet.crash(MemberId("node-2")))
         load.at(75.0, lambda: load.fleet.crash(MemberId("node-4")))
         load.run()
         self.assertThat(load.retained_share(), Equals(1.0))
 
-    def test_through_a_crash_and_an_empty_return_within_the_lease(self):
+    def test_errors_survive_a_restart_without_memory_within_the_lease(self):
         load = Load(4)
 
         def restart():
@@ -85,7 +85,7 @@
         load.run()
         self.assertThat(load.retained_share(), GreaterThan(0.99))
 
-    def test_through_joins_and_orderly_leaves_of_every_first_member(self):
+    def test_errors_survive_when_new_members_replace_all_first_ones(self):
         load = Load(5)
         for number in range(1, NODES + 1):
             leaver = MemberId(f"node-{number}")
@@ -94,10 +94,10 @@
             load.at(4.0 * number + 1.0, lambda leaver=leaver: load.fleet.leave(leaver, 2.5))
         load.run()
         self.assertThat(load.retained_share(), Equals(1.0))
-        several = [trace for trace in load.failed if len(load.primaries(trace)) != 1]
-        self.assertThat(several, HasLength(0))
+        without_one_primary = [trace for trace in load.failed if len(load.primaries(trace)) != 1]
+        self.assertThat(without_one_primary, HasLength(0))
 
-    def test_nothing_stays_behind(self):
+    def test_every_buffer_is_empty_some_time_after_a_crash_and_lost_messages(self):
         load = Load(6, loss=0.02)
         load.at(11.0, lambda: load.fleet.crash(MemberId("node-1")))
         load.run(settle_s=400.0)
@@ -132,29 +132,29 @@
     def test_a_stream_whose_ingress_node_crashes_is_retained(self):
         fleet = TracingFleet(8)
         fleet.start(NODES)
-        entry = MemberId("node-1")
-        fleet.services[entry].recorder.limiter.set_rate(1.0)
-        root = fleet.services[entry].recorder.start("request")
+        ingress = MemberId("node-1")
+        fleet.services[ingress].recorder.limiter.set_rate(1.0)
+        root = fleet.services[ingress].recorder.start("request")
         fleet.run_until(fleet.now + 12.0)
-        fleet.crash(entry)
+        fleet.crash(ingress)
         fleet.run_until(fleet.now + 60.0)
         found = [s.store.get(root.context.trace_id) for s in fleet.services.values()]
         self.assertThat({trace.policy for trace in found if trace}, Equals({"entry-lost"}))
 
 
-class PushBack(TestCase):
-    def test_small_budgets_hold_and_errors_survive(self):
+class Backpressure(TestCase):
+    def test_small_budgets_are_not_exceeded_and_errors_are_retained(self):
         load = Load(9, nodes=3, collector_bytes=60_000, sender_bytes=120_000)
         peaks = []
 
-        def watch():
+        def record_sizes():
             for service in load.fleet.services.values():
                 sender = service.sender
                 used = (sender.queued_bytes + sender.retained_bytes, service.collector.size_bytes)
                 peaks.append(used)
 
         for step in range(int(SECONDS) * 4):
-            load.at(step * 0.25, watch)
+            load.at(step * 0.25, record_sizes)
         load.run()
         self.assertThat(max(sender for sender, _ in peaks), LessThan(120_001))
         self.assertThat(max(collector for _, collector in peaks), LessThan(60_001))
@@ -162,7 +162,7 @@
 
 
 class Messages(TestCase):
-    def test_every_message_of_a_run_survives_the_codec(self):
+    def test_every_tracing_message_is_encoded_and_decoded_unchanged(self):
         fleet = TracingFleet(11)
         seen = set()
 
@@ -182,9 +182,9 @@
         fleet.run_until(fleet.now + 60.0)
         fleet.join(MemberId("node-9"))
         fleet.run_until(fleet.now + 5.0)
-        entry = fleet.services[MemberId("node-1")].recorder
-        entry.limiter.set_rate(0.0)
-        root = entry.start("request")
+        ingress = fleet.services[MemberId("node-1")].recorder
+        ingress.limiter.set_rate(0.0)
+        root = ingress.start("request")
         root.header_for(MemberId("node-2"))
         root.error("late")
         fleet.run_until(fleet.now + 1.0)
--- a/tests/tracing/test_ownership.py
+++ b/tests/tracing/test_ownership.py
@@ -1,4 +1,4 @@
-"""Which member collects a trace."""
+"""Tests of the assignment of traces to collectors."""
 
 import random
 from collections import Counter
@@ -20,12 +20,12 @@
 
 
 class Ownership(TestCase):
-    def test_nobody_owns_without_members(self):
+    def test_a_trace_has_no_owner_and_no_successor_without_members(self):
         table = CollectorTable()
         self.assertIsNone(table.owner(identifiers(1)[0]))
         self.assertIsNone(table.successor(identifiers(1)[0], MemberId("node-0")))
 
-    def test_history_of_changes_does_not_matter(self):
+    def test_owners_do_not_depend_on_former_member_sets(self):
         fresh, changed = CollectorTable(), CollectorTable()
         fresh.apply(members(8))
         traces = identifiers(2_000)
@@ -38,7 +38,7 @@
             self.assertThat(changed.owner(trace), Equals(first))
             self.assertThat(changed.successor(trace, first), Equals(fresh.successor(trace, first)))
 
-    def test_load_is_even_and_a_departure_moves_only_its_own(self):
+    def test_traces_are_spread_evenly_and_a_departure_moves_only_those_of_the_departed(self):
         table = CollectorTable()
         table.apply(members(8))
         traces = identifiers(20_000)
@@ -54,7 +54,7 @@
                 expected = successors[trace]
             self.assertThat(table.owner(trace), Equals(expected))
 
-    def test_lone_member_has_no_successor(self):
+    def test_the_only_member_has_no_successor(self):
         table = CollectorTable()
         table.apply(members(1))
         self.assertIsNone(table.successor(identifiers(1)[0], MemberId("node-0")))
