--- a/src/zincvale/bench/tracing_node.py
+++ b/src/zincvale/bench/tracing_node.py
@@ -52,7 +52,7 @@
     def apply_members(self, members: Any) -> None:
         """Take the members, and the share of the target that a fleet leaves to one node."""
         TracingService.apply_members(self, members)
-        self.recorder.divide_target(FLEET_NODES)
+        self.recorder.set_target_share(FLEET_NODES)
 
 
 TRACING_TYPE_BY_VARIANT: dict[str, type[TracingService]] = {
--- a/src/zincvale/dataplane/forwarding/forwarded_request.py
+++ b/src/zincvale/dataplane/forwarding/forwarded_request.py
@@ -129,7 +129,7 @@
     def on_head(self, head: ResponseHead) -> None:
         """Handle the status and headers of the response."""
         now = self._context.clock()
-        headers = head.lowered()
+        headers = head.lower_case_headers()
         self._head = head
         is_stream = headers.get("content-type", "").startswith(EVENT_STREAM)
         self._splitter = EventSplitter() if is_stream else None
--- a/src/zincvale/tracing/recorder/recorder.py
+++ b/src/zincvale/tracing/recorder/recorder.py
@@ -116,7 +116,7 @@
         self._high_digits = f"{self._draw_bits(LOW_BITS):016x}"
         self._next_span = self.random.getrandbits(SPAN_ID_BITS)
         self._next_sequence = self.random.getrandbits(SEQUENCE_BITS)
-        self.divide_target(1)
+        self.set_target_share(1)
         self._wall_offset_s = self.wall_clock() - self.clock()
 
     def start(
@@ -146,7 +146,7 @@
             attributes = dict(attributes or ())
         return OpenSpan(open_trace, number, parent_number, name, now, attributes)
 
-    def divide_target(self, members: int) -> None:
+    def set_target_share(self, members: int) -> None:
         """Set the sampling target to an even share among `members` nodes that start traces."""
         if not self.config.head_sampling:
             return
--- a/src/zincvale/tracing/service.py
+++ b/src/zincvale/tracing/service.py
@@ -225,7 +225,7 @@
             return
         departed = ((former_collectors - collectors) | restarted) - {self.member_id}
         self.collectors.apply(collectors, live_members)
-        self.recorder.divide_target(len(collectors))
+        self.recorder.set_target_share(len(collectors))
         self._execute(self.collector.handle(MembersChanged(departed), now), now)
         self._execute(self.replicator.handle(ReplicaMembersChanged(departed), now), now)
         changed = CollectorsChanged(collectors, restarted)
--- a/src/zincvale/transport/complete_exchange.py
+++ b/src/zincvale/transport/complete_exchange.py
@@ -86,7 +86,7 @@
         if not self.response.done():
             body = b"".join(self._body)
             self.response.set_result(
-                CompleteResponse(self._head.status, self._head.lowered(), body)
+                CompleteResponse(self._head.status, self._head.lower_case_headers(), body)
             )
 
     def on_broken(self, reason: str) -> None:
--- a/src/zincvale/transport/compression.py
+++ b/src/zincvale/transport/compression.py
@@ -28,7 +28,7 @@
     """A body that is marked as compressed is malformed or incomplete."""
 
 
-def expanded(body: bytes) -> bytes:
+def decompress(body: bytes) -> bytes:
     """Return the decompressed body; only for bodies of peers, since its size is not limited.
 
     Raises `DecompressionError`.
@@ -39,7 +39,7 @@
         raise DecompressionError(f"body cannot be decompressed: {error}") from error
 
 
-def compressed(body: bytes) -> bytes:
+def compress(body: bytes) -> bytes:
     """Return `body` compressed by gzip; equal bodies give equal bytes."""
     return gzip.compress(body, GZIP_LEVEL, mtime=0)
 
@@ -58,7 +58,7 @@
         """Return `body` compressed by gzip, from the cache if it was compressed recently."""
         compressed_body = self._compressed.get(body)
         if compressed_body is None:
-            compressed_body = self._compressed[body] = compressed(body)
+            compressed_body = self._compressed[body] = compress(body)
         self._compressed.move_to_end(body)
         while len(self._compressed) > MAX_CACHED_RESPONSES:
             self._compressed.popitem(last=False)
--- a/src/zincvale/transport/peer_client.py
+++ b/src/zincvale/transport/peer_client.py
@@ -19,8 +19,8 @@
     GZIP,
     MIN_COMPRESSED_BYTES,
     DecompressionError,
-    compressed,
-    expanded,
+    compress,
+    decompress,
 )
 from zincvale.transport.peer import PeerCallError, PeerUnreachableError
 from zincvale.transport.server_client import ServerClient
@@ -197,7 +197,7 @@
             ("Accept-Encoding", GZIP),
         ]
         if len(body) >= MIN_COMPRESSED_BYTES:
-            body = compressed(body)
+            body = compress(body)
             headers.append(("Content-Encoding", GZIP))
         return OutgoingRequest("POST", path, headers, body, _accept_any_response, may_repeat=True)
 
@@ -235,5 +235,5 @@
 
 def _decoded_body(response: CompleteResponse) -> bytes:
     if response.headers.get("content-encoding") == GZIP:
-        return expanded(response.body)
+        return decompress(response.body)
     return response.body
--- a/src/zincvale/transport/response_reader.py
+++ b/src/zincvale/transport/response_reader.py
@@ -134,6 +134,6 @@
 
 
 def _has_length(head: ResponseHead) -> bool:
-    lowered = head.lowered()
-    encodings = lowered.get("transfer-encoding", "").lower()
-    return "content-length" in lowered or encodings.rpartition(",")[2].strip() == CHUNKED
+    headers = head.lower_case_headers()
+    encodings = headers.get("transfer-encoding", "").lower()
+    return "content-length" in headers or encodings.rpartition(",")[2].strip() == CHUNKED
--- a/src/zincvale/transport/server_connection.py
+++ b/src/zincvale/transport/server_connection.py
@@ -175,10 +175,10 @@
                 self._fail(event.problem)
 
     def _handle_head(self, head: ResponseHead) -> None:
-        lowered = head.lowered()
+        headers = head.lower_case_headers()
         assert self._request is not None
-        self._is_own_response = self._request.is_own_response(head.status, lowered)
-        limit = KEEP_ALIVE_TIMEOUT.search(lowered.get("keep-alive", ""))
+        self._is_own_response = self._request.is_own_response(head.status, headers)
+        limit = KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
         if limit is not None:
             self.keep_alive_s = float(limit.group(1))
         if self._is_own_response and self._listener is not None:
--- a/src/zincvale/transport/server_exchange.py
+++ b/src/zincvale/transport/server_exchange.py
@@ -40,7 +40,7 @@
     reason: str
     headers: HeaderList
 
-    def lowered(self) -> dict[str, str]:
+    def lower_case_headers(self) -> dict[str, str]:
         """Return the headers with names in lower case; of repeated headers the last one."""
         return {name.lower(): value for name, value in self.headers}
 
--- a/tests/golden/test_message_bytes.py
+++ b/tests/golden/test_message_bytes.py
@@ -18,7 +18,7 @@
     encode_batch,
     encode_message,
 )
-from zincvale.transport.compression import compressed, expanded
+from zincvale.transport.compression import compress, decompress
 
 GOLDEN = "message_bytes.json"
 BATCH_GOLDEN = "batch_bytes.json"
@@ -79,10 +79,10 @@
     """The compressor's own bytes belong to zlib's build; only what peers rely on is held."""
 
     def test_a_golden_compressed_body_expands(self) -> None:
-        self.assertThat(expanded(COMPRESSED), Equals(BODY))
+        self.assertThat(decompress(COMPRESSED), Equals(BODY))
 
     def test_equal_bodies_compress_to_equal_gzip_without_a_time(self) -> None:
-        once, again = compressed(BODY), compressed(BODY)
+        once, again = compress(BODY), compress(BODY)
         self.assertThat(once, Equals(again))
         self.assertThat(once[:8], Equals(COMPRESSED[:8]))
-        self.assertThat(expanded(once), Equals(BODY))
+        self.assertThat(decompress(once), Equals(BODY))
--- a/tests/tracing/recorder/test_recorder.py
+++ b/tests/tracing/recorder/test_recorder.py
@@ -68,7 +68,7 @@
 
     def test_every_trace_is_sampled_without_head_sampling(self):
         run = Recording(rate=None, head_sampling=False, target_traces_per_s=1.0)
-        run.recorder.divide_target(8)
+        run.recorder.set_target_share(8)
         for _ in range(2_000):
             run.recorder.start("order").end()
             run.now += 0.01
@@ -78,13 +78,13 @@
     def test_the_sampling_target_of_a_node_does_not_exceed_its_own_limit(self):
         for members, target in ((1, 0.25), (60, 0.25), (100_000, 0.25)):
             run = Recording(rate=None, node_traces_per_s=0.25)
-            run.recorder.divide_target(members)
+            run.recorder.set_target_share(members)
             self.assertThat(run.recorder.limiter.target_per_s, Equals(target))
 
     def test_without_its_own_limit_the_sampling_target_of_a_node_is_its_share(self):
         for members, target in ((1, 500.0), (100, 5.0), (100_000, 1.0)):
             run = Recording(rate=None)
-            run.recorder.divide_target(members)
+            run.recorder.set_target_share(members)
             self.assertThat(run.recorder.limiter.target_per_s, Equals(target))
 
 
