--- a/src/zincvale/cli/operator/http.py
+++ b/src/zincvale/cli/operator/http.py
@@ -10,7 +10,7 @@
 from tornado.curl_httpclient import CurlAsyncHTTPClient, CurlError
 from tornado.httpclient import HTTPRequest
 
-from zincvale.cli.operator.session import CoreAnswer, CoreUnreachableError
+from zincvale.cli.operator.session import CoreResponse, CoreUnreachableError
 
 CONNECT_TIMEOUT_S = 1.0
 MAX_ANSWER_BYTES = 256 * 1024 * 1024
@@ -32,7 +32,7 @@
         headers: Mapping[str, str],
         body: bytes,
         timeout_s: float,
-    ) -> CoreAnswer:
+    ) -> CoreResponse:
         """Return the answer; raises `CoreUnreachableError`."""
         request = HTTPRequest(
             f"http://{address}{target}",
@@ -51,7 +51,7 @@
             ) from error
         except OSError as error:
             raise CoreUnreachableError(str(error), sent=True) from error
-        return CoreAnswer(response.code, bytes(response.body or b""))
+        return CoreResponse(response.code, bytes(response.body or b""))
 
     async def pause(self, seconds: float) -> None:
         """Wait."""
--- a/src/zincvale/cli/operator/session.py
+++ b/src/zincvale/cli/operator/session.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class CoreAnswer:
+class CoreResponse:
     """One HTTP answer."""
 
     status: int
@@ -79,7 +79,7 @@
         headers: Mapping[str, str],
         body: bytes,
         timeout_s: float,
-    ) -> CoreAnswer:
+    ) -> CoreResponse:
         """Return the answer; raises `CoreUnreachableError`."""
         ...
 
@@ -115,7 +115,7 @@
         self._next = 0
         self._learnt = False
 
-    async def read(self, target: str, timeout_s: float = READ_TIMEOUT_S) -> CoreAnswer:
+    async def read(self, target: str, timeout_s: float = READ_TIMEOUT_S) -> CoreResponse:
         """Return the answer of the first core that has one; raises a `ZincvaleError`."""
         failures: dict[str, str] = {}
         for _ in range(len(self._cores)):
@@ -170,7 +170,7 @@
 
     async def _attempt(
         self, attempts: _Attempts, content: bytes, timeout_s: float
-    ) -> CoreAnswer | None:
+    ) -> CoreResponse | None:
         core = self._core()
         headers = {"Idempotency-Key": attempts.order_id, "Content-Type": "application/json"}
         attempts.count += 1
@@ -220,7 +220,7 @@
         self.sent = self.sent or sent
         self.failures[core] = problem
 
-    def confirmation(self, answer: CoreAnswer) -> Confirmation:
+    def confirmation(self, answer: CoreResponse) -> Confirmation:
         body = _checked(answer).json()
         return Confirmation(int(body["version"]), self.order_id, self.count)
 
@@ -238,7 +238,7 @@
         )
 
 
-def _checked(answer: CoreAnswer) -> CoreAnswer:
+def _checked(answer: CoreResponse) -> CoreResponse:
     if answer.status < 400:
         return answer
     body = _error_body(answer)
@@ -249,11 +249,11 @@
     raise _ERROR_BY_STATUS.get(answer.status, ZincvaleError)(problem, remedy)
 
 
-def _problem(answer: CoreAnswer) -> str:
+def _problem(answer: CoreResponse) -> str:
     return str(_error_body(answer).get("problem", f"HTTP status {answer.status}"))
 
 
-def _error_body(answer: CoreAnswer) -> dict[str, Any]:
+def _error_body(answer: CoreResponse) -> dict[str, Any]:
     try:
         body = orjson.loads(answer.body)
     except orjson.JSONDecodeError:
--- a/tests/controlplane/fake_cores.py
+++ b/tests/controlplane/fake_cores.py
@@ -14,7 +14,7 @@
 from returns.result import Failure
 
 from tests.controlplane.fake_view import FakeView
-from zincvale.cli.operator.session import CoreAnswer, CoreUnreachableError
+from zincvale.cli.operator.session import CoreResponse, CoreUnreachableError
 from zincvale.controlplane.api.dispatch import ControlApi
 from zincvale.controlplane.api.messages import ApiEffect, ApiRequest, ApiResponse, CallCore
 from zincvale.controlplane.intent.reducer import IntentReducer
@@ -50,7 +50,7 @@
         headers: Mapping[str, str],
         body: bytes,
         timeout_s: float,
-    ) -> CoreAnswer:
+    ) -> CoreResponse:
         path, _, query = target.partition("?")
         outcome = ANSWER
         if method == "POST":
@@ -63,7 +63,7 @@
             self.clock += timeout_s
             raise CoreUnreachableError("Timeout", sent=True)
         if outcome == NOT_CONFIRMED:
-            return CoreAnswer(503, b'{"kind":"not-confirmed","problem":"no majority"}')
+            return CoreResponse(503, b'{"kind":"not-confirmed","problem":"no majority"}')
         self._count += 1
         request = ApiRequest(
             method, path, dict(urllib.parse.parse_qsl(query)), headers, body, f"t{self._count}"
@@ -86,7 +86,7 @@
         """Apply a change of another operator."""
         self._decide(ProposeChange("intent", f"other-{self.view.rows.version}", None, change))
 
-    def _handle(self, address: str, request: ApiRequest, timeout_s: float) -> CoreAnswer:
+    def _handle(self, address: str, request: ApiRequest, timeout_s: float) -> CoreResponse:
         api = self.apis.setdefault(address, ControlApi(self.view))
         effects = api.handle(request, self.clock)
         if not effects:
@@ -97,7 +97,7 @@
             assert isinstance(effect.message, ProposeChange)
             effect = api.on_core_response(effect.token, self._decide(effect.message))[0]
         assert isinstance(effect, ApiResponse)
-        return CoreAnswer(effect.status, effect.body)
+        return CoreResponse(effect.status, effect.body)
 
     def _decide(self, proposal: ProposeChange) -> ChangeResult:
         rows = self.view.rows
--- a/tests/controlplane/test_operator_commands.py
+++ b/tests/controlplane/test_operator_commands.py
@@ -25,7 +25,7 @@
 from zincvale.cli.operator.commands import OperatorCommands, operator_commands
 from zincvale.cli.operator.http import CurlTransport
 from zincvale.cli.operator.runner import run_operator_command
-from zincvale.cli.operator.session import CoreAnswer, CoreUnreachableError
+from zincvale.cli.operator.session import CoreResponse, CoreUnreachableError
 from zincvale.model.errors import VersionConflictError
 from zincvale.model.identifiers import MemberId
 
@@ -165,7 +165,7 @@
 
 
 class TransportTest(testtools.TestCase):
-    def fetch(self, outcome: Exception | HTTPResponse) -> CoreAnswer:
+    def fetch(self, outcome: Exception | HTTPResponse) -> CoreResponse:
         """Send one request with a given outcome."""
 
         class Client:
@@ -191,7 +191,7 @@
     def test_a_response_with_an_error_status_is_returned(self) -> None:
         request = HTTPRequest("http://127.0.0.1:7000/")
         answer = self.fetch(HTTPResponse(request, 409, buffer=io.BytesIO(b"{}")))
-        self.assertEqual(CoreAnswer(409, b"{}"), answer)
+        self.assertEqual(CoreResponse(409, b"{}"), answer)
 
 
 class FileTest(OperatorCase):
