--- a/src/zincvale/cli/__init__.py
+++ b/src/zincvale/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Thin programs that assemble the libraries."""
+"""Command line programs that assemble the other packages of zincvale."""
--- a/src/zincvale/cli/daemon_commands.py
+++ b/src/zincvale/cli/daemon_commands.py
@@ -1,4 +1,4 @@
-"""`zincvale core` and `zincvale node`."""
+"""The commands `zincvale core` and `zincvale node`, which run the daemons."""
 
 from __future__ import annotations
 
--- a/src/zincvale/cli/main.py
+++ b/src/zincvale/cli/main.py
@@ -1,7 +1,7 @@
 """`zincvale`: daemons, operator commands and tools under one name.
 
 Exit codes: 0 done, 1 refused or failed, 2 wrong usage or settings, 3 not confirmed (send the same
-order again), 4 conflict.
+order again), 4 conflict, 5 a condition that was waited for was not reached in time.
 """
 
 from __future__ import annotations
@@ -16,7 +16,9 @@
 from zincvale.model.errors import ZincvaleError
 
 EXIT_FAILED = 1
+"""Exit code of a command that was refused or failed."""
 EXIT_USAGE = 2
+"""Exit code of wrong usage or wrong settings."""
 
 
 class Zincvale:
@@ -56,6 +58,7 @@
 
 
 OPERATOR_COMMANDS = ("apply", "get", "describe", "watch", "drain", "evacuate")
+"""Commands that `run_operator_command` checks and runs; `fire` runs the others directly."""
 USAGE = """zincvale: router and placer for many models
 
 operators (each takes --help):
@@ -78,7 +81,7 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command in `sys.argv` and exit with its code."""
     arguments = sys.argv[1:]
     os.environ.setdefault("PAGER", "cat")
     if not arguments or arguments[0] in ("--help", "-h", "help"):
--- a/src/zincvale/cli/operator/__init__.py
+++ b/src/zincvale/cli/operator/__init__.py
@@ -1,9 +1,9 @@
-"""Operators' commands: apply, get, describe, watch, drain, evacuate.
+"""Commands for operators: apply, get, describe, watch, drain, evacuate.
 
-Owns the command line of operators, from its words to the requests at a core and the text that is
-printed. Imports `model` and the control plane's names of resources; no daemon, no state.
+Owns the parsing of their command lines, the requests to cores and the printed output. Imports only
+`model` and the control plane's resource kinds; imports no daemon and stores no state.
 
-Read in this order: `runner` (checks one command line and calls it), `commands` (one method a
-command), `session` (requests to a changing set of cores), `changes` and `reads` (what is sent and
-asked), `files` (resource files), `output` (tables, JSON and YAML), `errors` (exit codes).
+Read in this order: `runner` (checks a command line and runs its command), `commands` (one method
+per command), `session` (requests to a changing set of cores), `changes` and `reads` (the requests
+of each command), `files` (resource files), `output` (tables, JSON and YAML), `errors` (exit codes).
 """
--- a/src/zincvale/cli/operator/arguments.py
+++ b/src/zincvale/cli/operator/arguments.py
@@ -1,7 +1,7 @@
-"""Command line arguments of the operator commands, as `fire` hands them over.
+"""Parses the command line arguments of the operator commands.
 
-Behind `operator_main` every argument arrives as text. Called by `fire` alone, a command gets
-numbers, switches and tuples where the text looks like one; `read_text` undoes that.
+`run_operator_command` passes every argument as text. When `fire` calls a command directly, it
+converts text that looks like a number, a boolean or a tuple; `read_text` converts it back.
 """
 
 from __future__ import annotations
@@ -13,6 +13,7 @@
 from zincvale.cli.operator.errors import UsageError
 
 CORES_VARIABLE = "ZINCVALE_CORES"
+"""Environment variable with the addresses of cores, for commands without `--core`."""
 STANDARD_INPUT = "/dev/stdin"
 HIGHEST_PORT = 65_535
 
@@ -21,12 +22,12 @@
 
 
 def normalize_arguments(arguments: list[str]) -> list[str]:
-    """Return `arguments` with a lone `-` spelt out: `fire` takes it for its own separator."""
+    """Replace a lone `-` by the path of standard input: `fire` would take it as a separator."""
     return [STANDARD_INPUT if argument == "-" else argument for argument in arguments]
 
 
 def read_text(value: object) -> str:
-    """Return an argument as text; a list that `fire` took apart is joined again."""
+    """Return an argument as text; a list that `fire` split at commas is joined again."""
     if isinstance(value, list | tuple):
         return ",".join(str(part) for part in value)
     return str(value)
@@ -48,7 +49,7 @@
 
 
 def read_flag(text: str, name: str) -> bool:
-    """Return a switch; `--name` alone arrives as `True`."""
+    """Return a boolean flag; `--name` without a value is passed as `True`."""
     text = read_text(text)
     lowered = text.lower()
     if lowered in ("true", "yes", "1"):
@@ -59,7 +60,7 @@
 
 
 def read_count(text: str, name: str) -> int | None:
-    """Return a whole number, None when it was not given."""
+    """Return a whole number, or None when the argument was not given."""
     text = read_text(text)
     if not text:
         return None
@@ -69,7 +70,7 @@
 
 
 def read_seconds(text: str, name: str) -> float:
-    """Return a number of seconds."""
+    """Return a number of seconds, greater than 0 and at most a day."""
     text = read_text(text)
     try:
         seconds = float(text)
@@ -81,7 +82,7 @@
 
 
 def read_output(text: str) -> str:
-    """Return how results are shown."""
+    """Return the output format: table, json or yaml."""
     text = read_text(text)
     if text not in _OUTPUTS:
         raise UsageError(f"--output is {text!r}", f"write one of {', '.join(_OUTPUTS)}")
@@ -89,7 +90,7 @@
 
 
 def read_mode(text: str) -> str:
-    """Return the mode of a change."""
+    """Return the mode of a change: merge or replace."""
     text = read_text(text)
     if text not in ("merge", "replace"):
         raise UsageError(f"--mode is {text!r}", "write merge or replace")
@@ -97,7 +98,7 @@
 
 
 def read_order_id(text: str) -> str:
-    """Return a checked order id, empty when none was given."""
+    """Return a valid order id, or an empty text when none was given."""
     text = read_text(text)
     if text and not _ORDER_ID.fullmatch(text):
         raise UsageError(
--- a/src/zincvale/cli/operator/changes.py
+++ b/src/zincvale/cli/operator/changes.py
@@ -1,4 +1,4 @@
-"""Changes that the commands send, and what is said of them."""
+"""Changes that the commands send, and the text that reports their result."""
 
 from __future__ import annotations
 
@@ -18,11 +18,15 @@
 from zincvale.model.errors import InvalidInputError, NotFoundError, UnavailableError
 
 _RESOURCE_POSITION = re.compile(r"resources\[(\d+)\]")
+"""How a core's error message refers to one resource of a change."""
 
 
 @attrs.frozen
 class DeclaredState:
-    """A field of one resource that a command sets, and the condition that shows it done."""
+    """A boolean field that a command sets on a resource, and the condition that confirms it.
+
+    The condition becomes true once the declared state has been reached.
+    """
 
     kind: str
     name: str
@@ -31,7 +35,7 @@
     condition: str
 
     def change_body(self) -> dict[str, Any]:
-        """Return the change that declares it, on whatever version is current."""
+        """Return a change that sets the field; it applies to whatever version is current."""
         resource = {"kind": self.kind, "name": self.name, "spec": {self.field: self.value}}
         return {"baseVersion": None, "mode": "merge", "resources": [resource]}
 
@@ -39,7 +43,7 @@
 async def apply_change(
     session: OperatorSession, body: Mapping[str, Any], order_id: str, limit_s: float
 ) -> Confirmation:
-    """Send a change under `order_id`, or a fresh one, until it is confirmed or refused."""
+    """Send a change until it is confirmed or refused; an empty `order_id` is generated."""
     return await session.change(body, order_id or uuid.uuid4().hex, limit_s)
 
 
@@ -48,19 +52,19 @@
     transport: CoreTransport,
     write: Callable[[str], None],
     state: DeclaredState,
-    known_only: bool,
+    must_exist: bool,
     until: str,
     order_id: str,
     limit_s: float,
 ) -> Confirmation:
-    """Declare a state; with `until`, return when that condition holds.
+    """Declare a state; with `until`, return only when that condition is true.
 
-    `known_only` refuses a name that no core knows: it would be declared and drain nothing.
+    `must_exist` refuses a resource that does not exist: declaring it would have no effect.
     """
     started_at = transport.now()
     target = resource_target(table_of(state.kind), state.name)
-    if known_only:
-        await _require_known(session, target)
+    if must_exist:
+        await _require_existing(session, target)
     confirmation = await apply_change(session, state.change_body(), order_id, limit_s)
     if until:
         write(confirmation_text(confirmation, "table"))
@@ -69,7 +73,7 @@
     return confirmation
 
 
-async def _require_known(session: OperatorSession, target: str) -> None:
+async def _require_existing(session: OperatorSession, target: str) -> None:
     try:
         await session.read(target)
     except NotFoundError as error:
@@ -77,12 +81,12 @@
             error.problem, f"{error.remedy} or declare it nonetheless with --force"
         ) from error
     except UnavailableError:
-        # The change itself tries longer; a name that cannot be checked is not refused.
+        # The change itself is retried for longer, so a name that cannot be checked is accepted.
         return
 
 
 def confirmation_text(confirmation: Confirmation, output: str) -> str:
-    """Return what is said of a change in force."""
+    """Return the text that reports a change as in force."""
     if output == "json":
         return json_text(
             {
@@ -95,10 +99,10 @@
     return f"in force: version {confirmation.version} (order {confirmation.order_id})"
 
 
-def with_place(error: InvalidInputError, resources: list[FileResource]) -> InvalidInputError:
-    """Return the error with the file and document that `resources[N]` in it stands for."""
+def with_location(error: InvalidInputError, resources: list[FileResource]) -> InvalidInputError:
+    """Prefix an error with the file and document of the `resources[N]` that it mentions."""
     match = _RESOURCE_POSITION.search(error.problem)
     if match is None or int(match.group(1)) >= len(resources):
         return error
-    place = resources[int(match.group(1))].where
-    return InvalidInputError(f"{place}: {error.problem}", error.remedy)
+    location = resources[int(match.group(1))].location
+    return InvalidInputError(f"{location}: {error.problem}", error.remedy)
--- a/src/zincvale/cli/operator/commands.py
+++ b/src/zincvale/cli/operator/commands.py
@@ -1,8 +1,8 @@
-"""Operators' commands: apply, get, describe, watch, drain and evacuate.
+"""The commands apply, get, describe, watch, drain and evacuate.
 
 Operators declare resources and watch their state. Drains and evacuations are edits of declared
-state like any other change. Every function takes text (`operator_main` sees to it) and returns the
-text to print; what goes wrong is a typed error with an exit code (`operator_errors`).
+state like any other change. Every command takes its arguments as text (`runner` passes them that
+way) and returns the text to print; failures are typed errors, whose exit codes are in `errors`.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     apply_change,
     confirmation_text,
     declare_state,
-    with_place,
+    with_location,
 )
 from zincvale.cli.operator.errors import UsageError
 from zincvale.cli.operator.files import read_resources
@@ -40,9 +40,10 @@
 from zincvale.model.errors import InvalidInputError
 
 DEFAULT_LIMIT_S = "30"
+"""Default time limit in seconds for confirming a change; text, as from the command line."""
 
 ResultType = TypeVar("ResultType")
-Step = Callable[[OperatorSession, CoreTransport], Awaitable[ResultType]]
+SessionAction = Callable[[OperatorSession, CoreTransport], Awaitable[ResultType]]
 
 
 class OperatorCommands:
@@ -50,9 +51,9 @@
 
     Parameters
     ----------
-    make_transport : makes the HTTP client inside the event loop.
-    environment : where `ZINCVALE_CORES` is looked up.
-    write : prints a line of a command that goes on.
+    make_transport : creates the HTTP client; called inside the event loop.
+    environment : environment variables, of which `ZINCVALE_CORES` is read.
+    write : prints output while a command is still running.
     """
 
     def __init__(
@@ -89,7 +90,7 @@
         version = read_count(base_version, "base-version")
         order = read_order_id(order_id)
         limit = read_seconds(limit_s, "limit-s")
-        shown = read_output(output)
+        output_format = read_output(output)
         if read_mode(mode) == "replace" and version is None:
             raise UsageError(
                 "replace without --base-version would undo changes that you have not seen",
@@ -105,10 +106,10 @@
             return self._run(
                 core,
                 lambda session, _: apply_change(session, body, order, limit),
-                lambda confirmation: confirmation_text(confirmation, shown),
+                lambda confirmation: confirmation_text(confirmation, output_format),
             )
         except InvalidInputError as error:
-            raise with_place(error, resources) from error
+            raise with_location(error, resources) from error
 
     def get(self, kind: str, name: str = "", core: str = "", output: str = "table") -> str:
         """List resources of a kind, or one; also members, moves, roles, replicas and intent.
@@ -120,16 +121,17 @@
             core: addresses of cores, ip:port[,ip:port]; ZINCVALE_CORES when left out.
             output: table, json, or yaml for a file that apply takes.
         """
-        shown = read_output(output)
+        output_format = read_output(output)
         if kind.lower() == "intent":
-            return self._run(core, lambda session, _: get_intent(session, shown))
+            return self._run(core, lambda session, _: get_intent(session, output_format))
         table = table_of(kind)
         if table in OBSERVED_TABLES:
             return self._run(
-                core, lambda session, _: get_observed(session, table, read_text(name), shown)
+                core,
+                lambda session, _: get_observed(session, table, read_text(name), output_format),
             )
         return self._run(
-            core, lambda session, _: get_resources(session, table, read_text(name), shown)
+            core, lambda session, _: get_resources(session, table, read_text(name), output_format)
         )
 
     def describe(self, kind: str, name: str, core: str = "", output: str = "table") -> str:
@@ -256,52 +258,52 @@
     ) -> str:
         order = read_order_id(order_id)
         limit = read_seconds(limit_s, "limit-s")
-        shown = read_output(output)
+        output_format = read_output(output)
         until = state.condition if read_flag(wait, "wait") and state.value else ""
-        known_only = state.value and not read_flag(force, "force")
-        write = _silent if shown == "json" else self._write
+        must_exist = state.value and not read_flag(force, "force")
+        write = _discard_line if output_format == "json" else self._write
         return self._run(
             core,
             lambda session, transport: declare_state(
-                session, transport, write, state, known_only, until, order, limit
+                session, transport, write, state, must_exist, until, order, limit
             ),
-            lambda confirmation: _outcome_text(confirmation, until, shown),
+            lambda confirmation: _final_text(confirmation, until, output_format),
         )
 
     def _run(
         self,
         core: str,
-        step: Step[ResultType],
+        action: SessionAction[ResultType],
         show: Callable[[ResultType], Any] = lambda result: result,
     ) -> Any:
         cores = read_cores(core, self._environment)
 
         async def run() -> ResultType:
             transport = self._make_transport()
-            return await step(OperatorSession(transport, cores), transport)
+            return await action(OperatorSession(transport, cores), transport)
 
         return show(asyncio.run(run()))
 
 
-def _outcome_text(confirmation: Confirmation, until: str, output: str) -> str:
-    """Return what is left to say: with a wait, the confirmation was written before it."""
+def _final_text(confirmation: Confirmation, until: str, output: str) -> str:
+    """Return the final output; with a wait, the confirmation was already printed before it."""
     return until if until and output == "table" else confirmation_text(confirmation, output)
 
 
-def _silent(line: str) -> None:
-    """Drop progress, so that JSON output is one JSON value."""
+def _discard_line(line: str) -> None:
+    """Discard progress output, so that JSON output is a single JSON value."""
 
 
 def operator_commands(
     commands: OperatorCommands | None = None,
 ) -> dict[str, Callable[..., Any]]:
-    """Return the commands by name, for the program that assembles them."""
-    chosen = commands or OperatorCommands()
+    """Return the commands by name; `commands` overrides the default instance."""
+    instance = commands or OperatorCommands()
     return {
-        "apply": chosen.apply,
-        "get": chosen.get,
-        "describe": chosen.describe,
-        "watch": chosen.watch,
-        "drain": chosen.drain,
-        "evacuate": chosen.evacuate,
+        "apply": instance.apply,
+        "get": instance.get,
+        "describe": instance.describe,
+        "watch": instance.watch,
+        "drain": instance.drain,
+        "evacuate": instance.evacuate,
     }
--- a/src/zincvale/cli/operator/errors.py
+++ b/src/zincvale/cli/operator/errors.py
@@ -13,17 +13,17 @@
 )
 
 EXIT_OK = 0
-"""Done: a change is in force, a read was answered."""
+"""The command succeeded: a change is in force, or a read returned its result."""
 EXIT_REFUSED = 1
-"""Refused or invalid; nothing was changed."""
+"""The command was refused or invalid; nothing was changed."""
 EXIT_USAGE = 2
 """The command line cannot be understood; nothing was sent."""
 EXIT_NOT_CONFIRMED = 3
-"""No core confirmed it in time; a change may or may not be in force: send the order again."""
+"""No core confirmed in time; a change may or may not be in force: send the same order again."""
 EXIT_CONFLICT = 4
-"""Another change won on the version that this one was built on; nothing was changed."""
+"""The version that the change is based on is no longer current; nothing was changed."""
 EXIT_NOT_REACHED = 5
-"""A condition that was waited for did not come to hold in time; the change is in force."""
+"""A condition that was waited for was not true in time; the change itself is in force."""
 
 
 @attrs.frozen
@@ -36,14 +36,14 @@
 
 @attrs.frozen
 class ConditionNotReachedError(ZincvaleError):
-    """A watched condition did not come to hold in time."""
+    """A condition that was waited for was not true in time."""
 
     kind = "not-reached"
     http_status = 503
 
 
 def exit_code_of(error: ZincvaleError) -> int:
-    """Return the exit code that tells a script what became of its command."""
+    """Return the exit code that tells a script how its command ended."""
     if isinstance(error, UsageError):
         return EXIT_USAGE
     if isinstance(error, VersionConflictError):
--- a/src/zincvale/cli/operator/files.py
+++ b/src/zincvale/cli/operator/files.py
@@ -1,7 +1,7 @@
 """Resource files: YAML with one or many documents, or JSON.
 
-A file holds resources `{kind, name, spec}`: one a document, a list of them, or an object with a
-list `resources`, as the control API answers.
+A resource is an object `{kind, name, spec}`. A document holds one resource, a list of resources, or
+an object with a list `resources`, which is the form of the control API's responses.
 """
 
 from __future__ import annotations
@@ -19,20 +19,22 @@
 
 MAX_FILE_BYTES = 64 * 1024 * 1024
 MAX_DEPTH = 32
+"""Limit on the nesting of a resource; YAML aliases that contain themselves exceed it."""
 MAX_VALUES_PER_RESOURCE = 100_000
+"""Limit on the values in a resource with its aliases expanded; it stops alias bombs."""
 RESOURCE_FILE_SUFFIXES = (".yaml", ".yml", ".json")
 
 
 @attrs.frozen
 class FileResource:
-    """One resource and where it was written."""
+    """One resource and its location: the file, document and position it was read from."""
 
     document: dict[str, Any]
-    where: str
+    location: str
 
 
 def read_resources(paths: Iterable[str]) -> list[FileResource]:
-    """Return the resources of files and folders, in order; raises `InvalidInputError`."""
+    """Return the resources in files and folders, in order; raises `InvalidInputError`."""
     resources: list[FileResource] = []
     for path in paths:
         for file in _files_of(path):
@@ -91,25 +93,27 @@
     return [document for document in documents if document is not None]
 
 
-def _resources_of(document: Any, where: str) -> list[FileResource]:
+def _resources_of(document: Any, location: str) -> list[FileResource]:
     if isinstance(document, dict) and "resources" in document and "kind" not in document:
         document = document["resources"]
     items = document if isinstance(document, list) else [document]
     resources = []
     for position, item in enumerate(items, start=1):
-        place = where if len(items) == 1 else f"{where}, resource {position}"
+        resource_location = location if len(items) == 1 else f"{location}, resource {position}"
         if not isinstance(item, dict):
-            raise InvalidInputError(f"{place} is not a resource", "write kind, name and spec")
-        _PlainCheck(place).check(item)
-        resources.append(FileResource(item, place))
+            raise InvalidInputError(
+                f"{resource_location} is not a resource", "write kind, name and spec"
+            )
+        _JsonValueChecker(resource_location).check(item)
+        resources.append(FileResource(item, resource_location))
     return resources
 
 
 @attrs.define
-class _PlainCheck:
-    """Refuses what has no JSON form, and aliases that would swell a file beyond all bounds."""
+class _JsonValueChecker:
+    """Refuses values without a JSON form, and resources that aliases make too large or too deep."""
 
-    where: str
+    location: str
     values_left: int = MAX_VALUES_PER_RESOURCE
 
     def check(self, value: Any, depth: int = 0) -> None:
@@ -117,7 +121,7 @@
         self.values_left -= 1
         if depth > MAX_DEPTH or self.values_left < 0:
             raise InvalidInputError(
-                f"{self.where} is deeper than {MAX_DEPTH} or larger than "
+                f"{self.location} is deeper than {MAX_DEPTH} or larger than "
                 f"{MAX_VALUES_PER_RESOURCE} values",
                 "remove aliases that contain themselves or each other",
             )
@@ -134,22 +138,22 @@
     def _check_name(self, name: object) -> None:
         if not isinstance(name, str):
             raise InvalidInputError(
-                f"{self.where}: field name {name!r} is not text", "put it in quotes"
+                f"{self.location}: field name {name!r} is not text", "put it in quotes"
             )
 
     def _check_scalar(self, value: object) -> None:
         if isinstance(value, float) and not math.isfinite(value):
             raise InvalidInputError(
-                f"{self.where}: {value} is not a finite number", "write a number"
+                f"{self.location}: {value} is not a finite number", "write a number"
             )
         if not isinstance(value, str | int | float | None):
             raise InvalidInputError(
-                f"{self.where}: {value!r} has no JSON form", "write it as text, in quotes"
+                f"{self.location}: {value!r} has no JSON form", "write it as text, in quotes"
             )
 
 
 class _ResourceLoader(yaml.SafeLoader):
-    """YAML as operators mean it: dates stay text, and no field may stand twice."""
+    """Loads YAML with dates as text, and refuses a field that is given twice in a mapping."""
 
     def construct_mapping(self, node: yaml.MappingNode, deep: bool = False) -> dict[Hashable, Any]:
         seen: set[str] = set()
@@ -157,7 +161,7 @@
             name = str(key_node.value)
             if name in seen and name != "<<":
                 raise yaml.constructor.ConstructorError(
-                    None, None, f"field {name!r} stands twice", key_node.start_mark
+                    None, None, f"field {name!r} is given twice", key_node.start_mark
                 )
             seen.add(name)
         return super().construct_mapping(node, deep=deep)
--- a/src/zincvale/cli/operator/http.py
+++ b/src/zincvale/cli/operator/http.py
@@ -1,4 +1,4 @@
-"""Transport of the operator commands: tornado's curl client."""
+"""HTTP transport of the operator commands, on tornado's curl client."""
 
 from __future__ import annotations
 
@@ -13,13 +13,15 @@
 from zincvale.cli.operator.session import CoreResponse, CoreUnreachableError
 
 CONNECT_TIMEOUT_S = 1.0
-MAX_ANSWER_BYTES = 256 * 1024 * 1024
+"""Limit for connecting to one core, short so that the next core is tried soon."""
+MAX_RESPONSE_BYTES = 256 * 1024 * 1024
 
-_NEVER_LEFT = (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST)
+_NOT_SENT_ERRORS = (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST)
+"""Errors after which no byte of the request can have been sent."""
 
 
 class CurlTransport:
-    """Implements `CoreTransport`; made inside a running event loop."""
+    """Implements `CoreTransport`; must be created inside a running event loop."""
 
     def __init__(self) -> None:
         self._client = CurlAsyncHTTPClient(force_instance=True)
@@ -33,7 +35,7 @@
         body: bytes,
         timeout_s: float,
     ) -> CoreResponse:
-        """Return the answer; raises `CoreUnreachableError`."""
+        """Return the response; raises `CoreUnreachableError`."""
         request = HTTPRequest(
             f"http://{address}{target}",
             method=method,
@@ -47,14 +49,14 @@
             response = await self._client.fetch(request, raise_error=False)
         except CurlError as error:
             raise CoreUnreachableError(
-                str(error.message), error.errno not in _NEVER_LEFT
+                str(error.message), error.errno not in _NOT_SENT_ERRORS
             ) from error
         except OSError as error:
             raise CoreUnreachableError(str(error), sent=True) from error
         return CoreResponse(response.code, bytes(response.body or b""))
 
     async def pause(self, seconds: float) -> None:
-        """Wait."""
+        """Wait for this many seconds."""
         await asyncio.sleep(seconds)
 
     def now(self) -> float:
--- a/src/zincvale/cli/operator/kinds.py
+++ b/src/zincvale/cli/operator/kinds.py
@@ -1,4 +1,4 @@
-"""Names of what can be asked of a core, as operators type them."""
+"""Resource kinds and observed tables, by the names that operators type."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from zincvale.controlplane.intent.row_codec import KIND_BY_TABLE
 
 OBSERVED_TABLES = ("members", "moves", "roles", "replicas")
-"""Tables without a declared side; the API's body holds their rows under this name."""
+"""Tables that are observed and never declared; also the key of their rows in an API response."""
 
 
 def table_of(kind: str) -> str:
     """Return the API's path segment for `zone`, `zones` or `Zone`; raises `UsageError`."""
-    lowered = kind.lower()
+    name = kind.lower()
     known = [*KIND_BY_TABLE, *OBSERVED_TABLES]
-    for candidate in (lowered, f"{lowered}s"):
+    for candidate in (name, f"{name}s"):
         if candidate in known:
             return candidate
-    nearest = difflib.get_close_matches(lowered, known, n=1)
+    nearest = difflib.get_close_matches(name, known, n=1)
     remedy = f"did you mean {nearest[0]!r}?" if nearest else f"use one of {', '.join(known)}"
     raise UsageError(f"unknown kind {kind!r}", remedy)
 
--- a/src/zincvale/cli/operator/output.py
+++ b/src/zincvale/cli/operator/output.py
@@ -1,4 +1,4 @@
-"""How results are shown: tables, JSON and YAML."""
+"""Formats results as tables, JSON and YAML."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Column:
-    """A column of a table: its title and what it shows of a row."""
+    """A column of a table: its title, and the function that returns its text for a row."""
 
     title: str
     show: Callable[[Row], str]
@@ -26,7 +26,7 @@
 
 
 def yaml_text(documents: Iterable[Mapping[str, Any]]) -> str:
-    """Return resources as a file that `apply` takes: without what is only observed."""
+    """Return resources as a YAML file for `apply`: kind, name and spec, without observed fields."""
     declared = [
         {name: document[name] for name in ("kind", "name", "spec") if name in document}
         for document in documents
@@ -35,7 +35,7 @@
 
 
 def table_text(rows: Sequence[Row], columns: Sequence[Column]) -> str:
-    """Return an aligned table with a title line."""
+    """Return an aligned table with a header line."""
     lines = [[column.title for column in columns]]
     lines += [[column.show(row) or "-" for column in columns] for row in rows]
     widths = [max(len(line[index]) for line in lines) for index in range(len(columns))]
@@ -51,12 +51,12 @@
 
 
 def observed_columns(table: str) -> list[Column]:
-    """Return the columns of members, moves, roles or replicas; all fields of what is unknown."""
+    """Return the columns of members, moves, roles or replicas."""
     return _OBSERVED_COLUMNS[table]
 
 
 def describe_text(resource: Mapping[str, Any]) -> str:
-    """Return one resource for reading: spec, conditions, observations."""
+    """Return one resource in full: spec with defaults, conditions and observed fields."""
     lines = [f"Kind:     {resource['kind']}", f"Name:     {resource['name']}"]
     lines += [f"Version:  {resource.get('version', '-')}", "Spec:"]
     declared = resource.get("spec", {})
@@ -85,7 +85,7 @@
 
 
 def shown_value(value: Any) -> str:
-    """Return a JSON value as an operator writes it."""
+    """Return a JSON value as text for a table or a line."""
     if isinstance(value, list):
         return ", ".join(shown_value(item) for item in value) or "(none)"
     if isinstance(value, bool):
@@ -93,30 +93,30 @@
     return "-" if value is None else str(value)
 
 
-def _spec(name: str, title: str = "") -> Column:
+def _spec_column(name: str, title: str = "") -> Column:
     return Column(
         title or name.upper().replace("_", "-"),
         lambda row: shown_value(row.get("spec", {}).get(name)),
     )
 
 
-def _observed(name: str) -> Column:
+def _observed_column(name: str) -> Column:
     return Column(
         name.upper().replace("_", "-"),
         lambda row: shown_value(row.get("status", {}).get("observed", {}).get(name)),
     )
 
 
-def _field(name: str) -> Column:
+def _field_column(name: str) -> Column:
     return Column(name.upper().replace("_", "-"), lambda row: shown_value(row.get(name)))
 
 
-def _all_spec(row: Row) -> str:
+def _spec_text(row: Row) -> str:
     spec = row.get("spec", {})
     return " ".join(f"{name}={shown_value(value)}" for name, value in spec.items())
 
 
-def _conditions(row: Row) -> str:
+def _conditions_text(row: Row) -> str:
     conditions = row.get("status", {}).get("conditions", [])
     return " ".join(_short_condition(condition) for condition in conditions)
 
@@ -128,35 +128,46 @@
     return f"{mark}{condition['type']}"
 
 
-_NAME = _field("name")
-_SPEC = Column("SPEC", _all_spec)
-_CONDITIONS = Column("CONDITIONS", _conditions)
+_NAME = _field_column("name")
+_SPEC = Column("SPEC", _spec_text)
+_CONDITIONS = Column("CONDITIONS", _conditions_text)
 
 _COLUMNS_BY_TABLE: dict[str, list[Column]] = {
     "servers": [
-        _spec("drained"),
-        _observed("pool"),
-        _observed("zone"),
-        _observed("health"),
-        _observed("running"),
-        _observed("models"),
+        _spec_column("drained"),
+        _observed_column("pool"),
+        _observed_column("zone"),
+        _observed_column("health"),
+        _observed_column("running"),
+        _observed_column("models"),
+    ],
+    "models": [
+        _spec_column("pool"),
+        _spec_column("weight_bytes"),
+        _spec_column("min_replicas"),
+        _spec_column("stake"),
+    ],
+    "adapters": [_spec_column("base_model"), _spec_column("weight_bytes")],
+    "routes": [
+        _spec_column("path"),
+        _spec_column("pool"),
+        _spec_column("stake"),
+        _spec_column("at_most_once"),
     ],
-    "models": [_spec("pool"), _spec("weight_bytes"), _spec("min_replicas"), _spec("stake")],
-    "adapters": [_spec("base_model"), _spec("weight_bytes")],
-    "routes": [_spec("path"), _spec("pool"), _spec("stake"), _spec("at_most_once")],
 }
 
 _OBSERVED_COLUMNS: dict[str, list[Column]] = {
     "members": [
-        _field(name)
+        _field_column(name)
         for name in ("member", "role", "zone", "api_address", "ready", "intent_version")
     ],
     "moves": [
-        _field(name) for name in ("id", "kind", "state", "server", "name", "reason", "outcome")
+        _field_column(name)
+        for name in ("id", "kind", "state", "server", "name", "reason", "outcome")
     ],
-    "roles": [_field(name) for name in ("role", "holder", "epoch")],
+    "roles": [_field_column(name) for name in ("role", "holder", "epoch")],
     "replicas": [
-        _field(name)
+        _field_column(name)
         for name in ("member", "zone", "peer_address", "live", "voting", "chosen_version")
     ],
 }
--- a/src/zincvale/cli/operator/watch.py
+++ b/src/zincvale/cli/operator/watch.py
@@ -1,4 +1,4 @@
-"""`zincvale watch`: what changes in the intent, or in one resource's status, as it changes."""
+"""`zincvale watch`: prints changes of the intent, or of one resource's status, as they happen."""
 
 from __future__ import annotations
 
@@ -12,36 +12,37 @@
 from zincvale.model.errors import UnavailableError
 
 POLL_S = 30.0
-"""How long a core holds one poll."""
+"""Longest time that a core may hold one long poll open."""
 STATUS_INTERVAL_S = 0.5
-"""Between two looks at a resource's status."""
+"""Interval between two reads of a resource's status."""
 RETRY_S = 1.0
+"""Pause after a poll that no core served; also added to the timeout of a poll."""
 
-Write = Callable[[str], None]
-Specs = dict[tuple[str, str], Any]
+WriteLine = Callable[[str], None]
+SpecsByResource = dict[tuple[str, str], Any]
 
 
 async def watch_intent(
     session: OperatorSession,
     transport: CoreTransport,
-    write: Write,
+    write: WriteLine,
     after: int,
     limit_s: float | None,
     as_json: bool,
 ) -> None:
-    """Write each version's differences from the one before until `limit_s` is over."""
+    """Write how each version differs from the previous one, until `limit_s` has passed."""
     started_at = transport.now()
-    known: Specs | None = None
+    previous: SpecsByResource | None = None
     while True:
-        left_s = _left_s(transport, started_at, limit_s)
-        if left_s is not None and left_s <= 0:
+        remaining_s = _remaining_s(transport, started_at, limit_s)
+        if remaining_s is not None and remaining_s <= 0:
             return
-        poll_s = POLL_S if left_s is None else min(POLL_S, left_s)
+        poll_s = POLL_S if remaining_s is None else min(POLL_S, remaining_s)
         query = urllib.parse.urlencode({"after": after, "timeout_s": f"{poll_s:.3f}"})
         try:
             answer = await session.read(f"/v1/watch?{query}", poll_s + RETRY_S)
         except UnavailableError as error:
-            if left_s is not None and left_s <= RETRY_S:
+            if remaining_s is not None and remaining_s <= RETRY_S:
                 raise
             write(f"# {error}")
             await transport.pause(RETRY_S)
@@ -51,25 +52,25 @@
             continue
         after = int(body["version"])
         specs = {(item["kind"], item["name"]): item["spec"] for item in body["resources"]}
-        write(json_text(body) if as_json else _differences(after, known, specs))
-        known = specs
+        write(json_text(body) if as_json else _differences_text(after, previous, specs))
+        previous = specs
 
 
 async def watch_status(
     session: OperatorSession,
     transport: CoreTransport,
-    write: Write,
+    write: WriteLine,
     target: str,
     until: str,
     limit_s: float | None,
     as_json: bool,
 ) -> dict[str, Any]:
-    """Write a resource's conditions as they change; return it once `until` holds.
+    """Write a resource's conditions as they change; return it once condition `until` is true.
 
     Raises
     ------
     ConditionNotReachedError
-        When `limit_s` is over first; without `until` the end of the time is no error.
+        When `limit_s` passes first; without `until`, reaching the limit is not an error.
     """
     started_at = transport.now()
     shown: list[str] = []
@@ -80,12 +81,12 @@
         if lines != shown:
             write(json_text(resource) if as_json else _status_text(resource, lines))
             shown = lines
-        if until and _holds(conditions, until):
+        if until and _is_true(conditions, until):
             return resource
-        left_s = _left_s(transport, started_at, limit_s)
-        if left_s is not None and left_s <= 0:
+        remaining_s = _remaining_s(transport, started_at, limit_s)
+        if remaining_s is not None and remaining_s <= 0:
             if until:
-                raise _not_reached(resource, until)
+                raise _not_reached_error(resource, until)
             return resource
         await transport.pause(STATUS_INTERVAL_S)
 
@@ -95,45 +96,49 @@
     return "\n".join([head, *lines])
 
 
-def _left_s(transport: CoreTransport, started_at: float, limit_s: float | None) -> float | None:
+def _remaining_s(
+    transport: CoreTransport, started_at: float, limit_s: float | None
+) -> float | None:
     return None if limit_s is None else started_at + limit_s - transport.now()
 
 
-def _holds(conditions: list[dict[str, Any]], wanted: str) -> bool:
+def _is_true(conditions: list[dict[str, Any]], wanted: str) -> bool:
     return any(
         condition["type"].lower() == wanted.lower() and condition["status"] == "True"
         for condition in conditions
     )
 
 
-def _not_reached(resource: Mapping[str, Any], until: str) -> ConditionNotReachedError:
+def _not_reached_error(resource: Mapping[str, Any], until: str) -> ConditionNotReachedError:
     what = f"{resource['kind']} {resource['name']}"
     return ConditionNotReachedError(
-        f"{what}: {until} did not come to hold in time",
+        f"{what}: condition {until} was not true in time",
         f"see zincvale describe {resource['kind'].lower()} {resource['name']}, or wait longer",
     )
 
 
-def _differences(version: int, known: Specs | None, specs: Specs) -> str:
-    if known is None:
+def _differences_text(
+    version: int, previous: SpecsByResource | None, specs: SpecsByResource
+) -> str:
+    if previous is None:
         return f"version {version}: {len(specs)} resources"
     lines = [f"version {version}"]
-    for key in sorted(known.keys() | specs.keys()):
+    for key in sorted(previous.keys() | specs.keys()):
         what = f"{key[0]} {key[1]}"
         if key not in specs:
             lines.append(f"  - {what}")
-        elif key not in known:
-            lines.append(f"  + {what} {_fields(specs[key])}".rstrip())
-        elif known[key] != specs[key]:
-            lines.append(f"  ~ {what} {_changed_fields(known[key], specs[key])}")
+        elif key not in previous:
+            lines.append(f"  + {what} {_fields_text(specs[key])}".rstrip())
+        elif previous[key] != specs[key]:
+            lines.append(f"  ~ {what} {_changed_fields_text(previous[key], specs[key])}")
     return "\n".join(lines)
 
 
-def _fields(spec: Mapping[str, Any]) -> str:
+def _fields_text(spec: Mapping[str, Any]) -> str:
     return " ".join(f"{name}={shown_value(value)}" for name, value in spec.items())
 
 
-def _changed_fields(before: Mapping[str, Any], after: Mapping[str, Any]) -> str:
+def _changed_fields_text(before: Mapping[str, Any], after: Mapping[str, Any]) -> str:
     changes = []
     for name in sorted(before.keys() | after.keys()):
         if before.get(name) != after.get(name):
--- a/src/zincvale/cli/reference_pages.py
+++ b/src/zincvale/cli/reference_pages.py
@@ -1,4 +1,4 @@
-"""Reference pages that are written from the code: log events and the peer protocol's schemas."""
+"""Generates the reference pages from the code: log events and schemas of the peer protocol."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 LOG_EVENTS_SUFFIX = "log_events"
 MESSAGES_SUFFIX = "messages"
-EVENTS_HEAD = """# Log events
+EVENTS_PAGE_INTRODUCTION = """# Log events
 
 Every daemon writes one JSON object a line: `number`, `message_type` (the event's name), `member`,
 `timestamp` and the event's fields. A number never changes its meaning. This page is written from
@@ -26,15 +26,15 @@
 
 
 def events_page() -> str:
-    """Return docs/EVENTS.md."""
-    _import_modules(LOG_EVENTS_SUFFIX)
+    """Return the content of docs/EVENTS.md."""
+    _import_modules_ending_in(LOG_EVENTS_SUFFIX)
     rows = [f"| {event.number} | `{event.name}` | {event.meaning} |" for event in declared_events()]
-    return EVENTS_HEAD + "\n".join(rows) + "\n"
+    return EVENTS_PAGE_INTRODUCTION + "\n".join(rows) + "\n"
 
 
 def schemas_page() -> str:
-    """Return docs/schemas.json: the Avro schema of every message between daemons."""
-    _import_modules(MESSAGES_SUFFIX)
+    """Return the content of docs/schemas.json: the Avro schema of every message between daemons."""
+    _import_modules_ending_in(MESSAGES_SUFFIX)
     schemas: dict[str, Any] = {
         name: schema_json(message_class)
         for name, message_class in sorted(message_classes().items())
@@ -43,7 +43,7 @@
     return json.dumps(schemas, indent=1) + "\n"
 
 
-def _import_modules(suffix: str) -> None:
+def _import_modules_ending_in(suffix: str) -> None:
     for module in pkgutil.walk_packages(zincvale.__path__, "zincvale."):
         if module.name.endswith(suffix) and not module.ispkg:
             importlib.import_module(module.name)
--- a/src/zincvale/cli/trace_commands.py
+++ b/src/zincvale/cli/trace_commands.py
@@ -17,7 +17,9 @@
 from zincvale.tracing.api.render import render_table, render_tree
 
 REQUEST_TIMEOUT_S = 5.0
+"""Time limit for connecting to one daemon and, separately, for the whole request."""
 DEFAULT_SINCE = "15m"
+"""Age of the oldest traces that `find` lists by default."""
 SECONDS_BY_UNIT = {"s": 1, "m": 60, "h": 3600, "d": 86_400}
 NOT_FOUND_STATUS = 404
 INVALID_STATUS = 422
@@ -26,31 +28,31 @@
 
 
 @attrs.define
-class Answers:
-    """What the nodes answered.
+class NodeResponses:
+    """Responses of the nodes to one query.
 
     Attributes
     ----------
-    bodies : decoded answers with status 200.
-    missing : nodes that said they hold nothing of it, with their message.
-    silent : nodes that did not answer, with the reason.
+    bodies : decoded bodies of the responses with status 200.
+    not_found : error message by node, for nodes that do not have what was asked for.
+    failures : reason by node, for nodes that could not be reached or failed to respond.
     """
 
     bodies: list[dict[str, Any]] = attrs.field(factory=list)
-    missing: dict[str, str] = attrs.field(factory=dict)
-    silent: dict[str, str] = attrs.field(factory=dict)
-
-    def require_some(self) -> None:
-        """Raise `UnavailableError` when no node answered at all."""
-        if not self.bodies and not self.missing:
-            told = "; ".join(f"{node}: {reason}" for node, reason in self.silent.items())
-            raise UnavailableError(f"no node answered ({told})", "check --nodes or --core")
-
-    def note(self) -> str:
-        """Return a line that names the silent nodes, or an empty string."""
-        if not self.silent:
+    not_found: dict[str, str] = attrs.field(factory=dict)
+    failures: dict[str, str] = attrs.field(factory=dict)
+
+    def require_any(self) -> None:
+        """Raise `UnavailableError` when every node failed to respond."""
+        if not self.bodies and not self.not_found:
+            reasons = "; ".join(f"{node}: {reason}" for node, reason in self.failures.items())
+            raise UnavailableError(f"no node responded ({reasons})", "check --nodes or --core")
+
+    def incompleteness_warning(self) -> str:
+        """Return a warning that names the nodes that failed to respond, or an empty string."""
+        if not self.failures:
             return ""
-        return f"no answer from {', '.join(sorted(self.silent))}: the result may be incomplete"
+        return f"no response from {', '.join(sorted(self.failures))}: the result may be incomplete"
 
 
 class TraceCommands:
@@ -98,12 +100,16 @@
             "limit": str(limit),
         }
         query = urllib.parse.urlencode({name: value for name, value in arguments.items() if value})
-        answers = _ask(nodes, core, f"/v1/traces?{query}")
-        answers.require_some()
-        merged = merge_found(answers.bodies, limit)
+        responses = _query_nodes(nodes, core, f"/v1/traces?{query}")
+        responses.require_any()
+        merged = merge_found(responses.bodies, limit)
         if output == JSON_OUTPUT:
-            return _json({**merged, "silent": answers.silent})
-        return _lines(render_table(merged["traces"]), _estimate_line(merged), answers.note())
+            return _json_text({**merged, "silent": responses.failures})
+        return _join_lines(
+            render_table(merged["traces"]),
+            _estimate_line(merged),
+            responses.incompleteness_warning(),
+        )
 
     @SetParseFn(str, "trace_id", "nodes", "core")
     def show(
@@ -114,11 +120,13 @@
         output: str = TEXT_OUTPUT,
     ) -> str:
         """Show one trace as a tree with policy reasons, held time, retries and orders."""
-        answers = _ask(nodes, core, f"/v1/traces/{urllib.parse.quote(str(trace_id), safe='')}")
-        trace = best_trace(answers.bodies)
+        responses = _query_nodes(
+            nodes, core, f"/v1/traces/{urllib.parse.quote(str(trace_id), safe='')}"
+        )
+        trace = best_trace(responses.bodies)
         if trace is None:
-            raise _not_found(f"trace {trace_id}", answers)
-        return _json(trace) if output == JSON_OUTPUT else render_tree(trace)
+            raise _not_found(f"trace {trace_id}", responses)
+        return _json_text(trace) if output == JSON_OUTPUT else render_tree(trace)
 
     @SetParseFn(str, "request_id", "nodes", "core")
     def why(
@@ -133,17 +141,19 @@
         Also takes the identifier of an order.
         """
         target = f"/v1/requests/{urllib.parse.quote(str(request_id), safe='')}/trace"
-        answers = _ask(nodes, core, target)
-        traces = merge_attempts(answers.bodies)
+        responses = _query_nodes(nodes, core, target)
+        traces = merge_attempts(responses.bodies)
         if not traces:
-            raise _not_found(f"trace of request {request_id}", answers)
+            raise _not_found(f"trace of request {request_id}", responses)
         if output == JSON_OUTPUT:
-            return _json({"traces": traces, "silent": answers.silent})
-        return _lines("\n\n".join(explain(trace) for trace in traces), answers.note())
+            return _json_text({"traces": traces, "silent": responses.failures})
+        return _join_lines(
+            "\n\n".join(explain(trace) for trace in traces), responses.incompleteness_warning()
+        )
 
 
 def age_s(text: str) -> float:
-    """Return the seconds of an age: `90s`, `15m`, `2h` or `1d`. Raises `InvalidInputError`."""
+    """Return an age in seconds, given as `90s`, `15m`, `2h` or `1d`. Raises `InvalidInputError`."""
     text = str(text)
     factor = SECONDS_BY_UNIT.get(text[-1:], 0)
     number = text[:-1] if factor else text
@@ -156,12 +166,12 @@
 
 
 def merge_found(bodies: list[dict[str, Any]], limit: int) -> dict[str, Any]:
-    """Return the nodes' answers to a search as one: each trace once, newest first."""
+    """Merge the nodes' results of a search: each trace once, newest first."""
     by_trace: dict[str, dict[str, Any]] = {}
     for body in bodies:
         for trace in body["traces"]:
-            held = by_trace.get(trace["trace_id"])
-            if held is None or trace["holder"] == body["member"]:
+            previous = by_trace.get(trace["trace_id"])
+            if previous is None or trace["holder"] == body["member"]:
                 by_trace[trace["trace_id"]] = trace
     traces = sorted(by_trace.values(), key=lambda trace: float(trace["start"]), reverse=True)
     estimates = [body["estimate"] for body in bodies]
@@ -175,12 +185,12 @@
             "errors": sum(estimate["errors"] for estimate in estimates),
             "mean_ms": weighted_ms / total if total else 0.0,
         },
-        "complete_since": _latest([body["complete_since"] for body in bodies]),
+        "complete_since": _latest_by_name([body["complete_since"] for body in bodies]),
     }
 
 
 def best_trace(bodies: list[dict[str, Any]]) -> dict[str, Any] | None:
-    """Return the fullest of the nodes' answers for one trace, or None."""
+    """Return the most complete copy of a trace: a kept one if any, then by spans; or None."""
     return max(
         bodies, key=lambda trace: (trace["state"] == "kept", len(trace["spans"])), default=None
     )
@@ -192,15 +202,15 @@
     for body in bodies:
         for trace in body["traces"]:
             found.setdefault(trace["trace_id"], []).append(trace)
-    traces = [best_trace(same) for same in found.values()]
-    return sorted((trace for trace in traces if trace), key=_begin)
+    traces = [best_trace(copies) for copies in found.values()]
+    return sorted((trace for trace in traces if trace), key=_start_of)
 
 
-def _begin(trace: dict[str, Any]) -> float:
+def _start_of(trace: dict[str, Any]) -> float:
     return min((float(span["start"]) for span in trace["spans"]), default=0.0)
 
 
-def _latest(tables: list[dict[str, float]]) -> dict[str, float]:
+def _latest_by_name(tables: list[dict[str, float]]) -> dict[str, float]:
     latest: dict[str, float] = {}
     for table in tables:
         for name, since in table.items():
@@ -217,31 +227,36 @@
     )
 
 
-def _not_found(what: str, answers: Answers) -> ZincvaleError:
-    answers.require_some()
-    kept = next((text for text in answers.missing.values() if "not kept" in text), "")
-    if kept:
-        return NotFoundError(kept, "only errors, slow requests and a share of the others are kept")
-    remedy = answers.note() or "it was not sampled, not kept, or its retention is over"
+def _not_found(what: str, responses: NodeResponses) -> ZincvaleError:
+    responses.require_any()
+    not_kept = next((text for text in responses.not_found.values() if "not kept" in text), "")
+    if not_kept:
+        return NotFoundError(
+            not_kept, "only errors, slow requests and a share of the others are kept"
+        )
+    remedy = (
+        responses.incompleteness_warning()
+        or "it was not sampled, not kept, or its retention is over"
+    )
     return NotFoundError(f"no node keeps a {what}", remedy)
 
 
-def _ask(nodes: str, core: str, target: str) -> Answers:
-    return asyncio.run(_ask_all(nodes, core, target))
+def _query_nodes(nodes: str, core: str, target: str) -> NodeResponses:
+    return asyncio.run(_query_all(nodes, core, target))
 
 
-async def _ask_all(nodes: str, core: str, target: str) -> Answers:
-    addresses = _addresses(nodes) or await _discover(core)
-    answers = Answers()
-    await asyncio.gather(*[_ask_one(address, target, answers) for address in addresses])
-    return answers
+async def _query_all(nodes: str, core: str, target: str) -> NodeResponses:
+    addresses = _addresses(nodes) or await _node_addresses_from(core)
+    responses = NodeResponses()
+    await asyncio.gather(*[_query_node(address, target, responses) for address in addresses])
+    return responses
 
 
 def _addresses(nodes: str) -> list[str]:
     return [part.strip() for part in nodes.split(",") if part.strip()]
 
 
-async def _discover(core: str) -> list[str]:
+async def _node_addresses_from(core: str) -> list[str]:
     if not core:
         raise InvalidInputError("no node to ask", "name --nodes ip:port,... or --core ip:port")
     try:
@@ -254,16 +269,18 @@
     return [member["api_address"] for member in members if member["role"] == "node"]
 
 
-async def _ask_one(address: str, target: str, answers: Answers) -> None:
+async def _query_node(address: str, target: str, responses: NodeResponses) -> None:
     try:
-        answers.bodies.append(orjson.loads(await _fetch(address, target)))
+        responses.bodies.append(orjson.loads(await _fetch(address, target)))
     except HTTPError as error:
         problem = _problem_of(error)
         if error.code == INVALID_STATUS:
             raise InvalidInputError(problem, "correct the argument") from error
-        (answers.missing if error.code == NOT_FOUND_STATUS else answers.silent)[address] = problem
+        (responses.not_found if error.code == NOT_FOUND_STATUS else responses.failures)[address] = (
+            problem
+        )
     except OSError as error:
-        answers.silent[address] = str(error)
+        responses.failures[address] = str(error)
 
 
 async def _fetch(address: str, target: str) -> bytes:
@@ -285,9 +302,9 @@
         return str(error)
 
 
-def _json(value: Any) -> str:
+def _json_text(value: Any) -> str:
     return orjson.dumps(value, option=orjson.OPT_INDENT_2).decode()
 
 
-def _lines(*parts: str) -> str:
+def _join_lines(*parts: str) -> str:
     return "\n".join(part for part in parts if part)
