--- a/src/zincvale/bench/capacity_model.py
+++ b/src/zincvale/bench/capacity_model.py
@@ -1,7 +1,7 @@
-"""The size we design for, and each role's cost at that size from the measured slopes.
+"""The design size of a deployment, and the cost of each daemon at that size.
 
-Every figure carries how it came about: measured (in the run), fitted (a slope through measured
-points, taken beyond them) or assumed.
+Every figure is marked with its origin: measured in the run, fitted (extrapolated from a line
+through measured points) or assumed.
 """
 
 from __future__ import annotations
@@ -14,6 +14,7 @@
 from zincvale.bench.capacity_run import CapacityResults, NodePoint
 
 NODES = 3_600
+"""Nodes at the design size; the constants up to `LOADS_PER_HOUR` are of the same deployment."""
 SERVERS = 10_000
 MODELS = 830
 ADAPTERS = 56_000
@@ -22,27 +23,31 @@
 CHANGES_PER_DAY = 38_000
 LOADS_PER_HOUR = 47_000
 GRANTORS_PER_NODE = 3
+"""Cores that grant leases to one node."""
 RENEWALS_PER_S = 1 / 0.6
+"""Lease renewals per second of a node at each grantor: one every 0.6 s."""
 SECONDS_PER_DAY = 86_400
 SECONDS_PER_HOUR = 3_600
 CHANGE_BYTES = 300
-"""One changed row with its framing, as delivered (assumed: one resource a change)."""
+"""Delivered size of one changed row with its framing; assumes one resource per change."""
 LOAD_ROW_UPDATES = 2
-"""A load changes a server's row when it begins and when it ends (assumed)."""
-POINTS_OF_A_LINE = 2
-"""With fewer measured points no idle share can be separated from the cost of a renewal."""
+"""Updates of a server's row per model load: one when it begins and one when it ends (assumed)."""
+MIN_POINTS_FOR_FIT = 2
+"""Measured points needed to separate a core's idle share from the cost of a renewal."""
 RESIDENCY_DELTA_BYTES = 60
-"""A row update that names only the model or adapter that changed (assumed)."""
+"""Size of a row update that names only the changed model or adapter (assumed)."""
 
 NODE_CPU_BUDGET = 0.011
+"""Share of a processor core that control may use on a node."""
 NODE_MEMORY_BUDGET_BYTES = 256 * 10**6
 NODE_BYTES_BUDGET_PER_S = 3_000.0
+"""Network traffic per second that control may cause on a node."""
 CORE_CPU_BUDGET = 0.6
-"""Our own bound: above it a core's loop has no room for bursts (assumed)."""
+"""Share of a processor core; above it a core's event loop cannot absorb bursts (assumed)."""
 
 
 class Origin(enum.Enum):
-    """How a figure came about."""
+    """Origin of a figure."""
 
     MEASURED = "measured"
     FITTED = "fitted"
@@ -51,7 +56,13 @@
 
 @attrs.frozen
 class CapacityLine:
-    """One row of a role's table."""
+    """One figure in the table of a node or a core.
+
+    Attributes
+    ----------
+    budget : limit for the value; None when there is none.
+    mechanism : what the cost comes from.
+    """
 
     quantity: str
     value: float
@@ -62,14 +73,14 @@
 
     @property
     def margin(self) -> float | None:
-        """Budget over value; below 1 the budget is missed."""
+        """The budget divided by the value; below 1 the budget is exceeded."""
         if self.budget is None or self.value <= 0:
             return None
         return self.budget / self.value
 
 
 def node_lines(results: CapacityResults) -> list[CapacityLine]:
-    """Return what control costs one node."""
+    """Return the cost of control traffic and state for one node."""
     return [
         *_node_lease_lines(results.points[-1]),
         _node_change_line(),
@@ -100,10 +111,10 @@
 
 
 def _node_change_line() -> CapacityLine:
-    changes_rate = CHANGES_PER_DAY / SECONDS_PER_DAY * CHANGE_BYTES
+    change_bytes_per_s = CHANGES_PER_DAY / SECONDS_PER_DAY * CHANGE_BYTES
     return CapacityLine(
         "bytes for configuration changes",
-        changes_rate,
+        change_bytes_per_s,
         "B/s",
         Origin.ASSUMED,
         NODE_BYTES_BUDGET_PER_S,
@@ -112,12 +123,14 @@
 
 
 def _node_directory_lines(results: CapacityResults) -> list[CapacityLine]:
-    directory_rate = _directory_bytes_per_s(results)
-    scoped = directory_rate / REGIONS * RESIDENCY_DELTA_BYTES / _server_row_bytes(results)
+    bytes_per_s = _directory_bytes_per_s(results)
+    regional_bytes_per_s = (
+        bytes_per_s / REGIONS * RESIDENCY_DELTA_BYTES / _server_row_bytes(results)
+    )
     return [
         CapacityLine(
             "bytes for the directory, whole rows to every node",
-            directory_rate,
+            bytes_per_s,
             "B/s",
             Origin.FITTED,
             NODE_BYTES_BUDGET_PER_S,
@@ -125,7 +138,7 @@
         ),
         CapacityLine(
             "bytes for the directory, own region and changed fields only",
-            scoped,
+            regional_bytes_per_s,
             "B/s",
             Origin.FITTED,
             NODE_BYTES_BUDGET_PER_S,
@@ -156,7 +169,7 @@
 
 
 def core_lines(results: CapacityResults) -> list[CapacityLine]:
-    """Return what one of the cores costs."""
+    """Return the load and cost of one of the `CORES` cores."""
     renewals = NODES * GRANTORS_PER_NODE * RENEWALS_PER_S / CORES
     base, per_renewal = core_cost(results.points)
     changes = CHANGES_PER_DAY / SECONDS_PER_DAY
@@ -197,10 +210,10 @@
 
 
 def core_cost(points: list[NodePoint]) -> tuple[float, float]:
-    """Return a core's idle share, and its share per renewal per second, fitted."""
+    """Return a core's idle processor share, and its share per renewal per second, as fitted."""
     rates = [point.nodes * RENEWALS_PER_S for point in points]
     shares = [point.core_cpu_share for point in points]
-    if len(points) < POINTS_OF_A_LINE:
+    if len(points) < MIN_POINTS_FOR_FIT:
         return 0.0, shares[0] / rates[0]
     slope, base = numpy.polyfit(rates, shares, 1)
     return max(0.0, float(base)), float(slope)
--- a/src/zincvale/bench/capacity_page.py
+++ b/src/zincvale/bench/capacity_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/CAPACITY.md and the raw figures from one run's results."""
+"""Writes docs/CAPACITY.md and the raw figures from the results of one run."""
 
 from __future__ import annotations
 
@@ -9,36 +9,37 @@
 import attrs
 
 from zincvale.bench import capacity_model as model
-from zincvale.bench.capacity_run import CapacityResults, Storms
+from zincvale.bench.capacity_run import CapacityResults, StormResults
 
 NOTES_MARK = "<!-- below: written by hand -->"
-QUANTILE_HIGH = 0.95
+"""Separates the generated part of the page from the notes below it, which are preserved."""
+TAIL_QUANTILE = 0.95
 
 
 def write_page(results: CapacityResults, raw: Path, page: Path) -> None:
-    """Write both files; what stands below the page's mark was written by hand and is retained."""
+    """Write the raw figures and the page; notes below `NOTES_MARK` in the page are preserved."""
     raw.write_text(json.dumps(attrs.asdict(results), indent=1) + "\n", encoding="utf-8")
-    by_hand = ""
+    notes = ""
     if page.exists():
-        _, found, by_hand = page.read_text(encoding="utf-8").partition(NOTES_MARK)
-        by_hand = by_hand if found else ""
-    page.write_text(render(results) + NOTES_MARK + by_hand, encoding="utf-8")
+        _, mark, notes = page.read_text(encoding="utf-8").partition(NOTES_MARK)
+        notes = notes if mark else ""
+    page.write_text(render(results) + NOTES_MARK + notes, encoding="utf-8")
 
 
 def render(results: CapacityResults) -> str:
-    """Return the part of the page that follows from the figures."""
+    """Return the generated part of the page."""
     parts = [
-        _head(results),
+        _introduction(results),
         "## One node (control only)\n\n" + _table(model.node_lines(results)),
         "## One core (of 26)\n\n" + _table(model.core_lines(results)),
-        "## Measured: hollow nodes before three real cores\n\n" + _points(results),
-        _storms(results),
-        "## Measured: the state\n\n" + _state(results),
+        "## Measured: hollow nodes before three real cores\n\n" + _points_table(results),
+        _storms_section(results),
+        "## Measured: the state\n\n" + _state_section(results),
     ]
     return "\n\n".join(parts) + "\n\n"
 
 
-def _head(results: CapacityResults) -> str:
+def _introduction(results: CapacityResults) -> str:
     return (
         "# Capacity\n\n"
         f"The size we design for: {model.NODES:,} nodes before {model.SERVERS:,} servers,"
@@ -75,7 +76,7 @@
     return f"{value:,.1f} {unit}"
 
 
-def _points(results: CapacityResults) -> str:
+def _points_table(results: CapacityResults) -> str:
     rows = [
         "| nodes | a wave ready in | processor a node | exchanges a node | bytes a node"
         " | processor a core | change in force p50 | p95 | unconfirmed |",
@@ -83,23 +84,23 @@
     ]
     for point in results.points:
         changes = point.change_s or [float("nan")]
-        high = changes[min(len(changes) - 1, int(len(changes) * QUANTILE_HIGH))]
+        p95 = changes[min(len(changes) - 1, int(len(changes) * TAIL_QUANTILE))]
         rows.append(
             f"| {point.nodes:,} | {point.ready_s:.1f} s | {point.node_cpu_share:.2%} |"
             f" {point.node_exchanges_per_s:.1f}/s | {point.node_bytes_per_s:,.0f} B/s |"
-            f" {point.core_cpu_share:.0%} | {statistics.median(changes):.2f} s | {high:.2f} s |"
+            f" {point.core_cpu_share:.0%} | {statistics.median(changes):.2f} s | {p95:.2f} s |"
             f" {point.unconfirmed} of {len(point.change_s) + point.unconfirmed} |"
         )
     return "\n".join(rows)
 
 
-def _storms(results: CapacityResults) -> str:
-    parts = [_one_storm(storms) for storms in results.storms]
+def _storms_section(results: CapacityResults) -> str:
+    parts = [_storm_text(storms) for storms in results.storms]
     parts += [f"Not reached: {what}." for what in results.not_reached]
     return "\n\n".join(parts) if parts else "No storms were run."
 
 
-def _one_storm(storms: Storms) -> str:
+def _storm_text(storms: StormResults) -> str:
     restarts = ", ".join(f"{seconds:.1f} s" for seconds in storms.core_restart_s)
     return (
         f"With {storms.nodes:,} nodes, each core was killed and started again in turn: a change"
@@ -110,7 +111,7 @@
     )
 
 
-def _state(results: CapacityResults) -> str:
+def _state_section(results: CapacityResults) -> str:
     state = results.state
     rows = [
         "| adapters | content | decoded | decode all | check one change | apply one change |",
--- a/src/zincvale/bench/capacity_run.py
+++ b/src/zincvale/bench/capacity_run.py
@@ -1,4 +1,4 @@
-"""Measures the slopes behind docs/CAPACITY.md, in one run."""
+"""Measures the points and slopes behind docs/CAPACITY.md, in one run."""
 
 from __future__ import annotations
 
@@ -14,29 +14,35 @@
 from zincvale.bench.state_slopes import StateSlopes, measure_state
 
 NODE_COUNTS = (10, 100, 300)
-STORMS_FROM_NODES = 300
+"""Numbers of hollow nodes that are measured, one after the other."""
+MIN_NODES_FOR_STORMS = 300
+"""Number of nodes from which the restarts and the reconnection are measured too."""
 WAVE_NODES = 125
+"""Nodes that are started together; the next ones start when these are ready."""
 SETTLE_S = 4.0
-"""What joining costs is over before the steady state is measured."""
+"""Wait before the steady state is measured, so that it excludes the cost of joining."""
 STEADY_S = 8.0
+"""Time over which the steady state is measured."""
 CHANGES = 20
 READY_LIMIT_S = 60.0
-FREEZE_S = 5.0
+SUSPENSION_S = 5.0
+"""Time for which all nodes are suspended; longer than their leases."""
 HEADER_BYTES_PER_EXCHANGE = 380
-"""Request and response headers of one peer exchange, as counted on the wire once."""
+"""Request and response headers of one peer exchange, as counted on the wire in one measurement."""
 
 
 @attrs.frozen
 class NodePoint:
-    """One size of the hollow fleet.
+    """Figures at one number of hollow nodes.
 
     Attributes
     ----------
     ready_s : longest time until a wave of up to `WAVE_NODES` more nodes was ready.
     node_cpu_share : share of a core per node.
-    node_bytes_per_s : sent and received, headers included.
+    node_bytes_per_s : bytes sent and received per node, headers included.
     core_cpu_share : mean share of a processor core per core process.
-    change_s : seconds until each change was in force everywhere.
+    change_s : seconds until each confirmed change was in force everywhere, sorted.
+    unconfirmed : changes that were not confirmed in time.
     """
 
     nodes: int
@@ -51,8 +57,15 @@
 
 
 @attrs.frozen
-class Storms:
-    """What becomes of the largest fleet under restarts and a reconnection of everyone."""
+class StormResults:
+    """Recovery of all nodes from core restarts, and from a reconnection of all nodes at once.
+
+    Attributes
+    ----------
+    core_restart_s : seconds from each core's restart until it made a change.
+    reconnect_s : seconds until all nodes were ready after they had been suspended.
+    change_after_s : seconds that a change took after that.
+    """
 
     nodes: int
     core_restart_s: list[float]
@@ -63,28 +76,33 @@
 
 @attrs.frozen
 class CapacityResults:
-    """Everything measured, as committed beside the page."""
+    """All measured figures, as committed beside the page.
+
+    Attributes
+    ----------
+    not_reached : sizes at which the run stopped, with the reason.
+    """
 
     machine: str
     finished_at: str
     points: list[NodePoint]
-    storms: list[Storms]
+    storms: list[StormResults]
     not_reached: list[str]
     state: StateSlopes
 
 
 def measure(progress: Callable[[str], None]) -> CapacityResults:
-    """Run all measurements."""
+    """Run all measurements; `progress` receives a line of text after each."""
     state = measure_state(progress)
     points: list[NodePoint] = []
-    storms: list[Storms] = []
+    storms: list[StormResults] = []
     not_reached: list[str] = []
     cluster = HollowCluster()
     try:
         cluster.start_cores()
         for count in NODE_COUNTS:
             points.append(_measure_point(cluster, count, progress))
-            if count >= STORMS_FROM_NODES:
+            if count >= MIN_NODES_FOR_STORMS:
                 storms.append(_measure_storms(cluster, progress))
     except TimeoutError as error:
         not_reached.append(f"{cluster.node_count} nodes: {error}")
@@ -110,20 +128,22 @@
     time.sleep(STEADY_S)
     after, cores_after = _totals(cluster.statuses()), _core_cpu_s(cluster)
     elapsed_s = after["clock"] - before["clock"]
-    used = {name: after[name] - before[name] for name in after}
+    difference = {name: after[name] - before[name] for name in after}
     per_node_s = count * elapsed_s
     wire_bytes = (
-        used["sent_bytes"] + used["received_bytes"] + used["exchanges"] * HEADER_BYTES_PER_EXCHANGE
+        difference["sent_bytes"]
+        + difference["received_bytes"]
+        + difference["exchanges"] * HEADER_BYTES_PER_EXCHANGE
     )
-    changes = [cluster.change(_zone_edit(number)) for number in range(CHANGES)]
+    changes = [cluster.change(_zone_resource(number)) for number in range(CHANGES)]
     point = NodePoint(
         nodes=count,
         ready_s=ready_s,
-        node_cpu_share=used["cpu_s"] / per_node_s,
-        node_exchanges_per_s=used["exchanges"] / per_node_s,
+        node_cpu_share=difference["cpu_s"] / per_node_s,
+        node_exchanges_per_s=difference["exchanges"] / per_node_s,
         node_bytes_per_s=wire_bytes / per_node_s,
         core_cpu_share=(cores_after - cores_before) / elapsed_s / len(CORE_HOSTS),
-        core_rss_bytes=max(cluster.use(core).rss_bytes for core in cluster.cores.values()),
+        core_rss_bytes=max(cluster.usage(core).rss_bytes for core in cluster.cores.values()),
         change_s=sorted(seconds for seconds in changes if seconds >= 0),
         unconfirmed=sum(seconds < 0 for seconds in changes),
     )
@@ -136,7 +156,7 @@
 
 
 def _start_in_waves(cluster: HollowCluster, count: int) -> float:
-    """Start nodes as a roll-out would; return the longest time until a wave was ready."""
+    """Start nodes wave by wave; return the longest time until a wave was ready."""
     longest_s = 0.0
     while cluster.node_count < count:
         wave_end = min(count, cluster.node_count + WAVE_NODES)
@@ -148,7 +168,7 @@
     return longest_s
 
 
-def _measure_storms(cluster: HollowCluster, progress: Callable[[str], None]) -> Storms:
+def _measure_storms(cluster: HollowCluster, progress: Callable[[str], None]) -> StormResults:
     count = cluster.node_count
     lowest = count
     restarts = []
@@ -156,7 +176,7 @@
         cluster.stop_core(host)
         cluster.start_core(host)
         begin = time.perf_counter()
-        while cluster.change(_zone_edit(0), host=host) < 0:
+        while cluster.change(_zone_resource(0), host=host) < 0:
             lowest = min(lowest, cluster.ready_count())
             if time.perf_counter() - begin > READY_LIMIT_S:
                 raise TimeoutError(f"no change through {host} after its restart")
@@ -164,16 +184,16 @@
         lowest = min(lowest, cluster.ready_count())
         progress(f"{host} restarted: a change through it in force after {restarts[-1]:.1f} s")
     cluster.wait_until(lambda: cluster.ready_count() == count, READY_LIMIT_S)
-    cluster.freeze_nodes()
-    time.sleep(FREEZE_S)
-    cluster.wake_nodes()
+    cluster.suspend_nodes()
+    time.sleep(SUSPENSION_S)
+    cluster.resume_nodes()
     reconnect_s = cluster.wait_until(lambda: cluster.ready_count() == count, READY_LIMIT_S)
-    change_s = cluster.change(_zone_edit(1))
+    change_s = cluster.change(_zone_resource(1))
     progress(f"{count} nodes woke at once: all ready in {reconnect_s:.1f} s")
-    return Storms(count, restarts, lowest, reconnect_s, change_s)
+    return StormResults(count, restarts, lowest, reconnect_s, change_s)
 
 
-def _zone_edit(number: int) -> dict[str, Any]:
+def _zone_resource(number: int) -> dict[str, Any]:
     region = f"region-{number % 2}-{time.time_ns()}"
     return {"kind": "Zone", "name": "zone-a", "spec": {"region": region}}
 
@@ -186,7 +206,7 @@
 
 
 def _core_cpu_s(cluster: HollowCluster) -> float:
-    return sum(cluster.use(core).cpu_s for core in cluster.cores.values())
+    return sum(cluster.usage(core).cpu_s for core in cluster.cores.values())
 
 
 def _median(values: list[float]) -> float:
--- a/src/zincvale/bench/commands.py
+++ b/src/zincvale/bench/commands.py
@@ -1,4 +1,4 @@
-"""`zincvale bench`: measurements, as ratios within one run."""
+"""`zincvale bench`: the relay benchmark and the capacity measurement."""
 
 from __future__ import annotations
 
@@ -8,8 +8,11 @@
 import attrs
 
 GOAL_THROUGHPUT_RATIO = 0.7
+"""Least throughput of a node, as a fraction of the pass-through's."""
 GOAL_ADDED_P99_MS = 5.0
+"""Most latency that a node may add at the 99th percentile."""
 GOAL_ADDED_GAP_MS = 3.0
+"""Most that a node may add to the gap between chunks of a stream at the 95th percentile."""
 
 
 class BenchCommands:
@@ -25,18 +28,18 @@
         from zincvale.bench.relay_bench import RelayBench
 
         figures = RelayBench(seconds).run()
-        node, bare = figures["node"], figures["pass-through"]
+        node, pass_through = figures["node"], figures["pass-through"]
         summary = {
             "node": attrs.asdict(node),
-            "pass_through": attrs.asdict(bare),
-            "throughput_ratio": node.per_second / bare.per_second,
-            "per_cpu_second_ratio": node.per_cpu_second / bare.per_cpu_second,
-            "tokens_ratio": node.tokens_per_cpu_second / bare.tokens_per_cpu_second,
+            "pass_through": attrs.asdict(pass_through),
+            "throughput_ratio": node.per_second / pass_through.per_second,
+            "per_cpu_second_ratio": node.per_cpu_second / pass_through.per_cpu_second,
+            "tokens_ratio": node.tokens_per_cpu_second / pass_through.tokens_per_cpu_second,
         }
         if output == "json":
             print(json.dumps(summary, indent=2))
             return
-        for relay in (bare, node):
+        for relay in (pass_through, node):
             print(
                 f"{relay.name:13} {relay.per_second:8.0f} requests/s"
                 f" {relay.per_cpu_second:8.0f} per core-second;"
--- a/src/zincvale/bench/hollow_cluster.py
+++ b/src/zincvale/bench/hollow_cluster.py
@@ -1,4 +1,4 @@
-"""Three real cores and processes of hollow nodes, started and ended by the bench."""
+"""Starts and stops three real cores and the processes of hollow nodes for the capacity run."""
 
 from __future__ import annotations
 
@@ -23,14 +23,17 @@
 API_PORT = 8000
 PEER_PORT = 9000
 NODES_PER_PROCESS = 250
+"""Most hollow nodes in one process."""
 START_LIMIT_S = 20.0
 POLL_INTERVAL_S = 0.05
+"""Interval at which `wait_until` checks its condition."""
 STOP_TIMEOUT_S = 5.0
 CHANGE_TIMEOUT_S = 15.0
+"""Time after which a change counts as unconfirmed."""
 
 
 @attrs.frozen
-class ProcessUse:
+class ProcessUsage:
     """Processor time and memory of one process."""
 
     cpu_s: float
@@ -39,15 +42,15 @@
 
 @attrs.define
 class HollowCluster:
-    """The processes of one run."""
+    """The core processes and the processes of hollow nodes of one run."""
 
     folder: Path = attrs.field(factory=lambda: Path(tempfile.mkdtemp(prefix="zincvale-capacity-")))
     cores: dict[str, subprocess.Popen[bytes]] = attrs.field(factory=dict)
-    hollow: list[subprocess.Popen[str]] = attrs.field(factory=list)
+    hollow_processes: list[subprocess.Popen[str]] = attrs.field(factory=list)
     node_count: int = 0
 
     def start_cores(self) -> None:
-        """Create the cluster and wait until it takes changes."""
+        """Create the cluster and wait until it accepts changes."""
         for host in CORE_HOSTS:
             self._write_settings(host)
         for host in CORE_HOSTS:
@@ -75,19 +78,19 @@
             size = min(NODES_PER_PROCESS, count - self.node_count)
             command = [sys.executable, "-m", "zincvale.bench.hollow_process"]
             command += [str(self.node_count), str(size), CLUSTER_ID, *self._seeds()]
-            self.hollow.append(
+            self.hollow_processes.append(
                 subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
             )
             self.node_count += size
 
     def statuses(self) -> list[dict[str, Any]]:
-        """Return the status of each hollow process."""
-        for process in self.hollow:
+        """Return the status of each process of hollow nodes."""
+        for process in self.hollow_processes:
             assert process.stdin is not None
             process.stdin.write("status\n")
             process.stdin.flush()
         statuses = []
-        for process in self.hollow:
+        for process in self.hollow_processes:
             assert process.stdout is not None
             statuses.append(json.loads(process.stdout.readline()))
         return statuses
@@ -97,7 +100,7 @@
         return sum(status["ready"] for status in self.statuses())
 
     def wait_until(self, condition: Any, limit_s: float = START_LIMIT_S) -> float:
-        """Return the seconds until `condition()` held; raises `TimeoutError`."""
+        """Return the seconds until `condition()` was true; raises `TimeoutError`."""
         begin = time.perf_counter()
         while time.perf_counter() - begin < limit_s:
             if condition():
@@ -106,7 +109,7 @@
         raise TimeoutError(f"not reached within {limit_s} s")
 
     def change(self, *resources: dict[str, Any], host: str = CORE_HOSTS[0]) -> float:
-        """Apply a change; return the seconds until it was in force, or -1."""
+        """Apply a change; return the seconds until it was in force, or -1 without confirmation."""
         body = {"baseVersion": None, "mode": "merge", "resources": list(resources)}
         request = urllib.request.Request(
             f"http://{host}:{API_PORT}/v1/intent",
@@ -121,26 +124,26 @@
             return -1.0
         return time.perf_counter() - begin
 
-    def use(self, process: subprocess.Popen[Any]) -> ProcessUse:
-        """Return what a process has used."""
+    def usage(self, process: subprocess.Popen[Any]) -> ProcessUsage:
+        """Return the processor time and memory that a process has used so far."""
         stat = Path(f"/proc/{process.pid}/stat").read_text(encoding="ascii")
         fields = stat.rpartition(")")[2].split()
         cpu_s = (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
-        return ProcessUse(cpu_s, int(fields[21]) * os.sysconf("SC_PAGE_SIZE"))
+        return ProcessUsage(cpu_s, int(fields[21]) * os.sysconf("SC_PAGE_SIZE"))
 
-    def freeze_nodes(self) -> None:
-        """Stop every hollow process."""
-        for process in self.hollow:
+    def suspend_nodes(self) -> None:
+        """Suspend every process of hollow nodes with SIGSTOP."""
+        for process in self.hollow_processes:
             process.send_signal(signal.SIGSTOP)
 
-    def wake_nodes(self) -> None:
-        """Let every hollow process go on."""
-        for process in self.hollow:
+    def resume_nodes(self) -> None:
+        """Resume every process of hollow nodes."""
+        for process in self.hollow_processes:
             process.send_signal(signal.SIGCONT)
 
     def close(self) -> None:
-        """End every process and remove the folder."""
-        processes: list[subprocess.Popen[Any]] = [*self.hollow, *self.cores.values()]
+        """Kill every process and remove the folder."""
+        processes: list[subprocess.Popen[Any]] = [*self.hollow_processes, *self.cores.values()]
         for process in processes:
             process.send_signal(signal.SIGCONT)
             process.kill()
@@ -157,11 +160,11 @@
         cores = [
             {
                 "member_id": f"core-{number}",
-                "api_address": f"{each}:{API_PORT}",
-                "peer_address": f"{each}:{PEER_PORT}",
+                "api_address": f"{core_host}:{API_PORT}",
+                "peer_address": f"{core_host}:{PEER_PORT}",
                 "zone": f"zone-{number}",
             }
-            for number, each in enumerate(CORE_HOSTS)
+            for number, core_host in enumerate(CORE_HOSTS)
         ]
         own = cores[CORE_HOSTS.index(host)]
         settings = {
--- a/src/zincvale/bench/hollow_process.py
+++ b/src/zincvale/bench/hollow_process.py
@@ -1,10 +1,9 @@
-"""Hollow nodes: many nodes in one process, speaking the real control protocol to real cores.
+"""Hollow nodes: many nodes in one process that speak the real control protocol to real cores.
 
-Each runs the node's own coordination machine behind its own driver and identity, over real
-connections; only callers' traffic is missing. They listen nowhere, so that cores cannot call back
-and peers cannot relay.
+Each hollow node has its own identity, driver and coordination machine, and uses real connections.
+It serves no callers and listens on no port, so that cores cannot call back and peers cannot relay.
 
-Commands are lines on standard input (`status`, `stop`); the response to each is one JSON line.
+Commands are lines on standard input (`status`, `stop`); `status` prints one line of JSON.
 """
 
 from __future__ import annotations
@@ -29,13 +28,16 @@
 from zincvale.transport.server_client import ServerClient
 
 MAX_SECONDS = 600.0
+"""Time after which the process stops by itself, in case the benchmark failed to stop it."""
 HOLLOW_TICK_MS = 100
+"""Interval between two ticks of each hollow node."""
 ZONES = ("zone-a", "zone-b", "zone-c")
 UNUSED_PORT = 9
+"""Port in the addresses of hollow nodes, on which nothing listens."""
 
 
 class HollowNode:
-    """One node without callers."""
+    """The coordination of one node, without a request path."""
 
     def __init__(
         self, number: int, cluster_id: str, seeds: list[str], connections: ServerClient
@@ -69,7 +71,7 @@
         self.changes_seen = 0
 
     def tick(self) -> None:
-        """Feed one tick."""
+        """Submit one tick to the machine."""
         self.driver.submit(Tick())
 
     def _deliver(self, sender: MemberId, messages: list[Any]) -> None:
@@ -81,8 +83,8 @@
         self.changes_seen += len(changes.keys)
 
 
-class HollowFleet:
-    """All hollow nodes of this process, ticked evenly over the interval."""
+class HollowNodeGroup:
+    """All hollow nodes of this process; their ticks are spread evenly over the tick interval."""
 
     def __init__(self, first: int, count: int, cluster_id: str, seeds: list[str]) -> None:
         connections = make_connections()
@@ -92,15 +94,15 @@
         ]
         self.intent = IntentDecoder()
         self._slices = 10
-        self._turn = 0
+        self._next_slice = 0
         self._ticker = PeriodicCallback(self._tick, HOLLOW_TICK_MS / self._slices)
 
     def start(self) -> None:
-        """Begin ticking."""
+        """Start the ticks."""
         self._ticker.start()
 
     def status(self) -> dict[str, Any]:
-        """Return what the driver of the bench wants to know."""
+        """Return readiness, versions, processor time, memory and traffic of all nodes."""
         now = suspend_aware_now()
         versions = [node.machine.intent().version for node in self.nodes]
         usage = resource.getrusage(resource.RUSAGE_SELF)
@@ -118,20 +120,20 @@
         }
 
     def _tick(self) -> None:
-        for node in self.nodes[self._turn :: self._slices]:
+        for node in self.nodes[self._next_slice :: self._slices]:
             node.tick()
-        self._turn = (self._turn + 1) % self._slices
+        self._next_slice = (self._next_slice + 1) % self._slices
 
 
 def _no_reply(_token: str, _message: Any) -> bool:
     return False
 
 
-def _handle_commands(fleet: HollowFleet, loop: IOLoop) -> Callable[[Any, int], None]:
+def _make_command_handler(group: HollowNodeGroup, loop: IOLoop) -> Callable[[Any, int], None]:
     def on_input(_source: Any, _events: int) -> None:
         line = sys.stdin.readline().strip()
         if line == "status":
-            print(json.dumps(fleet.status()), flush=True)
+            print(json.dumps(group.status()), flush=True)
         else:
             loop.stop()
 
@@ -139,11 +141,11 @@
 
 
 def main(first: str, count: str, cluster_id: str, *seeds: str) -> None:
-    """Run until `stop` is read, until standard input ends, or until the time is over."""
-    fleet = HollowFleet(int(first), int(count), cluster_id, list(seeds))
+    """Run until `stop` is read, until standard input ends, or until `MAX_SECONDS` have passed."""
+    group = HollowNodeGroup(int(first), int(count), cluster_id, list(seeds))
     loop = IOLoop.current()
-    fleet.start()
-    loop.add_handler(sys.stdin.fileno(), _handle_commands(fleet, loop), IOLoop.READ)
+    group.start()
+    loop.add_handler(sys.stdin.fileno(), _make_command_handler(group, loop), IOLoop.READ)
     loop.call_later(MAX_SECONDS, loop.stop)
     loop.start()
 
--- a/src/zincvale/bench/http_load.py
+++ b/src/zincvale/bench/http_load.py
@@ -1,7 +1,7 @@
-"""A small HTTP/1.1 load client over persistent connections, cheap enough to outrun a node.
+"""A minimal HTTP/1.1 load client over persistent connections, cheap enough to saturate a node.
 
-Load is closed loop (as fast as the connections allow) or open loop (Poisson arrivals at a rate).
-It stops by itself.
+Load is closed loop (as fast as the connections allow) or open loop (Poisson arrivals at a rate),
+for a given time.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
 LOWEST_US = 1
 HIGHEST_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
+"""Range and precision of the latency histograms."""
 HEADER_END = b"\r\n\r\n"
 OK_PREFIX = b"HTTP/1.1 200"
 US_PER_S = 1_000_000
@@ -24,15 +25,15 @@
 
 @attrs.define
 class LoadResult:
-    """What one load saw.
+    """Counts and latencies of one load.
 
     Attributes
     ----------
-    latency_us : complete exchanges, in microseconds; in open loop counted from the planned arrival.
+    latency_us : latency of successful exchanges; in open loop from the planned arrival.
     """
 
     succeeded: int = 0
-    """Exchanges that ended with a 200."""
+    """Exchanges whose response had status 200."""
     failed: int = 0
     elapsed_s: float = 0.0
     latency_us: HdrHistogram = attrs.field(
@@ -41,7 +42,7 @@
 
     @property
     def per_second(self) -> float:
-        """Exchanges with response 200, per second."""
+        """Successful exchanges per second."""
         return self.succeeded / self.elapsed_s if self.elapsed_s else 0.0
 
     def quantile_ms(self, percent: float) -> float:
@@ -50,7 +51,7 @@
 
 
 class _Connection:
-    """One persistent connection, one exchange at a time."""
+    """One persistent connection that carries one exchange at a time."""
 
     def __init__(self, host: str, port: int) -> None:
         self._host = host
@@ -59,7 +60,7 @@
         self._writer: asyncio.StreamWriter | None = None
 
     async def exchange(self, request: bytes) -> bool:
-        """Send one request and read its complete response; whether it was a 200."""
+        """Send one request, read its complete response, and return whether its status was 200."""
         if self._writer is None:
             self._reader, self._writer = await asyncio.open_connection(self._host, self._port)
         assert self._reader is not None
@@ -93,7 +94,7 @@
 
 
 def request_bytes(address: str, path: str, body: bytes) -> bytes:
-    """Return one POST as sent."""
+    """Return the bytes of one POST request with a JSON body."""
     head = (
         f"POST {path} HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
@@ -104,23 +105,23 @@
 async def closed_loop(
     address: str, path: str, body_of: Callable[[int], bytes], connections: int, seconds: float
 ) -> LoadResult:
-    """Send as fast as `connections` allow, for `seconds`."""
+    """Send requests for `seconds`, each connection the next one after its response."""
     result = LoadResult()
     host, _, port = address.rpartition(":")
     begin = time.perf_counter()
     end = begin + seconds
 
-    async def one_caller(number: int) -> None:
+    async def run_connection(number: int) -> None:
         connection = _Connection(host, int(port))
         sequence = number
         while time.perf_counter() < end:
             start = time.perf_counter()
             request = request_bytes(address, path, body_of(sequence))
             sequence += connections
-            _count(result, await connection.exchange(request), start)
+            _record(result, await connection.exchange(request), start)
         connection.close()
 
-    await asyncio.gather(*(one_caller(number) for number in range(connections)))
+    await asyncio.gather(*(run_connection(number) for number in range(connections)))
     result.elapsed_s = time.perf_counter() - begin
     return result
 
@@ -133,7 +134,7 @@
     seconds: float,
     seed: int,
 ) -> LoadResult:
-    """Send at Poisson arrivals; each latency counts from the planned arrival."""
+    """Send requests at Poisson arrivals; latency is measured from the planned arrival."""
     result = LoadResult()
     host, _, port = address.rpartition(":")
     idle: list[_Connection] = []
@@ -143,10 +144,10 @@
     planned = begin
     number = 0
 
-    async def one_exchange(sequence: int, planned_at: float) -> None:
+    async def run_exchange(sequence: int, planned_at: float) -> None:
         connection = idle.pop() if idle else _Connection(host, int(port))
         request = request_bytes(address, path, body_of(sequence))
-        _count(result, await connection.exchange(request), planned_at)
+        _record(result, await connection.exchange(request), planned_at)
         idle.append(connection)
 
     while planned < begin + seconds:
@@ -154,7 +155,7 @@
         delay_s = planned - time.perf_counter()
         if delay_s > 0:
             await asyncio.sleep(delay_s)
-        task = asyncio.ensure_future(one_exchange(number, planned))
+        task = asyncio.ensure_future(run_exchange(number, planned))
         number += 1
         tasks.add(task)
         task.add_done_callback(tasks.discard)
@@ -165,7 +166,7 @@
     return result
 
 
-def _count(result: LoadResult, is_ok: bool, since: float) -> None:
+def _record(result: LoadResult, is_ok: bool, since: float) -> None:
     if not is_ok:
         result.failed += 1
         return
--- a/src/zincvale/bench/relay_bench.py
+++ b/src/zincvale/bench/relay_bench.py
@@ -1,6 +1,6 @@
-"""One node beside a bare pass-through, in one run: throughput, added latency, relayed tokens.
+"""Compares a node with a minimal pass-through: throughput, added latency and relayed tokens.
 
-Every figure is a ratio of the two relays, or a difference to the back end alone, measured in the
+Every figure is compared between the two relays, or with a back end that is called directly, in the
 same run on the same machine.
 """
 
@@ -24,18 +24,25 @@
 PASS_THROUGH = "127.0.8.3:7001"
 NODE = "127.0.8.4:7001"
 CONNECTIONS = 32
+"""Connections of the throughput load."""
 FAST_STREAMS = 8
+"""Concurrent streams when relayed tokens are measured."""
 ROUNDS = 3
+"""Throughput measurements of each relay, of which the mean is taken."""
 STOP_TIMEOUT_S = 5.0
 
 
 @attrs.define
 class RelayFigures:
-    """What one relay did.
+    """Figures of one relay.
 
     Attributes
     ----------
-    per_cpu_second : exchanges, or tokens, per second of its processor time.
+    per_second : successful exchanges per second.
+    per_cpu_second : successful exchanges per second of the relay's processor time.
+    added_p50_ms : median latency beyond that of a back end called directly.
+    added_p99_ms : the same for the 99th percentile.
+    added_gap_p95_ms : 95th percentile of the gap between chunks beyond that of a back end.
     """
 
     name: str
@@ -48,12 +55,12 @@
 
 
 def short_body(number: int) -> bytes:
-    """Return a short request without a stream."""
+    """Return a short request without streaming."""
     return _body(number, "bench prompt", False)
 
 
 def fast_stream_body(number: int) -> bytes:
-    """Return a request for a stream without pauses."""
+    """Return a request for a stream whose tokens are sent without pauses."""
     return _body(number, "fast", True)
 
 
@@ -70,7 +77,7 @@
 
 
 class RelayBench:
-    """Runs the processes and the loads."""
+    """Runs the processes and measures both relays under each load."""
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
@@ -78,23 +85,23 @@
 
     def run(self) -> dict[str, RelayFigures]:
         """Return the figures of both relays."""
-        with self._all_processes():
+        with self._running_processes():
             figures = {"pass-through": RelayFigures("pass-through"), "node": RelayFigures("node")}
-            self._throughput(figures)
-            self._latency(figures)
-            self._tokens(figures)
-            self._gaps(figures)
+            self._measure_throughput(figures)
+            self._measure_latency(figures)
+            self._measure_tokens(figures)
+            self._measure_gaps(figures)
         return figures
 
-    def _throughput(self, figures: dict[str, RelayFigures]) -> None:
-        """Alternate the relays over rounds, so that noise of the machine meets both."""
+    def _measure_throughput(self, figures: dict[str, RelayFigures]) -> None:
+        """Alternate the relays over the rounds, so that noise of the machine affects both alike."""
         for _ in range(ROUNDS):
             for name, address in _relays():
-                result, cpu_s = self._measured(name, address, short_body)
+                result, cpu_s = self._measure_load(name, address, short_body)
                 figures[name].per_second += result.per_second / ROUNDS
                 figures[name].per_cpu_second += result.succeeded / cpu_s / ROUNDS
 
-    def _measured(
+    def _measure_load(
         self,
         name: str,
         address: str,
@@ -105,7 +112,7 @@
         result = asyncio.run(closed_loop(address, PATH, body_of, connections, self._seconds))
         return result, max(self._cpu_s(name) - before, 1e-9)
 
-    def _latency(self, figures: dict[str, RelayFigures]) -> None:
+    def _measure_latency(self, figures: dict[str, RelayFigures]) -> None:
         rate = figures["node"].per_second / 2
         direct = asyncio.run(
             open_loop(BACK_ENDS[0], "/v1/generate", short_body, rate, self._seconds, 1)
@@ -115,15 +122,15 @@
             figures[name].added_p50_ms = result.quantile_ms(50) - direct.quantile_ms(50)
             figures[name].added_p99_ms = result.quantile_ms(99) - direct.quantile_ms(99)
 
-    def _tokens(self, figures: dict[str, RelayFigures]) -> None:
+    def _measure_tokens(self, figures: dict[str, RelayFigures]) -> None:
         for name, address in _relays():
-            result, cpu_s = self._measured(name, address, fast_stream_body, FAST_STREAMS)
+            result, cpu_s = self._measure_load(name, address, fast_stream_body, FAST_STREAMS)
             figures[name].tokens_per_cpu_second = result.succeeded * FAST_TOKENS / cpu_s
 
-    def _gaps(self, figures: dict[str, RelayFigures]) -> None:
-        direct = _paced(BACK_ENDS[0], "/v1/generate")
+    def _measure_gaps(self, figures: dict[str, RelayFigures]) -> None:
+        direct = _run_paced_streams(BACK_ENDS[0], "/v1/generate")
         for name, address in _relays():
-            result = _paced(address, PATH)
+            result = _run_paced_streams(address, PATH)
             figures[name].added_gap_p95_ms = result.gap_ms(95) - direct.gap_ms(95)
 
     def _cpu_s(self, name: str) -> float:
@@ -132,7 +139,7 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     @contextmanager
-    def _all_processes(self) -> Iterator[None]:
+    def _running_processes(self) -> Iterator[None]:
         try:
             for number, address in enumerate(BACK_ENDS):
                 self._start(f"back-end-{number}", "back-end", address)
@@ -157,5 +164,5 @@
     return (("pass-through", PASS_THROUGH), ("node", NODE))
 
 
-def _paced(address: str, path: str) -> StreamResult:
+def _run_paced_streams(address: str, path: str) -> StreamResult:
     return asyncio.run(paced_streams(address, path, lambda number: _body(number, "paced", True)))
--- a/src/zincvale/bench/relay_process.py
+++ b/src/zincvale/bench/relay_process.py
@@ -1,7 +1,7 @@
-"""Processes of the relay bench: a fast back end, a bare pass-through, and one node.
+"""Processes of the relay bench: a fast back end, a minimal pass-through, and one node.
 
-`python -m zincvale.bench.relay_process ROLE ADDRESS [BACK_END ...]`; each stops by itself after
-`MAX_SECONDS`.
+Started as `python -m zincvale.bench.relay_process ROLE ADDRESS [BACK_END ...]`; each process stops
+by itself after `MAX_SECONDS`.
 """
 
 from __future__ import annotations
@@ -53,14 +53,16 @@
 TOKENS = 60
 TOKEN_INTERVAL_S = 0.030
 FAST_TOKENS = 2_000
-MANY_CLIENTS = 1_000
+"""Tokens of a stream without pauses; a paced stream has `TOKENS`."""
+AMPLE_LIMIT = 1_000
+"""Limit on concurrent requests and queue length, high enough never to be reached."""
 
 
 class GenerateHandler(RequestHandler):
-    """A back end that responds at once, or streams tokens at an interval or as fast as it can."""
+    """A back end that responds at once, or streams tokens at an interval or without pauses."""
 
     async def post(self, *_path: str) -> None:
-        """Respond to one generation; the prompt `paced` or `fast` chooses the stream."""
+        """Respond to one generation request; a prompt that begins with `paced` paces the stream."""
         request = orjson.loads(self.request.body)
         if not request.get("stream"):
             self.finish(
@@ -79,7 +81,7 @@
 
 
 class PassThroughHandler(RequestHandler):
-    """The least that relays: the server and the `curl` client, nothing between them."""
+    """A minimal relay: a tornado server that forwards each request with tornado's curl client."""
 
     client: CurlAsyncHTTPClient
     back_ends: list[str]
@@ -105,12 +107,12 @@
         self.flush()
 
 
-class NoPeers:
-    """A node alone: no peer responds."""
+class UnreachablePeers:
+    """Peer client of a node without peers."""
 
     async def call(self, member: MemberId, message: Any, timeout_s: float) -> Any:
-        """Fail at once."""
-        del message, timeout_s  # the port names them; nothing is sent
+        """Raise `PeerUnreachableError` at once."""
+        del message, timeout_s  # part of the interface, but nothing is sent
         raise PeerUnreachableError(str(member))
 
     def send(self, member: MemberId, message: Any) -> None:
@@ -118,9 +120,9 @@
 
 
 def serve_back_end(address: str) -> None:
-    """Serve generations."""
+    """Start a back end."""
     listen(
-        Application([(r"/(.*)", GenerateHandler)], log_function=_quiet),
+        Application([(r"/(.*)", GenerateHandler)], log_function=_skip_access_log),
         address,
         "back end",
         MAX_BODY_BYTES,
@@ -128,22 +130,22 @@
 
 
 def serve_pass_through(address: str, back_ends: list[str]) -> None:
-    """Serve the bare relay."""
-    PassThroughHandler.client = CurlAsyncHTTPClient(force_instance=True, max_clients=MANY_CLIENTS)
+    """Start the minimal relay."""
+    PassThroughHandler.client = CurlAsyncHTTPClient(force_instance=True, max_clients=AMPLE_LIMIT)
     PassThroughHandler.back_ends = back_ends
-    application = Application([(r"/(.*)", PassThroughHandler)], log_function=_quiet)
+    application = Application([(r"/(.*)", PassThroughHandler)], log_function=_skip_access_log)
     listen(application, address, "pass-through", MAX_BODY_BYTES)
 
 
 def serve_node(
     address: str, back_ends: list[str], tracing_type: type[TracingService] = TracingService
 ) -> None:
-    """Serve one node's request path, with its traces, on a fixed state."""
+    """Start the request path and tracing of one node, on a fixed intent and directory."""
     member = MemberId("bench-node")
     zone = ZoneName("zone-a")
     settings = DaemonSettings("bench", member, "node", zone, address, address)
     source = random.Random(1)
-    peers = NoPeers()
+    peers = UnreachablePeers()
     clock = suspend_aware_now
     tracing = tracing_type(member, source, clock, wall_now, peers.send)
     claims = ClaimService(member, "1", source, clock, peers)
@@ -157,7 +159,7 @@
     service.apply_members(members)
     service.apply_intent(_intent())
     service.apply_directory(_directory(back_ends))
-    application = Application(service.http_routes(), log_function=_quiet)
+    application = Application(service.http_routes(), log_function=_skip_access_log)
     listen(application, address, "node", MAX_BODY_BYTES)
 
     def tick() -> None:
@@ -172,7 +174,7 @@
     return Intent(
         version=1,
         zones={ZoneName("zone-a"): ZoneSpec()},
-        pools={pool: PoolSpec(max_concurrent_per_server=MANY_CLIENTS, max_queue=MANY_CLIENTS)},
+        pools={pool: PoolSpec(max_concurrent_per_server=AMPLE_LIMIT, max_queue=AMPLE_LIMIT)},
         routes={
             RouteName("bench"): RouteSpec(PATH, pool, deadline_ms=60_000, max_concurrent=2_000)
         },
@@ -193,19 +195,19 @@
             incarnation="1",
             memory_bytes=10,
             models=frozenset({ModelName(MODEL)}),
-            max_running=MANY_CLIENTS,
+            max_running=AMPLE_LIMIT,
         )
     return Directory(1, 1, rows)
 
 
-def _quiet(handler: Any) -> None:
+def _skip_access_log(handler: Any) -> None:
     """Write no access log."""
 
 
 def main(
     role: str, address: str, *back_ends: str, tracing_type: type[TracingService] = TracingService
 ) -> None:
-    """Run one role until it is ended or its time is over; a node traces by `tracing_type`."""
+    """Run one role until it is stopped or `MAX_SECONDS` pass; `tracing_type` is for a node."""
     if role == "back-end":
         serve_back_end(address)
     elif role == "pass-through":
--- a/src/zincvale/bench/state_slopes.py
+++ b/src/zincvale/bench/state_slopes.py
@@ -1,4 +1,4 @@
-"""State per row and cost per change, measured in this process at several sizes."""
+"""Measures the memory per row and the cost per change at several sizes of the state."""
 
 from __future__ import annotations
 
@@ -19,17 +19,27 @@
 from zincvale.model.resources import PoolKind
 
 ADAPTER_COUNTS = (1_000, 10_000, 56_000)
+"""Numbers of adapters at which the intent is measured."""
 MODELS = 830
 SERVER_COUNTS = (100, 1_000, 10_000)
+"""Numbers of servers at which the directory is measured."""
 MODELS_PER_SERVER = 4
 ADAPTERS_PER_SERVER = 8
 REPEATS = 5
+"""Runs of each timed action, of which the fastest counts."""
 MS_PER_S = 1000.0
 
 
 @attrs.frozen
 class IntentPoint:
-    """The intent with `adapters` adapters and `MODELS` models."""
+    """Size and cost of an intent with `adapters` adapters and `MODELS` models.
+
+    Attributes
+    ----------
+    decode_ms : time to decode all rows.
+    reduce_one_ms : time to check one change.
+    apply_one_ms : time to update the decoded rows after one change.
+    """
 
     adapters: int
     content_bytes: int
@@ -41,7 +51,7 @@
 
 @attrs.frozen
 class DirectoryPoint:
-    """The directory with `servers` servers."""
+    """Size of a directory with `servers` servers."""
 
     servers: int
     content_bytes: int
@@ -49,11 +59,11 @@
 
 @attrs.frozen
 class StateSlopes:
-    """Points, and the slopes fitted through them.
+    """Measured points, and the slopes of the lines fitted through them.
 
     Attributes
     ----------
-    bytes_per_adapter : memory of a row's content and its decoded spec.
+    bytes_per_adapter : memory of a row's content and of its decoded spec.
     """
 
     intent: list[IntentPoint]
@@ -64,7 +74,7 @@
 
 
 def measure_state(progress: Callable[[str], None]) -> StateSlopes:
-    """Measure every size."""
+    """Measure every size and fit the slopes."""
     intents = [_intent_point(count) for count in ADAPTER_COUNTS]
     directories = [_directory_point(count) for count in SERVER_COUNTS]
     slopes = StateSlopes(
--- a/src/zincvale/bench/stream_load.py
+++ b/src/zincvale/bench/stream_load.py
@@ -1,4 +1,4 @@
-"""Paced token streams: the gaps between chunks as a caller sees them."""
+"""A load of paced token streams that measures the gaps between chunks as a caller sees them."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 STREAMS = 200
 SPREAD_S = 1.0
-"""The streams start evenly over this time, as callers do."""
+"""Time over which the starts of the streams are spread evenly, since callers start apart."""
 CHUNK_MARK = b"data: "
 
 
 @attrs.define
 class StreamResult:
-    """Gaps between chunks, in microseconds."""
+    """Number of chunks, and the gaps between them in microseconds."""
 
     chunks: int = 0
     gaps_us: HdrHistogram = attrs.field(
@@ -41,18 +41,18 @@
 async def paced_streams(
     address: str, path: str, body_of: Callable[[int], bytes], streams: int = STREAMS
 ) -> StreamResult:
-    """Read `streams` streams side by side."""
+    """Read `streams` concurrent streams."""
     result = StreamResult()
     await asyncio.gather(
         *(
-            _one_stream(address, path, body_of(number), number, streams, result)
+            _read_stream(address, path, body_of(number), number, streams, result)
             for number in range(streams)
         )
     )
     return result
 
 
-async def _one_stream(
+async def _read_stream(
     address: str, path: str, body: bytes, number: int, streams: int, result: StreamResult
 ) -> None:
     await asyncio.sleep(SPREAD_S * number / streams)
@@ -60,20 +60,20 @@
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(request_bytes(address, path, body))
     await reader.readuntil(HEADER_END)
-    last = 0.0
+    previous_at = 0.0
     while True:
         size = int(await reader.readuntil(b"\r\n"), 16)
         chunk = await reader.readexactly(size + 2)
         if size == 0:
             break
-        last = _record_gap(result, chunk, last)
+        previous_at = _record_gap(result, chunk, previous_at)
     writer.close()
 
 
-def _record_gap(result: StreamResult, chunk: bytes, last: float) -> float:
+def _record_gap(result: StreamResult, chunk: bytes, previous_at: float) -> float:
     now = time.perf_counter()
     count = chunk.count(CHUNK_MARK)
     result.chunks += count
-    if last and count:
-        result.gaps_us.record_value(max(LOWEST_US, int((now - last) * US_PER_S)))
+    if previous_at and count:
+        result.gaps_us.record_value(max(LOWEST_US, int((now - previous_at) * US_PER_S)))
     return now
--- a/src/zincvale/bench/tracing_bench.py
+++ b/src/zincvale/bench/tracing_bench.py
@@ -1,9 +1,8 @@
-"""What tracing costs a node, and what it keeps when collectors crash.
+"""Measures what tracing costs a node, and which traces survive the crash of a collector.
 
-`python -m zincvale.bench.tracing_bench run` prints: processor time of a traced request, and of a
-node with and without tracing, within one run; memory under ten times the target rate against the
-budgets; and
-the share of ERROR traces kept through the crash of each collector, over seeds.
+`python -m zincvale.bench.tracing_bench run` prints the processor time of a traced request, and of a
+node with and without tracing, within one run; the memory at ten times the target rate, compared
+with the budgets; and the share of ERROR traces that are kept when a collector crashes, over seeds.
 """
 
 from __future__ import annotations
@@ -40,15 +39,15 @@
 
 
 @attrs.define
-class Pair:
-    """A node and a peer that exchange their messages through the codec, in virtual time."""
+class NodePair:
+    """A node and a peer that exchange encoded messages, in virtual time."""
 
     config: TracingConfig = attrs.field(factory=TracingConfig)
     now: float = 1000.0
     services: dict[MemberId, TracingService] = attrs.field(factory=dict)
 
     def start(self) -> TracingService:
-        """Start both and return the node."""
+        """Start both services and return the node's."""
         for member in (NODE, PEER):
             self.services[member] = TracingService(
                 member,
@@ -67,20 +66,20 @@
         return self.services[NODE]
 
     def tick(self) -> None:
-        """Run the timers of both."""
+        """Run the timers of both services."""
         for service in self.services.values():
             service.tick(self.now)
 
     def _deliver(self, sender: MemberId, to: MemberId, message: object) -> None:
         service = self.services[to]
-        arrived = decode_message(type(message).MESSAGE_NAME, encode_message(message))  # type: ignore[attr-defined]
-        reply = service.handle_message(sender, arrived)
+        decoded = decode_message(type(message).MESSAGE_NAME, encode_message(message))  # type: ignore[attr-defined]
+        reply = service.handle_message(sender, decoded)
         if reply is not None:
             self._deliver(to, sender, reply)
 
 
 def traced_request(recorder: SpanRecorder, number: int, is_error: bool = False) -> None:
-    """Record what an ordinary request leaves: three spans, a reason of each policy, its outcome."""
+    """Record the trace of an ordinary request: three spans, one event per policy, the outcome."""
     root = recorder.start("request", attributes={"route": "summaries"})
     root.set("request_id", f"request-{number:09}")
     root.set("model", "model-17")
@@ -100,35 +99,37 @@
     root.end()
 
 
-def _timed(action: Callable[[], None]) -> float:
+def _processor_time_s(action: Callable[[], None]) -> float:
     begin = time.process_time()
     action()
     return time.process_time() - begin
 
 
 class TracingBench:
-    """Measurements of the record; each prints what it measured."""
+    """Measurements of tracing; each prints its result."""
 
     def cost(self) -> None:
-        """Processor time per traced request: recording, sending, collecting and deciding."""
-        per_request = [self._cost_round() for _ in range(ROUNDS)]
-        print(f"traced request, all parts: {_spread(per_request)} us")
-        print(f"yardstick (orjson round trip of 1 kB): {self._yardstick():.2f} us in the same run")
+        """Print the processor time per traced request: recording, sending, collecting, deciding."""
+        per_request = [self._measure_cost_us() for _ in range(ROUNDS)]
+        print(f"traced request, all parts: {_median_and_rounds(per_request)} us")
+        print(
+            f"reference (orjson round trip of 1 kB): {self._reference_us():.2f} us in the same run"
+        )
 
     def node(self, rounds: int = 5, seconds: float = 4.0) -> None:
-        """Processor time of a node per request, with and without its record, in one run."""
-        from zincvale.bench.tracing_cost import NodeCost
+        """Print a node's processor time per request, with and without tracing, in one run."""
+        from zincvale.bench.tracing_cost import NodeCostBench
 
-        for variant, row in NodeCost(rounds, seconds).run().items():
-            print(f"node {variant}: {_spread(row.cpu_us)} us per request")
+        for variant, row in NodeCostBench(rounds, seconds).run().items():
+            print(f"node {variant}: {_median_and_rounds(row.cpu_us)} us per request")
             print(
-                f"  tracing on the stack {row.tracing_share:.2%} of {row.samples} looks, gc"
+                f"  tracing on the stack {row.tracing_share:.2%} of {row.samples} samples, gc"
                 f" {row.gc_share:.2%} of its processor time at {row.per_second:.0f} requests/s"
             )
 
     def memory(self, factor: float = 10.0) -> None:
-        """Memory with `factor` times the target rate offered for longer than the decision wait."""
-        pair = Pair()
+        """Print the memory at `factor` times the target rate, for longer than the decision wait."""
+        pair = NodePair()
         service = pair.start()
         gc.collect()
         tracemalloc.start()
@@ -153,19 +154,17 @@
         budget = 2 * (pair.config.collector_bytes + pair.config.sender_bytes)
         print(f"offered {rate:.0f} traces/s for 60 s to one node of two")
         print(f"peak: {peak_rows} undecided traces, counted {peak_counted / 1e6:.1f} MB,")
-        print(
-            f"  really allocated {measured / 1e6:.1f} MB, budget {budget / 1e6:.1f} MB (two nodes)"
-        )
+        print(f"  allocated {measured / 1e6:.1f} MB, budget {budget / 1e6:.1f} MB (two nodes)")
         print(f"  dropped at the senders: {dict(service.sender.stats.dropped)}")
         print(f"  counted overhead of a chunk: {ROW_OVERHEAD_BYTES} bytes")
 
     def crash(self, seeds: int = 10, nodes: int = 8, per_second: int = 80) -> None:
-        """Share of ERROR traces kept when one node crashes, and while every process lives."""
+        """Print the share of ERROR traces kept, without a crash and when one node crashes."""
         for crashed in (False, True):
             retained = failed = 0
             worst = 1.0
             for seed in range(seeds):
-                seed_retained, seed_failed = _crash_run(seed, nodes, per_second, crashed)
+                seed_retained, seed_failed = _run_fleet(seed, nodes, per_second, crashed)
                 retained += seed_retained
                 failed += seed_failed
                 worst = min(worst, seed_retained / seed_failed)
@@ -184,8 +183,8 @@
         self.memory()
         self.crash()
 
-    def _cost_round(self) -> float:
-        pair = Pair()
+    def _measure_cost_us(self) -> float:
+        pair = NodePair()
         service = pair.start()
         service.recorder.limiter.set_rate(1.0)
         gc.collect()
@@ -200,41 +199,41 @@
                 pair.now += 0.25
                 pair.tick()
 
-        return _timed(work) / REQUESTS_PER_ROUND * US_PER_S
+        return _processor_time_s(work) / REQUESTS_PER_ROUND * US_PER_S
 
-    def _yardstick(self) -> float:
+    def _reference_us(self) -> float:
         value = {"name": "x" * 40, "rows": [{"number": n, "text": "y" * 30} for n in range(16)]}
 
         def work() -> None:
             for _ in range(20_000):
                 orjson.loads(orjson.dumps(value))
 
-        return _timed(work) / 20_000 * US_PER_S
+        return _processor_time_s(work) / 20_000 * US_PER_S
 
 
-def _crash_run(seed: int, nodes: int, per_second: int, crashed: bool) -> tuple[int, int]:
+def _run_fleet(seed: int, nodes: int, per_second: int, crashed: bool) -> tuple[int, int]:
     fleet = TracingFleet(seed, TracingConfig(), loss=0.01)
     fleet.start(nodes)
-    draw = random.Random(seed)
+    source = random.Random(seed)
     begin = fleet.now
     failed = []
 
     def request() -> None:
-        trace_id, is_error = trace_request(fleet, fleet.pick(), RequestMix(0.25), draw)
+        trace_id, is_error = trace_request(fleet, fleet.pick(), RequestMix(0.25), source)
         if is_error:
             failed.append(trace_id)
 
     for number in range(int(60 * per_second)):
         fleet.at(begin + number / per_second, request)
     if crashed:
-        fleet.at(begin + 30.0 + draw.random(), lambda: fleet.crash(fleet.pick().member_id))
+        fleet.at(begin + 30.0 + source.random(), lambda: fleet.crash(fleet.pick().member_id))
     fleet.run_until(begin + 200.0)
     return sum(fleet.is_retained_anywhere(trace_id) for trace_id in failed), len(failed)
 
 
-def _spread(values: list[float]) -> str:
-    middle = statistics.median(values)
-    return f"{middle:.1f} (rounds {', '.join(f'{value:.1f}' for value in values)})"
+def _median_and_rounds(values: list[float]) -> str:
+    median = statistics.median(values)
+    return f"{median:.1f} (rounds {', '.join(f'{value:.1f}' for value in values)})"
 
 
 if __name__ == "__main__":
--- a/src/zincvale/bench/tracing_cost.py
+++ b/src/zincvale/bench/tracing_cost.py
@@ -1,4 +1,4 @@
-"""Runs a node with and without its record under the relay bench's load, one after the other."""
+"""Measures a node with and without tracing under the load of the relay bench, one at a time."""
 
 from __future__ import annotations
 
@@ -23,20 +23,22 @@
 CONNECTIONS = 16
 STOP_TIMEOUT_S = 5.0
 WARM_UP_ROUNDS = 4
+"""Rounds of load that are not counted, before the measured ones."""
 US_PER_S = 1e6
 
 
 @attrs.define
 class VariantFigures:
-    """What one variant of the node did.
+    """Figures of one variant of the node.
 
     Attributes
     ----------
-    cpu_us : processor time per request, round by round.
-    per_second : requests a second in the last round.
+    cpu_us : processor time per request in microseconds, by round.
+    per_second : requests per second in the last round.
     samples : stack samples taken.
-    tracing_share : share of the node's processor time with the tracing plane on the stack.
-    gc_share : share of it in the garbage collector (part of it with tracing on the stack).
+    tracing_share : share of the samples that have code of the tracing package on the stack.
+    gc_share : share of the processor time in the garbage collector, which overlaps with the
+        share of tracing.
     """
 
     cpu_us: list[float] = attrs.field(factory=list)
@@ -46,8 +48,8 @@
     gc_share: float = 0.0
 
 
-class NodeCost:
-    """The processes and the load."""
+class NodeCostBench:
+    """Runs the processes and measures each variant of the node under load."""
 
     def __init__(self, rounds: int, seconds: float) -> None:
         self._rounds = rounds
@@ -67,14 +69,14 @@
         return figures
 
     def _measure(self, variant: str, row: VariantFigures) -> None:
-        """Load one node without a pause: the limiter's window and the wait go on in pauses."""
+        """Load one node without pauses, since the limiter's window and the wait elapse in them."""
         address = ADDRESS_BY_VARIANT[variant]
         self._start(variant, "zincvale.bench.tracing_node", variant, address, BACK_END)
         for _ in range(WARM_UP_ROUNDS):
-            self._round(variant)
+            self._run_round(variant)
         self._processes[variant].send_signal(signal.SIGUSR1)
         for _ in range(self._rounds):
-            cpu_us, row.per_second = self._round(variant)
+            cpu_us, row.per_second = self._run_round(variant)
             row.cpu_us.append(cpu_us)
         samples, tracing, collecting = self._stop(variant).split()
         row.samples = int(samples)
@@ -82,14 +84,14 @@
         row.gc_share = float(collecting)
 
     def _stop(self, name: str) -> str:
-        """End a process; return what it still wrote."""
+        """Terminate a process; return the rest of its output."""
         process = self._processes.pop(name)
         process.terminate()
         text, _ = process.communicate(timeout=STOP_TIMEOUT_S)
         return text
 
-    def _round(self, variant: str) -> tuple[float, float]:
-        """Return (processor time per request in microseconds, requests per second)."""
+    def _run_round(self, variant: str) -> tuple[float, float]:
+        """Run a round of load; return processor time per request (us) and requests per second."""
         before = self._cpu_s(variant)
         address = ADDRESS_BY_VARIANT[variant]
         result = asyncio.run(closed_loop(address, PATH, short_body, CONNECTIONS, self._seconds))
--- a/src/zincvale/bench/tracing_fleet.py
+++ b/src/zincvale/bench/tracing_fleet.py
@@ -1,7 +1,7 @@
-"""Many tracing services over a virtual clock and network, for measurements and tests of tracing.
+"""Many tracing services on a virtual clock and network, for measurements and tests of tracing.
 
-Nothing here reads a clock or opens a socket: time moves by `run_until`, messages take `delay_s` and
-may be lost, members crash, restart, join and leave. Every run is a function of its seed.
+Nothing here reads a clock or opens a socket: `run_until` advances the time, messages take `DELAY_S`
+and may be lost, and members crash, restart, join and leave. Every run is determined by its seed.
 """
 
 from __future__ import annotations
@@ -20,19 +20,22 @@
 
 TICK_S = 0.25
 DELAY_S = 0.002
+"""Time from sending a message to its delivery."""
 DETECTION_S = 2.0
-"""From a crash until the members learn that the lease has expired."""
+"""Time from a crash until the other members learn that the lease has expired."""
 WALL_START_S = 1_750_000_000.0
+"""Wall clock time at virtual time 0."""
 
 
 @attrs.define(eq=False)
 class TracingFleet:
-    """A fleet of tracing services and what connects them.
+    """A fleet of tracing services, and the virtual network between them.
 
     Attributes
     ----------
-    loss : share of messages that are lost.
-    transform_message : applied to every message between sending and delivery.
+    loss : fraction of messages that are lost.
+    leaving : members that are stopping and take no more requests.
+    transform_message : function applied to every message between sending and delivery.
     """
 
     seed: int
@@ -53,23 +56,23 @@
         self._random = random.Random(self.seed)
 
     def start(self, count: int) -> None:
-        """Start `count` nodes and let them know each other."""
+        """Start `count` nodes and deliver the member table to them."""
         for number in range(1, count + 1):
             self._start_service(MemberId(f"node-{number}"))
         self.announce()
 
     def join(self, member: MemberId) -> None:
-        """Start one more node, or a crashed one anew with an empty memory."""
+        """Start another node, or restart a crashed one with an empty memory."""
         self._start_service(member)
         self.announce()
 
     def crash(self, member: MemberId) -> None:
-        """Lose a node and all its traces; the others learn of it `DETECTION_S` later."""
+        """Crash a node, with the loss of its traces; the others learn of it `DETECTION_S` later."""
         del self.services[member]
         self.at(self.now + DETECTION_S, self.announce)
 
     def leave(self, member: MemberId, drain_s: float) -> None:
-        """Stop a node in order: it hands over its traces and is removed after `drain_s`."""
+        """Stop a node gracefully: it hands over its traces and is removed after `drain_s`."""
         self.services[member].leave()
         self.leaving.add(member)
         self.at(self.now + drain_s, lambda: self._remove(member))
@@ -88,18 +91,18 @@
         heapq.heappush(self._events, (time, self._event_count, action))
 
     def run_until(self, end: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time to `end` and run the actions that are due."""
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
             action()
         self.now = end
 
     def pick(self) -> TracingService:
-        """Return a service that takes requests, drawn from the seed."""
+        """Return a randomly drawn service that takes requests."""
         return self.services[self._random.choice(sorted(set(self.services) - self.leaving))]
 
     def is_retained_anywhere(self, trace_id: TraceId) -> bool:
-        """Whether a live member has retained the trace."""
+        """Return whether a live member has retained the trace."""
         return any(service.store.get(trace_id) for service in self.services.values())
 
     def _start_service(self, member: MemberId) -> None:
@@ -110,7 +113,7 @@
             random.Random(f"{self.seed}/{member}/{incarnation}"),
             lambda: self.now,
             lambda: WALL_START_S + self.now,
-            lambda to, message: self._send_of(service, to, message),
+            lambda to, message: self._send_if_running(service, to, message),
             self.config,
         )
         self.services[member] = service
@@ -136,8 +139,8 @@
         service.tick(self.now)
         self.at(self.now + TICK_S, lambda: self._tick(member, service))
 
-    def _send_of(self, service: TracingService, to: MemberId, message: Any) -> None:
-        # Requests of a crashed node still end in this process; none of its messages may be sent.
+    def _send_if_running(self, service: TracingService, to: MemberId, message: Any) -> None:
+        # Requests of a crashed node still end in this process, but it must send no messages.
         if self.services.get(service.member_id) is service:
             self._send(service.member_id, to, message)
 
@@ -145,8 +148,8 @@
         if self._random.random() < self.loss:
             self.lost_messages += 1
             return
-        arriving = self.transform_message(message)
-        self.at(self.now + DELAY_S, lambda: self._deliver(sender, to, arriving))
+        transformed = self.transform_message(message)
+        self.at(self.now + DELAY_S, lambda: self._deliver(sender, to, transformed))
 
     def _deliver(self, sender: MemberId, to: MemberId, message: Any) -> None:
         service = self.services.get(to)
@@ -159,7 +162,7 @@
 
 @attrs.define
 class RequestMix:
-    """Shares and shapes of the traced requests."""
+    """Error rate and duration of the traced requests."""
 
     error_share: float = 0.01
     duration_s: float = 0.05
@@ -167,14 +170,14 @@
 
 
 def trace_request(
-    fleet: TracingFleet, service: TracingService, mix: RequestMix, draw: random.Random
+    fleet: TracingFleet, service: TracingService, mix: RequestMix, source: random.Random
 ) -> tuple[TraceId, bool]:
     """Start one request with a hold and a dispatch; it ends `duration_s` later.
 
     Returns its trace identifier and whether it fails.
     """
-    is_error = draw.random() < mix.error_share
-    request_id = f"r-{draw.getrandbits(48):012x}"
+    is_error = source.random() < mix.error_share
+    request_id = f"r-{source.getrandbits(48):012x}"
     root = service.recorder.start("request", attributes={"route": "quotes"})
     root.set("request_id", request_id)
     dispatch = service.recorder.start("dispatch", root.context)
--- a/src/zincvale/bench/tracing_node.py
+++ b/src/zincvale/bench/tracing_node.py
@@ -1,12 +1,12 @@
-"""One node of the relay bench with or without its record, to measure what the record costs it.
+"""A node of the relay bench with or without tracing, to measure what tracing costs the node.
 
-`python -m zincvale.bench.tracing_node VARIANT ADDRESS BACK_END ...`; stops by itself. Variants:
-`untraced` records nothing; `traced` samples as many traces as one of `FLEET_NODES` nodes does, and
-collects as many as it samples; `alone` samples the whole fleet's target.
+Started as `python -m zincvale.bench.tracing_node VARIANT ADDRESS BACK_END ...`; it stops by itself.
+Variants: `untraced` records nothing; `traced` samples as many traces as one of `FLEET_NODES` nodes
+does, and collects as many as it samples; `alone` samples the target of the whole fleet.
 
-Every `SAMPLE_S` of processor time the node samples its own stack; on SIGTERM it writes to standard
-output, counted since SIGUSR1: the number of samples, the share of them that met the tracing plane,
-and the share of time in the garbage collector.
+The node samples its own stack at every `SAMPLE_S` of processor time. On SIGTERM it prints, since
+SIGUSR1: the number of samples, the share of them with tracing on the stack, and the share of the
+processor time in the garbage collector.
 """
 
 from __future__ import annotations
@@ -27,13 +27,16 @@
 UNTRACED = "untraced"
 TRACED = "traced"
 FLEET_NODES = 8
+"""Nodes that share the target rate of traces in the variant `traced`."""
 SAMPLE_S = 0.004
+"""Processor time between two stack samples."""
 TRACING_FOLDER = "/zincvale/tracing/"
+"""Part of the path of every source file of the tracing package."""
 
 
 @attrs.define(eq=False)
 class UntracedService(TracingService):
-    """The tracing plane with nothing in it."""
+    """Tracing that records nothing."""
 
     def __attrs_post_init__(self) -> None:
         self.recorder = NoSpans()  # type: ignore[assignment]
@@ -47,10 +50,10 @@
 
 @attrs.define(eq=False)
 class FleetShareService(TracingService):
-    """The tracing plane of one of `FLEET_NODES` nodes."""
+    """Tracing with the target rate of one of `FLEET_NODES` nodes."""
 
     def apply_members(self, members: Any) -> None:
-        """Take the members, and the share of the target that a fleet leaves to one node."""
+        """Apply the members, and divide the target rate as in a fleet of `FLEET_NODES`."""
         TracingService.apply_members(self, members)
         self.recorder.set_target_share(FLEET_NODES)
 
@@ -59,12 +62,12 @@
     UNTRACED: UntracedService,
     TRACED: FleetShareService,
 }
-"""Any other variant (`alone`) runs the tracing plane as it is."""
+"""Service class by variant; any other variant (`alone`) uses `TracingService` itself."""
 
 
 @attrs.define(eq=False)
 class StackSampler:
-    """Samples the stack at even steps of processor time."""
+    """Samples the stack at equal intervals of processor time, and times the garbage collector."""
 
     samples: int = 0
     in_tracing: int = 0
@@ -73,15 +76,15 @@
     _began_at: float = 0.0
 
     def start(self) -> None:
-        """Look from now on; report and exit on SIGTERM."""
+        """Start sampling; SIGUSR1 resets the counts, SIGTERM prints them and exits."""
         signal.signal(signal.SIGPROF, self._sample_stack)
         signal.setitimer(signal.ITIMER_PROF, SAMPLE_S, SAMPLE_S)
         gc.callbacks.append(self._time_gc)
         signal.signal(signal.SIGTERM, self._report)
-        signal.signal(signal.SIGUSR1, self._begin)
+        signal.signal(signal.SIGUSR1, self._reset)
 
-    def _begin(self, _number: int, _frame: FrameType | None) -> None:
-        """Forget the start and the warm-up."""
+    def _reset(self, _number: int, _frame: FrameType | None) -> None:
+        """Reset the counts, to exclude the start and the warm-up."""
         self.samples = self.in_tracing = 0
         self.gc_s = 0.0
         self._began_at = time.process_time()
@@ -107,7 +110,7 @@
 
 
 def main(variant: str, address: str, *back_ends: str) -> None:
-    """Serve the relay bench's node in one of the variants."""
+    """Run the relay bench's node in one of the variants."""
     StackSampler().start()
     tracing_type = TRACING_TYPE_BY_VARIANT.get(variant, TracingService)
     relay_process.main("node", address, *back_ends, tracing_type=tracing_type)
