--- a/src/zincvale/dataplane/claims/messages.py
+++ b/src/zincvale/dataplane/claims/messages.py
@@ -149,7 +149,7 @@
 @peer_message("claims.pull")
 @attrs.frozen
 class PullCall:
-    """Requests a page of the claims that the sender votes on, and an end of votes in older views.
+    """Requests a page of the claims that the sender votes on, and no more votes in older views.
 
     Attributes
     ----------
--- a/src/zincvale/dataplane/claims/node_machine.py
+++ b/src/zincvale/dataplane/claims/node_machine.py
@@ -68,7 +68,7 @@
 )
 
 FREEZE_GAP_S = 1.0
-"""A pause between two inputs longer than this means that the process was suspended.
+"""Pause between two inputs above which the process is taken to have been stopped or suspended.
 
 There is a tick every 50 ms.
 """
--- a/src/zincvale/dataplane/claims/readiness.py
+++ b/src/zincvale/dataplane/claims/readiness.py
@@ -132,7 +132,7 @@
         self._live_members = live
 
     def restart_reading(self, now: float) -> None:
-        """Read again after the process was suspended: the set of live leases may be outdated."""
+        """Read again after the process was frozen: the set of live leases may be outdated."""
         if self.may_vote:
             return
         self._sources = {}
--- a/src/zincvale/dataplane/stream_journal/timings.py
+++ b/src/zincvale/dataplane/stream_journal/timings.py
@@ -18,8 +18,8 @@
     avoid_failed_peer_s : how long a peer that failed or is full is not chosen again.
     copy_interval_s : interval between searches for streams without a live ingress node, which are
         copied to a second node.
-    read_timeout_s : how long a round of a failover waits for more replies once a copy that is long
-        enough has been found.
+    read_timeout_s : time after which a round of a failover no longer waits for replies if it has
+        found a copy that is long enough.
     max_read_timeout_s : timeout of each of the two rounds of a failover.
     search_timeout_s : how long a failover repeats its rounds while no copy is long enough and some
         node has not responded; also how long a resume waits until the live nodes are known.
--- a/src/zincvale/dataplane/stream_journal/writer.py
+++ b/src/zincvale/dataplane/stream_journal/writer.py
@@ -29,10 +29,10 @@
 from zincvale.model.identifiers import MemberId
 
 FREEZE_GAP_S = 0.4
-"""A pause between two ticks longer than this means that the process was suspended.
+"""Pause between two ticks above which the process is taken to have been stopped or suspended.
 
 There is a tick every 50 ms. With a limit above `append_timeout_s`, appends could time out at once
-after a suspension, although a reply may still tell that their streams were fenced meanwhile. With a
+after a freeze, although a reply may still tell that their streams were fenced meanwhile. With a
 limit of less than a few ticks, a busy event loop would extend every timeout.
 """
 
@@ -277,7 +277,7 @@
         return effects
 
     def _extend_timeouts_after_freeze(self, now: float) -> None:
-        """Extend the timeouts of pending appends by the time that the process was suspended.
+        """Extend the timeouts of pending appends by the time that the process was frozen.
 
         Another node may have fenced streams meanwhile, which the replies will tell.
         """
--- a/tests/dataplane/claims/test_scenarios.py
+++ b/tests/dataplane/claims/test_scenarios.py
@@ -87,7 +87,7 @@
 
 
 def voter_restarts_before_the_other_votes() -> SimulatedCluster:
-    """A voter restarts and could read from the others before two of them vote as well."""
+    """A voter restarts before two others vote, and must not read from them before that."""
     setup = start_cluster()
     cluster, (first, second, third, fourth, fifth) = setup.cluster, setup.voters
     ingress_node = setup.ingress_nodes[0]
