--- a/tests/approval.py
+++ b/tests/approval.py
@@ -1,4 +1,4 @@
-"""Comparison with approved transcripts of whole exchanges."""
+"""Compares transcripts with approved files."""
 
 from __future__ import annotations
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""Passes over the tests that KNOWN-RED.txt names and prints them; one that passes must leave it."""
+"""Marks the tests listed in KNOWN-RED.txt as expected failures and prints the entries.
+
+A listed test that passes fails the run, so that its entry is removed.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect each test that is named to fail."""
+    """Mark each listed test as an expected failure."""
     known = read_known_failures()
     for item in items:
         if item.nodeid in known:
@@ -16,6 +19,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print every entry, whether its test was run or not."""
+    """Print every entry, whether or not its test was run."""
     for test, details in read_known_failures().items():
         terminalreporter.write_line(f"KNOWN-RED {test}: {details}")
--- a/tests/controlplane/test_operator_commands.py
+++ b/tests/controlplane/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""The operator commands, run through `fire` against in-memory cores."""
+"""Operator commands, run from their command lines against in-memory cores."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 ALIAS_BOMB = "kind: Zone\nname: a\nspec:\n  a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n" + "".join(
     f"  a{n}: &a{n} [{', '.join([f'*a{n - 1}'] * 10)}]\n" for n in range(1, 12)
 )
-"""A small YAML file whose nested aliases expand to 10**12 values."""
+"""A small YAML file whose aliases expand to 10**12 values."""
 
 
 class OperatorCase(testtools.TestCase):
@@ -72,11 +72,11 @@
         """Run a command line as the program does; record its output and return its exit code."""
         line = " ".join(arguments).replace(f" {CORES}", "")
         self.lines.append(f"$ zincvale {line}")
-        printed, errors = io.StringIO(), io.StringIO()
+        printed, error_output = io.StringIO(), io.StringIO()
         commands = operator_commands(self.commands(lambda text: print(text, file=printed)))
-        with contextlib.redirect_stdout(printed), contextlib.redirect_stderr(errors):
+        with contextlib.redirect_stdout(printed), contextlib.redirect_stderr(error_output):
             code = run_operator_command(list(arguments), commands)
-        self.lines += [*printed.getvalue().splitlines(), *errors.getvalue().splitlines()]
+        self.lines += [*printed.getvalue().splitlines(), *error_output.getvalue().splitlines()]
         self.lines.append(f"exit {code}")
         self.lines = [text.replace(str(self.folder), "FOLDER") for text in self.lines]
         return code
@@ -89,7 +89,7 @@
 
 
 class ApplyTest(OperatorCase):
-    def test_apply_exit_codes_and_output_are_as_approved(self) -> None:
+    def test_apply_prints_the_result_and_exits_with_its_code(self) -> None:
         file = self.file(NEW_ZONE)
         self.assertEqual(0, self.run_command("apply", "-f", file, "--order-id", "7", CORES))
         self.assertEqual(4, self.run_command("apply", "-f", file, "--base-version", "7", CORES))
@@ -118,7 +118,7 @@
         self.assertIn("Model/1.10", self.cores.view.rows.rows)
         self.verify_lines("cli_apply")
 
-    def test_a_change_without_acknowledgement_is_retried_with_its_order_id(self) -> None:
+    def test_a_change_is_sent_again_under_its_order_id_after_a_lost_acknowledgement(self) -> None:
         self.cores.script = deque(
             [
                 fake_cores.NOT_REACHED,
@@ -136,7 +136,7 @@
         self.lines += self.cores.attempts
         self.verify_lines("cli_lost_acknowledgement")
 
-    def test_an_unconfirmed_change_fails_at_its_limit_and_shows_its_order_id(self) -> None:
+    def test_an_unconfirmed_order_ends_at_the_limit_and_names_its_id(self) -> None:
         self.cores.script = deque([fake_cores.LOST_REQUEST] * 20)
         file = self.file(NEW_ZONE)
         code = self.run_command("apply", "-f", file, "--order-id", "o-1", "--limit-s", "20", CORES)
@@ -150,7 +150,7 @@
         self.cores.script = deque([fake_cores.NOT_CONFIRMED])
         file = self.file(NEW_ZONE)
         self.run_command("apply", "-f", file, "--order-id", "o-1", "--core", "127.0.0.1:7000")
-        # The fake member table names this address for core-1.
+        # The fake member table gives this address for core-1.
         self.assertEqual(
             ["127.0.0.1:7000 o-1 not-confirmed", "127.0.0.1:7000 o-1 answer"], self.cores.attempts
         )
@@ -158,7 +158,7 @@
         self.run_command("apply", "-f", file, "--order-id", "o-2", "--core", "127.0.0.1:7000")
         self.assertEqual("127.0.0.30:9000 o-2 answer", self.cores.attempts[-1])
 
-    def test_cores_may_come_from_the_environment(self) -> None:
+    def test_cores_are_read_from_the_environment_without_a_flag(self) -> None:
         self.environment["ZINCVALE_CORES"] = "127.0.0.8:7000"
         self.assertEqual(0, self.run_command("apply", "-f", self.file(NEW_ZONE)))
         self.assertTrue(self.cores.attempts[0].startswith("127.0.0.8:7000 "))
@@ -166,7 +166,7 @@
 
 class TransportTest(testtools.TestCase):
     def fetch(self, outcome: Exception | HTTPResponse) -> CoreResponse:
-        """Send one request with a given outcome."""
+        """Send one request, for which the client returns the response or raises the error given."""
 
         class Client:
             async def fetch(self, request: HTTPRequest, raise_error: bool) -> HTTPResponse:
@@ -188,14 +188,14 @@
             error = self.assertRaises(CoreUnreachableError, self.fetch, CurlError(number, "why"))
             self.assertEqual((sent, "why"), (error.sent, str(error)))
 
-    def test_a_response_with_an_error_status_is_returned(self) -> None:
+    def test_error_statuses_are_returned_as_responses(self) -> None:
         request = HTTPRequest("http://127.0.0.1:7000/")
         answer = self.fetch(HTTPResponse(request, 409, buffer=io.BytesIO(b"{}")))
         self.assertEqual(CoreResponse(409, b"{}"), answer)
 
 
-class FileTest(OperatorCase):
-    def test_invalid_files_are_rejected_before_any_request(self) -> None:
+class ResourceFileTest(OperatorCase):
+    def test_invalid_files_are_refused_before_any_request(self) -> None:
         contents = {
             "twice.yaml": "kind: Zone\nname: a\nname: b\n",
             "broken.yaml": "kind: [Zone\n",
@@ -238,7 +238,7 @@
 
 
 class ReadTest(OperatorCase):
-    def test_get_and_describe_output_is_as_approved(self) -> None:
+    def test_get_and_describe_read_from_another_core_when_one_is_down(self) -> None:
         self.cores.down = {"127.0.0.1:7000"}
         for line in (
             "get intent",
@@ -261,7 +261,7 @@
             self.assertEqual(0, self.run_command(*line.split(), CORES), line)
         self.verify_lines("cli_reads")
 
-    def test_failed_reads_return_their_exit_codes(self) -> None:
+    def test_failed_reads_print_the_error_and_exit_with_its_code(self) -> None:
         for line, code in (
             ("get gadgets", 2),
             ("get zoness", 2),
@@ -279,7 +279,7 @@
 
 
 class DeclaredStateTest(OperatorCase):
-    def test_drain_and_evacuate_declare_and_undo_state(self) -> None:
+    def test_drain_and_evacuate_declare_and_undo_the_state(self) -> None:
         for line, code in (
             ("drain s1 --order-id o-1", 0),
             ("drain s1 --undo --order-id o-2", 0),
@@ -294,7 +294,7 @@
         self.lines += [body.decode() for body in self.cores.bodies]
         self.verify_lines("cli_declared_state")
 
-    def test_wait_ends_when_the_condition_is_true_or_at_its_limit(self) -> None:
+    def test_wait_ends_when_the_condition_is_true_or_at_the_limit(self) -> None:
         self.cores.view.observed = directory(server("s1", running=1))
         self.cores.view.applied = {}
         code = self.run_command("drain", "s1", "--wait", "--order-id=o-1", "--limit-s", "5", CORES)
@@ -305,7 +305,7 @@
 
 
 class WatchTest(OperatorCase):
-    def test_watch_prints_differences(self) -> None:
+    def test_watch_prints_the_differences_between_versions(self) -> None:
         cores = self.cores
         changes = deque(
             [
@@ -315,7 +315,7 @@
         )
 
         def write(line: str) -> None:
-            """Record a line of output, then apply the next change of another operator."""
+            """Record the output, then make the next change as another operator."""
             self.lines.append(line)
             if changes:
                 cores.apply(orjson.dumps({"resources": changes.popleft()}))
@@ -324,13 +324,13 @@
         self.assertGreaterEqual(cores.clock, 40.0)
         self.verify_lines("cli_watch")
 
-    def test_watch_continues_at_another_core_if_one_is_unreachable(self) -> None:
+    def test_watch_uses_another_core_when_one_is_down(self) -> None:
         self.cores.down = {"127.0.0.1:7000"}
         code = self.run_command("watch", "--limit-s", "3", "--core", "127.0.0.1:7000")
         self.assertEqual(3, code)
         self.assertEqual(0, self.run_command("watch", "--limit-s", "3", CORES))
 
-    def test_watch_of_one_resource_ends_at_its_limit_or_condition(self) -> None:
+    def test_watch_of_a_resource_prints_its_conditions(self) -> None:
         code = self.run_command("watch", "server", "s1", "--limit-s", "2", CORES)
         self.assertEqual(0, code)
         code = self.run_command("watch", "server", "s1", "--until", "ready", CORES)
@@ -340,7 +340,7 @@
 
 
 class OutputTest(OperatorCase):
-    def test_arguments_reach_the_command_as_they_were_typed(self) -> None:
+    def test_arguments_reach_the_command_as_typed(self) -> None:
         seen: list[tuple[str, str, str]] = []
 
         def apply(file: str, order_id: str = "", undo: str = "False") -> None:
@@ -365,7 +365,7 @@
             seen,
         )
 
-    def test_numbers_that_fire_converts_have_the_meaning_of_the_typed_text(self) -> None:
+    def test_numbers_that_fire_converts_are_read_as_typed(self) -> None:
         file = self.file(NEW_ZONE)
         commands = self.commands(self.lines.append)
         arguments = ["apply", "-f", file, "--base-version", "0", "--order-id", "12", CORES]
@@ -374,13 +374,13 @@
             fire.Fire(commands, ["drain", "7", "--force", "--limit-s", "9", CORES])
         self.assertIn("Server/7", self.cores.view.rows.rows)
 
-    def test_help_of_a_command_is_printed(self) -> None:
+    def test_help_is_printed_instead_of_running_the_command(self) -> None:
         printed = io.StringIO()
         with contextlib.redirect_stdout(printed), contextlib.redirect_stderr(printed):
             self.assertEqual(0, run_operator_command(["drain", "s1", "--help"]))
         self.assertIn("finishes what it runs", printed.getvalue())
 
-    def test_json_output_is_json(self) -> None:
+    def test_json_output_is_one_json_value(self) -> None:
         self.run_command("get", "models", "--output", "json", CORES)
         body = orjson.loads("\n".join(self.lines[1:-1]))
         self.assertEqual(["base-1", "base-2"], [item["name"] for item in body["resources"]])
--- a/tests/docs/test_commands.py
+++ b/tests/docs/test_commands.py
@@ -1,4 +1,4 @@
-"""Every `zincvale` command that a page shows exists, with the flags it shows."""
+"""Every `zincvale` command shown in the documentation exists and takes the flags shown."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def shown_commands() -> list[tuple[str, str]]:
-    """Return page and command line of each command shown in an indented block."""
+    """Return the page and the command line of each command in an indented code block."""
     pages = [ROOT / "README.md", *sorted((ROOT / "docs").rglob("*.md"))]
     found = []
     for page in pages:
@@ -30,14 +30,14 @@
 
 
 class ShownCommandsTest(testtools.TestCase):
-    def test_each_exists(self) -> None:
+    def test_each_shown_command_and_flag_exists(self) -> None:
         commands = shown_commands()
-        self.assertTrue(len(commands) > 20, "the pages lost their commands")
+        self.assertTrue(len(commands) > 20, "too few commands were found in the pages")
         for page, command in commands:
             with self.subTest(page=page, command=command):
-                self._check(shlex.split(command))
+                self._check_command(shlex.split(command))
 
-    def _check(self, arguments: list[str]) -> None:
+    def _check_command(self, arguments: list[str]) -> None:
         if arguments[0] in OPERATOR_COMMANDS:
             check_arguments(normalize_arguments(arguments), operator_commands())
             return
--- a/tests/docs/test_day_tables.py
+++ b/tests/docs/test_day_tables.py
@@ -1,4 +1,4 @@
-"""Tables of played days, from reports as the users' bench writes them."""
+"""Tables of played days are built from the JSON reports of the runs."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
         self.assertIn("5 asked, 1 late, 0 refused, 0 failed, p99 120 ms", text)
         self.assertIn("| node (11) | 0.031 of a core, 34.0 MB |", text)
 
-    def test_the_dearest_price_and_the_worst_window_come_first(self) -> None:
+    def test_the_highest_price_and_the_worst_window_come_first(self) -> None:
         plain = report(0.5, 0.01)
         self.assertEqual(["GB between zones"], [label for label, _ in price_rows(plain)])
         self.assertEqual("from second 2", window_rows(plain)[0][0])
 
-    def test_files_are_read(self) -> None:
+    def test_a_table_of_the_named_report_files_is_printed(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "quiet.json"
             path.write_bytes(orjson.dumps(report(0.5, 0.01)))
@@ -50,7 +50,7 @@
                 self.assertEqual(0, main([str(path)]))
         self.assertIn("| Worth | quiet |", printed.getvalue())
 
-    def test_without_a_report_it_says_what_to_name(self) -> None:
+    def test_without_a_report_the_program_exits_with_a_usage_error(self) -> None:
         printed = io.StringIO()
         with contextlib.redirect_stderr(printed):
             self.assertEqual(2, main([]))
--- a/tests/docs/test_example.py
+++ b/tests/docs/test_example.py
@@ -1,4 +1,4 @@
-"""The embedding example does what its page says."""
+"""The example of an embedded register does what its page says."""
 
 from __future__ import annotations
 
--- a/tests/docs/test_glossary.py
+++ b/tests/docs/test_glossary.py
@@ -1,4 +1,4 @@
-"""Every term of the glossary is an identifier or a module of the code."""
+"""Every term of the glossary is the name of a module, class, function or field in the code."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 PACKAGE = ROOT / "src" / "zincvale"
 TERM = re.compile(r"`([A-Za-z_]+)`")
 TERM_COLUMN = 2
-LEAST_TERMS = 40
+MIN_TERMS = 40
 
 
 def terms() -> set[str]:
@@ -23,7 +23,7 @@
 
 
 def identifiers() -> set[str]:
-    """Return the names of modules, and what modules and classes define."""
+    """Return the names of packages, modules, classes, functions and annotated fields."""
     found = set()
     for path in PACKAGE.rglob("*.py"):
         found |= {path.stem, path.parent.name}
@@ -36,8 +36,8 @@
 
 
 class GlossaryTest(testtools.TestCase):
-    def test_every_term_exists(self) -> None:
+    def test_every_term_is_a_name_in_the_code(self) -> None:
         self.assertEqual([], sorted(terms() - identifiers()))
 
-    def test_the_glossary_has_its_terms(self) -> None:
-        self.assertGreater(len(terms()), LEAST_TERMS)
+    def test_the_glossary_is_not_nearly_empty(self) -> None:
+        self.assertGreater(len(terms()), MIN_TERMS)
--- a/tests/docs/test_known_failures.py
+++ b/tests/docs/test_known_failures.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: its form, and that it names tests that exist."""
+"""KNOWN-RED.txt has a valid format and names only tests that exist."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.known_failures import KNOWN_FAILURES, known_failures, read_known_failures
 
 DAYS = "tests/days/"
-"""Days are played by hand, not by CI."""
+"""Folder of the played days; they are no test modules, and CI does not run them."""
 TEXT = """# comment
 tests/a/test_b.py::CTest::test_d
     command: pytest, seed 7
@@ -21,7 +21,7 @@
 
 
 class KnownFailuresTest(testtools.TestCase):
-    def test_entries_are_read_with_their_details(self) -> None:
+    def test_the_detail_lines_of_an_entry_are_joined(self) -> None:
         self.assertEqual(
             {
                 "tests/a/test_b.py::CTest::test_d": "command: pytest, seed 7 "
@@ -34,7 +34,7 @@
     def test_details_without_a_test_are_refused(self) -> None:
         self.assertRaises(ValueError, known_failures, "    seen: 1\n")
 
-    def test_every_entry_names_a_test_that_exists_and_says_what_was_seen(self) -> None:
+    def test_every_entry_names_an_existing_test_its_seed_and_what_was_seen(self) -> None:
         for test, details in read_known_failures().items():
             path, *names = test.split("::")
             self.assertTrue((KNOWN_FAILURES.parent / path).exists(), test)
--- a/tests/docs/test_reference_pages.py
+++ b/tests/docs/test_reference_pages.py
@@ -1,4 +1,4 @@
-"""The reference pages say what the code says."""
+"""The committed reference pages match the pages generated from the code."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class ReferencePagesTest(testtools.TestCase):
-    def test_every_log_event_is_listed(self) -> None:
+    def test_the_page_of_log_events_is_up_to_date(self) -> None:
         page = (DOCS / "EVENTS.md").read_text(encoding="utf-8")
         self.assertThat(page, Equals(events_page()), REMEDY)
 
-    def test_the_peer_protocol_is_the_committed_one(self) -> None:
+    def test_the_schemas_of_the_peer_protocol_are_up_to_date(self) -> None:
         page = (DOCS / "schemas.json").read_text(encoding="utf-8")
         self.assertThat(page, Equals(schemas_page()), REMEDY)
--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -1,1 +1,1 @@
-"""Golden tests: bytes, stored data and surfaces that a change of names must not change."""
+"""Golden tests: encoded bytes, stored data and interfaces that renaming must not change."""
--- a/tests/golden/compare_all.py
+++ b/tests/golden/compare_all.py
@@ -1,6 +1,7 @@
-"""Compare every approved digest: `python -m tests.golden.compare_all [SECTION ...]`.
+"""Compares the digests of all simulated runs with the approved ones.
 
-With ZINCVALE_APPROVE=1 the digests of these sections are approved as they are now, instead.
+Run as `python -m tests.golden.compare_all [SECTION ...]`. With ZINCVALE_APPROVE=1 it writes the
+current digests of the sections as the approved ones instead.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 import orjson
 
 from tests.approval import APPROVE_VARIABLE
-from tests.golden.decision_log import APPROVED, differing
+from tests.golden.decision_log import APPROVED, differing_runs
 from tests.golden.decisions_of_cluster import CLAIMS_RUNS, CLUSTER_RUNS, REGISTER_RUNS
 from tests.golden.decisions_of_forwarding import FORWARDING_RUNS
 from tests.golden.decisions_of_placement import HOLLOW_RUNS, PLACEMENT_RUNS, WHAT_IF_RUNS
@@ -29,7 +30,7 @@
 
 
 def approve(sections: list[str]) -> None:
-    """Write the digests of these sections as they are now."""
+    """Write the current digests of these sections to the file of approved digests."""
     digests = orjson.loads(APPROVED.read_bytes()) if APPROVED.exists() else {}
     for section in sections:
         digests[section] = {name: run() for name, run in SECTIONS[section].items()}
@@ -38,14 +39,16 @@
 
 
 def compare(sections: list[str]) -> bool:
-    """Print what differs; return whether nothing does."""
+    """Print the runs that differ from the approved digests; return whether none does."""
     same = True
     for section in sections:
-        begun = time.perf_counter()
-        wrong = differing(section, SECTIONS[section])
-        took_s = time.perf_counter() - begun
-        print(f"{section}: {len(SECTIONS[section])} runs, {took_s:.1f} s, differing: {wrong}")
-        same = same and not wrong
+        started_at = time.perf_counter()
+        different = differing_runs(section, SECTIONS[section])
+        elapsed_s = time.perf_counter() - started_at
+        print(
+            f"{section}: {len(SECTIONS[section])} runs, {elapsed_s:.1f} s, differing: {different}"
+        )
+        same = same and not different
     return same
 
 
--- a/tests/golden/decision_log.py
+++ b/tests/golden/decision_log.py
@@ -1,8 +1,8 @@
-"""Digests over the decisions of a simulated run, in order, and the file of approved ones.
+"""Digests of the decisions of a simulated run, and the file of approved digests.
 
-A digest does not depend on identifiers: objects count as the values of their fields in order,
-messages as their wire name and Avro body. Iteration order of dicts and lists counts; sets, which
-have no order of their own, count sorted.
+A digest does not depend on identifiers: an object is hashed as the values of its fields in order, a
+message as its wire name and Avro body. Dicts and lists are hashed in iteration order; sets are
+sorted, since they have no order.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 APPROVED = Path(__file__).parent / "decision_digests.json"
 _SCALARS = (str, bool, type(None))
 _LARGE = 1 << 63
-"""Beyond what the JSON encoder takes."""
+"""The JSON encoder does not accept integers from this size on."""
 _ORDERED = (list, tuple, array)
 _SETS = (set, frozenset)
 
 
 class DecisionLog:
-    """Hashes what happened, one entry after the other.
+    """Hashes the entries of a run in their order.
 
     Attributes
     ----------
-    entries : number of entries so far; a digest over nothing would prove nothing.
+    entries : number of entries so far; part of the digest, to show that it is not empty.
     """
 
     def __init__(self) -> None:
@@ -47,18 +47,18 @@
         self._failure: Exception | None = None
 
     def add(self, kind: str, *values: Any) -> None:
-        """Add one entry; `kind` is a word of the tests, never a name from the code."""
+        """Add one entry; `kind` is chosen by the test and never an identifier from the code."""
         self.entries += 1
         try:
             entry = orjson.dumps([kind, canonical(values)])
         except Exception as error:
-            # The simulators' loops would swallow it.
+            # Kept for `digest`, since the simulators' event loops suppress exceptions.
             self._failure = error
             raise
         self._hash.update(entry + b"\n")
 
     def effect(self, value: Any, *where: Any) -> None:
-        """Add an effect of a state machine, with where and when it was carried out."""
+        """Add an effect of a state machine; `where` tells the place and time of its execution."""
         match value:
             case Send(to, message):
                 self.add("send", *where, to, message)
@@ -74,14 +74,14 @@
                 self.add("effect", *where, value)
 
     def digest(self) -> str:
-        """Return the number of entries and the hash over them; raises if one had no form."""
+        """Return the number and hash of the entries; raises if one had no canonical form."""
         if self._failure is not None:
             raise self._failure
         return f"{self.entries} {self._hash.hexdigest()[:32]}"
 
 
 def canonical(value: Any) -> Any:
-    """Return a value as lists, texts and numbers that do not depend on identifiers."""
+    """Return a value as lists, strings and numbers that do not depend on identifiers."""
     if isinstance(value, enum.Enum):
         return canonical(value.value)
     if isinstance(value, _SCALARS):
@@ -116,10 +116,10 @@
 
 
 def _with_sorted_members(message: Any) -> Any:
-    """Return a poll's answer with its member rows sorted, any other message as it is.
+    """Return a `PollResponse` with its member rows sorted, and any other message unchanged.
 
-    A core notes its changed members in a set of texts, so that the order of these rows in the table
-    and in the message follows the interpreter's hash seed.
+    A core collects its changed members in a set of strings, so that the order of these rows in the
+    table and in the message depends on the interpreter's hash seed.
     """
     if not isinstance(message, PollResponse) or message.members is None:
         return message
@@ -130,8 +130,10 @@
 
 
 @contextlib.contextmanager
-def watched(owner: Any, method: Callable[..., Any], before: Callable[..., None]) -> Iterator[None]:
-    """Call `before` with the arguments of every call of a method of the class `owner`."""
+def calls_observed(
+    owner: Any, method: Callable[..., Any], before: Callable[..., None]
+) -> Iterator[None]:
+    """Patch a method of the class `owner` so that `before` is called first with its arguments."""
 
     def call(*arguments: Any, **named: Any) -> Any:
         before(*arguments, **named)
@@ -141,16 +143,16 @@
         yield
 
 
-def approved(section: str) -> dict[str, str]:
-    """Return the approved digests of a section by run."""
+def approved_digests(section: str) -> dict[str, str]:
+    """Return the approved digests of a section, by name of the run."""
     digests: dict[str, str] = orjson.loads(APPROVED.read_bytes())[section]
     return digests
 
 
-def differing(
+def differing_runs(
     section: str, runs: dict[str, Callable[[], str]], names: list[str] | None = None
 ) -> list[str]:
-    """Return the runs whose digest is not the approved one, all of them or those named."""
-    expected = approved(section)
+    """Return the runs whose digest is not the approved one; `names` selects runs, else all."""
+    expected = approved_digests(section)
     chosen = list(runs) if names is None else names
     return [name for name in chosen if runs[name]() != expected.get(name)]
--- a/tests/golden/decisions_of_cluster.py
+++ b/tests/golden/decisions_of_cluster.py
@@ -1,4 +1,4 @@
-"""Digests of the cluster simulator, of the claims over it, and of the explored registers."""
+"""Digests of the cluster simulator, of claims run on it, and of the register exploration."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 from unittest import mock
 
-from tests.golden.decision_log import DecisionLog, watched
+from tests.golden.decision_log import DecisionLog, calls_observed
 from zincvale.dataplane.claims.node_machine import ClaimsNode
 from zincvale.simulator.claims.run import ClaimsRun
 from zincvale.simulator.cluster.simulation import Simulation
@@ -22,22 +22,24 @@
 WALK_SEEDS = (1, 2, 3)
 
 
-def _watched_world(log: DecisionLog) -> Any:
-    """Note every effect of every process: who, when by the true and by its own clock, what."""
+def _effects_recorded(log: DecisionLog) -> Any:
+    """Record every effect with its process, the true time and the time of the process's clock."""
 
-    def carried_out(world: Simulation, process: Any, effect: Any, source: Any, inputs: Any) -> None:
-        came_through = source.member if source is not None else ""
+    def record_effect(
+        world: Simulation, process: Any, effect: Any, source: Any, inputs: Any
+    ) -> None:
+        source_member = source.member if source is not None else ""
         now = world.now
-        log.effect(effect, process.member, process.run, now, process.local(now), came_through)
+        log.effect(effect, process.member, process.run, now, process.local(now), source_member)
 
-    return watched(Simulation, Simulation._execute, carried_out)
+    return calls_observed(Simulation, Simulation._execute, record_effect)
 
 
 def cluster_digest(seed: int) -> str:
     log = DecisionLog()
     schedule = draw_schedule(seed)
     log.add("schedule", schedule)
-    with _watched_world(log):
+    with _effects_recorded(log):
         run = Run(schedule)
         log.add("outcome", run.execute())
     log.add("attempts", run.operators.attempts)
@@ -48,22 +50,22 @@
     log = DecisionLog()
     handle = ClaimsNode.handle
 
-    def watched_handle(node: ClaimsNode, event: Any, now: float) -> Any:
+    def recording_handle(node: ClaimsNode, event: Any, now: float) -> Any:
         effects = handle(node, event, now)
         for effect in effects:
             log.effect(effect, now)
         return effects
 
-    with _watched_world(log):
+    with _effects_recorded(log):
         run = ClaimsRun(seed)
-        with mock.patch.object(ClaimsNode, handle.__name__, watched_handle):
+        with mock.patch.object(ClaimsNode, handle.__name__, recording_handle):
             log.add("outcome", run.execute())
     log.add("runs", dict(run.callers.runs))
     return log.digest()
 
 
 def _explorer_digest(explore: Callable[[Explorer], Any]) -> str:
-    """Digest what was visited, and every message and flight in the order of its discovery."""
+    """Digest the result, and all messages and flights in the order of their discovery."""
     log = DecisionLog()
     explorer = Explorer()
     log.add("found", explore(explorer))
--- a/tests/golden/decisions_of_forwarding.py
+++ b/tests/golden/decisions_of_forwarding.py
@@ -1,4 +1,4 @@
-"""Digests of the forwarding model: what nodes send to servers and answer to callers, and when."""
+"""Digests of the forwarding model: requests to servers and responses to callers, with times."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import Any
 
-from tests.golden.decision_log import DecisionLog, watched
+from tests.golden.decision_log import DecisionLog, calls_observed
 from zincvale.simulator.forwarding.model import CallerSink, ForwardingModel
 from zincvale.simulator.forwarding.servers import ModelClient, ModelExchange
 
@@ -14,7 +14,7 @@
 
 
 @contextlib.contextmanager
-def _watched_edges(log: DecisionLog) -> Any:
+def _traffic_recorded(log: DecisionLog) -> Any:
     def started(client: Any, address: Any, incarnation: Any, request: Any, listener: Any) -> None:
         content = (request.method, request.target, request.headers, request.body)
         log.add("sent", client.node, address, incarnation, content, request.may_repeat)
@@ -32,18 +32,18 @@
         log.add("closed", sink._record.request_id, sink._loop.time(), ending)
 
     with (
-        watched(ModelClient, ModelClient.start, started),
-        watched(ModelExchange, ModelExchange.cancel, cancelled),
-        watched(CallerSink, CallerSink.open, opened),
-        watched(CallerSink, CallerSink.write, wrote),
-        watched(CallerSink, CallerSink._close, closed),
+        calls_observed(ModelClient, ModelClient.start, started),
+        calls_observed(ModelExchange, ModelExchange.cancel, cancelled),
+        calls_observed(CallerSink, CallerSink.open, opened),
+        calls_observed(CallerSink, CallerSink.write, wrote),
+        calls_observed(CallerSink, CallerSink._close, closed),
     ):
         yield
 
 
 def forwarding_digest(seed: int) -> str:
     log = DecisionLog()
-    with _watched_edges(log):
+    with _traffic_recorded(log):
         model = ForwardingModel(seed)
         model.play()
     log.add("callers", model.journal.callers)
--- a/tests/golden/decisions_of_placement.py
+++ b/tests/golden/decisions_of_placement.py
@@ -1,4 +1,4 @@
-"""Digests of placement: emulated fleets under every load, a hollow fleet, and what-if runs."""
+"""Digests of placement: emulated fleets under every load, hollow fleets, and what-if runs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import attrs
 
-from tests.golden.decision_log import DecisionLog, watched
+from tests.golden.decision_log import DecisionLog, calls_observed
 from zincvale.controlplane.directory.machine import DirectoryMachine
 from zincvale.controlplane.placement.config import PlacementConfig
 from zincvale.controlplane.placement.controller import PlacementController
@@ -46,25 +46,25 @@
 
 
 @contextlib.contextmanager
-def _watched_effects(log: DecisionLog, *machines: Any) -> Any:
-    """Note every effect that machines of these classes return, with the machine's time."""
+def _effects_recorded(log: DecisionLog, *machines: Any) -> Any:
+    """Record every effect that machines of these classes return, with the machine's time."""
     with contextlib.ExitStack() as stack:
         for machine in machines:
-            stack.enter_context(_watched_handle(log, machine))
+            stack.enter_context(_handle_recorded(log, machine))
         yield
 
 
 @contextlib.contextmanager
-def _watched_handle(log: DecisionLog, machine: Any) -> Any:
+def _handle_recorded(log: DecisionLog, machine: Any) -> Any:
     handle = machine.handle
 
-    def noting(self: Any, event: Any, now: float) -> Any:
+    def recording_handle(self: Any, event: Any, now: float) -> Any:
         effects = list(handle(self, event, now))
         for effect in effects:
             log.effect(effect, now)
         return effects
 
-    machine.handle = noting
+    machine.handle = recording_handle
     try:
         yield
     finally:
@@ -72,7 +72,7 @@
 
 
 def _load(name: str) -> Any:
-    """Return a load whose rare happenings come within the short run."""
+    """Return a load whose rare events are frequent enough to occur within the short run."""
     load = LOADS[name]
     return attrs.evolve(
         load,
@@ -91,7 +91,7 @@
     events = build_events(fleet, load, EMULATED_S, EMULATED_SEED + 2)
     log.add("scenario", fleet.items, fleet.stores, arrivals, events)
     config = PlacementConfig(day_s=load.day_s)
-    with _watched_effects(log, PlacementController):
+    with _effects_recorded(log, PlacementController):
         placed = make_policies(EMULATED_SEED, config)[policy](fleet)
         log.add("outcome", Emulator(fleet, arrivals, events).run(placed, EMULATED_S))
     log.add("journal", fleet.journal)
@@ -100,7 +100,7 @@
 
 def hollow_digest(servers: int) -> str:
     log = DecisionLog()
-    with _watched_effects(log, PlacementController):
+    with _effects_recorded(log, PlacementController):
         fleet = HollowFleet(servers, seed=1)
         fleet.start()
         fleet.run(HOLLOW_S)
@@ -124,8 +124,8 @@
         log.add("request", row)
 
     with (
-        _watched_effects(log, PlacementController, DirectoryMachine),
-        watched(FigureTable, FigureTable.completed, completed),
+        _effects_recorded(log, PlacementController, DirectoryMachine),
+        calls_observed(FigureTable, FigureTable.completed, completed),
     ):
         figures = VirtualFleet(scenario()).run()
     routes = [[name, route] for name, route in figures.routes.items()]
--- a/tests/golden/every_module.py
+++ b/tests/golden/every_module.py
@@ -1,4 +1,4 @@
-"""Imports every module of the package, so that every registration has run."""
+"""Imports every module of the package, so that everything that registers on import has done so."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def import_every_module() -> list[str]:
-    """Import all modules but programs (`__main__`); return their names."""
+    """Import all modules except `__main__` modules; return their names."""
     names = [
         module.name
         for module in pkgutil.walk_packages(zincvale.__path__, f"{zincvale.__name__}.")
@@ -21,5 +21,5 @@
 
 
 def is_own(kind: type) -> bool:
-    """Return whether a class is the package's own, not a test's."""
+    """Return whether a class is defined in the package, and not in a test."""
     return kind.__module__.partition(".")[0] == zincvale.__name__
--- a/tests/golden/golden_file.py
+++ b/tests/golden/golden_file.py
@@ -1,4 +1,4 @@
-"""Golden JSON files: read, or written anew when `ZINCVALE_APPROVE=1` is set."""
+"""Reads golden JSON files, and rewrites them when `ZINCVALE_APPROVE=1` is set."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def golden(name: str, current: Any = None) -> Any:
-    """Return what the golden file `name` holds; with ZINCVALE_APPROVE=1 write `current` first."""
+    """Return the content of a golden file; with ZINCVALE_APPROVE=1, write `current` to it first."""
     path = FOLDER / name
     if current is not None and os.environ.get(APPROVE_VARIABLE) == "1":
         text = json.dumps(current, indent=1, sort_keys=True, ensure_ascii=True)
--- a/tests/golden/message_samples.py
+++ b/tests/golden/message_samples.py
@@ -1,9 +1,9 @@
-"""Samples of messages, rows and declared types, built from annotations alone.
+"""Builds samples of messages, rows and declared types from their annotations.
 
-The values depend on the positions of fields only, never on names of classes or fields: a changed
-number or type of fields changes the bytes of a sample, a changed name does not. Two fields of one
-type that change places are not seen in a sample, since only their names tell them apart; for
-messages `docs/schemas.json` holds their order.
+The values depend only on the positions of fields, never on names of classes or fields: a changed
+number or type of fields changes the bytes of a sample, a changed name does not. A sample does not
+show that two fields of one type were swapped, since only their names differ; for messages,
+`docs/schemas.json` records the order.
 """
 
 from __future__ import annotations
@@ -59,9 +59,9 @@
         return record_class(**{field.alias: self.build(hints[field.name]) for field in fields})
 
     def _declared(self, kind: type) -> Any:
-        """Return a declared type; a minimal one has its defaults where there are any.
+        """Return a sample of a declared type; a minimal one uses the defaults of its fields.
 
-        Checks of values are passed over: only names, order and types of the fields matter here.
+        Validation is skipped: only the names, order and types of the fields matter here.
         """
         hints = typing.get_type_hints(kind)
         sample = object.__new__(kind)
--- a/tests/golden/one_core.py
+++ b/tests/golden/one_core.py
@@ -1,4 +1,4 @@
-"""One core on a real data folder, in virtual time: what it writes depends on its inputs alone."""
+"""Runs one core on a real data folder in virtual time; its files depend only on its inputs."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 CORE = MemberId("core-1")
 DOCUMENT_KEY = "document"
 TICK_S = 0.05
-LONGEST_WAIT_TICKS = 400
+MAX_WAIT_TICKS = 400
 OPERATOR_TOKEN = "operator"
-FIRST = InitialCore(CORE, Address("10.0.0.1:70"), Address("10.0.0.1:71"), ZoneName("zone-é"))
+INITIAL_CORE = InitialCore(CORE, Address("10.0.0.1:70"), Address("10.0.0.1:71"), ZoneName("zone-é"))
 
 
 class OneCore:
@@ -43,8 +43,8 @@
     Parameters
     ----------
     folder : the data folder.
-    incarnation : of this start.
-    seed : of the core's random source.
+    incarnation : identifier of this start of the core.
+    seed : seed of the core's random source.
     """
 
     def __init__(self, folder: Path, incarnation: str, seed: int) -> None:
@@ -62,30 +62,30 @@
             cluster_id=CLUSTER,
             member=CORE,
             incarnation=incarnation,
-            zone=FIRST.zone,
+            zone=INITIAL_CORE.zone,
             region="region-1",
-            api_address=FIRST.api_address,
-            peer_address=FIRST.peer_address,
+            api_address=INITIAL_CORE.api_address,
+            peer_address=INITIAL_CORE.peer_address,
             bootstrap=True,
-            initial_cores=(FIRST,),
+            initial_cores=(INITIAL_CORE,),
             roles=("planner",),
             group_size=1,
         )
         self.machine = CoreMachine(config, self.recovered, reducers, source, self.now)
 
     def change(self, key: str, order_id: str, base: int | None, body: bytes) -> Any:
-        """Send a change until it is decided; return the answer."""
+        """Send a change and run the core until it replies; return the reply."""
         self._replies.clear()
         order = ProposeChange(key, order_id, base, body)
         self._feed(CallReceived(CORE, OPERATOR_TOKEN, order))
-        for _ in range(LONGEST_WAIT_TICKS):
+        for _ in range(MAX_WAIT_TICKS):
             if self._replies:
                 return self._replies[0]
             self.tick()
-        raise AssertionError(f"no answer to {order_id}")
+        raise AssertionError(f"no reply to {order_id}")
 
     def tick(self, count: int = 1) -> None:
-        """Let the core run for some ticks."""
+        """Run the core for `count` ticks."""
         for _ in range(count):
             self.now += TICK_S
             self._feed(Tick())
@@ -97,9 +97,9 @@
         self._queue.append(event)
         while self._queue:
             for effect in self.machine.handle(self._queue.popleft(), self.now):
-                self._carry_out(effect)
+                self._execute(effect)
 
-    def _carry_out(self, effect: Any) -> None:
+    def _execute(self, effect: Any) -> None:
         match effect:
             case Write(token, key, number, content):
                 error = self.files.write(key, number, content)
--- a/tests/golden/stored_orders.py
+++ b/tests/golden/stored_orders.py
@@ -1,8 +1,8 @@
-"""The orders that the golden data folder was written by.
+"""The orders that produced the golden data folder.
 
-Their bodies stand in a data file, out of reach of whatever rewrites names in code. `python -m
-tests.golden.stored_orders FOLDER` writes the folder anew; the committed one is not to be replaced
-unless the stored form is meant to change.
+Their bodies are kept in a data file, so that renaming in the code does not change them. `python -m
+tests.golden.stored_orders FOLDER` writes a new folder; replace the committed one only when the
+stored format is meant to change.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
 
 
 def read_orders(part: str) -> list[tuple[str, str, int | None, bytes]]:
-    """Return key, order id, base version and body of the orders in a part of the file."""
+    """Return key, order id, base version and body of the orders under `part` in the file."""
     listed = json.loads(ORDERS_FILE.read_text(encoding="utf-8"))[part]
     return [(key, order_id, base, body.encode()) for key, order_id, base, body in listed]
 
 
 def send_orders(core: OneCore, part: str) -> list[list[Any]]:
-    """Send orders one by one; return the values of their answers, without field names."""
+    """Send orders one by one; return the field values of their replies, without field names."""
     return [list(attrs.astuple(core.change(*order))) for order in read_orders(part)]
 
 
 def write_folder(folder: Path) -> list[list[Any]]:
-    """Write the data folder anew; return the answers."""
+    """Write a new data folder; return the replies."""
     core = OneCore(folder, FIRST_INCARNATION, SEED)
-    answers = send_orders(core, "first")
+    replies = send_orders(core, "first")
     core.tick(TICKS_AFTER)
-    return answers
+    return replies
 
 
 if __name__ == "__main__":
--- a/tests/golden/test_decision_digests.py
+++ b/tests/golden/test_decision_digests.py
@@ -1,4 +1,4 @@
-"""What a digest depends on, and what not."""
+"""Digests of decisions depend on values and their order, and not on identifiers."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 
 class DecisionDigestsTest(testtools.TestCase):
-    def test_names_of_classes_and_fields_do_not_count(self):
+    def test_names_of_classes_and_fields_do_not_change_a_digest(self):
         self.assertEqual(digest(Pair(1, Colour.RED)), digest(RenamedPair(1, "red")))
 
-    def test_values_and_their_order_count(self):
+    def test_values_and_their_order_change_a_digest(self):
         digests = {
             digest(Pair(1, 2)),
             digest(Pair(2, 1)),
@@ -51,16 +51,18 @@
         }
         self.assertEqual(8, len(digests))
 
-    def test_sets_count_sorted(self):
+    def test_sets_are_hashed_in_sorted_order(self):
         names = [f"name-{number}" for number in range(20)]
         self.assertEqual(canonical(sorted(names)), canonical(frozenset(names)))
 
-    def test_names_of_log_fields_do_not_count_but_numbers_and_values_do(self):
+    def test_numbers_and_values_of_log_events_change_a_digest_but_field_names_do_not(self):
         self.assertEqual(digest(Log(7, {"a": 1})), digest(Log(7, {"b": 1})))
         self.assertNotEqual(digest(Log(7, {"a": 1})), digest(Log(8, {"a": 1})))
         self.assertNotEqual(digest(Log(7, {"a": 1})), digest(Log(7, {"a": 2})))
 
-    def test_a_value_without_a_form_fails_the_digest_even_when_swallowed(self):
+    def test_the_digest_fails_after_a_value_without_canonical_form(
+        self,
+    ):
         log = DecisionLog()
         self.assertRaises(TypeError, log.add, "entry", object())
         self.assertRaises(TypeError, log.digest)
--- a/tests/golden/test_message_bytes.py
+++ b/tests/golden/test_message_bytes.py
@@ -1,4 +1,4 @@
-"""Every message between daemons keeps its wire name and its bytes."""
+"""Every message between daemons keeps its wire name and its encoded bytes."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 
 def own_messages() -> dict[str, type]:
-    """Return the package's messages by wire name."""
+    """Return the package's message classes by wire name."""
     import_every_module()
     return {name: kind for name, kind in sorted(message_classes().items()) if is_own(kind)}
 
 
 def samples(kind: type) -> list[Any]:
-    """Return a minimal sample and one with everything filled."""
+    """Return a minimal sample, and one with every field filled."""
     return [SampleBuilder(full).build(kind) for full in (False, True)]
 
 
 def current_bytes() -> dict[str, list[str]]:
-    """Return the encoded samples of today's classes, as hexadecimal text."""
+    """Return the encoded samples of the present classes, as hexadecimal text."""
     return {
         name: [encode_message(sample).hex() for sample in samples(kind)]
         for name, kind in own_messages().items()
@@ -48,7 +48,7 @@
 
 
 class MessageBytesTest(testtools.TestCase):
-    def test_names_and_bytes_are_the_golden_ones(self) -> None:
+    def test_wire_names_and_encoded_bytes_match_the_golden_file(self) -> None:
         current = current_bytes()
         expected = golden(GOLDEN, current)
         self.assertThat(sorted(current), Equals(sorted(expected)))
@@ -64,7 +64,7 @@
 
 
 class BatchBytesTest(testtools.TestCase):
-    def test_the_envelope_keeps_its_bytes(self) -> None:
+    def test_encoded_batches_match_the_golden_file(self) -> None:
         messages = [each for kind in own_messages().values() for each in samples(kind)]
         batch = Batch("cluster-é", "core-1", "0011aabb", messages)
         empty = Batch("", "", "", [])
@@ -76,7 +76,7 @@
 
 
 class CompressionTest(testtools.TestCase):
-    """The compressor's own bytes belong to zlib's build; only what peers rely on is held."""
+    """Compressed bytes depend on the build of zlib; only what peers rely on is checked."""
 
     def test_a_golden_compressed_body_expands(self) -> None:
         self.assertThat(decompress(COMPRESSED), Equals(BODY))
--- a/tests/golden/test_report_bytes.py
+++ b/tests/golden/test_report_bytes.py
@@ -1,4 +1,4 @@
-"""Traces, schedules and reports: texts and JSON that take words from names in the code."""
+"""Traces, schedules and reports keep the words that they derive from identifiers."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 class RootSpan:
-    """Takes the events of a request's root span."""
+    """Records the events of a request's root span."""
 
     def __init__(self) -> None:
         self.events: list[tuple[str, dict[str, Any]]] = []
 
     def event(self, name: str, **attributes: Any) -> None:
-        """Keep an event."""
+        """Record an event."""
         self.events.append((name, attributes))
 
 
@@ -49,7 +49,7 @@
 
 
 def recorded_claims() -> list[tuple[str, dict[str, Any]]]:
-    """Return the events that the decisions on a claim leave in a trace, in declared order."""
+    """Return the trace events of all decisions on a claim, in the order of declaration."""
     root = RootSpan()
     record = RequestTrace(typing.cast(Any, None), typing.cast(Any, root))
     for kind in typing.get_args(ClaimDecision):
@@ -57,26 +57,26 @@
     return root.events
 
 
-def told(events: list[Any]) -> str:
-    """Return what `trace why` tells of a root span with these events."""
+def explanation_of(events: list[Any]) -> str:
+    """Return the output of `trace why` for a root span with these events."""
     span = attrs.evolve(full(Span), parent_id="", name="request", failure="", attributes={})
     plain = span.to_json()
     plain["events"] = [
         {"name": name, "offset_s": float(index), "attributes": attributes}
         for index, (name, attributes) in enumerate(events)
     ]
-    trace = RetainedTrace(**{**_kept_fields(), "request_id": "r"}).summary()
+    trace = RetainedTrace(**{**_required_fields(), "request_id": "r"}).summary()
     return explain({"state": "kept", **trace, "spans": [plain]})
 
 
-def _kept_fields() -> dict[str, Any]:
+def _required_fields() -> dict[str, Any]:
     sample = SampleBuilder(False).build(RetainedTrace)
     fields = [each for each in attrs.fields(RetainedTrace) if each.init]
     return {each.alias: getattr(sample, each.name) for each in fields}
 
 
 def schedule_text(schedule: Schedule) -> str:
-    """Return the file of a schedule."""
+    """Return the content of the file of a schedule."""
     with tempfile.TemporaryDirectory() as holder:
         path = Path(holder) / "schedule.json"
         write_schedule(schedule, path)
@@ -84,7 +84,7 @@
 
 
 def reports() -> dict[str, Any]:
-    """Return each body under what it is called outside."""
+    """Return each stored or printed body by its external name."""
     evidence, bodies = encode_chunks([full(TraceChunk), full(TraceChunk)])
     return {
         "trace chunks": [evidence.decode(), bodies.hex()],
@@ -98,7 +98,7 @@
 
 
 class ReportBytesTest(testtools.TestCase):
-    def test_bodies_have_the_golden_bytes(self) -> None:
+    def test_bodies_match_the_golden_file(self) -> None:
         current = reports()
         expected = golden(REPORTS, current)
         self.assertThat(sorted(current), Equals(sorted(expected)))
@@ -112,15 +112,15 @@
 
 
 class ClaimWordsTest(testtools.TestCase):
-    """A trace names a decision by its class: these words are stored, sent and shown."""
+    """A trace names a decision by its class, and the name is stored, sent and shown."""
 
-    def test_decisions_leave_the_golden_words(self) -> None:
+    def test_trace_events_of_claim_decisions_match_the_golden_file(self) -> None:
         words = [[name, sorted(attributes.items())] for name, attributes in recorded_claims()]
-        current = {"events": words, "told": told(recorded_claims())}
+        current = {"events": words, "told": explanation_of(recorded_claims())}
         expected = golden(CLAIMS, current)
         self.assertThat(orjson.loads(orjson.dumps(current)), Equals(expected))
 
-    def test_golden_events_are_told_as_before(self) -> None:
+    def test_golden_events_are_explained_in_the_golden_words(self) -> None:
         expected = golden(CLAIMS)
         events = [(name, dict(attributes)) for name, attributes in expected["events"]]
-        self.assertThat(told(events), Equals(expected["told"]))
+        self.assertThat(explanation_of(events), Equals(expected["told"]))
--- a/tests/golden/test_row_bytes.py
+++ b/tests/golden/test_row_bytes.py
@@ -1,7 +1,7 @@
 """Rows, declared types and JSON bodies whose keys come from attribute names keep their bytes.
 
-The golden files hold no class name: rows stand under what they are called on the wire or on disk,
-declared types under the table they are declared in, or sorted by their text.
+The golden files contain no class names: rows are listed by their name on the wire or on disk,
+declared types by the table that they are declared in, or sorted by their text.
 """
 
 from __future__ import annotations
@@ -70,12 +70,12 @@
 
 
 def minimal(kind: Any) -> Any:
-    """Return a sample of a type with what it cannot do without."""
+    """Return a sample of a type with only its required fields filled."""
     return SampleBuilder(False).build(kind)
 
 
-def both(kind: Any, encode: Callable[[Any], bytes]) -> list[str]:
-    """Return the bytes of both samples as text."""
+def encoded_samples(kind: Any, encode: Callable[[Any], bytes]) -> list[str]:
+    """Return the encoded minimal and full samples as text."""
     return [encode(sample(kind)).decode() for sample in (minimal, full)]
 
 
@@ -85,13 +85,13 @@
 
 
 def intent_rows() -> dict[str, str]:
-    """Return a row of every kind, with every field written out."""
+    """Return an encoded row of every kind of resource, with every field filled."""
     tables = full(Intent)
     return {row: content.decode() for row, content in sorted(encode_intent(tables).items())}
 
 
 def document_items() -> dict[str, str]:
-    """Return the rows of a route, a pool and the limits with every field."""
+    """Return the document rows of a route, a pool and the limits, with every field filled."""
     kinds = {"route/r": ForwardRoute, "pool/p": ForwardPool, "limits": CallerLimits}
     return {
         row: encode_item(7, full(kind).to_dict(), {"as": "written"}).decode()
@@ -100,38 +100,38 @@
 
 
 def rows() -> dict[str, Any]:
-    """Return every row and body, under what it is called outside."""
+    """Return every row and body by its external name."""
     info, config = full(MemberInfo), full(ReplicaConfig)
     node = attrs.evolve(info, role=Role.NODE.value)
     snapshot = encode_snapshot(full(StoredKeyState))
     delta = encode_delta(full(Epoch), full(RecordUpdate))
     return {
-        "core/": both(CoreRow, encode_core),
-        "group/": both(ReplicaConfig, encode_group),
-        "key/": both(KeyRow, encode_key),
+        "core/": encoded_samples(CoreRow, encode_core),
+        "group/": encoded_samples(ReplicaConfig, encode_group),
+        "key/": encoded_samples(KeyRow, encode_key),
         "op join": join_change(info, "disk").decode(),
         "op replace": replace_change("a", "b").decode(),
         "op keys": keys_change(config.replicas).decode(),
-        "registry": both(registry.RegistryRow, registry.encode_row),
+        "registry": encoded_samples(registry.RegistryRow, registry.encode_row),
         "registry open": registry.open_change([info], ["n"]).decode(),
         "registry close": registry.close_change().decode(),
         "members": encode_member(node, True).decode(),
-        "directory": both(ServerRow, encode_server_row),
-        "moves": both(Move, lambda move: encode_move(move, OFFSET_S)),
+        "directory": encoded_samples(ServerRow, encode_server_row),
+        "moves": encoded_samples(Move, lambda move: encode_move(move, OFFSET_S)),
         "file S": snapshot.hex(),
         "file D": delta.hex(),
         "intent": intent_rows(),
         "document": document_items(),
-        "document change": both(DocumentChange, encode_change),
-        "span": both(Span, span_body),
-        "span json": both(Span, lambda span: orjson.dumps(span.to_json())),
-        "estimate json": both(Estimate, lambda each: orjson.dumps(each.to_json())),
-        "condition json": both(Condition, lambda each: orjson.dumps(each.to_json())),
+        "document change": encoded_samples(DocumentChange, encode_change),
+        "span": encoded_samples(Span, span_body),
+        "span json": encoded_samples(Span, lambda span: orjson.dumps(span.to_json())),
+        "estimate json": encoded_samples(Estimate, lambda each: orjson.dumps(each.to_json())),
+        "condition json": encoded_samples(Condition, lambda each: orjson.dumps(each.to_json())),
     }
 
 
 class RowBytesTest(testtools.TestCase):
-    def test_rows_have_the_golden_bytes(self) -> None:
+    def test_rows_match_the_golden_file(self) -> None:
         current = rows()
         expected = golden(ROWS, current)
         self.assertThat(sorted(current), Equals(sorted(expected)))
@@ -192,7 +192,7 @@
         }
         self.assertThat(again, Equals(texts))
 
-    def test_golden_files_decode_to_the_same_state(self) -> None:
+    def test_a_golden_snapshot_decodes_to_the_same_state(self) -> None:
         snapshot = bytes.fromhex(golden(ROWS)["file S"])
         state, sample = decode_chain([snapshot]), full(StoredKeyState)
         self.assertThat(state.promised, Equals(sample.promised))
@@ -210,7 +210,7 @@
         self.assertThat(state.promised, Equals(full(Epoch)))
         self.assertThat(state.record.position, Equals(full(RecordUpdate).position))
 
-    def test_the_member_row_decodes_to_its_member(self) -> None:
+    def test_the_golden_member_row_decodes_to_its_member(self) -> None:
         row = decode_member("m", golden(ROWS)["members"].encode())
         shown = [row.role.value, row.zone, row.api_address, row.peer_address, row.incarnation]
         self.assertThat([*shown, row.ready], Equals(orjson.loads(golden(ROWS)["members"])))
@@ -220,14 +220,14 @@
 
 
 class DeclaredTypesTest(testtools.TestCase):
-    """Types read from files and bodies: names, order and defaults of their fields."""
+    """Types that are read from files and request bodies keep their fields and defaults."""
 
-    def test_declared_types_have_the_golden_fields_and_defaults(self) -> None:
+    def test_fields_and_defaults_of_declared_types_match_the_golden_file(self) -> None:
         import_every_module()
         current = sorted(_text_of(kind) for kind in _declared_types())
         self.assertThat(current, Equals(golden(DECLARED, current)))
 
-    def test_journal_rows_have_the_golden_fields(self) -> None:
+    def test_fields_of_journal_rows_match_the_golden_file(self) -> None:
         current = {event: list(attrs.fields_dict(kind)) for event, kind in ROW_BY_EVENT.items()}
         self.assertThat(current, Equals(golden(JOURNAL, current)))
 
@@ -243,6 +243,6 @@
 
 
 def _text_of(kind: type[Checked]) -> str:
-    """Return both samples as JSON, in the order of their fields."""
+    """Return the minimal and the full sample of a type as JSON, in the order of the fields."""
     plain = [sample(kind).to_dict() for sample in (minimal, full)]
     return orjson.dumps(plain).decode()
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -1,4 +1,4 @@
-"""A data folder of an earlier build opens with the same content, answers and service."""
+"""A core opens the data folder of an earlier build with the same content, and serves from it."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def values_of(core: OneCore) -> dict[str, list[Any]]:
-    """Return version and rows of the keys that operators change."""
+    """Return the version and the rows of each key that operators change."""
     values = {}
     for key in VALUE_KEYS:
         view = core.machine.value(key)
@@ -49,15 +49,15 @@
         self.addCleanup(holder.cleanup)
         self.folder = Path(holder.name) / "data"
 
-    def reopened(self) -> OneCore:
-        """Return a core on a copy of the golden folder, after its start."""
+    def core_on_golden_folder(self) -> OneCore:
+        """Return a core that has started on a copy of the golden folder."""
         if not self.folder.exists():
             shutil.copytree(GOLDEN_FOLDER, self.folder)
         core = OneCore(self.folder, SECOND_INCARNATION, SEED)
         core.tick(START_TICKS)
         return core
 
-    def test_the_same_orders_write_the_golden_files(self) -> None:
+    def test_the_stored_orders_produce_the_golden_folder(self) -> None:
         answers = write_folder(self.folder)
         self.assertThat(answers, Equals(golden(ANSWERS, answers)))
         self.assertThat(files_of(self.folder), Equals(files_of(GOLDEN_FOLDER)))
@@ -69,14 +69,14 @@
         marks = {path.read_bytes()[8:9] for path in (GOLDEN_FOLDER / "keys").rglob("0*")}
         self.assertThat(marks, Equals({b"S", b"D"}))
 
-    def test_the_golden_folder_opens_with_its_values(self) -> None:
-        core = self.reopened()
+    def test_a_core_reads_the_golden_values_from_the_golden_folder(self) -> None:
+        core = self.core_on_golden_folder()
         self.assertThat(core.recovered.damaged, Equals({}))
         values = values_of(core)
         self.assertThat(values, Equals(golden(VALUES, values)))
 
-    def test_an_order_sent_again_has_its_first_answer(self) -> None:
-        core = self.reopened()
+    def test_an_order_sent_again_gets_its_first_reply(self) -> None:
+        core = self.core_on_golden_folder()
         before = values_of(core)
         first = golden(ANSWERS)
         again = send_orders(core, "first")
@@ -85,8 +85,8 @@
         self.assertThat([new[0] for new in again], Equals([old[0] for old in first]))
         self.assertThat(values_of(core), Equals(before))
 
-    def test_further_orders_take_effect_and_last(self) -> None:
-        core = self.reopened()
+    def test_further_orders_take_effect_and_survive_a_restart(self) -> None:
+        core = self.core_on_golden_folder()
         before = values_of(core)
         answers = send_orders(core, "further")
         self.assertThat([answer[0] for answer in answers], Equals([IN_FORCE] * len(answers)))
@@ -95,10 +95,10 @@
         )
         after = values_of(core)
         self.assertThat(after, Not(Equals(before)))
-        self.assertThat(values_of(self.reopened()), Equals(after))
+        self.assertThat(values_of(self.core_on_golden_folder()), Equals(after))
 
-    def test_another_body_under_a_used_order_id_is_not_taken_for_it(self) -> None:
-        core = self.reopened()
+    def test_another_body_under_a_used_order_id_is_refused(self) -> None:
+        core = self.core_on_golden_folder()
         before = values_of(core)
         key, order_id, _, _ = read_orders("first")[0]
         body = read_orders("further")[0][3]
@@ -106,11 +106,11 @@
         self.assertThat(answer.status, Equals("invalid"))
         self.assertThat(values_of(core), Equals(before))
 
-    def test_a_torn_older_file_is_quarantined_and_costs_nothing(self) -> None:
+    def test_a_torn_older_file_is_quarantined_without_loss_of_data(self) -> None:
         shutil.copytree(GOLDEN_FOLDER, self.folder)
         whole = (self.folder / "keys" / "intent" / "000000000001").read_bytes()
         (self.folder / "keys" / "intent" / "000000000000").write_bytes(whole[:TORN_BYTES])
-        core = self.reopened()
+        core = self.core_on_golden_folder()
         self.assertThat(core.recovered.damaged, Equals({}))
         self.assertThat(
             files_of(self.folder / "quarantine"),
@@ -119,11 +119,11 @@
         self.assertThat([number for number, _ in core.logs], Equals([log_events.FILE_QUARANTINED]))
         self.assertThat(values_of(core), Equals(golden(VALUES)))
 
-    def test_a_torn_newest_file_costs_the_folder_its_identity(self) -> None:
+    def test_a_torn_newest_file_quarantines_all_keys_of_the_folder(self) -> None:
         shutil.copytree(GOLDEN_FOLDER, self.folder)
         newest = max((self.folder / "keys" / "document").iterdir())
         newest.write_bytes(newest.read_bytes()[:TORN_BYTES])
-        core = self.reopened()
+        core = self.core_on_golden_folder()
         self.assertThat(core.recovered.damaged["document"], Contains("torn"))
         self.assertThat(core.recovered.keys, Equals({}))
         moved = files_of(self.folder / "quarantine")
--- a/tests/golden/test_surfaces.py
+++ b/tests/golden/test_surfaces.py
@@ -1,4 +1,4 @@
-"""What operators and their programs see: help, exit codes, metrics, numbers, settings, errors."""
+"""Interfaces that operators and their programs use: help, exit codes, metrics, settings, errors."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def run_program(program: Callable[[], Any], *arguments: str) -> str:
-    """Run a program's `main`; return what it printed and its exit code."""
+    """Run a program's `main`; return its command line, output and exit code as text."""
     out, err = io.StringIO(), io.StringIO()
     code: Any = 0
     with (
@@ -61,13 +61,13 @@
 
 
 def commands_of(group: Any) -> list[str]:
-    """Return the names that the command line makes of a group."""
+    """Return the names of the commands in a group."""
     names = [name for name in dir(group) if not name.startswith("_")]
     return [name for name in names if inspect.isroutine(getattr(group, name))]
 
 
 def groups_of(program: Any) -> list[str]:
-    """Return the names of the groups of commands."""
+    """Return the names of a program's groups of commands."""
     members = inspect.getmembers(type(program), lambda each: isinstance(each, property))
     return sorted(name for name, _ in members)
 
@@ -99,7 +99,7 @@
             parts.append(run_program(standins_main.main, command, "--help"))
         self.verify("help_stand_ins", *parts)
 
-    def test_wrong_usage_has_its_texts_and_exit_codes(self) -> None:
+    def test_texts_and_exit_codes_of_wrong_usage_are_as_approved(self) -> None:
         lines = [
             ("no-such-command",),
             ("get",),
@@ -118,7 +118,7 @@
 
 
 class MetricsTest(testtools.TestCase):
-    def test_metrics_of_a_node_have_their_names_labels_and_help(self) -> None:
+    def test_names_labels_and_help_of_node_metrics_are_as_approved(self) -> None:
         metrics = Metrics()
         service = TracingService(
             MemberId("node-1"), random.Random(1), lambda: 0.0, lambda: 0.0, lambda to, message: None
@@ -137,26 +137,26 @@
 
 
 class NumbersTest(testtools.TestCase):
-    def test_log_events_have_their_numbers(self) -> None:
+    def test_numbers_of_log_events_match_the_golden_file(self) -> None:
         import_every_module()
         numbers = [event.number for event in declared_events()]
         self.assertThat(numbers, Equals(golden(NUMBERS, numbers)))
 
-    def test_errors_have_their_codes(self) -> None:
+    def test_kinds_statuses_and_exit_codes_of_errors_match_the_golden_file(self) -> None:
         import_every_module()
         current = sorted(_error_codes(kind) for kind in _error_types())
         self.assertThat(current, Equals(golden(ERRORS, current)))
 
-    def test_policies_have_their_names(self) -> None:
+    def test_names_of_policies_match_the_golden_file(self) -> None:
         defaults = {kind.value: list(names) for kind, names in DEFAULT_SCORERS.items()}
         current = {"known": policy_names(), "default": defaults}
         self.assertThat(current, Equals(golden(POLICIES, current)))
 
 
 class SettingsTest(testtools.TestCase):
-    """Files in `settings/` are read as they are; `declared_types.json` holds all defaults."""
+    """Settings files in `settings/`; all defaults are compared in `declared_types.json`."""
 
-    def test_settings_files_are_read_or_refused_as_before(self) -> None:
+    def test_settings_files_are_read_or_refused_as_approved(self) -> None:
         parts = [_read_settings(path) for path in sorted(SETTINGS.glob("*.yaml"))]
         approval.verify(self, APPROVED, "settings", "\n".join(parts))
 
@@ -172,10 +172,10 @@
 
 
 def _is_named(kind: type) -> bool:
-    """Return whether the class is the one that its module names.
+    """Return whether the class is the one that its module defines under its name.
 
-    `attrs` makes a slotted class anew; the one it replaced stays among the subclasses until the
-    collector of cycles ran.
+    `attrs` replaces a class by a new one with slots; the old one remains among the subclasses until
+    the garbage collector has run.
     """
     return getattr(sys.modules[kind.__module__], kind.__name__, None) is kind
 
@@ -191,7 +191,7 @@
 
 
 def _read_settings(path: Path) -> str:
-    """Return the settings in a file as JSON, or the refusal, without the folder's name."""
+    """Return the settings in a file as JSON, or the error, without the name of the folder."""
     with tempfile.TemporaryDirectory() as holder, contextlib.chdir(holder):
         Path(path.name).write_bytes(path.read_bytes())
         try:
--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -1,8 +1,8 @@
-"""Reads KNOWN-RED.txt: tests that fail because of a fault that is known and not mended yet.
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a known fault.
 
-An entry begins with the id of a test, or the file of a day played on the users' bench, at the start
-of a line; the indented lines after it tell the command and seed, what was seen and the open issue.
-Empty lines and lines that begin with `#` are skipped.
+An entry begins with a test id, or with the file of a played day, at the start of a line. The
+indented lines after it give the command and seed, what was seen and the open issue. Empty lines and
+lines that begin with `#` are skipped.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def read_known_failures() -> dict[str, str]:
-    """Return the entries of the repository's file; none when there is no file."""
+    """Return the entries of the repository's KNOWN-RED.txt, or none when it does not exist."""
     if not KNOWN_FAILURES.exists():
         return {}
     return known_failures(KNOWN_FAILURES.read_text(encoding="utf-8"))
