--- a/src/zincvale/bench/tracing_bench.py
+++ b/src/zincvale/bench/tracing_bench.py
@@ -219,14 +219,16 @@
     failed = []
 
     def request() -> None:
-        trace_id, is_error = trace_request(fleet, fleet.pick(), RequestMix(0.25), source)
+        trace_id, is_error = trace_request(fleet, fleet.pick_service(), RequestMix(0.25), source)
         if is_error:
             failed.append(trace_id)
 
     for number in range(int(60 * per_second)):
-        fleet.at(begin + number / per_second, request)
+        fleet.run_at(begin + number / per_second, request)
     if crashed:
-        fleet.at(begin + 30.0 + source.random(), lambda: fleet.crash(fleet.pick().member_id))
+        fleet.run_at(
+            begin + 30.0 + source.random(), lambda: fleet.crash(fleet.pick_service().member_id)
+        )
     fleet.run_until(begin + 200.0)
     return sum(fleet.is_retained_anywhere(trace_id) for trace_id in failed), len(failed)
 
--- a/src/zincvale/bench/tracing_fleet.py
+++ b/src/zincvale/bench/tracing_fleet.py
@@ -59,25 +59,25 @@
         """Start `count` nodes and deliver the member table to them."""
         for number in range(1, count + 1):
             self._start_service(MemberId(f"node-{number}"))
-        self.announce()
+        self.publish_members()
 
     def join(self, member: MemberId) -> None:
         """Start another node, or restart a crashed one with an empty memory."""
         self._start_service(member)
-        self.announce()
+        self.publish_members()
 
     def crash(self, member: MemberId) -> None:
         """Crash a node, with the loss of its traces; the others learn of it `DETECTION_S` later."""
         del self.services[member]
-        self.at(self.now + DETECTION_S, self.announce)
+        self.run_at(self.now + DETECTION_S, self.publish_members)
 
     def leave(self, member: MemberId, drain_s: float) -> None:
         """Stop a node gracefully: it hands over its traces and is removed after `drain_s`."""
         self.services[member].leave()
         self.leaving.add(member)
-        self.at(self.now + drain_s, lambda: self._remove(member))
+        self.run_at(self.now + drain_s, lambda: self._remove(member))
 
-    def announce(self) -> None:
+    def publish_members(self) -> None:
         """Deliver the member table to every node."""
         self._membership_version += 1
         rows = {member: self._row(member) for member in self.services}
@@ -85,7 +85,7 @@
         for service in list(self.services.values()):
             service.apply_members(members)
 
-    def at(self, time: float, action: Callable[[], None]) -> None:
+    def run_at(self, time: float, action: Callable[[], None]) -> None:
         """Run `action` at a virtual time."""
         self._event_count += 1
         heapq.heappush(self._events, (time, self._event_count, action))
@@ -97,7 +97,7 @@
             action()
         self.now = end
 
-    def pick(self) -> TracingService:
+    def pick_service(self) -> TracingService:
         """Return a randomly drawn service that takes requests."""
         return self.services[self._random.choice(sorted(set(self.services) - self.leaving))]
 
@@ -117,11 +117,11 @@
             self.config,
         )
         self.services[member] = service
-        self.at(self.now + TICK_S * self._random.random(), lambda: self._tick(member, service))
+        self.run_at(self.now + TICK_S * self._random.random(), lambda: self._tick(member, service))
 
     def _remove(self, member: MemberId) -> None:
         self.services.pop(member, None)
-        self.announce()
+        self.publish_members()
 
     def _row(self, member: MemberId) -> MemberRow:
         return MemberRow(
@@ -137,7 +137,7 @@
         if self.services.get(member) is not service:
             return
         service.tick(self.now)
-        self.at(self.now + TICK_S, lambda: self._tick(member, service))
+        self.run_at(self.now + TICK_S, lambda: self._tick(member, service))
 
     def _send_if_running(self, service: TracingService, to: MemberId, message: Any) -> None:
         # Requests of a crashed node still end in this process, but it must send no messages.
@@ -149,7 +149,7 @@
             self.lost_messages += 1
             return
         transformed = self.transform_message(message)
-        self.at(self.now + DELAY_S, lambda: self._deliver(sender, to, transformed))
+        self.run_at(self.now + DELAY_S, lambda: self._deliver(sender, to, transformed))
 
     def _deliver(self, sender: MemberId, to: MemberId, message: Any) -> None:
         service = self.services.get(to)
@@ -191,5 +191,5 @@
         root.set("outcome", "unknown" if is_error else "answered")
         root.end()
 
-    fleet.at(fleet.now + mix.duration_s, finish)
+    fleet.run_at(fleet.now + mix.duration_s, finish)
     return root.context.trace_id, is_error
--- a/tests/tracing/test_fleet.py
+++ b/tests/tracing/test_fleet.py
@@ -29,15 +29,15 @@
         draw = random.Random(seed)
 
         def request():
-            trace_id, is_error = trace_request(self.fleet, self.fleet.pick(), ERRORS, draw)
+            trace_id, is_error = trace_request(self.fleet, self.fleet.pick_service(), ERRORS, draw)
             if is_error:
                 self.failed.append(trace_id)
 
         for number in range(int(SECONDS * PER_SECOND)):
-            self.fleet.at(self.begin + number / PER_SECOND, request)
+            self.fleet.run_at(self.begin + number / PER_SECOND, request)
 
     def at(self, offset_s, action):
-        self.fleet.at(self.begin + offset_s, action)
+        self.fleet.run_at(self.begin + offset_s, action)
 
     def run(self, settle_s=SETTLE_S):
         self.fleet.run_until(self.begin + SECONDS + settle_s)
@@ -177,7 +177,7 @@
         fleet.start(3)
         draw = random.Random(1)
         for _ in range(60):
-            trace_request(fleet, fleet.pick(), RequestMix(error_share=0.5), draw)
+            trace_request(fleet, fleet.pick_service(), RequestMix(error_share=0.5), draw)
             fleet.run_until(fleet.now + 0.2)
         fleet.run_until(fleet.now + 60.0)
         fleet.join(MemberId("node-9"))
