--- a/src/zincvale/bench/capacity_run.py
+++ b/src/zincvale/bench/capacity_run.py
@@ -16,7 +16,7 @@
 NODE_COUNTS = (10, 100, 300)
 """Numbers of hollow nodes that are measured, one after the other."""
 MIN_NODES_FOR_STORMS = 300
-"""Number of nodes from which the restarts and the reconnection are measured too."""
+"""Number of nodes from which restarts and a reconnection are measured too."""
 WAVE_NODES = 125
 """Nodes that are started together; the next ones start when these are ready."""
 SETTLE_S = 4.0
@@ -24,7 +24,9 @@
 STEADY_S = 8.0
 """Time over which the steady state is measured."""
 CHANGES = 20
+"""Changes that are timed at each number of nodes."""
 READY_LIMIT_S = 60.0
+"""Longest wait for nodes to be ready, or for a change through a restarted core."""
 SUSPENSION_S = 5.0
 """Time for which all nodes are suspended; longer than their leases."""
 HEADER_BYTES_PER_EXCHANGE = 380
@@ -170,19 +172,21 @@
 
 def _measure_storms(cluster: HollowCluster, progress: Callable[[str], None]) -> StormResults:
     count = cluster.node_count
-    lowest = count
-    restarts = []
+    lowest_ready = count
+    restart_times_s = []
     for host in CORE_HOSTS:
         cluster.stop_core(host)
         cluster.start_core(host)
         begin = time.perf_counter()
         while cluster.change(_zone_resource(0), host=host) < 0:
-            lowest = min(lowest, cluster.ready_count())
+            lowest_ready = min(lowest_ready, cluster.ready_count())
             if time.perf_counter() - begin > READY_LIMIT_S:
                 raise TimeoutError(f"no change through {host} after its restart")
-        restarts.append(time.perf_counter() - begin)
-        lowest = min(lowest, cluster.ready_count())
-        progress(f"{host} restarted: a change through it in force after {restarts[-1]:.1f} s")
+        restart_times_s.append(time.perf_counter() - begin)
+        lowest_ready = min(lowest_ready, cluster.ready_count())
+        progress(
+            f"{host} restarted: a change through it in force after {restart_times_s[-1]:.1f} s"
+        )
     cluster.wait_until(lambda: cluster.ready_count() == count, READY_LIMIT_S)
     cluster.suspend_nodes()
     time.sleep(SUSPENSION_S)
@@ -190,7 +194,7 @@
     reconnect_s = cluster.wait_until(lambda: cluster.ready_count() == count, READY_LIMIT_S)
     change_s = cluster.change(_zone_resource(1))
     progress(f"{count} nodes woke at once: all ready in {reconnect_s:.1f} s")
-    return StormResults(count, restarts, lowest, reconnect_s, change_s)
+    return StormResults(count, restart_times_s, lowest_ready, reconnect_s, change_s)
 
 
 def _zone_resource(number: int) -> dict[str, Any]:
--- a/src/zincvale/bench/hollow_cluster.py
+++ b/src/zincvale/bench/hollow_cluster.py
@@ -25,6 +25,7 @@
 NODES_PER_PROCESS = 250
 """Most hollow nodes in one process."""
 START_LIMIT_S = 20.0
+"""Default limit of `wait_until`, as for the start of the cores."""
 POLL_INTERVAL_S = 0.05
 """Interval at which `wait_until` checks its condition."""
 STOP_TIMEOUT_S = 5.0
--- a/src/zincvale/bench/relay_bench.py
+++ b/src/zincvale/bench/relay_bench.py
@@ -20,9 +20,9 @@
 from zincvale.bench.relay_process import FAST_TOKENS, MODEL, PATH
 from zincvale.bench.stream_load import StreamResult, paced_streams
 
-BACK_ENDS = ("127.0.8.1:7001", "127.0.8.2:7001")
-PASS_THROUGH = "127.0.8.3:7001"
-NODE = "127.0.8.4:7001"
+BACK_END_ADDRESSES = ("127.0.8.1:7001", "127.0.8.2:7001")
+PASS_THROUGH_ADDRESS = "127.0.8.3:7001"
+NODE_ADDRESS = "127.0.8.4:7001"
 CONNECTIONS = 32
 """Connections of the throughput load."""
 FAST_STREAMS = 8
@@ -96,7 +96,7 @@
     def _measure_throughput(self, figures: dict[str, RelayFigures]) -> None:
         """Alternate the relays over the rounds, so that noise of the machine affects both alike."""
         for _ in range(ROUNDS):
-            for name, address in _relays():
+            for name, address in _relay_addresses():
                 result, cpu_s = self._measure_load(name, address, short_body)
                 figures[name].per_second += result.per_second / ROUNDS
                 figures[name].per_cpu_second += result.succeeded / cpu_s / ROUNDS
@@ -115,21 +115,21 @@
     def _measure_latency(self, figures: dict[str, RelayFigures]) -> None:
         rate = figures["node"].per_second / 2
         direct = asyncio.run(
-            open_loop(BACK_ENDS[0], "/v1/generate", short_body, rate, self._seconds, 1)
+            open_loop(BACK_END_ADDRESSES[0], "/v1/generate", short_body, rate, self._seconds, 1)
         )
-        for name, address in _relays():
+        for name, address in _relay_addresses():
             result = asyncio.run(open_loop(address, PATH, short_body, rate, self._seconds, 1))
             figures[name].added_p50_ms = result.quantile_ms(50) - direct.quantile_ms(50)
             figures[name].added_p99_ms = result.quantile_ms(99) - direct.quantile_ms(99)
 
     def _measure_tokens(self, figures: dict[str, RelayFigures]) -> None:
-        for name, address in _relays():
+        for name, address in _relay_addresses():
             result, cpu_s = self._measure_load(name, address, fast_stream_body, FAST_STREAMS)
             figures[name].tokens_per_cpu_second = result.succeeded * FAST_TOKENS / cpu_s
 
     def _measure_gaps(self, figures: dict[str, RelayFigures]) -> None:
-        direct = _run_paced_streams(BACK_ENDS[0], "/v1/generate")
-        for name, address in _relays():
+        direct = _run_paced_streams(BACK_END_ADDRESSES[0], "/v1/generate")
+        for name, address in _relay_addresses():
             result = _run_paced_streams(address, PATH)
             figures[name].added_gap_p95_ms = result.gap_ms(95) - direct.gap_ms(95)
 
@@ -141,10 +141,10 @@
     @contextmanager
     def _running_processes(self) -> Iterator[None]:
         try:
-            for number, address in enumerate(BACK_ENDS):
+            for number, address in enumerate(BACK_END_ADDRESSES):
                 self._start(f"back-end-{number}", "back-end", address)
-            self._start("pass-through", "pass-through", PASS_THROUGH, *BACK_ENDS)
-            self._start("node", "node", NODE, *BACK_ENDS)
+            self._start("pass-through", "pass-through", PASS_THROUGH_ADDRESS, *BACK_END_ADDRESSES)
+            self._start("node", "node", NODE_ADDRESS, *BACK_END_ADDRESSES)
             yield
         finally:
             for process in self._processes.values():
@@ -160,8 +160,8 @@
         process.stdout.readline()
 
 
-def _relays() -> tuple[tuple[str, str], ...]:
-    return (("pass-through", PASS_THROUGH), ("node", NODE))
+def _relay_addresses() -> tuple[tuple[str, str], ...]:
+    return (("pass-through", PASS_THROUGH_ADDRESS), ("node", NODE_ADDRESS))
 
 
 def _run_paced_streams(address: str, path: str) -> StreamResult:
--- a/src/zincvale/bench/relay_process.py
+++ b/src/zincvale/bench/relay_process.py
@@ -46,6 +46,7 @@
 from zincvale.transport.peer import PeerUnreachableError
 
 MAX_SECONDS = 300.0
+"""Time after which a process stops by itself, and the timeout of a relayed request."""
 MAX_BODY_BYTES = 1024 * 1024
 TICK_MS = 50
 PATH = "/v1/bench"
--- a/src/zincvale/bench/state_slopes.py
+++ b/src/zincvale/bench/state_slopes.py
@@ -25,6 +25,7 @@
 """Numbers of servers at which the directory is measured."""
 MODELS_PER_SERVER = 4
 ADAPTERS_PER_SERVER = 8
+"""Models and adapters listed in each server's row."""
 REPEATS = 5
 """Runs of each timed action, of which the fastest counts."""
 MS_PER_S = 1000.0
--- a/src/zincvale/bench/tracing_bench.py
+++ b/src/zincvale/bench/tracing_bench.py
@@ -32,6 +32,7 @@
 ROUNDS = 7
 REQUESTS_PER_ROUND = 4_000
 REQUESTS_PER_S = 500.0
+"""Rate of the traced requests in virtual time."""
 US_PER_S = 1e6
 NODE = MemberId("node-1")
 PEER = MemberId("node-2")
@@ -134,7 +135,7 @@
         gc.collect()
         tracemalloc.start()
         before = tracemalloc.get_traced_memory()[0]
-        peak_rows = peak_counted = 0
+        peak_traces = peak_counted = 0
         rate = pair.config.target_traces_per_s * factor
         step_s = 0.05
         for step in range(int(60 / step_s)):
@@ -148,13 +149,15 @@
             )
             if counted > peak_counted:
                 peak_counted = counted
-                peak_rows = sum(len(s.collector) for s in pair.services.values())
-                measured = tracemalloc.get_traced_memory()[0] - before
+                peak_traces = sum(len(s.collector) for s in pair.services.values())
+                peak_allocated = tracemalloc.get_traced_memory()[0] - before
         tracemalloc.stop()
         budget = 2 * (pair.config.collector_bytes + pair.config.sender_bytes)
         print(f"offered {rate:.0f} traces/s for 60 s to one node of two")
-        print(f"peak: {peak_rows} undecided traces, counted {peak_counted / 1e6:.1f} MB,")
-        print(f"  allocated {measured / 1e6:.1f} MB, budget {budget / 1e6:.1f} MB (two nodes)")
+        print(f"peak: {peak_traces} undecided traces, counted {peak_counted / 1e6:.1f} MB,")
+        print(
+            f"  allocated {peak_allocated / 1e6:.1f} MB, budget {budget / 1e6:.1f} MB (two nodes)"
+        )
         print(f"  dropped at the senders: {dict(service.sender.stats.dropped)}")
         print(f"  counted overhead of a chunk: {ROW_OVERHEAD_BYTES} bytes")
 
--- a/src/zincvale/cli/operator/arguments.py
+++ b/src/zincvale/cli/operator/arguments.py
@@ -15,7 +15,8 @@
 CORES_VARIABLE = "ZINCVALE_CORES"
 """Environment variable with the addresses of cores, for commands without `--core`."""
 STANDARD_INPUT = "/dev/stdin"
-HIGHEST_PORT = 65_535
+"""Path that replaces `-` as the name of a file."""
+MAX_PORT = 65_535
 
 _OUTPUTS = ("table", "json", "yaml")
 _ORDER_ID = re.compile(r"[A-Za-z0-9._:-]{1,128}")
@@ -111,7 +112,7 @@
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
-        valid = 0 < int(port) <= HIGHEST_PORT
+        valid = 0 < int(port) <= MAX_PORT
     except ValueError:
         valid = False
     if not valid:
--- a/src/zincvale/cli/operator/changes.py
+++ b/src/zincvale/cli/operator/changes.py
@@ -59,7 +59,7 @@
 ) -> Confirmation:
     """Declare a state; with `until`, return only when that condition is true.
 
-    `must_exist` refuses a resource that does not exist: declaring it would have no effect.
+    `must_exist` refuses an unknown resource, which could be declared but would drain nothing.
     """
     started_at = transport.now()
     target = resource_target(table_of(state.kind), state.name)
@@ -68,8 +68,8 @@
     confirmation = await apply_change(session, state.change_body(), order_id, limit_s)
     if until:
         write(confirmation_text(confirmation, "table"))
-        left_s = max(0.0, started_at + limit_s - transport.now())
-        await watch_status(session, transport, write, target, until, left_s, as_json=False)
+        remaining_s = max(0.0, started_at + limit_s - transport.now())
+        await watch_status(session, transport, write, target, until, remaining_s, as_json=False)
     return confirmation
 
 
--- a/src/zincvale/cli/operator/files.py
+++ b/src/zincvale/cli/operator/files.py
@@ -23,6 +23,7 @@
 MAX_VALUES_PER_RESOURCE = 100_000
 """Limit on the values in a resource with its aliases expanded; it stops alias bombs."""
 RESOURCE_FILE_SUFFIXES = (".yaml", ".yml", ".json")
+"""Files of a folder that are read; others are skipped."""
 
 
 @attrs.frozen
--- a/src/zincvale/cli/operator/runner.py
+++ b/src/zincvale/cli/operator/runner.py
@@ -31,10 +31,10 @@
 _HELP = ("-h", "--help")
 _SWITCH_VALUES = ("true", "false", "yes", "no")
 
-Commands = Mapping[str, Callable[..., Any]]
+CommandsByName = Mapping[str, Callable[..., Any]]
 
 
-def run_operator_command(arguments: list[str], commands: Commands | None = None) -> int:
+def run_operator_command(arguments: list[str], commands: CommandsByName | None = None) -> int:
     """Run a command line that begins with an operator command; return its exit code.
 
     Parameters
@@ -42,10 +42,10 @@
     arguments : the command line without the program's name.
     commands : functions by name of command; those of `operator_commands` by default.
     """
-    known = operator_commands() if commands is None else commands
+    available = operator_commands() if commands is None else commands
     try:
-        checked = check_arguments(normalize_arguments(arguments), known)
-        fire.Fire(dict(known), command=checked, name="zincvale")
+        checked = check_arguments(normalize_arguments(arguments), available)
+        fire.Fire(dict(available), command=checked, name="zincvale")
     except ZincvaleError as error:
         _print_error(error, as_json=_wants_json(arguments))
         return exit_code_of(error)
@@ -56,7 +56,7 @@
     return EXIT_OK
 
 
-def check_arguments(arguments: list[str], commands: Commands) -> list[str]:
+def check_arguments(arguments: list[str], commands: CommandsByName) -> list[str]:
     """Return the arguments in a form that `fire` cannot misread; raises `UsageError`.
 
     Flags are returned as `--name=value`, so that a switch never takes the next argument as its
@@ -108,19 +108,19 @@
             positional.append(argument)
             continue
         name, separator, value = argument.lstrip("-").partition("=")
-        known = _flag_name(command, argument, name, names)
+        flag = _flag_name(command, argument, name, names)
         if not separator:
-            value = _take_value(known, argument, remaining)
-        flags[known] = value
+            value = _take_value(flag, argument, remaining)
+        flags[flag] = value
     return positional, flags
 
 
 def _flag_name(command: str, argument: str, name: str, names: list[str]) -> str:
-    known = name.replace("-", "_")
+    flag = name.replace("-", "_")
     if not argument.startswith("--"):
-        known = _name_of_short_flag(name, names)
-    if known in names:
-        return known
+        flag = _name_of_short_flag(name, names)
+    if flag in names:
+        return flag
     shown = [f"--{candidate.replace('_', '-')}" for candidate in names]
     raise UsageError(f"{command}: unknown flag {argument!r}", _suggestion(argument, shown))
 
--- a/src/zincvale/cli/trace_commands.py
+++ b/src/zincvale/cli/trace_commands.py
@@ -198,11 +198,11 @@
 
 def merge_attempts(bodies: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """Return the traces of a request's attempts from all nodes, each once, oldest first."""
-    found: dict[str, list[dict[str, Any]]] = {}
+    copies_by_trace: dict[str, list[dict[str, Any]]] = {}
     for body in bodies:
         for trace in body["traces"]:
-            found.setdefault(trace["trace_id"], []).append(trace)
-    traces = [best_trace(copies) for copies in found.values()]
+            copies_by_trace.setdefault(trace["trace_id"], []).append(trace)
+    traces = [best_trace(copies) for copies in copies_by_trace.values()]
     return sorted((trace for trace in traces if trace), key=_start_of)
 
 
--- a/tests/golden/compare_all.py
+++ b/tests/golden/compare_all.py
@@ -40,7 +40,7 @@
 
 def compare(sections: list[str]) -> bool:
     """Print the runs that differ from the approved digests; return whether none does."""
-    same = True
+    all_equal = True
     for section in sections:
         started_at = time.perf_counter()
         different = differing_runs(section, SECTIONS[section])
@@ -48,8 +48,8 @@
         print(
             f"{section}: {len(SECTIONS[section])} runs, {elapsed_s:.1f} s, differing: {different}"
         )
-        same = same and not different
-    return same
+        all_equal = all_equal and not different
+    return all_equal
 
 
 def main(arguments: list[str]) -> int:
--- a/tests/golden/decisions_of_forwarding.py
+++ b/tests/golden/decisions_of_forwarding.py
@@ -15,28 +15,30 @@
 
 @contextlib.contextmanager
 def _traffic_recorded(log: DecisionLog) -> Any:
-    def started(client: Any, address: Any, incarnation: Any, request: Any, listener: Any) -> None:
+    def record_start(
+        client: Any, address: Any, incarnation: Any, request: Any, listener: Any
+    ) -> None:
         content = (request.method, request.target, request.headers, request.body)
         log.add("sent", client.node, address, incarnation, content, request.may_repeat)
 
-    def cancelled(exchange: ModelExchange) -> None:
+    def record_cancel(exchange: ModelExchange) -> None:
         log.add("cancelled", exchange.is_cancelled)
 
-    def opened(sink: Any, status: int, reason: str, headers: Any) -> None:
+    def record_head(sink: Any, status: int, reason: str, headers: Any) -> None:
         log.add("head", sink._record.request_id, sink._loop.time(), status, reason, headers)
 
-    def wrote(sink: Any, data: bytes) -> None:
+    def record_body(sink: Any, data: bytes) -> None:
         log.add("body", sink._record.request_id, sink._loop.time(), data)
 
-    def closed(sink: Any, ending: Any) -> None:
+    def record_close(sink: Any, ending: Any) -> None:
         log.add("closed", sink._record.request_id, sink._loop.time(), ending)
 
     with (
-        calls_observed(ModelClient, ModelClient.start, started),
-        calls_observed(ModelExchange, ModelExchange.cancel, cancelled),
-        calls_observed(CallerSink, CallerSink.open, opened),
-        calls_observed(CallerSink, CallerSink.write, wrote),
-        calls_observed(CallerSink, CallerSink._close, closed),
+        calls_observed(ModelClient, ModelClient.start, record_start),
+        calls_observed(ModelExchange, ModelExchange.cancel, record_cancel),
+        calls_observed(CallerSink, CallerSink.open, record_head),
+        calls_observed(CallerSink, CallerSink.write, record_body),
+        calls_observed(CallerSink, CallerSink._close, record_close),
     ):
         yield
 
--- a/tests/golden/decisions_of_placement.py
+++ b/tests/golden/decisions_of_placement.py
@@ -35,7 +35,8 @@
 EMULATED_S = 300.0
 EMULATED_SEED = 5
 FAILURE_INTERVAL_S = 100.0
-OTHER_INTERVAL_S = 120.0
+RARE_EVENT_INTERVAL_S = 120.0
+"""Intervals between rare events, short enough for several of them within `EMULATED_S`."""
 HOLLOW_SIZES = (10, 100)
 HOLLOW_S = 5.0
 WHAT_IF_S = 9.0
@@ -71,21 +72,21 @@
         machine.handle = handle
 
 
-def _load(name: str) -> Any:
+def _shortened_load(name: str) -> Any:
     """Return a load whose rare events are frequent enough to occur within the short run."""
     load = LOADS[name]
     return attrs.evolve(
         load,
         day_s=EMULATED_S,
         failure_interval_s=FAILURE_INTERVAL_S if load.failure_interval_s else 0.0,
-        crowd_interval_s=OTHER_INTERVAL_S if load.crowd_interval_s else 0.0,
-        rare_interval_s=OTHER_INTERVAL_S if load.rare_interval_s else 0.0,
+        crowd_interval_s=RARE_EVENT_INTERVAL_S if load.crowd_interval_s else 0.0,
+        rare_interval_s=RARE_EVENT_INTERVAL_S if load.rare_interval_s else 0.0,
     )
 
 
 def emulated_digest(shape_name: str, load_name: str, policy: str) -> str:
     log = DecisionLog()
-    load = _load(load_name)
+    load = _shortened_load(load_name)
     fleet = build_fleet(FLEETS[shape_name], EMULATED_SEED)
     arrivals = build_arrivals(fleet, load, EMULATED_S, EMULATED_SEED + 1)
     events = build_events(fleet, load, EMULATED_S, EMULATED_SEED + 2)
@@ -120,12 +121,12 @@
 def what_if_digest(scenario: Callable[[], WhatIfScenario]) -> str:
     log = DecisionLog()
 
-    def completed(table: FigureTable, row: Any) -> None:
+    def record_request(table: FigureTable, row: Any) -> None:
         log.add("request", row)
 
     with (
         _effects_recorded(log, PlacementController, DirectoryMachine),
-        calls_observed(FigureTable, FigureTable.completed, completed),
+        calls_observed(FigureTable, FigureTable.completed, record_request),
     ):
         figures = VirtualFleet(scenario()).run()
     routes = [[name, route] for name, route in figures.routes.items()]
@@ -134,7 +135,7 @@
     return log.digest()
 
 
-def _changed() -> WhatIfScenario:
+def _scenario_with_change() -> WhatIfScenario:
     change = ({"kind": "Server", "name": "overnight-1", "spec": {"drained": True}},)
     return attrs.evolve(_scenario(2), change=change, apply_at_s=3.0)
 
@@ -148,6 +149,6 @@
 HOLLOW_RUNS = {str(servers): partial(hollow_digest, servers) for servers in HOLLOW_SIZES}
 WHAT_IF_RUNS = {
     "plain": partial(what_if_digest, partial(_scenario, 1)),
-    "changed": partial(what_if_digest, _changed),
+    "changed": partial(what_if_digest, _scenario_with_change),
     "faults": partial(what_if_digest, partial(_scenario, 3, WHAT_IF_FAULTS)),
 }
--- a/tests/golden/message_samples.py
+++ b/tests/golden/message_samples.py
@@ -34,9 +34,9 @@
         if attrs.has(hint):
             return self._record(hint)
         if dataclasses.is_dataclass(hint):
-            return self._declared(typing.cast(type, hint))
+            return self._declared_type(typing.cast(type, hint))
         if isinstance(hint, type) and issubclass(hint, enum.Enum):
-            return self._member(hint)
+            return self._enum_member(hint)
         origin = typing.get_origin(hint)
         if origin is None:
             return self._primitive(hint)
@@ -58,7 +58,7 @@
         fields = [field for field in attrs.fields(record_class) if field.init]
         return record_class(**{field.alias: self.build(hints[field.name]) for field in fields})
 
-    def _declared(self, kind: type) -> Any:
+    def _declared_type(self, kind: type) -> Any:
         """Return a sample of a declared type; a minimal one uses the defaults of its fields.
 
         Validation is skipped: only the names, order and types of the fields matter here.
@@ -71,7 +71,7 @@
             object.__setattr__(sample, field.name, value)
         return sample
 
-    def _member(self, kind: type[enum.Enum]) -> Any:
+    def _enum_member(self, kind: type[enum.Enum]) -> Any:
         self._position += 1
         members = list(kind)
         return members[self._position % len(members)]
--- a/tests/golden/stored_orders.py
+++ b/tests/golden/stored_orders.py
@@ -21,6 +21,7 @@
 FIRST_INCARNATION = "0000aaaa"
 SEED = 11
 TICKS_AFTER = 100
+"""Ticks that the core runs after the last order."""
 
 
 def read_orders(part: str) -> list[tuple[str, str, int | None, bytes]]:
--- a/tests/golden/test_report_bytes.py
+++ b/tests/golden/test_report_bytes.py
@@ -43,7 +43,7 @@
         self.events.append((name, attributes))
 
 
-def full(kind: Any) -> Any:
+def full_sample(kind: Any) -> Any:
     """Return a sample of a type with every field filled."""
     return SampleBuilder(True).build(kind)
 
@@ -53,13 +53,13 @@
     root = RootSpan()
     record = RequestTrace(typing.cast(Any, None), typing.cast(Any, root))
     for kind in typing.get_args(ClaimDecision):
-        record.record_input(ClaimDecided(full(kind)))
+        record.record_input(ClaimDecided(full_sample(kind)))
     return root.events
 
 
 def explanation_of(events: list[Any]) -> str:
     """Return the output of `trace why` for a root span with these events."""
-    span = attrs.evolve(full(Span), parent_id="", name="request", failure="", attributes={})
+    span = attrs.evolve(full_sample(Span), parent_id="", name="request", failure="", attributes={})
     plain = span.to_json()
     plain["events"] = [
         {"name": name, "offset_s": float(index), "attributes": attributes}
@@ -85,15 +85,15 @@
 
 def reports() -> dict[str, Any]:
     """Return each stored or printed body by its external name."""
-    evidence, bodies = encode_chunks([full(TraceChunk), full(TraceChunk)])
+    evidence, bodies = encode_chunks([full_sample(TraceChunk), full_sample(TraceChunk)])
     return {
         "trace chunks": [evidence.decode(), bodies.hex()],
         "trace summary": orjson.dumps(SampleBuilder(False).build(RetainedTrace).summary()).decode(),
-        "schedule": schedule_text(full(Schedule)),
-        "explored": orjson.dumps(attrs.asdict(full(Outcome))).decode(),
-        "report figures": orjson.dumps(attrs.asdict(full(Figures))).decode(),
-        "report invariant": orjson.dumps(full(CheckResult).to_json()).decode(),
-        "report ends": orjson.dumps(attrs.asdict(full(UnexpectedEnd))).decode(),
+        "schedule": schedule_text(full_sample(Schedule)),
+        "explored": orjson.dumps(attrs.asdict(full_sample(Outcome))).decode(),
+        "report figures": orjson.dumps(attrs.asdict(full_sample(Figures))).decode(),
+        "report invariant": orjson.dumps(full_sample(CheckResult).to_json()).decode(),
+        "report ends": orjson.dumps(attrs.asdict(full_sample(UnexpectedEnd))).decode(),
     }
 
 
--- a/tests/golden/test_row_bytes.py
+++ b/tests/golden/test_row_bytes.py
@@ -62,21 +62,22 @@
 DECLARED = "declared_types.json"
 JOURNAL = "journal_rows.json"
 OFFSET_S = 1000.0
+"""Offset that converts the times of a move to Unix time."""
 
 
-def full(kind: Any) -> Any:
+def full_sample(kind: Any) -> Any:
     """Return a sample of a type with every field filled."""
     return SampleBuilder(True).build(kind)
 
 
-def minimal(kind: Any) -> Any:
+def minimal_sample(kind: Any) -> Any:
     """Return a sample of a type with only its required fields filled."""
     return SampleBuilder(False).build(kind)
 
 
 def encoded_samples(kind: Any, encode: Callable[[Any], bytes]) -> list[str]:
     """Return the encoded minimal and full samples as text."""
-    return [encode(sample(kind)).decode() for sample in (minimal, full)]
+    return [encode(sample(kind)).decode() for sample in (minimal_sample, full_sample)]
 
 
 def span_body(span: Span) -> bytes:
@@ -86,7 +87,7 @@
 
 def intent_rows() -> dict[str, str]:
     """Return an encoded row of every kind of resource, with every field filled."""
-    tables = full(Intent)
+    tables = full_sample(Intent)
     return {row: content.decode() for row, content in sorted(encode_intent(tables).items())}
 
 
@@ -94,17 +95,17 @@
     """Return the document rows of a route, a pool and the limits, with every field filled."""
     kinds = {"route/r": ForwardRoute, "pool/p": ForwardPool, "limits": CallerLimits}
     return {
-        row: encode_item(7, full(kind).to_dict(), {"as": "written"}).decode()
+        row: encode_item(7, full_sample(kind).to_dict(), {"as": "written"}).decode()
         for row, kind in kinds.items()
     }
 
 
 def rows() -> dict[str, Any]:
     """Return every row and body by its external name."""
-    info, config = full(MemberInfo), full(ReplicaConfig)
+    info, config = full_sample(MemberInfo), full_sample(ReplicaConfig)
     node = attrs.evolve(info, role=Role.NODE.value)
-    snapshot = encode_snapshot(full(StoredKeyState))
-    delta = encode_delta(full(Epoch), full(RecordUpdate))
+    snapshot = encode_snapshot(full_sample(StoredKeyState))
+    delta = encode_delta(full_sample(Epoch), full_sample(RecordUpdate))
     return {
         "core/": encoded_samples(CoreRow, encode_core),
         "group/": encoded_samples(ReplicaConfig, encode_group),
@@ -194,7 +195,7 @@
 
     def test_a_golden_snapshot_decodes_to_the_same_state(self) -> None:
         snapshot = bytes.fromhex(golden(ROWS)["file S"])
-        state, sample = decode_chain([snapshot]), full(StoredKeyState)
+        state, sample = decode_chain([snapshot]), full_sample(StoredKeyState)
         self.assertThat(state.promised, Equals(sample.promised))
         self.assertThat(state.record.to_update(), Equals(sample.record.to_update()))
         by_id = {
@@ -207,8 +208,8 @@
         expected = golden(ROWS)
         chain = [bytes.fromhex(expected[name]) for name in ("file S", "file D")]
         state = decode_chain(chain)
-        self.assertThat(state.promised, Equals(full(Epoch)))
-        self.assertThat(state.record.position, Equals(full(RecordUpdate).position))
+        self.assertThat(state.promised, Equals(full_sample(Epoch)))
+        self.assertThat(state.record.position, Equals(full_sample(RecordUpdate).position))
 
     def test_the_golden_member_row_decodes_to_its_member(self) -> None:
         row = decode_member("m", golden(ROWS)["members"].encode())
@@ -244,5 +245,5 @@
 
 def _text_of(kind: type[Checked]) -> str:
     """Return the minimal and the full sample of a type as JSON, in the order of the fields."""
-    plain = [sample(kind).to_dict() for sample in (minimal, full)]
+    plain = [sample(kind).to_dict() for sample in (minimal_sample, full_sample)]
     return orjson.dumps(plain).decode()
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -24,6 +24,7 @@
 START_TICKS = 100
 IN_FORCE = "in-force"
 TORN_BYTES = 20
+"""Length to which a file is cut, as by a torn write."""
 
 
 def files_of(folder: Path) -> dict[str, str]:
