--- a/src/zincvale/cli/trace_commands.py
+++ b/src/zincvale/cli/trace_commands.py
@@ -96,13 +96,13 @@
             "server": server,
             "outcome": outcome,
             "policy": policy,
-            "since": f"{time.time() - age_s(since):.3f}",
+            "since": f"{time.time() - parse_age_s(since):.3f}",
             "limit": str(limit),
         }
         query = urllib.parse.urlencode({name: value for name, value in arguments.items() if value})
         responses = _query_nodes(nodes, core, f"/v1/traces?{query}")
         responses.require_any()
-        merged = merge_found(responses.bodies, limit)
+        merged = merge_search_results(responses.bodies, limit)
         if output == JSON_OUTPUT:
             return _json_text({**merged, "silent": responses.failures})
         return _join_lines(
@@ -123,7 +123,7 @@
         responses = _query_nodes(
             nodes, core, f"/v1/traces/{urllib.parse.quote(str(trace_id), safe='')}"
         )
-        trace = best_trace(responses.bodies)
+        trace = most_complete_copy(responses.bodies)
         if trace is None:
             raise _not_found(f"trace {trace_id}", responses)
         return _json_text(trace) if output == JSON_OUTPUT else render_tree(trace)
@@ -152,7 +152,7 @@
         )
 
 
-def age_s(text: str) -> float:
+def parse_age_s(text: str) -> float:
     """Return an age in seconds, given as `90s`, `15m`, `2h` or `1d`. Raises `InvalidInputError`."""
     text = str(text)
     factor = SECONDS_BY_UNIT.get(text[-1:], 0)
@@ -165,7 +165,7 @@
         ) from error
 
 
-def merge_found(bodies: list[dict[str, Any]], limit: int) -> dict[str, Any]:
+def merge_search_results(bodies: list[dict[str, Any]], limit: int) -> dict[str, Any]:
     """Merge the nodes' results of a search: each trace once, newest first."""
     by_trace: dict[str, dict[str, Any]] = {}
     for body in bodies:
@@ -189,7 +189,7 @@
     }
 
 
-def best_trace(bodies: list[dict[str, Any]]) -> dict[str, Any] | None:
+def most_complete_copy(bodies: list[dict[str, Any]]) -> dict[str, Any] | None:
     """Return the most complete copy of a trace: a kept one if any, then by spans; or None."""
     return max(
         bodies, key=lambda trace: (trace["state"] == "kept", len(trace["spans"])), default=None
@@ -202,7 +202,7 @@
     for body in bodies:
         for trace in body["traces"]:
             copies_by_trace.setdefault(trace["trace_id"], []).append(trace)
-    traces = [best_trace(copies) for copies in copies_by_trace.values()]
+    traces = [most_complete_copy(copies) for copies in copies_by_trace.values()]
     return sorted((trace for trace in traces if trace), key=_start_of)
 
 
--- a/tests/tracing/api/test_trace_api.py
+++ b/tests/tracing/api/test_trace_api.py
@@ -11,7 +11,12 @@
 
 from tests.tracing.builders import HERE, OTHER, make_chunk, trace_id
 from zincvale.bench.tracing_fleet import RequestMix, TracingFleet, trace_request
-from zincvale.cli.trace_commands import age_s, best_trace, merge_attempts, merge_found
+from zincvale.cli.trace_commands import (
+    parse_age_s,
+    most_complete_copy,
+    merge_attempts,
+    merge_search_results,
+)
 from zincvale.model.errors import InvalidInputError, NotFoundError
 from zincvale.tracing.api.http import trace_api_routes
 from zincvale.tracing.api.query import find_traces, get_trace, read_query, traces_of_request
@@ -103,7 +108,7 @@
         self.run_until_decided()
         found = [find_traces(s, TraceQuery(route="quotes")) for s in self.fleet.services.values()]
         self.assertThat(sum(len(body["traces"]) for body in found), Equals(2))
-        merged = merge_found(found, 10)
+        merged = merge_search_results(found, 10)
         self.assertThat([row["trace_id"] for row in merged["traces"]], Equals([self.trace_id]))
         self.assertThat(merged["estimate"]["total"], Equals(1.0))
         self.assertThat(round(merged["estimate"]["mean_ms"]), Equals(50))
@@ -137,9 +142,9 @@
             self.assertRaises(InvalidInputError, read_query, arguments)
 
     def test_ages_are_parsed_in_every_unit(self):
-        ages = [age_s(text) for text in ("90s", "15m", "2h", "1d", "30")]
+        ages = [parse_age_s(text) for text in ("90s", "15m", "2h", "1d", "30")]
         self.assertThat(ages, Equals([90.0, 900.0, 7200.0, 86_400.0, 30.0]))
-        self.assertRaises(InvalidInputError, age_s, "soon")
+        self.assertRaises(InvalidInputError, parse_age_s, "soon")
 
 
 class Merging(TestCase):
@@ -163,5 +168,5 @@
         numbers = [trace["trace_id"] for trace in merged]
         self.assertThat(numbers, Equals([trace_id(1), trace_id(2), trace_id(3)]))
         self.assertThat([trace["state"] for trace in merged], Equals(["kept", "kept", "pending"]))
-        self.assertIsNone(best_trace([]))
+        self.assertIsNone(most_complete_copy([]))
         self.assertThat(merged, HasLength(3))
