--- a/src/zincvale/bench/capacity_model.py
+++ b/src/zincvale/bench/capacity_model.py
@@ -38,10 +38,10 @@
 """Size of a row update that names only the changed model or adapter (assumed)."""
 
 NODE_CPU_BUDGET = 0.011
-"""Share of a processor core that control may use on a node."""
+"""Share of a processor core that the control plane may use on a node."""
 NODE_MEMORY_BUDGET_BYTES = 256 * 10**6
 NODE_BYTES_BUDGET_PER_S = 3_000.0
-"""Network traffic per second that control may cause on a node."""
+"""Bytes per second, sent and received, that the control plane may cause on a node."""
 CORE_CPU_BUDGET = 0.6
 """Share of a processor core; above it a core's event loop cannot absorb bursts (assumed)."""
 
@@ -61,7 +61,7 @@
     Attributes
     ----------
     budget : limit for the value; None when there is none.
-    mechanism : what the cost comes from.
+    mechanism : part of the design that determines the value.
     """
 
     quantity: str
@@ -80,7 +80,7 @@
 
 
 def node_lines(results: CapacityResults) -> list[CapacityLine]:
-    """Return the cost of control traffic and state for one node."""
+    """Return the cost of the control plane for one node."""
     return [
         *_node_lease_lines(results.points[-1]),
         _node_change_line(),
--- a/src/zincvale/bench/capacity_run.py
+++ b/src/zincvale/bench/capacity_run.py
@@ -40,7 +40,7 @@
     Attributes
     ----------
     ready_s : longest time until a wave of up to `WAVE_NODES` more nodes was ready.
-    node_cpu_share : share of a core per node.
+    node_cpu_share : share of a processor core per node.
     node_bytes_per_s : bytes sent and received per node, headers included.
     core_cpu_share : mean share of a processor core per core process.
     change_s : seconds until each confirmed change was in force everywhere, sorted.
--- a/src/zincvale/bench/hollow_process.py
+++ b/src/zincvale/bench/hollow_process.py
@@ -28,7 +28,7 @@
 from zincvale.transport.server_client import ServerClient
 
 MAX_SECONDS = 600.0
-"""Time after which the process stops by itself, in case the benchmark failed to stop it."""
+"""Time after which the process stops by itself, if nothing has stopped it before."""
 HOLLOW_TICK_MS = 100
 """Interval between two ticks of each hollow node."""
 ZONES = ("zone-a", "zone-b", "zone-c")
--- a/tests/tracing/api/test_trace_api.py
+++ b/tests/tracing/api/test_trace_api.py
@@ -12,10 +12,10 @@
 from tests.tracing.builders import HERE, OTHER, make_chunk, trace_id
 from zincvale.bench.tracing_fleet import RequestMix, TracingFleet, trace_request
 from zincvale.cli.trace_commands import (
-    parse_age_s,
-    most_complete_copy,
     merge_attempts,
     merge_search_results,
+    most_complete_copy,
+    parse_age_s,
 )
 from zincvale.model.errors import InvalidInputError, NotFoundError
 from zincvale.tracing.api.http import trace_api_routes
