--- a/src/zincvale/cli/operator/watch.py
+++ b/src/zincvale/cli/operator/watch.py
@@ -16,7 +16,7 @@
 STATUS_INTERVAL_S = 0.5
 """Interval between two reads of a resource's status."""
 RETRY_S = 1.0
-"""Pause after a poll that no core served; also added to the timeout of a poll."""
+"""Pause after a poll that no core served; also added to the timeout of each poll."""
 
 WriteLine = Callable[[str], None]
 SpecsByResource = dict[tuple[str, str], Any]
@@ -40,14 +40,14 @@
         poll_s = POLL_S if remaining_s is None else min(POLL_S, remaining_s)
         query = urllib.parse.urlencode({"after": after, "timeout_s": f"{poll_s:.3f}"})
         try:
-            answer = await session.read(f"/v1/watch?{query}", poll_s + RETRY_S)
+            response = await session.read(f"/v1/watch?{query}", poll_s + RETRY_S)
         except UnavailableError as error:
             if remaining_s is not None and remaining_s <= RETRY_S:
                 raise
             write(f"# {error}")
             await transport.pause(RETRY_S)
             continue
-        body = answer.json()
+        body = response.json()
         if "resources" not in body:
             continue
         after = int(body["version"])
