--- a/src/zincvale/controlplane/api/dispatch.py
+++ b/src/zincvale/controlplane/api/dispatch.py
@@ -97,7 +97,7 @@
             return [change_response(pending, message)]
         # The core replies to a change only with a `ChangeResult` (`proposal_router`). Any other
         # message is a defect there; the operator is told that the change is not confirmed.
-        return [not_confirmed_response(pending, f"the core answered {type(message).__name__}")]
+        return [not_confirmed_response(pending, f"the core returned {type(message).__name__}")]
 
     def on_core_failure(self, token: str, reason: str) -> list[ApiEffect]:
         """Handle the notice that `CallCore(token, ...)` gets no response."""
@@ -121,7 +121,7 @@
         overdue = [pending for pending in self._pending.values() if now >= pending.deadline]
         for pending in overdue:
             del self._pending[pending.token]
-            effects.append(not_confirmed_response(pending, "the core did not answer in time"))
+            effects.append(not_confirmed_response(pending, "the core did not respond in time"))
         return effects
 
     def _update_drains(self, now: float) -> None:
@@ -196,7 +196,7 @@
         """Raise `UnavailableError` if this core may not know of an acknowledged change."""
         if not self._view.may_show_state():
             raise UnavailableError(
-                "this core cannot tell whether its state is the newest",
+                "this core cannot determine whether its state is the newest",
                 "ask another core, or retry when this core reaches a majority of the cores",
             )
 
--- a/src/zincvale/controlplane/directory/events.py
+++ b/src/zincvale/controlplane/directory/events.py
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class StatusFailed:
-    """Input: a probe sent at `requested_at` failed; `refused` if no process listens there."""
+    """Input: a probe sent at `requested_at` failed; `refused` if no connection was made."""
 
     server: ServerId
     why: str
--- a/src/zincvale/controlplane/directory/messages.py
+++ b/src/zincvale/controlplane/directory/messages.py
@@ -15,7 +15,7 @@
     ----------
     status : body of the server's `GET /status`; empty when the probe failed.
     why : cause of the failure; empty when the probe succeeded.
-    refused : whether the connection was refused, as no process listens at the address.
+    refused : whether no connection was made, as no process listens at the address.
     age_s : time from the sending of the probe to the sending of this message.
     """
 
--- a/src/zincvale/controlplane/directory/server_prober.py
+++ b/src/zincvale/controlplane/directory/server_prober.py
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class ProbeFailed:
-    """Input: a probe failed; `refused` if no process listens at the address."""
+    """Input: a probe failed; `refused` if no connection was made."""
 
     server: ServerId
     why: str
--- a/src/zincvale/controlplane/directory/server_table.py
+++ b/src/zincvale/controlplane/directory/server_table.py
@@ -202,7 +202,7 @@
     ) -> TableChange:
         answered_as = event.status.server
         change = self._record_failure(
-            tracked, f"{answered_as} answers at its address", now, refused=True
+            tracked, f"{answered_as} responds at its address", now, refused=True
         )
         mismatch = _server_log(
             log_events.SERVER_IDENTITY_MISMATCH, event.server, answered_as=answered_as
--- a/src/zincvale/controlplane/directory/tracked_servers.py
+++ b/src/zincvale/controlplane/directory/tracked_servers.py
@@ -102,7 +102,7 @@
 
 
 def apply_failure(server: TrackedServer, now: float, *, refused: bool) -> None:
-    """Apply a failed probe; `refused` if no process listens at the address."""
+    """Apply a failed probe; `refused` if no connection was made."""
     server.failures += 1
     server.is_probed = True
     server.last_result_at = now
--- a/src/zincvale/controlplane/documents/api.py
+++ b/src/zincvale/controlplane/documents/api.py
@@ -149,7 +149,7 @@
         overdue = [token for token, each in self._pending.items() if now >= each.deadline]
         effects: list[ApiEffect] = []
         for token in overdue:
-            effects.extend(self._fail(token, "the core did not answer in time"))
+            effects.extend(self._fail(token, "the core did not respond in time"))
         return effects
 
     def _proposal(self, command: Command) -> ProposeChange:
--- a/src/zincvale/controlplane/log_events.py
+++ b/src/zincvale/controlplane/log_events.py
@@ -21,7 +21,7 @@
     4005, "server.delisted", "A server left the platform's list; it is retained for a limited time."
 )
 SERVER_HEALTH_CHANGED = declare(
-    4006, "server.health", "Probes changed the health of a server; `why` tells the cause."
+    4006, "server.health", "Probes changed the health of a server; `why` is the cause."
 )
 SERVER_RETURNED = declare(
     4007, "server.returned", "A server responds as a new incarnation: it is cold and empty."
--- a/src/zincvale/controlplane/status/resource_status.py
+++ b/src/zincvale/controlplane/status/resource_status.py
@@ -35,12 +35,14 @@
 def _in_force_condition(snapshot: ClusterSnapshot) -> Condition:
     version = snapshot.intent.version
     if snapshot.lagging:
-        message = f"version {version} is not yet held by {_join_names(snapshot.lagging)}"
+        message = f"version {version} is not yet applied by {_join_names(snapshot.lagging)}"
         return known_condition(conditions.IN_FORCE, "NodesLag", message, is_true=False)
     if snapshot.node_count == 0:
-        message = "no node has a live lease: nothing routes on it"
+        message = "no node has a live lease, so no node routes by it"
         return unknown_condition(conditions.IN_FORCE, "NoNodes", message)
-    message = f"version {version} is held by every node with a live lease ({snapshot.node_count})"
+    message = (
+        f"version {version} is applied by every node with a live lease ({snapshot.node_count})"
+    )
     return known_condition(conditions.IN_FORCE, "Held", message, is_true=True)
 
 
--- a/src/zincvale/controlplane/status/server_status.py
+++ b/src/zincvale/controlplane/status/server_status.py
@@ -20,7 +20,7 @@
     """Return the conditions of a server's readiness and drain."""
     row = snapshot.directory.servers.get(ServerId(name))
     if row is None:
-        message = "no such server was observed; check the name against `get servers`"
+        message = "no such server was observed; compare the name with `get servers`"
         return [unknown_condition(conditions.READY, "NotObserved", message)]
     return [_ready_condition(row), *_drain_conditions(row, snapshot)]
 
--- a/tests/controlplane/api/test_dispatch.py
+++ b/tests/controlplane/api/test_dispatch.py
@@ -148,7 +148,7 @@
         effects = driver.api.on_core_response("t1", object())
         assert isinstance(effects[0], ApiResponse)
         self.assertEqual(503, effects[0].status)
-        self.assertIn(b"the core answered object", effects[0].body)
+        self.assertIn(b"the core returned object", effects[0].body)
         self.assertIn(b'"order_id":"op-1"', effects[0].body)
 
     def test_responses_to_replica_replacements_are_as_approved(self) -> None:
