--- a/src/zincvale/controlplane/directory/server_discovery.py
+++ b/src/zincvale/controlplane/directory/server_discovery.py
@@ -179,7 +179,7 @@
         requested_at = now - self._lag_s - READ_INTERVAL_S - READER_TIMEOUT_S
         return [ServersObserved(tuple(rows.values()), removed, requested_at)]
 
-    def on_peer_read(self, message: ListRead, now: float) -> None:
+    def on_read_announced(self, message: ListRead, now: float) -> None:
         """Handle the announcement that another core read the list."""
         if message.epoch >= self._known_epoch:
             self._known_epoch = message.epoch
@@ -212,7 +212,7 @@
         self._known_epoch = max(self._known_epoch, known_epoch)
         self._own_epoch = 0
 
-    def on_epoch_seen(self, epoch: int) -> None:
+    def on_stored_epoch(self, epoch: int) -> None:
         """Handle the epoch that a node stores; it may come from before this process started."""
         if epoch > self._known_epoch:
             self._known_epoch = epoch
--- a/src/zincvale/controlplane/documents/derived_intent.py
+++ b/src/zincvale/controlplane/documents/derived_intent.py
@@ -38,10 +38,10 @@
 
 @attrs.frozen
 class StoreConfig:
-    """Limit on the loads from a store: in any `window_s`, `over` times what its rate allows."""
+    """Limit on loads from a store: in any `window_s`, `rate_factor` times what its rate allows."""
 
     window_s: float = 5.0
-    over: float = 1.0
+    rate_factor: float = 1.0
 
 
 @attrs.define
@@ -56,7 +56,7 @@
     adapters: dict[AdapterName, AdapterSpec]
 
 
-class DocumentIntent:
+class IntentDeriver:
     """Derives the intent from a changing document; only pools that changed are derived again."""
 
     def __init__(self, config: StoreConfig) -> None:
@@ -118,10 +118,10 @@
     def _weight_store_spec(self, engine: Engine) -> StoreSpec:
         config = self._config
         largest = max((each.weight_bytes for each in engine.models.values()), default=1)
-        per_window = int(engine.loads_per_s * config.window_s * config.over)
+        per_window = int(engine.loads_per_s * config.window_s * config.rate_factor)
         return StoreSpec(
             address="",
-            bytes_per_second=max(1, int(engine.loads_per_s * config.over * largest * 4)),
+            bytes_per_second=max(1, int(engine.loads_per_s * config.rate_factor * largest * 4)),
             max_concurrent_loads=_loads_at_full_speed(engine),
             loads_per_window=max(1, per_window),
             window_s=config.window_s,
--- a/src/zincvale/daemons/discovery_runner.py
+++ b/src/zincvale/daemons/discovery_runner.py
@@ -76,7 +76,7 @@
     def message_received(self, _sender: MemberId, message: Any) -> None:
         """Handle another core's announcement that it has read the list."""
         if isinstance(message, ListRead):
-            self.machine.on_peer_read(message, self._clock())
+            self.machine.on_read_announced(message, self._clock())
 
     def tick(self, rank: int, epoch_seen: int, now: float) -> None:
         """Read the list when it is this core's turn.
@@ -84,7 +84,7 @@
         `rank` is this core's place in the order in which live cores read the list; `epoch_seen` is
         the newest epoch of the server topic that a node has reported.
         """
-        self.machine.on_epoch_seen(epoch_seen)
+        self.machine.on_stored_epoch(epoch_seen)
         if self._address:
             self._execute(self.machine.tick(rank, now))
 
--- a/src/zincvale/daemons/forwarding_core.py
+++ b/src/zincvale/daemons/forwarding_core.py
@@ -13,7 +13,7 @@
     reader_rank,
 )
 from zincvale.controlplane.documents.api import DocumentApi
-from zincvale.controlplane.documents.derived_intent import DocumentIntent, StoreConfig
+from zincvale.controlplane.documents.derived_intent import IntentDeriver, StoreConfig
 from zincvale.controlplane.documents.reducer import DocumentReducer
 from zincvale.controlplane.documents.rows import DocumentDecoder
 from zincvale.controlplane.placement.controller import PlacementController
@@ -87,7 +87,7 @@
         self._forwarding = forwarding
         self._process_name = f"{settings.member_id}/{incarnation}"
         self._documents = DocumentDecoder()
-        self._intent = DocumentIntent(StoreConfig(forwarding.store_window_s, forwarding.store_over))
+        self._intent = IntentDeriver(StoreConfig(forwarding.store_window_s, forwarding.store_over))
         self._core = CoreAssembly(
             settings,
             incarnation,
--- a/tests/controlplane/directory/test_server_discovery.py
+++ b/tests/controlplane/directory/test_server_discovery.py
@@ -65,7 +65,7 @@
 class ReadingTest(testtools.TestCase):
     def test_cores_take_over_reading_in_the_order_of_their_ranks(self):
         machine = ServerDiscovery("a", LAG_S, 0.0)
-        machine.on_peer_read(ListRead(5), 0.0)
+        machine.on_read_announced(ListRead(5), 0.0)
         self.assertEqual([], machine.tick(0, READER_TIMEOUT_S - 0.1))
         self.assertEqual([], machine.tick(1, READER_TIMEOUT_S + 0.1))
         self.assertEqual([FetchList()], machine.tick(0, READER_TIMEOUT_S + 0.1))
@@ -87,7 +87,7 @@
             self.assertEqual([FetchList()], one.machine.tick(5, now))
             effects, deltas = one.read([listed()], now)
             self.assertEqual([], deltas)
-            other.machine.on_peer_read(effects_of_type(effects, AnnounceRead)[0].message, now)
+            other.machine.on_read_announced(effects_of_type(effects, AnnounceRead)[0].message, now)
             self.assertEqual([], other.machine.tick(0, now + 0.5))
 
     def test_a_newer_publication_supersedes_a_returning_reader(self):
@@ -114,7 +114,7 @@
         node.apply(deltas[0])
         restarted = Core("a/2")
         restarted.read([listed("s2")], 2.0, WALL_CLOCK_S - 30.0)
-        restarted.machine.on_epoch_seen(node.position("listed-servers")[0])
+        restarted.machine.on_stored_epoch(node.position("listed-servers")[0])
         _, deltas = restarted.read([listed("s2")], 3.0, WALL_CLOCK_S - 29.0)
         node.apply(deltas[0])
         self.assertEqual({"s2"}, set(node.view("listed-servers").rows))
--- a/tests/controlplane/documents/test_documents.py
+++ b/tests/controlplane/documents/test_documents.py
@@ -23,7 +23,7 @@
 )
 from zincvale.controlplane.documents.derived_intent import (
     REQUESTS_PER_REPLICA,
-    DocumentIntent,
+    IntentDeriver,
     StoreConfig,
 )
 from zincvale.controlplane.documents.reducer import DocumentReducer
@@ -164,7 +164,7 @@
         self.assertEqual((6, 2), (second.number, second.version))
 
 
-class DocumentIntentTest(testtools.TestCase):
+class IntentDeriverTest(testtools.TestCase):
     def test_an_engine_yields_models_adapters_and_two_stores(self):
         models = {"m": EngineModel(100, 0.5, ("a1", "a2"), 3)}
         engine = Engine(64, 1000, 300, 8, 4.0, models)
@@ -177,7 +177,7 @@
             )
         )
         typed = DocumentDecoder().update(3, document.rows)
-        intent = DocumentIntent(StoreConfig(5.0, 1.1)).update(typed)
+        intent = IntentDeriver(StoreConfig(5.0, 1.1)).update(typed)
         self.assertEqual(["p"], list(intent.pools))
         self.assertEqual({"m/a1", "m/a2"}, set(intent.adapters))
         store = intent.stores["p"]
@@ -191,7 +191,7 @@
         document = Document().accept(complete_document(0, 5, route("a"), pools=pools))
         typed = DocumentDecoder().update(3, document.rows)
         return (
-            DocumentIntent(StoreConfig(5.0, 1.1)).update(typed).pools["p"].max_concurrent_per_server
+            IntentDeriver(StoreConfig(5.0, 1.1)).update(typed).pools["p"].max_concurrent_per_server
         )
 
     def test_requests_per_replica_are_limited_below_an_engines_slots(self):
--- a/tests/daemons/order_soak.py
+++ b/tests/daemons/order_soak.py
@@ -20,7 +20,7 @@
 
 from tests.daemons.order_servers import SimulatedModel, SimulatedServer
 from zincvale.controlplane.directory.server_discovery import ServersObserved
-from zincvale.controlplane.documents.derived_intent import DocumentIntent, StoreConfig
+from zincvale.controlplane.documents.derived_intent import IntentDeriver, StoreConfig
 from zincvale.controlplane.placement.controller import PlacementController
 from zincvale.controlplane.placement.events import (
     DemandReported,
@@ -92,7 +92,7 @@
         self.rows: dict[str, ServerRow] = {}
         self.document_version = 0
         self.receives_documents_from = 0.0
-        self.intent = DocumentIntent(StoreConfig())
+        self.intent = IntentDeriver(StoreConfig())
         self.controller = PlacementController(random.Random(seed), placement_config(ORDER_QUIET_S))
         guard = LeadershipGuard(self, PLACEMENT_ROLE, soak.clock)
         self.runner = PlacementRunner(
