--- a/src/zincvale/controlplane/api/reads.py
+++ b/src/zincvale/controlplane/api/reads.py
@@ -101,7 +101,7 @@
 
 
 def moves_body(view: CoreView) -> bytes:
-    """Return the move calendar, unfinished moves first."""
+    """Return all moves of the move calendar, unfinished moves first."""
     return orjson.dumps(moves_to_json(decode_move(row) for row in view.moves().values()))
 
 
--- a/src/zincvale/controlplane/directory/probe_schedule.py
+++ b/src/zincvale/controlplane/directory/probe_schedule.py
@@ -16,7 +16,7 @@
 PROBE_INTERVAL_S = 1.0
 """Mean interval between two probes of a server that responds."""
 CONFIRMATION_DELAY_S = 0.2
-"""Mean delay between the first failed probe of a server and the probe that confirms it."""
+"""Mean delay between a first failed probe and the probe that confirms the failure."""
 BACKOFF_START_S = 0.5
 """Mean delay after the second failed probe in a row; it doubles with each further failure."""
 BACKOFF_LIMIT_S = 4.0
--- a/src/zincvale/controlplane/directory/row_codec.py
+++ b/src/zincvale/controlplane/directory/row_codec.py
@@ -14,7 +14,7 @@
 from zincvale.model.resources import PoolKind
 
 DIRECTORY_TOPIC = "directory"
-"""Topic of the directory that its leader publishes."""
+"""Topic of the directory that the leader of the role `directory` publishes."""
 LISTED_TOPIC = f"{LEADERLESS_PREFIX}servers"
 """Topic of the directory that follows a list maintained by an external system."""
 
--- a/src/zincvale/controlplane/directory/server_discovery.py
+++ b/src/zincvale/controlplane/directory/server_discovery.py
@@ -253,7 +253,7 @@
         return effects
 
     def _take_publication(self) -> PublishTopic | None:
-        """Return the rows that differ from the last publication; None if none does."""
+        """Return a publication of the changed rows, at first of all rows; None if none changed."""
         encoded = {str(server): encode_server_row(row) for server, row in self._rows.items()}
         puts = {row: value for row, value in encoded.items() if self._published.get(row) != value}
         deletes = [row for row in self._published if row not in encoded]
--- a/src/zincvale/controlplane/directory/server_table.py
+++ b/src/zincvale/controlplane/directory/server_table.py
@@ -130,7 +130,7 @@
         return TableChange(effects, list(listed))
 
     def apply_status(self, event: StatusObserved, now: float) -> TableChange:
-        """Apply a successful probe; drop one that was sent before the newest applied probe."""
+        """Apply a successful probe; drop one that was sent before the newest applied status."""
         tracked = self._servers.get(event.server)
         if tracked is None or event.requested_at < tracked.requested_at:
             return TableChange()
--- a/src/zincvale/controlplane/documents/derived_intent.py
+++ b/src/zincvale/controlplane/documents/derived_intent.py
@@ -32,8 +32,8 @@
 more slots, but processes prompts one after the other."""
 MAX_CONCURRENT_ADAPTER_LOADS = 256
 ADAPTER_BYTES_PER_S = 100_000_000_000
-"""Bandwidth of an adapter store. Adapters load in milliseconds, so that this and
-`MAX_CONCURRENT_ADAPTER_LOADS` are set high enough never to delay a load."""
+"""Bandwidth of an adapter store. It and `MAX_CONCURRENT_ADAPTER_LOADS` are high enough never to
+delay a load: adapters load in milliseconds."""
 
 
 @attrs.frozen
@@ -145,7 +145,7 @@
 
 
 def _loads_at_full_speed(engine: Engine) -> int:
-    """Return how many concurrent loads use the store's full rate; more would slow each other."""
+    """Return how many concurrent loads use the store's full rate; more would slow all down."""
     times = [each.load_s for each in engine.models.values()]
     mean_s = sum(times) / max(1, len(times))
     return max(1, int(engine.loads_per_s * mean_s))
--- a/src/zincvale/controlplane/documents/reducer.py
+++ b/src/zincvale/controlplane/documents/reducer.py
@@ -115,7 +115,7 @@
     *,
     is_complete: bool,
 ) -> dict[str, bytes | None]:
-    """Return the rows of one table after a change, None for removed ones.
+    """Return the rows of one table that a change puts, and None for those that it removes.
 
     A patch keeps the position of an item that exists already and appends new items.
     """
--- a/tests/controlplane/api/test_dispatch.py
+++ b/tests/controlplane/api/test_dispatch.py
@@ -44,7 +44,7 @@
         verify(self, "reads", driver.transcript())
 
     def test_a_core_with_possibly_stale_state_shows_no_intent(self) -> None:
-        driver = ApiDriver(FakeView(applied={NODE_1: 7}, current=False))
+        driver = ApiDriver(FakeView(applied={NODE_1: 7}, is_current=False))
         for path in ("/v1/intent", "/v1/zones", "/v1/zones/zone-a", "/v1/watch", "/v1/members"):
             driver.send("GET", path)
         verify(self, "may_be_behind", driver.transcript())
--- a/tests/controlplane/directory/directory_driver.py
+++ b/tests/controlplane/directory/directory_driver.py
@@ -100,7 +100,7 @@
         self.lines: list[str] = []
         self.published: dict[str, bytes] = {}
 
-    def give(self, event: DirectoryInput) -> list[DirectoryEffect]:
+    def feed(self, event: DirectoryInput) -> list[DirectoryEffect]:
         """Pass in one input and record its effects."""
         effects = self.machine.handle(event, self.now)
         shown = [] if isinstance(event, Tick) else [f"{self.now:.2f} -> {_input_text(event)}"]
@@ -112,27 +112,27 @@
 
     def gain_role(self, epoch: int = 1, rows: dict[str, bytes] | None = None) -> None:
         """Become the publisher."""
-        self.give(DirectoryRoleGained(epoch, TopicView(epoch - 1, 1, rows or {})))
+        self.feed(DirectoryRoleGained(epoch, TopicView(epoch - 1, 1, rows or {})))
 
     def list_servers(self, *rows: PlatformServer) -> None:
         """Respond to a fetch of the platform's list."""
-        self.give(PlatformListed(list(rows)))
+        self.feed(PlatformListed(list(rows)))
 
-    def answer(self, name: str, **fields: object) -> list[DirectoryEffect]:
+    def respond(self, name: str, **fields: object) -> list[DirectoryEffect]:
         """Respond successfully to a probe of a server."""
         observed = status(name, **fields)  # type: ignore[arg-type]
-        return self.give(StatusObserved(ServerId(name), observed, self.now))
+        return self.feed(StatusObserved(ServerId(name), observed, self.now))
 
     def fail(self, name: str, refused: bool = False) -> list[DirectoryEffect]:
         """Fail a probe of a server."""
-        return self.give(StatusFailed(ServerId(name), "timeout", refused, self.now))
+        return self.feed(StatusFailed(ServerId(name), "timeout", refused, self.now))
 
     def tick(self, seconds: float = TICK_S) -> list[DirectoryEffect]:
         """Advance the clock in steps of the tick interval."""
         effects = []
         for _ in range(round(seconds / TICK_S)):
             self.now += TICK_S
-            effects += self.give(Tick())
+            effects += self.feed(Tick())
         return effects
 
     def note(self, text: str) -> None:
--- a/tests/controlplane/directory/test_machine.py
+++ b/tests/controlplane/directory/test_machine.py
@@ -44,8 +44,8 @@
     driver.tick()
     driver.list_servers(listed("s1"))
     driver.tick()
-    driver.answer("s1", models=["base-1"])
-    driver.give(Published(True))
+    driver.respond("s1", models=["base-1"])
+    driver.feed(Published(True))
     driver.lines.clear()
     return driver
 
@@ -58,28 +58,28 @@
         driver.tick()
         driver.list_servers(listed("s1"), listed("s2", 8001, "zone-b"))
         driver.tick()
-        driver.answer("s1", models=["base-1"], running=1)
+        driver.respond("s1", models=["base-1"], running=1)
         driver.fail("s2", refused=True)
-        driver.give(Published(True))
+        driver.feed(Published(True))
         driver.note("one timeout does not change the health, the second does")
         driver.tick(1.2)
         driver.fail("s1")
         driver.tick(0.25)
         driver.fail("s1")
-        driver.give(Published(True))
+        driver.feed(Published(True))
         driver.note("the server returns as a new incarnation, cold and empty")
         driver.tick(0.65)
-        driver.answer("s1", incarnation="i2", health=ServerHealth.COLD)
-        driver.give(Published(True))
+        driver.respond("s1", incarnation="i2", health=ServerHealth.COLD)
+        driver.feed(Published(True))
         driver.note("the platform lists the server at another address")
         driver.list_servers(listed("s1", 8005), listed("s2", 8001, "zone-b"))
         driver.tick()
-        driver.give(Published(True))
-        driver.answer("s1", incarnation="i3")
-        driver.give(Published(True))
+        driver.feed(Published(True))
+        driver.respond("s1", incarnation="i3")
+        driver.feed(Published(True))
         driver.note("another server responds at its address")
-        driver.give(StatusObserved(S1, status("s7"), driver.now))
-        driver.give(Published(True))
+        driver.feed(StatusObserved(S1, status("s7"), driver.now))
+        driver.feed(Published(True))
         driver.note("the server left the list while it was down")
         driver.list_servers(listed("s2", 8001, "zone-b"))
         driver.tick(5.05)
@@ -91,19 +91,19 @@
         successor.note("the successor keeps what was published until it has probed")
         successor.gain_role(epoch=2, rows=dict(driver.published))
         successor.tick()
-        successor.give(PlatformListFailed("timeout"))
-        successor.answer("s1", models=["base-1"], running=2)
+        successor.feed(PlatformListFailed("timeout"))
+        successor.respond("s1", models=["base-1"], running=2)
         successor.note("without a list it publishes after the limit on the first probes")
         successor.tick(3.0)
-        successor.give(PublishFailed("no answer"))
+        successor.feed(PublishFailed("no answer"))
         successor.note("after a publication without response all rows are published again")
         successor.tick(0.3)
-        successor.give(Published(True))
+        successor.feed(Published(True))
         successor.note("a refused publication as well: only losing the role ends publishing")
         successor.fail("s1", refused=True)
-        successor.give(Published(False))
+        successor.feed(Published(False))
         successor.tick(0.3)
-        successor.give(DirectoryRoleLost())
+        successor.feed(DirectoryRoleLost())
         successor.tick(5.0)
         verify(self, "directory_change_of_publisher", successor.transcript())
 
@@ -124,7 +124,7 @@
 
     def test_a_passive_failure_triggers_an_immediate_probe(self) -> None:
         driver = settled_driver()
-        driver.give(PassiveFailureObserved(S1))
+        driver.feed(PassiveFailureObserved(S1))
         self.assertEqual([S1], [e.server for e in driver.tick() if isinstance(e, ProbeServer)])
 
     def test_one_probe_is_in_flight_and_a_lost_one_counts_as_failed(self) -> None:
@@ -138,26 +138,26 @@
         driver = settled_driver()
         driver.tick(1.5)
         late = StatusObserved(S1, status("s1", "i0"), driver.now - 2.0)
-        self.assertEqual([], driver.give(late))
+        self.assertEqual([], driver.feed(late))
         self.assertEqual("i1", driver.machine.rows()[S1].incarnation)
 
     def test_after_a_process_pause_every_server_is_probed_at_once(self) -> None:
         driver = settled_driver()
         driver.tick(1.5)
-        driver.give(ClockJumped(20.0))
+        driver.feed(ClockJumped(20.0))
         self.assertEqual(1, len([e for e in driver.tick() if isinstance(e, ProbeServer)]))
         self.assertEqual(ServerHealth.READY, driver.machine.rows()[S1].health)
 
     def test_observations_are_reported_with_the_request_time(self) -> None:
         driver = settled_driver()
-        effects = driver.answer("s1", models=["base-1"])
+        effects = driver.respond("s1", models=["base-1"])
         reports = [effect for effect in effects if isinstance(effect, ServerReported)]
         self.assertEqual([driver.now], [report.requested_at for report in reports])
 
     def test_only_the_own_share_is_probed_until_another_prober_is_silent(self) -> None:
         driver = DirectoryDriver()
         probers = (MemberId("core-1"), MemberId("core-2"))
-        driver.give(ProbersChanged(probers))
+        driver.feed(ProbersChanged(probers))
         driver.gain_role()
         names = [f"s{number}" for number in range(20)]
         driver.list_servers(*[listed(name, 8000 + n) for n, name in enumerate(names)])
@@ -175,37 +175,37 @@
         driver = settled_driver()
         publications = 0
         for step in range(200):
-            effects = driver.answer("s1", models=["base-1"], running=step % 4) + driver.tick()
+            effects = driver.respond("s1", models=["base-1"], running=step % 4) + driver.tick()
             if any(isinstance(effect, PublishRows) for effect in effects):
                 publications += 1
-                driver.give(Published(True))
+                driver.feed(Published(True))
         self.assertTrue(4 <= publications <= 6, publications)
 
     def test_load_of_a_draining_server_is_published_at_once(self) -> None:
         driver = settled_driver()
-        driver.give(IntentChanged(Intent(1, servers={S1: ServerSpec(drained=True)})))
-        driver.answer("s1", models=["base-1"], running=1)
+        driver.feed(IntentChanged(Intent(1, servers={S1: ServerSpec(drained=True)})))
+        driver.respond("s1", models=["base-1"], running=1)
         self.assertEqual(1, len([e for e in driver.tick() if isinstance(e, PublishRows)]))
 
     def test_draining_marks_are_published_at_once_and_fenced(self) -> None:
         driver = settled_driver()
         names = frozenset({"base-1"})
-        effects = driver.give(DrainingMarked(S1, names, epoch=5))
+        effects = driver.feed(DrainingMarked(S1, names, epoch=5))
         self.assertEqual(1, len(effects))
-        self.assertEqual([], driver.give(DrainingMarked(S1, frozenset(), epoch=4)))
+        self.assertEqual([], driver.feed(DrainingMarked(S1, frozenset(), epoch=4)))
         self.assertEqual(names, driver.machine.rows()[S1].closing)
 
     def test_a_new_incarnation_clears_the_draining_marks(self) -> None:
         driver = settled_driver()
-        driver.give(DrainingMarked(S1, frozenset({"base-1"}), epoch=5))
-        driver.answer("s1", incarnation="i2")
+        driver.feed(DrainingMarked(S1, frozenset({"base-1"}), epoch=5))
+        driver.respond("s1", incarnation="i2")
         self.assertEqual(frozenset(), driver.machine.rows()[S1].closing)
 
     def test_a_delisted_server_that_responds_is_retained_for_a_limited_time(self) -> None:
         driver = settled_driver()
         driver.list_servers()
         driver.now += RESPONDING_RETENTION_S - 1.0
-        driver.answer("s1", models=["base-1"])
+        driver.respond("s1", models=["base-1"])
         driver.tick()
         self.assertIn(S1, driver.machine.rows())
         driver.tick(1.0)
@@ -214,7 +214,7 @@
     def test_without_the_role_there_are_no_effects(self) -> None:
         driver = DirectoryDriver()
         driver.list_servers(listed("s1"))
-        driver.answer("s1")
+        driver.respond("s1")
         self.assertEqual([], driver.tick(5.0))
 
 
--- a/tests/controlplane/directory/test_server_prober.py
+++ b/tests/controlplane/directory/test_server_prober.py
@@ -102,14 +102,14 @@
 
     def test_reported_observations_determine_the_published_health(self) -> None:
         publisher = DirectoryDriver()
-        publisher.give(ProbersChanged(PROBERS))
+        publisher.feed(ProbersChanged(PROBERS))
         publisher.gain_role()
         remote = next(name for name in SERVERS if probers_of(name, PROBERS)[0] != PROBERS[0])
         publisher.list_servers(listed(remote))
         publisher.tick()
         status = read_server_status(status_body(remote, running=2))
-        publisher.give(StatusObserved(remote, status, publisher.now - 0.2))
+        publisher.feed(StatusObserved(remote, status, publisher.now - 0.2))
         publisher.tick()
         self.assertEqual("ready", publisher.health(remote))
-        publisher.give(StatusFailed(remote, "refused", True, publisher.now))
+        publisher.feed(StatusFailed(remote, "refused", True, publisher.now))
         self.assertEqual(ServerHealth.DOWN, publisher.machine.rows()[remote].health)
--- a/tests/controlplane/documents/test_documents.py
+++ b/tests/controlplane/documents/test_documents.py
@@ -199,7 +199,7 @@
         self.assertEqual(2, self.requests_per_replica(slots=2))
 
 
-class FakeView:
+class FakeDocumentView:
     def __init__(self):
         self.view = KeyView()
 
@@ -232,7 +232,7 @@
 class DocumentApiTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.view = FakeView()
+        self.view = FakeDocumentView()
         self.api = DocumentApi(self.view, PlainDialect(), "core-1/x")
 
     def call(self, method, token="t1"):
@@ -244,7 +244,7 @@
 
     def test_equal_changes_have_one_idempotency_key_at_any_core(self):
         first = self.proposal(self.call("PUT"))
-        other = DocumentApi(FakeView(), PlainDialect(), "core-2/y")
+        other = DocumentApi(FakeDocumentView(), PlainDialect(), "core-2/y")
         again = self.proposal(other.handle(ApiRequest("PUT", "/", {}, {}, b"", "t"), 9.0))
         self.assertEqual(first.idempotency_key, again.idempotency_key)
 
--- a/tests/controlplane/fake_cores.py
+++ b/tests/controlplane/fake_cores.py
@@ -21,10 +21,10 @@
 from zincvale.coordination.changes import KeyView, apply_changes
 from zincvale.coordination.registers.change_messages import ChangeResult, ProposeChange
 
-ANSWER = "answer"
+RESPOND = "answer"
 NOT_REACHED = "not-reached"
 LOST_REQUEST = "lost-request"
-LOST_ANSWER = "lost-answer"
+LOST_RESPONSE = "lost-answer"
 NOT_CONFIRMED = "not-confirmed"
 
 
@@ -52,9 +52,9 @@
         timeout_s: float,
     ) -> CoreResponse:
         path, _, query = target.partition("?")
-        outcome = ANSWER
+        outcome = RESPOND
         if method == "POST":
-            outcome = self.script.popleft() if self.script else ANSWER
+            outcome = self.script.popleft() if self.script else RESPOND
             self.attempts.append(f"{address} {headers['Idempotency-Key']} {outcome}")
             self.bodies.append(body)
         if address in self.down or outcome == NOT_REACHED:
@@ -69,7 +69,7 @@
             method, path, dict(urllib.parse.parse_qsl(query)), headers, body, f"t{self._count}"
         )
         answer = self._handle(address, request, timeout_s)
-        if outcome == LOST_ANSWER:
+        if outcome == LOST_RESPONSE:
             self.clock += timeout_s
             raise CoreUnreachableError("Connection reset", sent=True)
         return answer
--- a/tests/controlplane/fake_view.py
+++ b/tests/controlplane/fake_view.py
@@ -93,11 +93,11 @@
         )
     )
     calendar: dict[str, bytes] = attrs.field(factory=dict)
-    current: bool = True
+    is_current: bool = True
     _decoder: IntentDecoder = attrs.field(factory=IntentDecoder)
 
     def may_show_state(self) -> bool:
-        return self.current
+        return self.is_current
 
     def intent_rows(self) -> KeyView:
         return self.rows
--- a/tests/controlplane/test_operator_commands.py
+++ b/tests/controlplane/test_operator_commands.py
@@ -123,7 +123,7 @@
             [
                 fake_cores.NOT_REACHED,
                 fake_cores.LOST_REQUEST,
-                fake_cores.LOST_ANSWER,
+                fake_cores.LOST_RESPONSE,
                 fake_cores.NOT_CONFIRMED,
             ]
         )
