--- a/src/zincvale/transport/server_connection.py
+++ b/src/zincvale/transport/server_connection.py
@@ -188,7 +188,7 @@
         if not self._is_own_response:
             # This is a late response to an earlier request; the one to this request may follow.
             if end is not ResponseEnd.REUSABLE:
-                self._fail("the response belongs to another request")
+                self._fail("the server sent the response to another request")
             return
         listener = self._listener
         self._listener = None
