--- a/src/zincvale/controlplane/api/intent_changes.py
+++ b/src/zincvale/controlplane/api/intent_changes.py
@@ -152,7 +152,7 @@
         )
     if from_header is not None and from_header != declared:
         raise InvalidInputError(
-            f"baseVersion is {declared}, If-Match is {from_header}", "send one of the two"
+            f"baseVersion is {declared}, but If-Match is {from_header}", "send one of the two"
         )
     return declared
 
--- a/src/zincvale/controlplane/api/pending_watches.py
+++ b/src/zincvale/controlplane/api/pending_watches.py
@@ -52,7 +52,8 @@
         timeout_s = float("nan")
     if not 0 <= timeout_s <= MAX_WATCH_S:
         raise InvalidInputError(
-            f"timeout_s is {text[:40]!r}", f"write 0 to {MAX_WATCH_S:g} seconds"
+            f"timeout_s is {text[:40]!r}, not a valid time-out",
+            f"write 0 to {MAX_WATCH_S:g} seconds",
         )
     return timeout_s
 
--- a/src/zincvale/controlplane/api/reads.py
+++ b/src/zincvale/controlplane/api/reads.py
@@ -141,7 +141,9 @@
     if not limit:
         return after, DEFAULT_PAGE_ROWS
     if not limit.isascii() or not limit.isdigit() or not 0 < int(limit) <= MAX_PAGE_ROWS:
-        raise InvalidInputError(f"limit is {limit[:40]!r}", f"write 1 to {MAX_PAGE_ROWS}")
+        raise InvalidInputError(
+            f"limit is {limit[:40]!r}, not a valid page size", f"write 1 to {MAX_PAGE_ROWS}"
+        )
     return after, int(limit)
 
 
--- a/src/zincvale/controlplane/directory/backend_status.py
+++ b/src/zincvale/controlplane/directory/backend_status.py
@@ -134,7 +134,7 @@
 
 def _read_text(value: object) -> str:
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{value!r} is not a name")
+        raise ValueError(f"{value!r} is not a non-empty text")
     return value
 
 
--- a/src/zincvale/controlplane/documents/reducer.py
+++ b/src/zincvale/controlplane/documents/reducer.py
@@ -78,13 +78,14 @@
     current = number_of(rows)
     if plain["base"] != current:
         raise VersionConflictError(
-            f"built on document {plain['base']}, now {current}",
+            f"the change was built on document {plain['base']}, but the current one is {current}",
             "read the current document and build the change on it",
             current,
         )
     if plain["number"] <= current:
         raise InvalidInputError(
-            f"number {plain['number']} is not above {current}", "give the document a higher number"
+            f"number {plain['number']} is not above the current number {current}",
+            "give the document a higher number",
         )
 
 
--- a/src/zincvale/controlplane/intent/change_body.py
+++ b/src/zincvale/controlplane/intent/change_body.py
@@ -113,7 +113,7 @@
     for mode in ChangeMode:
         if mode.value == value:
             return mode
-    raise InvalidInputError(f"mode is {value!r}", "write `merge` or `replace`")
+    raise InvalidInputError(f"unknown mode {value!r}", "write `merge` or `replace`")
 
 
 def _read_edit(item: object, position: int, mode: ChangeMode) -> ResourceEdit:
