--- a/src/zincvale/tracing/collector/collector.py
+++ b/src/zincvale/tracing/collector/collector.py
@@ -67,6 +67,7 @@
 BACKUP_MARGIN_S = 30.0
 """How much longer than the decision wait a backup is retained."""
 MAX_CREDIT_BYTES = 256 * 1024
+"""Maximum credit that a sender gets with one ack."""
 MIN_CREDIT_BYTES = 4 * 1024
 """Below this share of the remaining budget a sender gets no credit."""
 
--- a/src/zincvale/tracing/ownership.py
+++ b/src/zincvale/tracing/ownership.py
@@ -3,8 +3,8 @@
 The low bits of a trace identifier select a slot, and each slot belongs to the member with the
 highest score for it, so that a change of members moves as few traces as possible. The members of a
 slot are ranked when the first of its traces is looked up, and the ranking is cached until the
-members change. A member starts only a few traces a second, so ranking all slots in advance with a
-numeric library is not worth its memory, which would exceed that of the rest of this module.
+members change. A member starts only a few traces a second, so it is not worth ranking all slots in
+advance with a numeric library, which would take more memory than the rest of tracing.
 """
 
 from __future__ import annotations
--- a/src/zincvale/tracing/retention/retained_store.py
+++ b/src/zincvale/tracing/retention/retained_store.py
@@ -62,7 +62,8 @@
 
     Attributes
     ----------
-    retention_s : how long a trace is retained at most.
+    budget_bytes : maximum `size_bytes`, above which traces are evicted.
+    retention_s : maximum time for which a trace is retained.
     evicted : number of traces evicted above the byte budget, by class.
     complete_since : latest start time of an evicted trace, by class, in seconds since the epoch.
     """
--- a/src/zincvale/transport/peer.py
+++ b/src/zincvale/transport/peer.py
@@ -20,7 +20,7 @@
 
 
 class PeerCaller(Protocol):
-    """Sends calls and one-way messages to members by identifier, without their addresses."""
+    """Sends calls and one-way messages to members; addresses come from the member table."""
 
     async def call(self, member: MemberId, message: Any, timeout_s: float) -> Any:
         """Return the member's reply; raises `PeerCallError` or `PeerUnreachableError`."""
--- a/src/zincvale/transport/peer_client.py
+++ b/src/zincvale/transport/peer_client.py
@@ -29,7 +29,8 @@
 MIN_FAILURE_STATUS = 300
 """Responses with this status or a higher one are failures."""
 SEND_TIMEOUT_S = 0.8
-"""Time limit of a batch of one-way messages; those sent meanwhile are queued until it ends."""
+"""Time limit of a batch of one-way messages. Messages sent meanwhile are queued, so a longer limit
+delays them."""
 MAX_QUEUED_MESSAGES = 2_000
 """Maximum length of a peer's queue, which limits its memory while the peer is unreachable. The
 oldest messages are dropped, since one-way messages may be lost."""
