--- a/src/zincvale/tracing/api/render.py
+++ b/src/zincvale/tracing/api/render.py
@@ -11,7 +11,7 @@
 
 
 def render_tree(trace: dict[str, Any]) -> str:
-    """Return a trace, as the trace API returns it, as a tree of its spans with their events."""
+    """Return a tree of spans and events, from a trace as the trace API returns it."""
     lines = _heading(trace)
     children = _children_by_parent(trace["spans"])
     for span in children.get("", []):
@@ -38,7 +38,7 @@
 
 
 def render_table(rows: list[dict[str, Any]]) -> str:
-    """Return summaries, as a search with the trace API returns them, as a table."""
+    """Return a table of the summaries that a search with the trace API returns."""
     header = (
         "TRACE",
         "START",
--- a/src/zincvale/tracing/retention/retained_trace.py
+++ b/src/zincvale/tracing/retention/retained_trace.py
@@ -130,5 +130,5 @@
         }
 
     def to_json(self) -> dict[str, Any]:
-        """Return the whole trace as the trace API shows it."""
+        """Return the whole trace as the trace API returns it."""
         return {**self.summary(), "spans": [span.to_json() for span in self.spans()]}
