--- a/src/zincvale/simulator/what_if/attempt.py
+++ b/src/zincvale/simulator/what_if/attempt.py
@@ -25,27 +25,27 @@
 
 @attrs.define(eq=False)
 class CallersContext:
-    """What all callers share; the load began at `started_at`."""
+    """State that all callers share; the load starts at the virtual time `started_at`."""
 
     clock: VirtualClock
     timings: Timings
     nodes: dict[str, VirtualNode]
-    choice: NodePicker
+    node_picker: NodePicker
     figures: FigureTable
     planner: Planner
     started_at: float
     open_conversations: int = 0
-    """Arrivals whose last turn is not over."""
+    """Number of arrivals whose last turn has not ended."""
 
 
 class AttemptOwner(Protocol):
-    """The request over all of its attempts."""
+    """A caller's request, with all of its attempts."""
 
     context: CallersContext
     plan: Plan
     row: RequestRow
     chunks: int
-    """Chunks of a stream that the caller has received."""
+    """Number of chunks of the stream that the caller has received."""
     deadline_at: float
 
     def mark_first_byte(self) -> None:
@@ -53,7 +53,7 @@
 
 
 class CallerAttempt:
-    """One attempt at one node: the counterpart of the stand-in's HTTP exchange."""
+    """One attempt at one node, in place of the stand-in's HTTP exchange."""
 
     def __init__(
         self,
@@ -63,15 +63,15 @@
         on_ended: Callable[[AttemptResult], None],
     ) -> None:
         plan = request.plan
-        self.hang_up_after = plan.hang_up_after_chunks if plan.stream else 0
+        self.hang_up_after_chunks = plan.hang_up_after_chunks if plan.stream else 0
         self._request = request
         self._context = request.context
         self._node = request.context.nodes[node]
         self._request_id = request_id
         self._on_ended = on_ended
         self._is_over = False
-        self._at_node: VirtualRequest | None = None
-        self._has_chunks = False
+        self._node_request: VirtualRequest | None = None
+        self._has_received_chunks = False
         self._idle_timer: Timer | None = None
 
     def start(self) -> None:
@@ -80,7 +80,7 @@
         self._arm_idle_timer(caller.first_byte_timeout_s)
         self._context.clock.call_later(self._context.timings.caller_hop_s, self._arrive)
 
-    # what the node says, when the bytes leave it
+    # Calls of the node at the time of sending, without the delay to the caller.
 
     def on_response(self, response: SendResponse) -> None:
         """Handle a complete response."""
@@ -91,14 +91,14 @@
         self._deliver_later(delay_s, lambda: self._on_chunks(last_index))
 
     def on_end(self, count: int, delay_s: float) -> None:
-        """Take a stream's end."""
-        answered = AttemptResult(AttemptOutcome.ANSWERED)
-        self._deliver_later(delay_s, lambda: self._finish(answered))
+        """Handle the end of a stream."""
+        answered_result = AttemptResult(AttemptOutcome.ANSWERED)
+        self._deliver_later(delay_s, lambda: self._finish(answered_result))
 
     def on_break(self, resumable: bool) -> None:
-        """Take a stream that broke, marked as such."""
-        broken = AttemptResult(AttemptOutcome.INTERRUPTED, resumable=resumable)
-        self._deliver_later(0.0, lambda: self._finish(broken))
+        """Handle a stream that ended early with the mark of a broken stream."""
+        broken_result = AttemptResult(AttemptOutcome.INTERRUPTED, resumable=resumable)
+        self._deliver_later(0.0, lambda: self._finish(broken_result))
 
     def on_stalled(self) -> None:
         """Restart the idle timeout while a stream moves to another server."""
@@ -106,11 +106,11 @@
             self._arm_idle_timer(self._request.plan.caller.idle_timeout_s)
 
     def on_reset(self) -> None:
-        """Take the loss of the connection."""
-        outcome = AttemptOutcome.INTERRUPTED if self._has_chunks else AttemptOutcome.LOST
+        """Handle that the connection is lost."""
+        outcome = AttemptOutcome.INTERRUPTED if self._has_received_chunks else AttemptOutcome.LOST
         self._deliver_later(0.0, lambda: self._finish(AttemptResult(outcome)))
 
-    # at the node
+    # Arrival of the request at the node.
 
     def _arrive(self) -> None:
         if self._is_over:
@@ -121,36 +121,36 @@
             self._finish(AttemptResult(AttemptOutcome.NOT_CONNECTED))
             return
         if named is None:
-            reason = "not-ready" if node.world.intent.version == 0 else "no-route"
+            reason = "not-ready" if node.routing_state.intent.version == 0 else "no-route"
             refusal = AttemptResult(AttemptOutcome.REFUSED, reason, 1.0)
             self._deliver_later(0.0, lambda: self._finish(refusal))
             return
         name, route = named
         now = self._context.clock.now
         plan = self._request.plan
-        left_s = min(self._request.deadline_at - now, route.deadline_ms / 1000)
-        pool = node.world.pool_of(route)
-        lookup = pool is not None and pool.spec.kind is PoolKind.LOOKUP
+        remaining_s = min(self._request.deadline_at - now, route.deadline_ms / 1000)
+        pool = node.routing_state.pool_of(route)
+        is_lookup = pool is not None and pool.spec.kind is PoolKind.LOOKUP
         request = CallerRequest(
             request_id=RequestId(self._request_id),
             caller_named_it=True,
             route=name,
             digest=plan.base_id,
-            inference_request=_lookup_request(plan) if lookup else _inference_request(plan),
+            inference_request=_lookup_request(plan) if is_lookup else _inference_request(plan),
             received_at=now,
-            deadline_at=now + max(0.0, left_s),
+            deadline_at=now + max(0.0, remaining_s),
             resume_after=self._request.chunks or None,
         )
-        if not lookup and route.models and plan.model not in route.models:
+        if not is_lookup and route.models and plan.model not in route.models:
             refusal = AttemptResult(AttemptOutcome.REFUSED, "invalid")
             self._deliver_later(0.0, lambda: self._finish(refusal))
             return
-        self._at_node = node.begin(request, route, self)
+        self._node_request = node.begin(request, route, self)
 
-    # at the caller
+    # Arrival of the node's messages at the caller.
 
     def _on_response(self, response: SendResponse) -> None:
-        result = _result_of(response)
+        result = _attempt_result(response)
         if result.outcome is AttemptOutcome.ANSWERED:
             self._request.mark_first_byte()
         self._finish(result)
@@ -158,22 +158,22 @@
     def _on_chunks(self, last_index: int) -> None:
         if self._is_over:
             return
-        self._has_chunks = True
+        self._has_received_chunks = True
         self._request.mark_first_byte()
         self._request.chunks = max(self._request.chunks, last_index)
         if self._idle_timer is not None:
             self._idle_timer.cancel()
             self._idle_timer = None
-        if 0 < self.hang_up_after <= self._request.chunks:
-            self._close()
+        if 0 < self.hang_up_after_chunks <= self._request.chunks:
+            self._disconnect()
             self._finish(AttemptResult(AttemptOutcome.HUNG_UP))
 
     def _on_idle_timeout(self) -> None:
         self._idle_timer = None
         if self._is_over:
             return
-        self._close()
-        outcome = AttemptOutcome.INTERRUPTED if self._has_chunks else AttemptOutcome.LOST
+        self._disconnect()
+        outcome = AttemptOutcome.INTERRUPTED if self._has_received_chunks else AttemptOutcome.LOST
         self._finish(AttemptResult(outcome))
 
     def _finish(self, result: AttemptResult) -> None:
@@ -182,15 +182,15 @@
         self._is_over = True
         if self._idle_timer is not None:
             self._idle_timer.cancel()
-        if self._at_node is not None:
-            self._request.row.add_node_stats(self._at_node.stats)
+        if self._node_request is not None:
+            self._request.row.add_node_stats(self._node_request.stats)
         self._on_ended(result)
 
-    def _close(self) -> None:
-        at_node = self._at_node
-        if at_node is not None:
+    def _disconnect(self) -> None:
+        node_request = self._node_request
+        if node_request is not None:
             hop_s = self._context.timings.caller_hop_s
-            self._context.clock.call_later(hop_s, at_node.on_caller_lost)
+            self._context.clock.call_later(hop_s, node_request.on_caller_lost)
 
     def _arm_idle_timer(self, seconds: float) -> None:
         if self._idle_timer is not None:
@@ -216,7 +216,7 @@
     return InferenceRequest(key=plan.prompt)
 
 
-def _result_of(response: SendResponse) -> AttemptResult:
+def _attempt_result(response: SendResponse) -> AttemptResult:
     named = response.headers.get(OUTCOME_HEADER, "")
     if named == Outcome.ANSWERED.value:
         return AttemptResult(AttemptOutcome.ANSWERED)
--- a/src/zincvale/simulator/what_if/callers.py
+++ b/src/zincvale/simulator/what_if/callers.py
@@ -1,4 +1,4 @@
-"""Callers in virtual time: the same seeded arrivals, requests and retries as the real fleet's."""
+"""Callers in virtual time, with the seeded arrivals, requests and retries of real fleets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 from zincvale.standins.load.spec import LoadSpec
 
-Then = Callable[[bool], None]
+OnComplete = Callable[[bool], None]
 
 
 class VirtualCallers:
@@ -28,8 +28,10 @@
 
     Parameters
     ----------
-    spec : the load.
-    seconds, seed, rate_factor : as for the real callers.
+    spec : the load to generate.
+    seconds : how long new requests arrive.
+    seed : of the arrivals.
+    rate_factor : multiplies every caller's rate.
     """
 
     def __init__(
@@ -44,10 +46,10 @@
         self._schedule: Iterator[Arrival] = arrivals(spec, seconds, seed, rate_factor)
 
     def start(self) -> None:
-        """Let the first arrival come."""
-        self._next()
+        """Schedule the first arrival."""
+        self._schedule_next_arrival()
 
-    def _next(self) -> None:
+    def _schedule_next_arrival(self) -> None:
         arrival = next(self._schedule, None)
         if arrival is None:
             return
@@ -55,38 +57,38 @@
         self._context.clock.call_at(at, lambda: self._arrive(arrival))
 
     def _arrive(self, arrival: Arrival) -> None:
-        self._next()
+        self._schedule_next_arrival()
         self._context.open_conversations += 1
         conversation = self._context.planner.conversation(arrival)
-        _Turns(self._context, conversation).send_turn(0, "")
+        _ConversationRun(self._context, conversation).send_turn(0, "")
 
 
 @attrs.define(eq=False)
-class _Turns:
-    """The turns of one arrival, each after the complete response to the one before."""
+class _ConversationRun:
+    """The turns of one arrival; each starts after the complete response to the previous one."""
 
     context: CallersContext
     conversation: Conversation
 
     def send_turn(self, turn: int, history: str) -> None:
-        """Send the request of a turn."""
+        """Send the request of a turn; `history` is the text of the turns before it."""
         plan = self.context.planner.plan(self.conversation, turn, history)
 
-        def then(answered: bool) -> None:
+        def on_complete(answered: bool) -> None:
             if not answered or turn + 1 >= len(self.conversation.prompts):
                 self.context.open_conversations -= 1
                 return
-            text = plan.prompt + "".join(plan.expected)
+            next_history = plan.prompt + "".join(plan.expected)
             think_s = self.conversation.caller.think_s
-            self.context.clock.call_later(think_s, lambda: self.send_turn(turn + 1, text))
+            self.context.clock.call_later(think_s, lambda: self.send_turn(turn + 1, next_history))
 
-        CallerRequestRun(self.context, plan, then).begin()
+        CallerRequestRun(self.context, plan, on_complete).begin()
 
 
 class CallerRequestRun:
-    """One request over its attempts: the counterpart of the stand-in's `Callers._request`."""
+    """One request with all of its attempts, in place of the stand-in's `Callers._request`."""
 
-    def __init__(self, context: CallersContext, plan: Plan, then: Then) -> None:
+    def __init__(self, context: CallersContext, plan: Plan, on_complete: OnComplete) -> None:
         now = context.clock.now
         self.context = context
         self.plan = plan
@@ -94,19 +96,19 @@
         self.first_at: float | None = None
         self.deadline_at = now + plan.deadline_s
         self.row = RequestRow(plan.route, now - context.started_at)
-        self._then = then
+        self._on_complete = on_complete
         self._retry = CallerRetry(plan.caller.max_attempts, self.deadline_at)
         self._started_at = now
         self._request_id = plan.base_id
-        self._renamed = 0
+        self._new_id_count = 0
         self._last_node = ""
-        self._has_lost_response = False
-        self._is_duplicated = False
+        self._has_discarded_response = False
+        self._is_duplicate_sent = False
 
     def begin(self) -> None:
         """Send the request for the first time."""
         self.context.figures.offered(self.row)
-        self._attempt()
+        self._start_attempt()
 
     def mark_first_byte(self) -> None:
         """Record the time of the first byte or chunk."""
@@ -114,8 +116,8 @@
             self.first_at = self.context.clock.now
 
     def on_attempt_ended(self, result: AttemptResult) -> None:
-        """Take what an attempt came to, and do what a caller does next."""
-        if result.outcome is AttemptOutcome.ANSWERED and self._loses_response():
+        """Handle the result of an attempt: complete the request or send it again."""
+        if result.outcome is AttemptOutcome.ANSWERED and self._discard_response_once():
             result = AttemptResult(AttemptOutcome.LOST)
         self.context.figures.attempted(self.row, result)
         step = self._retry.after(result, self.chunks > 0, self.context.clock.now)
@@ -123,33 +125,33 @@
             self._complete(result)
             return
         if step.new_id:
-            self._renamed += 1
-            self._request_id = f"{self.plan.base_id}.{self._renamed}"
-        self.context.clock.call_later(step.delay_s, self._attempt)
+            self._new_id_count += 1
+            self._request_id = f"{self.plan.base_id}.{self._new_id_count}"
+        self.context.clock.call_later(step.delay_s, self._start_attempt)
 
-    def _loses_response(self) -> bool:
-        if self._has_lost_response or not self.plan.discards_response:
+    def _discard_response_once(self) -> bool:
+        if self._has_discarded_response or not self.plan.discards_response:
             return False
-        self._has_lost_response = True
+        self._has_discarded_response = True
         return True
 
-    def _attempt(self) -> None:
-        picked = self.context.choice.pick(self._last_node)
+    def _start_attempt(self) -> None:
+        picked = self.context.node_picker.pick(self._last_node)
         if picked is None:
             self.on_attempt_ended(AttemptResult(AttemptOutcome.NO_NODE))
             return
         self._last_node = picked[0]
         self.row.attempts += 1
         CallerAttempt(self, picked[0], self._request_id, self.on_attempt_ended).start()
-        if self.plan.is_duplicated and not self._is_duplicated:
-            self._is_duplicated = True
+        if self.plan.is_duplicated and not self._is_duplicate_sent:
+            self._is_duplicate_sent = True
             self._send_duplicate()
 
     def _send_duplicate(self) -> None:
-        """Send the same request to another node too; what comes of it only counts."""
-        picked = self.context.choice.pick(self._last_node)
+        """Send the same request to another node too; its result is ignored."""
+        picked = self.context.node_picker.pick(self._last_node)
         if picked is not None:
-            CallerAttempt(self, picked[0], self._request_id, _ignore).start()
+            CallerAttempt(self, picked[0], self._request_id, _ignore_result).start()
 
     def _complete(self, result: AttemptResult) -> None:
         now = self.context.clock.now
@@ -159,13 +161,13 @@
         if self.first_at is not None:
             self.row.first_s = self.first_at - self._started_at
         self.context.figures.completed(self.row)
-        self._then(result.outcome is AttemptOutcome.ANSWERED)
+        self._on_complete(result.outcome is AttemptOutcome.ANSWERED)
 
 
-def make_choice(seed: int) -> NodePicker:
-    """Return the choice of nodes that the real callers make with this seed."""
+def make_node_picker(seed: int) -> NodePicker:
+    """Return a picker that chooses the same nodes as the real callers with this seed."""
     return NodePicker(random.Random(f"{seed}/nodes"))
 
 
-def _ignore(result: AttemptResult) -> None:
-    """Drop what a duplicate came to."""
+def _ignore_result(result: AttemptResult) -> None:
+    """Ignore the result of a duplicate."""
--- a/src/zincvale/simulator/what_if/clock.py
+++ b/src/zincvale/simulator/what_if/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time of a what-if run: a heap of moments, each with what happens then."""
+"""Virtual time of a what-if run: a heap of scheduled actions, ordered by time."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @attrs.define(eq=False)
 class Timer:
-    """One scheduled moment; a cancelled one is skipped when it comes up."""
+    """One scheduled action; a cancelled one is skipped when its time comes."""
 
     at: float
     action: Callable[[], None] | None
 
     def cancel(self) -> None:
-        """Let nothing happen at the moment."""
+        """Cancel the action."""
         self.action = None
 
 
 class VirtualClock:
-    """Runs actions in the order of their moments; equal moments in the order of scheduling.
+    """Runs actions in the order of their times; those of equal times in the order of scheduling.
 
     Times are virtual seconds from the start of the run.
     """
@@ -33,31 +33,31 @@
         self._heap: list[tuple[float, int, Timer]] = []
 
     def read(self) -> float:
-        """Return the present virtual time."""
+        """Return the current virtual time."""
         return self.now
 
     def call_at(self, at: float, action: Callable[[], None]) -> Timer:
-        """Run `action` at a moment, at once when it has passed."""
+        """Schedule `action` for the time `at`, or for now when that has passed."""
         timer = Timer(max(at, self.now), action)
         self._scheduled += 1
         heapq.heappush(self._heap, (timer.at, self._scheduled, timer))
         return timer
 
     def call_later(self, delay_s: float, action: Callable[[], None]) -> Timer:
-        """Run `action` after `delay_s`."""
+        """Schedule `action` for `delay_s` from now."""
         return self.call_at(self.now + delay_s, action)
 
-    def every(self, interval_s: float, action: Callable[[], None]) -> None:
-        """Run `action` at once and then at each interval."""
+    def call_every(self, interval_s: float, action: Callable[[], None]) -> None:
+        """Run `action` at the current time and then once every `interval_s`."""
 
-        def again() -> None:
+        def run_and_reschedule() -> None:
             action()
-            self.call_later(interval_s, again)
+            self.call_later(interval_s, run_and_reschedule)
 
-        self.call_later(0.0, again)
+        self.call_later(0.0, run_and_reschedule)
 
     def run_until(self, end: float) -> None:
-        """Run everything that is due up to and including `end`."""
+        """Run every action that is due up to and including `end`, and set the time to `end`."""
         heap = self._heap
         while heap and heap[0][0] <= end:
             at, _, timer = heapq.heappop(heap)
--- a/src/zincvale/simulator/what_if/commands.py
+++ b/src/zincvale/simulator/what_if/commands.py
@@ -1,4 +1,4 @@
-"""`zincvale simulate what-if`: a change in virtual time, before it is applied."""
+"""`zincvale simulate what-if`: simulates the effects of a change before it is applied."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 EXIT_REFUSED = 2
 OUTPUTS = ("text", "json")
-PLOT_ENDINGS = (".png", ".svg", ".pdf")
+PLOT_SUFFIXES = (".png", ".svg", ".pdf")
 
 
 def what_if(
@@ -35,7 +35,7 @@
 
     The daemons' own reducer, placement controller, directory, admission, routing and request
     machines run against the stand-ins' engine and memory, under the callers' seeded load. The
-    change is checked as a core does it; an invalid one is refused and nothing runs. The same seed
+    change is checked as a core checks it; an invalid one is refused before the run. The same seed
     gives the same figures.
 
     Examples:
@@ -44,18 +44,18 @@
         zincvale simulate what-if -f change.yaml --seconds 86400 --plot day.png
 
     Args:
-        f: file of resources to merge (YAML, as for `zincvale apply`); empty for one world only.
+        f: file of resources to merge (YAML, as for `zincvale apply`); empty for no change.
         deployment: a folder, or the name of one under deployments/.
         load: a load file, or the name of one in the deployment.
-        faults: a fault file, or the name of a ready one (`zincvale fleet faults` lists them); what
-            of it is not modelled is listed.
-        seconds: how long new requests arrive; 0 takes what the fault file says (30 without one).
+        faults: a fault file, or the name of a ready one (`zincvale fleet faults` lists them); the
+            report lists what of it is not modelled.
+        seconds: how long new requests arrive; 0 for the length in the fault file (30 without one).
         seed: of load, faults and all random choices.
         apply_at: seconds after the load began at which the change is applied.
         rate_factor: multiplies every caller's rate.
         output: text or json.
-        plot: file for a plot of both worlds (.png, .svg or .pdf).
-        jobs: 2 lets the two worlds of a long run use a process each; 1 runs them in turn.
+        plot: file for a plot of both runs (.png, .svg or .pdf).
+        jobs: 2 simulates both runs of a long load in parallel processes; 1 in sequence.
     """
     options = RunOptions(
         deployment=str(deployment),
@@ -85,8 +85,8 @@
 def _check_outputs(output: str, plot: str) -> None:
     if output not in OUTPUTS:
         raise InvalidInputError(f"output is {output!r}", f"write one of {', '.join(OUTPUTS)}")
-    if plot and Path(plot).suffix not in PLOT_ENDINGS:
-        raise InvalidInputError(f"plot is {plot!r}", f"end it in one of {', '.join(PLOT_ENDINGS)}")
+    if plot and Path(plot).suffix not in PLOT_SUFFIXES:
+        raise InvalidInputError(f"plot is {plot!r}", f"end it in one of {', '.join(PLOT_SUFFIXES)}")
     if plot and not Path(plot).absolute().parent.is_dir():
         raise InvalidInputError(f"plot is {plot!r}", "name a file in a folder that exists")
 
--- a/src/zincvale/simulator/what_if/comparison.py
+++ b/src/zincvale/simulator/what_if/comparison.py
@@ -1,4 +1,4 @@
-"""Runs a what-if scenario without its change, and with it."""
+"""Runs a what-if scenario without its change and with it."""
 
 from __future__ import annotations
 
@@ -15,26 +15,27 @@
 from zincvale.simulator.what_if.report import Comparison
 from zincvale.simulator.what_if.run import VirtualFleet
 
-LONG_RUN_S = 600.0
-"""From this length of load on, a second process is worth its start."""
-COLLECT_AFTER_OBJECTS = 200_000
+PARALLEL_MIN_SECONDS = 600.0
+"""Shortest load for which starting a second process saves time, in seconds."""
+GC_THRESHOLD_OBJECTS = 200_000
+"""Allocations, less deallocations, between two collections of the youngest generation."""
 
 
 @attrs.frozen
 class RunResult:
-    """The result of one run."""
+    """The figures of one run, and the messages of changes that it refused."""
 
     figures: RunFigures
     refused_changes: tuple[str, ...]
 
 
 def compare(inputs: WhatIfInputs, jobs: int = 1) -> Comparison:
-    """Run the scenario without its change, and with it when there is one."""
-    begun = time.perf_counter()
+    """Run the scenario without its change and, if there is one, with it."""
+    started_at = time.perf_counter()
     scenarios = [attrs.evolve(inputs.scenario, change=())]
     if inputs.scenario.change:
         scenarios.append(inputs.scenario)
-    if jobs > 1 and len(scenarios) > 1 and inputs.scenario.seconds >= LONG_RUN_S:
+    if jobs > 1 and len(scenarios) > 1 and inputs.scenario.seconds >= PARALLEL_MIN_SECONDS:
         results = _run_in_processes(scenarios)
     else:
         results = [run_scenario(scenario) for scenario in scenarios]
@@ -42,16 +43,16 @@
         inputs=inputs,
         before=results[0].figures,
         after=results[1].figures if len(results) > 1 else None,
-        wall_s=time.perf_counter() - begun,
+        wall_s=time.perf_counter() - started_at,
         refused_changes=results[-1].refused_changes,
     )
 
 
 def run_scenario(scenario: WhatIfScenario) -> RunResult:
-    """Run a scenario once; the same scenario gives the same figures, wall time aside."""
+    """Run a scenario once; equal scenarios give equal figures, except for the times measured."""
     thresholds = gc.get_threshold()
-    # Few of the model's objects are in cycles: look for them rarely.
-    gc.set_threshold(COLLECT_AFTER_OBJECTS, *thresholds[1:])
+    # Few of the simulation's objects are in reference cycles, so that rare collections do.
+    gc.set_threshold(GC_THRESHOLD_OBJECTS, *thresholds[1:])
     try:
         fleet = VirtualFleet(scenario)
         figures = fleet.run()
--- a/src/zincvale/simulator/what_if/control_machine.py
+++ b/src/zincvale/simulator/what_if/control_machine.py
@@ -1,8 +1,8 @@
 """The control machine that leads placement, in virtual time.
 
 The directory machine and the placement controller are the daemon's own; probes, orders and
-publications take their modelled delays. One leader acts from the start to the end: elections and
-what follows them are the explorer's subject.
+publications have modelled delays. One leader acts during the whole run: elections and changes of
+the leader are tested by the explorer.
 """
 
 from __future__ import annotations
@@ -65,18 +65,20 @@
 
 EPOCH = 1
 LEASE_S = 10.0
+"""Length of the placement leader's lease."""
 RENEWAL_S = 2.0
+"""Interval of its renewals, short enough that the lease never ends."""
 LEADER = MemberId("core")
 
-Publish = Callable[[Directory], None]
+PublishDirectory = Callable[[Directory], None]
 
 
 class ControlMachine:
-    """Directory and placement of one core.
+    """Directory and placement of the one simulated core.
 
     Parameters
     ----------
-    publish : takes each directory as nodes are to see it, closing marks included.
+    publish : called with each directory for the nodes, in which draining replicas are marked.
     """
 
     def __init__(
@@ -86,10 +88,10 @@
         servers: dict[ServerId, VirtualServer],
         stores: dict[StoreName, VirtualStore],
         random: Random,
-        publish: Publish,
+        publish: PublishDirectory,
     ) -> None:
-        self.moves_done: Counter[str] = Counter()
-        self.orders: Counter[tuple[ServerId, OrderAction]] = Counter()
+        self.completion_counts: Counter[str] = Counter()
+        self.order_counts: Counter[tuple[ServerId, OrderAction]] = Counter()
         self.first_order_at = math.inf
         self._clock = clock
         self._timings = timings
@@ -102,48 +104,50 @@
         self._version = 0
         self._renew_at = 0.0
         self._decoder = DirectoryDecoder()
-        self._unloads: dict[MoveId, Move] = {}
-        """Unloads on the calendar that are not over."""
-        self._reasons: dict[str, str] = {}
+        self._active_unloads: dict[MoveId, Move] = {}
+        """Unfinished unloads among the published moves."""
+        self._order_labels: dict[str, str] = {}
 
     def start(self) -> None:
-        """Take the role and begin to tick."""
+        """Take the directory role and start the ticks."""
         self._feed_directory(DirectoryRoleGained(EPOCH, TopicView()))
-        self._clock.every(self._timings.systems_tick_s, self._tick)
+        self._clock.call_every(self._timings.systems_tick_s, self._tick)
 
     def apply_intent(self, intent: Intent) -> None:
-        """Take a newer intent."""
+        """Apply a newer intent to directory and placement."""
         self._feed_directory(DirectoryIntentChanged(intent))
-        self._feed(IntentChanged(intent))
+        self._feed_placement(IntentChanged(intent))
 
     def apply_report(self, report: DemandReport) -> None:
-        """Take a node's demand."""
-        self._feed(to_demand_reported(report))
+        """Apply a node's demand report to placement."""
+        self._feed_placement(to_demand_reported(report))
 
     def _tick(self) -> None:
         if self._clock.now >= self._renew_at:
             self._renew_at = self._clock.now + RENEWAL_S
-            self._feed(LeaderGained(EPOCH, self._clock.now + LEASE_S))
+            self._feed_placement(LeaderGained(EPOCH, self._clock.now + LEASE_S))
         self._feed_directory(Tick())
-        self._feed(Tick())
+        self._feed_placement(Tick())
 
-    # directory
+    # Inputs and effects of the directory.
 
     def _feed_directory(self, event: DirectoryInput) -> None:
         for effect in self._directory.handle(event, self._clock.now):
             match effect:
                 case FetchPlatformList():
-                    self._later(self._timings.probe_hop_s * 2, self._list)
+                    self._call_later(self._timings.probe_hop_s * 2, self._report_platform_list)
                 case ProbeServer():
                     self._probe(effect)
                 case PublishRows(message):
                     self._apply_publication(message)
                 case ServerReported(row, requested_at, unloading):
-                    self._feed(DirectoryChanged((StatusReport(row, requested_at, unloading),)))
+                    self._feed_placement(
+                        DirectoryChanged((StatusReport(row, requested_at, unloading),))
+                    )
                 case ServerRemoved(server):
-                    self._feed(DirectoryChanged(departed=(server,)))
+                    self._feed_placement(DirectoryChanged(departed=(server,)))
 
-    def _list(self) -> None:
+    def _report_platform_list(self) -> None:
         rows = [server.platform_row for server in self._servers.values()]
         self._feed_directory(PlatformListed(rows))
 
@@ -152,13 +156,13 @@
         hop_s = self._timings.probe_hop_s
         server = self._servers[effect.server]
 
-        def response() -> None:
+        def respond() -> None:
             event: DirectoryInput = StatusFailed(effect.server, "refused", True, requested_at)
             if server.is_up:
                 event = StatusObserved(effect.server, server.status(), requested_at)
-            self._later(hop_s, lambda: self._feed_directory(event))
+            self._call_later(hop_s, lambda: self._feed_directory(event))
 
-        self._later(hop_s, response)
+        self._call_later(hop_s, respond)
 
     def _apply_publication(self, message: PublishTopic) -> None:
         if message.replace:
@@ -168,43 +172,43 @@
             self._rows.pop(row, None)
         self._publish_directory()
         hop_s = self._timings.report_hop_s
-        self._later(hop_s, lambda: self._feed_directory(Published(True)))
+        self._call_later(hop_s, lambda: self._feed_directory(Published(True)))
 
     def _publish_directory(self) -> None:
-        """Hand out the directory with the closing marks of the calendar."""
+        """Publish the directory, with the replicas marked that the active unloads drain."""
         self._version += 1
         directory = self._decoder.update(EPOCH, self._version, self._rows)
-        self._publish(with_draining(directory, draining_by_server(self._unloads.values())))
+        self._publish(with_draining(directory, draining_by_server(self._active_unloads.values())))
 
-    # placement
+    # Inputs and effects of placement.
 
-    def _feed(self, event: Input) -> None:
+    def _feed_placement(self, event: Input) -> None:
         for effect in self._controller.handle(event, self._clock.now):
             self._execute(effect)
 
     def _execute(self, effect: Any) -> None:
         match effect:
             case SendOrder():
-                self._later(self._timings.order_hop_s, lambda: self._order(effect))
+                self._call_later(self._timings.order_hop_s, lambda: self._deliver_order(effect))
             case RequestStatus(server, _):
                 self._request_status(server)
             case PublishMoves():
                 self._apply_moves(effect)
             case OrderRecorded():
-                what = f"{effect.order.action.value} {effect.order.item_kind.value}"
-                self._reasons[effect.order.order_id] = f"{what}: {effect.reason.value}"
+                label = f"{effect.order.action.value} {effect.order.item_kind.value}"
+                self._order_labels[effect.order.order_id] = f"{label}: {effect.reason.value}"
             case CompletionRecorded():
-                self._count_move(effect)
+                self._count_completion(effect)
 
-    def _count_move(self, effect: CompletionRecorded) -> None:
-        what = self._reasons.pop(effect.order_id, "order")
+    def _count_completion(self, effect: CompletionRecorded) -> None:
+        label = self._order_labels.pop(effect.order_id, "order")
         outcome = "" if effect.outcome == "done" else f" ({effect.outcome})"
-        self.moves_done[what + outcome] += 1
+        self.completion_counts[label + outcome] += 1
 
-    def _order(self, effect: SendOrder) -> None:
+    def _deliver_order(self, effect: SendOrder) -> None:
         order = effect.order
         server = self._servers[effect.server]
-        self.orders[(effect.server, order.action)] += 1
+        self.order_counts[(effect.server, order.action)] += 1
         self.first_order_at = min(self.first_order_at, self._clock.now)
         response: Input = OrderRefused(order.order_id, OrderRefusal.NOT_CONNECTED)
         if server.is_up:
@@ -212,14 +216,14 @@
             response = OrderAccepted(order.order_id)
             if refusal is not None:
                 response = OrderRefused(order.order_id, refusal)
-        self._later(self._timings.order_hop_s, lambda: self._feed(response))
+        self._call_later(self._timings.order_hop_s, lambda: self._feed_placement(response))
 
     def _request_status(self, name: ServerId) -> None:
         requested_at = self._clock.now
         hop_s = self._timings.order_hop_s
         server = self._servers[name]
 
-        def response() -> None:
+        def respond() -> None:
             row = self._directory.rows().get(name)
             if not server.is_up or row is None:
                 return
@@ -227,23 +231,23 @@
             report = StatusReport(
                 observed_row(row, server.status()), requested_at, status.unloading
             )
-            self._later(hop_s, lambda: self._feed(DirectoryChanged((report,))))
+            self._call_later(hop_s, lambda: self._feed_placement(DirectoryChanged((report,))))
 
-        self._later(hop_s, response)
+        self._call_later(hop_s, respond)
 
     def _apply_moves(self, effect: PublishMoves) -> None:
-        before = draining_by_server(self._unloads.values())
+        before = draining_by_server(self._active_unloads.values())
         if effect.is_complete:
-            self._unloads.clear()
+            self._active_unloads.clear()
         for move in effect.changed:
             if move.kind is MoveKind.UNLOAD and not move.finished:
-                self._unloads[move.move_id] = move
+                self._active_unloads[move.move_id] = move
             else:
-                self._unloads.pop(move.move_id, None)
+                self._active_unloads.pop(move.move_id, None)
         for move_id in effect.removed:
-            self._unloads.pop(move_id, None)
-        if draining_by_server(self._unloads.values()) != before:
+            self._active_unloads.pop(move_id, None)
+        if draining_by_server(self._active_unloads.values()) != before:
             self._publish_directory()
 
-    def _later(self, delay_s: float, action: Callable[[], None]) -> None:
+    def _call_later(self, delay_s: float, action: Callable[[], None]) -> None:
         self._clock.call_later(delay_s, action)
--- a/src/zincvale/simulator/what_if/exchange.py
+++ b/src/zincvale/simulator/what_if/exchange.py
@@ -24,7 +24,7 @@
 
 
 class ExchangeNode(Protocol):
-    """What an exchange uses of the node."""
+    """The parts of a node that an exchange uses."""
 
     @property
     def clock(self) -> VirtualClock:
@@ -56,23 +56,23 @@
         ...
 
     @property
-    def hang_up_after(self) -> int:
-        """After how many chunks the caller hangs up; 0 means never."""
+    def hang_up_after_chunks(self) -> int:
+        """Number of chunks after which the caller hangs up; 0 means never."""
         ...
 
     def on_exchange(self, exchange: VirtualExchange, event: Input) -> None:
-        """Handle what the server sent."""
+        """Handle an event of the exchange, after its delay on the way to the node."""
         ...
 
 
 class VirtualExchange:
-    """One request at one server, seen from the node; each way takes its delay."""
+    """One request at one server, seen from the node; each direction has its delay."""
 
     def __init__(self, request: ExchangeOwner, prefix_tokens: int, started_at: float) -> None:
         self.started_at = started_at
         self.first_chunk_s = 0.0
         self.is_closed = False
-        self.count = prefix_tokens
+        self.chunk_count = prefix_tokens
         self._request = request
         self._prefix_tokens = prefix_tokens
         self._close_at_server: Callable[[], None] | None = None
@@ -84,7 +84,7 @@
         node.clock.call_later(node.timings.server_hop_s, lambda: self._arrive(server))
 
     def close(self) -> None:
-        """Close the connection; later events of it are dropped."""
+        """Close the connection; its later events are dropped."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -98,44 +98,50 @@
         if not server.is_up:
             self._notify(ServerFailed("connection refused", False))
             return
-        question = self._request.machine.request.inference_request
+        inference_request = self._request.machine.request.inference_request
         key = GenerationKey(
-            question.model, question.adapter or "", question.prompt, question.max_tokens
+            inference_request.model,
+            inference_request.adapter or "",
+            inference_request.prompt,
+            inference_request.max_tokens,
         )
         self._close_at_server = server.submit(
-            self, key, self._prefix_tokens, self._request.hang_up_after
+            self, key, self._prefix_tokens, self._request.hang_up_after_chunks
         )
 
-    # what the server says, at its time
+    # Calls of the server, without the delay to the node.
 
-    def on_refused(self, end: ExchangeEnd, missing: tuple[str, ...], final: bool) -> None:
-        """Take a refusal: nothing ran."""
-        self._notify(ServerRefused(end, end.value, missing, final))
+    def on_refused(self, end: ExchangeEnd, missing: tuple[str, ...], is_final: bool) -> None:
+        """Handle a refusal: nothing ran."""
+        self._notify(ServerRefused(end, end.value, missing, is_final))
 
-    def on_tokens(self, count: int) -> None:
-        """Take the tokens that came since the last call."""
-        self._forward_chunks(count)
+    def on_tokens(self, chunk_count: int) -> None:
+        """Forward the tokens generated since the last call."""
+        self._forward_chunks(chunk_count)
 
-    def on_finished(self, count: int) -> None:
+    def on_finished(self, chunk_count: int) -> None:
         """Handle the complete response."""
         if self._request.machine.request.inference_request.stream:
-            self._forward_chunks(count)
-            self._notify(StreamEnded(count))
+            self._forward_chunks(chunk_count)
+            self._notify(StreamEnded(chunk_count))
         else:
-            self._notify(ResponseReceived(b"{}", count))
+            self._notify(ResponseReceived(b"{}", chunk_count))
 
-    def on_broken(self, count: int, sent: bool) -> None:
-        """Take a connection that broke."""
+    def on_broken(self, chunk_count: int, was_sent: bool) -> None:
+        """Handle that the connection broke."""
         if self._request.machine.request.inference_request.stream:
-            self._forward_chunks(count)
-        self._notify(ServerFailed("the connection broke", sent))
-
-    def _forward_chunks(self, count: int) -> None:
-        if not self._request.machine.request.inference_request.stream or count <= self.count:
+            self._forward_chunks(chunk_count)
+        self._notify(ServerFailed("the connection broke", was_sent))
+
+    def _forward_chunks(self, chunk_count: int) -> None:
+        if (
+            not self._request.machine.request.inference_request.stream
+            or chunk_count <= self.chunk_count
+        ):
             return
-        first_index = self.count + 1
-        chunks = [""] * (count - self.count)
-        self.count = count
+        first_index = self.chunk_count + 1
+        chunks = [""] * (chunk_count - self.chunk_count)
+        self.chunk_count = chunk_count
         self._notify(ChunksReceived(first_index, chunks))
 
     def _notify(self, event: Input) -> None:
--- a/src/zincvale/simulator/what_if/fault_plan.py
+++ b/src/zincvale/simulator/what_if/fault_plan.py
@@ -1,4 +1,4 @@
-"""Which faults of a fault file a what-if run knows, and why it leaves out the others."""
+"""Splits the steps of a fault file into those that a what-if run models and those it omits."""
 
 from __future__ import annotations
 
@@ -19,37 +19,39 @@
 from zincvale.fleet.fault_plan import Step
 from zincvale.standins.behaviours import BehaviourKind
 
-PART_OF_THE_LOAD = (CrowdComes, PopularityShifts, RareModelsWanted)
-"""Read into the load file before the run."""
+LOAD_FAULT_KINDS = (CrowdComes, PopularityShifts, RareModelsWanted)
+"""Kinds of faults that are merged into the load before the run."""
 
 
 @attrs.frozen
 class FaultPlan:
-    """The steps of a run that are carried out, and what is left out and why."""
+    """The modelled steps, and what is not modelled with the reason."""
 
     steps: tuple[Step, ...]
     not_modelled: tuple[str, ...]
 
 
 def plan_faults(steps: list[Step], daemons: frozenset[str]) -> FaultPlan:
-    """Part the steps of a fault file; `daemons` are the machines that are not back ends."""
+    """Split the steps of a fault file; `daemons` are the machines other than back ends."""
     modelled: list[Step] = []
-    left_out: dict[str, None] = {}
+    not_modelled: dict[str, None] = {}
     for step in steps:
         reason = _exclusion_reason(step)
         if reason:
-            left_out[f"{step.fault.kind}: {reason}"] = None
+            not_modelled[f"{step.fault.kind}: {reason}"] = None
         else:
             modelled.append(step)
             for target in step.targets:
                 if target in daemons and target.startswith("core"):
-                    left_out[f"{step.fault.kind} of {target}: the control machines are one"] = None
-    return FaultPlan(tuple(modelled), tuple(left_out))
+                    not_modelled[f"{step.fault.kind} of {target}: the control machines are one"] = (
+                        None
+                    )
+    return FaultPlan(tuple(modelled), tuple(not_modelled))
 
 
 def _exclusion_reason(step: Step) -> str:
     fault = step.fault
-    if isinstance(fault, PART_OF_THE_LOAD):
+    if isinstance(fault, LOAD_FAULT_KINDS):
         return ""
     if isinstance(fault, Kill | Restart | Drain | Evacuate | Apply | ChangeBurst):
         return ""
--- a/src/zincvale/simulator/what_if/faults.py
+++ b/src/zincvale/simulator/what_if/faults.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a what-if run."""
+"""Performs the fault steps of a what-if run."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FaultTarget(Protocol):
-    """What faults act on (`run.VirtualFleet`)."""
+    """The parts of a fleet (`run.VirtualFleet`) that faults act on."""
 
     @property
     def clock(self) -> VirtualClock:
@@ -31,58 +31,58 @@
 
     @property
     def intent(self) -> IntentStore:
-        """The intent, with the core's own checks."""
+        """The intent, which checks changes as a core does."""
         ...
 
     @property
     def refused_changes(self) -> list[str]:
-        """Problems of the changes that were refused during the run."""
+        """Error messages of the changes that were refused during the run."""
         ...
 
     def set_running(self, name: str, is_up: bool) -> None:
-        """Kill or start a node or back end."""
+        """Start a node or back end, or kill it."""
         ...
 
     def set_slow_factor(self, name: str, factor: float) -> None:
-        """Make a language-model server work slower by a factor."""
+        """Lengthen the steps of a language-model server by a factor; others have no effect."""
         ...
 
-    def declare(self, kind: str, names: tuple[str, ...], spec: dict[str, Any]) -> None:
-        """Merge a field into the specs of resources."""
+    def merge_spec(self, kind: str, names: tuple[str, ...], spec: dict[str, Any]) -> None:
+        """Merge `spec` into the specs of the resources of a kind with these names."""
         ...
 
 
 def schedule_faults(fleet: FaultTarget, plan: FaultPlan, load_started_at: float) -> None:
-    """Let every step happen at its moment after the load began."""
+    """Schedule every step at its time after the start of the load."""
     for step in plan.steps:
-        fleet.clock.call_at(load_started_at + step.at_s, _performer(fleet, step))
+        fleet.clock.call_at(load_started_at + step.at_s, _step_action(fleet, step))
 
 
-def _performer(fleet: FaultTarget, step: Step) -> Callable[[], None]:
-    return lambda: _perform(fleet, step)
+def _step_action(fleet: FaultTarget, step: Step) -> Callable[[], None]:
+    return lambda: _perform_step(fleet, step)
 
 
-def _perform(fleet: FaultTarget, step: Step) -> None:
+def _perform_step(fleet: FaultTarget, step: Step) -> None:
     begins = step.phase is Phase.BEGIN
     match step.fault:
         case Kill() | Restart():
             for target in step.targets:
                 fleet.set_running(target, not begins)
         case Drain():
-            fleet.declare("Server", step.targets, {"drained": begins})
+            fleet.merge_spec("Server", step.targets, {"drained": begins})
         case Evacuate():
-            fleet.declare("Zone", step.targets, {"evacuated": begins})
+            fleet.merge_spec("Zone", step.targets, {"evacuated": begins})
         case Apply(resources=resources):
-            _apply(fleet, resources)
+            _apply_change(fleet, resources)
         case ChangeBurst(count=count):
             for _ in range(count):
-                _apply(fleet, [])
+                _apply_change(fleet, [])
         case SwitchBehaviour(behaviour=behaviour):
             for target in step.targets:
                 fleet.set_slow_factor(target, behaviour.factor if begins else 1.0)
 
 
-def _apply(fleet: FaultTarget, resources: list[dict[str, Any]]) -> None:
+def _apply_change(fleet: FaultTarget, resources: list[dict[str, Any]]) -> None:
     try:
         fleet.intent.apply(resources)
     except ZincvaleError as error:
--- a/src/zincvale/simulator/what_if/figures.py
+++ b/src/zincvale/simulator/what_if/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a what-if run: what callers experienced, and what servers and stores did."""
+"""Figures of a what-if run: outcomes and latencies of requests, counts of servers and stores."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 ANSWERED = AttemptOutcome.ANSWERED.value
 MILLISECONDS_PER_S = 1000.0
 SHORTEST_INTERVAL_S = 1.0
-INTERVALS_SHOWN = 96
+MAX_INTERVALS = 96
 UNFINISHED = "unfinished"
 
-Sample = array  # of doubles
+Sample = array  # with elements of type double
 
 
 def _sample() -> Sample:
@@ -28,7 +28,7 @@
 
 @attrs.define(eq=False)
 class RequestStats:
-    """What the node saw of one request."""
+    """Waits and server attempts of one request, as measured at the node."""
 
     load_wait_s: float = 0.0
     waited_for_load: bool = False
@@ -38,7 +38,7 @@
 
 @attrs.define(eq=False)
 class RequestRow:
-    """One request as its caller saw it; times are seconds, `at_s` from the load's start."""
+    """One request as its caller measured it; in seconds, `at_s` since the start of the load."""
 
     route: str
     at_s: float
@@ -53,7 +53,7 @@
     queue_wait_s: float = 0.0
 
     def add_node_stats(self, stats: RequestStats) -> None:
-        """Add what one attempt waited for at its node."""
+        """Add the waits of one attempt at its node."""
         self.waited_for_load |= stats.waited_for_load
         self.load_wait_s += stats.load_wait_s
         self.queue_wait_s += stats.queue_wait_s
@@ -61,7 +61,7 @@
 
 @attrs.define(eq=False)
 class RouteTable:
-    """Requests of one route: counts, and samples in seconds."""
+    """Counts and samples of the requests of one route; samples are in seconds."""
 
     offered: int = 0
     attempts: int = 0
@@ -112,7 +112,7 @@
 
 @attrs.define(eq=False)
 class IntervalTable:
-    """Requests that arrived in one interval of the load."""
+    """Counts and samples of the requests that arrived in one interval of the load."""
 
     offered: int = 0
     answered: int = 0
@@ -130,7 +130,7 @@
 
 
 class FigureTable:
-    """What callers experienced, by route and by interval; rows are not retained.
+    """Aggregates the requests by route and by interval; single rows are not retained.
 
     Parameters
     ----------
@@ -138,7 +138,7 @@
     """
 
     def __init__(self, seconds: float) -> None:
-        self.interval_s = max(SHORTEST_INTERVAL_S, seconds / INTERVALS_SHOWN)
+        self.interval_s = max(SHORTEST_INTERVAL_S, seconds / MAX_INTERVALS)
         self.routes: dict[str, RouteTable] = {}
         self._intervals = [IntervalTable() for _ in range(math.ceil(seconds / self.interval_s))]
 
@@ -165,7 +165,7 @@
         return {name: table.figures() for name, table in sorted(self.routes.items())}
 
     def series(self) -> dict[str, list[float]]:
-        """Return counts and latency per interval of the load, by arrival."""
+        """Return counts and latency per interval; a request counts where it arrived."""
         intervals = self._intervals
         return {
             "at_s": [index * self.interval_s for index in range(len(intervals))],
@@ -185,7 +185,7 @@
 
 @attrs.frozen
 class RouteFigures:
-    """One route in figures; times are milliseconds, waits those of requests that waited."""
+    """Figures of one route; times are milliseconds, waits only those of requests that waited."""
 
     offered: int
     answered: int
@@ -202,21 +202,21 @@
 
 @attrs.frozen
 class MoveFigures:
-    """What placement and servers did."""
+    """Counts of what placement and the servers did."""
 
     loads: int
     unloads: int
     refused_orders: int
     pulled_bytes: int
     moves: dict[str, int]
-    """Moves by kind and reason."""
+    """Completed orders by action, kind of item and reason; failed ones also by outcome."""
     runs: int
     refusals_by_servers: int
 
 
 @attrs.frozen
 class RunFigures:
-    """The figures of one run of a comparison."""
+    """All figures of one run of a comparison."""
 
     routes: dict[str, RouteFigures]
     moves: MoveFigures
@@ -230,7 +230,7 @@
 
     @property
     def speed_up(self) -> float:
-        """Virtual seconds in one second of this machine."""
+        """Virtual seconds per second of wall time."""
         return self.virtual_s / max(self.wall_s, 1e-9)
 
     def total(self, name: str) -> int:
@@ -243,10 +243,10 @@
 
 
 def percentiles(sample: Sample) -> dict[str, float]:
-    """Return percentiles in milliseconds; nothing for an empty sample of seconds."""
+    """Return percentiles in milliseconds of a sample in seconds; an empty dict without any."""
     if not sample:
         return {}
-    found = numpy.percentile(sample, PERCENTILES) * MILLISECONDS_PER_S
+    values = numpy.percentile(sample, PERCENTILES) * MILLISECONDS_PER_S
     return {
-        f"p{rank}": round(float(value), 1) for rank, value in zip(PERCENTILES, found, strict=True)
+        f"p{rank}": round(float(value), 1) for rank, value in zip(PERCENTILES, values, strict=True)
     }
--- a/src/zincvale/simulator/what_if/inputs.py
+++ b/src/zincvale/simulator/what_if/inputs.py
@@ -1,4 +1,4 @@
-"""Reads and checks everything that a what-if run needs, before anything runs."""
+"""Reads and checks all inputs of a what-if run before it starts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from zincvale.simulator.what_if.machines import WhatIfScenario
 from zincvale.standins.deployment import read_documents
 
-ALWAYS_LEFT_OUT = (
+NEVER_MODELLED = (
     "elections, the loss of a core, what links lose: the explorer's subject; one core leads here",
     "processor time of nodes and back ends: a node takes no longer when it is busy",
     "how fast callers read, and what misbehaving back ends send",
@@ -24,12 +24,12 @@
 
 @attrs.frozen
 class WhatIfInputs:
-    """A validated scenario and what it leaves out.
+    """A validated scenario and what it does not model.
 
     Attributes
     ----------
-    scenario : with the change.
-    not_modelled : what the figures do not show.
+    scenario : includes the change.
+    not_modelled : descriptions of what the figures do not show.
     """
 
     run: RunInputs
@@ -41,12 +41,12 @@
 def read_what_if(options: RunOptions, change_file: str, apply_at_s: float) -> WhatIfInputs:
     """Return the checked inputs of a run.
 
-    The change is checked by the core's own reducer against the deployment's intent.
+    The change is checked against the deployment's intent, by the core's own reducer.
 
     Raises
     ------
     ZincvaleError
-        Naming the file, resource and field, and the remedy.
+        When an input is invalid: names the file, resource and field, and the remedy.
     """
     run = read_inputs(options)
     if apply_at_s < 0 or apply_at_s > run.options.seconds:
@@ -54,8 +54,8 @@
             f"apply-at is {apply_at_s} s", f"give 0 to {run.options.seconds:.0f}, the run's length"
         )
     change = _read_change(run, change_file)
-    machines = frozenset(machine.name for machine in run.deployment.machines)
-    faults = plan_faults(run.steps, machines)
+    daemons = frozenset(machine.name for machine in run.deployment.machines)
+    faults = plan_faults(run.steps, daemons)
     scenario = WhatIfScenario(
         deployment=run.deployment,
         documents=run.documents,
@@ -67,8 +67,8 @@
         change=change,
         apply_at_s=apply_at_s,
     )
-    left_out = (*faults.not_modelled, *ALWAYS_LEFT_OUT)
-    return WhatIfInputs(run, scenario, change_file, left_out)
+    not_modelled = (*faults.not_modelled, *NEVER_MODELLED)
+    return WhatIfInputs(run, scenario, change_file, not_modelled)
 
 
 def _read_change(run: RunInputs, change_file: str) -> tuple[dict[str, Any], ...]:
--- a/src/zincvale/simulator/what_if/intent.py
+++ b/src/zincvale/simulator/what_if/intent.py
@@ -1,4 +1,4 @@
-"""The intent in virtual time: changes are checked and merged by the core's own reducer."""
+"""The intent of a what-if run; the core's own reducer checks and merges its changes."""
 
 from __future__ import annotations
 
@@ -17,44 +17,44 @@
 
 
 class IntentStore:
-    """The rows of the intent at their newest version.
+    """The newest version of the intent, as rows.
 
     Parameters
     ----------
-    changed : called with each new version.
+    on_change : called with each new version.
     """
 
-    def __init__(self, changed: Callable[[Intent], None]) -> None:
+    def __init__(self, on_change: Callable[[Intent], None]) -> None:
         self.version = 0
-        self._changed = changed
+        self._on_change = on_change
         self._reducer = IntentReducer(frozenset(policy_names()))
         self._rows: dict[str, bytes] = {}
         self._decoder = IntentDecoder()
 
     @property
     def intent(self) -> Intent:
-        """The newest version."""
+        """The newest version of the intent."""
         return self._decoder.intent
 
     def apply(self, resources: list[dict[str, Any]], mode: str = MERGE) -> Intent:
-        """Check a change as a core does and take it; raises a `ZincvaleError`, changing nothing."""
-        changed = self.check(resources, mode)
-        for row, content in changed.items():
+        """Check and apply a change as a core does; an invalid one raises a `ZincvaleError`."""
+        changed_rows = self.check(resources, mode)
+        for row, content in changed_rows.items():
             if content is None:
                 self._rows.pop(row, None)
             else:
                 self._rows[row] = content
         self.version += 1
         intent = self._decoder.update(self.version, self._rows)
-        self._changed(intent)
+        self._on_change(intent)
         return intent
 
     def check(self, resources: list[dict[str, Any]], mode: str = MERGE) -> dict[str, bytes | None]:
-        """Return the rows that a change would change; raises a `ZincvaleError`."""
+        """Return the rows that a change would write; an invalid one raises a `ZincvaleError`."""
         body = orjson.dumps({"mode": mode, "resources": resources})
         return self._reducer.changed_rows(self._rows, body)
 
 
 def resources_of(documents: list[Document]) -> list[dict[str, Any]]:
-    """Return documents as the resources of a change."""
+    """Return documents as the list of resources that a change consists of."""
     return [document.to_dict() for document in documents]
--- a/src/zincvale/simulator/what_if/lookup.py
+++ b/src/zincvale/simulator/what_if/lookup.py
@@ -29,7 +29,7 @@
         self.limiter = LookupLimiter(self.profile, self.clock.now)
 
     def status(self) -> ServerStatus:
-        """Return what `GET /status` would say now."""
+        """Return the status that `GET /status` would report now."""
         return ServerStatus(
             server=self.name,
             incarnation=f"{self.name}-{self.incarnation}",
@@ -46,22 +46,26 @@
         )
 
     def submit(
-        self, listener: ExchangeListener, key: GenerationKey, prefix_tokens: int, mark: int
+        self,
+        listener: ExchangeListener,
+        key: GenerationKey,
+        prefix_tokens: int,
+        report_at_token: int,
     ) -> Callable[[], None]:
-        """Run one lookup, or refuse it by rate."""
+        """Run one lookup, or refuse it when the rate limit is exceeded."""
         if not self.limiter.begin(self.clock.now):
             self.stats.refusals += 1
             listener.on_refused(ExchangeEnd.RATE_LIMITED, (), False)
             return do_nothing
-        self._began()
+        self._record_run()
         self._run_count += 1
-        number = self._run_count
-        timer = self.clock.call_later(self.profile.service_s, lambda: self._finish(number))
-        self._exchanges[number] = (listener, timer)
+        exchange_id = self._run_count
+        timer = self.clock.call_later(self.profile.service_s, lambda: self._finish(exchange_id))
+        self._exchanges[exchange_id] = (listener, timer)
         return do_nothing
 
     def crash(self) -> None:
-        """End the process."""
+        """End the process: every connection breaks."""
         if not self.is_up:
             return
         self.is_up = False
@@ -75,7 +79,7 @@
         VirtualServer.start(self)
         self.limiter = LookupLimiter(self.profile, self.clock.now)
 
-    def _finish(self, number: int) -> None:
-        listener, _ = self._exchanges.pop(number)
+    def _finish(self, exchange_id: int) -> None:
+        listener, _ = self._exchanges.pop(exchange_id)
         self.limiter.end()
         listener.on_finished(1)
--- a/src/zincvale/simulator/what_if/machines.py
+++ b/src/zincvale/simulator/what_if/machines.py
@@ -38,8 +38,8 @@
 
     Attributes
     ----------
-    change : resources that are merged when the load begins, or after `apply_at_s`; empty for the
-        run without the change.
+    change : resources that are merged `apply_at_s` after the start of the load; empty for the run
+        without the change.
     """
 
     deployment: Deployment
@@ -55,7 +55,7 @@
 
 
 def make_stores(scenario: WhatIfScenario, clock: VirtualClock) -> dict[StoreName, VirtualStore]:
-    """Return the weight stores, with the limits that the intent declares."""
+    """Return the weight stores, with their limits of concurrent loads from the documents."""
     limits = {
         document.name: int(
             (document.spec or {}).get("max_concurrent_loads", DEFAULT_MAX_CONCURRENT_LOADS)
@@ -72,7 +72,7 @@
 
 
 def make_servers(scenario: WhatIfScenario, clock: VirtualClock) -> dict[ServerId, VirtualServer]:
-    """Return the back ends, cold and empty."""
+    """Return the back ends, in the state after a cold start."""
     return {
         ServerId(server.name): _make_server(scenario, server, clock)
         for server in scenario.deployment.servers
@@ -106,7 +106,7 @@
     servers: dict[ServerId, VirtualServer],
     claims: ClaimTable,
 ) -> dict[str, VirtualNode]:
-    """Return the nodes, which know nothing yet."""
+    """Return the nodes, without any intent or directory."""
     return {
         machine.name: VirtualNode(
             MemberId(machine.name),
@@ -123,4 +123,4 @@
 
 
 def _ignore_end(request: VirtualRequest, outcome: Outcome, reason: str) -> None:
-    """Drop the end of a request: the callers' rows have its outcome."""
+    """Ignore the end of a request: its outcome is recorded by the caller."""
--- a/src/zincvale/simulator/what_if/node.py
+++ b/src/zincvale/simulator/what_if/node.py
@@ -27,38 +27,38 @@
 from zincvale.simulator.what_if.servers import VirtualServer
 from zincvale.simulator.what_if.timings import Timings
 
-IDLE_PUMP_INTERVAL_S = 0.2
-"""How often queues are checked in which every request waits for a table update."""
+IDLE_QUEUE_CHECK_INTERVAL_S = 0.2
+"""Interval of the queue checks while every queued request waits for a table update."""
 
-Observer = Callable[[VirtualRequest, Outcome, str], None]
+RequestObserver = Callable[[VirtualRequest, Outcome, str], None]
 
 
 @attrs.define
 class IncrementalRoutingState(RoutingState):
-    """A `RoutingState` that recomputes only what an update changes; its tables are the same.
+    """A `RoutingState` that recomputes only what an update changes; the resulting tables are equal.
 
-    Nodes are ranked for a server once per member table, and a directory with the known servers in
-    their known pools touches the rows that differ.
+    The node's share of a server is computed once per member table. A directory with the same
+    servers in the same pools updates only the rows that differ.
     """
 
     _shares: dict[ServerId, NodeShare] = attrs.field(factory=dict)
 
     def apply_members(self, members: Members) -> bool:
-        """Take a newer member table."""
+        """Apply a newer member table."""
         self._shares.clear()
         return RoutingState.apply_members(self, members)
 
     def apply_directory(self, directory: Directory, now: float) -> bool:
-        """Take a newer directory."""
+        """Apply a newer directory; return whether it was applied."""
         known = self.directory
         if (directory.epoch, directory.version) < (known.epoch, known.version):
             return False
         if not self._has_same_servers(directory):
             return RoutingState.apply_directory(self, directory, now)
         for server, row in directory.servers.items():
-            # The ramp of a server without any model begins anew with each sight of it.
-            empty = row.health is ServerHealth.COLD and not row.models
-            if empty or row is not known.servers[server]:
+            # A cold server without models starts its ramp again with every directory.
+            is_empty = row.health is ServerHealth.COLD and not row.models
+            if is_empty or row is not known.servers[server]:
                 self._configure(self._merged_state(row, now, False))
         self.directory = directory
         return True
@@ -77,10 +77,10 @@
 
 
 class ObservableScheduler(Scheduler):
-    """A `Scheduler` that reports whether time alone can unblock a pending request."""
+    """A `Scheduler` that reports whether all queued requests wait for a table update."""
 
     def all_wait_for_tables(self) -> bool:
-        """Whether every request waits for a load or a server: a table update pumps at once."""
+        """Whether no request waits for a busy server; table updates process the queues at once."""
         return not any(
             waiting.blocked is Blocked.BUSY
             for queue in self._queues.values()
@@ -90,16 +90,16 @@
 
 
 class VirtualNode:
-    """One node.
+    """One data-plane node.
 
     Parameters
     ----------
-    member, zone : which node this is.
+    member, zone : the node's name and zone.
     clock : virtual time.
     timings : modelled delays.
-    servers : every back end, by name.
-    claims : claims and streams of all nodes.
-    random : draws of the routing policies.
+    servers : all back ends, by name.
+    claims : claims and journaled streams of all nodes.
+    random : source of the random choices of the routing policies.
     observe : called at the end of each request.
     """
 
@@ -112,7 +112,7 @@
         servers: dict[ServerId, VirtualServer],
         claims: ClaimTable,
         random: Random,
-        observe: Observer,
+        observe: RequestObserver,
     ) -> None:
         self.member = member
         self.zone = zone
@@ -125,62 +125,62 @@
         self.requests: dict[int, VirtualRequest] = {}
         self.on_urgent_demand: Callable[[VirtualNode], None] | None = None
         self._random = random
-        self._tokens = 0
-        self._pump_scheduled = False
-        self._make_empty()
+        self._last_token = 0
+        self._is_queue_check_scheduled = False
+        self._reset()
 
     @property
-    def ready(self) -> bool:
-        """Whether the platform's poll finds the node ready."""
-        fresh = self.is_up and self.world.intent.version > 0
-        return fresh and not self.world.zone_evacuated(self.zone)
+    def is_ready(self) -> bool:
+        """Whether the node answers the platform's poll as ready."""
+        has_intent = self.is_up and self.routing_state.intent.version > 0
+        return has_intent and not self.routing_state.zone_evacuated(self.zone)
 
     def begin(self, request: CallerRequest, route: RouteSpec, caller: CallerSide) -> VirtualRequest:
-        """Take a caller's request."""
-        self._tokens += 1
-        token = self._tokens
-        pool = self.world.pool_of(route)
-        runner = VirtualRequest(self, RequestMachine(request, route), pool, caller, token)
-        self.requests[token] = runner
+        """Admit or refuse a caller's request and start it."""
+        self._last_token += 1
+        token = self._last_token
+        pool = self.routing_state.pool_of(route)
+        virtual_request = VirtualRequest(self, RequestMachine(request, route), pool, caller, token)
+        self.requests[token] = virtual_request
         refused = self.scheduler.admit(request, route, token, self.clock.now)
         refusal = None
         if isinstance(refused, Rejected):
             refusal = Refusal(refused.reason, refused.problem, retry_after_s=refused.retry_after_s)
         else:
-            runner.is_admitted = True
-        runner.start_deadline(request.deadline_at - self.clock.now)
-        runner.feed(Started(refusal))
-        return runner
+            virtual_request.is_admitted = True
+        virtual_request.start_deadline(request.deadline_at - self.clock.now)
+        virtual_request.feed(Started(refusal))
+        return virtual_request
 
     def route_at(self, path: str) -> tuple[RouteName, RouteSpec] | None:
-        """Return the route of a path, None when none is declared."""
-        return self.world.route_by_path.get(path)
+        """Return the route declared for a path, or None."""
+        return self.routing_state.route_by_path.get(path)
 
-    # tables
+    # Tables of the control plane.
 
     def apply_intent(self, intent: Intent) -> None:
-        """Take a newer intent into force."""
-        if self.is_up and self.world.apply_intent(intent):
-            self.pump()
+        """Apply a newer intent."""
+        if self.is_up and self.routing_state.apply_intent(intent):
+            self.process_queues()
 
     def apply_directory(self, directory: Directory) -> None:
-        """Take a newer directory."""
-        if self.is_up and self.world.apply_directory(directory, self.clock.now):
-            self.pump()
+        """Apply a newer directory."""
+        if self.is_up and self.routing_state.apply_directory(directory, self.clock.now):
+            self.process_queues()
 
     def apply_members(self, members: Members) -> None:
-        """Take a newer member table."""
+        """Apply a newer member table."""
         if self.is_up:
-            self.world.apply_members(members)
+            self.routing_state.apply_members(members)
 
     def demand_report(self) -> DemandReport:
         """Return the demand since the last report."""
         return self.scheduler.demand.report(self.member, self.clock.now)
 
-    # the process
+    # Crash and start of the process.
 
     def crash(self) -> None:
-        """End the process: every connection breaks, nothing is remembered."""
+        """End the process: every connection breaks and the open requests are lost."""
         if not self.is_up:
             return
         self.is_up = False
@@ -190,28 +190,28 @@
 
     def start(self) -> None:
         """Start the process again with empty tables."""
-        self._make_empty()
+        self._reset()
         self.is_up = True
 
-    def _make_empty(self) -> None:
-        self.world = IncrementalRoutingState(self.zone, self.member)
-        self.scheduler = ObservableScheduler(self.world, self._random)
+    def _reset(self) -> None:
+        self.routing_state = IncrementalRoutingState(self.zone, self.member)
+        self.scheduler = ObservableScheduler(self.routing_state, self._random)
 
-    # verdicts
+    # Verdicts of the scheduler.
 
     def deliver(self, verdicts: list[Verdict]) -> None:
-        """Hand verdicts to the requests they are about."""
+        """Apply each verdict to its request, if that is still open."""
         for verdict in verdicts:
             request = self.requests.get(verdict.token)
             if request is not None:
-                self._deliver_one(request, verdict)
-        self._schedule_pump()
+                self._deliver_verdict(request, verdict)
+        self._schedule_queue_check()
         demand = self.scheduler.demand
         if demand.urgent and self.on_urgent_demand is not None:
             demand.urgent = False
             self.on_urgent_demand(self)
 
-    def _deliver_one(self, request: VirtualRequest, verdict: Verdict) -> None:
+    def _deliver_verdict(self, request: VirtualRequest, verdict: Verdict) -> None:
         match verdict:
             case Placed(_, server, _, _):
                 request.on_placed(server)
@@ -224,25 +224,25 @@
     def finish_exchange(
         self, request: CallerRequest, server: ServerState, report: ExchangeReport
     ) -> None:
-        """Release a server's slot and serve who waited for it."""
+        """Release a server's slot and place the requests that waited for it."""
         _, verdicts = self.scheduler.finish_exchange(request, server, report)
         if verdicts:
             self.deliver(verdicts)
 
-    def pump(self) -> None:
-        """Serve and expire the queues."""
+    def process_queues(self) -> None:
+        """Place queued requests and expire those whose deadline has passed."""
         if self.is_up and self.scheduler.any_waiting():
             self.deliver(self.scheduler.process_queues(self.clock.now))
 
-    def _schedule_pump(self) -> None:
-        if self._pump_scheduled or not self.scheduler.any_waiting():
+    def _schedule_queue_check(self) -> None:
+        if self._is_queue_check_scheduled or not self.scheduler.any_waiting():
             return
-        self._pump_scheduled = True
-        # Only deadlines pass meanwhile, so that looking less often changes next to nothing.
-        idle = self.scheduler.all_wait_for_tables()
-        interval_s = IDLE_PUMP_INTERVAL_S if idle else QUEUE_CHECK_INTERVAL_S
-        self.clock.call_later(interval_s, self._pump_due)
-
-    def _pump_due(self) -> None:
-        self._pump_scheduled = False
-        self.pump()
+        self._is_queue_check_scheduled = True
+        # Until the next table update only deadlines can pass: rarer checks hardly change results.
+        waits_for_tables = self.scheduler.all_wait_for_tables()
+        interval_s = IDLE_QUEUE_CHECK_INTERVAL_S if waits_for_tables else QUEUE_CHECK_INTERVAL_S
+        self.clock.call_later(interval_s, self._on_queue_check)
+
+    def _on_queue_check(self) -> None:
+        self._is_queue_check_scheduled = False
+        self.process_queues()
--- a/src/zincvale/simulator/what_if/plot.py
+++ b/src/zincvale/simulator/what_if/plot.py
@@ -1,6 +1,6 @@
-"""Plot of a what-if run: both runs over the time of the load.
+"""Plot of a what-if comparison: the series of both runs over the time of the load.
 
-This module imports matplotlib; import it where a plot is wanted only.
+This module imports matplotlib, so import it only where a plot is drawn.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def write_plot(comparison: Comparison, path: Path) -> None:
-    """Write the plot; the file's ending names its format (png, svg, pdf)."""
+    """Write the plot; the suffix of the file selects its format (png, svg, pdf)."""
     figure = Figure(figsize=SIZE_INCHES, layout="constrained")
     FigureCanvasAgg(figure)
     panels = figure.subplots(len(PANELS), 1, sharex=True)
--- a/src/zincvale/simulator/what_if/report.py
+++ b/src/zincvale/simulator/what_if/report.py
@@ -1,4 +1,4 @@
-"""The side-by-side comparison of a what-if run, for people and as JSON."""
+"""The report of a what-if comparison, as text with both runs side by side and as JSON."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Comparison:
-    """Both runs of a comparison; `after` is None when there is no change to compare."""
+    """Both runs of a comparison; `after` is None when no change was given."""
 
     inputs: WhatIfInputs
     before: RunFigures
@@ -28,7 +28,7 @@
     refused_changes: tuple[str, ...] = ()
 
     def to_json(self) -> dict[str, Any]:
-        """Return everything as plain JSON."""
+        """Return the whole report as plain JSON."""
         scenario = self.inputs.scenario
         return {
             "format": FORMAT,
@@ -50,7 +50,7 @@
 
 
 def comparison_lines(comparison: Comparison) -> list[str]:
-    """Return the comparison as lines for a terminal."""
+    """Return the lines of the text report."""
     scenario = comparison.inputs.scenario
     options = comparison.inputs.run.options
     lines = [
@@ -63,7 +63,7 @@
             f"change {comparison.inputs.change_file} ({len(scenario.change)} resources) "
             f"applied {scenario.apply_at_s:.0f} s after the load began"
         )
-    lines += ["", _row("", "without", "with", "difference")]
+    lines += ["", _table_line("", "without", "with", "difference")]
     lines += _route_lines(comparison)
     lines += _move_lines(comparison)
     lines += ["", *_speed_lines(comparison)]
@@ -83,16 +83,16 @@
         after = None if comparison.after is None else comparison.after.routes.get(name)
         lines.append(name)
         for label, figures in _route_rows(before, after):
-            lines.append(_compared(f"  {label}", *figures))
+            lines.append(_comparison_line(f"  {label}", *figures))
     return lines
 
 
-Pair = tuple[float | None, float | None]
+FigurePair = tuple[float | None, float | None]
 
 
 def _route_rows(
     before: RouteFigures | None, after: RouteFigures | None
-) -> Iterable[tuple[str, Pair]]:
+) -> Iterable[tuple[str, FigurePair]]:
     yield "requests offered", _pair(before, after, "offered")
     yield "answered", _pair(before, after, "answered")
     yield "refused attempts", _pair(before, after, "refused_attempts")
@@ -123,12 +123,12 @@
         ("requests run at servers", "runs"),
         ("requests refused by servers", "refusals_by_servers"),
     ):
-        lines.append(_compared(f"  {label}", *_pair(before, after, name)))
+        lines.append(_comparison_line(f"  {label}", *_pair(before, after, name)))
     pulled = _pair(before, after, "pulled_bytes")
     gigabytes = [None if value is None else value / BYTES_PER_GIGABYTE for value in pulled]
-    lines.append(_compared("  pulled, GB", *gigabytes))
-    for what in _keys(before, after, "moves"):
-        lines.append(_compared(f"    {what}", *_pair(before, after, "moves", what, 0)))
+    lines.append(_comparison_line("  pulled, GB", *gigabytes))
+    for label in _keys(before, after, "moves"):
+        lines.append(_comparison_line(f"    {label}", *_pair(before, after, "moves", label, 0)))
     return lines
 
 
@@ -144,7 +144,7 @@
     ]
 
 
-def _pair(before: Any, after: Any, name: str, key: str = "", default: Any = None) -> Pair:
+def _pair(before: Any, after: Any, name: str, key: str = "", default: Any = None) -> FigurePair:
     return _value(before, name, key, default), _value(after, name, key, default)
 
 
@@ -152,8 +152,8 @@
     if figures is None:
         return None
     value = getattr(figures, name)
-    found = value.get(key, default) if key else value
-    return None if found is None else float(found)
+    figure = value.get(key, default) if key else value
+    return None if figure is None else float(figure)
 
 
 def _keys(before: Any, after: Any, name: str) -> list[str]:
@@ -164,19 +164,19 @@
     return sorted(keys)
 
 
-def _compared(label: str, before: float | None, after: float | None) -> str:
+def _comparison_line(label: str, before: float | None, after: float | None) -> str:
     difference = NO_FIGURE
     if before is not None and after is not None:
         difference = f"{after - before:+,.1f}".removesuffix(".0")
-    return _row(label, _number(before), _number(after), difference)
+    return _table_line(label, _format_figure(before), _format_figure(after), difference)
 
 
-def _number(value: float | None) -> str:
+def _format_figure(value: float | None) -> str:
     if value is None:
         return NO_FIGURE
     return f"{value:,.1f}".removesuffix(".0")
 
 
-def _row(label: str, before: str, after: str, difference: str) -> str:
+def _table_line(label: str, before: str, after: str, difference: str) -> str:
     columns = "".join(f"{text:>{COLUMN_WIDTH}}" for text in (before, after, difference))
     return f"{label:<{LABEL_WIDTH}}{columns}".rstrip()
--- a/src/zincvale/simulator/what_if/request.py
+++ b/src/zincvale/simulator/what_if/request.py
@@ -1,4 +1,4 @@
-"""Carries out the effects of one `RequestMachine` in virtual time."""
+"""Executes the effects of one `RequestMachine` in virtual time."""
 
 from __future__ import annotations
 
@@ -57,31 +57,31 @@
 
 
 class CallerSide(Protocol):
-    """What a caller's attempt takes from the node; called when the bytes leave the node."""
+    """The caller's side of one attempt; called at the time of sending, without the delay to it."""
 
-    hang_up_after: int
+    hang_up_after_chunks: int
 
-    def on_response(self, answer: SendResponse) -> None:
+    def on_response(self, response: SendResponse) -> None:
         """Handle a complete response."""
 
     def on_chunks(self, last_index: int, delay_s: float) -> None:
         """Handle the chunks of a stream up to `last_index`."""
 
     def on_end(self, count: int, delay_s: float) -> None:
-        """Take a stream's explicit end."""
+        """Handle the explicit end of a stream."""
 
     def on_break(self, resumable: bool) -> None:
-        """Take a stream that breaks off, marked as such."""
+        """Handle a stream that ends early with the mark of a broken stream."""
 
     def on_stalled(self) -> None:
-        """Handle that no chunk comes until the stream goes on at another server."""
+        """Handle that no chunk follows until the stream continues at another server."""
 
     def on_reset(self) -> None:
-        """Take the loss of the connection."""
+        """Handle that the connection is lost."""
 
 
 class RequestNode(ExchangeNode, Protocol):
-    """What a request uses of its node (`node.VirtualNode`)."""
+    """The parts of a node (`node.VirtualNode`) that a request uses."""
 
     @property
     def is_up(self) -> bool:
@@ -90,7 +90,7 @@
 
     @property
     def claims(self) -> ClaimTable:
-        """Claims and streams of all nodes."""
+        """Claims and journaled streams of all nodes."""
         ...
 
     @property
@@ -104,13 +104,13 @@
         ...
 
     def deliver(self, verdicts: list[Verdict]) -> None:
-        """Apply verdicts of the scheduler to the requests they are about."""
+        """Apply verdicts of the scheduler to their requests."""
         ...
 
     def finish_exchange(
         self, request: CallerRequest, server: ServerState, report: ExchangeReport
     ) -> None:
-        """Release a server's slot and serve who waited for it."""
+        """Release a server's slot and place the requests that waited for it."""
         ...
 
     def observe(self, request: VirtualRequest, outcome: Outcome, reason: str, /) -> None:
@@ -145,31 +145,31 @@
         self._exchange: VirtualExchange | None = None
         self._queued_at: float | None = None
 
-    # inputs
+    # Inputs of the request machine.
 
     def feed(self, event: Input) -> None:
-        """Apply an input and carry out what follows, in order."""
+        """Apply an input and execute the resulting effects, in order."""
         self._inputs.append(event)
         if not self._is_busy:
             self._advance()
 
     def start_deadline(self, seconds: float) -> None:
-        """Arm the deadline timer."""
-        self._arm(max(0.0, seconds), self._on_deadline)
+        """Start the deadline timer."""
+        self._arm_timer(max(0.0, seconds), self._on_deadline)
 
     def on_queued(self, for_load: bool) -> None:
-        """Record that the request is queued."""
+        """Record that the request is queued, for a load or for a free slot."""
         self._queued_at = self.node.clock.now
         self.queued_for_load = for_load
         self.stats.waited_for_load |= for_load
 
     def on_placed(self, server: ServerState) -> None:
-        """Record the server whose slot the request has."""
+        """Record the server that has a slot reserved for the request."""
         self._server = server
         self.record_wait()
 
     def record_wait(self) -> None:
-        """Count the wait that ends now."""
+        """Add the time since the request was queued to its waits, if it is queued."""
         if self._queued_at is None:
             return
         waited_s = self.node.clock.now - self._queued_at
@@ -184,14 +184,14 @@
         self._caller = None
         if self.machine.is_stream_open:
             self._record_stream(False)
-        self.feed(CallerDisconnected(self._sent))
+        self.feed(CallerDisconnected(self._is_sent))
 
     def on_node_lost(self) -> None:
-        """Handle that this node ended: connections break, nothing is decided any more."""
+        """Handle that the node crashed: its connections break and the request stops."""
         caller, self._caller = self._caller, None
         if self._exchange is not None:
             self._exchange.close()
-        self._disarm()
+        self._cancel_timer()
         if self.machine.is_stream_open:
             self._record_stream(False)
         self.machine.phase = Phase.DONE
@@ -202,20 +202,20 @@
             caller.on_reset()
 
     @property
-    def _sent(self) -> bool:
+    def _is_sent(self) -> bool:
         return self._exchange is not None and not self._exchange.is_closed
 
     def _on_deadline(self) -> None:
         self._timer = None
-        self.feed(DeadlinePassed(self._sent))
+        self.feed(DeadlinePassed(self._is_sent))
 
-    def _on_late_limit(self) -> None:
+    def _on_late_response_timeout(self) -> None:
         self._timer = None
         if self._exchange is not None:
             self._exchange.close()
-        self.feed(ServerFailed("no late answer either", True))
+        self.feed(ServerFailed("no response within the late-response timeout", True))
 
-    # effects
+    # Effects of the request machine.
 
     def _advance(self) -> None:
         self._is_busy = True
@@ -236,16 +236,16 @@
         self._advance()
 
     def _execute(self, effect: Effect) -> bool:
-        """Carry out one effect; True when the following ones have to wait for it."""
+        """Execute one effect; return True when the following ones have to wait for it."""
         match effect:
             case RelayChunks():
                 self._relay(effect)
             case ChooseServer(excluded, retry):
-                self._choose(excluded, retry)
+                self._choose_server(excluded, retry)
             case Dispatch():
                 self._dispatch(effect)
             case FreeServer():
-                self._free(effect)
+                self._free_server(effect)
             case SendResponse():
                 self._send_response(effect)
             case Finish(outcome, reason):
@@ -271,23 +271,26 @@
     def _call_dependency(self, effect: Effect) -> None:
         request = self.machine.request
         claims = self.node.claims
-        after: Callable[[], None] = self._resume
+        on_called: Callable[[], None] = self._resume
         match effect:
             case Claim():
 
-                def after() -> None:
+                def on_called() -> None:
                     claims.claim(
-                        request.request_id, request.digest, request.deadline_at, self._claimed
+                        request.request_id,
+                        request.digest,
+                        request.deadline_at,
+                        self._on_claim_decided,
                     )
 
             case RenewClaim():
 
-                def after() -> None:
+                def on_called() -> None:
                     self._resume(ClaimRenewed(True))
 
             case LookUpStream():
 
-                def after() -> None:
+                def on_called() -> None:
                     self._resume(StreamFound(claims.stream(request.request_id)))
 
             case RecordOutcome():
@@ -302,12 +305,12 @@
                 claims.record(request.request_id, outcome)
             case ReleaseClaim():
                 claims.release(request.request_id)
-        self.node.clock.call_later(self.node.timings.claim_s, after)
+        self.node.clock.call_later(self.node.timings.claim_s, on_called)
 
-    def _claimed(self, decision: ClaimDecision) -> None:
+    def _on_claim_decided(self, decision: ClaimDecision) -> None:
         self._resume(ClaimDecided(decision))
 
-    def _choose(self, excluded: frozenset[str], retry: bool) -> None:
+    def _choose_server(self, excluded: frozenset[str], retry: bool) -> None:
         request = self.machine.request
         route = self.machine.route
         scheduler = self.node.scheduler
@@ -326,7 +329,7 @@
         self._exchange = VirtualExchange(self, len(effect.prefix), self.node.clock.now)
         self._exchange.start(self._server)
 
-    def _free(self, effect: FreeServer) -> None:
+    def _free_server(self, effect: FreeServer) -> None:
         server, self._server = self._server, None
         exchange, self._exchange = self._exchange, None
         if server is None or self._pool is None:
@@ -362,17 +365,17 @@
         request = self.machine.request
         count = len(self.machine.chunks)
         if self._exchange is not None:
-            count = max(count, self._exchange.count)
+            count = max(count, self._exchange.chunk_count)
         self.node.claims.record_stream(request.request_id, request.digest, count, is_complete)
 
     def _send_response(self, effect: SendResponse) -> None:
         if self._caller is not None:
             self._caller.on_response(effect)
         if self.machine.phase is Phase.LATE:
-            self._arm(LATE_RESPONSE_TIMEOUT_S, self._on_late_limit)
+            self._arm_timer(LATE_RESPONSE_TIMEOUT_S, self._on_late_response_timeout)
 
     def _finish(self, outcome: Outcome, reason: str) -> None:
-        self._disarm()
+        self._cancel_timer()
         self.record_wait()
         if self.is_admitted:
             self.is_admitted = False
@@ -380,17 +383,17 @@
         self.node.requests.pop(self._token, None)
         self.node.observe(self, outcome, reason)
 
-    def _arm(self, seconds: float, action: Callable[[], None]) -> None:
-        self._disarm()
+    def _arm_timer(self, seconds: float, action: Callable[[], None]) -> None:
+        self._cancel_timer()
         self._timer = self.node.clock.call_later(seconds, action)
 
-    def _disarm(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def on_exchange(self, exchange: VirtualExchange, event: Input) -> None:
-        """Handle what a server sent, unless its exchange was cancelled."""
+        """Handle an event of an exchange, unless that was cancelled."""
         if exchange is not self._exchange or exchange.is_closed or not self.node.is_up:
             return
         if isinstance(event, ServerFailed) and self.machine.chunks and self._caller is not None:
@@ -398,6 +401,6 @@
         self.feed(event)
 
     @property
-    def hang_up_after(self) -> int:
-        """After how many chunks the caller hangs up; 0 means never."""
-        return 0 if self._caller is None else self._caller.hang_up_after
+    def hang_up_after_chunks(self) -> int:
+        """Number of chunks after which the caller hangs up; 0 means never."""
+        return 0 if self._caller is None else self._caller.hang_up_after_chunks
--- a/src/zincvale/simulator/what_if/run.py
+++ b/src/zincvale/simulator/what_if/run.py
@@ -1,4 +1,4 @@
-"""One what-if run: the deployment's machines, assembled in virtual time."""
+"""One what-if run: the simulated machines of a deployment and their connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     ServerId,
 )
 from zincvale.simulator.what_if.attempt import CallersContext
-from zincvale.simulator.what_if.callers import VirtualCallers, make_choice
+from zincvale.simulator.what_if.callers import VirtualCallers, make_node_picker
 from zincvale.simulator.what_if.claims import ClaimTable
 from zincvale.simulator.what_if.clock import VirtualClock
 from zincvale.simulator.what_if.control_machine import ControlMachine
@@ -38,10 +38,11 @@
 from zincvale.standins.platform.state import NodeReadiness
 from zincvale.standins.settings import PolledNode
 
-DRAIN_LIMIT_S = 60.0
-"""How long open requests are followed after the last arrival."""
+OPEN_REQUESTS_LIMIT_S = 60.0
+"""Longest time that the run continues after the load ends, for requests that are still open."""
 FIRST_INTENT_S = 1.0
-"""The first intent comes when the directory knows its servers."""
+"""Virtual time at which the deployment's resources are applied: by then the directory knows its
+servers."""
 
 
 class VirtualFleet:
@@ -65,25 +66,25 @@
             self.servers,
             self.stores,
             Random(f"{scenario.seed}/control"),
-            self._publish,
+            self._distribute_directory,
         )
-        self.intent = IntentStore(self._intent_changed)
+        self.intent = IntentStore(self._distribute_intent)
         self._members_version = 0
-        self._platform = NodeReadiness(
+        self._readiness = NodeReadiness(
             [PolledNode(name, name) for name in self.nodes],
             scenario.deployment.platform.unready_after_polls,
         )
-        self.choice = make_choice(scenario.seed)
+        self.node_picker = make_node_picker(scenario.seed)
 
     def run(self) -> RunFigures:
         """Run the scenario to its end and return the figures."""
-        begun = time.perf_counter()
-        cpu_begun = time.process_time()
+        wall_started_at = time.perf_counter()
+        processor_started_at = time.process_time()
         scenario = self.scenario
         self.control.start()
         self._publish_members()
         resources = resources_of(scenario.documents)
-        self.clock.call_at(FIRST_INTENT_S, lambda: self.declare_all(resources))
+        self.clock.call_at(FIRST_INTENT_S, lambda: self.apply_resources(resources))
         self._start_reports()
         self._start_platform()
         started_at = self.timings.warm_up_s
@@ -94,14 +95,14 @@
             self.clock.call_at(at, lambda: self._apply_change(change))
         callers = self._start_callers(started_at)
         self.clock.run_until(started_at + scenario.seconds)
-        self._drain(callers)
-        wall_s = time.perf_counter() - begun
-        return self._run_figures(wall_s, time.process_time() - cpu_begun)
+        self._run_open_requests(callers)
+        wall_s = time.perf_counter() - wall_started_at
+        return self._run_figures(wall_s, time.process_time() - processor_started_at)
 
-    # what faults and changes do
+    # Faults and changes of the intent.
 
     def set_running(self, name: str, is_up: bool) -> None:
-        """Kill or start a node or back end."""
+        """Start a node or back end, or kill it."""
         server = self.servers.get(ServerId(name))
         if server is not None:
             if is_up and not server.is_up:
@@ -120,16 +121,16 @@
             self.clock.call_later(self.timings.node_start_s, lambda: self._join(node))
 
     def set_slow_factor(self, name: str, factor: float) -> None:
-        """Make a language-model server work slower by a factor."""
+        """Lengthen the steps of a language-model server by a factor; others have no effect."""
         server = self.servers.get(ServerId(name))
         if isinstance(server, VirtualLanguageModel):
             server.set_slow_factor(factor)
 
-    def declare(self, kind: str, names: tuple[str, ...], spec: dict[str, Any]) -> None:
-        """Merge a field into the specs of resources."""
+    def merge_spec(self, kind: str, names: tuple[str, ...], spec: dict[str, Any]) -> None:
+        """Merge `spec` into the specs of the resources of a kind with these names."""
         self.intent.apply([{"kind": kind, "name": name, "spec": spec} for name in names])
 
-    def declare_all(self, resources: list[dict[str, Any]]) -> None:
+    def apply_resources(self, resources: list[dict[str, Any]]) -> None:
         """Apply the deployment's own resources."""
         self.intent.apply(resources)
 
@@ -137,22 +138,24 @@
         try:
             self.intent.apply(change)
         except InvalidInputError as error:
-            # It was checked before the run, so a fault's change in between is what it clashes with.
+            # The change was valid before the run, so it conflicts with a change made by a fault.
             self.refused_changes.append(str(error))
 
-    # deliveries
+    # Deliveries between the machines.
 
-    def _intent_changed(self, intent: Intent) -> None:
+    def _distribute_intent(self, intent: Intent) -> None:
         self.clock.call_later(
             self.timings.intent_to_core_s, lambda: self.control.apply_intent(intent)
         )
         for node in self.nodes.values():
-            self._deliver(self.timings.intent_to_node_s, _later_intent(node, intent))
+            self._schedule_delivery(self.timings.intent_to_node_s, _intent_delivery(node, intent))
 
-    def _publish(self, directory: Directory) -> None:
+    def _distribute_directory(self, directory: Directory) -> None:
         self.directory = directory
         for node in self.nodes.values():
-            self._deliver(self.timings.publication_s, _later_directory(node, directory))
+            self._schedule_delivery(
+                self.timings.publication_s, _directory_delivery(node, directory)
+            )
 
     def _publish_members(self) -> None:
         self._members_version += 1
@@ -161,26 +164,28 @@
         for node in self.nodes.values():
             node.apply_members(members)
 
-    def _deliver(self, delay_s: float, action: Callable[[], None]) -> None:
+    def _schedule_delivery(self, delay_s: float, action: Callable[[], None]) -> None:
         jitter = self.timings.delivery_jitter
         self.clock.call_later(delay_s * self._random.uniform(1 - jitter, 1 + jitter), action)
 
     def _join(self, node: VirtualNode) -> None:
-        """Give a restarted node the newest intent, directory and members."""
+        """Apply the newest intent, directory and members to a restarted node."""
         node.apply_intent(self.intent.intent)
         node.apply_directory(self.directory)
         self._publish_members()
 
     def _start_reports(self) -> None:
         for index, node in enumerate(self.nodes.values()):
-            node.on_urgent_demand = self._report
+            node.on_urgent_demand = self._send_demand_report
             first_s = DEMAND_INTERVAL_S * (index + 1) / len(self.nodes)
-            self.clock.call_later(first_s, self._reporter(node))
+            self.clock.call_later(first_s, self._periodic_reports(node))
 
-    def _reporter(self, node: VirtualNode) -> Callable[[], None]:
-        return lambda: self.clock.every(DEMAND_INTERVAL_S, lambda: self._report(node))
+    def _periodic_reports(self, node: VirtualNode) -> Callable[[], None]:
+        return lambda: self.clock.call_every(
+            DEMAND_INTERVAL_S, lambda: self._send_demand_report(node)
+        )
 
-    def _report(self, node: VirtualNode) -> None:
+    def _send_demand_report(self, node: VirtualNode) -> None:
         if not node.is_up:
             return
         report = node.demand_report()
@@ -188,15 +193,15 @@
 
     def _start_platform(self) -> None:
         interval_s = self.scenario.deployment.platform.poll_interval_s
-        self.clock.every(interval_s, self._poll_nodes)
+        self.clock.call_every(interval_s, self._poll_nodes)
 
     def _poll_nodes(self) -> None:
         for name, node in self.nodes.items():
-            self._platform.record_poll(name, node.ready)
-        ready = [(row.node, row.address) for row in self._platform.ready_nodes()]
-        # Callers read the platform's list about half an interval later.
+            self._readiness.record_poll(name, node.is_ready)
+        ready = [(row.node, row.address) for row in self._readiness.ready_nodes()]
+        # On average callers read the platform's list half a poll interval later.
         lag_s = self.scenario.deployment.platform.poll_interval_s / 2
-        self.clock.call_later(lag_s, lambda: self.choice.replace(ready))
+        self.clock.call_later(lag_s, lambda: self.node_picker.replace(ready))
 
     def _start_callers(self, started_at: float) -> CallersContext:
         scenario = self.scenario
@@ -204,7 +209,7 @@
             clock=self.clock,
             timings=self.timings,
             nodes=self.nodes,
-            choice=self.choice,
+            node_picker=self.node_picker,
             figures=self.figures,
             planner=Planner(scenario.load, scenario.documents, scenario.seed),
             started_at=started_at,
@@ -215,12 +220,12 @@
         self.clock.call_at(started_at, callers.start)
         return context
 
-    def _drain(self, callers: CallersContext) -> None:
-        end = self.clock.now + DRAIN_LIMIT_S
+    def _run_open_requests(self, callers: CallersContext) -> None:
+        end = self.clock.now + OPEN_REQUESTS_LIMIT_S
         while self.clock.now < end and callers.open_conversations:
             self.clock.run_until(self.clock.now + 1.0)
 
-    # figures
+    # Figures of the run.
 
     def _run_figures(self, wall_s: float, processor_s: float) -> RunFigures:
         stats = [server.stats for server in self.servers.values()]
@@ -229,7 +234,7 @@
             unloads=sum(count.unloads for count in stats),
             refused_orders=sum(count.refused_orders for count in stats),
             pulled_bytes=int(sum(store.pulled_bytes for store in self.stores.values())),
-            moves=dict(sorted(self.control.moves_done.items())),
+            moves=dict(sorted(self.control.completion_counts.items())),
             runs=sum(count.runs for count in stats),
             refusals_by_servers=sum(count.refusals for count in stats),
         )
@@ -252,11 +257,11 @@
         )
 
 
-def _later_intent(node: VirtualNode, intent: Intent) -> Callable[[], None]:
+def _intent_delivery(node: VirtualNode, intent: Intent) -> Callable[[], None]:
     return lambda: node.apply_intent(intent)
 
 
-def _later_directory(node: VirtualNode, directory: Directory) -> Callable[[], None]:
+def _directory_delivery(node: VirtualNode, directory: Directory) -> Callable[[], None]:
     return lambda: node.apply_directory(directory)
 
 
--- a/src/zincvale/simulator/what_if/servers.py
+++ b/src/zincvale/simulator/what_if/servers.py
@@ -1,4 +1,4 @@
-"""Language-model servers in virtual time: the stand-ins' engine and memory without their HTTP."""
+"""Language-model servers in virtual time: the stand-ins' engine and memory without HTTP."""
 
 from __future__ import annotations
 
@@ -41,24 +41,24 @@
 
 
 class ExchangeListener(Protocol):
-    """The node's side of one request at a server; called at the server's time."""
+    """The node's side of one request at a server; called without the delay to the node."""
 
-    def on_refused(self, end: ExchangeEnd, missing: tuple[str, ...], final: bool) -> None:
-        """Take a refusal: nothing ran."""
+    def on_refused(self, end: ExchangeEnd, missing: tuple[str, ...], is_final: bool) -> None:
+        """Handle a refusal: nothing ran."""
 
     def on_tokens(self, count: int) -> None:
-        """Handle that the response has `count` tokens by now, the prefix included."""
+        """Handle that the response has reached `count` tokens, the prefix included."""
 
     def on_finished(self, count: int) -> None:
-        """Handle that the response is complete."""
+        """Handle that the response is complete, with `count` tokens."""
 
-    def on_broken(self, count: int, sent: bool) -> None:
+    def on_broken(self, count: int, was_sent: bool) -> None:
         """Handle that the connection broke after `count` tokens."""
 
 
 @attrs.define(eq=False)
 class ServerStats:
-    """What a server did, for the figures and checks."""
+    """Counts of what a server did, for figures and tests."""
 
     runs: int = 0
     refusals: int = 0
@@ -66,13 +66,13 @@
     unloads: int = 0
     loaded_bytes: int = 0
     refused_orders: int = 0
-    run_times: array[float] = attrs.field(factory=lambda: array("d"))
-    """When each run began, in virtual seconds."""
+    run_start_times: array[float] = attrs.field(factory=lambda: array("d"))
+    """Start time of each run, in virtual seconds."""
 
 
 @attrs.define(eq=False)
 class VirtualServer:
-    """What both kinds of server share: the platform's row, state of the process, stats."""
+    """Base of both kinds of server: the platform's row, the state of the process, the counts."""
 
     platform_row: PlatformServer
     clock: VirtualClock
@@ -90,13 +90,17 @@
         raise NotImplementedError
 
     def submit(
-        self, listener: ExchangeListener, key: GenerationKey, prefix_tokens: int, mark: int
+        self,
+        listener: ExchangeListener,
+        key: GenerationKey,
+        prefix_tokens: int,
+        report_at_token: int,
     ) -> Callable[[], None]:
-        """Take a request; returns what closes its connection."""
+        """Accept or refuse a request; return the function that closes its connection."""
         raise NotImplementedError
 
     def order(self, order: Order, store: VirtualStore | None) -> OrderRefusal | None:
-        """Take a placement order; returns why it is refused."""
+        """Carry out a placement order; return the reason when it is refused, else None."""
         return OrderRefusal.OTHER
 
     def crash(self) -> None:
@@ -108,9 +112,9 @@
         self.is_up = True
         self.incarnation += 1
 
-    def _began(self) -> None:
+    def _record_run(self) -> None:
         self.stats.runs += 1
-        self.stats.run_times.append(self.clock.now)
+        self.stats.run_start_times.append(self.clock.now)
 
 
 @attrs.define(eq=False)
@@ -135,15 +139,15 @@
     _pulls: dict[str, tuple[VirtualStore, int]] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        self._make_empty()
+        self._reset()
 
     def status(self) -> ServerStatus:
         """Return what `GET /status` would say now."""
-        self._sync()
+        self._advance_engine()
         now = self.clock.now
         models = self.residency.models
         adapters = self.residency.adapters
-        both = {**models, **adapters}
+        items = {**models, **adapters}
         health = ServerHealth.COLD if self.engine.is_cold(now) else ServerHealth.READY
         return ServerStatus(
             server=self.name,
@@ -163,21 +167,25 @@
                 if row.state is WeightState.LOADED
             ),
             loading=frozenset(
-                name for name, row in both.items() if row.state is WeightState.LOADING
+                name for name, row in items.items() if row.state is WeightState.LOADING
             ),
             unloading=frozenset(
-                name for name, row in both.items() if row.state is WeightState.UNLOADING
+                name for name, row in items.items() if row.state is WeightState.UNLOADING
             ),
         )
 
     def submit(
-        self, listener: ExchangeListener, key: GenerationKey, prefix_tokens: int, mark: int
+        self,
+        listener: ExchangeListener,
+        key: GenerationKey,
+        prefix_tokens: int,
+        report_at_token: int,
     ) -> Callable[[], None]:
-        """Take a generation, or refuse it."""
-        self._sync()
+        """Start a generation, or refuse it."""
+        self._advance_engine()
         if not self.residency.serves(key.model, key.adapter):
             self.stats.refusals += 1
-            missing = tuple(name for name in (key.model, key.adapter) if self._lacks(name))
+            missing = tuple(name for name in (key.model, key.adapter) if self._is_missing(name))
             listener.on_refused(ExchangeEnd.NOT_RESIDENT, missing, False)
             return do_nothing
         self._run_count += 1
@@ -185,20 +193,20 @@
         refusal = self.engine.submit(run_id, key, [""] * prefix_tokens, self.clock.now)
         if refusal is not None:
             self.stats.refusals += 1
-            final = refusal is Refusal.TOO_LARGE
-            listener.on_refused(END_BY_REFUSAL[refusal], (), final)
+            is_final = refusal is Refusal.TOO_LARGE
+            listener.on_refused(END_BY_REFUSAL[refusal], (), is_final)
             return do_nothing
         self.residency.acquire(key.model, key.adapter)
-        if mark:
-            self.engine.marks[run_id] = mark
+        if report_at_token:
+            self.engine.report_at_tokens[run_id] = report_at_token
         self._runs[run_id] = _Run(listener, key.model, key.adapter)
-        self._began()
+        self._record_run()
         self._set_timer()
-        return lambda: self._abandon(run_id)
+        return lambda: self._cancel_run(run_id)
 
     def order(self, order: Order, store: VirtualStore | None) -> OrderRefusal | None:
         """Begin a load or unload."""
-        self._sync()
+        self._advance_engine()
         if order.action is OrderAction.LOAD:
             response = self._order_load(order, store)
         elif order.item_kind is ItemKind.MODEL:
@@ -212,39 +220,39 @@
         return REFUSAL_BY_ORDER_ERROR[response.error]
 
     def crash(self) -> None:
-        """End the process."""
+        """End the process: every connection and pull breaks."""
         if not self.is_up:
             return
-        self._sync()
+        self._advance_engine()
         self.is_up = False
         runs, self._runs = self._runs, {}
         for store, pull_id in self._pulls.values():
-            store.abandon(pull_id)
+            store.cancel_pull(pull_id)
         for run_id, run in runs.items():
             run.listener.on_broken(self.engine.generated(run_id), True)
-        self._make_empty()
+        self._reset()
 
     def set_slow_factor(self, factor: float) -> None:
-        """Work slower by a factor from the next step on."""
-        self._sync()
+        """Lengthen every step by a factor, from the next one on."""
+        self._advance_engine()
         self.engine.slow_factor = factor
         self._set_timer()
 
-    def _make_empty(self) -> None:
+    def _reset(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         self._pulls.clear()
         self.engine = StepSkippingEngine(self.profile)
         self.residency = Residency(self.profile.memory_bytes, self.profile.max_concurrent_loads)
-        self._memory_changed()
+        self._update_free_memory()
 
     # requests
 
-    def _sync(self) -> None:
-        """Bring the engine up to now and hand out what came of it."""
-        for moment in self.engine.advance_to(self.clock.now):
-            self._dispatch_event(moment.event.run_id, moment.event)
+    def _advance_engine(self) -> None:
+        """Advance the engine to now and deliver its events."""
+        for timed_event in self.engine.advance_to(self.clock.now):
+            self._dispatch_event(timed_event.event.run_id, timed_event.event)
         self._set_timer()
 
     def _dispatch_event(self, run_id: str, event: object) -> None:
@@ -252,25 +260,25 @@
         if run is None:
             return
         if isinstance(event, Finished):
-            self._end(run_id)
+            self._end_run(run_id)
             run.listener.on_finished(event.count)
             return
         count = self.engine.generated(run_id) or 1
-        if not run.has_tokens or count == self.engine.marks.get(run_id):
+        if not run.has_tokens or count == self.engine.report_at_tokens.get(run_id):
             run.has_tokens = True
             run.listener.on_tokens(count)
 
-    def _abandon(self, run_id: str) -> None:
+    def _cancel_run(self, run_id: str) -> None:
         if run_id not in self._runs:
             return
-        self._sync()
+        self._advance_engine()
         if self.engine.cancel(run_id) is not None:
-            self._end(run_id)
+            self._end_run(run_id)
         self._set_timer()
 
-    def _end(self, run_id: str) -> None:
+    def _end_run(self, run_id: str) -> None:
         run = self._runs.pop(run_id)
-        self.engine.marks.pop(run_id, None)
+        self.engine.report_at_tokens.pop(run_id, None)
         self._on_weights_removed(self.residency.release(run.model, run.adapter))
 
     def _set_timer(self) -> None:
@@ -285,7 +293,7 @@
 
     def _on_due(self) -> None:
         self._timer = None
-        self._sync()
+        self._advance_engine()
 
     # weights
 
@@ -298,36 +306,36 @@
                 order.name, order.base_model, order.item_bytes, pinned
             )
         if response.error is None and not response.is_already_done:
-            self._memory_changed()
-            self._pull(order, store)
+            self._update_free_memory()
+            self._start_pull(order, store)
         return response
 
-    def _pull(self, order: Order, store: VirtualStore | None) -> None:
+    def _start_pull(self, order: Order, store: VirtualStore | None) -> None:
         name, incarnation = order.name, self.incarnation
 
-        def arrived() -> None:
+        def on_pulled() -> None:
             self._pulls.pop(name, None)
             overhead_s = self.pull_overhead_s
-            self.clock.call_later(overhead_s, lambda: self._loaded(order, incarnation))
+            self.clock.call_later(overhead_s, lambda: self._complete_load(order, incarnation))
 
         pull_id = 0
         if store is not None:
-            cap = float(self.profile.pull_bytes_per_second)
-            pull_id = store.pull(order.item_bytes, cap, arrived)
+            max_bytes_per_second = float(self.profile.pull_bytes_per_second)
+            pull_id = store.pull(order.item_bytes, max_bytes_per_second, on_pulled)
         if store is None or not pull_id:
             self.residency.load_failed(name)
-            self._memory_changed()
+            self._update_free_memory()
             return
         self._pulls[name] = (store, pull_id)
 
-    def _loaded(self, order: Order, incarnation: int) -> None:
+    def _complete_load(self, order: Order, incarnation: int) -> None:
         if incarnation != self.incarnation or not self.is_up:
             return
-        self._sync()
+        self._advance_engine()
         if not self.residency.load_completed(order.name):
             return
         self.engine.begin_warm_up(self.clock.now)
-        self._memory_changed()
+        self._update_free_memory()
         self.stats.loads += 1
         self.stats.loaded_bytes += order.item_bytes
 
@@ -336,14 +344,14 @@
             self.stats.unloads += 1
             pulling = self._pulls.pop(name, None)
             if pulling is not None:
-                pulling[0].abandon(pulling[1])
+                pulling[0].cancel_pull(pulling[1])
         if names:
-            self._memory_changed()
+            self._update_free_memory()
 
-    def _memory_changed(self) -> None:
+    def _update_free_memory(self) -> None:
         self.engine.set_free_memory(self.residency.free_bytes())
 
-    def _lacks(self, name: str) -> bool:
+    def _is_missing(self, name: str) -> bool:
         if not name:
             return False
         row = self.residency.models.get(name) or self.residency.adapters.get(name)
@@ -351,4 +359,4 @@
 
 
 def do_nothing() -> None:
-    """Close a connection on which nothing runs."""
+    """Do nothing: the request was refused, so that closing its connection ends no run."""
--- a/src/zincvale/simulator/what_if/stores.py
+++ b/src/zincvale/simulator/what_if/stores.py
@@ -1,4 +1,4 @@
-"""A weight store in virtual time: pulls share its bandwidth as the stand-in's do."""
+"""A weight store in virtual time, whose pulls share its bandwidth as at the stand-in."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 from zincvale.standins.weight_store.bandwidth import LONGEST_ADVANCE_S, Pull, SharedBandwidth
 
 ROUNDING_BYTES = 1.0
+"""A pull with less than this left to send is complete."""
 
 
 class VirtualStore:
-    """One store.
+    """One weight store.
 
     Parameters
     ----------
     clock : virtual time.
-    bytes_per_second : what it sends in all.
-    max_concurrent_pulls : one more is refused.
+    bytes_per_second : its bandwidth, shared by all pulls.
+    max_concurrent_pulls : limit of open pulls; one beyond it is refused.
     """
 
     def __init__(
@@ -33,31 +34,34 @@
         self._pull_count = 0
         self._timer: Timer | None = None
 
-    def pull(self, size_bytes: int, cap: float, done: Callable[[], None]) -> int:
-        """Begin a pull; returns its number, or 0 when it is refused."""
+    def pull(
+        self, size_bytes: int, max_bytes_per_second: float, on_done: Callable[[], None]
+    ) -> int:
+        """Begin a pull; return its identifier, or 0 when it is refused."""
         if len(self._pulls) >= self.max_concurrent_pulls:
             self.refused_pulls += 1
             return 0
         self._advance()
         self._pull_count += 1
-        pull = Pull(self._pull_count, size_bytes, cap)
+        pull = Pull(self._pull_count, size_bytes, max_bytes_per_second)
         self._bandwidth.open(pull, self._clock.now)
-        self._pulls[pull.pull_id] = (pull, done)
+        self._pulls[pull.pull_id] = (pull, on_done)
         self._set_timer()
         return pull.pull_id
 
-    def abandon(self, pull_id: int) -> None:
-        """Break off a pull: its server has ended or unloaded the item."""
+    def cancel_pull(self, pull_id: int) -> None:
+        """Cancel a pull whose server has crashed or unloaded the item."""
         self._advance()
-        found = self._pulls.pop(pull_id, None)
-        if found is None:
+        cancelled = self._pulls.pop(pull_id, None)
+        if cancelled is None:
             return
-        self.pulled_bytes += found[0].sent_bytes
+        self.pulled_bytes += cancelled[0].sent_bytes
         self._bandwidth.close(pull_id, self._clock.now)
         self._set_timer()
 
     def _advance(self) -> None:
-        """Send what is due, in steps no longer than the bandwidth takes for a freeze."""
+        """Send what is due, in steps no longer than `LONGEST_ADVANCE_S`: the bandwidth takes a
+        longer one for a frozen process."""
         now = self._clock.now
         while self._advanced_at < now:
             self._advanced_at = min(now, self._advanced_at + LONGEST_ADVANCE_S)
@@ -82,14 +86,14 @@
 
     def _on_due(self) -> None:
         self._advance()
-        ended = [
+        completed = [
             pull
             for pull, _ in self._pulls.values()
             if pull.size_bytes - pull.sent_bytes < ROUNDING_BYTES
         ]
-        for pull in ended:
-            _, done = self._pulls.pop(pull.pull_id)
+        for pull in completed:
+            _, on_done = self._pulls.pop(pull.pull_id)
             self.pulled_bytes += pull.size_bytes
             self._bandwidth.close(pull.pull_id, self._clock.now)
-            done()
+            on_done()
         self._set_timer()
--- a/src/zincvale/simulator/what_if/timings.py
+++ b/src/zincvale/simulator/what_if/timings.py
@@ -1,6 +1,6 @@
 """Delays between the processes of a deployment, as a what-if run assumes them.
 
-The defaults were read off real fleets on one loaded machine (docs: what-if, "Validation").
+The defaults were measured on real fleets on one loaded machine (docs: what-if, "Validation").
 All values are seconds.
 """
 
@@ -15,22 +15,25 @@
 
     Attributes
     ----------
-    caller_hop_s : between a caller and a node, one way, with the handling of the request.
-    server_hop_s : between a node and a back end, one way.
-    claim_s : a claim at a majority of the holders, or its record or release.
-    journal_s : a piece at the peer before the caller gets it.
-    probe_hop_s : between the directory's prober and a server, one way.
-    intent_to_core_s : from an operator's change to the controller's tables.
-    intent_to_node_s : from an operator's change to its being in force at a node.
-    publication_s : from the directory or the calendar to a node.
-    report_hop_s : from a node's demand report to the controller.
-    delivery_jitter : each delivery to a node is drawn from this fraction around its delay.
-    order_hop_s : between the controller and a server, one way.
-    systems_tick_s : how often the control machine's systems look at the clock.
-    pull_overhead_s : connection, pacing and last piece of a pull.
-    lease_s : a killed node leaves the member table after this.
-    node_start_s : a restarted node is fresh and takes callers after this.
-    warm_up_s : from the first intent to the first caller, as the fleet rig needs it.
+    caller_hop_s : one way between a caller and a node, including the handling of the request.
+    server_hop_s : one way between a node and a back end.
+    claim_s : to take, renew or release a claim or to record its outcome, at a majority of its
+        voters; also to look up a stream.
+    journal_s : to journal a chunk at the peer, before the caller receives it.
+    probe_hop_s : one way between the directory's prober and a server.
+    intent_to_core_s : from an operator's change until the placement controller has it.
+    intent_to_node_s : from an operator's change until a node applies it.
+    publication_s : from a publication of the directory or of the move table until a node has it.
+    report_hop_s : one way from a node to the control machine, for demand reports and for the
+        confirmation of a publication.
+    delivery_jitter : largest relative deviation of a delivery to a node from its delay, drawn
+        uniformly; 0.3 means 70 % to 130 %.
+    order_hop_s : one way between the placement controller and a server.
+    systems_tick_s : interval of the ticks of directory and placement.
+    pull_overhead_s : time that a pull takes beyond its transfer: connection, pacing and last piece.
+    lease_s : from the end of a node until it leaves the member table.
+    node_start_s : from the start of a node until it has current tables and accepts callers.
+    warm_up_s : from the start of the run to the first caller, as the fleet rig needs it.
     """
 
     caller_hop_s: float = 0.004
--- a/tests/simulator/what_if/test_what_if.py
+++ b/tests/simulator/what_if/test_what_if.py
@@ -1,4 +1,4 @@
-"""Whole what-if runs on the deployments' own files, short and seeded."""
+"""Short, seeded what-if runs on the files of the deployments."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from zincvale.simulator.what_if.run import VirtualFleet
 
 SECONDS = 9.0
-MEASURED = ("wall_s", "processor_s", "speed_up")
+WALL_CLOCK_FIGURES = ("wall_s", "processor_s", "speed_up")
 
 
 def _inputs(
@@ -60,20 +60,20 @@
     return replace(document, spec={**(document.spec or {}), **patch["spec"]})
 
 
-def _plain(figures: RunFigures) -> dict[str, Any]:
+def _comparable(figures: RunFigures) -> dict[str, Any]:
     plain = figures.to_json()
-    return {name: value for name, value in plain.items() if name not in MEASURED}
+    return {name: value for name, value in plain.items() if name not in WALL_CLOCK_FIGURES}
 
 
 class WhatIfRunTest(testtools.TestCase):
-    """What a change does to a run."""
+    """Effects of changes and faults on the figures of a run."""
 
     def test_the_same_seed_gives_the_same_figures(self) -> None:
         first = VirtualFleet(_scenario()).run()
         second = VirtualFleet(_scenario()).run()
         other = VirtualFleet(_scenario(seed=2)).run()
-        self.assertEqual(_plain(first), _plain(second))
-        self.assertNotEqual(_plain(first), _plain(other))
+        self.assertEqual(_comparable(first), _comparable(second))
+        self.assertNotEqual(_comparable(first), _comparable(other))
 
     def test_every_request_is_answered_and_none_runs_twice(self) -> None:
         fleet = VirtualFleet(_scenario())
@@ -84,9 +84,9 @@
         runs = sum(server.stats.runs for name, server in fleet.servers.items() if "quotes" in name)
         self.assertEqual(quotes.offered, runs)
 
-    def test_closing_zones_makes_it_worse_and_opening_them_better(self) -> None:
-        # Lookups hold no models: what the change does is not mixed with loads from a cold start.
-        # 10 lookups a second come; each zone's server takes 4.5.
+    def test_evacuating_zones_lowers_the_answered_share_and_reopening_raises_it(self) -> None:
+        # Lookup servers hold no models, so that loads after the cold start don't affect the result.
+        # 10 lookups arrive per second; the server of each zone handles 4.5.
         closed = [_document("Zone", zone, evacuated=True) for zone in ("zone-a", "zone-b")]
         opened = [_document("Zone", zone, evacuated=False) for zone in ("zone-a", "zone-b")]
         scenario = _scenario(rate_factor=2.0)
@@ -104,7 +104,7 @@
         self.assertGreater(better.answered, worse.answered)
         self.assertLess(better.total_ms["p50"], worse.total_ms["p50"])
 
-    def test_a_drained_server_gets_nothing_after_the_delivery(self) -> None:
+    def test_a_drained_server_gets_no_request_after_the_delivery(self) -> None:
         change = (_document("Server", "overnight-1", drained=True),)
         scenario = _scenario(change=change, apply_at_s=4.0)
         fleet = VirtualFleet(scenario)
@@ -112,13 +112,13 @@
         timings = scenario.timings
         longest_s = timings.intent_to_node_s * (1 + timings.delivery_jitter)
         closed_at = timings.warm_up_s + 4.0 + longest_s + timings.server_hop_s
-        run_times = fleet.servers[ServerId("overnight-1")].stats.run_times
-        self.assertGreater(len(run_times), 0)
-        self.assertLessEqual(max(run_times), closed_at)
-        other_times = fleet.servers[ServerId("overnight-2")].stats.run_times
+        run_start_times = fleet.servers[ServerId("overnight-1")].stats.run_start_times
+        self.assertGreater(len(run_start_times), 0)
+        self.assertLessEqual(max(run_start_times), closed_at)
+        other_times = fleet.servers[ServerId("overnight-2")].stats.run_start_times
         self.assertGreater(max(other_times), closed_at)
 
-    def test_an_evacuated_zone_gets_nothing(self) -> None:
+    def test_an_evacuated_zone_gets_no_request(self) -> None:
         faults = [{"kind": "evacuate", "at_s": 4.0, "target": "zone-a"}]
         scenario = _scenario(faults)
         fleet = VirtualFleet(scenario)
@@ -126,33 +126,33 @@
         closed_at = scenario.timings.warm_up_s + 4.0 + 0.5
         for server in fleet.servers.values():
             if server.platform_row.zone == "zone-a":
-                self.assertEqual([], [at for at in server.stats.run_times if at > closed_at])
+                self.assertEqual([], [at for at in server.stats.run_start_times if at > closed_at])
         self.assertEqual(figures.total("offered"), figures.total("answered"))
-        self.assertFalse(fleet.nodes["node-1"].ready)
+        self.assertFalse(fleet.nodes["node-1"].is_ready)
 
-    def test_a_killed_server_comes_back_cold_and_streams_go_on(self) -> None:
+    def test_chats_are_answered_when_a_server_is_killed_and_restarted(self) -> None:
         faults = [{"kind": "kill", "at_s": 5.0, "for_s": 3.0, "target": "conversation-1"}]
         fleet = VirtualFleet(_scenario(faults))
         chats = fleet.run().routes["chats"]
         self.assertEqual(chats.offered, chats.answered)
         self.assertEqual(2, fleet.servers[ServerId("conversation-1")].incarnation)
 
-    def test_a_complete_stream_requested_again_comes_from_the_record(self) -> None:
+    def test_a_complete_stream_that_is_resent_is_answered_from_the_record(self) -> None:
         run = RunOptions("surtido", "steady", seconds=SECONDS, seed=1)
         fleet = VirtualFleet(read_what_if(run, "", 0.0).scenario)
         slots = fleet.run().routes["picker-slots"]
         self.assertNotIn("interrupted", slots.outcomes)
         self.assertGreater(slots.attempts, slots.offered + slots.refused_attempts)
 
-    def test_callers_of_a_killed_node_go_elsewhere(self) -> None:
+    def test_callers_of_a_killed_node_retry_at_another_node(self) -> None:
         faults = [{"kind": "restart", "at_s": 5.0, "down_s": 1.0, "target": "node-1"}]
         fleet = VirtualFleet(_scenario(faults))
         figures = fleet.run()
-        self.assertTrue(fleet.nodes["node-1"].ready)
+        self.assertTrue(fleet.nodes["node-1"].is_ready)
         summaries = figures.routes["summaries"]
         self.assertEqual(summaries.offered, summaries.answered)
 
-    def test_a_slow_server_and_a_crowd_show(self) -> None:
+    def test_slow_servers_raise_the_latency(self) -> None:
         slow = [
             {
                 "kind": "behaviour",
@@ -167,7 +167,7 @@
 
 
 class WhatIfCommandTest(testtools.TestCase):
-    """Reading, refusing and showing."""
+    """Checks of the inputs, and the report of the command."""
 
     def _folder(self) -> Path:
         folder = tempfile.TemporaryDirectory()
@@ -179,7 +179,7 @@
         path.write_text(text, encoding="utf-8")
         return str(path)
 
-    def test_an_invalid_change_is_a_typed_error_that_names_the_remedy(self) -> None:
+    def test_an_invalid_change_raises_an_error_that_names_the_remedy(self) -> None:
         dangling = self._file("{kind: Route, name: quotes, spec: {pool: no-such}}")
         error = self.assertRaises(InvalidInputError, _inputs, dangling)
         self.assertThat(str(error), Contains("Route quotes: spec.pool"))
@@ -189,13 +189,13 @@
         self.assertRaises(InvalidInputError, _inputs, "no-such-file.yaml")
         self.assertRaises(InvalidInputError, _inputs, self._file(""))
 
-    def test_what_is_not_modelled_is_listed(self) -> None:
+    def test_faults_that_are_not_modelled_are_listed(self) -> None:
         listed = "\n".join(_inputs(faults="everything").not_modelled)
         for kind in ("freeze", "cut", "disk-lost", "restart of core-a", "elections"):
             self.assertThat(listed, Contains(kind))
         self.assertNotIn("drain:", listed)
 
-    def test_the_comparison_reads_side_by_side(self) -> None:
+    def test_the_report_shows_both_runs_side_by_side(self) -> None:
         change = self._file("{kind: Server, name: overnight-1, spec: {drained: true}}")
         comparison = compare(_inputs(change, seconds=4.0))
         lines = comparison_lines(comparison)
@@ -212,15 +212,15 @@
 
     def test_the_command_exits_with_2_on_a_bad_option(self) -> None:
         for options in ({"output": "xml"}, {"plot": "x.txt"}, {"deployment": "nowhere"}):
-            said = io.StringIO()
-            with redirect_stderr(said):
-                ended = self.assertRaises(SystemExit, what_if, **options)
-            self.assertEqual(2, ended.code)
-            self.assertThat(said.getvalue(), Contains("error: "))
+            output = io.StringIO()
+            with redirect_stderr(output):
+                exit_error = self.assertRaises(SystemExit, what_if, **options)
+            self.assertEqual(2, exit_error.code)
+            self.assertThat(output.getvalue(), Contains("error: "))
 
-    def test_the_command_draws_a_plot(self) -> None:
+    def test_the_command_writes_a_plot(self) -> None:
         folder = self._folder()
-        with redirect_stdout(io.StringIO()) as said:
+        with redirect_stdout(io.StringIO()) as output:
             what_if(seconds=2.0, output="json", plot=str(folder / "plot.png"))
-        self.assertIsNone(orjson.loads(said.getvalue())["with"])
+        self.assertIsNone(orjson.loads(output.getvalue())["with"])
         self.assertGreater((folder / "plot.png").stat().st_size, 10_000)
