--- a/src/zincvale/simulator/what_if/callers.py
+++ b/src/zincvale/simulator/what_if/callers.py
@@ -107,7 +107,7 @@
 
     def begin(self) -> None:
         """Send the request for the first time."""
-        self.context.figures.offered(self.row)
+        self.context.figures.count_offered(self.row)
         self._start_attempt()
 
     def mark_first_byte(self) -> None:
@@ -119,7 +119,7 @@
         """Handle the result of an attempt: complete the request or send it again."""
         if result.outcome is AttemptOutcome.ANSWERED and self._discard_response_once():
             result = AttemptResult(AttemptOutcome.LOST)
-        self.context.figures.attempted(self.row, result)
+        self.context.figures.count_attempt_end(self.row, result)
         step = self._retry.after(result, self.chunks > 0, self.context.clock.now)
         if not isinstance(step, Resend):
             self._complete(result)
@@ -160,7 +160,7 @@
         self.row.total_s = now - self._started_at
         if self.first_at is not None:
             self.row.first_s = self.first_at - self._started_at
-        self.context.figures.completed(self.row)
+        self.context.figures.add_completed(self.row)
         self._on_complete(result.outcome is AttemptOutcome.ANSWERED)
 
 
--- a/src/zincvale/simulator/what_if/figures.py
+++ b/src/zincvale/simulator/what_if/figures.py
@@ -142,12 +142,12 @@
         self.routes: dict[str, RouteTable] = {}
         self._intervals = [IntervalTable() for _ in range(math.ceil(seconds / self.interval_s))]
 
-    def offered(self, row: RequestRow) -> None:
-        """Count one request."""
+    def count_offered(self, row: RequestRow) -> None:
+        """Count a request that a caller starts."""
         self.routes.setdefault(row.route, RouteTable()).offered += 1
         self._interval(row).offered += 1
 
-    def attempted(self, row: RequestRow, result: AttemptResult) -> None:
+    def count_attempt_end(self, row: RequestRow, result: AttemptResult) -> None:
         """Count the end of one attempt."""
         if result.outcome is AttemptOutcome.REFUSED:
             row.refusals += 1
@@ -155,7 +155,7 @@
             route.refused_attempts += 1
             route.refusal_reasons[result.reason] += 1
 
-    def completed(self, row: RequestRow) -> None:
+    def add_completed(self, row: RequestRow) -> None:
         """Add a request that is over."""
         self.routes[row.route].add(row)
         self._interval(row).add(row)
--- a/tests/golden/decisions_of_placement.py
+++ b/tests/golden/decisions_of_placement.py
@@ -121,12 +121,12 @@
 def what_if_digest(scenario: Callable[[], WhatIfScenario]) -> str:
     log = DecisionLog()
 
-    def record_request(table: FigureTable, row: Any) -> None:
+    def add_completed(table: FigureTable, row: Any) -> None:
         log.add("request", row)
 
     with (
         _effects_recorded(log, PlacementController, DirectoryMachine),
-        calls_observed(FigureTable, FigureTable.completed, record_request),
+        calls_observed(FigureTable, FigureTable.add_completed, add_completed),
     ):
         figures = VirtualFleet(scenario()).run()
     routes = [[name, route] for name, route in figures.routes.items()]
