--- a/src/zincvale/simulator/placement/baselines.py
+++ b/src/zincvale/simulator/placement/baselines.py
@@ -1,4 +1,4 @@
-"""Placement policies of our own to compare with: static, least recently used, greedy.
+"""Baseline placement policies for comparison: static, least recently used, greedy.
 
 They see the whole fleet without delay, unload without draining first, and keep every limit that
 the real controller keeps: memory, loads per server and loads per store.
@@ -11,20 +11,20 @@
 from zincvale.simulator.placement.fleet import EmulatedServer, Fleet, ItemSpec, OrderResult
 
 GREEDY_INTERVAL_S = 60.0
-"""Time between two assignments; shorter swaps more for the same demand."""
+"""Interval between two assignments; a shorter one replaces more items for the same demand."""
 GREEDY_HALF_LIFE_S = 1800.0
-"""Of the counted requests, as the slow average of the real controller."""
+"""Half-life of the request counts, equal to that of the real controller's slow average."""
 
 
 def _store_has_slot(fleet: Fleet, item: ItemSpec) -> bool:
-    return fleet.pulls(item.store) < fleet.stores[item.store].max_concurrent_loads
+    return fleet.pull_count(item.store) < fleet.stores[item.store].max_concurrent_loads
 
 
 def _may_take_load(server: EmulatedServer) -> bool:
     return server.is_serving and len(server.loading()) < server.spec.max_loads
 
 
-def _pool(fleet: Fleet, item: ItemSpec) -> list[EmulatedServer]:
+def _servers_in_pool(fleet: Fleet, item: ItemSpec) -> list[EmulatedServer]:
     return [server for server in fleet.servers.values() if server.spec.pool == item.pool]
 
 
@@ -39,8 +39,8 @@
     return item.base in server.replicas and server.replicas[item.base].is_ready
 
 
-def _group(fleet: Fleet, server: EmulatedServer, name: str) -> list[str]:
-    """Return an item with the adapters that leave with it, adapters first."""
+def _item_with_adapters(fleet: Fleet, server: EmulatedServer, name: str) -> list[str]:
+    """Return an item and its adapters on the server, in the order of unloading."""
     adapters = [other for other in server.replicas if fleet.items[other].base == name]
     return [*adapters, name]
 
@@ -54,21 +54,23 @@
     fleet: Fleet, server: EmulatedServer, item: ItemSpec, order: list[str], protected: set[str]
 ) -> bool:
     """Unload idle items in `order` until `item` fits; unload nothing when it cannot fit."""
-    missing = server.used_bytes + item.item_bytes - server.weight_bytes
-    leaving: list[str] = []
+    missing_bytes = server.used_bytes + item.item_bytes - server.weight_bytes
+    to_unload: list[str] = []
     for name in order:
-        if missing <= 0:
+        if missing_bytes <= 0:
             break
-        if name in leaving or name == item.base or name in protected or _is_pinned(fleet, name):
+        if name in to_unload or name == item.base or name in protected or _is_pinned(fleet, name):
             continue
-        group = [other for other in _group(fleet, server, name) if other not in leaving]
+        group = [
+            other for other in _item_with_adapters(fleet, server, name) if other not in to_unload
+        ]
         if any(_in_use(server, other) for other in group):
             continue
-        leaving.extend(group)
-        missing -= sum(server.replicas[other].item_bytes for other in group)
-    if missing > 0:
+        to_unload.extend(group)
+        missing_bytes -= sum(server.replicas[other].item_bytes for other in group)
+    if missing_bytes > 0:
         return False
-    for name in leaving:
+    for name in to_unload:
         fleet.order_unload(server.spec.name, name)
     return True
 
@@ -83,23 +85,23 @@
 
 @attrs.define(eq=False)
 class LeastRecentlyUsed:
-    """Loads what a request waits for, where the oldest replicas are; adds replicas when all are
-    full.
+    """Loads the items that requests wait for and evicts those that were used least recently.
 
-    It also keeps `min_replicas`, as every policy must. `assigned` names, by server, what it evicts
-    only when nothing else is left.
+    An item gets a further replica when all its replicas are full. As with every policy it has at
+    least `min_replicas`. `assigned` lists, by server, the items to evict only when no other items
+    are left.
     """
 
     assigned: dict[str, list[str]] = attrs.field(factory=dict)
 
     def step(self, fleet: Fleet, now: float) -> None:
-        """Serve the requests that wait, oldest first."""
+        """Load the items that queued requests need, longest wait first."""
         self._load_min_replicas(fleet)
         queues = sorted(fleet.waiting.items(), key=lambda entry: entry[1][0].arrival.at)
         for (model, adapter), _ in queues:
-            if self._is_short(fleet, model):
+            if self._needs_replica(fleet, model):
                 self._load(fleet, fleet.items[model])
-            elif adapter and self._is_short(fleet, adapter):
+            elif adapter and self._needs_replica(fleet, adapter):
                 self._load(fleet, fleet.items[adapter])
 
     def _load_min_replicas(self, fleet: Fleet) -> None:
@@ -107,8 +109,8 @@
             if item.min_replicas and len(fleet.holders(item.name)) < item.min_replicas:
                 self._load(fleet, item)
 
-    def _is_short(self, fleet: Fleet, name: str) -> bool:
-        """Whether no replica is ready or pending, or all replicas are full."""
+    def _needs_replica(self, fleet: Fleet, name: str) -> bool:
+        """Whether no replica is loading and all ready ones, if any, are full."""
         holders = fleet.holders(name)
         if any(not server.replicas[name].is_ready for server in holders):
             return False
@@ -136,7 +138,11 @@
 
     def _candidates(self, fleet: Fleet, item: ItemSpec) -> list[EmulatedServer]:
         if not item.base:
-            return [server for server in _pool(fleet, item) if item.name not in server.replicas]
+            return [
+                server
+                for server in _servers_in_pool(fleet, item)
+                if item.name not in server.replicas
+            ]
         return [
             server
             for server in fleet.holders(item.base)
@@ -154,16 +160,16 @@
 
 @attrs.define(eq=False)
 class Static:
-    """Fills the servers once, by a popularity known beforehand, and keeps that.
+    """Assigns items to servers once, by a popularity known beforehand.
 
-    `popularity` names items, most requested first. A server that returns is given its items again.
+    `popularity` lists item names, most requested first. A restarted server loads its items again.
     """
 
     popularity: list[str]
     _assigned: dict[str, list[str]] = attrs.field(factory=dict)
 
     def step(self, fleet: Fleet, now: float) -> None:
-        """Load what is assigned and absent."""
+        """Load the assigned items that a server doesn't hold."""
         if not self._assigned:
             self._assign(fleet)
         for server_name, names in self._assigned.items():
@@ -187,7 +193,7 @@
 
 
 def assign_by_rank(fleet: Fleet, ranked: list[str], assigned: dict[str, list[str]]) -> None:
-    """Give each item, most requested first, to the servers with most memory left."""
+    """Assign items by rank to the servers with most free memory, those with `min_replicas` first."""
     free_bytes = {name: server.weight_bytes for name, server in fleet.servers.items()}
     models = [name for name in ranked if not fleet.items[name].base]
     for name in sorted(models, key=lambda name: -fleet.items[name].min_replicas):
@@ -205,7 +211,7 @@
 ) -> None:
     names = [
         server.spec.name
-        for server in _pool(fleet, item)
+        for server in _servers_in_pool(fleet, item)
         if server.is_serving
         and item.name not in assigned[server.spec.name]
         and free_bytes[server.spec.name] >= item.item_bytes
@@ -228,9 +234,9 @@
 
 @attrs.define(eq=False)
 class Greedy:
-    """Every minute ranks items by their recent rate a byte and swaps to the best assignment.
+    """Assigns items by their recent request rate per byte, anew every `GREEDY_INTERVAL_S`.
 
-    Between these it loads on demand like `LeastRecentlyUsed`, evicting what is not assigned first.
+    It also loads on demand like `LeastRecentlyUsed`, evicting items that are not assigned first.
     """
 
     _on_demand: LeastRecentlyUsed = attrs.field(factory=LeastRecentlyUsed)
@@ -239,13 +245,13 @@
     _assign_at: float = GREEDY_INTERVAL_S
 
     def step(self, fleet: Fleet, now: float) -> None:
-        """Count, assign when due, load what is assigned, then serve what waits."""
+        """Count arrivals, assign when due, load assigned and then requested items."""
         self._count(fleet)
         if now >= self._assign_at:
             self._assign_at = now + GREEDY_INTERVAL_S
             self._assign(fleet)
         for server_name, names in self._assigned.items():
-            self._swap(fleet, fleet.servers[server_name], names)
+            self._load_assigned_items(fleet, fleet.servers[server_name], names)
         self._on_demand.step(fleet, now)
 
     def _count(self, fleet: Fleet) -> None:
@@ -255,8 +261,8 @@
         fleet.arrived.clear()
 
     def _assign(self, fleet: Fleet) -> None:
-        fade = 0.5 ** (GREEDY_INTERVAL_S / GREEDY_HALF_LIFE_S)
-        self._counts = {name: count * fade for name, count in self._counts.items()}
+        decay = 0.5 ** (GREEDY_INTERVAL_S / GREEDY_HALF_LIFE_S)
+        self._counts = {name: count * decay for name, count in self._counts.items()}
         ranked = sorted(
             fleet.items,
             key=lambda name: -self._counts.get(name, 0.0) / fleet.items[name].item_bytes,
@@ -264,25 +270,27 @@
         ranked = [name for name in ranked if self._counts.get(name, 0.0) > 0.0]
         self._assigned = {name: [] for name in fleet.servers}
         self._on_demand.assigned = self._assigned
-        self._assign_by_rank_in_place(fleet, ranked)
+        self._assign_near_current_replicas(fleet, ranked)
 
-    def _assign_by_rank_in_place(self, fleet: Fleet, ranked: list[str]) -> None:
-        """Assign by rank, preferring servers that have the item already."""
+    def _assign_near_current_replicas(self, fleet: Fleet, ranked: list[str]) -> None:
+        """Assign by rank, preferring servers that already hold the item."""
         free_bytes = {name: server.weight_bytes for name, server in fleet.servers.items()}
         for name in ranked:
             item = fleet.items[name]
-            present = [server for server in fleet.holders(name) if free_bytes[server.spec.name] > 0]
+            holders = [server for server in fleet.holders(name) if free_bytes[server.spec.name] > 0]
             if item.base:
                 _assign_adapter(item, free_bytes, self._assigned)
                 continue
-            fitting = [s for s in present if free_bytes[s.spec.name] >= item.item_bytes]
+            fitting = [
+                server for server in holders if free_bytes[server.spec.name] >= item.item_bytes
+            ]
             if fitting:
                 self._assigned[fitting[0].spec.name].append(name)
                 free_bytes[fitting[0].spec.name] -= item.item_bytes
             else:
                 _assign_replica(fleet, item, free_bytes, self._assigned)
 
-    def _swap(self, fleet: Fleet, server: EmulatedServer, names: list[str]) -> None:
+    def _load_assigned_items(self, fleet: Fleet, server: EmulatedServer, names: list[str]) -> None:
         for name in names:
             item = fleet.items[name]
             if name in server.replicas or fleet.holders(name) or not _may_take_load(server):
--- a/src/zincvale/simulator/placement/controller_policy.py
+++ b/src/zincvale/simulator/placement/controller_policy.py
@@ -1,4 +1,4 @@
-"""Drives the real placement controller in the emulator, through its own inputs and effects."""
+"""Runs the real placement controller as a policy of the emulator."""
 
 from __future__ import annotations
 
@@ -50,12 +50,15 @@
 from zincvale.simulator.placement.fleet import EmulatedServer, Fleet, ItemSpec, OrderResult
 
 STATUS_INTERVAL_S = 0.5
-"""As the deployments' probes; the controller sees a loaded replica that much later."""
+"""Interval of status reports, equal to that of the deployments' probes. The controller sees a
+loaded replica up to this much later."""
 DEMAND_INTERVAL_S = 0.5
-"""As the nodes' reports, unless a request starts to wait."""
+"""Interval of demand reports, equal to that of the nodes. A request that starts to wait is reported
+at once."""
 LEASE_S = 2.0
-"""Renewed at each step, so that the policy always leads."""
+"""Length of the controller's lease; it is renewed at each step, so that the policy always leads."""
 DRAIN_NOTICE_DELAY_S = 0.2
+"""Delay until nodes stop sending requests to the replicas that are to drain."""
 NODE = MemberId("node-1")
 REFUSAL_BY_RESULT = {
     OrderResult.MEMORY: OrderRefusal.MEMORY,
@@ -69,8 +72,8 @@
 class ControllerPolicy:
     """The real controller as an emulator policy.
 
-    Statuses and demand reach it twice a second, and at once when a request starts to wait; orders
-    and drain notices arrive with a delay of a step or two.
+    Statuses and demand are reported twice a second, demand also at once when a request starts to
+    wait. Responses to orders and drain notices are delayed by one or two steps.
     """
 
     def __init__(self, config: PlacementConfig, seed: int) -> None:
@@ -79,18 +82,18 @@
         self.records_effects = False
         self._intent = Intent()
         self._drained: frozenset[str] = frozenset()
-        self._due: list[tuple[float, Callable[[Fleet], None]]] = []
+        self._scheduled: list[tuple[float, Callable[[Fleet], None]]] = []
         self._status_at = 0.0
         self._demand_at = 0.0
         self._waiting_keys: frozenset[tuple[str, str]] = frozenset()
         self._now = 0.0
 
     def step(self, fleet: Fleet, now: float) -> None:
-        """Feed what changed, let the controller run, carry out its effects."""
+        """Feed the changes since the last step to the controller and execute its effects."""
         self._now = now
         self._feed_intent(fleet)
         self._feed(fleet, LeaderGained(1, now + LEASE_S))
-        self._carry_out_due(fleet, now)
+        self._execute_due(fleet, now)
         if now >= self._status_at:
             self._status_at = now + STATUS_INTERVAL_S
             reports = tuple(status_of(server, now) for server in fleet.servers.values())
@@ -120,54 +123,55 @@
 
     def _feed(self, fleet: Fleet, event: Input) -> None:
         for effect in self.controller.handle(event, self._now):
-            self._carry_out(fleet, effect)
+            self._execute(fleet, effect)
 
-    def _carry_out(self, fleet: Fleet, effect: Effect) -> None:
+    def _execute(self, fleet: Fleet, effect: Effect) -> None:
         if self.records_effects:
             self.recorded_effects.append(effect)
         match effect:
             case SendOrder():
-                self._order(fleet, effect)
+                self._send_order(fleet, effect)
             case RequestStatus(server, _):
-                self._later(0.0, lambda fleet: self._respond_status(fleet, server))
+                self._schedule(0.0, lambda fleet: self._report_status(fleet, server))
             case MarkDraining(server, names):
-                self._later(
-                    DRAIN_NOTICE_DELAY_S, lambda fleet: self._apply_drains(fleet, server, names)
+                self._schedule(
+                    DRAIN_NOTICE_DELAY_S,
+                    lambda fleet: self._apply_drain_notice(fleet, server, names),
                 )
 
-    def _order(self, fleet: Fleet, effect: SendOrder) -> None:
+    def _send_order(self, fleet: Fleet, effect: SendOrder) -> None:
         order = effect.order
         if order.action is OrderAction.LOAD:
             result = fleet.order_load(effect.server, order.name)
         else:
             result = fleet.order_unload(effect.server, order.name)
-        done = order.action is OrderAction.UNLOAD
-        response: Input = OrderAccepted(order.order_id, done)
+        is_done = order.action is OrderAction.UNLOAD
+        response: Input = OrderAccepted(order.order_id, is_done)
         if result is not OrderResult.ACCEPTED:
             response = OrderRefused(order.order_id, REFUSAL_BY_RESULT[result])
-        self._later(0.0, lambda fleet: self._feed(fleet, response))
+        self._schedule(0.0, lambda fleet: self._feed(fleet, response))
 
-    def _respond_status(self, fleet: Fleet, server: ServerId) -> None:
+    def _report_status(self, fleet: Fleet, server: ServerId) -> None:
         report = status_of(fleet.servers[server], self._now)
         self._feed(fleet, DirectoryChanged((report,)))
 
-    def _apply_drains(self, fleet: Fleet, server: ServerId, names: frozenset[str]) -> None:
-        """The node stops sending to what drains, and reports what still runs there."""
+    def _apply_drain_notice(self, fleet: Fleet, server: ServerId, names: frozenset[str]) -> None:
+        """Stop sending requests to the draining replicas, and report the running ones at once."""
         fleet.servers[server].draining = names
         self._demand_at = self._now
 
-    def _later(self, delay_s: float, action: Callable[[Fleet], None]) -> None:
-        self._due.append((self._now + delay_s, action))
+    def _schedule(self, delay_s: float, action: Callable[[Fleet], None]) -> None:
+        self._scheduled.append((self._now + delay_s, action))
 
-    def _carry_out_due(self, fleet: Fleet, now: float) -> None:
-        due = [action for at, action in self._due if at <= now]
-        self._due = [entry for entry in self._due if entry[0] > now]
+    def _execute_due(self, fleet: Fleet, now: float) -> None:
+        due = [action for at, action in self._scheduled if at <= now]
+        self._scheduled = [entry for entry in self._scheduled if entry[0] > now]
         for action in due:
             action(fleet)
 
 
 def status_of(server: EmulatedServer, now: float) -> StatusReport:
-    """Return what a server's status shows."""
+    """Return the status report of a server."""
     spec = server.spec
     ready = [name for name, replica in server.replicas.items() if replica.is_ready]
     row = ServerRow(
@@ -191,7 +195,7 @@
 
 
 def demand_of(fleet: Fleet) -> DemandReported:
-    """Return what the nodes together would report."""
+    """Return the demand report of all nodes together."""
     keys = fleet.arrived.keys() | fleet.waiting.keys()
     rows = tuple(
         DemandRow(
@@ -217,7 +221,7 @@
 
 
 def intent_of(fleet: Fleet) -> Intent:
-    """Return the resources that declare the emulated fleet."""
+    """Return the intent that declares the emulated fleet."""
     models = {}
     adapters = {}
     for item in fleet.items.values():
--- a/src/zincvale/simulator/placement/emulator.py
+++ b/src/zincvale/simulator/placement/emulator.py
@@ -1,8 +1,8 @@
 """Runs placement policies against an emulated fleet in virtual time, to measure them.
 
-Pure: time advances in fixed steps, randomness is seeded. A policy sees the fleet, gives orders to
-load and unload, and is judged by how many requests had to wait for a load. Transfers share a
-store's bandwidth and a server's network.
+Deterministic: time advances in fixed steps and randomness is seeded. A policy sees the fleet and
+orders loads and unloads; its measure is how many requests had to wait for a load. Transfers share
+the bandwidth of a store and of a server's network.
 """
 
 from __future__ import annotations
@@ -28,23 +28,25 @@
 )
 
 STEP_S = 0.1
-"""Of virtual time; another step changes every outcome, so that runs can't be compared."""
+"""Step of virtual time. Another step changes every outcome: such runs can't be compared."""
 MAX_REQUEST_WAIT_S = 30.0
-"""A request that waited this long is given up and counted as expired."""
+"""Longest wait of a request; after it the request is dropped and counted as expired."""
 
 
 @attrs.frozen
 class Outcome:
-    """What one run showed.
+    """The measured result of one run.
 
     Attributes
     ----------
-    requests, missed, expired : all requests; those that met no ready replica; those given up.
-    interrupted : ran on a server that crashed.
-    wait_p50_s, wait_p99_s, wait_mean_s : over all requests, for a replica or a free slot.
-    missed_wait_p99_s : over the requests that waited for a load.
+    requests : all counted requests.
+    missed : requests that had to wait because no replica was ready.
+    expired : requests dropped after `MAX_REQUEST_WAIT_S`.
+    interrupted : requests that were running on a server when it crashed.
+    wait_mean_s, wait_p50_s, wait_p99_s : waits for a replica or a free slot, over all requests.
+    missed_wait_p99_s : 99th percentile of the waits of missed requests.
     pulled_bytes : bytes that stores delivered.
-    loads, unloads : orders carried out.
+    loads, unloads : loads started and unloads done.
     """
 
     requests: int
@@ -61,15 +63,15 @@
 
     @property
     def served_without_load_wait(self) -> float:
-        """Share of requests that met a ready replica."""
+        """Fraction of the requests that were not missed."""
         return 1.0 - self.missed / max(self.requests, 1)
 
 
 class Policy(Protocol):
-    """Something that places models."""
+    """A placement policy."""
 
     def step(self, fleet: Fleet, now: float) -> None:
-        """Look at the fleet and give orders; called once a step, after arrivals."""
+        """Give orders for the state of the fleet; called once per step, after the arrivals."""
         ...
 
 
@@ -80,7 +82,7 @@
     ----------
     fleet : the fleet, empty at the start.
     arrivals : requests in order of time.
-    events : what happens to servers, in order of time.
+    events : crashes, returns and drains of servers, in order of time.
     """
 
     def __init__(
@@ -90,7 +92,7 @@
         self._arrivals = deque(arrivals)
         self._events = deque(events)
         self._finishing: list[tuple[float, int, Request]] = []
-        self._numbers = itertools.count()
+        self._start_numbers = itertools.count()
         self._waits: list[float] = []
         self._missed_waits: list[float] = []
         self._requests = 0
@@ -103,8 +105,8 @@
         """Run for `seconds` of virtual time; requests before `measured_from` are not counted."""
         pulled_before = 0.0
         rows_before = 0
-        for number in range(int(seconds / STEP_S)):
-            now = number * STEP_S
+        for step in range(int(seconds / STEP_S)):
+            now = step * STEP_S
             if now < measured_from:
                 pulled_before = self._pulled_bytes
                 rows_before = len(self.fleet.journal)
@@ -147,7 +149,7 @@
         server.running_by_pair.clear()
 
     def _transfer(self) -> None:
-        """Move bytes for one step: a store's rate is shared, a server's network as well."""
+        """Transfer the bytes of one step; pulls share the rates of a store and a server."""
         pulls: dict[str, list[tuple[EmulatedServer, str, EmulatedReplica]]] = {}
         per_server: dict[str, int] = {}
         for server in self.fleet.servers.values():
@@ -156,11 +158,11 @@
                     store = self.fleet.items[name].store
                     pulls.setdefault(store, []).append((server, name, replica))
                     per_server[server.spec.name] = per_server.get(server.spec.name, 0) + 1
-        for store, active in pulls.items():
-            share = self.fleet.stores[store].bytes_per_second / len(active)
-            for server, name, replica in active:
-                own = server.spec.pull_bytes_per_second / per_server[server.spec.name]
-                moved = min(min(share, own) * STEP_S, replica.left_bytes)
+        for store, store_pulls in pulls.items():
+            store_share = self.fleet.stores[store].bytes_per_second / len(store_pulls)
+            for server, name, replica in store_pulls:
+                server_share = server.spec.pull_bytes_per_second / per_server[server.spec.name]
+                moved = min(min(store_share, server_share) * STEP_S, replica.left_bytes)
                 replica.left_bytes -= moved
                 self._pulled_bytes += moved
                 if replica.is_ready:
@@ -232,7 +234,7 @@
             server.replicas[name].used_at = now
         self._record_wait(request, max(now - request.arrival.at, 0.0))
         ends_at = now + request.arrival.service_s
-        heapq.heappush(self._finishing, (ends_at, next(self._numbers), request))
+        heapq.heappush(self._finishing, (ends_at, next(self._start_numbers), request))
 
     def _record_wait(self, request: Request, wait_s: float) -> None:
         if not request.measured:
--- a/src/zincvale/simulator/placement/fleet.py
+++ b/src/zincvale/simulator/placement/fleet.py
@@ -1,7 +1,7 @@
 """The emulated fleet: servers, stores, replicas and requests, and the orders that policies give.
 
-Everything that happens is written to a journal, and `journal_checks` compares the journal with the
-limits.
+Orders, loads, unloads and events of servers are written to a journal, which `journal_checks`
+compares with the limits.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class OrderResult(enum.Enum):
-    """Response of a server to an order."""
+    """Result of an order: accepted, or the reason why the server refused it."""
 
     ACCEPTED = "accepted"
     MEMORY = "memory"
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class ItemSpec:
-    """A model (`base` is empty) or an adapter."""
+    """A model, or an adapter of the model `base`, which is empty for a model."""
 
     name: str
     item_bytes: int
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class EmulatedStoreSpec:
-    """A weight store."""
+    """The bandwidth of a weight store and its limit of concurrent loads."""
 
     name: str
     bytes_per_second: int
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class EmulatedServerSpec:
-    """A language-model server; `kv_bytes` of its memory are not for weights."""
+    """A language-model server; `kv_bytes` of its memory are reserved for the KV cache."""
 
     name: str
     pool: str
@@ -60,7 +60,7 @@
 
 @attrs.define(eq=False)
 class EmulatedReplica:
-    """An item on a server; it serves when `left_bytes` is 0."""
+    """An item on a server; it is loaded when `left_bytes`, the bytes still to transfer, is 0."""
 
     item_bytes: int
     left_bytes: float
@@ -74,7 +74,7 @@
 
 @attrs.define(eq=False)
 class EmulatedServer:
-    """One server's present state."""
+    """The current state of one server."""
 
     spec: EmulatedServerSpec
     is_up: bool = True
@@ -89,12 +89,12 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether requests may be sent here."""
+        """Whether the server accepts requests: it is up and not drained."""
         return self.is_up and not self.drained
 
     @property
     def used_bytes(self) -> int:
-        """Memory of weights, loading ones included."""
+        """Memory that weights use, those being loaded included."""
         return sum(replica.item_bytes for replica in self.replicas.values())
 
     @property
@@ -103,7 +103,7 @@
         return self.spec.memory_bytes - self.spec.kv_bytes
 
     def running_on(self, name: str) -> int:
-        """Return the requests that run on a model or adapter here."""
+        """Return how many running requests use a model or adapter."""
         return sum(count for pair, count in self.running_by_pair.items() if name in pair)
 
     def loading(self) -> list[str]:
@@ -113,7 +113,7 @@
 
 @attrs.frozen
 class Arrival:
-    """A request that arrives."""
+    """A request's arrival, its model and adapter, and how long it runs."""
 
     at: float
     model: str
@@ -123,11 +123,13 @@
 
 @attrs.define(eq=False)
 class Request:
-    """A request in the emulator.
+    """The state of a request in the emulator.
 
     Attributes
     ----------
-    missed : no server had model and adapter ready when it arrived, or while it was pending.
+    measured : whether the request counts in the outcome of the run.
+    missed : whether, at its arrival or while it was queued, no server had both model and adapter
+        ready.
     """
 
     arrival: Arrival
@@ -138,7 +140,7 @@
 
 
 class FleetEventKind(enum.Enum):
-    """What happens to a server."""
+    """Kinds of events that change the state of a server."""
 
     CRASH = "crash"
     RETURN_COLD = "return-cold"
@@ -148,7 +150,7 @@
 
 @attrs.frozen
 class FleetEvent:
-    """A timed event of the scenario."""
+    """A timed event of a scenario."""
 
     at: float
     kind: FleetEventKind
@@ -157,7 +159,7 @@
 
 @attrs.frozen
 class JournalRow:
-    """One thing that happened."""
+    """One entry of the journal: an order, a load, an unload or an event of a server."""
 
     at: float
     event: str
@@ -169,7 +171,7 @@
 
 @attrs.define(eq=False)
 class Fleet:
-    """The emulated fleet: what policies see and order."""
+    """The emulated fleet, as policies see it, and the orders that they can give."""
 
     items: dict[str, ItemSpec]
     stores: dict[str, EmulatedStoreSpec]
@@ -180,8 +182,8 @@
     journal: list[JournalRow] = attrs.field(factory=list)
     now: float = 0.0
 
-    def pulls(self, store: str) -> int:
-        """Return transfers running from a store."""
+    def pull_count(self, store: str) -> int:
+        """Return the number of running transfers from a store."""
         count = 0
         for server in self.servers.values():
             for name in server.loading():
@@ -199,7 +201,7 @@
         ]
 
     def holders(self, name: str) -> list[EmulatedServer]:
-        """Return the servers in service that hold or load an item."""
+        """Return the serving servers that hold or load an item."""
         return [
             server
             for server in self.servers.values()
@@ -207,48 +209,48 @@
         ]
 
     def order_load(self, server_name: str, name: str) -> OrderResult:
-        """Start a load, if the server takes it."""
+        """Start a load, unless the server refuses it."""
         server = self.servers[server_name]
         item = self.items[name]
         if not server.is_up:
             return OrderResult.DOWN
-        self._write("order-load", server_name, name)
+        self._record("order-load", server_name, name)
         if name in server.replicas:
             return OrderResult.ACCEPTED
-        if item.base and not _loaded(server, item.base):
+        if item.base and not _is_loaded(server, item.base):
             return OrderResult.BASE_MODEL
         if server.used_bytes + item.item_bytes > server.weight_bytes:
             return OrderResult.MEMORY
         if len(server.loading()) >= server.spec.max_loads:
             return OrderResult.BUSY
         server.replicas[name] = EmulatedReplica(item.item_bytes, float(item.item_bytes), self.now)
-        self._write("load-start", server_name, name)
+        self._record("load-start", server_name, name)
         return OrderResult.ACCEPTED
 
     def order_unload(self, server_name: str, name: str) -> OrderResult:
-        """Drop a replica at once."""
+        """Unload a replica at once, also while requests use it; the journal records that."""
         server = self.servers[server_name]
         if not server.is_up:
             return OrderResult.DOWN
         if name not in server.replicas:
             return OrderResult.NOT_HELD
         if server.running_on(name):
-            self._write("unload-in-use", server_name, name)
+            self._record("unload-in-use", server_name, name)
         del server.replicas[name]
-        self._write("unloaded", server_name, name)
+        self._record("unloaded", server_name, name)
         return OrderResult.ACCEPTED
 
-    def _write(self, event: str, server: str, name: str) -> None:
+    def _record(self, event: str, server: str, name: str) -> None:
         item = self.items.get(name)
         item_bytes = item.item_bytes if item else 0
         store = item.store if item else ""
         self.journal.append(JournalRow(self.now, event, server, name, item_bytes, store))
 
 
-def _loaded(server: EmulatedServer, name: str) -> bool:
+def _is_loaded(server: EmulatedServer, name: str) -> bool:
     replica = server.replicas.get(name)
     return replica is not None and replica.is_ready
 
 
 def _may_serve(server: EmulatedServer, name: str) -> bool:
-    return _loaded(server, name) and name not in server.draining
+    return _is_loaded(server, name) and name not in server.draining
--- a/src/zincvale/simulator/placement/journal_checks.py
+++ b/src/zincvale/simulator/placement/journal_checks.py
@@ -1,16 +1,16 @@
-"""Compares an emulator journal with the limits of servers and stores."""
+"""Compares the journal of an emulated run with the limits of servers and stores."""
 
 from __future__ import annotations
 
 from zincvale.simulator.placement.fleet import Fleet, JournalRow
 
-RESTARTS = frozenset({"crash"})
+CRASH_EVENTS = frozenset({"crash"})
 
 
 def check_journal(fleet: Fleet) -> list[str]:
-    """Return what the journal shows beyond a limit: memory, loads at once, use while unloading.
+    """Return a message per violated limit: memory, concurrent loads, no unload of items in use.
 
-    An order counts in memory from its row on, whether or not the server took it.
+    The memory of an ordered item counts from the order on, even if the server refused it.
     """
     problems: list[str] = []
     reserved_bytes: dict[str, dict[str, int]] = {name: {} for name in fleet.servers}
@@ -35,7 +35,7 @@
                     pulls[row.store] -= 1
             case "unload-in-use":
                 problems.append(f"{row.at:.1f} s: {row.name} unloaded in use on {row.server}")
-            case event if event in RESTARTS:
+            case event if event in CRASH_EVENTS:
                 for name in loading[row.server]:
                     pulls[fleet.items[name].store] -= 1
                 loading[row.server].clear()
@@ -44,24 +44,30 @@
 
 
 def check_ordered_rate(fleet: Fleet, burst_s: float) -> list[str]:
-    """Return stores from which more bytes were ordered over some time than their rate allows.
+    """Return a message per order that exceeds the rate at which a store can send the ordered bytes.
 
-    Over any time the bytes ordered may exceed the rate by one item and `burst_s` of the rate, and
-    by the share of small items while a large one is owed (bounded by one more item).
+    In any period the ordered bytes may exceed the rate by one item and by `burst_s` of the rate,
+    and by small items that get their share while a large item still waits for its bytes; these
+    are bounded by one more item.
     """
     problems = []
     largest = max(item.item_bytes for item in fleet.items.values())
     for store in fleet.stores.values():
         allowed = 2 * largest + burst_s * store.bytes_per_second
-        owed = 0.0
-        last = 0.0
+        backlog_bytes = 0.0
+        last_at = 0.0
         for row in fleet.journal:
             if row.event != "order-load" or row.store != store.name:
                 continue
-            owed = max(owed - (row.at - last) * store.bytes_per_second, 0.0) + row.item_bytes
-            last = row.at
-            if owed > allowed:
-                problems.append(f"{row.at:.1f} s: {owed / 1e9:.1f} GB owed by {store.name}")
+            backlog_bytes = (
+                max(backlog_bytes - (row.at - last_at) * store.bytes_per_second, 0.0)
+                + row.item_bytes
+            )
+            last_at = row.at
+            if backlog_bytes > allowed:
+                problems.append(
+                    f"{row.at:.1f} s: {backlog_bytes / 1e9:.1f} GB owed by {store.name}"
+                )
     return problems
 
 
--- a/src/zincvale/simulator/placement/scenarios.py
+++ b/src/zincvale/simulator/placement/scenarios.py
@@ -1,6 +1,6 @@
-"""Fleets and loads for the placement emulator, alike in size to the two deployments.
+"""Fleets and loads for the placement emulator, similar in size to the two deployments.
 
-Names of adapters hold a colon, as `MODEL:NUMBER`. All randomness is seeded.
+The name of an adapter is `MODEL:NUMBER`. All randomness is seeded.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 GIGABYTE = 1_000_000_000
 MODEL_SIZES_GB = (5, 5, 6, 6, 6, 7, 8, 8, 8, 9, 9, 10, 10, 12, 12)
-"""Drawn from by the seed: another length or order gives other fleets for every seed."""
+"""Sizes from which a model's is drawn; another length or order changes the fleet of every seed."""
 ADAPTER_SIZES_MB = (60, 100, 140, 180, 250)
 HALF_DAY = 0.5
-"""Phase of the day at which the popularity by night begins."""
+"""Fraction of the day after which the popularity order of the night applies."""
 
 
 @attrs.frozen
@@ -36,9 +36,9 @@
 
     Attributes
     ----------
-    servers_by_pool, models_by_pool : sizes of each pool.
-    adapters : over all models.
-    pinned_models : per pool, how many of the most popular models have two least replicas.
+    servers_by_pool, models_by_pool : number of servers and of models in each pool.
+    adapters : number of adapters of all models together.
+    pinned_models : per pool, how many of the most popular models have `min_replicas` 2.
     """
 
     servers_by_pool: tuple[int, ...]
@@ -68,17 +68,25 @@
 
 @attrs.frozen
 class LoadShape:
-    """What callers do.
+    """Rates, popularity and disturbances of a load; rare models are the less popular half.
 
     Attributes
     ----------
-    requests_per_second : per pool, at the mean of the day.
-    popularity_exponent : of the Zipf law over models, and over the adapters of a model.
+    requests_per_second : per pool, on average over the day.
+    popularity_exponent : exponent of the Zipf distribution over the models of a pool and over the
+        adapters of a model.
+    adapter_share : fraction of the requests that use an adapter, for models with adapters.
+    service_s : mean time that a request runs.
     day_s : length of a day; popularity changes between its two halves.
-    shifting_share : part of the models whose rank differs between the halves.
-    crowd_interval_s : mean time between crowds for a rare model, 0 for none.
-    rare_interval_s : time between moments at which all rare models are wanted, 0 for none.
-    failure_interval_s : time between crashes (and drains), 0 for none.
+    shifting_share : fraction of the models, beyond the first two, whose ranks are shuffled for the
+        second half.
+    swing : relative amplitude of the request rate over the day.
+    crowd_interval_s : mean time between two crowds, which request one rare model; 0 for none.
+    crowd_s, crowd_requests_per_second : length and request rate of a crowd.
+    rare_interval_s : time between two periods in which all rare models are requested; 0 for none.
+    rare_s : length of such a period.
+    failure_interval_s : time between two outages, in turn a crash and a drain; 0 for none.
+    outage_s : length of an outage.
     """
 
     requests_per_second: float = 1.5
@@ -121,9 +129,11 @@
         for rank in range(count):
             name = f"p{pool_number}-m{rank:02}"
             size = source.choice(MODEL_SIZES_GB) * GIGABYTE
-            least = 2 if rank < shape.pinned_models else 0
+            min_replicas = 2 if rank < shape.pinned_models else 0
             store = f"store-{source.randrange(2)}"
-            items[name] = ItemSpec(name, size, store, f"pool-{pool_number}", min_replicas=least)
+            items[name] = ItemSpec(
+                name, size, store, f"pool-{pool_number}", min_replicas=min_replicas
+            )
     models = list(items)
     for number in range(shape.adapters):
         base = items[models[number % len(models)]]
@@ -158,7 +168,7 @@
 
 
 def build_arrivals(fleet: Fleet, load: LoadShape, seconds: float, seed: int) -> list[Arrival]:
-    """Return the requests of `seconds`, in order of time."""
+    """Return the arrivals of `seconds`, in order of time."""
     source = random.Random(seed)
     arrivals: list[Arrival] = []
     for pool in sorted({item.pool for item in fleet.items.values()}):
@@ -171,7 +181,7 @@
 
 
 class _PoolCallers:
-    """The callers of one pool's models, which are in order of their popularity by day."""
+    """The callers of one pool; its models are ordered by their popularity by day."""
 
     def __init__(
         self, fleet: Fleet, pool: str, load: LoadShape, seconds: float, source: random.Random
@@ -187,7 +197,7 @@
         self._source = source
 
     def background(self) -> Iterator[Arrival]:
-        """Yield the steady requests; popularity differs between the halves of the day."""
+        """Yield the regular requests; popularity differs between the halves of the day."""
         load = self._load
         weights = _zipf(len(self._models), load.popularity_exponent)
         night = self._night_order()
@@ -202,7 +212,7 @@
             at += self._source.expovariate(peak)
 
     def crowds(self) -> Iterator[Arrival]:
-        """Yield sudden crowds, each for one of the rarer models."""
+        """Yield the requests of sudden crowds, each for one of the rarer models."""
         load = self._load
         if not load.crowd_interval_s:
             return
@@ -216,7 +226,7 @@
             start += load.crowd_s + self._source.expovariate(1.0 / load.crowd_interval_s)
 
     def rare_together(self) -> Iterator[Arrival]:
-        """Yield moments at which every rarer model is wanted once."""
+        """Yield one request for each of the rarer models within every period of `rare_s`."""
         load = self._load
         if not load.rare_interval_s:
             return
@@ -232,7 +242,7 @@
         return self._models[len(self._models) // 2 :]
 
     def _night_order(self) -> list[str]:
-        """Return the order of popularity by night; the first two models keep their rank."""
+        """Return the models by their popularity by night; the first two keep their rank."""
         share = self._load.shifting_share
         moving = [rank for rank in range(2, len(self._models)) if self._source.random() < share]
         shuffled = moving[:]
@@ -257,7 +267,7 @@
 
 
 def build_events(fleet: Fleet, load: LoadShape, seconds: float, seed: int) -> list[FleetEvent]:
-    """Return crashes with cold returns, and drains, in turn; one server at a time."""
+    """Return alternating crashes, with cold returns, and drains, of one server at a time."""
     if not load.failure_interval_s:
         return []
     source = random.Random(seed)
