--- a/src/zincvale/simulator/placement/baselines.py
+++ b/src/zincvale/simulator/placement/baselines.py
@@ -193,7 +193,7 @@
 
 
 def assign_by_rank(fleet: Fleet, ranked: list[str], assigned: dict[str, list[str]]) -> None:
-    """Assign items by rank to the servers with most free memory, those with `min_replicas` first."""
+    """Assign items by rank to the servers with most free memory, most `min_replicas` first."""
     free_bytes = {name: server.weight_bytes for name, server in fleet.servers.items()}
     models = [name for name in ranked if not fleet.items[name].base]
     for name in sorted(models, key=lambda name: -fleet.items[name].min_replicas):
--- a/src/zincvale/simulator/what_if/attempt.py
+++ b/src/zincvale/simulator/what_if/attempt.py
@@ -116,16 +116,16 @@
         if self._is_over:
             return
         node = self._node
-        named = node.route_at(self._request.plan.path) if node.is_up else None
+        found_route = node.route_at(self._request.plan.path) if node.is_up else None
         if not node.is_up:
             self._finish(AttemptResult(AttemptOutcome.NOT_CONNECTED))
             return
-        if named is None:
+        if found_route is None:
             reason = "not-ready" if node.routing_state.intent.version == 0 else "no-route"
             refusal = AttemptResult(AttemptOutcome.REFUSED, reason, 1.0)
             self._deliver_later(0.0, lambda: self._finish(refusal))
             return
-        name, route = named
+        name, route = found_route
         now = self._context.clock.now
         plan = self._request.plan
         remaining_s = min(self._request.deadline_at - now, route.deadline_ms / 1000)
@@ -217,10 +217,10 @@
 
 
 def _attempt_result(response: SendResponse) -> AttemptResult:
-    named = response.headers.get(OUTCOME_HEADER, "")
-    if named == Outcome.ANSWERED.value:
+    outcome_name = response.headers.get(OUTCOME_HEADER, "")
+    if outcome_name == Outcome.ANSWERED.value:
         return AttemptResult(AttemptOutcome.ANSWERED)
-    if named == Outcome.UNKNOWN.value:
+    if outcome_name == Outcome.UNKNOWN.value:
         return AttemptResult(AttemptOutcome.UNKNOWN)
     body = orjson.loads(response.body)
     retry_after_s = float(response.headers.get(RETRY_AFTER_HEADER, "0"))
--- a/src/zincvale/simulator/what_if/commands.py
+++ b/src/zincvale/simulator/what_if/commands.py
@@ -14,6 +14,7 @@
 from zincvale.simulator.what_if.report import comparison_lines
 
 EXIT_REFUSED = 2
+"""Exit status when an option or an input is invalid."""
 OUTPUTS = ("text", "json")
 PLOT_SUFFIXES = (".png", ".svg", ".pdf")
 
--- a/src/zincvale/simulator/what_if/comparison.py
+++ b/src/zincvale/simulator/what_if/comparison.py
@@ -16,7 +16,7 @@
 from zincvale.simulator.what_if.run import VirtualFleet
 
 PARALLEL_MIN_SECONDS = 600.0
-"""Shortest load for which starting a second process saves time, in seconds."""
+"""Shortest load, in seconds, for which starting a second process is worthwhile."""
 GC_THRESHOLD_OBJECTS = 200_000
 """Allocations, less deallocations, between two collections of the youngest generation."""
 
--- a/src/zincvale/simulator/what_if/faults.py
+++ b/src/zincvale/simulator/what_if/faults.py
@@ -44,7 +44,7 @@
         ...
 
     def set_slow_factor(self, name: str, factor: float) -> None:
-        """Lengthen the steps of a language-model server by a factor; others have no effect."""
+        """Lengthen the steps of a language-model server by a factor; ignore other servers."""
         ...
 
     def merge_spec(self, kind: str, names: tuple[str, ...], spec: dict[str, Any]) -> None:
--- a/src/zincvale/simulator/what_if/figures.py
+++ b/src/zincvale/simulator/what_if/figures.py
@@ -16,8 +16,11 @@
 ANSWERED = AttemptOutcome.ANSWERED.value
 MILLISECONDS_PER_S = 1000.0
 SHORTEST_INTERVAL_S = 1.0
+"""Shortest interval of the series of a run."""
 MAX_INTERVALS = 96
+"""Largest number of intervals; those of a long load are lengthened."""
 UNFINISHED = "unfinished"
+"""Outcome of requests that were still open at the end of the run."""
 
 Sample = array  # with elements of type double
 
@@ -38,7 +41,13 @@
 
 @attrs.define(eq=False)
 class RequestRow:
-    """One request as its caller measured it; in seconds, `at_s` since the start of the load."""
+    """One request as its caller measured it, in seconds.
+
+    Attributes
+    ----------
+    at_s : start, since the start of the load.
+    first_s, total_s : until the first byte and until the end, since the start of the request.
+    """
 
     route: str
     at_s: float
@@ -165,7 +174,7 @@
         return {name: table.figures() for name, table in sorted(self.routes.items())}
 
     def series(self) -> dict[str, list[float]]:
-        """Return counts and latency per interval; a request counts where it arrived."""
+        """Return counts and latency per interval of the load in which requests arrived."""
         intervals = self._intervals
         return {
             "at_s": [index * self.interval_s for index in range(len(intervals))],
@@ -243,7 +252,7 @@
 
 
 def percentiles(sample: Sample) -> dict[str, float]:
-    """Return percentiles in milliseconds of a sample in seconds; an empty dict without any."""
+    """Return percentiles in milliseconds of a sample in seconds; none for an empty one."""
     if not sample:
         return {}
     values = numpy.percentile(sample, PERCENTILES) * MILLISECONDS_PER_S
--- a/src/zincvale/simulator/what_if/inputs.py
+++ b/src/zincvale/simulator/what_if/inputs.py
@@ -54,8 +54,8 @@
             f"apply-at is {apply_at_s} s", f"give 0 to {run.options.seconds:.0f}, the run's length"
         )
     change = _read_change(run, change_file)
-    daemons = frozenset(machine.name for machine in run.deployment.machines)
-    faults = plan_faults(run.steps, daemons)
+    machine_names = frozenset(machine.name for machine in run.deployment.machines)
+    faults = plan_faults(run.steps, machine_names)
     scenario = WhatIfScenario(
         deployment=run.deployment,
         documents=run.documents,
--- a/src/zincvale/simulator/what_if/node.py
+++ b/src/zincvale/simulator/what_if/node.py
@@ -80,7 +80,7 @@
     """A `Scheduler` that reports whether all queued requests wait for a table update."""
 
     def all_wait_for_tables(self) -> bool:
-        """Whether no request waits for a busy server; table updates process the queues at once."""
+        """Whether no queued request waits for a busy server: only a table update can place one."""
         return not any(
             waiting.blocked is Blocked.BUSY
             for queue in self._queues.values()
--- a/src/zincvale/simulator/what_if/run.py
+++ b/src/zincvale/simulator/what_if/run.py
@@ -39,7 +39,7 @@
 from zincvale.standins.settings import PolledNode
 
 OPEN_REQUESTS_LIMIT_S = 60.0
-"""Longest time that the run continues after the load ends, for requests that are still open."""
+"""Longest time for which a run continues after its load, until no request is open."""
 FIRST_INTENT_S = 1.0
 """Virtual time at which the deployment's resources are applied: by then the directory knows its
 servers."""
@@ -82,7 +82,7 @@
         processor_started_at = time.process_time()
         scenario = self.scenario
         self.control.start()
-        self._publish_members()
+        self._distribute_members()
         resources = resources_of(scenario.documents)
         self.clock.call_at(FIRST_INTENT_S, lambda: self.apply_resources(resources))
         self._start_reports()
@@ -115,13 +115,13 @@
             return
         if not is_up:
             node.crash()
-            self.clock.call_later(self.timings.lease_s, self._publish_members)
+            self.clock.call_later(self.timings.lease_s, self._distribute_members)
         elif not node.is_up:
             node.start()
             self.clock.call_later(self.timings.node_start_s, lambda: self._join(node))
 
     def set_slow_factor(self, name: str, factor: float) -> None:
-        """Lengthen the steps of a language-model server by a factor; others have no effect."""
+        """Lengthen the steps of a language-model server by a factor; ignore other servers."""
         server = self.servers.get(ServerId(name))
         if isinstance(server, VirtualLanguageModel):
             server.set_slow_factor(factor)
@@ -157,7 +157,7 @@
                 self.timings.publication_s, _directory_delivery(node, directory)
             )
 
-    def _publish_members(self) -> None:
+    def _distribute_members(self) -> None:
         self._members_version += 1
         rows = {node.member: _member_row(node) for node in self.nodes.values() if node.is_up}
         members = Members(self._members_version, rows)
@@ -172,7 +172,7 @@
         """Apply the newest intent, directory and members to a restarted node."""
         node.apply_intent(self.intent.intent)
         node.apply_directory(self.directory)
-        self._publish_members()
+        self._distribute_members()
 
     def _start_reports(self) -> None:
         for index, node in enumerate(self.nodes.values()):
--- a/src/zincvale/simulator/what_if/servers.py
+++ b/src/zincvale/simulator/what_if/servers.py
@@ -44,7 +44,11 @@
     """The node's side of one request at a server; called without the delay to the node."""
 
     def on_refused(self, end: ExchangeEnd, missing: tuple[str, ...], is_final: bool) -> None:
-        """Handle a refusal: nothing ran."""
+        """Handle a refusal: nothing ran.
+
+        `missing` names models and adapters that are not loaded; a final refusal would be the same
+        at every server.
+        """
 
     def on_tokens(self, count: int) -> None:
         """Handle that the response has reached `count` tokens, the prefix included."""
@@ -86,7 +90,7 @@
         return self.platform_row.server
 
     def status(self) -> ServerStatus:
-        """Return what `GET /status` would say now."""
+        """Return the status that `GET /status` would report now."""
         raise NotImplementedError
 
     def submit(
@@ -96,7 +100,10 @@
         prefix_tokens: int,
         report_at_token: int,
     ) -> Callable[[], None]:
-        """Accept or refuse a request; return the function that closes its connection."""
+        """Accept or refuse a request; return the function that closes its connection.
+
+        The listener is also called when the response has `report_at_token` tokens; 0 for never.
+        """
         raise NotImplementedError
 
     def order(self, order: Order, store: VirtualStore | None) -> OrderRefusal | None:
@@ -142,7 +149,7 @@
         self._reset()
 
     def status(self) -> ServerStatus:
-        """Return what `GET /status` would say now."""
+        """Return the status that `GET /status` would report now."""
         self._advance_engine()
         now = self.clock.now
         models = self.residency.models
@@ -205,7 +212,7 @@
         return lambda: self._cancel_run(run_id)
 
     def order(self, order: Order, store: VirtualStore | None) -> OrderRefusal | None:
-        """Begin a load or unload."""
+        """Begin a load or unload; return the reason when it is refused, else None."""
         self._advance_engine()
         if order.action is OrderAction.LOAD:
             response = self._order_load(order, store)
@@ -247,7 +254,7 @@
         self.residency = Residency(self.profile.memory_bytes, self.profile.max_concurrent_loads)
         self._update_free_memory()
 
-    # requests
+    # Requests and the engine.
 
     def _advance_engine(self) -> None:
         """Advance the engine to now and deliver its events."""
@@ -295,7 +302,7 @@
         self._timer = None
         self._advance_engine()
 
-    # weights
+    # Loads and unloads of weights.
 
     def _order_load(self, order: Order, store: VirtualStore | None) -> OrderResult:
         pinned = self.engine.cache.pinned_bytes()
--- a/tests/simulator/what_if/test_what_if_engine.py
+++ b/tests/simulator/what_if/test_what_if_engine.py
@@ -86,8 +86,8 @@
         self._advance_to(now)
 
     def _advance_to(self, now: float) -> None:
-        for moment in self.engine.advance_to(now):
-            self.record(moment.event, moment.at)
+        for timed_event in self.engine.advance_to(now):
+            self.record(timed_event.event, timed_event.at)
 
 
 class StepSkippingEngineTest(testtools.TestCase):
