--- a/src/zincvale/simulator/claims/callers.py
+++ b/src/zincvale/simulator/claims/callers.py
@@ -84,7 +84,7 @@
 
     def send(self, request: str, member: str) -> None:
         """Send one attempt of a request through a node."""
-        process = self._cluster.running(member)
+        process = self._cluster.running_process(member)
         if process is not None:
             self._run_within(process, self._claim, process, RequestId(request))
 
--- a/src/zincvale/simulator/claims/run.py
+++ b/src/zincvale/simulator/claims/run.py
@@ -105,7 +105,7 @@
         )
 
     def _all_vote(self) -> bool:
-        processes = [self.cluster.running(member) for member in self.cluster.nodes]
+        processes = [self.cluster.running_process(member) for member in self.cluster.nodes]
         return all(
             process is not None and process.machine.claims.readiness.may_vote
             for process in processes
--- a/src/zincvale/simulator/cluster/cluster.py
+++ b/src/zincvale/simulator/cluster/cluster.py
@@ -1,4 +1,4 @@
-"""A simulated cluster: which processes there are, on which machines, with which disks."""
+"""The simulated cluster: its members, their machines with clocks and disks, and their processes."""
 
 from __future__ import annotations
 
@@ -23,18 +23,20 @@
 from zincvale.storage.version_files import VersionFiles
 
 CLUSTER_ID = "simulated"
-FIRST_CORES = ("core-1", "core-2", "core-3")
+INITIAL_CORES = ("core-1", "core-2", "core-3")
+"""Cores that bootstrap the cluster."""
 DATA_FOLDER = Path("/data")
-CLOCK_OFFSETS_S = (500.0, 5000.0)
-CLOCK_RATES = (0.991, 1.009)
-"""Any two clocks run within the 2 % that the leases allow for."""
-MID_WRITE_OPERATIONS = 4
-"""Disk operations of one version file: write, rename, sync, and a removal."""
+CLOCK_OFFSET_RANGE_S = (500.0, 5000.0)
+"""Smallest and largest reading of a machine's clock at virtual time 0."""
+CLOCK_RATE_RANGE = (0.991, 1.009)
+"""Lowest and highest clock rate; any two clocks stay within the 2 % drift that leases allow for."""
+OPERATIONS_PER_VERSION_FILE = 4
+"""Disk operations for one version file: write, rename, folder sync, removal of an older file."""
 
 
 @attrs.define
 class Machine:
-    """A machine that carries one daemon."""
+    """A machine that runs one daemon."""
 
     member: str
     clock: MachineClock
@@ -46,9 +48,9 @@
 
     Parameters
     ----------
-    nodes : how many data-plane nodes there are.
-    roles : singleton roles that every core stands for.
-    node_machine : what runs in a node's process.
+    nodes : number of data-plane nodes.
+    roles : singleton roles for which every core is a candidate.
+    node_machine : class of the state machine that node processes run.
     """
 
     def __init__(
@@ -62,8 +64,8 @@
         self.simulation = simulation
         self.roles = roles
         self._node_machine = node_machine
-        self.cores = list(FIRST_CORES)
-        """Members that are to run, also while they are down."""
+        self.cores = list(INITIAL_CORES)
+        """Core members of the cluster, including those that are currently down."""
         self.nodes = [f"{ProcessKind.NODE.value}-{index + 1}" for index in range(nodes)]
         self.machines: dict[str, Machine] = {}
         self._random = random_source
@@ -71,41 +73,41 @@
             self.start(member)
 
     def all_members(self) -> list[str]:
-        """Return every member that is to run."""
+        """Return every core and node of the cluster, including those that are down."""
         return [*self.cores, *self.nodes]
 
-    def running(self, member: str) -> Process | None:
-        """Return the process of a member, if it runs."""
+    def running_process(self, member: str) -> Process | None:
+        """Return the process of a member, or None if it is not running."""
         return self.simulation.processes.get(member)
 
-    def machine(self, member: str) -> Machine:
-        """Return the machine of a member; a new one has an empty disk."""
+    def get_or_create_machine(self, member: str) -> Machine:
+        """Return the machine of a member; create it with an empty disk if it does not exist."""
         machine = self.machines.get(member)
         if machine is None:
-            machine = Machine(member, self._new_clock(), VirtualDisk(self._random))
+            machine = Machine(member, self._create_clock(), VirtualDisk(self._random))
             self.machines[member] = machine
         return machine
 
     # --- starting and stopping ------------------------------------------------------------
 
     def start(self, member: str, recover: bool = False) -> bool:
-        """Start a member's daemon; return whether it came up.
+        """Start a member's daemon; return whether it started.
 
-        With `recover`, a core starts as after the loss of every disk.
+        With `recover`, a core starts in the recovery mode that follows the loss of every disk.
         """
         if member in self.simulation.processes:
             return False
-        machine = self.machine(member)
+        machine = self.get_or_create_machine(member)
         is_core = member in self.cores
-        process = self._core(machine, recover) if is_core else self._node(machine)
+        process = self._create_core(machine, recover) if is_core else self._create_node(machine)
         if process is None:
             return False
         self.simulation.add(process)
         return True
 
     def kill(self, member: str) -> None:
-        """End a daemon at once, perhaps in the middle of a write."""
-        process = self.running(member)
+        """Kill a daemon; a write in progress may be cut short."""
+        process = self.running_process(member)
         if process is None:
             return
         if process.writes and process.files is not None:
@@ -113,31 +115,31 @@
         self.simulation.remove(process)
 
     def lose_power(self, member: str) -> None:
-        """End a daemon and forget what its disk had not synced; the clock starts anew."""
+        """Kill a daemon, drop what its disk had not synced, and replace the machine's clock."""
         self.kill(member)
-        machine = self.machine(member)
+        machine = self.get_or_create_machine(member)
         machine.disk.lose_power()
-        machine.clock = self._new_clock()
+        machine.clock = self._create_clock()
 
     def lose_disk(self, member: str) -> None:
-        """End a daemon and empty its data folder."""
+        """Kill a daemon and replace its disk by an empty one."""
         self.kill(member)
-        self.machine(member).disk = VirtualDisk(self._random)
+        self.get_or_create_machine(member).disk = VirtualDisk(self._random)
 
     def replace_core(self, member: str) -> str:
-        """Remove a core for good; return the name of the empty one that takes its place."""
+        """Remove a core permanently; return the name of its replacement with an empty disk."""
         self.kill(member)
         self.machines.pop(member, None)
         self.cores.remove(member)
-        numbers = [int(core.rpartition("-")[2]) for core in [*self.cores, member, *FIRST_CORES]]
+        numbers = [int(core.rpartition("-")[2]) for core in [*self.cores, member, *INITIAL_CORES]]
         replacement = f"{ProcessKind.CORE.value}-{max(numbers) + 1}"
         self.cores.append(replacement)
         return replacement
 
-    # --- what the surviving disks can do --------------------------------------------------
+    # --- quorum of the surviving disks ----------------------------------------------------
 
     def has_quorum(self) -> bool:
-        """Whether enough declared disks survive for changes to be accepted again."""
+        """Whether a quorum of the declared replica disks survives, as changes require."""
         newest = max(
             (
                 process
@@ -157,34 +159,34 @@
         sets = newest.machine.replica_sets().grantors().quorum_sets()
         return all(each and has_majority(each, surviving) for each in sets)
 
-    # --- inside ---------------------------------------------------------------------------
+    # --- internals ------------------------------------------------------------------------
 
     def _interrupt_write(self, process: Process, disk: VirtualDisk) -> None:
-        """Carry out the write that is under way up to some operation."""
+        """Execute the write in progress up to a randomly chosen disk operation."""
         write = process.writes[0]
         assert process.files is not None
-        disk.lose_power_within(self._random.randrange(MID_WRITE_OPERATIONS))
+        disk.schedule_power_loss(self._random.randrange(OPERATIONS_PER_VERSION_FILE))
         with contextlib.suppress(PowerLossError):
             process.files.write(write.key, write.version, write.content)
-        disk.lose_power_within(None)
+        disk.schedule_power_loss(None)
 
-    def _new_clock(self) -> MachineClock:
-        offset = self._random.uniform(*CLOCK_OFFSETS_S)
-        return MachineClock(offset, self._random.uniform(*CLOCK_RATES))
+    def _create_clock(self) -> MachineClock:
+        offset = self._random.uniform(*CLOCK_OFFSET_RANGE_S)
+        return MachineClock(offset, self._random.uniform(*CLOCK_RATE_RANGE))
 
     def address(self, member: str) -> Address:
-        """Return where a member listens."""
+        """Return the address at which a member listens."""
         kind, _, number = member.rpartition("-")
         return Address(f"10.0.{1 if kind == ProcessKind.CORE.value else 2}.{number}:7000")
 
     def _seeds(self) -> tuple[Address, ...]:
-        """Return first contacts that are not there for ever, as settings files name them."""
-        return tuple(self.address(member) for member in (*FIRST_CORES[:2], "node-1"))
+        """Return the seed addresses of a settings file; their members may be replaced later."""
+        return tuple(self.address(member) for member in (*INITIAL_CORES[:2], "node-1"))
 
-    def _incarnation(self) -> str:
+    def _draw_incarnation(self) -> str:
         return f"{self._random.getrandbits(64):016x}"
 
-    def _core(self, machine: Machine, recover: bool) -> Process | None:
+    def _create_core(self, machine: Machine, recover: bool) -> Process | None:
         member = machine.member
         files = VersionFiles(DATA_FOLDER, machine.disk, CLUSTER_ID, self._random)
         try:
@@ -192,21 +194,21 @@
         except StorageError:
             return None
         now = machine.clock.local(self.simulation.now)
-        config = attrs.evolve(self._core_config(member), recover=recover)
+        config = attrs.evolve(self._create_core_config(member), recover=recover)
         core = CoreMachine(config, recovered, {INTENT_KEY: reduce_intent_log}, self._random, now)
-        return self._process(machine, ProcessKind.CORE, core, now, files, recovered)
+        return self._create_process(machine, ProcessKind.CORE, core, now, files, recovered)
 
-    def _core_config(self, member: str) -> CoreConfig:
-        is_first = member in FIRST_CORES
+    def _create_core_config(self, member: str) -> CoreConfig:
+        is_first = member in INITIAL_CORES
         initial = tuple(
-            InitialCore(MemberId(core), self.address(core), self.address(core), _zone(core))
-            for core in FIRST_CORES
+            InitialCore(MemberId(core), self.address(core), self.address(core), _zone_of(core))
+            for core in INITIAL_CORES
         )
         return CoreConfig(
             cluster_id=CLUSTER_ID,
             member=MemberId(member),
-            incarnation=self._incarnation(),
-            zone=_zone(member),
+            incarnation=self._draw_incarnation(),
+            zone=_zone_of(member),
             region="r",
             api_address=self.address(member),
             peer_address=self.address(member),
@@ -216,24 +218,24 @@
             roles=self.roles,
         )
 
-    def _node(self, machine: Machine) -> Process:
+    def _create_node(self, machine: Machine) -> Process:
         member = machine.member
         config = NodeConfig(
             cluster_id=CLUSTER_ID,
             member=MemberId(member),
-            incarnation=self._incarnation(),
-            zone=_zone(member),
+            incarnation=self._draw_incarnation(),
+            zone=_zone_of(member),
             region="r",
             api_address=self.address(member),
             peer_address=self.address(member),
             seeds=self._seeds(),
         )
         now = machine.clock.local(self.simulation.now)
-        return self._process(
+        return self._create_process(
             machine, ProcessKind.NODE, self._node_machine(config, self._random, now), now
         )
 
-    def _process(
+    def _create_process(
         self,
         machine: Machine,
         kind: ProcessKind,
@@ -244,7 +246,7 @@
     ) -> Process:
         return Process(
             member=machine.member,
-            run=self.simulation.next_run(),
+            run=self.simulation.next_run_number(),
             kind=kind,
             address=self.address(machine.member),
             machine=state_machine,
@@ -255,5 +257,5 @@
         )
 
 
-def _zone(member: str) -> ZoneName:
+def _zone_of(member: str) -> ZoneName:
     return ZoneName(f"z{int(member.rpartition('-')[2]) % 3}")
--- a/src/zincvale/simulator/cluster/faults.py
+++ b/src/zincvale/simulator/cluster/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a schedule can inflict on a cluster."""
+"""Faults that a schedule can inject into a cluster."""
 
 from __future__ import annotations
 
@@ -6,54 +6,57 @@
 from collections.abc import Callable
 
 from zincvale.simulator.cluster.cluster import Cluster
-from zincvale.simulator.cluster.network import Link, LinkConditions, both_ways, one_way
-from zincvale.simulator.cluster.operations import members_of
+from zincvale.simulator.cluster.network import Link, LinkConditions, one_way_links, two_way_links
+from zincvale.simulator.cluster.operations import resolve_members
 from zincvale.simulator.cluster.operators import Operators
 from zincvale.simulator.schedules.schedule import Step
 
 Fault = Callable[[Operators, Cluster, Step], None]
 
-STORM_JITTER_S = 0.15
+DEGRADED_JITTER_S = 0.15
+"""Jitter of a link whose conditions are degraded."""
 SLOW_DELAY_S = 0.25
+"""Base delay of the messages that a slowed member sends."""
 
 
-def _block_for(cluster: Cluster, links: frozenset[Link], step: Step) -> None:
+def _block_temporarily(cluster: Cluster, links: frozenset[Link], step: Step) -> None:
     simulation = cluster.simulation
     simulation.network.block(links)
     simulation.schedule(simulation.now + step.for_s, simulation.network.unblock, links)
 
 
 def partition(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Partition `members` from `others` (none named: all other members), both ways."""
-    inside = members_of(cluster, step.members)
-    others = members_of(cluster, step.others) or cluster.all_members()
+    """Partition `members` from `others` (by default all other members) in both directions."""
+    inside = resolve_members(cluster, step.members)
+    others = resolve_members(cluster, step.others) or cluster.all_members()
     outside = [member for member in others if member not in inside]
-    _block_for(cluster, both_ways(inside, outside), step)
+    _block_temporarily(cluster, two_way_links(inside, outside), step)
 
 
 def partition_one_way(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Lose everything that `members` send to `others` (none named: all other members)."""
-    inside = members_of(cluster, step.members)
-    others = members_of(cluster, step.others) or cluster.all_members()
+    """Drop every message from `members` to `others` (by default all other members)."""
+    inside = resolve_members(cluster, step.members)
+    others = resolve_members(cluster, step.others) or cluster.all_members()
     outside = [member for member in others if member not in inside]
-    _block_for(cluster, one_way(inside, outside), step)
+    _block_temporarily(cluster, one_way_links(inside, outside), step)
 
 
-def storm(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Lose, repeat and reorder messages everywhere; `amount` is the probability."""
-    conditions = LinkConditions(step.amount, step.amount, jitter_s=STORM_JITTER_S)
-    _degrade_for(cluster, None, conditions, step)
+def degrade_all_links(_operators: Operators, cluster: Cluster, step: Step) -> None:
+    """Lose, duplicate and reorder messages on all links; `amount` is the probability of each loss
+    and each duplication."""
+    conditions = LinkConditions(step.amount, step.amount, jitter_s=DEGRADED_JITTER_S)
+    _degrade_temporarily(cluster, None, conditions, step)
 
 
-def slow(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Delay everything that `members` send."""
-    links = one_way(members_of(cluster, step.members), cluster.all_members())
-    _degrade_for(
-        cluster, links, LinkConditions(delay_s=SLOW_DELAY_S, jitter_s=STORM_JITTER_S), step
+def delay_messages(_operators: Operators, cluster: Cluster, step: Step) -> None:
+    """Delay every message that `members` send."""
+    links = one_way_links(resolve_members(cluster, step.members), cluster.all_members())
+    _degrade_temporarily(
+        cluster, links, LinkConditions(delay_s=SLOW_DELAY_S, jitter_s=DEGRADED_JITTER_S), step
     )
 
 
-def _degrade_for(
+def _degrade_temporarily(
     cluster: Cluster, links: frozenset[Link] | None, conditions: LinkConditions, step: Step
 ) -> None:
     simulation = cluster.simulation
@@ -62,87 +65,87 @@
 
 
 def freeze(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Stop processes and let them run again."""
+    """Freeze processes and resume them after `for_s`."""
     simulation = cluster.simulation
-    for member in members_of(cluster, step.members):
-        process = cluster.running(member)
+    for member in resolve_members(cluster, step.members):
+        process = cluster.running_process(member)
         if process is not None:
             simulation.freeze(process)
             simulation.schedule(simulation.now + step.for_s, simulation.resume, process)
 
 
 def kill(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Kill processes and start them again."""
-    for member in members_of(cluster, step.members):
+    """Kill processes and restart them after `for_s`."""
+    for member in resolve_members(cluster, step.members):
         cluster.kill(member)
-        _start_later(cluster, member, step)
+        _schedule_start(cluster, member, step)
 
 
 def lose_power(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Cut the power of machines and start them again."""
-    for member in members_of(cluster, step.members):
+    """Cut the power of machines and restart their daemons after `for_s`."""
+    for member in resolve_members(cluster, step.members):
         cluster.lose_power(member)
-        _start_later(cluster, member, step)
+        _schedule_start(cluster, member, step)
 
 
 def lose_disk(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Kill cores; they return with empty disks."""
-    for member in members_of(cluster, step.members):
+    """Kill cores and restart them with empty disks after `for_s`."""
+    for member in resolve_members(cluster, step.members):
         cluster.lose_disk(member)
-        _start_later(cluster, member, step)
+        _schedule_start(cluster, member, step)
 
 
 def lose_disk_on_acknowledgement(operators: Operators, _cluster: Cluster, _step: Step) -> None:
-    """The next core that acknowledges a change loses its disk in the same instant."""
+    """Make the next core that acknowledges a change lose its disk at the same instant."""
     operators.disks_lost_on_acknowledgement += 1
 
 
-def replace(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """A core is removed for good; an empty one starts at a new address."""
-    for member in members_of(cluster, step.members):
-        _start_later(cluster, cluster.replace_core(member), step)
+def replace_core(_operators: Operators, cluster: Cluster, step: Step) -> None:
+    """Remove cores permanently and start empty ones at new addresses after `for_s`."""
+    for member in resolve_members(cluster, step.members):
+        _schedule_start(cluster, cluster.replace_core(member), step)
 
 
 def lose_every_disk(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Every core loses its disk at once; they start anew in recovery mode."""
+    """Make every core lose its disk at once; all restart in recovery mode after `for_s`."""
     simulation = cluster.simulation
     for member in cluster.cores:
         cluster.lose_disk(member)
         simulation.schedule(simulation.now + step.for_s, cluster.start, member, True)
 
 
-def tear(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Cut the power of a core and damage a file that it wrote last."""
-    for member in members_of(cluster, step.members):
+def tear_newest_file(_operators: Operators, cluster: Cluster, step: Step) -> None:
+    """Cut the power of cores and truncate the newest version file of a key on each disk."""
+    for member in resolve_members(cluster, step.members):
         cluster.lose_power(member)
-        cluster.machine(member).disk.tear_newest()
-        _start_later(cluster, member, step)
+        cluster.get_or_create_machine(member).disk.tear_newest_file()
+        _schedule_start(cluster, member, step)
 
 
 def fill_disk(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """A core's disk is full for a while."""
-    _fail_disk(cluster, step, errno.ENOSPC)
+    """Make the disks of cores fail with `ENOSPC` (disk full) for `for_s`."""
+    _fail_disk_operations(cluster, step, errno.ENOSPC)
 
 
 def break_disk(_operators: Operators, cluster: Cluster, step: Step) -> None:
-    """A core's disk fails with I/O errors for a while."""
-    _fail_disk(cluster, step, errno.EIO)
+    """Make the disks of cores fail with `EIO` (I/O error) for `for_s`."""
+    _fail_disk_operations(cluster, step, errno.EIO)
 
 
-def _fail_disk(cluster: Cluster, step: Step, failure: int) -> None:
+def _fail_disk_operations(cluster: Cluster, step: Step, failure: int) -> None:
     simulation = cluster.simulation
-    for member in members_of(cluster, step.members):
-        disk = cluster.machine(member).disk
+    for member in resolve_members(cluster, step.members):
+        disk = cluster.get_or_create_machine(member).disk
         disk.failure = failure
         simulation.schedule(simulation.now + step.for_s, setattr, disk, "failure", 0)
 
 
-def _start_later(cluster: Cluster, member: str, step: Step) -> None:
+def _schedule_start(cluster: Cluster, member: str, step: Step) -> None:
     simulation = cluster.simulation
-    simulation.schedule(simulation.now + step.for_s, _start_if_member, cluster, member)
+    simulation.schedule(simulation.now + step.for_s, _start_if_still_member, cluster, member)
 
 
-def _start_if_member(cluster: Cluster, member: str) -> None:
+def _start_if_still_member(cluster: Cluster, member: str) -> None:
     if member in cluster.all_members():
         cluster.start(member)
 
@@ -150,16 +153,16 @@
 FAULTS: dict[str, Fault] = {
     "cut": partition,
     "cut-one-way": partition_one_way,
-    "storm": storm,
-    "slow": slow,
+    "storm": degrade_all_links,
+    "slow": delay_messages,
     "freeze": freeze,
     "kill": kill,
     "lose-power": lose_power,
     "lose-disk": lose_disk,
     "lose-disk-on-acknowledgement": lose_disk_on_acknowledgement,
-    "replace": replace,
+    "replace": replace_core,
     "lose-every-disk": lose_every_disk,
-    "tear": tear,
+    "tear": tear_newest_file,
     "fill-disk": fill_disk,
     "break-disk": break_disk,
 }
--- a/src/zincvale/simulator/cluster/invariant_checker.py
+++ b/src/zincvale/simulator/cluster/invariant_checker.py
@@ -1,4 +1,4 @@
-"""Invariants that are checked after every input of every process."""
+"""The cluster invariants, which are checked after every input of every process."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 from zincvale.coordination.registers.change_messages import IN_FORCE, ChangeResult
 from zincvale.coordination.replication.replica_sets import INTENT_KEY, REGISTRY_KEY
 from zincvale.model.machine import Log
-from zincvale.simulator.cluster.intent_log import orders_in
+from zincvale.simulator.cluster.intent_log import applied_orders
 from zincvale.simulator.cluster.process import Process, ProcessKind
 from zincvale.simulator.cluster.role_publisher import TOPIC
 from zincvale.simulator.cluster.simulation import Simulation
 
-DELIVERED = (INTENT_KEY, REGISTRY_KEY)
+CHECKED_KEYS = (INTENT_KEY, REGISTRY_KEY)
+"""Keys whose versions and rows are compared between processes."""
 
 
 class InvariantViolationError(Exception):
-    """An invariant does not hold.
+    """An invariant is violated.
 
     Attributes
     ----------
-    invariant : its short name, by which a smaller schedule is known to fail the same way.
+    invariant : short name of the invariant; shrinking keeps schedules that violate the same one.
     """
 
     def __init__(self, invariant: str, text: str) -> None:
@@ -32,7 +33,7 @@
 
 @attrs.define
 class _LastObserved:
-    """What a run of a process showed last: its versions, role epochs and topic position."""
+    """The versions, role epochs and topic position last observed in one run of a process."""
 
     versions: dict[str, int] = attrs.field(factory=dict)
     role_epochs: dict[str, int] = attrs.field(factory=dict)
@@ -40,48 +41,48 @@
 
 
 class InvariantChecker:
-    """Watches a simulation; raises `InvariantViolationError`."""
+    """Observes a simulation and raises `InvariantViolationError` when an invariant is violated."""
 
     def __init__(self, simulation: Simulation, roles: tuple[str, ...]) -> None:
-        self.acknowledged = 0
-        self.newest_log: list[int] = []
-        self.ever_ready: set[str] = set()
+        self.acknowledged_version = 0
+        self.longest_log: list[int] = []
+        self.members_seen_ready: set[str] = set()
         self._simulation = simulation
         self._roles = roles
         self._observed: dict[int, _LastObserved] = {}
         self._rows_by_version: dict[tuple[str, int], dict[str, bytes]] = {}
-        self._highest_role_epoch: dict[str, tuple[int, int]] = {}
+        self._highest_epoch_by_role: dict[str, tuple[int, int]] = {}
 
     def after_input(self, process: Process) -> None:
-        """Check what the input may have changed."""
+        """Check the state that the input may have changed."""
         observed = self._observed.setdefault(process.run, _LastObserved())
-        for key in DELIVERED:
+        for key in CHECKED_KEYS:
             self._check_versions(process, key, observed)
         if process.kind is ProcessKind.NODE:
-            self._check_served(process)
+            self._check_ready_version(process)
             self._check_topic(process, observed)
         else:
             self._check_roles(process, observed)
 
     def on_resumed(self, process: Process) -> None:
-        """Check what a process would do before it notices that it was frozen."""
+        """Check what a resumed process would do before it notices that it was frozen."""
         if process.kind is ProcessKind.NODE:
-            self._check_served(process)
+            self._check_ready_version(process)
         else:
             for role in self._roles:
                 self._check_single_leader(role)
 
     def on_log(self, process: Process, entry: Log) -> None:
-        """Log events carry no invariant."""
+        """Do nothing: no invariant concerns log events."""
 
-    def acknowledged_change(self, result: ChangeResult) -> None:
-        """A core reported a change: from now on it is in force everywhere."""
+    def on_change_result(self, result: ChangeResult) -> None:
+        """Record the result of a change; an acknowledged change must be in force on ready nodes."""
         if result.status != IN_FORCE:
             return
-        self.acknowledged = max(self.acknowledged, result.version)
+        self.acknowledged_version = max(self.acknowledged_version, result.version)
         for process in self._simulation.processes.values():
             if process.kind is ProcessKind.NODE and not process.is_frozen:
-                self._check_served(process)
+                self._check_ready_version(process)
 
     def _check_versions(self, process: Process, key: str, observed: _LastObserved) -> None:
         view = process.machine.value(key)
@@ -105,33 +106,33 @@
             return
         self._rows_by_version[(key, version)] = dict(rows)
         if key == INTENT_KEY:
-            self._check_log(process, version, orders_in(rows))
+            self._check_log(process, version, applied_orders(rows))
 
     def _check_log(self, process: Process, version: int, log: list[int]) -> None:
         if len(log) != version:
             text = f"{process.member} holds version {version} made of {len(log)} orders"
             raise InvariantViolationError("lost-change", text)
-        shorter, longer = sorted((log, self.newest_log), key=len)
-        if longer[: len(shorter)] != shorter:
-            text = f"{process.member} holds {log}, others hold {self.newest_log}"
+        shorter_log, longer_log = sorted((log, self.longest_log), key=len)
+        if longer_log[: len(shorter_log)] != shorter_log:
+            text = f"{process.member} holds {log}, others hold {self.longest_log}"
             raise InvariantViolationError("two-histories", text)
-        self.newest_log = longer
+        self.longest_log = longer_log
 
-    def _check_served(self, process: Process) -> None:
+    def _check_ready_version(self, process: Process) -> None:
         machine: NodeMachine = process.machine
         if not machine.ready(process.local(self._simulation.now)):
             return
-        self.ever_ready.add(process.member)
+        self.members_seen_ready.add(process.member)
         version = machine.intent().version
-        if version < self.acknowledged:
+        if version < self.acknowledged_version:
             text = (
                 f"{process.member} is ready with version {version}, "
-                f"{self.acknowledged} was acknowledged"
+                f"{self.acknowledged_version} was acknowledged"
             )
             raise InvariantViolationError("not-in-force", text)
 
     def _check_topic(self, process: Process, observed: _LastObserved) -> None:
-        """A node never goes back to what an earlier leader published."""
+        """Check that a node never reverts to an earlier epoch or version of the topic."""
         topic = process.machine.topic(TOPIC)
         position = (topic.epoch, topic.version)
         if position < observed.topic:
@@ -153,11 +154,11 @@
             self._check_single_leader(role)
 
     def _check_role_epoch(self, process: Process, role: str, epoch: int) -> None:
-        highest, leader_run = self._highest_role_epoch.get(role, (0, 0))
+        highest, leader_run = self._highest_epoch_by_role.get(role, (0, 0))
         if epoch < highest or (epoch == highest and leader_run != process.run):
             text = f"{process.member} took {role} at epoch {epoch}, {highest} was used before"
             raise InvariantViolationError("epoch-not-growing", text)
-        self._highest_role_epoch[role] = (epoch, process.run)
+        self._highest_epoch_by_role[role] = (epoch, process.run)
 
     def _check_single_leader(self, role: str) -> None:
         now = self._simulation.now
--- a/src/zincvale/simulator/cluster/network.py
+++ b/src/zincvale/simulator/cluster/network.py
@@ -1,4 +1,4 @@
-"""The network of a simulated cluster: blocked links and link conditions, from one seed."""
+"""The simulated network: blocked links, and loss, duplication and delay drawn from one seed."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 import attrs
 
 Link = tuple[str, str]
-"""Sender and receiver, by member id."""
+"""A directed link: the member ids of the sender and the receiver."""
 
 
 @attrs.frozen
 class LinkConditions:
-    """What a link does to messages: probabilities, and delays in seconds."""
+    """Probabilities of message loss and duplication on a link, and its delay in seconds."""
 
     loss: float = 0.0
     duplication: float = 0.0
     delay_s: float = 0.0005
     jitter_s: float = 0.002
-    """Uniform on top of the delay; later messages may overtake earlier ones."""
+    """Upper bound of a uniform random addition to the delay, which can reorder messages."""
 
 
 class Network:
-    """Decides when, and how often, a message arrives."""
+    """Decides when and how many times a message is delivered."""
 
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
@@ -33,7 +33,7 @@
         self._tokens = itertools.count(1)
 
     def block(self, links: frozenset[Link]) -> None:
-        """Block links; blocks nest."""
+        """Block links; a link stays blocked until every block of it is undone."""
         self._blocks.update(links)
 
     def unblock(self, links: frozenset[Link]) -> None:
@@ -41,17 +41,17 @@
         self._blocks.subtract(links)
 
     def is_blocked(self, sender: str, receiver: str) -> bool:
-        """Whether nothing is delivered from `sender` to `receiver`."""
+        """Whether the link from `sender` to `receiver` is blocked."""
         return self._blocks[(sender, receiver)] > 0
 
     def set_conditions(self, links: frozenset[Link] | None, conditions: LinkConditions) -> int:
-        """Set the conditions of links (None: all of them); return a token that ends them."""
+        """Set the conditions of links (None: all links); return a token for `clear_conditions`."""
         token = next(self._tokens)
         self._conditions[token] = (links, conditions)
         return token
 
     def clear_conditions(self, token: int) -> None:
-        """End the conditions of one token."""
+        """Remove the conditions that were set under a token."""
         self._conditions.pop(token, None)
 
     def heal(self) -> None:
@@ -59,7 +59,7 @@
         self._blocks.clear()
         self._conditions.clear()
 
-    def deliveries(self, sender: str, receiver: str) -> list[float]:
+    def delivery_delays(self, sender: str, receiver: str) -> list[float]:
         """Return the delay of each delivery, in seconds; empty when the message is lost."""
         if self.is_blocked(sender, receiver):
             return []
@@ -75,7 +75,7 @@
         ]
 
     def _conditions_of(self, link: Link) -> LinkConditions:
-        """Return the conditions that were set last."""
+        """Return the most recently set conditions that apply to a link."""
         for links, conditions in reversed(self._conditions.values()):
             if links is None or link in links:
                 return conditions
@@ -85,11 +85,11 @@
 NORMAL_CONDITIONS = LinkConditions()
 
 
-def both_ways(some: list[str], others: list[str]) -> frozenset[Link]:
-    """Return every link between two groups."""
-    return one_way(some, others) | one_way(others, some)
+def two_way_links(some: list[str], others: list[str]) -> frozenset[Link]:
+    """Return the links between two groups of members, in both directions."""
+    return one_way_links(some, others) | one_way_links(others, some)
 
 
-def one_way(senders: list[str], receivers: list[str]) -> frozenset[Link]:
-    """Return every link from one group to another."""
+def one_way_links(senders: list[str], receivers: list[str]) -> frozenset[Link]:
+    """Return the links from one group of members to another."""
     return frozenset((a, b) for a in senders for b in receivers if a != b)
--- a/src/zincvale/simulator/cluster/operations.py
+++ b/src/zincvale/simulator/cluster/operations.py
@@ -1,4 +1,4 @@
-"""Operations that a schedule can request of the operators."""
+"""Operations that a schedule can make the operators perform."""
 
 from __future__ import annotations
 
@@ -10,15 +10,19 @@
 from zincvale.simulator.schedules.schedule import Step
 
 CORE_INDEX_PREFIX = "core:"
-RACERS = 3
-BURST = 8
+"""Prefix of a core's index in a schedule, which names cores by index since they are replaced."""
+RACING_CHANGES = 3
+"""Number of changes that `race` sends on one base version."""
+BURST_SIZE = 8
+"""Number of changes that `burst` sends."""
 BURST_INTERVAL_S = 0.004
+"""Interval between two changes of a burst."""
 
 Operation = Callable[[Operators, Cluster, Step], None]
 
 
-def members_of(cluster: Cluster, names: tuple[str, ...]) -> list[str]:
-    """Return members by name, or by index for cores, which are replaced."""
+def resolve_members(cluster: Cluster, names: tuple[str, ...]) -> list[str]:
+    """Return the member ids for the names in a schedule, where `core:N` is the core at index N."""
     found = []
     for name in names:
         if name.startswith(CORE_INDEX_PREFIX):
@@ -29,44 +33,46 @@
     return list(dict.fromkeys(found))
 
 
-def change(operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Send one change, on no base, through a core; `amount` is the loss of responses."""
-    (core,) = members_of(cluster, step.members)
+def send_change(operators: Operators, cluster: Cluster, step: Step) -> None:
+    """Send a change without a base version to a core; `amount` is the probability of its response
+    being lost.
+    """
+    (core,) = resolve_members(cluster, step.members)
     operators.send(operators.new_order(None), core, step.amount)
 
 
-def change_on_base(operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Send one change on the version that the core shows."""
-    (core,) = members_of(cluster, step.members)
+def send_change_on_base(operators: Operators, cluster: Cluster, step: Step) -> None:
+    """Send a change based on the version that the core currently shows."""
+    (core,) = resolve_members(cluster, step.members)
     operators.send(operators.new_order(operators.known_version(core)), core, step.amount)
 
 
-def race(operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Send different changes on one version through every core at once."""
-    (core,) = members_of(cluster, step.members)
-    base = operators.known_version(core)
-    for racer in range(RACERS):
-        member = cluster.cores[racer % len(cluster.cores)]
-        operators.send(operators.new_order(base), member, step.amount)
+def race_changes(operators: Operators, cluster: Cluster, step: Step) -> None:
+    """Send different changes on one base version to the cores at once."""
+    (core,) = resolve_members(cluster, step.members)
+    base_version = operators.known_version(core)
+    for index in range(RACING_CHANGES):
+        member = cluster.cores[index % len(cluster.cores)]
+        operators.send(operators.new_order(base_version), member, step.amount)
 
 
-def burst(operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Send many changes within milliseconds through one core."""
-    (core,) = members_of(cluster, step.members)
+def send_burst(operators: Operators, cluster: Cluster, step: Step) -> None:
+    """Send many changes to one core, a few milliseconds apart."""
+    (core,) = resolve_members(cluster, step.members)
     simulation = cluster.simulation
-    for index in range(BURST):
+    for index in range(BURST_SIZE):
         order = operators.new_order(None)
         simulation.schedule(simulation.now + index * BURST_INTERVAL_S, operators.send, order, core)
 
 
-def bad_change(operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Send a change that the reducer refuses."""
-    (core,) = members_of(cluster, step.members)
-    operators.send(operators.new_order(None, is_bad=True), core, step.amount)
+def send_invalid_change(operators: Operators, cluster: Cluster, step: Step) -> None:
+    """Send an invalid change, which the reducer refuses."""
+    (core,) = resolve_members(cluster, step.members)
+    operators.send(operators.new_order(None, is_invalid=True), core, step.amount)
 
 
-def resend(operators: Operators, cluster: Cluster, step: Step) -> None:
-    """Send an earlier order once more, through every core at once."""
+def resend_order(operators: Operators, cluster: Cluster, step: Step) -> None:
+    """Resend an earlier order to every core at once; `amount` selects the order by its position."""
     if not operators.orders:
         return
     order = operators.orders[int(step.amount * len(operators.orders))]
@@ -75,17 +81,17 @@
 
 
 OPERATIONS: dict[str, Operation] = {
-    "change": change,
-    "change-on-base": change_on_base,
-    "race": race,
-    "burst": burst,
-    "bad-change": bad_change,
-    "resend": resend,
+    "change": send_change,
+    "change-on-base": send_change_on_base,
+    "race": race_changes,
+    "burst": send_burst,
+    "bad-change": send_invalid_change,
+    "resend": resend_order,
 }
 
 
 def draw_operation(source: random.Random, at_s: float) -> Step:
-    """Draw an operation."""
+    """Draw a random operation to be performed at `at_s`."""
     action = source.choices(list(OPERATIONS), weights=(5, 5, 3, 1, 1, 3))[0]
     member = f"{CORE_INDEX_PREFIX}{source.randrange(3)}"
     if action == "resend":
--- a/src/zincvale/simulator/cluster/process.py
+++ b/src/zincvale/simulator/cluster/process.py
@@ -1,4 +1,4 @@
-"""One simulated process: a machine, its clock, its files, and what arrives while it is frozen."""
+"""One simulated process: its state machine, clock and files, and its backlog while frozen."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from zincvale.storage.version_files import VersionFiles
 
 BACKLOG_LIMIT = 400
-"""Inputs that socket buffers hold for a frozen process; later ones are lost."""
+"""Number of inputs that socket buffers hold for a frozen process; further inputs are lost."""
 
 
 class ProcessKind(enum.Enum):
@@ -38,13 +38,13 @@
 
 @attrs.frozen
 class MachineClock:
-    """A machine's own clock: it starts anywhere and runs a little fast or slow."""
+    """A machine's clock, with an arbitrary offset and a rate slightly above or below real time."""
 
     offset_s: float
     rate: float
 
     def local(self, true_now: float) -> float:
-        """Return what the clock shows at a true time."""
+        """Return the reading of this clock at a virtual time."""
         return self.offset_s + true_now * self.rate
 
 
@@ -54,9 +54,11 @@
 
     Attributes
     ----------
-    run : number of this run; inputs for an earlier run are dropped.
+    run : number of this run, unique among all runs of all members.
     disk : identity of the disk that was found at the start, empty for nodes.
-    last_seen : local time of the last clock reading, as in `runtime.driver`.
+    last_clock_reading : local time of the last clock reading, as in `runtime.driver`.
+    writes : queued writes, the first of which is in progress.
+    backlog : inputs that arrived while the process was frozen, as handlers and their arguments.
     """
 
     member: str
@@ -74,18 +76,18 @@
     backlog: list[tuple[Callable[..., None], tuple[Any, ...]]] = attrs.field(factory=list)
 
     def local(self, true_now: float) -> float:
-        """Return this process's clock."""
+        """Return the reading of this process's clock at a virtual time."""
         return self.clock.local(true_now)
 
     def check_clock(self, true_now: float) -> list[Input]:
-        """Return `ClockJumped` when the clock advanced too far since the last reading."""
+        """Return `ClockJumped` if the clock advanced too far since the last reading."""
         now = self.local(true_now)
         gap = now - self.last_clock_reading
         self.last_clock_reading = now
         return [ClockJumped(gap)] if gap > CLOCK_JUMP_GAP_S else []
 
     def add_to_backlog(self, handler: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        """Store an input for after the freeze, but no tick: a timer fires once at most."""
+        """Queue an input until the process resumes; drop ticks, as missed timers fire once."""
         is_tick = any(isinstance(argument, Tick) for argument in arguments)
         if not is_tick and len(self.backlog) < BACKLOG_LIMIT:
             self.backlog.append((handler, arguments))
--- a/src/zincvale/simulator/cluster/role_publisher.py
+++ b/src/zincvale/simulator/cluster/role_publisher.py
@@ -1,4 +1,4 @@
-"""The leader of the singleton role in the simulator: it publishes under its fencing epoch."""
+"""Publishes a topic for the leader of a singleton role, under its fencing epoch."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 TOPIC = "directory"
 PUBLISH_INTERVAL_S = 0.5
+"""Interval between two publications."""
 
 
 class RolePublisher:
-    """Publishes one row from whichever core holds the role, so that nodes see its epoch."""
+    """Publishes one row from whichever core leads the role, so that nodes see its epoch."""
 
     def __init__(self, cluster: Cluster, role: str) -> None:
         self._cluster = cluster
@@ -20,7 +21,7 @@
         self._count = 0
 
     def start(self) -> None:
-        """Publish from now on."""
+        """Schedule the periodic publications."""
         self._simulation.schedule(self._simulation.now + PUBLISH_INTERVAL_S, self._publish)
 
     def _publish(self) -> None:
--- a/src/zincvale/simulator/cluster/simulation.py
+++ b/src/zincvale/simulator/cluster/simulation.py
@@ -1,7 +1,8 @@
-"""The simulation loop: virtual time, and the effects of every process's machine.
+"""The simulation loop: runs the state machines of all processes in virtual time.
 
-Does for many processes what `runtime.driver`, `transport` and `storage` do for one: sends, calls
-with their replies and timeouts, writes to version files, ticks, and the clock-jump rule.
+Executes the effects that `runtime.driver`, `transport` and `storage` execute for a real daemon:
+messages, calls with their replies and timeouts, writes to version files, ticks and the detection of
+clock jumps.
 """
 
 from __future__ import annotations
@@ -37,33 +38,38 @@
 from zincvale.simulator.cluster.process import Process
 from zincvale.transport.codec import decode_message, encode_message
 
-TICK_S = TICK_INTERVAL_MS / 1000
+TICK_INTERVAL_S = TICK_INTERVAL_MS / 1000
+"""Interval between two ticks of a process."""
 CONNECT_TIMEOUT_S = 1.0
-REFUSED_AFTER_S = 0.001
-"""How long a connection to a dead process takes to be refused."""
-WRITE_S = (0.0005, 0.008)
-"""Shortest and longest time that a synced write takes."""
+"""Timeout of a connection attempt over a blocked link."""
+CONNECTION_REFUSED_DELAY_S = 0.001
+"""Delay after which a connection to a process that does not run is refused."""
+WRITE_DURATION_RANGE_S = (0.0005, 0.008)
+"""Shortest and longest duration of a synced write to disk."""
 PEER_TOKEN_PREFIX = "peer-"
+"""Prefix of the tokens under which a callee receives calls from other processes."""
 
 
 class Observer(Protocol):
-    """Watches every input; raises when an invariant breaks."""
+    """Is notified of what processes do; raises an exception when an invariant is violated."""
 
     def after_input(self, process: Process) -> None:
-        """A process handled an input."""
+        """Called after a process handled an input."""
         ...
 
     def on_resumed(self, process: Process) -> None:
-        """A frozen process runs again and has handled nothing yet."""
+        """Called when a frozen process resumes, before it handles any input."""
         ...
 
     def on_log(self, process: Process, entry: Log) -> None:
-        """A process wrote a log event."""
+        """Called when a process emits a log event."""
         ...
 
 
 @attrs.define(eq=False)
 class _OpenCall:
+    """A call between two processes that has neither been answered nor failed."""
+
     caller: Process
     caller_token: str
     callee: Process
@@ -71,7 +77,7 @@
 
 
 class Simulation:
-    """Processes, virtual time and the network between them; runs effects in order."""
+    """Runs processes in virtual time and executes their effects in order."""
 
     def __init__(self, random_source: random.Random, network: Network, uses_codec: bool) -> None:
         self.now = 0.0
@@ -82,22 +88,22 @@
         self.steps = 0
         self._uses_codec = uses_codec
         self._events: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
-        self._sequence = itertools.count(1)
+        self._event_numbers = itertools.count(1)
         self._tokens = itertools.count(1)
-        self._runs = itertools.count(1)
+        self._run_numbers = itertools.count(1)
         self._calls: dict[tuple[int, str], _OpenCall] = {}
         self._calls_by_caller: dict[tuple[int, str], _OpenCall] = {}
         self._local_calls: dict[tuple[int, str], Callable[[Any], None]] = {}
-        self._by_address: dict[str, Process] = {}
+        self._process_by_address: dict[str, Process] = {}
 
     # --- time -----------------------------------------------------------------------------
 
     def schedule(self, at: float, action: Callable[..., object], *arguments: Any) -> None:
-        """Run `action` at a true time."""
-        heapq.heappush(self._events, (at, next(self._sequence), action, arguments))
+        """Schedule `action` at a virtual time, which is independent of the processes' clocks."""
+        heapq.heappush(self._events, (at, next(self._event_numbers), action, arguments))
 
     def run_until(self, end: float, condition: Callable[[], bool] = lambda: False) -> bool:
-        """Run to the time `end`, or until the condition holds; return whether it does."""
+        """Run until time `end` or until the condition holds; return whether it holds."""
         while not condition():
             if not self._events or self._events[0][0] > end:
                 self.now = max(self.now, end)
@@ -110,23 +116,23 @@
 
     # --- processes ------------------------------------------------------------------------
 
-    def next_run(self) -> int:
-        """Return a number for a new run of a process."""
-        return next(self._runs)
+    def next_run_number(self) -> int:
+        """Return a unique number for a new run of a process."""
+        return next(self._run_numbers)
 
     def add(self, process: Process) -> None:
-        """Start a process."""
+        """Add a process and schedule its ticks."""
         self.processes[process.member] = process
-        self._by_address[process.address] = process
-        self.schedule(self.now + TICK_S * self.random.random(), self._tick, process)
+        self._process_by_address[process.address] = process
+        self.schedule(self.now + TICK_INTERVAL_S * self.random.random(), self._tick, process)
 
     def remove(self, process: Process) -> None:
-        """End a process: its connections break, its timers and writes are dropped."""
+        """Remove a process: its connections break, its timers and pending writes are dropped."""
         process.is_alive = False
         if self.processes.get(process.member) is process:
             del self.processes[process.member]
-        if self._by_address.get(process.address) is process:
-            del self._by_address[process.address]
+        if self._process_by_address.get(process.address) is process:
+            del self._process_by_address[process.address]
         for call in list(self._calls.values()):
             if call.callee is process:
                 self._drop_call(call)
@@ -136,11 +142,11 @@
                 self._deliver_once(process, call.callee, CallAbandoned(call.callee_token))
 
     def freeze(self, process: Process) -> None:
-        """Stop a process; what is sent to it waits in its backlog."""
+        """Suspend a process; inputs that arrive for it are queued in its backlog."""
         process.is_frozen = True
 
     def resume(self, process: Process) -> None:
-        """Let a process run again: the clock first, then the backlog."""
+        """Resume a frozen process: first a tick, so that it reads its clock, then the backlog."""
         if not process.is_frozen or not process.is_alive:
             return
         process.is_frozen = False
@@ -154,7 +160,7 @@
     # --- inputs ---------------------------------------------------------------------------
 
     def feed(self, process: Process, event: Input, source: Process | None = None) -> None:
-        """Give a process an input now, after a jump of its clock if there was one."""
+        """Deliver an input to a process now, preceded by `ClockJumped` if its clock jumped."""
         if not process.is_alive:
             return
         if process.is_frozen:
@@ -165,7 +171,7 @@
             self._handle(process, inputs.popleft(), source, inputs)
 
     def call_local(self, process: Process, message: Any, on_reply: Callable[[Any], None]) -> None:
-        """Call a process from within, as its API does."""
+        """Call a process locally, as its own HTTP API does."""
         token = f"{LOCAL_TOKEN_PREFIX}{next(self._tokens)}"
         self._local_calls[(process.run, token)] = on_reply
         self.feed(process, CallReceived(MemberId(process.member), token, message))
@@ -173,7 +179,7 @@
     def _tick(self, process: Process) -> None:
         if not process.is_alive:
             return
-        self.schedule(self.now + TICK_S, self._tick, process)
+        self.schedule(self.now + TICK_INTERVAL_S, self._tick, process)
         self.feed(process, Tick())
 
     def _handle(
@@ -193,7 +199,7 @@
             case Send(to, message):
                 self._send(process, to, message, source)
             case Write():
-                self._begin_write(process, effect)
+                self._enqueue_write(process, effect)
             case Call():
                 self._call(process, effect)
             case Reply(token, message):
@@ -204,22 +210,22 @@
     # --- messages -------------------------------------------------------------------------
 
     def resolve(self, process: Process, to: str) -> Process | None:
-        """Return the process that listens where `process` believes `to` to be."""
+        """Return the process at the address that `process` has for member `to`, if one listens."""
         if to.startswith(RAW_ADDRESS_PREFIX):
-            return self._by_address.get(to.removeprefix(RAW_ADDRESS_PREFIX))
+            return self._process_by_address.get(to.removeprefix(RAW_ADDRESS_PREFIX))
         address = process.machine.address_of(MemberId(to))
-        return self._by_address.get(address) if address is not None else None
+        return self._process_by_address.get(address) if address is not None else None
 
     def _send(self, process: Process, to: str, message: Any, source: Process | None) -> None:
         if source is not None and source.member == to and source.is_alive:
-            # The response takes the connection that the message came through.
+            # The response uses the connection over which the message arrived.
             target: Process | None = source
         else:
             target = self.resolve(process, to)
         if target is None:
             return
         event = MessageReceived(MemberId(process.member), self._through_codec(message))
-        for delay_s in self.network.deliveries(process.member, target.member):
+        for delay_s in self.network.delivery_delays(process.member, target.member):
             self.schedule(self.now + delay_s, self.feed, target, event, process)
 
     def _through_codec(self, message: Any) -> Any:
@@ -228,15 +234,15 @@
         return decode_message(message.MESSAGE_NAME, encode_message(message))
 
     def _deliver_once(self, sender: Process, receiver: Process, event: Input) -> None:
-        """Deliver a connection's event once, unless the link loses it."""
-        for delay_s in self.network.deliveries(sender.member, receiver.member)[:1]:
+        """Deliver an event of a connection at most once; the link may lose it."""
+        for delay_s in self.network.delivery_delays(sender.member, receiver.member)[:1]:
             self.schedule(self.now + delay_s, self.feed, receiver, event)
 
     def _call(self, process: Process, effect: Call) -> None:
         target = self.resolve(process, effect.to)
         if target is None:
             failed = CallFailed(effect.token, "no connection")
-            self.schedule(self.now + REFUSED_AFTER_S, self.feed, process, failed)
+            self.schedule(self.now + CONNECTION_REFUSED_DELAY_S, self.feed, process, failed)
             return
         if self._is_unreachable(process, target):
             wait_s = min(effect.timeout_s, CONNECT_TIMEOUT_S)
@@ -251,10 +257,10 @@
         self._deliver_once(process, target, received)
         self.schedule(self.now + effect.timeout_s, self._time_out, call)
 
-    def _is_unreachable(self, one: Process, other: Process) -> bool:
-        """Whether a connection cannot be made: it needs both directions."""
+    def _is_unreachable(self, caller: Process, callee: Process) -> bool:
+        """Whether no connection can be established, since one direction is blocked."""
         is_blocked = self.network.is_blocked
-        return is_blocked(one.member, other.member) or is_blocked(other.member, one.member)
+        return is_blocked(caller.member, callee.member) or is_blocked(callee.member, caller.member)
 
     def _time_out(self, call: _OpenCall) -> None:
         if self._calls_by_caller.get((call.caller.run, call.caller_token)) is not call:
@@ -275,7 +281,7 @@
         call = self._calls.pop((process.run, token), None)
         if call is None or not call.caller.is_alive:
             return
-        delays = self.network.deliveries(process.member, call.caller.member)[:1]
+        delays = self.network.delivery_delays(process.member, call.caller.member)[:1]
         for delay_s in delays:
             self.schedule(
                 self.now + delay_s, self._complete_call, call, self._through_codec(message)
@@ -290,16 +296,16 @@
 
     # --- writes ---------------------------------------------------------------------------
 
-    def _begin_write(self, process: Process, write: Write) -> None:
-        """Queue a write: they take time, one after the other, so that a crash can come between."""
+    def _enqueue_write(self, process: Process, write: Write) -> None:
+        """Queue a write; writes take time and run in sequence, so a crash can interrupt them."""
         process.writes.append(write)
         if len(process.writes) == 1:
             self._schedule_write(process)
 
     def _schedule_write(self, process: Process) -> None:
-        shortest, longest = WRITE_S
-        took_s = shortest + (longest - shortest) * self.random.random()
-        self.schedule(self.now + took_s, self._finish_write, process)
+        shortest, longest = WRITE_DURATION_RANGE_S
+        duration_s = shortest + (longest - shortest) * self.random.random()
+        self.schedule(self.now + duration_s, self._finish_write, process)
 
     def _finish_write(self, process: Process) -> None:
         if not process.is_alive or not process.writes:
--- a/src/zincvale/simulator/cluster/virtual_disk.py
+++ b/src/zincvale/simulator/cluster/virtual_disk.py
@@ -1,7 +1,7 @@
-"""A disk in memory behind `storage.disk.DiskInterface` that loses, tears and refuses writes.
+"""An in-memory implementation of `storage.disk.DiskInterface` with torn, lost and failing writes.
 
-A file's content is durable once written synced, its name once the folder was synced. Power loss
-keeps a prefix of the name changes of each folder that were not synced, as a journal does.
+The content of a file is durable after a synced write, its name after a sync of its folder. A power
+loss keeps a prefix of the unsynced name changes of each folder, as a journaling file system does.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class _NameChange:
-    """A change of names that its folder's sync has not made durable."""
+    """A file creation, renaming or removal that no sync of its folder has made durable yet."""
 
     folder: str
     removed: str
@@ -33,62 +33,62 @@
 
     Parameters
     ----------
-    random_source : decides what of the unsynced state survives a loss of power.
+    random_source : decides how much of the unsynced state survives a power loss.
 
     Attributes
     ----------
-    failure : errno that writes fail with; 0 when the disk is well.
+    failure : errno with which operations fail; 0 when the disk works.
     """
 
     def __init__(self, random_source: random.Random) -> None:
         self.failure = 0
         self._random = random_source
         self._files: dict[str, bytes] = {}
-        self._durable: dict[str, bytes] = {}
+        self._durable_files: dict[str, bytes] = {}
         self._folders: set[str] = set()
         self._unsynced: list[_NameChange] = []
         self._operations_left: int | None = None
 
     def make_folder(self, folder: Path) -> None:
-        """Create a folder and its parents, and make that durable."""
-        self._operate(folder)
+        """Create a folder and its parents durably."""
+        self._begin_operation(folder)
         self._folders.update(str(each) for each in (folder, *folder.parents))
 
     def list_files(self, folder: Path) -> list[str]:
         """Return the names of the files in a folder."""
         prefix = f"{folder}/"
-        inside = (path[len(prefix) :] for path in self._files if path.startswith(prefix))
-        return sorted(name for name in inside if "/" not in name)
+        names = (path[len(prefix) :] for path in self._files if path.startswith(prefix))
+        return sorted(name for name in names if "/" not in name)
 
     def list_folders(self, folder: Path) -> list[str]:
         """Return the names of the folders in a folder."""
         prefix = f"{folder}/"
-        inside = (path[len(prefix) :] for path in self._folders if path.startswith(prefix))
-        return sorted(name for name in inside if "/" not in name)
+        names = (path[len(prefix) :] for path in self._folders if path.startswith(prefix))
+        return sorted(name for name in names if "/" not in name)
 
     def read(self, path: Path) -> bytes:
         """Return the content of a file."""
         return self._files[str(path)]
 
     def write_synced(self, path: Path, content: bytes) -> None:
-        """Write a new file and sync its content; its name waits for the folder's sync."""
+        """Write a file and sync its content; its name becomes durable with the folder's sync."""
         try:
-            self._operate(path)
+            self._begin_operation(path)
         except PowerLossError:
             self._put(path, content[: self._random.randrange(len(content) + 1)])
             raise
         self._put(path, content)
 
     def rename(self, source: Path, target: Path) -> None:
-        """Rename a file within the disk."""
-        self._operate(source)
+        """Rename a file; the new name becomes durable with the folder's sync."""
+        self._begin_operation(source)
         content = self._files.pop(str(source))
         self._files[str(target)] = content
         self._unsynced.append(_NameChange(str(source.parent), str(source), str(target), content))
 
     def sync_folder(self, folder: Path) -> None:
-        """Make the names in a folder durable."""
-        self._operate(folder)
+        """Make the name changes in a folder durable."""
+        self._begin_operation(folder)
         name = str(folder)
         for change in self._unsynced:
             if change.folder == name:
@@ -96,8 +96,8 @@
         self._unsynced = [change for change in self._unsynced if change.folder != name]
 
     def remove(self, path: Path) -> None:
-        """Remove a file."""
-        self._operate(path)
+        """Remove a file; the removal becomes durable with the folder's sync."""
+        self._begin_operation(path)
         if str(path) not in self._files:
             raise FileNotFoundError(errno.ENOENT, os.strerror(errno.ENOENT), str(path))
         del self._files[str(path)]
@@ -105,22 +105,22 @@
 
     # --- faults ---------------------------------------------------------------------------
 
-    def lose_power_within(self, operations: int | None) -> None:
-        """Raise `PowerLossError` in place of the operation after so many more; None: never."""
+    def schedule_power_loss(self, operations: int | None) -> None:
+        """Raise `PowerLossError` after this many further operations; None cancels it."""
         self._operations_left = operations
 
     def lose_power(self) -> None:
-        """Forget what is not durable, but for a prefix of each folder's name changes."""
+        """Drop what is not durable, except a random prefix of each folder's name changes."""
         self._operations_left = None
         for folder in sorted({change.folder for change in self._unsynced}):
             changes = [change for change in self._unsynced if change.folder == folder]
             for change in changes[: self._random.randrange(len(changes) + 1)]:
                 self._apply(change)
         self._unsynced = []
-        self._files = dict(self._durable)
+        self._files = dict(self._durable_files)
 
-    def tear_newest(self) -> bool:
-        """Damage the file that a random key wrote last; return whether there was one."""
+    def tear_newest_file(self) -> bool:
+        """Truncate the newest version file of a random key; return whether there was one."""
         newest: dict[str, str] = {}
         for path in sorted(self._files):
             folder, _, name = path.rpartition("/")
@@ -132,13 +132,13 @@
         content = self._files[path]
         torn = content[: self._random.randrange(len(content))]
         self._files[path] = torn
-        self._durable[path] = torn
+        self._durable_files[path] = torn
         return True
 
-    # --- inside ---------------------------------------------------------------------------
+    # --- internals ------------------------------------------------------------------------
 
-    def _operate(self, path: Path) -> None:
-        """Count a change of the disk; raise what the disk's state asks for."""
+    def _begin_operation(self, path: Path) -> None:
+        """Count an operation; raise if the disk is failing or the power is lost at this point."""
         if self.failure:
             raise OSError(self.failure, os.strerror(self.failure), str(path))
         if self._operations_left is None:
@@ -153,6 +153,6 @@
 
     def _apply(self, change: _NameChange) -> None:
         if change.removed:
-            self._durable.pop(change.removed, None)
+            self._durable_files.pop(change.removed, None)
         if change.added:
-            self._durable[change.added] = change.content
+            self._durable_files[change.added] = change.content
--- a/src/zincvale/simulator/schedules/run.py
+++ b/src/zincvale/simulator/schedules/run.py
@@ -88,7 +88,7 @@
             problem=problem,
             at_s=round(self.simulation.now, 3),
             steps=self.simulation.steps,
-            acknowledged=self.checker.acknowledged,
+            acknowledged=self.checker.acknowledged_version,
             attempts=len(self.operators.attempts),
             recovery_s=self._recovery_s,
         )
@@ -147,7 +147,7 @@
 
     def _all_ready(self) -> bool:
         for member in self.cluster.nodes:
-            process = self.cluster.running(member)
+            process = self.cluster.running_process(member)
             if process is None or not process.machine.ready(process.local(self.simulation.now)):
                 return False
         return True
@@ -176,12 +176,14 @@
     def _check_all_members_are_current(self) -> None:
         for member, process in self.simulation.processes.items():
             version = process.machine.value(INTENT_KEY).version
-            if version < self.checker.acknowledged:
-                text = f"{member} holds {version}, acknowledged is {self.checker.acknowledged}"
+            if version < self.checker.acknowledged_version:
+                text = (
+                    f"{member} holds {version}, acknowledged is {self.checker.acknowledged_version}"
+                )
                 raise InvariantViolationError("not-current", text)
 
     def _check_history(self) -> None:
-        problems = check_history(self.operators.attempts, self.checker.newest_log)
+        problems = check_history(self.operators.attempts, self.checker.longest_log)
         if problems:
             raise InvariantViolationError("history", "; ".join(problems[:3]))
 
--- a/tests/simulator/cluster/test_history.py
+++ b/tests/simulator/cluster/test_history.py
@@ -1,4 +1,4 @@
-"""Histories of operators that are linearizable, and those that are not."""
+"""The linearizability check accepts valid histories and detects each kind of violation."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class HistoryTest(testtools.TestCase):
-    def test_a_linear_history_passes(self) -> None:
+    def test_linearizable_history_is_accepted(self) -> None:
         attempts = [
             accepted(1, 0.0, 1.0, 1),
             accepted(2, 0.5, 2.0, 2, base=1),
@@ -29,7 +29,7 @@
         self.assertEqual([], check_history(attempts, [1, 2]))
         self.assertEqual([], check_history(attempts, [1, 2, 4]))
 
-    def test_violations_are_found(self) -> None:
+    def test_each_kind_of_violation_is_detected(self) -> None:
         later = accepted(2, 5.0, 6.0, 1)
         cases = {
             "applied twice": ([accepted(1, 0, 1, 1)], [1, 1]),
@@ -46,6 +46,6 @@
         for wanted, (attempts, log) in cases.items():
             self.assertIn(wanted, "; ".join(check_history(attempts, log)), wanted)
 
-    def test_a_conflict_with_an_old_version_is_found(self) -> None:
+    def test_conflict_with_an_outdated_version_is_detected(self) -> None:
         attempts = [accepted(1, 0.0, 1.0, 1), refused(2, 2.0, 3.0, base=1, current=0)]
         self.assertIn("cannot have been made", check_history(attempts, [1])[0])
--- a/tests/simulator/cluster/test_virtual_disk.py
+++ b/tests/simulator/cluster/test_virtual_disk.py
@@ -1,4 +1,4 @@
-"""What a virtual disk loses with the power, and a crash at any disk operation."""
+"""What a virtual disk loses in a power loss, including one in the middle of an operation."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         self.disk = VirtualDisk(random.Random(1))
         self.disk.make_folder(FOLDER)
 
-    def test_power_loss_forgets_what_was_not_synced(self) -> None:
+    def test_power_loss_keeps_only_a_prefix_of_the_unsynced_name_changes(self) -> None:
         self.disk.write_synced(FILE, b"one")
         self.disk.sync_folder(FOLDER)
         survivors = set()
@@ -42,13 +42,13 @@
         }
         self.assertEqual(expected, survivors)
 
-    def test_what_version_files_wrote_survives_a_crash_at_any_operation(self) -> None:
+    def test_version_file_is_old_or_new_after_a_power_loss_at_any_operation(self) -> None:
         for operations in range(8):
             disk = VirtualDisk(random.Random(operations))
             files = VersionFiles(FOLDER, disk, "c", random.Random(1))
             files.load()
             self.assertEqual("", files.write("k", 1, b"Sone"))
-            disk.lose_power_within(operations)
+            disk.schedule_power_loss(operations)
             with contextlib.suppress(PowerLossError):
                 files.write("k", 2, b"Stwo")
             disk.lose_power()
@@ -56,11 +56,11 @@
             self.assertEqual({}, recovered.damaged)
             self.assertIn(recovered.keys["k"].contents, ([b"Sone"], [b"Stwo"]))
 
-    def test_a_torn_file_costs_the_disk_its_identity(self) -> None:
+    def test_disk_with_a_torn_file_gets_a_new_identity(self) -> None:
         files = VersionFiles(FOLDER, self.disk, "c", random.Random(1))
         before = files.load().disk
         files.write("k", 1, b"Sone")
-        self.assertTrue(self.disk.tear_newest())
+        self.assertTrue(self.disk.tear_newest_file())
         after = VersionFiles(FOLDER, self.disk, "c", random.Random(2)).load()
         self.assertNotEqual(before, after.disk)
         self.assertEqual({}, after.keys)
