--- a/src/zincvale/simulator/claims/__init__.py
+++ b/src/zincvale/simulator/claims/__init__.py
@@ -1,8 +1,8 @@
-"""At-most-once claims on a simulated cluster: racing callers, failing nodes, and what ran.
+"""Simulation of at-most-once claims with racing callers and failing nodes.
 
-Owns the rule that a request runs at most once here. Imports `simulator.cluster`,
+Owns the check that no request runs twice. Imports `simulator.cluster`,
 `simulator.schedules`, `coordination`, `dataplane.claims` and the registry rows of `daemons`.
 
-Read in this order: `machine` (a node with its claim service), `callers` (who sends and counts),
-`run` (one seed).
+Read in this order: `machine` (a node with its claim service), `callers` (send requests and count
+runs), `run` (runs one seed).
 """
--- a/src/zincvale/simulator/claims/callers.py
+++ b/src/zincvale/simulator/claims/callers.py
@@ -1,4 +1,4 @@
-"""Callers that race and resend through several nodes, and back ends that count what really ran."""
+"""Callers that send a request through several nodes, and back ends that count its runs."""
 
 from __future__ import annotations
 
@@ -25,17 +25,23 @@
 from zincvale.simulator.cluster.process import Process, ProcessKind
 
 DEADLINE_S = 6.0
-SOON_S = 0.005
-LATE_S = 3.0
-LATE_DISPATCHES = 0.2
-"""Share of the granted requests that wait long before they are dispatched."""
-REFUSALS = 0.15
-UNKNOWN_OUTCOMES = 0.15
-RUN_S = (0.01, 1.5)
+"""Time from a claim to the deadline of its request."""
+MAX_DISPATCH_DELAY_S = 0.005
+"""Longest usual time from the grant of a claim to the dispatch of its request."""
+MAX_LATE_DISPATCH_DELAY_S = 3.0
+"""Longest time from the grant of a claim to a late dispatch."""
+LATE_DISPATCH_SHARE = 0.2
+"""Fraction of the granted requests that are dispatched late."""
+REFUSAL_SHARE = 0.15
+"""Fraction of the dispatched requests that the back end refuses without running them."""
+UNKNOWN_OUTCOME_SHARE = 0.15
+"""Fraction of the runs that end with an unknown outcome."""
+RUN_DURATION_RANGE_S = (0.01, 1.5)
+"""Shortest and longest duration of a run."""
 
 
 class ClaimCallers:
-    """Watches the nodes' claim services, dispatches what they grant and counts what ran."""
+    """Sends requests to the nodes' claim services, dispatches granted requests and counts runs."""
 
     def __init__(
         self, cluster: Cluster, checker: InvariantChecker, random_source: random.Random
@@ -55,59 +61,61 @@
     # --- observer -------------------------------------------------------------------------
 
     def after_input(self, process: Process) -> None:
-        """Check the invariants of control state; continue what the claim service decided."""
+        """Check the control-state invariants and act on the results of the claim service."""
         self._checker.after_input(process)
         if process.kind is not ProcessKind.NODE:
             return
         results, process.machine.results = process.machine.results, []
         for result in results:
-            action = self._callback_by_token.pop((process.run, result.token), None)
-            if action is not None:
+            callback = self._callback_by_token.pop((process.run, result.token), None)
+            if callback is not None:
                 self._simulation.schedule(
-                    self._simulation.now, self._run_within, process, action, result
+                    self._simulation.now, self._run_in_process, process, callback, result
                 )
-        wakes, process.machine.wake_at = process.machine.wake_at, []
-        for at in wakes:
+        wake_times, process.machine.wake_times = process.machine.wake_times, []
+        for at in wake_times:
             wait_s = max(0.0, (at - process.local(self._simulation.now)) / process.clock.rate)
             self._simulation.schedule(
                 self._simulation.now + wait_s, self._simulation.feed, process, Tick()
             )
 
     def on_resumed(self, process: Process) -> None:
-        """See `Checks`."""
+        """Check the control-state invariants of a resumed process."""
         self._checker.on_resumed(process)
 
     def on_log(self, process: Process, entry: Log) -> None:
-        """See `Checks`."""
+        """Do nothing: no invariant concerns log events."""
 
     # --- requests -------------------------------------------------------------------------
 
     def send(self, request: str, member: str) -> None:
-        """Send one attempt of a request through a node."""
+        """Send one attempt of a request to a node, if the node is running."""
         process = self._cluster.running_process(member)
         if process is not None:
-            self._run_within(process, self._claim, process, RequestId(request))
+            self._run_in_process(process, self._claim, process, RequestId(request))
 
-    def _run_within(self, process: Process, action: Callable[..., None], *arguments: Any) -> None:
-        """Run `action` within a process: not while it is frozen, never when it has ended."""
+    def _run_in_process(
+        self, process: Process, callback: Callable[..., None], *arguments: Any
+    ) -> None:
+        """Run `callback` as part of a process: after a freeze, and not at all once it has ended."""
         if not process.is_alive:
             return
         if process.is_frozen:
-            process.add_to_backlog(self._run_within, (process, action, *arguments))
+            process.add_to_backlog(self._run_in_process, (process, callback, *arguments))
             return
-        action(*arguments)
+        callback(*arguments)
 
-    def _call_claims(self, process: Process, event: Any, then: Callable[[Any], None]) -> None:
-        self._callback_by_token[(process.run, event.token)] = then
+    def _call_claims(self, process: Process, event: Any, on_result: Callable[[Any], None]) -> None:
+        self._callback_by_token[(process.run, event.token)] = on_result
         self._simulation.feed(process, event)
 
-    def _token(self) -> str:
+    def _next_token(self) -> str:
         return f"local-{next(self._tokens)}"
 
     def _claim(self, process: Process, request: RequestId) -> None:
         deadline_at = process.local(self._simulation.now) + DEADLINE_S
 
-        def decided(result: Decided) -> None:
+        def on_decided(result: Decided) -> None:
             self.decided += 1
             match result.decision:
                 case ClaimGranted():
@@ -117,15 +125,17 @@
                     self._check_recorded_body(request, bytes(body))
 
         self._call_claims(
-            process, ClaimRequested(self._token(), request, "digest", deadline_at), decided
+            process, ClaimRequested(self._next_token(), request, "digest", deadline_at), on_decided
         )
 
     def _dispatch_later(self, process: Process, request: RequestId, deadline_at: float) -> None:
-        is_late = self._random.random() < LATE_DISPATCHES
-        delay_s = (LATE_S if is_late else SOON_S) * self._random.random()
+        is_late = self._random.random() < LATE_DISPATCH_SHARE
+        delay_s = (
+            MAX_LATE_DISPATCH_DELAY_S if is_late else MAX_DISPATCH_DELAY_S
+        ) * self._random.random()
         self._simulation.schedule(
             self._simulation.now + delay_s,
-            self._run_within,
+            self._run_in_process,
             process,
             self._dispatch,
             process,
@@ -134,42 +144,49 @@
         )
 
     def _dispatch(self, process: Process, request: RequestId, deadline_at: float) -> None:
-        local = process.local(self._simulation.now)
-        if not process.machine.claims.may_dispatch(request, local):
+        local_now = process.local(self._simulation.now)
+        if not process.machine.claims.may_dispatch(request, local_now):
             self._renew(process, request, deadline_at)
             return
-        if self._random.random() < REFUSALS:
+        if self._random.random() < REFUSAL_SHARE:
             self._release(process, request)
             return
         self.runs[request] += 1
         if self.runs[request] > 1:
             text = f"{request} ran a second time, dispatched by {process.member}"
             raise InvariantViolationError("ran-twice", text)
-        took_s = self._random.uniform(*RUN_S)
+        duration_s = self._random.uniform(*RUN_DURATION_RANGE_S)
         self._simulation.schedule(
-            self._simulation.now + took_s, self._run_within, process, self._ended, process, request
+            self._simulation.now + duration_s,
+            self._run_in_process,
+            process,
+            self._finish_run,
+            process,
+            request,
         )
 
     def _renew(self, process: Process, request: RequestId, deadline_at: float) -> None:
-        def renewed(result: Confirmed) -> None:
+        def on_renewed(result: Confirmed) -> None:
             if result.is_confirmed:
                 self._dispatch_later(process, request, deadline_at)
             else:
                 self._release(process, request)
 
         until = max(deadline_at, process.local(self._simulation.now) + 1.0)
-        self._call_claims(process, RenewalRequested(self._token(), request, until), renewed)
+        self._call_claims(process, RenewalRequested(self._next_token(), request, until), on_renewed)
 
     def _release(self, process: Process, request: RequestId) -> None:
-        self._call_claims(process, ReleaseRequested(self._token(), request), lambda _result: None)
+        self._call_claims(
+            process, ReleaseRequested(self._next_token(), request), lambda _result: None
+        )
 
-    def _ended(self, process: Process, request: RequestId) -> None:
-        is_unknown = self._random.random() < UNKNOWN_OUTCOMES
+    def _finish_run(self, process: Process, request: RequestId) -> None:
+        is_unknown = self._random.random() < UNKNOWN_OUTCOME_SHARE
         outcome = Outcome.UNKNOWN if is_unknown else Outcome.ANSWERED
         body = f"{request} by {process.member}/{process.run}".encode()
         if not is_unknown:
             self._body_by_request[request] = body
-        event = OutcomeReached(self._token(), request, outcome, 200, {}, body)
+        event = OutcomeReached(self._next_token(), request, outcome, 200, {}, body)
         self._call_claims(process, event, lambda _result: None)
 
     def _check_recorded_body(self, request: str, body: bytes) -> None:
--- a/src/zincvale/simulator/claims/machine.py
+++ b/src/zincvale/simulator/claims/machine.py
@@ -1,4 +1,4 @@
-"""A node with its claim service, assembled as the node daemon does it."""
+"""A node's state machine combined with its claim service, as in the node daemon."""
 
 from __future__ import annotations
 
@@ -35,50 +35,53 @@
     Tick,
 )
 
-CLAIMS_MESSAGES = "claims."
-CLAIMS_TOKEN = "claims|"
-"""Marks the tokens of calls that the claim service made."""
+CLAIMS_MESSAGE_PREFIX = "claims."
+"""Prefix of the names of the claim service's messages."""
+CLAIMS_TOKEN_PREFIX = "claims|"
+"""Prefix that is added to the tokens of calls from the claim service."""
 
 LocalInput = ClaimRequested | RenewalRequested | OutcomeReached | ReleaseRequested
 Result = Decided | Confirmed
 
 
 class NodeWithClaims(NodeMachine):
-    """`NodeMachine` and `ClaimsNode` in one process.
+    """Runs `NodeMachine` and `ClaimsNode` in one process.
 
     Attributes
     ----------
-    results : decisions and confirmations that the callers have not taken yet.
-    wake_at : when the claim service wants a tick of its own.
+    results : decisions and confirmations that the callers have not processed yet.
+    wake_times : local times at which the claim service requested additional ticks.
     """
 
-    def __init__(self, config: NodeConfig, random: random.Random, now: float) -> None:
-        super().__init__(config, random, now)
+    def __init__(self, config: NodeConfig, random_source: random.Random, now: float) -> None:
+        super().__init__(config, random_source, now)
         self._member = config.member
-        self.claims = ClaimsNode(config.member, config.incarnation, random, ClaimTimings(), now)
+        self.claims = ClaimsNode(
+            config.member, config.incarnation, random_source, ClaimTimings(), now
+        )
         self.results: list[Result] = []
-        self.wake_at: list[float] = []
+        self.wake_times: list[float] = []
 
     def handle(self, event: Input | LocalInput, now: float) -> list[Effect]:
-        """Apply one input to the part it is for, or to both."""
+        """Apply an input to the node's machine, to the claim service, or to both."""
         match event:
             case ClaimRequested() | RenewalRequested() | OutcomeReached() | ReleaseRequested():
                 return self._feed_claims(event, now)
-            case CallReceived(_, _, message) if _is_of_claims(message):
+            case CallReceived(_, _, message) if _is_claims_message(message):
                 return self._feed_claims(event, now)
-            case CallReplied(token, message) if token.startswith(CLAIMS_TOKEN):
-                replied = CallReplied(token.removeprefix(CLAIMS_TOKEN), message)
+            case CallReplied(token, message) if token.startswith(CLAIMS_TOKEN_PREFIX):
+                replied = CallReplied(token.removeprefix(CLAIMS_TOKEN_PREFIX), message)
                 return self._feed_claims(replied, now)
-            case CallFailed(token, reason) if token.startswith(CLAIMS_TOKEN):
-                failed = CallFailed(token.removeprefix(CLAIMS_TOKEN), reason)
+            case CallFailed(token, reason) if token.startswith(CLAIMS_TOKEN_PREFIX):
+                failed = CallFailed(token.removeprefix(CLAIMS_TOKEN_PREFIX), reason)
                 return self._feed_claims(failed, now)
         effects = super().handle(event, now)
-        effects.extend(self._follow_control_state(now))
+        effects.extend(self._forward_control_state_changes(now))
         if isinstance(event, Tick):
             effects.extend(self._feed_claims(event, now))
         return effects
 
-    def _follow_control_state(self, now: float) -> list[Effect]:
+    def _forward_control_state_changes(self, now: float) -> list[Effect]:
         changes = self.take_changes()
         effects: list[Effect] = []
         if changes.members:
@@ -96,19 +99,19 @@
         for effect in self.claims.handle(event, now):
             match effect:
                 case Call(to) if to == self._member:
-                    effects.extend(self._call_itself(effect, now))
+                    effects.extend(self._handle_call_to_self(effect, now))
                 case Call(to, token, message, timeout_s):
-                    effects.append(Call(to, CLAIMS_TOKEN + token, message, timeout_s))
+                    effects.append(Call(to, CLAIMS_TOKEN_PREFIX + token, message, timeout_s))
                 case Decided() | Confirmed():
                     self.results.append(effect)
                 case WakeAt(at):
-                    self.wake_at.append(at)
+                    self.wake_times.append(at)
                 case _:
                     effects.append(effect)
         return effects
 
-    def _call_itself(self, call: Call, now: float) -> list[Effect]:
-        """Handle a call of this node to itself."""
+    def _handle_call_to_self(self, call: Call, now: float) -> list[Effect]:
+        """Handle a call from the claim service to its own node without sending a message."""
         effects: list[Effect] = []
         received = CallReceived(MemberId(self._member), call.token, call.message)
         for effect in self._feed_claims(received, now):
@@ -119,5 +122,5 @@
         return effects
 
 
-def _is_of_claims(message: Any) -> bool:
-    return str(message.MESSAGE_NAME).startswith(CLAIMS_MESSAGES)
+def _is_claims_message(message: Any) -> bool:
+    return str(message.MESSAGE_NAME).startswith(CLAIMS_MESSAGE_PREFIX)
--- a/src/zincvale/simulator/commands.py
+++ b/src/zincvale/simulator/commands.py
@@ -20,9 +20,9 @@
 from zincvale.simulator.register_exploration import explore_register, walk_register
 from zincvale.simulator.schedules.drawing import draw_schedule
 from zincvale.simulator.schedules.exploring import (
-    JOBS_LIMIT,
-    explore_here,
-    explore_with_jobs,
+    MAX_JOBS,
+    explore_in_process,
+    explore_in_workers,
     parse_seeds,
     shrink_failure,
 )
@@ -50,11 +50,11 @@
             shrink: search the smallest schedule that breaks the same invariant.
             save: folder for the (shrunk) schedules of failing seeds.
         """
-        if not 1 <= jobs <= JOBS_LIMIT:
-            raise InvalidInputError(f"jobs is {jobs}", f"choose 1 to {JOBS_LIMIT}")
+        if not 1 <= jobs <= MAX_JOBS:
+            raise InvalidInputError(f"jobs is {jobs}", f"choose 1 to {MAX_JOBS}")
         chosen = parse_seeds(seeds)
         began = time.process_time()
-        outcomes = explore_here(chosen) if jobs == 1 else explore_with_jobs(chosen, jobs)
+        outcomes = explore_in_process(chosen) if jobs == 1 else explore_in_workers(chosen, jobs)
         seen = []
         for outcome in outcomes:
             seen.append(outcome)
--- a/src/zincvale/simulator/mutations/mutations.py
+++ b/src/zincvale/simulator/mutations/mutations.py
@@ -1,8 +1,8 @@
-"""Deliberate mistakes in the machines, applied from outside, to prove that the checks can fail.
+"""Runs schedules under mutations, which prove that the invariant checks can fail.
 
-Each is a context manager that patches one decision. `simulate mutations` and the tests hold that
-every one of them breaks an invariant: under a seed's schedule, in a directed scenario, or in the
-exploration of the register.
+A mutation is a context manager that patches one decision of a state machine. `simulate mutations`
+and the tests check that each mutation violates an invariant: with the schedule of a seed, in a
+directed scenario, or in the exploration of a register.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def first_catch(mutation: Mutation, schedules: Iterable[Schedule]) -> Outcome | None:
-    """Return the first outcome that breaks an invariant under a mutation."""
+    """Return the outcome of the first schedule that violates an invariant under a mutation."""
     with mutation.apply():
         for schedule in schedules:
             outcome = run_schedule(schedule)
@@ -29,7 +29,7 @@
 
 
 def schedules_to_try(seeds: Iterable[int]) -> Iterator[Schedule]:
-    """Return every directed schedule, then those of the seeds."""
+    """Yield the schedules of all directed scenarios, then those of the seeds."""
     for name in SCENARIOS:
         yield from directed_schedules(name)
     for seed in seeds:
--- a/src/zincvale/simulator/mutations/registers.py
+++ b/src/zincvale/simulator/mutations/registers.py
@@ -1,4 +1,4 @@
-"""Deliberate mistakes in registers, their storage and their answers."""
+"""Mutations of registers, of their storage and of their responses."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 @mutation("majority-of-one", "one replica counts as a majority")
 @contextlib.contextmanager
 def majority_of_one() -> Iterator[None]:
-    """Every quorum is reached by one."""
+    """A single replica forms every quorum."""
     with (
         mock.patch.object(replica_config, "majority", lambda size: 1),
         mock.patch.object(member_lease, "majority", lambda size: 1),
@@ -34,81 +34,83 @@
         yield
 
 
-@mutation("answer-before-sync", "a replica answers before its disk took the write")
+@mutation("answer-before-sync", "a replica responds before its write is durable")
 @contextlib.contextmanager
 def answer_before_sync() -> Iterator[None]:
-    """Answers leave together with the write."""
+    """Responses are sent together with the write instead of after it."""
     original = RegisterReplica._start
 
-    def eager(self: Any, key: str, slot: Any, sender: Any, request: Any) -> Any:
+    def respond_before_sync(self: Any, key: str, slot: Any, sender: Any, request: Any) -> Any:
         effects = original(self, key, slot, sender, request)
-        early = []
+        reordered = []
         for effect in effects:
-            early.append(effect)
+            reordered.append(effect)
             if isinstance(effect, Write) and slot.in_flight is not None:
-                early.extend(slot.in_flight.responses)
+                reordered.extend(slot.in_flight.responses)
                 slot.in_flight = attrs.evolve(slot.in_flight, responses=[])
-        return early
+        return reordered
 
-    with mock.patch.object(RegisterReplica, "_start", eager):
+    with mock.patch.object(RegisterReplica, "_start", respond_before_sync):
         yield
 
 
 @mutation("no-sync", "version files are renamed and their folder is not synced")
 @contextlib.contextmanager
 def no_folder_sync() -> Iterator[None]:
-    """Names of record files are lost with the power."""
+    """A power loss can remove the names of record files."""
     original = VersionFiles._write_file
 
-    def unsynced(self: Any, folder: Any, name: str, content: bytes) -> None:
+    def write_without_folder_sync(self: Any, folder: Any, name: str, content: bytes) -> None:
         if not name.isdigit():
             original(self, folder, name, content)
             return
         self._disk.write_synced(folder / f"{name}.aside", content)
         self._disk.rename(folder / f"{name}.aside", folder / name)
 
-    with mock.patch.object(VersionFiles, "_write_file", unsynced):
+    with mock.patch.object(VersionFiles, "_write_file", write_without_folder_sync):
         yield
 
 
-@mutation("skip-promise", "a replica takes writes below the epoch it promised")
+@mutation("skip-promise", "a replica accepts writes below the epoch it promised")
 @contextlib.contextmanager
 def skip_promise() -> Iterator[None]:
-    """Accepts are not held against the promise."""
+    """A replica accepts writes with an epoch lower than the one that it promised."""
     original = RegisterReplica._start_accept
 
-    def careless(self: Any, key: str, slot: Any, sender: Any, epoch: Any, update: Any) -> Any:
+    def accept_below_promise(
+        self: Any, key: str, slot: Any, sender: Any, epoch: Any, update: Any
+    ) -> Any:
         if epoch < slot.state.promised:
             slot.state = attrs.evolve(slot.state, promised=epoch)
             if update.base is not None and update.base != slot.state.record.position:
                 slot.state = attrs.evolve(slot.state, promised=epoch)
         return original(self, key, slot, sender, epoch, update)
 
-    with mock.patch.object(RegisterReplica, "_start_accept", careless):
+    with mock.patch.object(RegisterReplica, "_start_accept", accept_below_promise):
         yield
 
 
-@mutation("volatile-promise", "a promise is answered and kept in memory only")
+@mutation("volatile-promise", "a promise is sent but kept in memory only")
 @contextlib.contextmanager
 def volatile_promise() -> Iterator[None]:
-    """A restart forgets promises."""
+    """A replica loses its promises when it restarts."""
     original = RegisterReplica._start_prepare
 
-    def forgetful(self: Any, key: str, slot: Any, sender: Any, request: Any) -> Any:
+    def promise_without_write(self: Any, key: str, slot: Any, sender: Any, request: Any) -> Any:
         if request.epoch <= slot.state.promised:
             return original(self, key, slot, sender, request)
         slot.state = attrs.evolve(slot.state, promised=request.epoch)
         record = slot.state.record.to_update()
         return [Send(sender, Promise(key, self._disk, request.epoch, record))]
 
-    with mock.patch.object(RegisterReplica, "_start_prepare", forgetful):
+    with mock.patch.object(RegisterReplica, "_start_prepare", promise_without_write):
         yield
 
 
-@mutation("empty-disk-votes", "the vote is the member's, whatever disk it has")
+@mutation("empty-disk-votes", "the vote belongs to the member, whatever disk it has")
 @contextlib.contextmanager
 def empty_disk_votes() -> Iterator[None]:
-    """Every disk of a member counts as the declared one."""
+    """Every disk of a member votes as if it were the declared one."""
 
     def any_disk(member: str, disk: str) -> str:
         return f"{member}/any"
@@ -127,75 +129,75 @@
         yield
 
 
-@mutation("no-write-again", "a new owner serves what it read without writing it again")
+@mutation("no-write-again", "a new owner serves its own record without adopting the newest one")
 @contextlib.contextmanager
 def no_adoption() -> Iterator[None]:
-    """A new owner starts from its own last record, not from the newest among the promises."""
+    """A new owner starts from its own last record, not from the newest record in the promises."""
     original = RegisterOwner._handle_promise
 
-    def ignorant(self: Any, sender: Any, message: Promise, now: float) -> Any:
+    def keep_own_record(self: Any, sender: Any, message: Promise, now: float) -> Any:
         own = self._record
         if own.position.version and own.position < message.record.position:
             message = attrs.evolve(message, record=own.to_update())
         return original(self, sender, message, now)
 
-    with mock.patch.object(RegisterOwner, "_handle_promise", ignorant):
+    with mock.patch.object(RegisterOwner, "_handle_promise", keep_own_record):
         yield
 
 
 @mutation("forget-orders", "a new owner forgets the orders that were accepted before it")
 @contextlib.contextmanager
 def forget_orders() -> Iterator[None]:
-    """Resent orders are evaluated as new ones after a change of owner."""
+    """A new owner applies resent orders again, since it lost the idempotency entries."""
     original = RegisterOwner._handle_promise
 
-    def forgetful(self: Any, sender: Any, message: Promise, now: float) -> Any:
+    def drop_idempotency_entries(self: Any, sender: Any, message: Promise, now: float) -> Any:
         record = attrs.evolve(message.record, idempotency_entries=[])
         return original(self, sender, attrs.evolve(message, record=record), now)
 
-    with mock.patch.object(RegisterOwner, "_handle_promise", forgetful):
+    with mock.patch.object(RegisterOwner, "_handle_promise", drop_idempotency_entries):
         yield
 
 
-@mutation("ignore-base", "a change is taken on any version")
+@mutation("ignore-base", "a change is accepted on any version")
 @contextlib.contextmanager
 def ignore_base() -> Iterator[None]:
-    """Racing changes on one version all win."""
+    """All racing changes on one base version are accepted."""
     original = change_batch.ChangeBatch.add
 
-    def careless(self: Any, token: str, proposal: Any) -> Any:
+    def add_without_base(self: Any, token: str, proposal: Any) -> Any:
         return original(self, token, attrs.evolve(proposal, base_version=None))
 
-    with mock.patch.object(change_batch.ChangeBatch, "add", careless):
+    with mock.patch.object(change_batch.ChangeBatch, "add", add_without_base):
         yield
 
 
-@mutation("deliver-unchosen", "cores show values that no majority has yet")
+@mutation("deliver-unchosen", "cores show values that no majority has accepted yet")
 @contextlib.contextmanager
 def deliver_unchosen() -> Iterator[None]:
-    """What an owner asks a replica to accept is shown at once."""
+    """A core shows a value as soon as an owner asks its replica to accept it."""
     original = ChosenValues.handle_accept
 
-    def eager(self: Any, message: Any, now: float) -> None:
+    def record_unchosen(self: Any, message: Any, now: float) -> None:
         original(self, message, now)
         before = self._context.replica.state(message.key).record
         record = apply_update(before, message.update)
         if record is not None:
             self.record_chosen(message.key, record.position.version, record.rows, now)
 
-    with mock.patch.object(ChosenValues, "handle_accept", eager):
+    with mock.patch.object(ChosenValues, "handle_accept", record_unchosen):
         yield
 
 
 @mutation("replica-forgets-epoch", "an owner reuses the lowest epoch numbers after a restart")
 @contextlib.contextmanager
 def epochs_restart() -> Iterator[None]:
-    """A replica promises any epoch anew."""
+    """A replica promises every epoch, including those lower than one that it promised before."""
     original = RegisterReplica._start_prepare
 
-    def forgetful(self: Any, key: str, slot: Any, sender: Any, request: Any) -> Any:
+    def promise_any_epoch(self: Any, key: str, slot: Any, sender: Any, request: Any) -> Any:
         slot.state = attrs.evolve(slot.state, promised=Epoch())
         return original(self, key, slot, sender, request)
 
-    with mock.patch.object(RegisterReplica, "_start_prepare", forgetful):
+    with mock.patch.object(RegisterReplica, "_start_prepare", promise_any_epoch):
         yield
--- a/src/zincvale/simulator/mutations/registry.py
+++ b/src/zincvale/simulator/mutations/registry.py
@@ -1,4 +1,4 @@
-"""The list of deliberate mistakes; see `mutations`."""
+"""The registry of mutations; see `mutations`."""
 
 from __future__ import annotations
 
@@ -9,32 +9,33 @@
 import attrs
 
 Patch = Callable[[], contextlib.AbstractContextManager[Any]]
+"""Returns a context manager that applies a mutation for its duration."""
 
 
 @attrs.frozen
 class Mutation:
-    """One mistake.
+    """A deliberate defect in the daemons' code.
 
     Attributes
     ----------
     name : short name.
-    mistake : what the mutated code does wrong.
-    apply : patches it in, and out again.
+    defect : what the mutated code does wrong.
+    apply : returns a context manager that applies the mutation.
     """
 
     name: str
-    mistake: str
+    defect: str
     apply: Patch
 
 
 MUTATIONS: dict[str, Mutation] = {}
 
 
-def mutation(name: str, mistake: str) -> Callable[[Patch], Patch]:
-    """Register the context manager below."""
+def mutation(name: str, defect: str) -> Callable[[Patch], Patch]:
+    """Return a decorator that registers a context manager as a mutation."""
 
     def register(apply: Patch) -> Patch:
-        MUTATIONS[name] = Mutation(name, mistake, apply)
+        MUTATIONS[name] = Mutation(name, defect, apply)
         return apply
 
     return register
--- a/src/zincvale/simulator/schedules/directed.py
+++ b/src/zincvale/simulator/schedules/directed.py
@@ -1,6 +1,7 @@
-"""Scenarios that operators name: each a schedule written by hand, run under several seeds.
+"""Hand-written scenarios of known failure modes, each run under several seeds.
 
-Seeds decide who owns what and who holds the role; so a scenario is tried with each core in turn.
+The seed decides which core owns a register and which one leads a role. A scenario is therefore run
+with each core in the principal part.
 """
 
 from __future__ import annotations
@@ -11,16 +12,18 @@
 from zincvale.simulator.schedules.schedule import Schedule, Step
 
 NODES = 3
+"""Number of nodes in a scenario."""
 FIRST_SEED = 9001
 SEEDS_PER_CORE = 3
+"""Number of seeds under which a scenario runs with the same core in the principal part."""
 
 Scenario = Callable[[int], tuple[Step, ...]]
-"""Returns the steps in which the core of that index has the main part."""
+"""Returns the steps of a scenario in which the core at the given index has the principal part."""
 
 _NODES = tuple(f"node-{index + 1}" for index in range(NODES))
 
 
-def _others(core_index: int) -> tuple[str, ...]:
+def _other_cores(core_index: int) -> tuple[str, ...]:
     return tuple(core for core in CORES if core != CORES[core_index])
 
 
@@ -29,16 +32,16 @@
 
 
 def cut_holder_and_restarted_grantors(core_index: int) -> tuple[Step, ...]:
-    """The role's holder is cut off and the other cores restart at once."""
+    """A core, which may lead the role, is partitioned and the other cores restart at once."""
     one = CORES[core_index]
     return (
         Step(3.0, "cut", (one,), CORES, 9.0),
-        Step(3.05, "kill", _others(core_index), (), 0.1),
+        Step(3.05, "kill", _other_cores(core_index), (), 0.1),
     )
 
 
 def cut_node_and_restarted_cores(core_index: int) -> tuple[Step, ...]:
-    """A node is cut off, every core restarts, and a change comes at once."""
+    """A node is partitioned, every core restarts, and a change is sent immediately afterwards."""
     return (
         _change(0.5, CORES[core_index]),
         Step(2.0, "cut", (_NODES[core_index],), (), 4.0),
@@ -49,18 +52,18 @@
 
 
 def cut_node_and_restarted_majority(core_index: int) -> tuple[Step, ...]:
-    """A node is cut off, two cores restart, and a change comes at once through the third."""
+    """A node is partitioned, two cores restart, and the third gets a change immediately."""
     return (
         _change(0.5, CORES[core_index]),
         Step(2.0, "cut", (_NODES[core_index],), (), 4.0),
-        Step(2.01, "kill", _others(core_index), (), 0.02),
+        Step(2.01, "kill", _other_cores(core_index), (), 0.02),
         _change(2.05, CORES[core_index]),
         _change(2.3, CORES[core_index]),
     )
 
 
 def stale_node_and_restarted_cores(core_index: int) -> tuple[Step, ...]:
-    """A node misses a change, every core restarts, and the node comes back at that moment."""
+    """A node misses a change, and every core restarts when the partition of the node ends."""
     return (
         _change(0.5, CORES[core_index]),
         Step(2.0, "cut", (_NODES[core_index],), (), 4.0),
@@ -70,8 +73,8 @@
 
 
 def disk_lost_after_acknowledgement(core_index: int) -> tuple[Step, ...]:
-    """One core misses a change, and one that has it loses its disk after the acknowledgement."""
-    one, (other, third) = CORES[core_index], _others(core_index)
+    """A core misses a change, and another that stores it loses its disk after acknowledging it."""
+    one, (other, third) = CORES[core_index], _other_cores(core_index)
     return (
         _change(0.5, one),
         Step(1.0, "cut", (third,), (), 3.0),
@@ -84,21 +87,21 @@
 
 
 def change_below_a_majority(core_index: int) -> tuple[Step, ...]:
-    """An owner's change reaches itself alone; then it becomes unresponsive and the others go on."""
+    """A partitioned owner stores changes on its own disk only, while the other cores continue."""
     one = CORES[core_index]
     return (
         _change(0.5, one),
         Step(1.999, "cut", (one,), CORES, 4.0),
         _change(2.0, one),
         _change(2.3, one),
-        _change(3.2, _others(core_index)[0]),
-        _change(4.5, _others(core_index)[1]),
+        _change(3.2, _other_cores(core_index)[0]),
+        _change(4.5, _other_cores(core_index)[1]),
     )
 
 
 def second_loss_after_repair(core_index: int) -> tuple[Step, ...]:
-    """A lost disk is replaced; the moment this is done, a second one is lost."""
-    one, (other, third) = CORES[core_index], _others(core_index)
+    """Each core loses its disk, the next one as soon as the previous replica has been replaced."""
+    one, (other, third) = CORES[core_index], _other_cores(core_index)
     return (
         _change(0.5, one),
         Step(1.0, "lose-disk", (one,), (), 0.5),
@@ -111,35 +114,37 @@
 
 
 def seeds_replaced_one_by_one(core_index: int) -> tuple[Step, ...]:
-    """Every first core is replaced by an empty one at a new address."""
+    """Every initial core is replaced, one by one, by an empty one at a new address."""
     replacements = tuple(
-        Step(1.0 + 16.0 * turn, "replace", ("core:0",), (), 1.0) for turn in (0, 1, 2)
+        Step(1.0 + 16.0 * index, "replace", ("core:0",), (), 1.0) for index in (0, 1, 2)
+    )
+    changes = tuple(
+        _change(0.5 + 8.0 * index, CORES[(core_index + index) % 3]) for index in range(6)
     )
-    changes = tuple(_change(0.5 + 8.0 * turn, CORES[(core_index + turn) % 3]) for turn in range(6))
     return (*replacements, *changes)
 
 
 def twenty_silent_seconds(core_index: int) -> tuple[Step, ...]:
-    """A core freezes for 20 s while changes go on."""
+    """A core freezes for 20 s while changes go through another, then gets a change itself."""
     return (
         Step(1.0, "freeze", (CORES[core_index],), (), 20.0),
-        *(_change(at_s, _others(core_index)[0]) for at_s in (2.0, 5.0, 10.0, 15.0)),
+        *(_change(at_s, _other_cores(core_index)[0]) for at_s in (2.0, 5.0, 10.0, 15.0)),
         Step(21.01, "change-on-base", (CORES[core_index],)),
     )
 
 
 def cut_in_two(core_index: int) -> tuple[Step, ...]:
-    """The core and the nodes are cut in two; changes are tried on both sides."""
+    """A core and a node are partitioned from the rest; both sides get changes."""
     inside = (CORES[core_index], _NODES[core_index])
     return (
         Step(1.0, "cut", inside, (), 6.0),
-        *(_change(at_s, CORES[turn]) for turn, at_s in enumerate((1.5, 1.6, 1.7))),
+        *(_change(at_s, CORES[index]) for index, at_s in enumerate((1.5, 1.6, 1.7))),
         Step(3.0, "race", (CORES[core_index],)),
     )
 
 
 def power_lost_everywhere(core_index: int) -> tuple[Step, ...]:
-    """Every machine loses its power right after acknowledgements."""
+    """Every machine loses power right after changes are acknowledged, and again after a resend."""
     return (
         _change(0.5, CORES[core_index]),
         Step(1.0, "burst", (CORES[core_index],)),
@@ -151,12 +156,12 @@
 
 
 def orders_resent_to_new_owners(core_index: int) -> tuple[Step, ...]:
-    """Cores die one after the other while racing and old orders come through all of them."""
+    """Cores are killed one after the other, while they get racing changes and resent orders."""
     kills = tuple(
-        Step(1.5 + 3.0 * turn, "kill", (CORES[(core_index + turn) % 3],), (), 2.5)
-        for turn in range(3)
+        Step(1.5 + 3.0 * index, "kill", (CORES[(core_index + index) % 3],), (), 2.5)
+        for index in range(3)
     )
-    resends = tuple(Step(3.0 + turn, "resend", amount=0.07 * turn) for turn in range(7))
+    resends = tuple(Step(3.0 + index, "resend", amount=0.07 * index) for index in range(7))
     return (
         Step(0.5, "burst", (CORES[core_index],)),
         Step(1.0, "race", (CORES[core_index],)),
@@ -167,8 +172,8 @@
 
 
 def owner_returns(core_index: int) -> tuple[Step, ...]:
-    """An owner is cut off while changes go on, returns, and owns again what it once owned."""
-    one, (other, third) = CORES[core_index], _others(core_index)
+    """An owner is partitioned while changes continue, returns, and becomes the owner again."""
+    one, (other, third) = CORES[core_index], _other_cores(core_index)
     return (
         _change(0.5, one),
         Step(1.0, "cut", (one,), (), 4.0),
@@ -182,7 +187,7 @@
 
 
 def every_disk_lost(core_index: int) -> tuple[Step, ...]:
-    """Every core loses its disk; the nodes give back what was acknowledged."""
+    """Every core loses its disk; the acknowledged changes are recovered from the nodes."""
     return (
         _change(0.5, CORES[core_index]),
         _change(1.0, CORES[core_index]),
@@ -211,14 +216,15 @@
 
 
 def directed_schedules(name: str) -> list[Schedule]:
-    """Return a scenario with each core in its main part, under several seeds.
+    """Return the schedules of a scenario: each core in the principal part, under several seeds.
 
-    The seeds decide who owns what."""
+    The seed decides which core owns which register.
+    """
     schedules = []
-    for turn in range(len(CORES) * SEEDS_PER_CORE):
-        core_index = turn % len(CORES)
+    for index in range(len(CORES) * SEEDS_PER_CORE):
+        core_index = index % len(CORES)
         steps = SCENARIOS[name](core_index)
         length_s = max(step.at_s + step.for_s for step in steps) + 0.5
         ordered = tuple(sorted(steps, key=lambda step: step.at_s))
-        schedules.append(Schedule(FIRST_SEED + turn, NODES, length_s, False, ordered))
+        schedules.append(Schedule(FIRST_SEED + index, NODES, length_s, False, ordered))
     return schedules
--- a/src/zincvale/simulator/schedules/exploring.py
+++ b/src/zincvale/simulator/schedules/exploring.py
@@ -1,7 +1,8 @@
-"""Runs many seeds, in this process or in a few worker processes.
+"""Runs the schedules of many seeds, in this process or in worker processes.
 
-A worker is this module run as a program: first seed, end and step as arguments, one outcome as a
-JSON line each on its output."""
+A worker runs this module as a program. Its arguments are the start, stop and step of its range of
+seeds; it prints each outcome as one line of JSON.
+"""
 
 from __future__ import annotations
 
@@ -19,35 +20,36 @@
 from zincvale.simulator.schedules.schedule import Schedule
 from zincvale.simulator.schedules.shrink import Shrinker
 
-SEED_RANGE_SIGN = ".."
-JOBS_LIMIT = 4
+SEED_RANGE_SEPARATOR = ".."
+MAX_JOBS = 4
+"""Maximum number of worker processes."""
 
 
 def parse_seeds(text: str) -> range:
-    """Return the seeds of `A..B`, both included; raises `InvalidInputError`."""
-    first, sign, last = str(text).partition(SEED_RANGE_SIGN)
-    if not first.isdigit() or (sign and not last.isdigit()):
+    """Return the seeds of the range `A..B`, inclusive; raises `InvalidInputError`."""
+    start, separator, end = str(text).partition(SEED_RANGE_SEPARATOR)
+    if not start.isdigit() or (separator and not end.isdigit()):
         raise InvalidInputError(
-            f"{text!r} is no range of seeds", "write it as A..B, for example 1..500"
+            f"{text!r} is not a range of seeds", "write it as A..B, for example 1..500"
         )
-    return range(int(first), int(last or first) + 1)
+    return range(int(start), int(end or start) + 1)
 
 
-def explore_here(seeds: Iterable[int]) -> Iterator[Outcome]:
-    """Run seeds one after the other."""
+def explore_in_process(seeds: Iterable[int]) -> Iterator[Outcome]:
+    """Run seeds one after the other in this process and yield their outcomes."""
     for seed in seeds:
         yield run_schedule(draw_schedule(seed))
 
 
-def explore_with_jobs(seeds: range, jobs: int) -> Iterator[Outcome]:
-    """Spread seeds over worker processes and yield the outcomes that they print."""
+def explore_in_workers(seeds: range, jobs: int) -> Iterator[Outcome]:
+    """Distribute seeds over worker processes and yield the outcomes that they print."""
     workers = [_start_worker(seeds[job::jobs]) for job in range(jobs)]
     selector = selectors.DefaultSelector()
     try:
         for worker in workers:
             assert worker.stdout is not None
             selector.register(worker.stdout, selectors.EVENT_READ)
-        # All pipes are read as they fill: a worker whose pipe is full would stand still.
+        # All pipes are read as they fill, since a worker blocks while its pipe is full.
         while selector.get_map():
             for key, _ in selector.select():
                 line = key.fileobj.readline()  # type: ignore[union-attr]
@@ -77,17 +79,17 @@
 def shrink_failure(
     schedule: Schedule, invariant: str, run: Callable[[Schedule], Outcome] = run_schedule
 ) -> tuple[Schedule, int]:
-    """Return the smallest schedule found that breaks the same invariant, and the runs it took."""
+    """Return the smallest schedule found that violates the same invariant, and the runs needed."""
     shrinker = Shrinker(lambda candidate: run(candidate).invariant == invariant)
     return shrinker.shrink(schedule), shrinker.runs
 
 
-def _work(arguments: list[str]) -> None:
+def _run_worker(arguments: list[str]) -> None:
     start, stop, step = map(int, arguments)
-    for outcome in explore_here(range(start, stop, step)):
+    for outcome in explore_in_process(range(start, stop, step)):
         sys.stdout.buffer.write(orjson.dumps(attrs.asdict(outcome)) + b"\n")
         sys.stdout.flush()
 
 
 if __name__ == "__main__":
-    _work(sys.argv[1:])
+    _run_worker(sys.argv[1:])
--- a/src/zincvale/simulator/schedules/run.py
+++ b/src/zincvale/simulator/schedules/run.py
@@ -1,4 +1,4 @@
-"""Runs one schedule and checks its invariants."""
+"""Runs one schedule on a simulated cluster and checks the invariants."""
 
 from __future__ import annotations
 
@@ -22,24 +22,32 @@
 from zincvale.simulator.schedules.schedule import Schedule, Step
 
 ROLES = ("placer",)
+"""Singleton roles of the simulated cluster."""
 START_LIMIT_S = 12.0
+"""Time within which every node of a new cluster must be ready."""
 RECOVERY_LIMIT_S = 12.0
-"""After everything is healed, changes are accepted and every node is ready within this."""
+"""Time after healing within which a change is accepted and every node is ready."""
 ROLE_LIMIT_S = 16.0
-"""After everything is healed, every singleton role has a leader within this: a lease may have to
-run out, restarted grantors wait as long, and candidates take turns."""
+"""Time after healing within which every singleton role has a leader: a lease may have to expire,
+restarted grantors wait for as long, and candidates stagger their attempts."""
 SETTLE_S = 2.0
+"""Time after recovery within which every member must hold the acknowledged version."""
 
 
 @attrs.frozen
 class Outcome:
-    """What a run showed.
+    """The result of running a schedule.
 
     Attributes
     ----------
-    invariant : the broken one's short name; empty when all held.
-    problem : what was seen.
-    recovery_s : from the healing to full service; None when too many disks were lost for it.
+    invariant : short name of the violated invariant; empty if all held.
+    problem : description of the violation.
+    at_s : virtual time at which the run ended.
+    steps : number of simulated events.
+    acknowledged : highest acknowledged version.
+    attempts : number of requests that the operators sent.
+    recovery_s : time from healing to full service; None if it was not reached, for instance
+        because too many disks were lost.
     """
 
     seed: int
@@ -67,16 +75,16 @@
         self._recovery_s: float | None = None
 
     def execute(self) -> Outcome:
-        """Run everything; a broken invariant or a failed handler ends the run."""
+        """Run the schedule; a violated invariant or an exception in a handler ends the run."""
         try:
             self._start()
             self._run_steps()
             self._heal()
             self._check_history()
-        except InvariantViolationError as broken:
-            return self._outcome(broken.invariant, str(broken))
+        except InvariantViolationError as violation:
+            return self._outcome(violation.invariant, str(violation))
         except Exception as error:
-            # A defect of a machine under test may raise anything: it is the finding of the run.
+            # A defect in a state machine under test may raise anything; the outcome reports it.
             stack = traceback.format_exc(limit=-4)
             return self._outcome("handler-failed", f"{error!r}\n{stack}")
         return self._outcome()
@@ -95,7 +103,7 @@
 
     def _start(self) -> None:
         self._publisher.start()
-        if not self.simulation.run_until(START_LIMIT_S, self._all_ready):
+        if not self.simulation.run_until(START_LIMIT_S, self._all_nodes_ready):
             raise InvariantViolationError("not-started", f"after {START_LIMIT_S:g} s")
 
     def _run_steps(self) -> None:
@@ -128,14 +136,16 @@
         end = healed_at + RECOVERY_LIMIT_S
 
         def is_recovered() -> bool:
-            return self._is_accepted(probe.order) and self._all_ready()
+            return self._is_accepted(probe.order) and self._all_nodes_ready()
 
         if not self.simulation.run_until(end, is_recovered):
-            raise InvariantViolationError("not-recovered", self._describe_missing(probe.order))
+            raise InvariantViolationError(
+                "not-recovered", self._describe_incomplete_recovery(probe.order)
+            )
         self._recovery_s = round(self.simulation.now - healed_at, 3)
         self.simulation.run_until(self.simulation.now + SETTLE_S)
-        self._check_all_members_are_current()
-        if not self.simulation.run_until(healed_at + ROLE_LIMIT_S, self._all_roles_led):
+        self._check_every_member_is_current()
+        if not self.simulation.run_until(healed_at + ROLE_LIMIT_S, self._all_roles_have_a_leader):
             raise InvariantViolationError("no-holder", f"{ROLE_LIMIT_S:g} s after healing")
 
     def _is_accepted(self, order: int) -> bool:
@@ -145,14 +155,14 @@
             if attempt.order == order
         )
 
-    def _all_ready(self) -> bool:
+    def _all_nodes_ready(self) -> bool:
         for member in self.cluster.nodes:
             process = self.cluster.running_process(member)
             if process is None or not process.machine.ready(process.local(self.simulation.now)):
                 return False
         return True
 
-    def _all_roles_led(self) -> bool:
+    def _all_roles_have_a_leader(self) -> bool:
         cores = [
             each for each in self.simulation.processes.values() if each.kind is ProcessKind.CORE
         ]
@@ -163,17 +173,17 @@
             for role in ROLES
         )
 
-    def _describe_missing(self, order: int) -> str:
-        accepted = "accepted" if self._is_accepted(order) else "not accepted"
+    def _describe_incomplete_recovery(self, order: int) -> str:
+        acceptance = "accepted" if self._is_accepted(order) else "not accepted"
         unready = [
             member
             for member, process in self.simulation.processes.items()
             if process.kind is ProcessKind.NODE
             and not process.machine.ready(process.local(self.simulation.now))
         ]
-        return f"{RECOVERY_LIMIT_S:g} s after healing: change {accepted}, unready {unready}"
+        return f"{RECOVERY_LIMIT_S:g} s after healing: change {acceptance}, unready {unready}"
 
-    def _check_all_members_are_current(self) -> None:
+    def _check_every_member_is_current(self) -> None:
         for member, process in self.simulation.processes.items():
             version = process.machine.value(INTENT_KEY).version
             if version < self.checker.acknowledged_version:
@@ -189,5 +199,5 @@
 
 
 def run_schedule(schedule: Schedule) -> Outcome:
-    """Run a schedule and return what it showed."""
+    """Run a schedule and return its outcome."""
     return Run(schedule).execute()
--- a/src/zincvale/simulator/schedules/schedule.py
+++ b/src/zincvale/simulator/schedules/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules: everything that happens to a simulated cluster, as a list that can be shortened."""
+"""Schedules: the faults and operations of a simulation as a list of steps that can be shrunk."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 
 @attrs.frozen
 class Step:
-    """One fault or operation.
+    """One fault or operation of a schedule.
 
     Attributes
     ----------
-    at_s : when, counted from when the cluster was ready.
-    action : name in `faults.FAULTS` or `operations.OPERATIONS`.
-    members, others : whom it concerns; cores by index (`core:0`), since they are replaced.
-    for_s : how long the fault lasts, or until the restart.
-    amount : a probability, or an order's number, by action.
+    at_s : time of the step, counted from when the cluster was ready.
+    action : a key of `faults.FAULTS` or `operations.OPERATIONS`.
+    members, others : members to which the action applies; cores are named by index (`core:0`),
+        since they are replaced.
+    for_s : duration of the fault, or time until the restart.
+    amount : a probability, or for `resend` the relative position of the order to resend.
     """
 
     at_s: float
@@ -28,12 +29,13 @@
 
 @attrs.frozen
 class Schedule:
-    """A seed and the steps that are taken under it.
+    """A seed, and the steps that are executed with it.
 
     Attributes
     ----------
-    seed : of the network, the clocks, the disks and the machines.
-    length_s : when everything is healed, counted from when the cluster was ready.
+    seed : seed of all random choices in the network, clocks, disks and state machines.
+    nodes : number of nodes.
+    length_s : time at which all faults are healed, counted from when the cluster was ready.
     uses_codec : whether every message passes through the Avro codec.
     """
 
@@ -49,7 +51,7 @@
 
 
 def describe(schedule: Schedule) -> list[str]:
-    """Return the schedule as lines for a reader."""
+    """Return the schedule as lines of readable text."""
     lines = [
         f"seed {schedule.seed}, {schedule.nodes} nodes, healed at {schedule.length_s:.2f} s"
         f"{', through the codec' if schedule.uses_codec else ''}"
--- a/src/zincvale/simulator/schedules/schedule_files.py
+++ b/src/zincvale/simulator/schedules/schedule_files.py
@@ -1,4 +1,4 @@
-"""Schedules as JSON files."""
+"""Reads and writes schedules as JSON files."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass
 class StepFile(Checked):
-    """A step as written in a file."""
+    """A step in the format of the file."""
 
     at_s: float
     action: str
@@ -29,7 +29,7 @@
 
 @dataclass
 class ScheduleFile(Checked):
-    """A schedule as written in a file."""
+    """A schedule in the format of the file."""
 
     seed: int
     nodes: int
@@ -39,29 +39,30 @@
 
 
 def write_schedule(schedule: Schedule, path: Path) -> None:
-    """Save a schedule."""
+    """Write a schedule to a file."""
     content = orjson.dumps(attrs.asdict(schedule), option=orjson.OPT_INDENT_2)
     path.write_bytes(content + b"\n")
 
 
 def read_schedule(path: Path) -> Schedule:
-    """Read a saved schedule; raises `InvalidInputError`."""
+    """Read a schedule from a file; raises `InvalidInputError` if it is missing or invalid."""
     try:
-        plain = orjson.loads(path.read_bytes())
+        decoded = orjson.loads(path.read_bytes())
     except (OSError, orjson.JSONDecodeError) as error:
         raise InvalidInputError(
-            f"{path}: {error}", "name a file that `simulate explore --save` wrote"
+            f"{path}: {error}", "specify a file that `simulate explore --save` wrote"
         ) from error
-    read = read_checked(ScheduleFile, plain, str(path))
+    read = read_checked(ScheduleFile, decoded, str(path))
     steps = tuple(_step(step, path) for step in read.steps)
     return Schedule(read.seed, read.nodes, read.length_s, read.uses_codec, steps)
 
 
 def _step(step: StepFile, path: Path) -> Step:
-    known = OPERATIONS.keys() | FAULTS.keys()
-    if step.action not in known:
+    known_actions = OPERATIONS.keys() | FAULTS.keys()
+    if step.action not in known_actions:
         raise InvalidInputError(
-            f"{path}: no action {step.action!r}", f"one of {', '.join(sorted(known))}"
+            f"{path}: unknown action {step.action!r}",
+            f"use one of {', '.join(sorted(known_actions))}",
         )
     return Step(
         step.at_s, step.action, tuple(step.members), tuple(step.others), step.for_s, step.amount
--- a/tests/simulator/claims/test_simulated_claims.py
+++ b/tests/simulator/claims/test_simulated_claims.py
@@ -1,4 +1,4 @@
-"""Claims over the real control state: no request runs twice; without their rules one does."""
+"""No request runs twice under claims; with a mutated claim rule one does, and it is detected."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 SEEDS = (1, 2)
 MUTATED_SEEDS = range(1, 6)
-"""Tried until one notices; the seeds hold without the mutation."""
+"""Seeds of which one must detect the mutation; every invariant holds on them without it."""
 
 
 class SimulatedClaimsTest(testtools.TestCase):
-    def test_nothing_runs_twice(self) -> None:
+    def test_no_request_runs_twice(self) -> None:
         for seed in SEEDS:
             outcome = run_claims(seed)
             self.assertEqual("", outcome.problem, seed)
             self.assertGreater(outcome.ran, 50)
             self.assertGreater(outcome.recorded, 50)
 
-    def test_a_voter_that_votes_without_reading_back_is_noticed(self) -> None:
+    def test_voter_that_votes_before_reading_back_its_state_is_detected(self) -> None:
         def try_to_complete(readiness: VoterReadiness, now: float) -> bool:
             readiness.completed_views.add(readiness.view_version)
             return False
 
         with mock.patch.object(VoterReadiness, "try_to_complete", try_to_complete):
-            noticed = any(run_claims(seed).invariant == "ran-twice" for seed in MUTATED_SEEDS)
-        self.assertTrue(noticed)
+            is_detected = any(run_claims(seed).invariant == "ran-twice" for seed in MUTATED_SEEDS)
+        self.assertTrue(is_detected)
 
-    def test_a_majority_of_one_is_noticed(self) -> None:
+    def test_majority_of_one_voter_is_detected(self) -> None:
         original = ClaimView.__init__
 
         def init(view: ClaimView, version: int, nodes: dict) -> None:  # type: ignore[type-arg]
--- a/tests/simulator/mutations/test_mutations.py
+++ b/tests/simulator/mutations/test_mutations.py
@@ -1,4 +1,4 @@
-"""Every deliberate mistake is noticed: by a scenario, or by the register's exploration."""
+"""Every mutation is detected by a directed scenario or by the exploration of a register."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 WALKS = 400
 WALK_SEED = 1
 STARTS = (2, 2)
-BY_THE_REGISTER = (
+MUTATIONS_DETECTED_BY_EXPLORATION = (
     "majority-of-one",
     "answer-before-sync",
     "skip-promise",
@@ -39,30 +39,35 @@
     "grantor-forgets-roles": "cut-holder-and-restarted-grantors",
     "role-grants-shared": "cut-in-two",
 }
-"""Scenarios that hold without the mutation (`test_directed`) and break under it."""
+"""Scenarios in which every invariant holds (`test_directed`), but not under the mutation."""
 
 
 class MutationsTest(testtools.TestCase):
-    def test_every_mutation_is_held_here(self) -> None:
-        held = {*BY_THE_REGISTER, *SCENARIO_BY_MUTATION}
-        self.assertEqual(set(MUTATIONS), held)
+    def test_every_mutation_has_a_detection_test(self) -> None:
+        tested = {*MUTATIONS_DETECTED_BY_EXPLORATION, *SCENARIO_BY_MUTATION}
+        self.assertEqual(set(MUTATIONS), tested)
 
-    def test_the_scenarios_notice(self) -> None:
-        """In a third of the schedules at least, as one of three was enough for one seed a core."""
+    def test_scenarios_detect_mutations(self) -> None:
+        """At least a third of a scenario's schedules must detect its mutation.
+
+        This corresponds to one core in the principal part out of three, with every seed.
+        """
         for name, scenario in SCENARIO_BY_MUTATION.items():
-            caught = [
+            detecting_seeds = [
                 schedule.seed
                 for schedule in directed_schedules(scenario)
                 if first_catch(MUTATIONS[name], [schedule]) is not None
             ]
-            self.assertGreaterEqual(len(caught), SEEDS_PER_CORE, f"{name}: {caught}")
+            self.assertGreaterEqual(
+                len(detecting_seeds), SEEDS_PER_CORE, f"{name}: {detecting_seeds}"
+            )
 
-    def test_the_register_notices(self) -> None:
-        for name in BY_THE_REGISTER:
+    def test_register_exploration_detects_mutations(self) -> None:
+        for name in MUTATIONS_DETECTED_BY_EXPLORATION:
             with MUTATIONS[name].apply():
                 found = walk_register(STARTS, WALKS, WALK_SEED)
             self.assertNotEqual("", found.problem, name)
 
-    def test_the_register_as_it_is_holds(self) -> None:
+    def test_register_exploration_finds_no_problem_without_mutations(self) -> None:
         self.assertEqual("", explore_register((1, 1), STATES).problem)
         self.assertEqual("", walk_register(STARTS, WALKS, WALK_SEED).problem)
--- a/tests/simulator/schedules/test_directed.py
+++ b/tests/simulator/schedules/test_directed.py
@@ -1,4 +1,4 @@
-"""Scenarios that operators name, with each core in the main part."""
+"""Every invariant holds in the hand-written scenarios, with each core in the principal part."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class ScenariosTest(testtools.TestCase):
-    def hold(self, name: str) -> None:
-        for place, schedule in enumerate(directed_schedules(name)):
+    def assert_invariants_hold(self, name: str) -> None:
+        for index, schedule in enumerate(directed_schedules(name)):
             outcome = run_schedule(schedule)
-            self.assertEqual("", outcome.problem, f"{name} {place}")
-            self.assertIsNotNone(outcome.recovery_s, f"{name} {place}")
+            self.assertEqual("", outcome.problem, f"{name} {index}")
+            self.assertIsNotNone(outcome.recovery_s, f"{name} {index}")
 
     def test_every_invariant_holds_in_every_scenario(self) -> None:
         for name in SCENARIOS:
             if name != EVERY_DISK_LOST:
-                self.hold(name)
+                self.assert_invariants_hold(name)
 
-    def test_every_disk_lost(self) -> None:
-        """Here alone, since only a declared recovery loses every disk at once."""
-        self.hold(EVERY_DISK_LOST)
+    def test_every_invariant_holds_when_every_disk_is_lost(self) -> None:
+        """This scenario is run separately, since only declared recovery handles it."""
+        self.assert_invariants_hold(EVERY_DISK_LOST)
--- a/tests/simulator/schedules/test_schedule_files.py
+++ b/tests/simulator/schedules/test_schedule_files.py
@@ -1,4 +1,4 @@
-"""Files of schedules, and ranges of seeds."""
+"""Schedule files and ranges of seeds."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from zincvale.simulator.schedules.schedule_files import read_schedule, write_schedule
 
 
-class FilesTest(testtools.TestCase):
-    def test_a_schedule_is_saved_and_read(self) -> None:
+class ScheduleFilesTest(testtools.TestCase):
+    def test_schedule_survives_a_round_trip_and_unknown_fields_are_refused(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         path = Path(folder.name) / "schedule.json"
@@ -24,7 +24,7 @@
         path.write_text('{"seed": 1, "nodes": 2, "length_s": 1.0, "stepz": []}')
         self.assertIn("steps", str(self.assertRaises(InvalidInputError, read_schedule, path)))
 
-    def test_seeds_are_a_range(self) -> None:
+    def test_seed_range_is_inclusive_and_malformed_ranges_are_refused(self) -> None:
         self.assertEqual(range(3, 6), parse_seeds("3..5"))
         self.assertEqual(range(3, 4), parse_seeds("3"))
         self.assertRaises(InvalidInputError, parse_seeds, "3..x")
--- a/tests/simulator/schedules/test_seeds.py
+++ b/tests/simulator/schedules/test_seeds.py
@@ -1,4 +1,4 @@
-"""A fixed list of seeds: schedules of faults and changes on which every invariant holds."""
+"""Every invariant holds on the schedules of a fixed range of seeds."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self.assertGreater(len(recovered), len(SEEDS) * 0.8)
         self.assertGreater(sum(each.acknowledged for each in outcomes), 10 * len(SEEDS))
 
-    def test_a_seed_replays_exactly(self) -> None:
+    def test_same_seed_gives_the_same_outcome(self) -> None:
         for seed in REPLAYED:
             schedule = draw_schedule(seed)
             self.assertEqual(run_schedule(schedule), run_schedule(schedule))
--- a/tests/simulator/schedules/test_shrink.py
+++ b/tests/simulator/schedules/test_shrink.py
@@ -1,4 +1,4 @@
-"""Schedules that are shortened while they still fail."""
+"""Shrinking removes the steps of a schedule that its failure does not need."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ShrinkTest(testtools.TestCase):
-    def test_only_the_needed_steps_stay(self) -> None:
+    def test_only_the_steps_that_cause_the_failure_remain(self) -> None:
         schedule = draw_schedule(26)
         wanted = (schedule.steps[4].at_s, schedule.steps[17].at_s)
 
