--- a/src/zincvale/simulator/forwarding/checks.py
+++ b/src/zincvale/simulator/forwarding/checks.py
@@ -1,4 +1,4 @@
-"""What must hold of forwarding, checked on the journal alone."""
+"""Checks of the properties that forwarding must have, based on the journal alone."""
 
 from __future__ import annotations
 
@@ -10,41 +10,44 @@
 from zincvale.simulator.forwarding.journal import CallerRecord, Ending, ForwardingJournal, Run
 from zincvale.simulator.forwarding.servers import STREAM_EVENTS
 
-PROMISES = frozenset({408, 421, 429, 503})
-LATE_S = 0.05
+REFUSAL_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses which promise that the request did not run and never will."""
+TIME_TOLERANCE_S = 0.05
+"""Allowed delay after the deadline or the disconnection of a caller."""
 
 Check = Callable[[ForwardingJournal], Iterator[str]]
+"""Yields a description of each violation in a journal."""
 
 
 def runs_of(journal: ForwardingJournal) -> dict[str, list[Run]]:
-    """Return the runs by request."""
+    """Return the runs at servers by request id."""
     runs: dict[str, list[Run]] = defaultdict(list)
     for run in journal.runs:
         runs[run.request_id].append(run)
     return runs
 
 
-def at_most_once(journal: ForwardingJournal) -> Iterator[str]:
-    """A request that may not be repeated runs once at most."""
+def requests_run_at_most_once(journal: ForwardingJournal) -> Iterator[str]:
+    """A request that may not be repeated runs at max_requests once."""
     for request_id, runs in runs_of(journal).items():
         if len(runs) > 1 and not journal.callers[request_id].may_repeat:
             yield f"{request_id} ran {len(runs)} times"
 
 
-def refusals_are_promises(journal: ForwardingJournal) -> Iterator[str]:
-    """What was refused did not run and never does; the caller learns when to retry."""
+def refused_requests_never_run(journal: ForwardingJournal) -> Iterator[str]:
+    """A refused request never runs, and a 503 response tells the caller when to retry."""
     runs = runs_of(journal)
     for caller in journal.callers.values():
-        if caller.status not in PROMISES:
+        if caller.status not in REFUSAL_STATUSES:
             continue
         if runs.get(caller.request_id) and not caller.may_repeat:
             yield f"{caller.request_id} was refused with {caller.status} and ran"
         if not caller.retry_after and caller.status == HTTPStatus.SERVICE_UNAVAILABLE:
-            yield f"{caller.request_id} was refused without a time to come back"
+            yield f"{caller.request_id} was refused without a Retry-After header"
 
 
 def responses_are_complete(journal: ForwardingJournal) -> Iterator[str]:
-    """A response that ends complete is the complete response of a run of this request."""
+    """A response that ends normally is the complete response of a run of the same request."""
     runs = runs_of(journal)
     for caller in journal.callers.values():
         if (
@@ -57,8 +60,8 @@
             yield f"{caller.request_id} got {caller.body!r}"
 
 
-def streams_are_unbroken(journal: ForwardingJournal) -> Iterator[str]:
-    """No event is missing or comes twice, and one that ends complete has its last event."""
+def streams_are_complete(journal: ForwardingJournal) -> Iterator[str]:
+    """No event of a stream is missing or duplicated; a complete stream includes its last event."""
     for caller in journal.callers.values():
         if not caller.is_stream or caller.status != HTTPStatus.OK:
             continue
@@ -66,118 +69,119 @@
         if numbers != [str(each + 1).encode() for each in range(len(numbers))]:
             yield f"{caller.request_id} got events {numbers}"
         if caller.ending is Ending.COMPLETE and len(numbers) != STREAM_EVENTS:
-            yield f"{caller.request_id} ended whole after {len(numbers)} events"
+            yield f"{caller.request_id} ended normally after {len(numbers)} events"
 
 
 def attempts_are_bounded(journal: ForwardingJournal) -> Iterator[str]:
-    """A request reaches no more servers than its route allows."""
+    """A request reaches at max_requests as many servers as its route allows attempts."""
     servers: dict[str, set[str]] = defaultdict(set)
     for arrival in journal.arrivals:
-        if not arrival.misdirected:
+        if not arrival.is_misdirected:
             servers[arrival.request_id].add(arrival.incarnation)
     for request_id, reached in servers.items():
-        if len(reached) > journal.callers[request_id].attempts:
+        if len(reached) > journal.callers[request_id].max_attempts:
             yield f"{request_id} reached {sorted(reached)}"
 
 
-def ends_in_time(journal: ForwardingJournal) -> Iterator[str]:
-    """Every request has its final response when its time is over."""
+def requests_end_in_time(journal: ForwardingJournal) -> Iterator[str]:
+    """Every request ends by its deadline."""
     for caller in journal.callers.values():
         if caller.ending is Ending.OPEN:
             yield f"{caller.request_id} never ended"
-        elif caller.ended_at > caller.limit_at + LATE_S:
-            yield f"{caller.request_id} ended {caller.ended_at - caller.limit_at:.2f} s late"
+        elif caller.ended_at > caller.deadline_at + TIME_TOLERANCE_S:
+            yield f"{caller.request_id} ended {caller.ended_at - caller.deadline_at:.2f} s late"
 
 
-def nothing_goes_on_for_nobody(journal: ForwardingJournal) -> Iterator[str]:
-    """Once a caller left, nothing is sent for it, and what runs for it is given up at once."""
+def abandoned_requests_stop(journal: ForwardingJournal) -> Iterator[str]:
+    """After its caller disconnected, a request does not start to run, and a run is cancelled."""
     runs = runs_of(journal)
     for caller in journal.callers.values():
-        if caller.ending is not Ending.LEFT:
+        if caller.ending is not Ending.DISCONNECTED:
             continue
         for run in runs.get(caller.request_id, []):
             ends = [at for at in (run.cancelled_at, run.responded_at) if at is not None]
-            if run.at > caller.ended_at + LATE_S:
+            if run.at > caller.ended_at + TIME_TOLERANCE_S:
                 yield f"{caller.request_id} began to run after its caller left"
-            elif not ends or min(ends) > caller.ended_at + LATE_S:
-                yield f"{caller.request_id} ran on at {run.incarnation} after its caller left"
+            elif not ends or min(ends) > caller.ended_at + TIME_TOLERANCE_S:
+                yield f"{caller.request_id} kept running at {run.incarnation} after its caller left"
 
 
-def known_drains_hold(journal: ForwardingJournal) -> Iterator[str]:
-    """A node sends nothing to a server that it knows to drain, or whose zone it knows closed."""
+def known_drains_are_respected(journal: ForwardingJournal) -> Iterator[str]:
+    """A node sends no request to a server that it knows to be draining or in an evacuated zone."""
     for arrival in journal.arrivals:
         if arrival.node_knew_draining or arrival.node_knew_evacuated:
             yield f"{arrival.request_id} went to {arrival.server}"
 
 
-def retries_within(terms: RetryConfig) -> Check:
-    """Return the check of retries over all nodes, in sliding windows.
+def retries_are_bounded(config: RetryConfig) -> Check:
+    """Return a check that retries of all nodes together stay within the budget in sliding windows.
 
-    Every arrival beyond a request's first counts, also one that its server turned away.
+    Every arrival of a request after its first counts, even if the server refused it.
     """
 
     def check(journal: ForwardingJournal) -> Iterator[str]:
-        seen: Counter[str] = Counter()
-        repeats: list[float] = []
+        arrival_counts: Counter[str] = Counter()
+        retry_times: list[float] = []
         for arrival in journal.arrivals:
-            seen[arrival.request_id] += 1
-            if seen[arrival.request_id] > 1:
-                repeats.append(arrival.at)
-        requested = [caller.requested_at for caller in journal.callers.values()]
-        for start in repeats:
-            end = start + terms.window_s
-            count = sum(start <= at < end for at in repeats)
-            windows = (start, start - terms.window_s, start - terms.window_s / 2)
-            most = max(
-                sum(at <= each < at + terms.window_s for each in requested) for at in windows
+            arrival_counts[arrival.request_id] += 1
+            if arrival_counts[arrival.request_id] > 1:
+                retry_times.append(arrival.at)
+        request_times = [caller.requested_at for caller in journal.callers.values()]
+        for start in retry_times:
+            end = start + config.window_s
+            count = sum(start <= at < end for at in retry_times)
+            windows = (start, start - config.window_s, start - config.window_s / 2)
+            max_requests = max(
+                sum(at <= each < at + config.window_s for each in request_times) for at in windows
             )
-            if count > terms.ratio * most + terms.slack:
-                yield f"{count} second sends from {start:.2f} s on, for {most} requests"
+            if count > config.ratio * max_requests + config.slack:
+                yield f"{count} retries from {start:.2f} s on, for {max_requests} requests"
                 return
 
     return check
 
 
-def slow_start_within(terms: SlowStartConfig, per_s: float) -> Check:
-    """Return the check of what a server in slow start gets from all nodes, in any second."""
+def slow_start_is_bounded(config: SlowStartConfig, per_s: float) -> Check:
+    """Return a check of the requests that a server in slow start gets from all nodes per second."""
 
     def check(journal: ForwardingJournal) -> Iterator[str]:
         arrivals: dict[str, list[float]] = defaultdict(list)
         for arrival in journal.arrivals:
-            if arrival.is_in_slow_start and not arrival.misdirected:
+            if arrival.is_in_slow_start and not arrival.is_misdirected:
                 arrivals[arrival.incarnation].append(arrival.at)
         for incarnation, times in arrivals.items():
             for start in times:
                 count = sum(start <= at < start + 1.0 for at in times)
-                if count > per_s * terms.factor + terms.slack:
+                if count > per_s * config.factor + config.slack:
                     yield f"{incarnation} got {count} in the second from {start:.2f} s on"
                     break
 
     return check
 
 
-ORDINARY_CHECKS: dict[str, Check] = {
-    "at-most-once": at_most_once,
-    "refusals-are-promises": refusals_are_promises,
+CHECKS_WITHOUT_CONFIG: dict[str, Check] = {
+    "at-most-once": requests_run_at_most_once,
+    "refusals-are-promises": refused_requests_never_run,
     "answers-are-whole": responses_are_complete,
-    "streams-are-unbroken": streams_are_unbroken,
+    "streams-are-unbroken": streams_are_complete,
     "attempts-are-bounded": attempts_are_bounded,
-    "ends-in-time": ends_in_time,
-    "nothing-goes-on-for-nobody": nothing_goes_on_for_nobody,
-    "known-drains-hold": known_drains_hold,
+    "ends-in-time": requests_end_in_time,
+    "nothing-goes-on-for-nobody": abandoned_requests_stop,
+    "known-drains-hold": known_drains_are_respected,
 }
+"""Checks that depend on the journal only, by their names in reports."""
 
 
 def first_problems(journal: ForwardingJournal, checks: Iterable[tuple[str, Check]]) -> list[str]:
-    """Return the first thing that is wrong by each check."""
-    found = []
+    """Return the first violation that each check finds."""
+    problems = []
     for name, check in checks:
         problem = next(check(journal), None)
         if problem is not None:
-            found.append(f"{name}: {problem}")
-    return found
+            problems.append(f"{name}: {problem}")
+    return problems
 
 
 def count_endings(callers: Iterable[CallerRecord]) -> Counter[str]:
-    """Return how many requests ended with each status."""
+    """Return the number of requests by final status and kind of ending."""
     return Counter(f"{caller.status} {caller.ending.value}" for caller in callers)
--- a/src/zincvale/simulator/forwarding/journal.py
+++ b/src/zincvale/simulator/forwarding/journal.py
@@ -1,4 +1,4 @@
-"""What model callers, nodes and servers saw of forwarding: the only source of its checks."""
+"""The journal: what simulated callers, nodes and servers observed; all checks are based on it."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
     OPEN = "open"
     COMPLETE = "whole"
     BROKEN = "cut"
-    LEFT = "left"
+    DISCONNECTED = "left"
 
 
 @attrs.define
 class CallerRecord:
-    """One request as its caller saw it. Times are seconds."""
+    """One request as its caller saw it. Times are seconds of virtual time."""
 
     request_id: str
-    attempts: int
+    max_attempts: int
     may_repeat: bool
     is_stream: bool
     requested_at: float
-    limit_at: float
-    """When the route's time-out or the caller's own deadline is over."""
+    deadline_at: float
+    """The earlier of the route's timeout and the caller's own deadline."""
     status: int = 0
     retry_after: str = ""
     body: bytes = b""
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Arrival:
-    """One request at a server, whatever the server did with it."""
+    """The arrival of a request at a server, whether or not the server ran it."""
 
     request_id: str
     server: str
@@ -47,17 +47,20 @@
     is_in_slow_start: bool
     node_knew_draining: bool
     node_knew_evacuated: bool
-    misdirected: bool
+    is_misdirected: bool
 
 
 @attrs.define
 class Run:
-    """A server began to work on a request; `body` is what its complete response contains.
+    """A run of a request at a server.
 
     Attributes
     ----------
-    given_up_at : when its node cancelled the exchange, which ends the work.
-    answered_at : when the server had responded, or broke off.
+    at : time at which the run began.
+    resumed_after : number of the last event that the caller already has; 0 for a new request.
+    body : body of the complete response.
+    cancelled_at : time at which the node cancelled the exchange, which ends the run.
+    responded_at : time at which the server completed or broke off its response.
     """
 
     request_id: str
@@ -71,7 +74,7 @@
 
 @attrs.define
 class ForwardingJournal:
-    """Everything that was seen."""
+    """All records of one simulation."""
 
     callers: dict[str, CallerRecord] = attrs.field(factory=dict)
     arrivals: list[Arrival] = attrs.field(factory=list)
--- a/src/zincvale/simulator/forwarding/model.py
+++ b/src/zincvale/simulator/forwarding/model.py
@@ -1,7 +1,7 @@
-"""A model of forwarding under back ends that fail: real nodes, model servers and callers, one seed.
+"""Simulates forwarding to failing back ends: real nodes with simulated servers and callers.
 
-The nodes are `ForwardingService` objects as the daemon runs them, on a loop in virtual time. What
-they learn of servers, evacuations and other nodes comes late and to each at another moment.
+The nodes are `ForwardingService` objects as the daemon runs them, on an event loop in virtual time.
+Updates about servers and evacuations reach each node with a different random delay.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 from zincvale.model.identifiers import Address, MemberId, PoolName, ServerId, ZoneName
 from zincvale.model.resources import PoolKind
 from zincvale.simulator.forwarding.checks import (
-    ORDINARY_CHECKS,
+    CHECKS_WITHOUT_CONFIG,
     count_endings,
     first_problems,
-    retries_within,
-    slow_start_within,
+    retries_are_bounded,
+    slow_start_is_bounded,
 )
 from zincvale.simulator.forwarding.journal import CallerRecord, Ending, ForwardingJournal
 from zincvale.simulator.forwarding.servers import Behavior, ModelClient, ModelServer
@@ -50,26 +50,34 @@
 HOST = "model.example"
 POOL = "pool"
 ZONES = ("z1", "z2", "z3")
-NODES = 4
-SERVERS = 6
-DAY_S = 20.0
-AFTER_S = 8.0
-"""Beyond the last request: every one of them must have ended by then."""
+NODE_COUNT = 4
+SERVER_COUNT = 6
+TRAFFIC_S = 20.0
+"""Duration of the traffic."""
+COMPLETION_LIMIT_S = 8.0
+"""Time after the end of the traffic within which every request must have ended."""
 REQUESTS_PER_S = 12.0
-FAULTS = 26
-UPDATE_DELAY_S = (0.05, 1.5)
+"""Mean rate of requests from all callers together."""
+FAULT_COUNT = 26
+"""Number of faults, at random times during the traffic."""
+UPDATE_DELAY_RANGE_S = (0.05, 1.5)
+"""Shortest and longest time that an update takes to reach a node."""
 SLOW_START_PER_S = 3.0
+"""Request rate to which a server in slow start is limited."""
 SLOW_START_S = 3.0
-RETRIES = RetryConfig(ratio=0.2, slack=8.0, window_s=5.0)
-SLOW_START = SlowStartConfig(factor=1.5, slack=2.0)
-LEAVING_SHARE = 0.03
+"""Duration of the slow start after a restart."""
+RETRY_CONFIG = RetryConfig(ratio=0.2, slack=8.0, window_s=5.0)
+SLOW_START_CONFIG = SlowStartConfig(factor=1.5, slack=2.0)
+DISCONNECT_SHARE = 0.03
+"""Fraction of the callers that disconnect before their response is complete."""
 RESTART_ALL_BELOW, RESTART_BELOW, DRAIN_BELOW, EVACUATE_BELOW = 0.05, 0.2, 0.3, 0.4
-"""Bounds of a uniform draw that select a fault; above the last a server's behavior changes."""
+"""Upper bounds of a uniform draw from [0, 1) that select a fault; above them, a server's behavior
+changes."""
 
 
 @attrs.frozen
 class ForwardingOutcome:
-    """What one seed showed."""
+    """The result of one seed: the violations found, and how the requests ended."""
 
     seed: int
     problems: list[str]
@@ -78,13 +86,13 @@
 
 
 def run_forwarding(seed: int) -> ForwardingOutcome:
-    """Play one seed; the same seed gives the same outcome."""
+    """Run the simulation of one seed; the same seed gives the same outcome."""
     model = ForwardingModel(seed)
     model.play()
     checks = {
-        **ORDINARY_CHECKS,
-        "retries-within": retries_within(RETRIES),
-        "cold-within": slow_start_within(SLOW_START, SLOW_START_PER_S),
+        **CHECKS_WITHOUT_CONFIG,
+        "retries-within": retries_are_bounded(RETRY_CONFIG),
+        "cold-within": slow_start_is_bounded(SLOW_START_CONFIG, SLOW_START_PER_S),
     }
     callers = model.journal.callers
     problems = first_problems(model.journal, checks.items())
@@ -113,7 +121,7 @@
 
 
 class ForwardingModel:
-    """Nodes, servers and callers of one seed; `play` runs them and fills the journal."""
+    """The nodes, servers and callers of one seed; `play` simulates them and fills the journal."""
 
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
@@ -121,26 +129,26 @@
         self.journal = ForwardingJournal()
         self._servers = [
             ModelServer(f"s{index}", f"10.0.0.{index}:80", ZONES[index % len(ZONES)])
-            for index in range(SERVERS)
+            for index in range(SERVER_COUNT)
         ]
         self._evacuated: frozenset[str] = frozenset()
-        self._versions = 0
-        self._nodes = [self._node(index) for index in range(NODES)]
-        self._directory_versions = [0] * NODES
+        self._last_version = 0
+        self._nodes = [self._node(index) for index in range(NODE_COUNT)]
+        self._directory_versions = [0] * NODE_COUNT
 
     def play(self) -> None:
-        """Run the day, and what is open after its last request."""
+        """Simulate the traffic and faults, and the time in which the last requests end."""
         for node in self._nodes:
             node.apply_members(self._members())
             node.apply_document(self._document())
             node.apply_directory(self._directory())
         at = 0.0
-        while at < DAY_S:
+        while at < TRAFFIC_S:
             at += self._random.expovariate(REQUESTS_PER_S)
             self._loop.call_at(at, self._send_request)
-        for _ in range(FAULTS):
-            self._loop.call_at(self._random.uniform(0.0, DAY_S), self._fault)
-        self._loop.run_until(DAY_S + AFTER_S)
+        for _ in range(FAULT_COUNT):
+            self._loop.call_at(self._random.uniform(0.0, TRAFFIC_S), self._inject_fault)
+        self._loop.run_until(TRAFFIC_S + COMPLETION_LIMIT_S)
         self._loop.close()
 
     # --- nodes ----------------------------------------------------------------------------
@@ -151,7 +159,7 @@
             ForwardingConfig(
                 MemberId(name),
                 ZoneName(ZONES[index % len(ZONES)]),
-                FleetLimits(RETRIES, SLOW_START),
+                FleetLimits(RETRY_CONFIG, SLOW_START_CONFIG),
             ),
             NativeDialect(),
             spans=NoSpans(),
@@ -179,36 +187,39 @@
         service.context.client = client
         return service
 
-    def _broadcast(self, what: str) -> None:
-        """Send an update to every node, to each at another moment and never out of order."""
+    def _broadcast(self, update_kind: str) -> None:
+        """Send the current document or directory to every node, each with its own delay.
+
+        An older one never replaces a newer one.
+        """
         document, directory = self._document(), self._directory()
         for index, node in enumerate(self._nodes):
-            delay_s = self._random.uniform(*UPDATE_DELAY_S)
-            if what == "document":
+            delay_s = self._random.uniform(*UPDATE_DELAY_RANGE_S)
+            if update_kind == "document":
                 self._loop.call_later(delay_s, node.apply_document, document)
             else:
                 self._loop.call_later(delay_s, self._apply_newer, index, directory)
 
     def _apply_newer(self, index: int, directory: Directory) -> None:
-        """Bring a directory to a node, unless a newer one overtook it."""
+        """Apply a directory to a node, unless a newer one overtook it."""
         if directory.version > self._directory_versions[index]:
             self._directory_versions[index] = directory.version
             self._nodes[index].apply_directory(directory)
 
     def _document(self) -> ForwardingDocument:
-        self._versions += 1
+        self._last_version += 1
         return ForwardingDocument(
-            self._versions,
-            self._versions,
+            self._last_version,
+            self._last_version,
             {route.name: route for route in ROUTES},
             {POOL: ForwardPool(name=POOL, cold_start_s=SLOW_START_S, cold_per_s=SLOW_START_PER_S)},
             evacuated=frozenset(ZoneName(zone) for zone in self._evacuated),
         )
 
     def _directory(self) -> Directory:
-        self._versions += 1
+        self._last_version += 1
         rows = [_row(server, self._loop.time()) for server in self._servers]
-        return Directory(1, self._versions, {row.server: row for row in rows})
+        return Directory(1, self._last_version, {row.server: row for row in rows})
 
     def _members(self) -> Members:
         rows = {
@@ -219,7 +230,7 @@
                 Address("10.1.0.1:1"),
                 Address("10.1.0.1:2"),
             )
-            for index in range(NODES)
+            for index in range(NODE_COUNT)
         }
         return Members(1, rows)
 
@@ -248,12 +259,12 @@
         target = f"{route.path_prefix}x"
         sink = CallerSink(record, self._loop)
         handle = node.handle_request(IncomingRequest("POST", target, headers, b"", now), sink)
-        if handle is not None and self._random.random() < LEAVING_SHARE:
-            self._loop.call_later(0.1, sink.leave, handle)
+        if handle is not None and self._random.random() < DISCONNECT_SHARE:
+            self._loop.call_later(0.1, sink.disconnect, handle)
 
     # --- faults ---------------------------------------------------------------------------
 
-    def _fault(self) -> None:
+    def _inject_fault(self) -> None:
         server = self._random.choice(self._servers)
         draw = self._random.random()
         if draw < RESTART_ALL_BELOW:
@@ -269,18 +280,18 @@
             self._broadcast("document")
         else:
             server.behavior = self._random.choice(list(Behavior))
-            self._loop.call_later(self._random.uniform(0.2, 4.0), _recover, server)
+            self._loop.call_later(self._random.uniform(0.2, 4.0), _restore_behavior, server)
 
     def _restart(self, server: ModelServer) -> None:
-        """Replace the server by another incarnation, which is in slow start."""
+        """Restart a server as a new incarnation, which begins in slow start."""
         server.starts += 1
-        server.behavior = Behavior.WELL
+        server.behavior = Behavior.HEALTHY
         server.slow_start_until = self._loop.time() + SLOW_START_S
         self._broadcast("directory")
 
 
-def _recover(server: ModelServer) -> None:
-    server.behavior = Behavior.WELL
+def _restore_behavior(server: ModelServer) -> None:
+    server.behavior = Behavior.HEALTHY
 
 
 def _row(server: ModelServer, now: float) -> ServerRow:
@@ -298,7 +309,7 @@
 
 
 class CallerSink:
-    """A caller that reads everything at once."""
+    """A simulated caller that reads its response without delay and records it."""
 
     unsent_bytes = 0
 
@@ -307,32 +318,32 @@
         self._loop = loop
 
     def open(self, status: int, reason: str, headers: HeaderList) -> None:
-        """Take the head."""
+        """Record the head of the response."""
         self._record.status = status
         self._record.retry_after = dict(headers).get("Retry-After", "")
 
     def write(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Record a part of the body."""
         self._record.body += data
 
     def end(self) -> None:
-        """The response is complete."""
+        """Record that the response is complete."""
         self._close(Ending.COMPLETE)
 
     def abort(self) -> None:
-        """The connection broke."""
+        """Record that the connection broke."""
         self._close(Ending.BROKEN)
 
     def respond(self, status: int, headers: HeaderList, body: bytes) -> None:
-        """Take a complete response of the node."""
+        """Record a complete response that the node itself produced."""
         self.open(status, "", headers)
         self.write(body)
         self.end()
 
-    def leave(self, handle: Any) -> None:
-        """The caller goes away, unless it has its answer."""
+    def disconnect(self, handle: Any) -> None:
+        """Disconnect the caller, unless its response has already ended."""
         if self._record.ending is Ending.OPEN:
-            self._close(Ending.LEFT)
+            self._close(Ending.DISCONNECTED)
             handle.on_caller_disconnected()
 
     def _close(self, ending: Ending) -> None:
--- a/src/zincvale/simulator/forwarding/servers.py
+++ b/src/zincvale/simulator/forwarding/servers.py
@@ -1,4 +1,4 @@
-"""Model servers that fail in every way the back ends' rules allow, and the way to them."""
+"""Simulated servers with the failures that back ends may have, and the client that reaches them."""
 
 from __future__ import annotations
 
@@ -16,76 +16,81 @@
 
 REQUEST_ID = "x-request-id"
 STREAM_EVENTS = 6
-EVENT_GAP_S = 0.03
-CONNECT_LIMIT_S = 0.5
-DELAY_S = (0.001, 0.02)
-WORK_S = (0.01, 0.4)
+"""Number of events in a complete stream."""
+EVENT_INTERVAL_S = 0.03
+"""Interval between two events of a stream."""
+CONNECT_TIMEOUT_S = 0.5
+DELAY_RANGE_S = (0.001, 0.02)
+"""Shortest and longest time that a request takes to reach a server."""
+RUN_DURATION_RANGE_S = (0.01, 0.4)
+"""Shortest and longest time until a run begins to respond."""
 
 
 class Behavior(enum.Enum):
-    """How a server behaves at a time."""
-
-    WELL = "well"
-    FULL = "full"
-    """It refuses, and says so."""
-    GREY = "grey"
-    """It fails some requests after it ran them."""
-    BREAKS = "breaks"
-    """It breaks its responses off."""
+    """The current behavior of a server."""
+
+    HEALTHY = "well"
+    OVERLOADED = "full"
+    """It refuses requests and states that they did not run."""
+    FAILING_AFTER_RUN = "grey"
+    """It runs requests and then responds with an error."""
+    BREAKING_OFF = "breaks"
+    """It breaks off its responses before they are complete."""
     SILENT = "silent"
-    """It runs requests and sends nothing."""
-    DOWN = "down"
-    """Connections are refused."""
-    DARK = "dark"
-    """Connections do not come up."""
+    """It runs requests and never responds."""
+    REFUSING_CONNECTIONS = "down"
+    """It refuses connections."""
+    UNREACHABLE = "dark"
+    """Connection attempts to it time out."""
 
 
 @attrs.define(eq=False)
 class ModelServer:
-    """One server; a restart is another incarnation."""
+    """A simulated server; each restart creates a new incarnation."""
 
     name: str
     address: str
     zone: str
     starts: int = 1
-    behavior: Behavior = Behavior.WELL
+    behavior: Behavior = Behavior.HEALTHY
     slow_start_until: float = 0.0
     draining: bool = False
 
     @property
     def incarnation(self) -> str:
-        """The name of the running incarnation."""
+        """The id of the running incarnation."""
         return f"{self.name}.{self.starts}"
 
 
 @attrs.define(eq=False)
 class ModelExchange:
-    """The node's handle of one exchange."""
+    """The handle by which a node controls an exchange with a server."""
 
     is_cancelled: bool = False
     run: Run | None = None
-    """What the server does of it, once it began."""
+    """The run of the request at the server, once it began."""
 
     def cancel(self) -> None:
-        """Cancel it: the listener is not called again."""
+        """Cancel the exchange; its listener is not called again."""
         self.is_cancelled = True
         if self.run is not None and self.run.responded_at is None:
             self.run.cancelled_at = asyncio.get_running_loop().time()
 
     def pause(self) -> None:
-        """Model callers read as fast as they are written to."""
+        """Do nothing: simulated callers read without delay."""
 
     def resume(self) -> None:
-        """See `pause`."""
+        """Do nothing: simulated callers read without delay."""
 
 
 @attrs.define(eq=False)
 class ModelClient:
-    """Takes the place of a node's connections to servers.
+    """Replaces the client with which a node connects to servers.
 
     Parameters
     ----------
-    knows_draining, knows_evacuated : return what this node knows of a server now, for the journal.
+    knows_draining, knows_evacuated : return whether this node currently knows that a server is
+        draining or in an evacuated zone, for the journal.
     """
 
     node: str
@@ -98,26 +103,26 @@
     def start(
         self, address: str, incarnation: str, request: OutgoingRequest, listener: ResponseListener
     ) -> ModelExchange:
-        """Begin an exchange; the listener is called later, never from here."""
+        """Begin an exchange; its listener is called later, never within this call."""
         exchange = ModelExchange()
-        task = _Visit(self, self.servers[address], request, listener, exchange)
+        task = _ServerExchange(self, self.servers[address], request, listener, exchange)
         loop = asyncio.get_running_loop()
         server = self.servers[address]
-        if server.behavior is Behavior.DARK:
-            loop.call_later(CONNECT_LIMIT_S, task.not_connected)
+        if server.behavior is Behavior.UNREACHABLE:
+            loop.call_later(CONNECT_TIMEOUT_S, task.fail_to_connect)
         else:
-            loop.call_later(self.random.uniform(*DELAY_S), task.arrive, loop.time())
+            loop.call_later(self.random.uniform(*DELAY_RANGE_S), task.arrive, loop.time())
         return exchange
 
     def keep_only(self, targets: set[tuple[str, str]]) -> None:
-        """Model connections are not pooled."""
+        """Do nothing: simulated connections are not pooled."""
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no connections are open."""
 
 
-class _Visit:
-    """One request at one server."""
+class _ServerExchange:
+    """The server's side of an exchange."""
 
     def __init__(
         self,
@@ -135,24 +140,24 @@
         self._request_id = self._headers[REQUEST_ID]
         self._is_stream = request.target.startswith("/stream")
         self._incarnation = server.incarnation
-        self._node_knew = (client.knows_draining(server), client.knows_evacuated(server))
+        self._node_knowledge = (client.knows_draining(server), client.knows_evacuated(server))
         self._resumed_after = int(self._headers.get(LAST_EVENT_ID, "") or 0)
 
-    def not_connected(self) -> None:
-        """No connection came up in time."""
+    def fail_to_connect(self) -> None:
+        """Report that the connection attempt timed out."""
         if not self._exchange.is_cancelled:
             self._listener.on_not_sent("no connection")
 
     def arrive(self, sent_at: float) -> None:
-        """The request is at the server, unless its caller gave it up before."""
+        """Handle the arrival of the request at the server, unless the exchange was cancelled."""
         if self._exchange.is_cancelled:
             return
         server = self._server
-        if server.behavior in (Behavior.DOWN, Behavior.DARK):
+        if server.behavior in (Behavior.REFUSING_CONNECTIONS, Behavior.UNREACHABLE):
             self._listener.on_not_sent("refused")
             return
         now = self._loop.time()
-        misdirected = self._headers[INCARNATION] != server.incarnation
+        is_misdirected = self._headers[INCARNATION] != server.incarnation
         self._client.journal.arrivals.append(
             Arrival(
                 self._request_id,
@@ -162,14 +167,14 @@
                 sent_at,
                 now,
                 now < server.slow_start_until,
-                *self._node_knew,
-                misdirected,
+                *self._node_knowledge,
+                is_misdirected,
             )
         )
-        if misdirected:
+        if is_misdirected:
             self._head(421)
             self._end()
-        elif server.behavior is Behavior.FULL:
+        elif server.behavior is Behavior.OVERLOADED:
             self._head(503, (NEVER_RAN, "1"))
             self._end()
         else:
@@ -184,11 +189,11 @@
         run = Run(self._request_id, self._server.incarnation, now, self._resumed_after, body)
         self._client.journal.runs.append(run)
         self._exchange.run = run
-        work_s = self._client.random.uniform(*WORK_S)
-        self._loop.call_later(work_s, self._respond, self._chunks_of(body))
+        duration_s = self._client.random.uniform(*RUN_DURATION_RANGE_S)
+        self._loop.call_later(duration_s, self._respond, self._chunks_of(body))
 
     def _body(self) -> bytes:
-        """Return a body that no other run has: incarnation and request are in each event."""
+        """Return a body that is unique to this run: it names the incarnation and the request."""
         name = f"{self._server.incarnation}/{self._request_id}"
         if not self._is_stream:
             return f"{name} answered".encode()
@@ -205,12 +210,12 @@
         if self._exchange.is_cancelled or behavior is Behavior.SILENT:
             return
         if self._server.incarnation != self._incarnation or behavior in (
-            Behavior.DOWN,
-            Behavior.DARK,
+            Behavior.REFUSING_CONNECTIONS,
+            Behavior.UNREACHABLE,
         ):
             self._mark_responded()
             self._listener.on_broken("reset")
-        elif behavior is Behavior.GREY:
+        elif behavior is Behavior.FAILING_AFTER_RUN:
             self._head(500)
             self._end()
         else:
@@ -222,9 +227,9 @@
             return
         has_restarted = self._server.incarnation != self._incarnation
         if has_restarted or self._server.behavior in (
-            Behavior.BREAKS,
-            Behavior.DOWN,
-            Behavior.DARK,
+            Behavior.BREAKING_OFF,
+            Behavior.REFUSING_CONNECTIONS,
+            Behavior.UNREACHABLE,
         ):
             self._break_off(chunks)
             return
@@ -232,7 +237,7 @@
             self._end()
             return
         self._listener.on_content(chunks[0])
-        self._loop.call_later(EVENT_GAP_S if self._is_stream else 0.0, self._write, chunks[1:])
+        self._loop.call_later(EVENT_INTERVAL_S if self._is_stream else 0.0, self._write, chunks[1:])
 
     def _mark_responded(self) -> None:
         run = self._exchange.run
--- a/tests/simulator/forwarding/test_forwarding_model.py
+++ b/tests/simulator/forwarding/test_forwarding_model.py
@@ -1,4 +1,4 @@
-"""Back ends that fail in every way: the promises hold, and a broken promise is noticed."""
+"""Forwarding keeps its properties with failing back ends; each check detects a mutation."""
 
 from __future__ import annotations
 
@@ -24,63 +24,63 @@
 REPLAYED = (2, 11)
 
 
-def _repeats_everything():
+def _repeat_everything():
     return mock.patch.object(RequestMachine, "may_repeat", property(lambda self: True))
 
 
-def _promises_after_a_run():
+def _refuse_after_a_run():
     def broken(self, reason):
         return [*self._refuse(reason, 0.1)]
 
     return mock.patch.object(RequestMachine, "_handle_broken", broken)
 
 
-def _closes_broken_answers_whole():
+def _complete_broken_responses():
     return mock.patch.object(ForwardedRequest, "on_broken", lambda self, reason: self.on_complete())
 
 
-def _resumes_from_the_start():
-    real = RequestMachine._send
+def _resume_from_the_start():
+    original = RequestMachine._send
 
     def send(self, server):
         self._last_event_id = ""
-        return real(self, server)
+        return original(self, server)
 
     return mock.patch.object(RequestMachine, "_send", send)
 
 
-def _passes_unfinished_events_on():
+def _forward_incomplete_events():
     def on_content(self, data):
         self._feed(ContentReceived(data))
 
     return mock.patch.object(ForwardedRequest, "on_content", on_content)
 
 
-def _never_spends_the_budget():
+def _ignore_retry_budget():
     return mock.patch.object(RetryBudget, "take", lambda self, nodes, now: True)
 
 
-def _cold_servers_by_each_node_alone():
-    real = SlowStartLimiter.may_send
+def _limit_slow_start_per_node():
+    original = SlowStartLimiter.may_send
 
     def may_send(self, allowed, rank, node_count, now):
-        return real(self, allowed, 0, 1, now)
+        return original(self, allowed, 0, 1, now)
 
     return mock.patch.object(SlowStartLimiter, "may_send", may_send)
 
 
-def _sends_to_draining_servers():
+def _send_to_draining_servers():
     def in_service(self, pools):
         return [state for name in pools for state in self.servers_by_pool.get(name, ())]
 
     return mock.patch.object(RoutingState, "in_service", in_service)
 
 
-def _forgets_the_time():
+def _ignore_deadline():
     return mock.patch.object(RequestMachine, "_handle_deadline_expired", lambda self: [])
 
 
-def _lets_runs_go_on_for_nobody():
+def _keep_abandoned_runs():
     def end(self, kind, reason):
         self.phase = Phase.DONE
         return [ReleaseServer(), FinishRequest(kind, reason)]
@@ -89,33 +89,33 @@
 
 
 @contextlib.contextmanager
-def _tries_without_end():
-    """The budget of second sends alone would hide it."""
-    endless = mock.patch.object(RequestMachine, "_has_attempts_left", lambda self: True)
-    with endless, _never_spends_the_budget():
+def _retry_without_limit():
+    """Also disable the retry budget, which would limit the attempts by itself."""
+    unlimited_attempts = mock.patch.object(RequestMachine, "_has_attempts_left", lambda self: True)
+    with unlimited_attempts, _ignore_retry_budget():
         yield
 
 
 MUTATIONS = {
-    "repeats-everything": (_repeats_everything, "at-most-once"),
-    "promises-after-a-run": (_promises_after_a_run, "refusals-are-promises"),
-    "closes-broken-answers-whole": (_closes_broken_answers_whole, "answers-are-whole"),
-    "resumes-from-the-start": (_resumes_from_the_start, "streams-are-unbroken"),
-    "passes-unfinished-events-on": (_passes_unfinished_events_on, "streams-are-unbroken"),
-    "never-spends-the-budget": (_never_spends_the_budget, "retries-within"),
-    "cold-servers-by-each-node-alone": (_cold_servers_by_each_node_alone, "cold-within"),
-    "sends-to-draining-servers": (_sends_to_draining_servers, "known-drains-hold"),
-    "forgets-the-time": (_forgets_the_time, "ends-in-time"),
+    "repeats-everything": (_repeat_everything, "at-most-once"),
+    "promises-after-a-run": (_refuse_after_a_run, "refusals-are-promises"),
+    "closes-broken-answers-whole": (_complete_broken_responses, "answers-are-whole"),
+    "resumes-from-the-start": (_resume_from_the_start, "streams-are-unbroken"),
+    "passes-unfinished-events-on": (_forward_incomplete_events, "streams-are-unbroken"),
+    "never-spends-the-budget": (_ignore_retry_budget, "retries-within"),
+    "cold-servers-by-each-node-alone": (_limit_slow_start_per_node, "cold-within"),
+    "sends-to-draining-servers": (_send_to_draining_servers, "known-drains-hold"),
+    "forgets-the-time": (_ignore_deadline, "ends-in-time"),
     "lets-runs-go-on-for-nobody": (
-        _lets_runs_go_on_for_nobody,
+        _keep_abandoned_runs,
         "nothing-goes-on-for-nobody",
     ),
-    "tries-without-end": (_tries_without_end, "attempts-are-bounded"),
+    "tries-without-end": (_retry_without_limit, "attempts-are-bounded"),
 }
 
 
 class ForwardingModelTest(testtools.TestCase):
-    def test_every_promise_holds_on_every_seed(self):
+    def test_every_check_passes_on_every_seed(self):
         outcomes = [run_forwarding(seed) for seed in SEEDS]
         self.assertEqual([], [(each.seed, each.problems) for each in outcomes if each.problems])
         endings = sum((each.endings for each in outcomes), Counter())
@@ -123,18 +123,18 @@
         for ending in ("503 whole", "502 whole", "504 whole", "200 cut", "500 whole"):
             self.assertGreater(endings[ending], 0, ending)
 
-    def test_a_seed_replays_exactly(self):
+    def test_same_seed_gives_the_same_outcome(self):
         for seed in REPLAYED:
             self.assertEqual(run_forwarding(seed), run_forwarding(seed))
 
-    def test_each_mutation_is_noticed_by_the_check_it_is_for(self):
+    def test_each_mutation_is_detected_by_its_check(self):
         for name, (mutate, check) in MUTATIONS.items():
             with mutate():
-                self.assertTrue(is_noticed(check), name)
+                self.assertTrue(is_detected(check), name)
 
 
-def is_noticed(check: str) -> bool:
-    """Whether some seed breaks this check."""
+def is_detected(check: str) -> bool:
+    """Whether this check finds a violation on some seed."""
     return any(
         problem.startswith(f"{check}:")
         for seed in MUTATION_SEEDS
