--- a/src/zincvale/simulator/commands.py
+++ b/src/zincvale/simulator/commands.py
@@ -1,4 +1,4 @@
-"""`zincvale simulate`: the daemons' state machines in virtual time."""
+"""The command `zincvale simulate`: runs the daemons' state machines in virtual time."""
 
 from __future__ import annotations
 
@@ -30,10 +30,13 @@
 from zincvale.simulator.schedules.schedule import Schedule, describe
 from zincvale.simulator.schedules.schedule_files import read_schedule, write_schedule
 
-EXIT_BROKEN = 1
-WALKS = 600
+EXIT_FAILURE = 1
+"""Exit status when an invariant was violated or a mutation was not detected."""
+WALK_COUNT = 600
+"""Number of random walks through the states of a register that look for one mutation."""
 WALK_SEED = 1
 WALK_STARTS = (2, 2)
+"""Number of times that each proposer of the register may start, per proposer."""
 
 
 class SimulateCommands:
@@ -52,17 +55,19 @@
         """
         if not 1 <= jobs <= MAX_JOBS:
             raise InvalidInputError(f"jobs is {jobs}", f"choose 1 to {MAX_JOBS}")
-        chosen = parse_seeds(seeds)
-        began = time.process_time()
-        outcomes = explore_in_process(chosen) if jobs == 1 else explore_in_workers(chosen, jobs)
-        seen = []
+        seed_range = parse_seeds(seeds)
+        started_at = time.process_time()
+        outcomes = (
+            explore_in_process(seed_range) if jobs == 1 else explore_in_workers(seed_range, jobs)
+        )
+        completed = []
         for outcome in outcomes:
-            seen.append(outcome)
+            completed.append(outcome)
             if outcome.invariant:
                 _report_failure(outcome, shrink, save)
-        _summarize(seen, time.process_time() - began, jobs)
-        if any(outcome.invariant for outcome in seen):
-            sys.exit(EXIT_BROKEN)
+        _print_summary(completed, time.process_time() - started_at, jobs)
+        if any(outcome.invariant for outcome in completed):
+            sys.exit(EXIT_FAILURE)
 
     def claims(self, seeds: str = "1..20") -> None:
         """Race and resend at-most-once requests through failing nodes; exit non-zero on a break.
@@ -84,7 +89,7 @@
             f"{sum(each.recorded for each in outcomes)} answered from the record"
         )
         if broken:
-            sys.exit(EXIT_BROKEN)
+            sys.exit(EXIT_FAILURE)
 
     def forwarding(self, seeds: str = "1..200") -> None:
         """Forward requests to back ends that fail in every way; exit non-zero on a break.
@@ -100,7 +105,7 @@
         endings_text = ", ".join(f"{count} {ending}" for ending, count in endings.most_common())
         print(f"{len(outcomes)} seeds, {len(broken)} broke a promise; {endings_text}")
         if broken:
-            sys.exit(EXIT_BROKEN)
+            sys.exit(EXIT_FAILURE)
 
     def replay(self, file: str, shrink: bool = False, save: str = "") -> None:
         """Run a saved schedule (or, given a number, that seed's) and exit non-zero when it breaks.
@@ -122,8 +127,8 @@
             print(f"smallest found in {runs} runs:")
             print("\n".join(describe(smaller)))
             if save:
-                _save(smaller, outcome, save)
-        sys.exit(EXIT_BROKEN)
+                _save_schedule(smaller, outcome, save)
+        sys.exit(EXIT_FAILURE)
 
     def mutations(self, seeds: str = "1..100", only: str = "") -> None:
         """Apply deliberate mistakes one by one; exit non-zero when a mistake goes unnoticed.
@@ -132,17 +137,17 @@
             seeds: which seeds to try on each, after the register and the directed scenarios.
             only: the name of one mutation.
         """
-        chosen = parse_seeds(seeds)
+        seed_range = parse_seeds(seeds)
         names = [only] if only else list(MUTATIONS)
         missed = 0
         for name in names:
             if name not in MUTATIONS:
                 raise InvalidInputError(f"no mutation {name!r}", f"one of {', '.join(MUTATIONS)}")
-            detection = _detect(MUTATIONS[name], chosen)
+            detection = _detect(MUTATIONS[name], seed_range)
             missed += not detection
             print(f"{name:24} {detection or 'NOT NOTICED'}", flush=True)
         if missed:
-            sys.exit(EXIT_BROKEN)
+            sys.exit(EXIT_FAILURE)
 
     @property
     def what_if(self) -> Any:
@@ -158,24 +163,30 @@
             states: the bound on distinct states.
             starts: how often each proposer may try to take the key.
         """
-        tries = starts if isinstance(starts, tuple) else tuple(map(int, str(starts).split(",")))
-        found = explore_register(tuple(int(each) for each in tries), states)
+        start_counts = (
+            starts if isinstance(starts, tuple) else tuple(map(int, str(starts).split(",")))
+        )
+        found = explore_register(tuple(int(each) for each in start_counts), states)
         extent = "all there are" if found.is_complete else "stopped at the bound"
         print(f"{found.states} distinct states ({extent}), {found.transitions} steps")
         print(f"deepest {found.depth}; versions chosen: {found.chosen}")
         if found.problem:
             print(found.problem)
-            sys.exit(EXIT_BROKEN)
+            sys.exit(EXIT_FAILURE)
 
 
 def _detect(mutation: Mutation, seeds: range) -> str:
-    """Return how a mistake was detected; empty when it was not."""
+    """Return a description of how a mutation was detected; empty if it was not."""
     with mutation.apply():
-        found = walk_register(WALK_STARTS, WALKS, WALK_SEED)
+        found = walk_register(WALK_STARTS, WALK_COUNT, WALK_SEED)
     if found.problem:
         return f"exploration of the register: {found.problem[:120]}"
-    caught = first_catch(mutation, schedules_to_try(seeds))
-    return f"seed {caught.seed}: {caught.problem[:120]}" if caught else ""
+    detecting_outcome = first_catch(mutation, schedules_to_try(seeds))
+    return (
+        f"seed {detecting_outcome.seed}: {detecting_outcome.problem[:120]}"
+        if detecting_outcome
+        else ""
+    )
 
 
 def _report_failure(outcome: Outcome, shrink: bool, save: str) -> None:
@@ -186,17 +197,17 @@
         print(f"smallest schedule found in {runs} runs:")
         print("\n".join(describe(schedule)), flush=True)
     if save:
-        _save(schedule, outcome, save)
+        _save_schedule(schedule, outcome, save)
 
 
-def _save(schedule: Schedule, outcome: Outcome, folder: str) -> None:
+def _save_schedule(schedule: Schedule, outcome: Outcome, folder: str) -> None:
     path = Path(folder) / f"{outcome.invariant}-{outcome.seed}.json"
     path.parent.mkdir(parents=True, exist_ok=True)
     write_schedule(schedule, path)
     print(f"saved as {path}")
 
 
-def _summarize(outcomes: list[Outcome], processor_s: float, jobs: int) -> None:
+def _print_summary(outcomes: list[Outcome], processor_s: float, jobs: int) -> None:
     broken = Counter(outcome.invariant for outcome in outcomes if outcome.invariant)
     recovered = sorted(each.recovery_s for each in outcomes if each.recovery_s is not None)
     print(
--- a/src/zincvale/simulator/placement_quality.py
+++ b/src/zincvale/simulator/placement_quality.py
@@ -1,7 +1,8 @@
-"""Compares placement with the baselines: `python -m zincvale.simulator.placement_quality`.
+"""Compares the placement controller with baseline policies on simulated fleets.
 
-Runs every load on both fleets in virtual time, with the same arrivals for each policy, and prints
-one JSON object a run. Options: `--fleet NAME`, `--load NAME`, `--seconds N`, `--seed N`.
+Run as `python -m zincvale.simulator.placement_quality`. Runs every load on both fleets in virtual
+time, with the same arrivals for each policy, and prints one JSON object per run.
+Options: `--fleet NAME`, `--load NAME`, `--seconds N`, `--seed N`.
 """
 
 from __future__ import annotations
@@ -32,13 +33,16 @@
 
 FLEETS = {"nilebridge": NILEBRIDGE, "tzintzuntzan": TZINTZUNTZAN}
 CONTROLLER = "zincvale"
+"""Name of the policy that runs the real placement controller."""
 WARM_UP_FRACTION = 0.25
+"""Fraction of a run that is excluded from its outcome."""
 DEFAULT_SECONDS = 7200.0
+"""Default length of a run in virtual time."""
 
 
 @attrs.frozen
 class Comparison:
-    """One run: what it showed and which limits it passed."""
+    """The outcome of one run, and the violations found in the journal of its fleet."""
 
     policy: str
     outcome: Outcome
@@ -46,7 +50,7 @@
 
 
 def make_policies(seed: int, config: PlacementConfig) -> dict[str, Callable[[Fleet], Policy]]:
-    """Return the constructors of every policy by its name."""
+    """Return the constructor of each policy by the policy's name."""
     return {
         "static": lambda fleet: Static(_by_popularity(fleet)),
         "lru": lambda _: LeastRecentlyUsed(),
@@ -58,13 +62,15 @@
 def compare(
     shape: FleetShape, load: LoadShape, policy: str, seconds: float, seed: int
 ) -> Comparison:
-    """Run one policy; the first quarter warms up and is not counted."""
+    """Run one policy; the first quarter of the run is a warm-up and does not count."""
     config = PlacementConfig(day_s=load.day_s)
     fleet = build_fleet(shape, seed)
     arrivals = build_arrivals(fleet, load, seconds, seed + 1)
     events = build_events(fleet, load, seconds, seed + 2)
-    placed = make_policies(seed, config)[policy](fleet)
-    outcome = Emulator(fleet, arrivals, events).run(placed, seconds, seconds * WARM_UP_FRACTION)
+    placement_policy = make_policies(seed, config)[policy](fleet)
+    outcome = Emulator(fleet, arrivals, events).run(
+        placement_policy, seconds, seconds * WARM_UP_FRACTION
+    )
     problems = check_journal(fleet)
     if policy == CONTROLLER:
         problems += check_ordered_rate(fleet, config.store_burst_s)
@@ -72,12 +78,12 @@
 
 
 def _by_popularity(fleet: Fleet) -> list[str]:
-    """Return item names by their rank in the pool; names hold the rank after `-m`."""
+    """Return the item names by popularity rank within their pools; the rank follows `-m`."""
     return sorted(fleet.items, key=lambda name: (name.partition("-m")[2][:2], name))
 
 
 def main(arguments: list[str], write: Callable[[bytes], object]) -> None:
-    """Run what the command line asks for."""
+    """Run the comparisons that the command line selects and write one row for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--fleet", choices=sorted(FLEETS))
     parser.add_argument("--load", choices=sorted(LOADS))
@@ -88,10 +94,10 @@
         for load in [options.load] if options.load else list(LOADS):
             for policy in make_policies(options.seed, PlacementConfig()):
                 result = compare(FLEETS[fleet], LOADS[load], policy, options.seconds, options.seed)
-                write(_row(fleet, load, options.seed, result))
+                write(_encode_row(fleet, load, options.seed, result))
 
 
-def _row(fleet: str, load: str, seed: int, result: Comparison) -> bytes:
+def _encode_row(fleet: str, load: str, seed: int, result: Comparison) -> bytes:
     row = {
         "fleet": fleet,
         "load": load,
--- a/src/zincvale/simulator/placement_scale.py
+++ b/src/zincvale/simulator/placement_scale.py
@@ -1,8 +1,9 @@
-"""Measures what placement costs at several sizes: `python -m zincvale.simulator.placement_scale`.
+"""Measures how long the calls of the placement controller take for fleets of several sizes.
 
-A hollow fleet carries out every order after a few seconds; the real controller is timed. Demand
-follows a Zipf law, most adapters are idle, and the loads an hour grow with the fleet to the 47,000
-of 10,000 servers. Prints one JSON object a size.
+Run as `python -m zincvale.simulator.placement_scale`. The real controller is timed against a hollow
+fleet, which completes every order after a few seconds. Demand follows a Zipf distribution, most
+adapters are idle, and the rate of loads is proportional to the fleet: 47,000 per hour for 10,000
+servers. Prints one JSON object per size.
 """
 
 from __future__ import annotations
@@ -50,37 +51,50 @@
 
 GIGABYTE = 1_000_000_000
 SIZES = (10, 100, 1_000, 10_000)
+"""Numbers of servers that are measured."""
 MODELS = 830
 ADAPTERS = 56_000
 POOLS = 10
 ZONES = 12
 STORES = 24
 RESIDENT_MODELS = 7
+"""Number of models that each server holds initially."""
 RESIDENT_ADAPTERS = 12
+"""Number of adapters that are drawn for each server initially."""
 LOADS_PER_SERVER_S = 47_000 / 3_600 / 10_000
+"""Rate of loads per server and second: 47,000 per hour for 10,000 servers."""
 NODES_PER_SERVER = 0.36
 ROWS_PER_REPORT = 40
+"""Number of rows in a node's demand report."""
 REPORT_INTERVAL_S = 5.0
+"""Interval between two demand reports of a node."""
 STATUS_INTERVAL_S = 1.0
+"""Interval between two statuses of a server."""
 STATUS_BATCH = 100
-TICK_S = 0.1
-LOAD_S = 8.0
+"""Number of servers whose first statuses are delivered together."""
+TICK_INTERVAL_S = 0.1
+"""Interval between two ticks of the controller, which is the step of the simulation."""
+LOAD_DURATION_S = 8.0
+"""Time from a load order until the item is resident."""
 WARM_UP_S = 30.0
+"""Virtual time between the takeover and the measurement of the steady state."""
 START_STEPS = 200
+"""Number of steps in which a new leader confirms the servers of the fleet."""
 ADAPTER_SHARE = 0.7
-"""Part of the demand rows that name an adapter."""
-MIN_SERVERS_FOR_PINS = 100
-"""Smaller fleets have no memory for three replicas of every tenth model."""
+"""Fraction of the demand rows that name an adapter."""
+MIN_SERVERS_FOR_MIN_REPLICAS = 100
+"""Number of servers from which every tenth model requires three replicas; smaller fleets do not
+have enough memory for them."""
 
 
 @attrs.define(eq=False)
 class Timings:
-    """Processor time by kind of input, in milliseconds."""
+    """Durations of the controller's calls in milliseconds, by kind of input."""
 
     by_kind: dict[str, list[float]] = attrs.field(factory=dict)
 
     def add(self, kind: str, seconds: float) -> None:
-        """Record one call."""
+        """Record the duration of one call."""
         self.by_kind.setdefault(kind, []).append(seconds * 1000.0)
 
     def summary(self) -> dict[str, dict[str, float]]:
@@ -99,7 +113,7 @@
 
 
 class HollowFleet:
-    """Servers that load what they are ordered to, and nodes that report seeded demand."""
+    """Simulated servers that execute load orders, and nodes that report random demand."""
 
     def __init__(self, servers: int, seed: int) -> None:
         self._random = random.Random(seed)
@@ -114,50 +128,50 @@
         self.orders = 0
 
     def start(self) -> None:
-        """Take the intent, every status and leadership, and let the fleet be confirmed."""
+        """Feed the intent, all server statuses and the leadership, then wait for confirmations."""
         self._feed("intent", IntentChanged(make_intent(len(self._rows))))
         for first in range(0, len(self._names), STATUS_BATCH):
-            self._report(self._names[first : first + STATUS_BATCH], "first-statuses")
+            self._report_statuses(self._names[first : first + STATUS_BATCH], "first-statuses")
         self._feed("leader", LeaderGained(1, self._now + 60.0))
         for _ in range(START_STEPS):
             self._step()
         self._feed("intent-delta", IntentChanged(self._changed_intent()))
 
     def reset_timings(self) -> None:
-        """Begin to time anew."""
+        """Discard the recorded durations and the count of orders."""
         self.timings = Timings()
         self.orders = 0
 
     def _changed_intent(self) -> Intent:
-        """Return the intent with one model changed, as a decoder hands it over."""
+        """Return the intent with one changed model, sharing the others as a decoded delta does."""
         intent = self._controller.state.intent
         name = ModelName("m0")
         changed = dataclasses.replace(intent.models[name], min_replicas=1)
         return attrs.evolve(intent, version=2, models={**intent.models, name: changed})
 
     def run(self, seconds: float) -> None:
-        """Run and time."""
-        for _ in range(round(seconds / TICK_S)):
+        """Run the simulation for a virtual time and record the controller's durations."""
+        for _ in range(round(seconds / TICK_INTERVAL_S)):
             self._step()
 
     def _step(self) -> None:
-        self._now += TICK_S
+        self._now += TICK_INTERVAL_S
         self._feed("lease", LeaderGained(1, self._now + 60.0))
-        part = max(int(len(self._names) * TICK_S / STATUS_INTERVAL_S), 1)
-        first = int(self._now / TICK_S) * part % len(self._names)
-        self._report(self._names[first : first + part], "statuses")
-        self._demand()
+        batch_size = max(int(len(self._names) * TICK_INTERVAL_S / STATUS_INTERVAL_S), 1)
+        first = int(self._now / TICK_INTERVAL_S) * batch_size % len(self._names)
+        self._report_statuses(self._names[first : first + batch_size], "statuses")
+        self._report_demand()
         self._finish_loads()
         self._feed("tick", Tick())
 
-    def _demand(self) -> None:
-        """Some nodes report; one caller in a while wants a model that is nowhere."""
+    def _report_demand(self) -> None:
+        """Report the demand of some nodes, and occasionally for an item that may not be loaded."""
         nodes = max(int(len(self._names) * NODES_PER_SERVER), 1)
-        for _ in range(max(round(nodes * TICK_S / REPORT_INTERVAL_S), 1)):
+        for _ in range(max(round(nodes * TICK_INTERVAL_S / REPORT_INTERVAL_S), 1)):
             node = MemberId(f"node-{self._random.randrange(nodes)}")
             rows = [self._demand_row() for _ in range(ROWS_PER_REPORT)]
             self._feed("demand", DemandReported(node, tuple(rows)))
-        if self._random.random() < len(self._names) * LOADS_PER_SERVER_S * TICK_S:
+        if self._random.random() < len(self._names) * LOADS_PER_SERVER_S * TICK_INTERVAL_S:
             self._request_rare_item()
 
     def _demand_row(self) -> DemandRow:
@@ -191,9 +205,9 @@
                 changed = names | {name} if added else names - {name}
                 models = frozenset(ModelName(other) for other in changed)
                 self._rows[effect.server] = attrs.evolve(row, models=models)
-            self._report([effect.server], "statuses")
+            self._report_statuses([effect.server], "statuses")
 
-    def _report(self, names: list[ServerId], kind: str) -> None:
+    def _report_statuses(self, names: list[ServerId], kind: str) -> None:
         reports = []
         for name in names:
             row = attrs.evolve(self._rows[name], running=self._random.randrange(16))
@@ -205,17 +219,17 @@
         effects = self._controller.handle(event, self._now)
         self.timings.add(kind, time.perf_counter() - started_at)
         for effect in effects:
-            self._carry_out(effect)
+            self._execute(effect)
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case SendOrder():
                 self.orders += 1
                 self._feed("answer", OrderAccepted(effect.order.order_id))
                 unload = effect.order.action is OrderAction.UNLOAD
-                self._loading.append((self._now + (0.1 if unload else LOAD_S), effect))
+                self._loading.append((self._now + (0.1 if unload else LOAD_DURATION_S), effect))
             case RequestStatus(server, _):
-                self._report([server], "statuses")
+                self._report_statuses([server], "statuses")
 
     def _make_rows(self, servers: int) -> list[ServerRow]:
         rows = []
@@ -245,7 +259,7 @@
 
 
 def make_intent(servers: int) -> Intent:
-    """Return 830 models and 56,000 adapters over ten pools."""
+    """Return an intent with 830 models and 56,000 adapters in ten pools."""
     rate = max(servers // 100, 10) * GIGABYTE
     stores = {
         StoreName(f"store-{number}"): StoreSpec(f"10.200.0.{number}:9100", rate, 64)
@@ -256,7 +270,7 @@
             (40 + number % 5 * 15) * GIGABYTE,
             f"store-{number % STORES}",
             f"pool-{number % POOLS}",
-            min_replicas=3 if number % 10 == 0 and servers >= MIN_SERVERS_FOR_PINS else 0,
+            min_replicas=3 if number % 10 == 0 and servers >= MIN_SERVERS_FOR_MIN_REPLICAS else 0,
         )
         for number in range(MODELS)
     }
@@ -271,7 +285,7 @@
 
 
 def measure(servers: int, seconds: float, seed: int = 1) -> dict[str, object]:
-    """Return the timings of one size."""
+    """Measure a fleet of one size and return its row of the report."""
     fleet = HollowFleet(servers, seed)
     fleet.start()
     takeover = fleet.timings.summary()
--- a/src/zincvale/simulator/register_exploration.py
+++ b/src/zincvale/simulator/register_exploration.py
@@ -1,12 +1,13 @@
-"""Every order of events of a small register: 3 replicas, 2 proposers, deliveries, losses, restarts.
+"""Model checking of a register with 3 replicas and 2 proposers over the orders of its events.
 
-A message that is never delivered stands for a lost one, so losses and delays need no steps of
-their own. A replica may restart at any moment from what its disk holds. A state that was reached
-before is not explored again; an actor's step depends on its own state and the message alone, so
-each is worked out once.
+The events are deliveries of messages, starts of proposers, and restarts and crashes of replicas. A
+message that is never delivered represents a lost one, so losses and delays need no events of their
+own. A replica may restart at any moment with what its disk holds. A state that was visited before
+is not explored again. The step of an actor depends only on its own state and the event, so each
+step is computed once.
 
-Checked in every state: a version has one value, a later version continues it, no order is applied
-twice, and what was chosen is on the disks of a majority.
+Checked in every state: a version has one value, a later version extends it, no order is applied
+twice, and the newest chosen version is on the disks of a majority.
 """
 
 from __future__ import annotations
@@ -36,28 +37,31 @@
 DISK = "disk"
 PROPOSERS = ("a", "b")
 REPLICAS = ("r1", "r2", "r3")
-NAMES = (*PROPOSERS, *REPLICAS)
+ACTOR_NAMES = (*PROPOSERS, *REPLICAS)
+"""Names of the actors by index: the proposers first."""
 CONFIG = ReplicaConfig([replica_id(replica, DISK) for replica in REPLICAS])
 ORDERS = {"a": ("A",), "b": ("B", "A")}
-"""What each proposer has to write; `b` sends the order of `a` again."""
+"""The orders that each proposer submits; `b` resends the order of `a`."""
 MAJORITY = len(REPLICAS) // 2 + 1
 START = -1
+"""Event: a proposer tries to become the owner of the key."""
 RESTART = -2
+"""Event: a replica restarts from its disk."""
 CRASH = -3
-"""Events from here down are deliveries during which the receiver crashes."""
+"""Event `CRASH - i`: message `i` is delivered and the receiver crashes while handling it."""
 
 
 @attrs.frozen
 class Chosen:
-    """One version that a proposer saw chosen."""
+    """A version that a proposer learned to be chosen, and its text."""
 
     position: Position
     text: bytes
 
 
 @attrs.frozen
-class Flight:
-    """A message on its way."""
+class InFlightMessage:
+    """A message in flight: indices of its sender, its receiver and its content."""
 
     sender: int
     receiver: int
@@ -66,7 +70,15 @@
 
 @attrs.frozen
 class ModelState:
-    """Everything at one moment, as indices into the explorer's tables."""
+    """A state of the whole model, as indices into the explorer's tables.
+
+    Attributes
+    ----------
+    actors : state of each actor.
+    flights : messages in flight.
+    chosen : set of the versions that were chosen so far.
+    starts_left : number of remaining starts of each proposer.
+    """
 
     actors: tuple[int, ...]
     flights: tuple[int, ...]
@@ -76,6 +88,8 @@
 
 @attrs.frozen
 class _Step:
+    """The result of an event at an actor: its next state, sent messages and chosen versions."""
+
     actor: int
     sent: tuple[int, ...]
     chosen: tuple[Chosen, ...]
@@ -83,30 +97,33 @@
 
 @attrs.define
 class _Replica:
-    """A replica and the files of its disk."""
+    """A replica and the files on its disk."""
 
     machine: RegisterReplica
     files: list[bytes] = attrs.field(factory=list)
     last_file: int = 0
 
     def restart(self) -> None:
-        """Forget everything that is not on the disk."""
+        """Restart the replica with the state that is on its disk."""
         keys = {KEY: RecoveredKey(list(self.files), self.last_file)} if self.files else {}
         self.machine = RegisterReplica(RecoveredState(DISK, keys), Timings())
 
     def durable(self) -> StoredKeyState:
-        """Return what the disk holds."""
+        """Return the state that is stored on the disk."""
         return decode_chain(self.files) if self.files else StoredKeyState()
 
     def handle_and_crash(self, sender: str, message: Any) -> list[Effect]:
-        """Take a request and restart before its write is durable; return what had left by then."""
+        """Handle a request, restart before its write is durable, and return the messages sent.
+
+        Without a write the result is empty: a delivery followed by a restart covers that case.
+        """
         effects = self.machine.handle(MemberId(sender), message, KEY)
         self.restart()
         is_writing = any(isinstance(effect, Write) for effect in effects)
         return [each for each in effects if isinstance(each, Send)] if is_writing else []
 
     def handle(self, sender: str, message: Any) -> list[Effect]:
-        """Take a request and complete its write."""
+        """Handle a request and complete its write."""
         effects = list(self.machine.handle(MemberId(sender), message, KEY))
         for effect in list(effects):
             if isinstance(effect, Write):
@@ -120,7 +137,17 @@
 
 @attrs.define
 class Exploration:
-    """What was visited."""
+    """The result of an exploration.
+
+    Attributes
+    ----------
+    states : number of distinct states visited.
+    transitions : number of events executed.
+    depth : largest number of events from the first state.
+    is_complete : whether every reachable state was visited.
+    chosen : largest number of versions chosen in one state.
+    problem : description of the first violation; empty if there was none.
+    """
 
     states: int = 0
     transitions: int = 0
@@ -131,23 +158,23 @@
 
 
 class Explorer:
-    """Visits the states of one register."""
+    """Explores the states of one register."""
 
     def __init__(self) -> None:
         self._actors: list[bytes] = []
-        self._durable: list[Position] = []
-        self._dead_below: list[Any] = []
-        self._actor_index: dict[str, int] = {}
+        self._durable_positions: list[Position] = []
+        self._proposer_progress: list[Any] = []
+        self._index_by_actor: dict[str, int] = {}
         self._messages: list[Any] = []
-        self._message_index: dict[str, int] = {}
-        self._flights: list[Flight] = []
-        self._flight_index: dict[Flight, int] = {}
+        self._index_by_message: dict[str, int] = {}
+        self._flights: list[InFlightMessage] = []
+        self._index_by_flight: dict[InFlightMessage, int] = {}
         self._chosen: list[frozenset[Chosen]] = [frozenset()]
-        self._chosen_index: dict[frozenset[Chosen], int] = {frozenset(): 0}
+        self._index_by_chosen: dict[frozenset[Chosen], int] = {frozenset(): 0}
         self._steps: dict[tuple[int, int, int], _Step] = {}
 
     def explore(self, starts: tuple[int, ...], limit: int) -> Exploration:
-        """Visit every state, depth first, up to `limit`."""
+        """Visit the states depth first, at most `limit` of them."""
         found = Exploration()
         first = self._first_state(starts)
         seen = {first}
@@ -155,20 +182,20 @@
         while pending and len(seen) < limit:
             state, depth = pending.pop()
             found.depth = max(found.depth, depth)
-            for after in self._successors(state):
+            for successor in self._successors(state):
                 found.transitions += 1
-                if after in seen:
+                if successor in seen:
                     continue
-                found.problem = self._find_problem(after)
+                found.problem = self._find_problem(successor)
                 if found.problem:
                     return self._finish(found, seen)
-                seen.add(after)
-                pending.append((after, depth + 1))
+                seen.add(successor)
+                pending.append((successor, depth + 1))
         found.is_complete = not pending
         return self._finish(found, seen)
 
     def walk(self, starts: tuple[int, ...], walks: int, seed: int) -> Exploration:
-        """Take random steps until none is left, so many times."""
+        """Perform random walks, each of which ends when no event is possible."""
         found = Exploration()
         source = random.Random(seed)
         for _ in range(walks):
@@ -200,7 +227,7 @@
         return ModelState(indices, (), 0, starts)
 
     def _proposer(self, name: str) -> RegisterOwner:
-        owner = RegisterOwner(KEY, f"{name}/1", _append, Timings())
+        owner = RegisterOwner(KEY, f"{name}/1", _append_to_text, Timings())
         for order in ORDERS[name]:
             change = ProposeChange(KEY, f"order-{order}", None, order.encode())
             owner.submit(f"{name}:{order}", change, 0.0)
@@ -214,7 +241,7 @@
                 )
                 step = self._step(state, actor_index, START)
                 yield self._apply(state, actor_index, step, None, starts)
-        for actor_index in range(len(PROPOSERS), len(NAMES)):
+        for actor_index in range(len(PROPOSERS), len(ACTOR_NAMES)):
             step = self._step(state, actor_index, RESTART)
             if step.actor != state.actors[actor_index]:
                 yield self._apply(state, actor_index, step, None, state.starts_left)
@@ -232,25 +259,25 @@
         state: ModelState,
         actor_index: int,
         step: _Step,
-        taken: int | None,
+        delivered: int | None,
         starts: tuple[int, ...],
     ) -> ModelState:
         actors = (*state.actors[:actor_index], step.actor, *state.actors[actor_index + 1 :])
         flights = set(state.flights) | set(step.sent)
-        if taken is not None and taken not in step.sent:
-            flights.discard(taken)
-        alive = sorted(each for each in flights if not self._is_dead(each, actors, starts))
+        if delivered is not None and delivered not in step.sent:
+            flights.discard(delivered)
+        relevant = sorted(each for each in flights if not self._is_obsolete(each, actors, starts))
         chosen = state.chosen
         if step.chosen:
             chosen = self._intern_chosen(self._chosen[chosen] | frozenset(step.chosen))
-        return ModelState(actors, tuple(alive), chosen, starts)
+        return ModelState(actors, tuple(relevant), chosen, starts)
 
-    def _is_dead(self, index: int, actors: tuple[int, ...], starts: tuple[int, ...]) -> bool:
-        """Whether a message will never have an effect: its receiver has moved on for good."""
+    def _is_obsolete(self, index: int, actors: tuple[int, ...], starts: tuple[int, ...]) -> bool:
+        """Whether a message can no longer have an effect on its receiver, whatever happens."""
         flight = self._flights[index]
         if flight.receiver >= len(PROPOSERS):
             return False
-        epoch, is_following = self._dead_below[actors[flight.receiver]]
+        epoch, is_following = self._proposer_progress[actors[flight.receiver]]
         if is_following and not starts[flight.receiver]:
             return True
         match self._messages[flight.message]:
@@ -262,11 +289,11 @@
 
     def _step(self, state: ModelState, actor_index: int, event: int) -> _Step:
         key = (state.actors[actor_index], actor_index, event)
-        known = self._steps.get(key)
-        if known is None:
-            known = self._compute_step(state.actors[actor_index], actor_index, event)
-            self._steps[key] = known
-        return known
+        step = self._steps.get(key)
+        if step is None:
+            step = self._compute_step(state.actors[actor_index], actor_index, event)
+            self._steps[key] = step
+        return step
 
     def _compute_step(self, actor: int, actor_index: int, event: int) -> _Step:
         machine = pickle.loads(self._actors[actor])
@@ -278,14 +305,14 @@
         else:
             flight = self._flights[event if event >= 0 else CRASH - event]
             message = self._messages[flight.message]
-            sender = NAMES[flight.sender]
+            sender = ACTOR_NAMES[flight.sender]
             if event < 0:
                 effects = machine.handle_and_crash(sender, message)
             elif actor_index < len(PROPOSERS):
                 effects = machine.handle(MemberId(sender), message, 0.0)
             else:
                 effects = machine.handle(sender, message)
-        chosen = _take_chosen(machine) if actor_index < len(PROPOSERS) else ()
+        chosen = _drain_chosen(machine) if actor_index < len(PROPOSERS) else ()
         sent = [
             self._intern_flight(actor_index, effect)
             for effect in effects
@@ -297,34 +324,40 @@
 
     def _intern_flight(self, sender: int, effect: Send) -> int:
         text = repr(effect.message)
-        if text not in self._message_index:
-            self._message_index[text] = len(self._messages)
+        if text not in self._index_by_message:
+            self._index_by_message[text] = len(self._messages)
             self._messages.append(effect.message)
-        flight = Flight(sender, NAMES.index(str(effect.to)), self._message_index[text])
-        if flight not in self._flight_index:
-            self._flight_index[flight] = len(self._flights)
+        flight = InFlightMessage(
+            sender, ACTOR_NAMES.index(str(effect.to)), self._index_by_message[text]
+        )
+        if flight not in self._index_by_flight:
+            self._index_by_flight[flight] = len(self._flights)
             self._flights.append(flight)
-        return self._flight_index[flight]
+        return self._index_by_flight[flight]
 
     def _intern_chosen(self, chosen: frozenset[Chosen]) -> int:
-        if chosen not in self._chosen_index:
-            self._chosen_index[chosen] = len(self._chosen)
+        if chosen not in self._index_by_chosen:
+            self._index_by_chosen[chosen] = len(self._chosen)
             self._chosen.append(chosen)
-        return self._chosen_index[chosen]
+        return self._index_by_chosen[chosen]
 
     def _intern_actor(self, actor_index: int, machine: Any) -> int:
         is_proposer = actor_index < len(PROPOSERS)
         state = _proposer_text(machine) if is_proposer else _replica_text(machine)
         text = f"{actor_index} {state}"
-        if text not in self._actor_index:
-            self._actor_index[text] = len(self._actors)
+        if text not in self._index_by_actor:
+            self._index_by_actor[text] = len(self._actors)
             self._actors.append(pickle.dumps(machine))
-            self._durable.append(Position() if is_proposer else machine.durable().record.position)
-            dead = (machine.epoch, machine.phase is OwnerPhase.FOLLOWING) if is_proposer else None
-            self._dead_below.append(dead)
-        return self._actor_index[text]
+            self._durable_positions.append(
+                Position() if is_proposer else machine.durable().record.position
+            )
+            progress = (
+                (machine.epoch, machine.phase is OwnerPhase.FOLLOWING) if is_proposer else None
+            )
+            self._proposer_progress.append(progress)
+        return self._index_by_actor[text]
 
-    # --- the claim ------------------------------------------------------------------------
+    # --- checks ---------------------------------------------------------------------------
 
     def _find_problem(self, state: ModelState) -> str:
         chosen = sorted(self._chosen[state.chosen], key=lambda each: each.position)
@@ -339,7 +372,7 @@
         if chosen:
             newest = chosen[-1].position
             durable_at = [
-                at for at in state.actors[len(PROPOSERS) :] if self._durable[at] >= newest
+                at for at in state.actors[len(PROPOSERS) :] if self._durable_positions[at] >= newest
             ]
             if len(durable_at) < MAJORITY:
                 return f"{newest} was chosen and is on {len(durable_at)} disks"
@@ -347,20 +380,20 @@
 
 
 def explore_register(starts: tuple[int, ...], limit: int) -> Exploration:
-    """Explore a register whose proposers may try to take it so many times each."""
+    """Explore a register; each proposer may start as many times as `starts` says for it."""
     return Explorer().explore(starts, limit)
 
 
 def walk_register(starts: tuple[int, ...], walks: int, seed: int) -> Exploration:
-    """Take random orders of events, which reach deeper than a bounded exploration."""
+    """Walk through a register at random, which reaches deeper than a bounded exploration."""
     return Explorer().walk(starts, walks, seed)
 
 
-def _append(rows: Rows, change: bytes) -> Result[list[RowChange], ChangeRefused]:
+def _append_to_text(rows: Rows, change: bytes) -> Result[list[RowChange], ChangeRefused]:
     return Success([RowChange("text", rows.get("text", b"") + change)])
 
 
-def _take_chosen(owner: RegisterOwner) -> tuple[Chosen, ...]:
+def _drain_chosen(owner: RegisterOwner) -> tuple[Chosen, ...]:
     outcomes, owner.outcomes = owner.outcomes, []
     return tuple(
         Chosen(outcome.record.position, outcome.record.rows.get("text", b""))
--- a/src/zincvale/simulator/virtual_loop.py
+++ b/src/zincvale/simulator/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose time jumps to the next timer: code of the daemons runs on it unchanged."""
+"""An asyncio event loop in virtual time, on which the daemons' code runs unchanged."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """Runs callbacks and timers in virtual time; it has no files and no sockets."""
+    """Runs callbacks and timers in virtual time; files and sockets are not supported."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -19,7 +19,7 @@
         return self._now_s
 
     def select(self, timeout: float | None) -> list[Any]:
-        """Jump to the next timer; without one the loop stands still and is stopped."""
+        """Advance the time to the next timer; stop the loop if there is none."""
         if timeout is None:
             self.stop()
         else:
@@ -27,7 +27,7 @@
         return []
 
     def run_until(self, end_s: float) -> None:
-        """Run what is due before `end_s`."""
+        """Run the callbacks and timers that are due before `end_s`."""
         self.call_at(end_s, self.stop)
         asyncio.set_event_loop(self)
         try:
@@ -36,7 +36,7 @@
             asyncio.set_event_loop(None)
 
     def _process_events(self, event_list: Any) -> None:
-        """There are no events beside timers."""
+        """Do nothing: the loop has no events other than timers."""
 
     def _write_to_self(self) -> None:
-        """Nothing sleeps that had to be woken."""
+        """Do nothing: the loop never blocks, so it does not have to be woken up."""
