--- a/src/zincvale/simulator/commands.py
+++ b/src/zincvale/simulator/commands.py
@@ -45,12 +45,12 @@
     def explore(
         self, seeds: str = "1..200", jobs: int = 1, shrink: bool = True, save: str = ""
     ) -> None:
-        """Run a schedule of faults and changes for each seed; exit non-zero when one breaks.
+        """Run a schedule of faults and changes for each seed; exit non-zero on a violation.
 
         Args:
             seeds: `A..B`, both included.
-            jobs: processes to run them in, at most 4.
-            shrink: search the smallest schedule that breaks the same invariant.
+            jobs: number of worker processes, at most 4.
+            shrink: search for the smallest schedule that violates the same invariant.
             save: folder for the (shrunk) schedules of failing seeds.
         """
         if not 1 <= jobs <= MAX_JOBS:
@@ -70,7 +70,7 @@
             sys.exit(EXIT_FAILURE)
 
     def claims(self, seeds: str = "1..20") -> None:
-        """Race and resend at-most-once requests through failing nodes; exit non-zero on a break.
+        """Send at-most-once requests repeatedly via failing nodes; exit non-zero on a violation.
 
         Args:
             seeds: `A..B`, both included.
@@ -92,7 +92,7 @@
             sys.exit(EXIT_FAILURE)
 
     def forwarding(self, seeds: str = "1..200") -> None:
-        """Forward requests to back ends that fail in every way; exit non-zero on a break.
+        """Forward requests to failing back ends; exit non-zero on a violation.
 
         Args:
             seeds: `A..B`, both included.
@@ -103,16 +103,16 @@
             print(f"seed {outcome.seed}: {'; '.join(outcome.problems)}")
         endings = sum((outcome.endings for outcome in outcomes), Counter())
         endings_text = ", ".join(f"{count} {ending}" for ending, count in endings.most_common())
-        print(f"{len(outcomes)} seeds, {len(broken)} broke a promise; {endings_text}")
+        print(f"{len(outcomes)} seeds, {len(broken)} failed a check; {endings_text}")
         if broken:
             sys.exit(EXIT_FAILURE)
 
     def replay(self, file: str, shrink: bool = False, save: str = "") -> None:
-        """Run a saved schedule (or, given a number, that seed's) and exit non-zero when it breaks.
+        """Run a saved schedule, or the schedule of a seed; exit non-zero on a violation.
 
         Args:
             file: a file that `explore --save` wrote, or a seed.
-            shrink: search a smaller schedule that breaks the same invariant.
+            shrink: search for a smaller schedule that violates the same invariant.
             save: folder for the shrunk schedule.
         """
         is_seed = str(file).isdigit()
@@ -131,11 +131,11 @@
         sys.exit(EXIT_FAILURE)
 
     def mutations(self, seeds: str = "1..100", only: str = "") -> None:
-        """Apply deliberate mistakes one by one; exit non-zero when a mistake goes unnoticed.
+        """Apply mutations (deliberate defects) one by one; exit non-zero if one is not detected.
 
         Args:
-            seeds: which seeds to try on each, after the register and the directed scenarios.
-            only: the name of one mutation.
+            seeds: seeds to run after the register exploration and the directed scenarios.
+            only: name of a single mutation to apply.
         """
         seed_range = parse_seeds(seeds)
         names = [only] if only else list(MUTATIONS)
@@ -145,7 +145,7 @@
                 raise InvalidInputError(f"no mutation {name!r}", f"one of {', '.join(MUTATIONS)}")
             detection = _detect(MUTATIONS[name], seed_range)
             missed += not detection
-            print(f"{name:24} {detection or 'NOT NOTICED'}", flush=True)
+            print(f"{name:24} {detection or 'NOT DETECTED'}", flush=True)
         if missed:
             sys.exit(EXIT_FAILURE)
 
@@ -160,14 +160,14 @@
         """Visit every order of deliveries and restarts of a register: 3 replicas, 2 proposers.
 
         Args:
-            states: the bound on distinct states.
-            starts: how often each proposer may try to take the key.
+            states: maximum number of distinct states.
+            starts: number of times that each proposer may try to become the owner of the key.
         """
         start_counts = (
             starts if isinstance(starts, tuple) else tuple(map(int, str(starts).split(",")))
         )
         found = explore_register(tuple(int(each) for each in start_counts), states)
-        extent = "all there are" if found.is_complete else "stopped at the bound"
+        extent = "complete" if found.is_complete else "stopped at the limit"
         print(f"{found.states} distinct states ({extent}), {found.transitions} steps")
         print(f"deepest {found.depth}; versions chosen: {found.chosen}")
         if found.problem:
@@ -221,5 +221,5 @@
         print(
             f"recovery after healing: median {recovered[len(recovered) // 2]:.2f} s, "
             f"longest {recovered[-1]:.2f} s, in {len(recovered)} runs; "
-            f"{len(outcomes) - len(recovered)} runs had lost too many disks for it, or broke"
+            f"{len(outcomes) - len(recovered)} runs had lost too many disks or failed"
         )
