--- a/src/zincvale/standins/assemble.py
+++ b/src/zincvale/standins/assemble.py
@@ -26,7 +26,7 @@
 
 
 def journal_path(journals: str | Path, process: str) -> str:
-    """Return the journal file of a process."""
+    """Return the path of the journal file of a process."""
     return str(Path(journals) / f"{process}.jsonl")
 
 
@@ -71,7 +71,7 @@
     documents: list[Document],
     journals: str | Path,
 ) -> StoreSettings:
-    """Return the settings of one weight store, with the limit that the intent declares."""
+    """Return the settings of one weight store, with the pull limit that the intent declares."""
     return StoreSettings(
         store=store.name,
         address=deployment.store_address(store),
@@ -116,9 +116,9 @@
 
     Parameters
     ----------
-    folder : the deployment's folder.
-    load : a load file, or the name of one in the folder's `loads`.
-    share : index and count of the processes that share the load.
+    folder : the folder of the deployment.
+    load : path of a load file, or the name of one in the `loads` subfolder.
+    share : index of this process and number of processes among which the load is divided.
     """
     index, count = share
     process = f"callers-{index + 1}"
@@ -137,7 +137,7 @@
 
 
 def load_file(folder: str | Path, load: str) -> Path:
-    """Return the load file that `load` names: a path, or a name in the folder's `loads`."""
+    """Return the path of a load file, given as a name in the `loads` subfolder or as a path."""
     named = Path(folder) / LOADS_FOLDER / f"{load}.yaml"
     return named if named.exists() else Path(load)
 
@@ -150,7 +150,7 @@
     seed: int = 1,
     address_map: dict[str, str] | None = None,
 ) -> OperatorsSettings:
-    """Return the settings of the operators; an empty `script` is the deployment's own."""
+    """Return the settings of the operators; an empty `script` selects the deployment's script."""
     return OperatorsSettings(
         script=script or str(Path(folder) / OPERATORS_FILE),
         cores=[deployment.api_address(machine) for machine in deployment.cores()],
@@ -162,7 +162,7 @@
 
 
 def listed_server(deployment: Deployment, server: BackEndServer) -> ListedServer:
-    """Return a server's row of the platform's list."""
+    """Return the row that describes a server in the platform's server list."""
     return ListedServer(
         server=server.name,
         address=deployment.server_address(server),
@@ -183,4 +183,6 @@
     for document in documents:
         if document.kind == "Store" and document.name == store and document.spec:
             return int(document.spec.get("max_concurrent_loads", DEFAULT_MAX_CONCURRENT_LOADS))
-    raise InvalidInputError(f"store {store} is not in the intent", "declare it in intent.yaml")
+    raise InvalidInputError(
+        f"store {store} is not in the intent", "declare the store in intent.yaml"
+    )
--- a/src/zincvale/standins/back_end.py
+++ b/src/zincvale/standins/back_end.py
@@ -1,4 +1,4 @@
-"""What language-model and lookup stand-ins share: the HTTP frame, misbehaviour, the journal."""
+"""Shared by language-model and lookup servers: HTTP handling, misbehaviour and the journal."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from zincvale.standins.journal import JournalWriter
 
 SWAP_TIMEOUT_S = 0.5
-"""How long a response waits for another one to be swapped with; then it goes out unswapped."""
+"""How long a response waits for another one to swap with; after that it is sent unswapped."""
 JSON_CONTENT_TYPE = "application/json"
 
 
@@ -33,7 +33,7 @@
 
 
 def new_identity(server: str, pool: str, zone: str) -> ServerIdentity:
-    """Return the identity of a server that has just started: a new incarnation."""
+    """Return the identity of a server that has just started, with a new random incarnation."""
     return ServerIdentity(server, pool, zone, uuid.uuid4().hex)
 
 
@@ -46,10 +46,10 @@
     async def swap(self, response: Any) -> Any:
         """Return the response of another request, or `response` itself after the timeout."""
         if self._pending is not None:
-            other, future = self._pending
+            other_response, future = self._pending
             self._pending = None
             future.set_result(response)
-            return other
+            return other_response
         future = asyncio.get_running_loop().create_future()
         self._pending = (response, future)
         done, _ = await asyncio.wait([future], timeout=SWAP_TIMEOUT_S)
@@ -60,7 +60,7 @@
 
 
 class BackEnd:
-    """State that every handler of one server shares."""
+    """State shared by all request handlers of one server."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         self.response_swap = ResponseSwap()
 
     def draw(self, kind: BehaviourKind) -> Behaviour | None:
-        """Return the behaviour of `kind` if it touches the request at hand."""
+        """Return the behaviour of `kind` if it applies to the current request, else None."""
         return self.behaviours.draw(kind, self.clock())
 
     def add_behaviour(self, behaviour: Behaviour) -> None:
@@ -86,19 +86,19 @@
 
 
 class BackEndHandler(RequestHandler):
-    """Base of the handlers of a back end."""
+    """Base class of the request handlers of a back end."""
 
     def initialize(self, back_end: Any) -> None:
         """Store the server's state."""
         self.back_end = back_end
 
     async def prepare(self) -> None:
-        """Never respond while the server is dark, not even to status calls."""
+        """Leave every request without a response while `BehaviourKind.DARK` is active."""
         if self.back_end.draw(BehaviourKind.DARK):
             await asyncio.Event().wait()
 
     def body(self) -> dict[str, Any]:
-        """Return the JSON object of the request; raises `MalformedBodyError`."""
+        """Return the request body, a JSON object; raises `MalformedBodyError`."""
         try:
             data = orjson.loads(self.request.body)
         except orjson.JSONDecodeError as error:
@@ -110,13 +110,13 @@
         return data
 
     def respond(self, status: int, payload: dict[str, Any]) -> None:
-        """Respond with JSON."""
+        """Send a JSON response."""
         self.set_status(status)
         self.set_header("Content-Type", JSON_CONTENT_TYPE)
         self.finish(orjson.dumps(payload))
 
     def refuse(self, status: int, request_id: str, error: str) -> None:
-        """Respond that a request did not run and will not, and journal it."""
+        """Journal a refusal and respond that the request did not run and will not."""
         self.back_end.journal.write("refuse", request_id=request_id, error=error)
         self.respond(status, {"request_id": request_id, "error": error, "ran": False})
 
@@ -127,7 +127,7 @@
         stream.close()
 
     async def deliver(self, request_id: str, payload: dict[str, Any]) -> None:
-        """Send the response of a request that ran, or misbehave with it."""
+        """Send the response of a request that ran, subject to the active behaviours."""
         back_end = self.back_end
         if back_end.draw(BehaviourKind.DROP_RESPONSE):
             back_end.journal.write("dropped", request_id=request_id)
@@ -143,12 +143,14 @@
         if back_end.draw(BehaviourKind.SWAPPED_RESPONSE):
             payload = await back_end.response_swap.swap(payload)
             if payload["request_id"] != request_id:
-                other = payload["request_id"]
-                back_end.journal.write("crossed", request_id=request_id, sent_request_id=other)
+                sent_request_id = payload["request_id"]
+                back_end.journal.write(
+                    "crossed", request_id=request_id, sent_request_id=sent_request_id
+                )
         self.respond(200, payload)
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Respond with an error of this stand-in; a request that fails its checks never ran."""
+        """Send an error response; a request that fails validation is reported as not run."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if isinstance(error, (InvalidInputError, MalformedBodyError)):
             self.set_status(error.http_status)
@@ -157,16 +159,16 @@
         super().write_error(status_code, **kwargs)
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Log defects only: a bad request gets a response and no log line."""
+        """Log unexpected exceptions; an invalid request gets a response and no log line."""
         if not isinstance(value, (InvalidInputError, MalformedBodyError)):
             super().log_exception(typ, value, tb)
 
 
 class BehaviourHandler(BackEndHandler):
-    """`/admin/behaviour`: the rig switches misbehaviour on and off."""
+    """`/admin/behaviour`: switches misbehaviour on and off, for the fleet rig."""
 
     async def prepare(self) -> None:
-        """Respond to the rig also while the server is dark."""
+        """Serve the request also while `BehaviourKind.DARK` is active."""
 
     def post(self) -> None:
         """Activate the behaviour in the body."""
--- a/src/zincvale/standins/deployment.py
+++ b/src/zincvale/standins/deployment.py
@@ -1,10 +1,10 @@
-"""Reading of a deployment folder: its machines, its resource file and its load.
+"""Reads a deployment folder: its machines, its resource file and its load files.
 
 A folder `deployments/NAME` holds
 
-- `deployment.yaml`: which machines there are, where, how large and how fast (`Deployment`);
+- `deployment.yaml`: the machines with their addresses, sizes and speeds (`Deployment`);
 - `intent.yaml`: the resources that operators apply first (documents `kind`, `name`, `spec`);
-- `loads/SHAPE.yaml`: what callers do (`zincvale.standins.load.spec`).
+- `loads/SHAPE.yaml`: the requests that callers send (`zincvale.standins.load.spec`).
 
 Hosts are written as the last two numbers of a loopback address; `network` holds the first two, so
 that a whole deployment can be moved to another loopback network (`moved_to`).
@@ -31,7 +31,7 @@
 
 
 class MachineRole(enum.Enum):
-    """Which daemon a machine runs."""
+    """The daemon that a machine runs."""
 
     CORE = "core"
     NODE = "node"
@@ -39,13 +39,13 @@
 
 @dataclass
 class Machine(Checked):
-    """One of the user's machines for zincvale; a core has a small disk."""
+    """A machine that runs a zincvale daemon; a core has a small disk."""
 
     name: str
     role: MachineRole
     zone: str
     host: str
-    """Last two numbers of its address, for example `1.11`."""
+    """Last two numbers of the machine's address, for example `1.11`."""
     api_port: int = 8080
     peer_port: int = 7400
     disk_bytes: int = 0
@@ -53,29 +53,29 @@
 
 @dataclass
 class LanguageModelProfile(Checked):
-    """How large and how fast a language-model server is; times are real (already scaled)."""
+    """Capacity and speed of a language-model server; times are real (already scaled)."""
 
     memory_bytes: int
     pull_bytes_per_second: int
-    """What the server's own network takes; the store may give less."""
+    """Bandwidth limit of the server's own network; the store may send more slowly."""
     prefill_tokens_per_second: float = 8000.0
     decode_s_per_token: float = 0.02
     batch_slowdown: float = 0.03
-    """Each further running request lengthens the time per token by this share."""
+    """Fraction by which each further running request lengthens the time per token."""
     max_running: int = 16
     max_queued: int = 32
     kv_cache_bytes: int = 4_000_000_000
-    """Part of the memory kept for running requests and cached prefixes."""
+    """Part of the memory reserved for running requests and cached prefixes."""
     kv_block_tokens: int = 16
     kv_bytes_per_token: int = 131_072
     max_concurrent_loads: int = 2
     ramp_s: float = 4.0
-    """A cold server takes this long from its start to its full `max_running`."""
+    """Seconds over which a cold server ramps up to its full `max_running`."""
 
 
 @dataclass
 class LookupProfile(Checked):
-    """How fast a lookup server is."""
+    """Rate limit, service time and concurrency of a lookup server."""
 
     lookups_per_second: float = 4.5
     burst: int = 2
@@ -104,12 +104,12 @@
     host: str
     port: int = 9100
     bytes_per_second: int = 20_000_000_000
-    """Shared by all concurrent pulls."""
+    """Total bandwidth of the store, shared by all concurrent pulls."""
 
 
 @dataclass
 class PlatformMachine(Checked):
-    """The platform: server list and node hand-out."""
+    """The platform, which publishes the server list and hands out ready nodes to callers."""
 
     zone: str
     host: str
@@ -121,14 +121,14 @@
 
 @dataclass
 class CallersMachine(Checked):
-    """Where callers and operators are (outside every zone)."""
+    """The machine of the callers and operators, which is in no zone."""
 
     host: str = "9.1"
 
 
 @dataclass
 class Deployment(Checked):
-    """One user's deployment."""
+    """The machines, servers and stores of one deployment."""
 
     name: str
     network: str
@@ -141,21 +141,21 @@
     stores: list[StoreMachine]
     platform: PlatformMachine
     language_model_profiles: dict[str, LanguageModelProfile]
-    """By pool name."""
+    """Profiles of language-model servers, by pool name."""
     lookup_profiles: dict[str, LookupProfile]
-    """By pool name."""
+    """Profiles of lookup servers, by pool name."""
     callers: CallersMachine = field(default_factory=CallersMachine)
 
     def ip(self, host: str) -> str:
-        """Return the loopback address of a host suffix."""
+        """Return the loopback address of a host, given its last two numbers."""
         return f"{self.network}.{host}"
 
     def api_address(self, machine: Machine) -> str:
-        """Return where callers and operators reach a machine."""
+        """Return the `ip:port` at which callers and operators reach a machine."""
         return f"{self.ip(machine.host)}:{machine.api_port}"
 
     def peer_address(self, machine: Machine) -> str:
-        """Return where other daemons reach a machine."""
+        """Return the `ip:port` at which other daemons reach a machine."""
         return f"{self.ip(machine.host)}:{machine.peer_port}"
 
     def server_address(self, server: BackEndServer) -> str:
@@ -171,11 +171,11 @@
         return f"{self.ip(self.platform.host)}:{self.platform.port}"
 
     def cores(self) -> list[Machine]:
-        """Return the machines with a disk."""
+        """Return the machines that run a core daemon."""
         return [machine for machine in self.machines if machine.role is MachineRole.CORE]
 
     def nodes(self) -> list[Machine]:
-        """Return the data-plane machines."""
+        """Return the machines that run a node daemon (data plane)."""
         return [machine for machine in self.machines if machine.role is MachineRole.NODE]
 
     def moved_to(self, network: str) -> Deployment:
@@ -189,34 +189,36 @@
     Raises
     ------
     InvalidInputError
-        Naming the file, the field and the remedy.
+        If the file is invalid; the error names the file, the field and the remedy.
     """
     path = Path(folder) / DEPLOYMENT_FILE
     deployment = read_checked(Deployment, read_yaml(path), str(path))
-    _check(deployment, str(path))
+    _check_deployment(deployment, str(path))
     return deployment
 
 
 def load_intent(folder: str | Path, deployment: Deployment) -> list[Document]:
-    """Return the resources of `folder`, with the stores at the deployment's addresses."""
+    """Return the resources of `folder`, with stores given their addresses in the deployment."""
     documents = read_documents(Path(folder) / INTENT_FILE)
     address_by_store = {store.name: deployment.store_address(store) for store in deployment.stores}
-    return [_placed(document, address_by_store) for document in documents]
+    return [_with_store_address(document, address_by_store) for document in documents]
 
 
 def read_documents(path: str | Path) -> list[Document]:
-    """Return the documents of a resource file: YAML documents, each one resource or a list."""
+    """Return the resources of a file of YAML documents, each one resource or a list of them."""
     documents = []
-    for index, data in enumerate(_flatten(read_yaml_documents(Path(path)))):
+    for index, data in enumerate(_flattened(read_yaml_documents(Path(path)))):
         documents.append(read_checked(Document, data, f"{path}, document {index + 1}"))
     return documents
 
 
 def read_yaml(path: Path) -> Any:
-    """Return the one YAML document of a file; raises `InvalidInputError`."""
+    """Return the only YAML document of a file; raises `InvalidInputError`."""
     documents = read_yaml_documents(path)
     if len(documents) != 1:
-        raise InvalidInputError(f"{path} holds {len(documents)} documents", "write exactly one")
+        raise InvalidInputError(
+            f"{path} contains {len(documents)} YAML documents", "write exactly one"
+        )
     return documents[0]
 
 
@@ -231,10 +233,12 @@
     try:
         return [data for data in yaml.safe_load_all(text) if data is not None]
     except yaml.YAMLError as error:
-        raise InvalidInputError(f"{path} is not YAML: {error}", "correct it") from error
+        raise InvalidInputError(
+            f"{path} is not valid YAML: {error}", "correct the syntax"
+        ) from error
 
 
-def _flatten(items: Iterable[Any]) -> list[Any]:
+def _flattened(items: Iterable[Any]) -> list[Any]:
     flat: list[Any] = []
     for item in items:
         if isinstance(item, list):
@@ -244,7 +248,7 @@
     return flat
 
 
-def _placed(document: Document, address_by_store: dict[str, str]) -> Document:
+def _with_store_address(document: Document, address_by_store: dict[str, str]) -> Document:
     if document.kind != "Store" or document.spec is None:
         return document
     address = address_by_store.get(document.name)
@@ -253,7 +257,7 @@
     return replace(document, spec={**document.spec, "address": address})
 
 
-def _check(deployment: Deployment, where: str) -> None:
+def _check_deployment(deployment: Deployment, where: str) -> None:
     if not deployment.network.startswith(LOOPBACK_PREFIX):
         raise InvalidInputError(
             f"{where}: network {deployment.network!r} is not a loopback network",
@@ -265,21 +269,21 @@
 
 
 def _check_zones(deployment: Deployment, where: str) -> None:
-    placed: list[Machine | BackEndServer | StoreMachine] = [
+    zoned: list[Machine | BackEndServer | StoreMachine] = [
         *deployment.machines,
         *deployment.servers,
         *deployment.stores,
     ]
-    for item in placed:
+    for item in zoned:
         if item.zone not in deployment.zones:
             raise InvalidInputError(
                 f"{where}: {item.name} is in unknown zone {item.zone!r}",
                 f"use one of {', '.join(deployment.zones)}",
             )
-    names = [item.name for item in placed]
+    names = [item.name for item in zoned]
     for name in names:
         if names.count(name) > 1:
-            raise InvalidInputError(f"{where}: {name!r} is used twice", "give each its own name")
+            raise InvalidInputError(f"{where}: {name!r} is used twice", "give each a unique name")
 
 
 def _check_unique_endpoints(deployment: Deployment, where: str) -> None:
@@ -293,18 +297,18 @@
     for endpoint in endpoints:
         if endpoints.count(endpoint) > 1:
             raise InvalidInputError(
-                f"{where}: {endpoint} is used twice", "give each its own address"
+                f"{where}: {endpoint} is used twice", "give each a unique address"
             )
 
 
 def _check_profiles(deployment: Deployment, where: str) -> None:
     for server in deployment.servers:
         if server.kind is PoolKind.LOOKUP:
-            known = server.pool in deployment.lookup_profiles
+            has_profile = server.pool in deployment.lookup_profiles
         else:
-            known = server.pool in deployment.language_model_profiles
-        if not known:
+            has_profile = server.pool in deployment.language_model_profiles
+        if not has_profile:
             raise InvalidInputError(
                 f"{where}: pool {server.pool!r} of {server.name} has no profile",
-                "add it under lookup_profiles or language_model_profiles",
+                "add a profile under lookup_profiles or language_model_profiles",
             )
--- a/src/zincvale/standins/generation.py
+++ b/src/zincvale/standins/generation.py
@@ -1,9 +1,9 @@
-"""Deterministic generation: the response of a language model or lookup server, as a pure function.
+"""Deterministic responses of language-model and lookup servers, as pure functions of the request.
 
 Token N is a function of model, adapter, prompt and N alone, so that every server gives the
-same response and a caller can check each chunk of a stream that was continued elsewhere. A prefix
-that is not what the model would have generated changes every later token, as it would in a real
-model, so that a spliced stream shows.
+same response and a caller can check each chunk of a stream that another server continued. A prefix
+that differs from what the model would have generated changes every later token, as it would in a
+real model, so that a spliced stream is detected.
 """
 
 from __future__ import annotations
@@ -12,16 +12,17 @@
 import xxhash
 
 SYLLABLES = tuple(consonant + vowel for consonant in "bdfgklmnprstvz" for vowel in "aeiou")
-"""Changing these or the hash changes every response, and with it what journals hold."""
+"""Alphabet of the tokens. Changing it or the hash changes every response, and with it the digests
+in journals."""
 SYLLABLES_PER_TOKEN = 3
 LOOKUP_VALUE_HEX_DIGITS = 12
-SHORTEST_SHARE = 0.5
-"""The shortest response, as a share of `max_tokens`."""
+MIN_LENGTH_FRACTION = 0.5
+"""Length of the shortest response, as a fraction of `max_tokens`."""
 
 
 @attrs.frozen
 class GenerationKey:
-    """All that a response depends on."""
+    """The inputs that determine a response."""
 
     model: str
     adapter: str
@@ -29,7 +30,7 @@
     max_tokens: int
 
     def seed(self) -> int:
-        """Return the 64-bit seed of the response; `max_tokens` only cuts, it does not steer."""
+        """Return the 64-bit seed of the response; `max_tokens` limits its length but no token."""
         digest = xxhash.xxh3_64()
         for part in (self.model, self.adapter, self.prompt):
             digest.update(part.encode())
@@ -42,17 +43,19 @@
 
     Parameters
     ----------
-    key : all that the response depends on.
-    prefix : tokens that were already generated elsewhere; the response continues after them.
+    key : the inputs that determine the response.
+    prefix : tokens that another server already generated; the response continues after them.
     """
 
     def __init__(self, key: GenerationKey, prefix: list[str] | None = None) -> None:
         self.length = response_length(key)
         self._seed = key.seed()
-        given = prefix or []
-        self.generated = len(given)
-        if given and given != [self._token(index) for index in range(1, len(given) + 1)]:
-            self._seed = _mix(self._seed, "".join(given))
+        prefix_tokens = prefix or []
+        self.generated = len(prefix_tokens)
+        if prefix_tokens and prefix_tokens != [
+            self._token(index) for index in range(1, len(prefix_tokens) + 1)
+        ]:
+            self._seed = _hash_with_seed(self._seed, "".join(prefix_tokens))
 
     def is_finished(self) -> bool:
         """Return whether the response is complete."""
@@ -68,7 +71,7 @@
 
 
 def token_text(seed: int, index: int) -> str:
-    """Return the token at `index` (from 1) of the response with `seed`: a word and a blank."""
+    """Return the token at `index` (from 1) of the response with `seed`: a word and a space."""
     value = xxhash.xxh3_64_intdigest(index.to_bytes(4, "big"), seed=seed)
     text = ""
     for _ in range(SYLLABLES_PER_TOKEN):
@@ -78,10 +81,10 @@
 
 
 def response_length(key: GenerationKey) -> int:
-    """Return how many tokens the full response has, from half of `max_tokens` to all of it."""
-    shortest = max(1, int(key.max_tokens * SHORTEST_SHARE))
+    """Return how many tokens the full response has: from half of `max_tokens` to `max_tokens`."""
+    shortest = max(1, int(key.max_tokens * MIN_LENGTH_FRACTION))
     spread = max(1, key.max_tokens) - shortest + 1
-    return shortest + _mix(key.seed(), "length") % spread
+    return shortest + _hash_with_seed(key.seed(), "length") % spread
 
 
 def full_response(key: GenerationKey) -> list[str]:
@@ -91,14 +94,14 @@
 
 
 def lookup_value(key: str) -> str:
-    """Return what a lookup of `key` finds."""
+    """Return the value that a lookup of `key` returns on every server."""
     return xxhash.xxh3_64_hexdigest(key.encode())[:LOOKUP_VALUE_HEX_DIGITS]
 
 
 def text_digest(text: str) -> str:
-    """Return the digest that journals carry in place of prompts and responses."""
+    """Return the digest that journals record in place of prompts and responses."""
     return xxhash.xxh3_64_hexdigest(text.encode())
 
 
-def _mix(seed: int, text: str) -> int:
+def _hash_with_seed(seed: int, text: str) -> int:
     return xxhash.xxh3_64_intdigest(text.encode(), seed=seed)
--- a/src/zincvale/standins/journal.py
+++ b/src/zincvale/standins/journal.py
@@ -1,4 +1,4 @@
-"""Journals: what really happened, one JSON object a line."""
+"""Journals of what actually happened, with one JSON object per line."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class JournalWriter(Protocol):
-    """Where a stand-in writes what happened."""
+    """Accepts the journal rows of a stand-in."""
 
     def write(self, event: str, **fields: Any) -> None:
         """Append one row."""
@@ -19,12 +19,12 @@
 
 
 class Journal:
-    """Appends rows to a file; a row is in the file when `write` returns, also before a kill.
+    """Appends rows to a file; a written row survives a kill of the process.
 
     Parameters
     ----------
-    path : the file; its folder is made when missing.
-    clock : gives `t`, seconds on `CLOCK_BOOTTIME`.
+    path : the journal file; its folder is created if it does not exist.
+    clock : time of each row, its field `t`, in seconds on `CLOCK_BOOTTIME`.
     """
 
     def __init__(self, path: str, clock: Callable[[], float]) -> None:
--- a/src/zincvale/standins/json_body.py
+++ b/src/zincvale/standins/json_body.py
@@ -1,4 +1,4 @@
-"""Reading of JSON bodies that may be cut off or no JSON at all."""
+"""Reads JSON bodies that may be truncated or not JSON."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def json_object(body: bytes) -> dict[str, Any]:
-    """Return the JSON object in `body`; empty when it holds none."""
+    """Return the JSON object in `body`, or an empty dict if it is not a JSON object."""
     try:
         data = orjson.loads(body)
     except orjson.JSONDecodeError:
--- a/src/zincvale/standins/language_model/__init__.py
+++ b/src/zincvale/standins/language_model/__init__.py
@@ -1,8 +1,8 @@
-"""The language-model server: batching engine, memory, loads of weights, HTTP.
+"""The language-model server: batching engine, memory, weight loading and HTTP.
 
-Order to read: `kv_cache` and `engine` (pure; time is passed in), `residency` (pure memory
-accounting of models and adapters), `weight_puller` (client of the weight stores), `server` (state
-and timers around these), `stream_misbehaviour`, `http_handlers`.
+Order to read: `kv_cache` and `engine` (no I/O; time is passed in), `residency` (memory accounting
+of models and adapters, no I/O), `weight_puller` (client of the weight stores), `server` (combines
+these and owns the timers), `stream_misbehaviour`, `http_handlers`.
 
 May import the modules at the top of `zincvale.standins`, no other sub-package.
 """
--- a/src/zincvale/standins/language_model/engine.py
+++ b/src/zincvale/standins/language_model/engine.py
@@ -1,8 +1,9 @@
 """Discrete model of a language-model server: continuous batching of prefill and decode.
 
-Pure: time is passed in. The server works in steps. A step decodes one token for every running
-request and prefills a bounded chunk of those that wait for their first token; it takes longer the
-more requests run. Prompt tokens found in the KV cache need no prefill.
+Performs no I/O; time is passed in. The server works in steps. A step decodes one token for every
+running request and prefills a bounded number of tokens of the requests that wait for their first
+token; the more requests decode, the longer a step takes. Prompt tokens found in the KV cache need
+no prefill.
 """
 
 from __future__ import annotations
@@ -17,15 +18,17 @@
 from zincvale.standins.language_model.kv_cache import KvAllocation, KvCache
 
 PREFILL_CHUNK_TOKENS = 512
-"""Prompt tokens one step prefills at most; more delays the tokens of running requests."""
+"""Limit on the tokens prefilled in one step; a higher one delays the tokens of running requests."""
 MAX_LATENESS_S = 0.05
-"""A step that ends later than this was delayed by a freeze: the next one starts from now."""
+"""If `advance` is called later than this after the end of a step, the process was frozen, and the
+next step starts at the current time instead of at the end of the last one."""
 COLD_MIN_RUNNING = 1
-"""Requests a cold server always takes; with 0 it would refuse all until its ramp has begun."""
+"""Requests that a cold server always accepts; with 0 it would refuse all of them until its ramp
+has begun."""
 
 
 class Refusal(enum.Enum):
-    """Why a generation was not taken."""
+    """Why the engine refused a request."""
 
     OVERLOADED = "overloaded"
     COLD = "cold"
@@ -34,7 +37,7 @@
 
 @attrs.frozen
 class TokenEmitted:
-    """Token number `index` (from 1, prefix included) of a request."""
+    """A request generated token number `index`, counted from 1 and including the prefix."""
 
     run_id: str
     index: int
@@ -73,7 +76,7 @@
 
     Parameters
     ----------
-    profile : sizes and speeds.
+    profile : capacity and speed of the server.
     """
 
     def __init__(self, profile: LanguageModelProfile) -> None:
@@ -86,20 +89,20 @@
         self._warm_from: float | None = None
 
     def set_free_memory(self, free_bytes: int) -> None:
-        """Set the memory that weights leave free: a bound on the KV cache beside its profile's."""
+        """Limit the KV cache to the memory that weights leave free and to the profile's limit."""
         self.cache.set_capacity(min(free_bytes, self.profile.kv_cache_bytes))
 
     def begin_warm_up(self, now: float) -> None:
-        """Start the ramp from cold to full; later calls change nothing."""
+        """Start the ramp from cold to full capacity; later calls have no effect."""
         if self._warm_from is None:
             self._warm_from = now
 
     def is_cold(self, now: float) -> bool:
-        """Return whether the ramp is not over yet."""
+        """Return whether the ramp has not started or not ended yet."""
         return self._warm_from is None or now - self._warm_from < self.profile.ramp_s
 
     def max_running(self, now: float) -> int:
-        """Return how many requests the server takes into its batch now; less while it is cold."""
+        """Return how many requests may run at once; fewer while the server is cold."""
         if self.is_cold(now):
             return min(self.profile.max_running, self._ramped_limit(now))
         return self.profile.max_running
@@ -115,15 +118,15 @@
     def submit(
         self, run_id: str, key: GenerationKey, prefix: list[str], now: float
     ) -> Refusal | None:
-        """Take a request, or refuse it.
+        """Queue a request and return None, or return why it is refused.
 
-        `run_id` is the server's own name of this run: a request that is sent twice runs twice.
+        `run_id` identifies this run on the server: a request that is sent twice runs twice.
         """
         refusal = self._refusal(now)
         if refusal is not None:
             return refusal
         request = _new_request(run_id, key, prefix)
-        if not self.cache.fits_ever(request.total_tokens):
+        if not self.cache.can_ever_fit(request.total_tokens):
             return Refusal.TOO_LARGE
         self._queued.append(request)
         self._admit()
@@ -131,7 +134,7 @@
         return None
 
     def cancel(self, run_id: str) -> int | None:
-        """Drop a request; returns how many tokens it had, or None when it is not here."""
+        """Remove a request; return how many tokens it had, or None if it has already ended."""
         request = self._running.get(run_id)
         if request is not None:
             self._remove(request)
@@ -143,26 +146,26 @@
         return None
 
     def next_at(self) -> float | None:
-        """Return when `advance` is due, or None while nothing runs."""
+        """Return the time at which `advance` is due, or None while no request runs."""
         return self._step.ends_at if self._step else None
 
     def advance(self, now: float) -> list[TokenEmitted | Finished]:
-        """End the step that is due, if any, and start the next."""
+        """Complete the step that is due, if any, start the next and return what was generated."""
         step = self._step
         if step is None or now < step.ends_at:
             return []
         self._step = None
         emitted = self._end_step(step)
         self._admit()
-        late = now - step.ends_at > MAX_LATENESS_S
-        self._start_step(now if late else step.ends_at)
+        is_late = now - step.ends_at > MAX_LATENESS_S
+        self._start_step(now if is_late else step.ends_at)
         return emitted
 
     def _refusal(self, now: float) -> Refusal | None:
-        present = len(self._running) + len(self._queued)
-        if self.is_cold(now) and present >= self._ramped_limit(now):
+        request_count = len(self._running) + len(self._queued)
+        if self.is_cold(now) and request_count >= self._ramped_limit(now):
             return Refusal.COLD
-        if present >= self.profile.max_running + self.profile.max_queued:
+        if request_count >= self.profile.max_running + self.profile.max_queued:
             return Refusal.OVERLOADED
         return None
 
--- a/src/zincvale/standins/language_model/http_handlers.py
+++ b/src/zincvale/standins/language_model/http_handlers.py
@@ -1,4 +1,4 @@
-"""HTTP of the language-model server stand-in (docs/PROTOCOLS.md, "Back ends")."""
+"""HTTP interface of the language-model server stand-in (docs/PROTOCOLS.md, "Back ends")."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @dataclass
 class OrderBody(Checked):
-    """Body of every load and unload order; each action reads the fields it needs."""
+    """Body of all load and unload orders; each action reads only the fields that it needs."""
 
     order_id: str
     epoch: int
@@ -63,7 +63,7 @@
     """`GET /status`."""
 
     def get(self) -> None:
-        """Respond with memory, load and residency."""
+        """Respond with memory use, request counts, and resident models and adapters."""
         self.respond(200, self.back_end.status())
 
 
@@ -73,7 +73,7 @@
     _run: Run | None = None
 
     async def post(self) -> None:
-        """Run one request, streamed or not."""
+        """Run one generation and send its response, streamed if the request asks for it."""
         body = read_checked(GenerateBody, self.body(), "generate")
         model: LanguageModel = self.back_end
         adapter = body.adapter or ""
@@ -114,7 +114,7 @@
     async def _stream(self, run: Run) -> None:
         self.set_header("Content-Type", "text/event-stream")
         self.set_header("Cache-Control", "no-store")
-        faults = StreamMisbehaviour.drawn_from(self.back_end)
+        misbehaviour = StreamMisbehaviour.drawn_from(self.back_end)
         sent = 0
         try:
             while True:
@@ -123,8 +123,8 @@
                     self.finish(_event_bytes(event))
                     return
                 sent += 1
-                await self._write_token(event, sent, faults)
-                if faults.cuts_after(sent):
+                await self._write_token(event, sent, misbehaviour)
+                if misbehaviour.cuts_after(sent):
                     self.back_end.journal.write("cut", request_id=run.request_id, tokens=sent)
                     self.back_end.abandon(run)
                     self.close_connection()
@@ -133,16 +133,16 @@
             self.back_end.abandon(run)
 
     async def _write_token(
-        self, event: TokenEmitted, sent: int, faults: StreamMisbehaviour
+        self, event: TokenEmitted, sent: int, misbehaviour: StreamMisbehaviour
     ) -> None:
-        await asyncio.sleep(faults.pause_before(sent))
-        for _ in range(faults.send_count(sent)):
+        await asyncio.sleep(misbehaviour.pause_before(sent))
+        for _ in range(misbehaviour.send_count(sent)):
             self.write(_event_bytes(event))
         await self.flush()
 
 
 class OrderHandler(BackEndHandler):
-    """Base of the load and unload orders: journals each and responds with its result."""
+    """Base class of the load and unload orders: journals each order and sends its result."""
 
     action = ""
 
@@ -195,7 +195,7 @@
     action = "load-model"
 
     def execute(self, model: LanguageModel, body: OrderBody) -> OrderResult:
-        """Reserve memory and begin to pull."""
+        """Reserve memory and start the pull of the weights."""
         pinned = model.engine.cache.pinned_bytes()
         result = model.residency.order_model_load(body.model, body.bytes, pinned)
         model.start_load(result, body.model, body.bytes, body.store, body.order_id)
@@ -218,7 +218,7 @@
     action = "load-adapter"
 
     def execute(self, model: LanguageModel, body: OrderBody) -> OrderResult:
-        """Reserve memory and begin to pull."""
+        """Reserve memory and start the pull of the weights."""
         pinned = model.engine.cache.pinned_bytes()
         result = model.residency.order_adapter_load(
             body.adapter, body.base_model, body.bytes, pinned
--- a/src/zincvale/standins/language_model/residency.py
+++ b/src/zincvale/standins/language_model/residency.py
@@ -1,6 +1,6 @@
 """Resident models and adapters of a language-model server, and the memory they take.
 
-Pure: the server pulls weights and then calls `load_completed` or `load_failed`.
+Performs no I/O: the server pulls weights and then calls `load_completed` or `load_failed`.
 """
 
 from __future__ import annotations
@@ -13,8 +13,9 @@
 class WeightState(enum.Enum):
     """State of a model or adapter on the server.
 
-    Legal transitions: LOADING -> LOADED, LOADED -> UNLOADING; an entry is removed from any state
-    (failed load, unload without users, last user of one that is UNLOADING)."""
+    Legal transitions: LOADING -> LOADED, LOADED -> UNLOADING. An entry can be removed in any state:
+    by a failed load, by an unload order while no request uses it, or when the last request that
+    uses an UNLOADING entry ends."""
 
     LOADING = "loading"
     LOADED = "loaded"
@@ -22,7 +23,7 @@
 
 
 class OrderError(enum.Enum):
-    """Why a load or unload was refused."""
+    """Why a load or unload order was refused."""
 
     MEMORY = "memory"
     BUSY = "busy"
@@ -48,7 +49,7 @@
     error: OrderError | None = None
     is_already_done: bool = False
     removed: tuple[str, ...] = ()
-    """Weights that left the memory at once."""
+    """Names of the weights that the order removed from memory immediately."""
 
 
 class Residency:
@@ -56,8 +57,8 @@
 
     Parameters
     ----------
-    memory_bytes : all memory: weights, adapters and KV together.
-    max_concurrent_loads : loads that run at the same time.
+    memory_bytes : total memory for models, adapters and the KV cache.
+    max_concurrent_loads : limit on the loads that run at the same time.
     """
 
     def __init__(self, memory_bytes: int, max_concurrent_loads: int) -> None:
@@ -67,15 +68,15 @@
         self.adapters: dict[str, Weights] = {}
 
     def used_bytes(self) -> int:
-        """Return what weights take, those still loading included."""
+        """Return the memory that weights take, including those that are still loading."""
         return sum(weights.size_bytes for weights in self._all())
 
     def free_bytes(self) -> int:
-        """Return what weights leave to the KV cache."""
+        """Return the memory that weights leave free for the KV cache."""
         return self.memory_bytes - self.used_bytes()
 
     def serves(self, model: str, adapter: str) -> bool:
-        """Return whether a request for `model` and `adapter` (empty: none) can run now."""
+        """Return whether a request for `model` and `adapter` (empty for none) can run now."""
         if not _is_loaded(self.models.get(model)):
             return False
         if not adapter:
@@ -84,7 +85,7 @@
         return _is_loaded(weights) and weights is not None and weights.base_model == model
 
     def order_model_load(self, name: str, size_bytes: int, pinned_kv_bytes: int) -> OrderResult:
-        """Reserve memory for a model, or refuse."""
+        """Reserve memory for a model, or refuse the order."""
         if name in self.models:
             return self._result_for_existing(self.models[name])
         error = self._capacity_error(size_bytes, pinned_kv_bytes)
@@ -95,7 +96,7 @@
     def order_adapter_load(
         self, name: str, base_model: str, size_bytes: int, pinned_kv_bytes: int
     ) -> OrderResult:
-        """Reserve memory for an adapter of a loaded model, or refuse."""
+        """Reserve memory for an adapter of a loaded model, or refuse the order."""
         if name in self.adapters:
             return self._result_for_existing(self.adapters[name])
         if not _is_loaded(self.models.get(base_model)):
@@ -106,7 +107,7 @@
         return OrderResult(error)
 
     def order_model_unload(self, name: str) -> OrderResult:
-        """Begin to unload a model with its adapters; it leaves when nobody uses it."""
+        """Begin to unload a model and its adapters; each is removed once no request uses it."""
         if name not in self.models:
             return OrderResult(OrderError.NOT_RESIDENT)
         removed = []
@@ -116,13 +117,13 @@
         return OrderResult(removed=tuple(removed))
 
     def order_adapter_unload(self, name: str) -> OrderResult:
-        """Begin to unload an adapter; it leaves when nobody uses it."""
+        """Begin to unload an adapter; it is removed once no request uses it."""
         if name not in self.adapters:
             return OrderResult(OrderError.NOT_RESIDENT)
         return OrderResult(removed=tuple(self._begin_unload(self.adapters, self.adapters[name])))
 
     def load_completed(self, name: str) -> bool:
-        """Mark a load as complete; False when it was unloaded meanwhile."""
+        """Mark a load as complete; return False if the item is no longer loading."""
         weights = self._find(name)
         if weights is None or weights.state is not WeightState.LOADING:
             return False
@@ -130,7 +131,7 @@
         return True
 
     def load_failed(self, name: str) -> None:
-        """Give back the memory of a load that broke off."""
+        """Release the memory of a load that failed."""
         weights = self._find(name)
         if weights is None or weights.state is not WeightState.LOADING:
             return
@@ -138,12 +139,12 @@
         self.adapters.pop(name, None)
 
     def acquire(self, model: str, adapter: str) -> None:
-        """Count one more request on a model and its adapter."""
+        """Count one more request that uses a model and its adapter."""
         for weights in self._used_by(model, adapter):
             weights.users += 1
 
     def release(self, model: str, adapter: str) -> tuple[str, ...]:
-        """Count one request less; returns the weights that left the memory with it."""
+        """Count one request fewer; return the names of the weights that were removed with it."""
         removed = []
         for weights in self._used_by(model, adapter):
             weights.users -= 1
--- a/src/zincvale/standins/language_model/server.py
+++ b/src/zincvale/standins/language_model/server.py
@@ -1,4 +1,4 @@
-"""A language-model server's state: engine, memory and the requests that wait for tokens."""
+"""State of a language-model server: engine, memory and the requests that are running."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 
 class Puller(Protocol):
-    """Where weights come from."""
+    """Fetches weights from a store."""
 
     async def pull(
         self, store: str, name: str, size_bytes: int, is_needed: Callable[[], bool]
     ) -> None:
-        """Return when the weights are here; raises `PullError`."""
+        """Return once the weights have arrived completely; raises `PullError`."""
         ...
 
 
 @attrs.define(eq=False)
 class Run:
-    """One request that the engine works on, and the events that come out of it."""
+    """One request that the engine has accepted, and the queue of its events."""
 
     run_id: str
     request_id: str
@@ -47,12 +47,12 @@
 
     Parameters
     ----------
-    place : which server this is.
-    profile : sizes and speeds.
-    journal : what really happened.
+    identity : name, pool, zone and incarnation of the server.
+    profile : capacity and speed of the server.
+    journal : records what actually happened.
     clock : seconds on `CLOCK_BOOTTIME`.
-    puller : fetches weights.
-    seed : of the misbehaviour.
+    puller : fetches weights from the stores.
+    seed : seed of the draws that decide which requests misbehave.
     """
 
     def __init__(
@@ -72,23 +72,23 @@
         self._run_numbers = itertools.count(1)
         self._run_by_id: dict[str, Run] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = 0.0
+        self._timer_due_at = 0.0
         self._pulls: set[asyncio.Task[None]] = set()
-        self._memory_changed()
+        self._update_free_memory()
 
     def preload(self, resident: list[ResidentModel]) -> None:
-        """Load `resident` at the start, as a server that has been up for long."""
+        """Mark `resident` as loaded without a pull, as if the server had loaded it earlier."""
         for model in resident:
             self.residency.order_model_load(model.name, model.size_bytes, 0)
-            self._loaded(model.name, model.size_bytes)
+            self._finish_load(model.name, model.size_bytes)
             for adapter, size_bytes in model.adapters.items():
                 self.residency.order_adapter_load(adapter, model.name, size_bytes, 0)
-                self._loaded(adapter, size_bytes)
+                self._finish_load(adapter, size_bytes)
 
     def status(self) -> dict[str, Any]:
         """Return the body of `GET /status`."""
         now = self.clock()
-        cold = self.engine.is_cold(now)
+        is_cold = self.engine.is_cold(now)
         models = [
             {"name": row.name, "bytes": row.size_bytes, "state": row.state.value}
             for row in self.residency.models.values()
@@ -105,7 +105,7 @@
         return {
             "server": self.identity.server,
             "incarnation": self.identity.incarnation,
-            "state": "cold" if cold else "ready",
+            "state": "cold" if is_cold else "ready",
             "memory_bytes": self.profile.memory_bytes,
             "used_bytes": self.residency.used_bytes(),
             "kv_bytes_used": self.engine.cache.used_bytes(),
@@ -117,7 +117,7 @@
         }
 
     def begin(self, request_id: str, key: GenerationKey, prefix: list[str]) -> Run | Refusal:
-        """Take a request and return its run, or why it was refused."""
+        """Submit a request to the engine; return its run, or why it was refused."""
         now = self.clock()
         self.engine.slow_factor = self.behaviours.slow_factor(now)
         run = Run(f"run-{next(self._run_numbers)}", request_id, key.model, key.adapter)
@@ -139,7 +139,7 @@
         return run
 
     def abandon(self, run: Run) -> None:
-        """Cancel a run whose client disconnected."""
+        """Cancel a run, for example because its client disconnected."""
         tokens = self.engine.cancel(run.run_id)
         if tokens is None:
             return
@@ -152,16 +152,16 @@
         """Start the pull of a load that `residency` accepted."""
         if result.error is not None or result.is_already_done:
             return
-        self._memory_changed()
+        self._update_free_memory()
         task = asyncio.ensure_future(self._pull(name, size_bytes, store, order_id))
         self._pulls.add(task)
         task.add_done_callback(self._pulls.discard)
 
     def on_weights_removed(self, names: tuple[str, ...]) -> None:
-        """Journal weights that were removed from memory."""
+        """Update the free memory and journal the weights that were removed."""
         if not names:
             return
-        self._memory_changed()
+        self._update_free_memory()
         for name in names:
             self.journal.write(
                 "unloaded", name=name, bytes=0, used_bytes=self.residency.used_bytes()
@@ -169,28 +169,28 @@
 
     async def _pull(self, name: str, size_bytes: int, store: str, order_id: str) -> None:
         try:
-            await self._puller.pull(store, name, size_bytes, lambda: self._is_loading(name))
+            await self._puller.pull(store, name, size_bytes, lambda: self._is_resident(name))
         except PullError as error:
             self.residency.load_failed(name)
-            self._memory_changed()
+            self._update_free_memory()
             self.journal.write("load-failed", name=name, order_id=order_id, error=str(error))
             return
-        self._loaded(name, size_bytes, order_id)
+        self._finish_load(name, size_bytes, order_id)
 
-    def _loaded(self, name: str, size_bytes: int, order_id: str = "") -> None:
+    def _finish_load(self, name: str, size_bytes: int, order_id: str = "") -> None:
         if not self.residency.load_completed(name):
             return
         self.engine.begin_warm_up(self.clock())
         used_bytes = self.residency.used_bytes()
-        self._memory_changed()
+        self._update_free_memory()
         self.journal.write(
             "loaded", name=name, bytes=size_bytes, used_bytes=used_bytes, order_id=order_id
         )
 
-    def _is_loading(self, name: str) -> bool:
+    def _is_resident(self, name: str) -> bool:
         return name in self.residency.models or name in self.residency.adapters
 
-    def _memory_changed(self) -> None:
+    def _update_free_memory(self) -> None:
         self.engine.set_free_memory(self.residency.free_bytes())
 
     def _set_timer(self) -> None:
@@ -198,11 +198,11 @@
         if due is None:
             return
         if self._timer is not None:
-            if self._timer_at <= due:
+            if self._timer_due_at <= due:
                 return
             self._timer.cancel()
         loop = asyncio.get_running_loop()
-        self._timer_at = due
+        self._timer_due_at = due
         self._timer = loop.call_later(max(0.0, due - self.clock()), self._step)
 
     def _step(self) -> None:
@@ -210,10 +210,10 @@
         now = self.clock()
         self.engine.slow_factor = self.behaviours.slow_factor(now)
         for event in self.engine.advance(now):
-            self._dispatch(event)
+            self._deliver_event(event)
         self._set_timer()
 
-    def _dispatch(self, event: EngineEvent) -> None:
+    def _deliver_event(self, event: EngineEvent) -> None:
         run = self._run_by_id[event.run_id]
         if isinstance(event, Finished):
             self.journal.write("done", request_id=run.request_id, tokens=event.count)
--- a/src/zincvale/standins/language_model/stream_misbehaviour.py
+++ b/src/zincvale/standins/language_model/stream_misbehaviour.py
@@ -1,4 +1,4 @@
-"""What goes wrong with one stream of a language-model server. Pure."""
+"""Decides which tokens of one stream are cut, delayed, omitted or sent twice. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class StreamMisbehaviour:
-    """The behaviours that touch one stream; tokens are counted from 1."""
+    """The behaviours that apply to one stream; tokens are counted from 1."""
 
     cut: Behaviour | None = None
     pause: Behaviour | None = None
@@ -19,7 +19,7 @@
 
     @classmethod
     def drawn_from(cls, back_end: BackEnd) -> StreamMisbehaviour:
-        """Return what touches the stream that begins now."""
+        """Return the active behaviours that apply to a stream that starts now."""
         return cls(
             cut=back_end.draw(BehaviourKind.CUT_STREAM),
             pause=back_end.draw(BehaviourKind.PAUSE_STREAM),
@@ -38,7 +38,7 @@
         return self.pause.delay_s
 
     def send_count(self, token: int) -> int:
-        """Return how often `token` is sent: once, twice or not at all."""
+        """Return how many times `token` is sent: 0, 1 or 2."""
         if self.skip is not None and token == self.skip.after_tokens + 1:
             return 0
         if self.repeat is not None and token == self.repeat.after_tokens + 1:
--- a/src/zincvale/standins/language_model/weight_puller.py
+++ b/src/zincvale/standins/language_model/weight_puller.py
@@ -1,4 +1,4 @@
-"""Pulls weights from a store over HTTP, at the pace the store gives."""
+"""Pulls weights from a store over HTTP; the store paces the transfer."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 CONNECT_TIMEOUT_S = 1.0
 STALL_TIMEOUT_S = 15
-"""A pull without a byte for so long fails; shorter than a pause of the store aborts good pulls."""
+"""A pull that receives no byte for so long fails. A timeout shorter than a pause of the store would
+abort healthy pulls."""
 NO_TOTAL_TIMEOUT = 0.0
 MAX_CONCURRENT_PULLS = 64
 
 
 class PullError(Exception):
-    """The weights did not arrive completely."""
+    """Raised when a pull ends before all of the weights have arrived."""
 
 
 class WeightPuller:
@@ -27,9 +28,9 @@
 
     Parameters
     ----------
-    puller : names the server in the store's journal.
-    bytes_per_second : the most this server takes in.
-    address_map : advertised address to the address that is dialled instead.
+    puller : name of this server, for the journal of the store.
+    bytes_per_second : the highest rate at which this server receives.
+    address_map : addresses to dial in place of advertised ones, by advertised address.
     """
 
     def __init__(self, puller: str, bytes_per_second: int, address_map: dict[str, str]) -> None:
@@ -51,7 +52,7 @@
             f"http://{address}/v1/weights/{name}?{query}",
             connect_timeout=CONNECT_TIMEOUT_S,
             request_timeout=NO_TOTAL_TIMEOUT,
-            prepare_curl_callback=lambda curl: _watch(curl, is_needed),
+            prepare_curl_callback=lambda curl: _configure_curl(curl, is_needed),
         )
         try:
             await self._client.fetch(request)
@@ -63,7 +64,7 @@
         self._client.close()
 
 
-def _watch(curl: Any, is_needed: Callable[[], bool]) -> None:
+def _configure_curl(curl: Any, is_needed: Callable[[], bool]) -> None:
     curl.setopt(pycurl.LOW_SPEED_LIMIT, 1)
     curl.setopt(pycurl.LOW_SPEED_TIME, STALL_TIMEOUT_S)
     curl.setopt(pycurl.NOPROGRESS, 0)
--- a/src/zincvale/standins/main.py
+++ b/src/zincvale/standins/main.py
@@ -1,4 +1,4 @@
-"""Command line of the stand-ins: one process per server, store, platform, callers, operators."""
+"""Command line of the stand-ins, each of which runs in its own process."""
 
 from __future__ import annotations
 
--- a/src/zincvale/standins/process.py
+++ b/src/zincvale/standins/process.py
@@ -1,4 +1,4 @@
-"""Life of a stand-in process: it stops by itself, on SIGTERM and when its parent ends."""
+"""Runs a stand-in process until its time limit, SIGTERM or SIGINT, or the end of its parent."""
 
 from __future__ import annotations
 
@@ -27,7 +27,8 @@
         sockets = bind_sockets(port, address=host, backlog=LISTEN_BACKLOG)
     except OSError as error:
         raise StartupError(
-            f"cannot listen on {address}: {error.strerror}", "free the address or name another"
+            f"cannot listen on {address}: {error.strerror}",
+            "free the address or choose another one",
         ) from error
     server = HTTPServer(application)
     server.add_sockets(sockets)
@@ -35,18 +36,19 @@
 
 
 def check_max_seconds(max_seconds: float) -> None:
-    """Raise `InvalidInputError` unless the process has an end."""
+    """Raise `InvalidInputError` unless `max_seconds` is positive, so that the process ends."""
     if max_seconds <= 0:
         raise InvalidInputError(
-            f"max-seconds is {max_seconds}", "give the seconds after which the process stops"
+            f"max-seconds is {max_seconds}", "give a positive number of seconds"
         )
 
 
 def run_until_stopped(body: Callable[[asyncio.Event], Awaitable[None]], max_seconds: float) -> None:
-    """Run `body` with an event that is set when the process is to stop.
+    """Run `body` with an event that is set when the process should stop.
 
     The event is set by SIGTERM or SIGINT, after `max_seconds`, and when the parent process
-    has ended. A process that is frozen while its parent dies is killed by the kernel.
+    has ended. The kernel also kills the process when its parent ends, which covers a process
+    that is frozen at that time.
     """
     check_max_seconds(max_seconds)
     die_with_parent()
@@ -59,11 +61,11 @@
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop.set)
     loop.call_later(max_seconds, stop.set)
-    watch = asyncio.ensure_future(_watch_parent(stop, os.getppid()))
+    watch_task = asyncio.ensure_future(_watch_parent(stop, os.getppid()))
     try:
         await body(stop)
     finally:
-        watch.cancel()
+        watch_task.cancel()
 
 
 async def _watch_parent(stop: asyncio.Event, parent: int) -> None:
@@ -73,5 +75,5 @@
 
 
 def die_with_parent() -> None:
-    """Ask the kernel to kill this process when its parent ends, also while it is frozen."""
+    """Ask the kernel to kill this process when its parent ends, even if this process is frozen."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
--- a/src/zincvale/standins/programs.py
+++ b/src/zincvale/standins/programs.py
@@ -1,4 +1,4 @@
-"""Assembles each stand-in program from its settings and runs it until its stop event is set."""
+"""Builds each stand-in program from its settings; a program runs until its stop event is set."""
 
 from __future__ import annotations
 
@@ -120,7 +120,7 @@
 
 
 def callers_body(settings: CallersSettings) -> Body:
-    """Return the program that drives callers; it ends when every request is over."""
+    """Return the program that drives callers; it ends when every request has finished."""
     spec = load_load_spec(settings.load)
     documents = load_intent(settings.deployment, load_deployment(settings.deployment))
     planner = Planner(spec, documents, settings.seed)
@@ -138,7 +138,7 @@
 
 
 def operators_body(settings: OperatorsSettings) -> Body:
-    """Return the program that drives operators; it ends when every order is final."""
+    """Return the program that drives operators; it ends when every order has a final result."""
     script = load_script(settings.script)
 
     async def body(stop: asyncio.Event) -> None:
--- a/src/zincvale/standins/settings.py
+++ b/src/zincvale/standins/settings.py
@@ -1,4 +1,4 @@
-"""Settings of each stand-in process: one checked YAML file each."""
+"""Settings of the stand-in processes; each process reads one checked YAML file."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @dataclass
 class ResidentModel(Checked):
-    """A model that a server holds from its start."""
+    """A model that is loaded when the server starts."""
 
     name: str
     size_bytes: int
     adapters: dict[str, int] = field(default_factory=dict)
-    """Adapter name to its bytes."""
+    """Size in bytes of each loaded adapter, by adapter name."""
 
 
 @dataclass
@@ -36,7 +36,7 @@
     journal: str
     profile: LanguageModelProfile
     address_map: dict[str, str] = field(default_factory=dict)
-    """Advertised address to the address that is dialled instead (stores)."""
+    """Addresses to dial in place of the advertised addresses of stores, by advertised address."""
     resident: list[ResidentModel] = field(default_factory=list)
     behaviours: list[Behaviour] = field(default_factory=list)
     seed: int = 1
@@ -65,7 +65,7 @@
     journal: str
     bytes_per_second: int
     max_concurrent_pulls: int = 4
-    """What the operators allow; a pull beyond it is refused and journalled."""
+    """Limit that the operators declare; a pull beyond it is refused and journalled."""
 
 
 @dataclass
@@ -109,17 +109,17 @@
     deployment: str
     """Folder with `deployment.yaml` and `intent.yaml`."""
     load: str
-    """A load file."""
+    """Path of the load file."""
     platform_address: str
     journal: str
     summary: str
-    """Where the summary JSON goes at the end."""
+    """Path of the JSON summary that is written at the end."""
     seconds: float
-    """How long new requests arrive."""
+    """Length of the interval in which new requests are sent."""
     seed: int = 1
     share_index: int = 0
     share_count: int = 1
-    """This process drives the requests whose number is `share_index` modulo `share_count`."""
+    """The process sends the arrivals whose position is `share_index` modulo `share_count`."""
     rate_factor: float = 1.0
     address_map: dict[str, str] = field(default_factory=dict)
 
@@ -129,7 +129,7 @@
     """Settings of the operators."""
 
     script: str
-    """A file of timed changes."""
+    """Path of the file of timed changes."""
     cores: list[str]
     """API addresses of the cores."""
     journal: str
@@ -147,19 +147,19 @@
 
 
 def save_settings(settings: Checked, path: str | Path) -> None:
-    """Write settings as YAML, for the process that reads them."""
+    """Write settings to a YAML file that `load_settings` can read."""
     Path(path).write_text(yaml.safe_dump(settings.to_dict(), sort_keys=False), encoding="utf-8")
 
 
 def loopback_endpoint(address: str) -> tuple[str, int]:
-    """Return host and port of a loopback `ip:port`; raises `InvalidInputError` for any other."""
+    """Return host and port of an `ip:port`; raises `InvalidInputError` unless it is loopback."""
     host, _, port = address.rpartition(":")
     try:
         is_loopback = ipaddress.ip_address(host).is_loopback
         number = int(port)
     except ValueError as error:
         raise InvalidInputError(
-            f"address {address!r} is not `ip:port`", "write an IP number and a port"
+            f"address {address!r} is not `ip:port`", "write an IP address and a port"
         ) from error
     if not is_loopback:
         raise InvalidInputError(
@@ -169,7 +169,7 @@
 
 
 def dialled_address(address: str, address_map: dict[str, str]) -> str:
-    """Return where `address` is really dialled; raises `InvalidInputError` when not loopback."""
+    """Return the address to dial for `address`; raises `InvalidInputError` if not loopback."""
     target = address_map.get(address, address)
     loopback_endpoint(target)
     return target
