--- a/src/zincvale/standins/lookup/server.py
+++ b/src/zincvale/standins/lookup/server.py
@@ -1,4 +1,4 @@
-"""HTTP of the lookup server stand-in (docs/PROTOCOLS.md, "Back ends")."""
+"""HTTP interface of the lookup server stand-in (docs/PROTOCOLS.md, "Back ends")."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
     Parameters
     ----------
-    place : which server this is.
-    profile : how fast it is.
-    journal : what really happened.
+    identity : name, pool, zone and incarnation of the server.
+    profile : rate limit, service time and concurrency.
+    journal : records what actually happened.
     clock : seconds on `CLOCK_BOOTTIME`.
-    seed : of the misbehaviour.
+    seed : seed of the draws that decide which requests misbehave.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
     """`GET /status`."""
 
     def get(self) -> None:
-        """Respond with the server's load."""
+        """Respond with the status of the server, including its running lookups."""
         self.respond(200, self.back_end.status())
 
 
@@ -69,7 +69,7 @@
     """`GET /v1/lookup?key=&request_id=`."""
 
     async def get(self) -> None:
-        """Run one lookup."""
+        """Run one lookup, or refuse it with status 429 if a limit is reached."""
         key = self.get_query_argument("key")
         request_id = self.get_query_argument("request_id")
         lookup: Lookup = self.back_end
--- a/src/zincvale/standins/operators/core_client.py
+++ b/src/zincvale/standins/operators/core_client.py
@@ -1,4 +1,4 @@
-"""How operators reach the cores over HTTP."""
+"""Client through which operators call the cores over HTTP."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 
 class CoreClient(Protocol):
-    """Calls of operators to a core, by its API address."""
+    """Calls that operators make to a core, which is given by its API address."""
 
     async def apply(self, core: str, order_id: str, body: dict[str, Any]) -> CoreResponse:
-        """Send a change once."""
+        """Send a change to a core once, without retries."""
         ...
 
     async def version(self, core: str) -> int | None:
-        """Return the version a core shows, or None when it does not respond."""
+        """Return the intent version that a core reports, or None if it does not respond."""
         ...
 
 
@@ -46,7 +46,7 @@
 
     Parameters
     ----------
-    address_map : advertised address to the address that is dialled instead.
+    address_map : addresses to dial in place of advertised ones, by advertised address.
     """
 
     def __init__(self, address_map: dict[str, str]) -> None:
@@ -54,7 +54,7 @@
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=MAX_CONCURRENT_CALLS)
 
     async def apply(self, core: str, order_id: str, body: dict[str, Any]) -> CoreResponse:
-        """Send a change once."""
+        """Send a change to a core once, without retries."""
         headers = {
             "Content-Type": "application/json",
             "Expect": "",
@@ -75,7 +75,7 @@
         return CoreResponse(response.code, json_object(response.body))
 
     async def version(self, core: str) -> int | None:
-        """Return the version a core shows, or None when it does not respond."""
+        """Return the intent version that a core reports, or None if it does not respond."""
         request = HTTPRequest(
             f"http://{dialled_address(core, self._address_map)}/v1/intent",
             connect_timeout=READ_TIMEOUT_S,
--- a/src/zincvale/standins/operators/retry.py
+++ b/src/zincvale/standins/operators/retry.py
@@ -1,4 +1,4 @@
-"""What an operator does after a response, or none: send the same order again, or stop. Pure."""
+"""Decides after each response, or a missing one, whether an operator sends the order again."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 CONFLICT_STATUS = 409
 UNAVAILABLE_STATUS = 503
 NO_RESPONSE = 0
-"""Stands for the status when no response arrived; journalled as such."""
+"""Status that stands for a missing response, also in the journal."""
 RETRIED_STATUSES = frozenset({NO_RESPONSE, UNAVAILABLE_STATUS, 500, 502, 504})
 
 
 class Verdict(enum.Enum):
-    """What to do with an order now."""
+    """What to do with an order after an attempt: resend it, or stop with a final result."""
 
     RESEND = "resend"
     ACKNOWLEDGED = "acknowledged"
@@ -27,12 +27,12 @@
 
 @attrs.define
 class OrderRetry:
-    """Decides the sends of one order.
+    """Decides whether one order is sent again.
 
     Attributes
     ----------
-    lost_acknowledgements : so many successful responses are treated as lost.
-    give_up_at : when the operator stops sending.
+    lost_acknowledgements : how many further successful responses are treated as lost.
+    give_up_at : time from which the operator no longer resends the order.
     """
 
     lost_acknowledgements: int
--- a/src/zincvale/standins/operators/runner.py
+++ b/src/zincvale/standins/operators/runner.py
@@ -1,4 +1,4 @@
-"""Drives the operators: sends scripted changes to the cores and journals every response."""
+"""Runs the operators: sends scripted changes to the cores and journals every response."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
     Parameters
     ----------
-    settings : cores, seed.
-    script : what they do.
-    client : reaches the cores.
-    journal : what they sent and received.
+    settings : addresses of the cores, and the seed.
+    script : the changes to send.
+    client : sends requests to the cores.
+    journal : records what was sent and received.
     clock : seconds on `CLOCK_BOOTTIME`.
-    sleep : waits so many seconds.
+    sleep : waits for the given number of seconds.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._script = script
         self._journal = journal
         self._clock = clock
-        self._source = random.Random(f"{settings.seed}/operators")
+        self._random = random.Random(f"{settings.seed}/operators")
         self._client = client
         self._sleep = sleep
         self._race_bases: dict[str, asyncio.Future[int | None]] = {}
@@ -61,8 +61,8 @@
         self._version_regressions = 0
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Send every order when it is due; return when all are final or `stop` is set."""
-        observing = asyncio.ensure_future(self._observe())
+        """Send every order when it is due; return when all have a final result or `stop` is set."""
+        observe_task = asyncio.ensure_future(self._observe_versions())
         started_at = self._clock()
         for order in orders(self._script, self._settings.seed):
             await _sleep_until_stopped(stop, started_at + order.at_s - self._clock())
@@ -72,10 +72,10 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         await self._drain(stop)
-        observing.cancel()
+        observe_task.cancel()
 
     def summary(self) -> dict[str, Any]:
-        """Return how the orders ended."""
+        """Return the number of orders by result, and the versions that the cores reported."""
         return {
             "verdicts": dict(self._verdicts),
             "changed_answers": self._changed_responses,
@@ -84,15 +84,15 @@
         }
 
     async def _drain(self, stop: asyncio.Event) -> None:
-        stopped = asyncio.ensure_future(stop.wait())
+        stop_task = asyncio.ensure_future(stop.wait())
         while self._tasks and not stop.is_set():
-            await asyncio.wait([stopped, *self._tasks], return_when=asyncio.FIRST_COMPLETED)
-        stopped.cancel()
+            await asyncio.wait([stop_task, *self._tasks], return_when=asyncio.FIRST_COMPLETED)
+        stop_task.cancel()
         for task in self._tasks:
             task.cancel()
 
     async def execute(self, order: Order) -> None:
-        """Send one order until its outcome is final, and again where the script says so."""
+        """Send one order until its result is final, then resend it as the script requires."""
         base = await self._base_version(order)
         verdict, response = await self._send_until_final(order, base)
         if verdict is Verdict.CONFLICT and order.rebuild_on_conflict:
@@ -153,11 +153,11 @@
         return response
 
     def _core_for(self, order: Order, attempt: int) -> str:
-        """Return the core of an attempt: contenders of a race begin at different ones."""
+        """Return the core for an attempt; contenders of a race start at different cores."""
         cores = self._settings.cores
         if order.race:
             return cores[(order.contender + attempt - 1) % len(cores)]
-        return self._source.choice(cores)
+        return self._random.choice(cores)
 
     async def _base_version(self, order: Order) -> int | None:
         if order.base is Base.NONE:
@@ -170,12 +170,12 @@
         return version
 
     async def _shared_base(self, race: str) -> int | None:
-        """Return the one version that all contenders of a race build on."""
-        reading = self._race_bases.get(race)
-        if reading is None:
-            reading = asyncio.ensure_future(self._current_version())
-            self._race_bases[race] = reading
-        return await asyncio.shield(reading)
+        """Return the version on which all contenders of a race build; it is read only once."""
+        version_task = self._race_bases.get(race)
+        if version_task is None:
+            version_task = asyncio.ensure_future(self._current_version())
+            self._race_bases[race] = version_task
+        return await asyncio.shield(version_task)
 
     async def _current_version(self) -> int | None:
         """Return the highest version that any core reports; None when no core responds."""
@@ -184,22 +184,22 @@
         known = [version for version in versions if version is not None]
         return max(known) if known else None
 
-    async def _observe(self) -> None:
-        """Journal the version of each core whenever it changes, downwards above all."""
+    async def _observe_versions(self) -> None:
+        """Journal the version of each core whenever it changes, and count the decreases."""
         while self._script.observe_interval_s > 0:
             for core in self._settings.cores:
                 version = await self._client.version(core)
-                before = self._version_by_core.get(core)
-                if version is None or version == before:
+                previous = self._version_by_core.get(core)
+                if version is None or version == previous:
                     continue
                 self._version_by_core[core] = version
-                lowered = before is not None and version < before
+                lowered = previous is not None and version < previous
                 self._version_regressions += int(lowered)
                 self._journal.write("observed", core=core, version=version, lowered=lowered)
             await self._sleep(self._script.observe_interval_s)
 
     def _compare(self, order: Order, first: CoreResponse, second: CoreResponse) -> None:
-        """Count a resend whose response differs from the first one."""
+        """Count and journal a resend whose response differs from the first one."""
         if first.status != OK_STATUS:
             return
         same_version = first.body.get("version") == second.body.get("version")
@@ -214,6 +214,6 @@
 async def _sleep_until_stopped(stop: asyncio.Event, seconds: float) -> None:
     if seconds <= 0:
         return
-    waiting = asyncio.ensure_future(stop.wait())
-    await asyncio.wait([waiting], timeout=seconds)
-    waiting.cancel()
+    stop_task = asyncio.ensure_future(stop.wait())
+    await asyncio.wait([stop_task], timeout=seconds)
+    stop_task.cancel()
--- a/src/zincvale/standins/operators/script.py
+++ b/src/zincvale/standins/operators/script.py
@@ -1,4 +1,4 @@
-"""The script of the operators: which changes they send, when, and how. Pure."""
+"""The script of the operators: which changes they send, when, and how."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class Base(enum.Enum):
-    """Which version a change names as the one it was built on."""
+    """The version that a change names as the one on which it was built."""
 
     CURRENT = "current"
     NONE = "none"
     STALE = "stale"
-    """One version too old: must lose."""
+    """One version before the current one; the change must be rejected with a conflict."""
 
 
 @dataclass
@@ -31,18 +31,18 @@
 
     at_s: float
     resources: list[dict[str, Any]]
-    """Documents `kind`, `name`, `spec`; the text `$n` becomes the number in the burst."""
+    """Documents with `kind`, `name` and `spec`; `$n` stands for the number in the burst."""
     name: str = "change"
     mode: str = "merge"
     base: Base = Base.NONE
     repeat: int = 1
     every_s: float = 0.1
     lost_acknowledgements: int = 0
-    """So many responses are discarded unread, and the same order is sent again each time."""
+    """How many successful responses are treated as lost; each time the same order is sent again."""
     resend_after_s: list[float] = field(default_factory=list)
-    """The complete order is sent again so many seconds after it was acknowledged."""
+    """Delays after which a finished order is sent again, each counted from the end of the last one."""
     rebuild_on_conflict: bool = False
-    """After a conflict, rebuild the change on the current version."""
+    """Whether the change is rebuilt on the current version after a conflict."""
 
 
 @dataclass
@@ -51,7 +51,7 @@
 
     at_s: float
     changes: list[list[dict[str, Any]]]
-    """The resources of each contender."""
+    """The resources that each contender of the race changes."""
     name: str = "race"
     mode: str = "merge"
     repeat: int = 1
@@ -60,14 +60,14 @@
 
 @dataclass
 class OperatorScript(Checked):
-    """A file of timed changes."""
+    """A file of timed changes and races."""
 
     changes: list[ScriptedChange] = field(default_factory=list)
     races: list[ScriptedRace] = field(default_factory=list)
     observe_interval_s: float = 0.5
-    """How often each core is asked for its version; 0 asks never."""
+    """Interval at which each core is asked for its version; 0 disables this."""
     give_up_s: float = 30.0
-    """An order without a final response is sent again for so long."""
+    """How long an order without a final response is sent again."""
 
 
 @attrs.frozen
@@ -76,8 +76,8 @@
 
     Attributes
     ----------
-    order_id : idempotency key; the same for every resend.
-    contender : index among the changes of a race, or 0.
+    order_id : idempotency key, the same for every resend.
+    contender : index of the change among those of its race; 0 outside a race.
     """
 
     at_s: float
@@ -96,8 +96,8 @@
 def load_script(path: str | Path) -> OperatorScript:
     """Return the checked script at `path`; raises `InvalidInputError`."""
     script = read_checked(OperatorScript, read_yaml(Path(path)), str(path))
-    timed: list[ScriptedChange | ScriptedRace] = [*script.changes, *script.races]
-    for item in timed:
+    scripted: list[ScriptedChange | ScriptedRace] = [*script.changes, *script.races]
+    for item in scripted:
         if item.mode not in ("merge", "replace"):
             raise InvalidInputError(
                 f"{path}: {item.name}: mode is {item.mode!r}", "write `merge` or `replace`"
@@ -106,7 +106,7 @@
 
 
 def orders(script: OperatorScript, seed: int) -> list[Order]:
-    """Return every order of a script by time; order ids are unique within a seed."""
+    """Return the orders of a script, sorted by time; order ids are unique for a seed."""
     planned = []
     for index, change in enumerate(script.changes):
         planned += _change_orders(change, f"{change.name}-{seed}-c{index}")
@@ -123,7 +123,7 @@
             name=change.name,
             mode=change.mode,
             base=change.base,
-            resources=_numbered(change.resources, number + 1),
+            resources=_with_number(change.resources, number + 1),
             lost_acknowledgements=change.lost_acknowledgements,
             resend_after_s=tuple(change.resend_after_s),
             rebuild_on_conflict=change.rebuild_on_conflict,
@@ -140,7 +140,7 @@
             name=race.name,
             mode=race.mode,
             base=Base.CURRENT,
-            resources=_numbered(resources, number + 1),
+            resources=_with_number(resources, number + 1),
             contender=contender,
             race=f"{prefix}-{number + 1}",
         )
@@ -149,11 +149,11 @@
     ]
 
 
-def _numbered(value: Any, number: int) -> Any:
+def _with_number(value: Any, number: int) -> Any:
     if isinstance(value, dict):
-        return {key: _numbered(item, number) for key, item in value.items()}
+        return {key: _with_number(item, number) for key, item in value.items()}
     if isinstance(value, list):
-        return [_numbered(item, number) for item in value]
+        return [_with_number(item, number) for item in value]
     if value == NUMBER_PLACEHOLDER:
         return number
     if isinstance(value, str):
--- a/src/zincvale/standins/platform/__init__.py
+++ b/src/zincvale/standins/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The platform: a server list that lags, readiness polls of nodes, hand-out of ready nodes.
+"""The platform: publishes a lagging server list, polls nodes and hands out ready ones to callers.
 
-Order to read: `state` (pure), `server` (polling and HTTP).
+Order to read: `state` (no I/O), `server` (polling and HTTP).
 
 May import the modules at the top of `zincvale.standins`, no other sub-package.
 """
--- a/src/zincvale/standins/platform/server.py
+++ b/src/zincvale/standins/platform/server.py
@@ -1,6 +1,7 @@
-"""The platform stand-in: publishes a lagging server list, polls nodes, hands callers ready ones.
+"""The platform stand-in: a lagging server list, readiness polls and the list of ready nodes.
 
-The rig reports replacements through `/admin/servers/NAME` and `/admin/nodes/NAME`.
+The fleet rig reports replaced servers and nodes through `/admin/servers/NAME` and
+`/admin/nodes/NAME`.
 """
 
 from __future__ import annotations
@@ -31,8 +32,8 @@
 
     Parameters
     ----------
-    settings : servers, nodes, lag and polling.
-    journal : what it polled and what the rig reported.
+    settings : servers, nodes, lag of the list and polling intervals.
+    journal : records changes of readiness and the replacements that the rig reported.
     clock : seconds on `CLOCK_BOOTTIME`.
     """
 
@@ -68,20 +69,20 @@
             ok = True
         except (HTTPClientError, OSError):
             ok = False
-        changed = self.readiness.record_poll(node, ok)
-        if changed is not None:
-            self.journal.write("node-ready" if changed else "node-unready", node=node)
+        new_readiness = self.readiness.record_poll(node, ok)
+        if new_readiness is not None:
+            self.journal.write("node-ready" if new_readiness else "node-unready", node=node)
 
 
 class PlatformHandler(RequestHandler):
-    """Base of the platform's handlers."""
+    """Base class of the request handlers of the platform."""
 
     def initialize(self, platform: Platform) -> None:
-        """Store the platform."""
+        """Keep a reference to the state of the platform."""
         self.platform = platform
 
     def respond(self, payload: object) -> None:
-        """Respond with JSON."""
+        """Send a JSON response."""
         self.set_header("Content-Type", "application/json")
         self.finish(orjson.dumps(payload))
 
@@ -90,7 +91,7 @@
     """`GET /v1/servers`."""
 
     def get(self) -> None:
-        """Respond with the list as it was `list_lag_s` ago."""
+        """Respond with the server list as it was `list_lag_s` seconds ago."""
         rows = self.platform.servers.visible(self.platform.clock())
         self.respond({"servers": [row.to_dict() for row in rows]})
 
@@ -99,16 +100,16 @@
     """`GET /v1/nodes`."""
 
     def get(self) -> None:
-        """Respond with the nodes that callers may use."""
+        """Respond with the nodes that are ready, which callers may use."""
         rows = self.platform.readiness.ready_nodes()
         self.respond({"nodes": [row.to_dict() for row in rows]})
 
 
 class AdminServerHandler(PlatformHandler):
-    """`/admin/servers/NAME`: the rig replaced or removed a server."""
+    """`/admin/servers/NAME`: the rig reports a replaced or removed server."""
 
     def put(self, name: str) -> None:
-        """Add or replace a server; the list shows it after its lag."""
+        """Add or replace a server; the published list shows the change after its lag."""
         data = {**orjson.loads(self.request.body), "server": name}
         row = read_checked(ListedServer, data, f"server {name}")
         self.platform.servers.put(row, self.platform.clock())
@@ -116,24 +117,24 @@
         self.respond({"server": name})
 
     def delete(self, name: str) -> None:
-        """Take a server off the list; the list shows it after its lag."""
+        """Remove a server; the published list shows the change after its lag."""
         self.platform.servers.remove(name, self.platform.clock())
         self.platform.journal.write("server-unlisted", server=name)
         self.respond({"server": name})
 
 
 class AdminNodeHandler(PlatformHandler):
-    """`/admin/nodes/NAME`: the rig replaced or removed a node."""
+    """`/admin/nodes/NAME`: the rig reports a replaced or removed node."""
 
     def put(self, name: str) -> None:
-        """Poll a node at the address in the body from now on."""
+        """Add or replace a node, which is polled at the address in the body from now on."""
         data = {**orjson.loads(self.request.body), "node": name}
         self.platform.readiness.put(read_checked(PolledNode, data, f"node {name}"))
         self.platform.journal.write("node-listed", node=name)
         self.respond({"node": name})
 
     def delete(self, name: str) -> None:
-        """Stop polling a node and handing it out."""
+        """Remove a node, which is no longer polled or handed out to callers."""
         self.platform.readiness.remove(name)
         self.platform.journal.write("node-unlisted", node=name)
         self.respond({"node": name})
--- a/src/zincvale/standins/platform/state.py
+++ b/src/zincvale/standins/platform/state.py
@@ -1,4 +1,7 @@
-"""State of the platform: a server list that lags, and the readiness of nodes. Pure."""
+"""State of the platform: a lagging server list, and the readiness of nodes.
+
+Performs no I/O; time is passed in.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +13,12 @@
 
 
 class LaggingList:
-    """A server list that shows the state of `lag_s` ago.
+    """A server list that shows its state of `lag_s` seconds ago.
 
     Parameters
     ----------
-    lag_s : how many seconds the visible list is behind the current one.
-    servers : the list at the start; it is visible at once.
+    lag_s : delay until a change becomes visible.
+    servers : the initial list, which is visible immediately.
     """
 
     def __init__(self, lag_s: float, servers: list[ListedServer]) -> None:
@@ -30,12 +33,12 @@
         self._changes.append((now, dict(self._current)))
 
     def remove(self, server: str, now: float) -> None:
-        """Take a server off the list."""
+        """Remove a server."""
         self._current.pop(server, None)
         self._changes.append((now, dict(self._current)))
 
     def visible(self, now: float) -> list[ListedServer]:
-        """Return the list as it was `lag_s` ago."""
+        """Return the list as it was `lag_s` seconds ago, sorted by server name."""
         while self._changes and self._changes[0][0] + self._lag_s <= now:
             _, self._visible = self._changes.popleft()
         return [self._visible[name] for name in sorted(self._visible)]
@@ -49,12 +52,12 @@
 
 
 class NodeReadiness:
-    """Which nodes callers are handed.
+    """Which nodes are ready, according to polls, and thus handed out to callers.
 
     Parameters
     ----------
-    nodes : the nodes that are polled.
-    unready_after_polls : failed polls in a row until a node is no longer handed out.
+    nodes : the nodes to poll.
+    unready_after_polls : consecutive failed polls after which a node is unready.
     """
 
     def __init__(self, nodes: list[PolledNode], unready_after_polls: int) -> None:
@@ -62,11 +65,11 @@
         self._rows = {row.node: _NodeRow(row.address) for row in nodes}
 
     def put(self, row: PolledNode) -> None:
-        """Add a node, or give it another address; it is unready until polled."""
+        """Add or replace a node; it is unready until a poll succeeds."""
         self._rows[row.node] = _NodeRow(row.address)
 
     def remove(self, node: str) -> None:
-        """Stop polling a node."""
+        """Remove a node, so that it is no longer polled."""
         self._rows.pop(node, None)
 
     def addresses(self) -> dict[str, str]:
@@ -86,5 +89,5 @@
         return ready
 
     def ready_nodes(self) -> list[PolledNode]:
-        """Return the nodes that callers are handed."""
+        """Return the nodes that are handed out to callers."""
         return [PolledNode(node, row.address) for node, row in self._rows.items() if row.ready]
--- a/src/zincvale/standins/weight_store/server.py
+++ b/src/zincvale/standins/weight_store/server.py
@@ -1,6 +1,6 @@
-"""The weight store stand-in: sends weights at a bandwidth that its pulls share.
+"""The weight store stand-in: sends weights; its concurrent pulls share its bandwidth.
 
-Sizes are declared bytes. To stay cheap the body holds one real byte for every
+Sizes are in declared bytes. To limit the cost of a transfer, the body has one real byte for every
 `DECLARED_BYTES_PER_REAL_BYTE` declared ones, rounded up, and is paced by the declared size: a model
 of 10 GB at 10 GB/s takes one second and sends 10 kB.
 """
@@ -21,7 +21,7 @@
 DECLARED_BYTES_PER_REAL_BYTE = 1_000_000
 SCALE_HEADER = "Zincvale-Declared-Bytes-Per-Byte"
 PACE_INTERVAL_S = 0.02
-"""Seconds between two writes of one pull; it must stay below `bandwidth.LONGEST_ADVANCE_S`."""
+"""Seconds between two writes of one pull; must stay below `bandwidth.LONGEST_ADVANCE_S`."""
 
 
 class WeightStore:
@@ -29,10 +29,10 @@
 
     Parameters
     ----------
-    store : its name.
-    bytes_per_second : declared bytes it sends in all.
-    max_concurrent_pulls : what operators allow; one more is refused.
-    journal : what really happened.
+    store : name of the store.
+    bytes_per_second : total bandwidth in declared bytes.
+    max_concurrent_pulls : limit that operators declare; a pull beyond it is refused.
+    journal : records what actually happened.
     clock : seconds on `CLOCK_BOOTTIME`.
     """
 
@@ -52,7 +52,7 @@
         self.pull_ids = itertools.count(1)
 
     def allows_one_more(self) -> bool:
-        """Return whether another pull stays within what operators allow."""
+        """Return whether another pull stays within the limit of concurrent pulls."""
         return self.bandwidth.count() < self.max_concurrent_pulls
 
 
@@ -60,11 +60,11 @@
     """`GET /status`."""
 
     def initialize(self, store: WeightStore) -> None:
-        """Store the weight store."""
+        """Keep a reference to the state of the weight store."""
         self.store = store
 
     def get(self) -> None:
-        """Respond with the pulls in progress."""
+        """Respond with the number of pulls in progress."""
         self.set_header("Content-Type", "application/json")
         self.finish(
             orjson.dumps({"store": self.store.store, "pulls": self.store.bandwidth.count()})
@@ -77,7 +77,7 @@
     _is_client_disconnected = False
 
     def initialize(self, store: WeightStore) -> None:
-        """Store the weight store."""
+        """Keep a reference to the state of the weight store."""
         self.store = store
 
     def on_connection_close(self) -> None:
@@ -85,7 +85,7 @@
         self._is_client_disconnected = True
 
     async def get(self, name: str) -> None:
-        """Send the weights, or refuse a pull beyond what operators allow."""
+        """Send the weights, or refuse a pull beyond the limit of concurrent pulls."""
         size_bytes = int(self.get_query_argument("bytes"))
         puller = self.get_query_argument("puller", str(self.request.remote_ip))
         cap = float(self.get_query_argument("rate", "inf"))
@@ -115,9 +115,9 @@
         written = 0
         while not self._is_client_disconnected:
             self.store.bandwidth.advance(self.store.clock())
-            if pull.complete():
-                # The last chunk goes out after the pull is closed: a puller that has everything may
-                # start the next pull at once and must find the pull slot free.
+            if pull.is_complete():
+                # The last chunk is sent after the pull is closed: a puller that has received all
+                # bytes may start its next pull immediately, and the slot must be free by then.
                 self._last_chunk = bytes(real_bytes - written)
                 return
             due = min(real_bytes - 1, int(pull.sent_bytes) // DECLARED_BYTES_PER_REAL_BYTE)
@@ -141,7 +141,7 @@
     def _write_row(
         self, event: str, pull: Pull, name: str, puller: str, counted_bytes: int
     ) -> None:
-        """Journal a pull; its end counts what was really sent."""
+        """Journal the start or the end of a pull; `counted_bytes` is its size or what was sent."""
         rates = self.store.bandwidth.rates()
         self.store.journal.write(
             event,
@@ -150,7 +150,7 @@
             bytes=counted_bytes,
             puller=puller,
             size_bytes=pull.size_bytes,
-            complete=pull.complete(),
+            complete=pull.is_complete(),
             concurrent=self.store.bandwidth.count(),
             bytes_per_second=int(sum(rates.values())),
         )
--- a/tests/standins/weight_store/test_bandwidth.py
+++ b/tests/standins/weight_store/test_bandwidth.py
@@ -23,9 +23,9 @@
         for step in range(1, 10):
             shared.advance(step / 10)
         self.assertAlmostEqual(90.0, pull.sent_bytes)
-        self.assertFalse(pull.complete())
+        self.assertFalse(pull.is_complete())
         shared.advance(1.0)
-        self.assertTrue(pull.complete())
+        self.assertTrue(pull.is_complete())
 
     def test_nothing_is_sent_during_a_freeze(self):
         shared = SharedBandwidth(100.0)
