--- a/src/zincvale/fleet/figures.py
+++ b/src/zincvale/fleet/figures.py
@@ -59,7 +59,7 @@
 def figures_of(evidence: Evidence, started_t: float) -> Figures:
     """Return the figures of a run whose load began at `started_t`."""
     duration_s = max(BIN_S, evidence.end_t() - started_t)
-    results = evidence.of(ResultReceived)
+    results = evidence.rows_of(ResultReceived)
     return Figures(
         totals=_totals(evidence),
         routes=_routes(results),
@@ -72,18 +72,18 @@
 
 
 def _totals(evidence: Evidence) -> dict[str, Any]:
-    results = evidence.of(ResultReceived)
+    results = evidence.rows_of(ResultReceived)
     return {
-        "requests": len({sent.request_id for sent in evidence.of(RequestSent)}),
-        "attempts": len(evidence.of(RequestSent)),
+        "requests": len({sent.request_id for sent in evidence.rows_of(RequestSent)}),
+        "attempts": len(evidence.rows_of(RequestSent)),
         "outcomes": dict(Counter(row.outcome for row in results)),
         "refusal_reasons": dict(
             Counter(row.reason for row in results if row.outcome == Outcome.REFUSED.value)
         ),
-        "runs_at_servers": len(evidence.of(RequestRan)),
-        "refusals_by_servers": len(evidence.of(RequestRefused)),
-        "loads": len(evidence.of(WeightsLoaded)),
-        "unloads": len(evidence.of(WeightsUnloaded)),
+        "runs_at_servers": len(evidence.rows_of(RequestRan)),
+        "refusals_by_servers": len(evidence.rows_of(RequestRefused)),
+        "loads": len(evidence.rows_of(WeightsLoaded)),
+        "unloads": len(evidence.rows_of(WeightsUnloaded)),
     }
 
 
@@ -160,13 +160,13 @@
     loaded_by_server: dict[str, set[str]] = {}
     rows = sorted(
         [
-            *evidence.of(ServerStarted),
-            *evidence.of(WeightsLoaded),
-            *evidence.of(WeightsUnloaded),
+            *evidence.rows_of(ServerStarted),
+            *evidence.rows_of(WeightsLoaded),
+            *evidence.rows_of(WeightsUnloaded),
         ],
         key=lambda row: row.t,
     )
-    with_weights = {row.server_id for row in evidence.of(WeightsLoaded)}
+    with_weights = {row.server_id for row in evidence.rows_of(WeightsLoaded)}
     for row in rows:
         server = row.server_id
         if server not in with_weights:
--- a/src/zincvale/fleet/invariants/__init__.py
+++ b/src/zincvale/fleet/invariants/__init__.py
@@ -5,7 +5,8 @@
 
 It imports `zincvale.model` and no other part of the rig. Read `rows` (the journals' events),
 `journals`, `evidence` and `findings`, then `operations` and `outages`, which join rows into orders
-and intervals, then any check: each module has its number, its title and one function `check`.
+and intervals, then any check: each check module defines the number and title of its invariant and
+one function `check`.
 """
 
 from __future__ import annotations
@@ -42,11 +43,11 @@
     restarts.check,
     limits.check,
 )
-"""All eleven, in the order of their numbers."""
+"""The checks of all eleven invariants, in the order of their numbers."""
 
 
 def check_all(evidence: Evidence) -> list[CheckResult]:
-    """Return the verdict of every check."""
+    """Run every check on the evidence of a run and return the results, in the same order."""
     return [check(evidence) for check in CHECKS]
 
 
--- a/src/zincvale/fleet/invariants/at_most_once.py
+++ b/src/zincvale/fleet/invariants/at_most_once.py
@@ -13,10 +13,10 @@
 def check(evidence: Evidence) -> CheckResult:
     """Count the runs of every request on at-most-once routes, over all servers."""
     result = CheckResult(NUMBER, TITLE)
-    route_by_request = {sent.request_id: sent.route for sent in evidence.of(RequestSent)}
+    route_by_request = {sent.request_id: sent.route for sent in evidence.rows_of(RequestSent)}
     runs_by_request: dict[str, list[RequestRan]] = {}
     without_caller = 0
-    for run in evidence.of(RequestRan):
+    for run in evidence.rows_of(RequestRan):
         route = route_by_request.get(run.request_id)
         if route is None:
             without_caller += 1
@@ -26,7 +26,7 @@
     for request_id, runs in runs_by_request.items():
         if len(runs) > 1:
             where = ", ".join(f"{run.server_id} at {run.t:.3f}" for run in runs)
-            result.breach(request_id, runs[1].t, f"ran {len(runs)} times: {where}")
+            result.add_breach(request_id, runs[1].t, f"ran {len(runs)} times: {where}")
     _list_unchecked(evidence, result, route_by_request, without_caller)
     return result
 
--- a/src/zincvale/fleet/invariants/changes.py
+++ b/src/zincvale/fleet/invariants/changes.py
@@ -1,4 +1,4 @@
-"""Invariant 5: of two changes on one version one wins; a resent order is accepted again."""
+"""Invariant 5: of two changes on one base version one wins; a resent order is accepted again."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
     HTTP_CONFLICT,
     HTTP_OK,
     REJECTED_STATUSES,
-    Acknowledged,
+    AcknowledgedOrder,
     OperatorOrder,
-    acknowledged,
+    acknowledged_orders,
     operator_orders,
 )
 
@@ -19,29 +19,29 @@
 
 
 def check(evidence: Evidence) -> CheckResult:
-    """Check the orders' responses against each other."""
+    """Check the responses to all operators' orders against each other."""
     result = CheckResult(NUMBER, TITLE)
     orders = operator_orders(evidence)
     result.facts = len(orders)
-    acked = acknowledged(orders)
+    acked = acknowledged_orders(orders)
     _check_one_winner(result, acked)
-    _check_versions_grow(result, acked)
+    _check_versions_increase(result, acked)
     for order in orders:
         _check_resends(result, order)
         _check_conflict_has_winner(result, order, acked)
-    uncertain = sum(order.uncertain for order in orders)
+    uncertain = sum(order.is_uncertain for order in orders)
     if uncertain:
         result.not_checked.append(f"{uncertain} orders never got a definite answer")
     return result
 
 
-def _check_one_winner(result: CheckResult, acked: list[Acknowledged]) -> None:
-    winner_by_base: dict[int, Acknowledged] = {}
-    owner_by_version: dict[int, Acknowledged] = {}
+def _check_one_winner(result: CheckResult, acked: list[AcknowledgedOrder]) -> None:
+    winner_by_base: dict[int, AcknowledgedOrder] = {}
+    owner_by_version: dict[int, AcknowledgedOrder] = {}
     for item in acked:
         base = item.order.base_version
         if base is not None and base in winner_by_base:
-            result.breach(
+            result.add_breach(
                 item.order.order_id,
                 item.t,
                 f"won on version {base}, as {winner_by_base[base].order.order_id} did",
@@ -49,7 +49,7 @@
         elif base is not None:
             winner_by_base[base] = item
         if item.version in owner_by_version:
-            result.breach(
+            result.add_breach(
                 item.order.order_id,
                 item.t,
                 f"was given version {item.version}, "
@@ -58,15 +58,15 @@
         owner_by_version[item.version] = item
 
 
-def _check_versions_grow(result: CheckResult, acked: list[Acknowledged]) -> None:
-    """An order that was sent after another was acknowledged has a higher version."""
+def _check_versions_increase(result: CheckResult, acked: list[AcknowledgedOrder]) -> None:
+    """Check that an order sent after another was acknowledged has a higher version."""
     for item in acked:
         base = item.order.base_version
         if base is not None and item.version <= base:
-            result.breach(item.order.order_id, item.t, f"version {item.version} on base {base}")
+            result.add_breach(item.order.order_id, item.t, f"version {item.version} on base {base}")
         for later in acked:
             if later.order.first_sent_t > item.t and later.version < item.version:
-                result.breach(
+                result.add_breach(
                     later.order.order_id,
                     later.t,
                     f"version {later.version} was given after {item.version} was acknowledged",
@@ -79,17 +79,17 @@
         return
     for response in order.responses:
         if response.t < first.t and response.status in REJECTED_STATUSES:
-            result.breach(
+            result.add_breach(
                 order.order_id, first.t, f"is in force though it was refused ({response.status})"
             )
         if response.t <= first.t:
             continue
         if response.status in REJECTED_STATUSES:
-            result.breach(
+            result.add_breach(
                 order.order_id, response.t, f"was refused ({response.status}) when resent"
             )
         elif response.status == HTTP_OK and response.version != first.version:
-            result.breach(
+            result.add_breach(
                 order.order_id,
                 response.t,
                 f"got version {response.version} when resent, not {first.version}",
@@ -97,9 +97,12 @@
 
 
 def _check_conflict_has_winner(
-    result: CheckResult, order: OperatorOrder, acked: list[Acknowledged]
+    result: CheckResult, order: OperatorOrder, acked: list[AcknowledgedOrder]
 ) -> None:
-    """An order refused as a conflict, when no other change can have won, lost to itself."""
+    """List a resent order that may have been refused as in conflict with its own first attempt.
+
+    No other acknowledged change can have been the one that it conflicted with.
+    """
     conflict = next(
         (response for response in order.responses if response.status == HTTP_CONFLICT), None
     )
--- a/src/zincvale/fleet/invariants/drains.py
+++ b/src/zincvale/fleet/invariants/drains.py
@@ -1,6 +1,7 @@
 """Invariant 7: a draining server receives nothing after 3 s, an evacuated zone after 5 s.
 
-Nothing may arrive at the servers of an evacuated zone, and callers must not be handed its nodes.
+No request may arrive at the servers of an evacuated zone, and callers must not be directed to its
+nodes.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 from zincvale.fleet.invariants.evidence import Evidence
 from zincvale.fleet.invariants.findings import CheckResult
 from zincvale.fleet.invariants.operations import (
-    Acknowledged,
+    AcknowledgedOrder,
     OperatorOrder,
-    acknowledged,
+    acknowledged_orders,
     operator_orders,
 )
 from zincvale.fleet.invariants.outages import Outage, outages
@@ -35,12 +36,12 @@
 PLATFORM = "platform"
 LINK_KINDS = frozenset({"cut", "delay", "slow"})
 DELAYED_ARRIVAL_S = 2.0
-"""After a freeze or cut, bytes sent before it may still arrive for this long."""
+"""Time after the end of a freeze or cut in which bytes sent before it may still arrive."""
 
 
 @attrs.frozen
-class Closed:
-    """A server or zone that must receive nothing from `start` until `end`."""
+class Closure:
+    """A drained server or evacuated zone that must receive nothing from `start` until `end`."""
 
     kind: str
     name: str
@@ -52,7 +53,7 @@
 
 @attrs.frozen
 class Arrival:
-    """One request that reached `server`: a back-end server, or a node from a caller."""
+    """One request that arrived at `server`: a back-end server, or the node that a caller chose."""
 
     t: float
     server: str
@@ -66,63 +67,67 @@
     closures = list(_closures(operator_orders(evidence)))
     arrivals = _arrivals(evidence)
     zone_by_server = dict(evidence.expectations.zone_by_member)
-    zone_by_server |= {row.server_id: row.zone for row in evidence.of(ServerStarted)}
-    sent_by_request = {sent.request_id: sent.t for sent in evidence.of(RequestSent)}
+    zone_by_server |= {row.server_id: row.zone for row in evidence.rows_of(ServerStarted)}
+    sent_by_request = {sent.request_id: sent.t for sent in evidence.rows_of(RequestSent)}
     faults = outages(evidence)
     delayed = 0
-    for closed in closures:
-        if closed.start >= min(closed.end, evidence.end_t()):
-            result.not_checked.append(f"{closed.kind} {closed.name} was reopened or the run ended")
+    for closure in closures:
+        if closure.start >= min(closure.end, evidence.end_t()):
+            result.not_checked.append(
+                f"{closure.kind} {closure.name} was reopened or the run ended"
+            )
             continue
         result.facts += 1
         for arrival in arrivals:
-            if not _is_inside(closed, arrival, zone_by_server):
+            if not _arrives_while_closed(closure, arrival, zone_by_server):
                 continue
             sent_t = sent_by_request.get(arrival.request_id, math.inf)
-            if _may_have_been_delayed(arrival, sent_t, closed, faults):
+            if _may_have_been_delayed(arrival, sent_t, closure, faults):
                 delayed += 1
                 continue
-            _breach(result, closed, arrival)
+            _add_breach(result, closure, arrival)
     if delayed:
         result.not_checked.append(f"{delayed} arrivals may have been sent before a freeze or cut")
     return result
 
 
-def _breach(result: CheckResult, closed: Closed, arrival: Arrival) -> None:
-    late_s = arrival.t - (closed.start - closed.within_s)
-    result.breach(
+def _add_breach(result: CheckResult, closure: Closure, arrival: Arrival) -> None:
+    late_s = arrival.t - (closure.start - closure.within_s)
+    result.add_breach(
         arrival.server,
         arrival.t,
         f"received {arrival.request_id} {late_s:.1f} s after "
-        f"{closed.kind} {closed.name} was {closed.field}",
+        f"{closure.kind} {closure.name} was {closure.field}",
     )
 
 
-def _is_inside(closed: Closed, arrival: Arrival, zone_by_server: dict[str, str]) -> bool:
-    if not closed.start < arrival.t < closed.end:
+def _arrives_while_closed(
+    closure: Closure, arrival: Arrival, zone_by_server: dict[str, str]
+) -> bool:
+    if not closure.start < arrival.t < closure.end:
         return False
-    if closed.kind == "Server":
-        return arrival.server == closed.name
-    return zone_by_server.get(arrival.server) == closed.name
+    if closure.kind == "Server":
+        return arrival.server == closure.name
+    return zone_by_server.get(arrival.server) == closure.name
 
 
 def _may_have_been_delayed(
-    arrival: Arrival, sent_t: float, closed: Closed, faults: list[Outage]
+    arrival: Arrival, sent_t: float, closure: Closure, faults: list[Outage]
 ) -> bool:
-    """Whether a fault on the link can have delayed this arrival from before the deadline.
+    """Whether a fault can explain an arrival after the deadline as a delayed one.
 
-    Callers go on with the nodes they know while the platform is away.
+    Callers keep using the nodes that they know while the platform is unavailable.
     """
     if arrival.is_at_node:
         return any(
-            fault.target == PLATFORM and fault.start <= arrival.t and fault.end > closed.start
+            fault.target == PLATFORM and fault.start <= arrival.t and fault.end > closure.start
             for fault in faults
         )
-    if sent_t >= closed.start:
+    if sent_t >= closure.start:
         return False
     for fault in faults:
         on_the_way = fault.target == arrival.server or fault.kind in LINK_KINDS
-        spans_deadline = fault.start <= closed.start and fault.end <= arrival.t
+        spans_deadline = fault.start <= closure.start and fault.end <= arrival.t
         if on_the_way and spans_deadline and arrival.t - fault.end < DELAYED_ARRIVAL_S:
             return True
     return False
@@ -130,16 +135,18 @@
 
 def _arrivals(evidence: Evidence) -> list[Arrival]:
     rows: list[RequestRan | RequestRefused] = [
-        *evidence.of(RequestRan),
-        *evidence.of(RequestRefused),
+        *evidence.rows_of(RequestRan),
+        *evidence.rows_of(RequestRefused),
     ]
     at_servers = [Arrival(row.t, row.server_id, row.request_id) for row in rows]
-    at_nodes = [Arrival(row.t, row.node, row.request_id, True) for row in evidence.of(RequestSent)]
+    at_nodes = [
+        Arrival(row.t, row.node, row.request_id, True) for row in evidence.rows_of(RequestSent)
+    ]
     return at_servers + at_nodes
 
 
-def _closures(orders: list[OperatorOrder]) -> Iterator[Closed]:
-    for item in acknowledged(orders):
+def _closures(orders: list[OperatorOrder]) -> Iterator[Closure]:
+    for item in acknowledged_orders(orders):
         for resource in item.order.resources:
             kind, name = str(resource.get("kind")), str(resource.get("name"))
             field = {"Server": "drained", "Zone": "evacuated"}.get(kind)
@@ -147,21 +154,21 @@
                 continue
             within_s = DRAIN_WITHIN_S if kind == "Server" else EVACUATION_WITHIN_S
             end = _reopened_t(orders, item, kind, name, field)
-            yield Closed(kind, name, field, within_s, item.t + within_s, end)
+            yield Closure(kind, name, field, within_s, item.t + within_s, end)
 
 
 def _reopened_t(
-    orders: list[OperatorOrder], closed: Acknowledged, kind: str, name: str, field: str
+    orders: list[OperatorOrder], closing: AcknowledgedOrder, kind: str, name: str, field: str
 ) -> float:
-    """Return the first moment at which a change that reopens it may be in force."""
+    """Return the earliest time at which a change that reopens the resource may be in force."""
     times = [math.inf]
     for order in orders:
-        if order.rejected or not _reopens(order, kind, name, field):
+        if order.is_rejected or not _reopens(order, kind, name, field):
             continue
         response = order.acknowledgement
-        if response is not None and (response.version or 0) < closed.version:
+        if response is not None and (response.version or 0) < closing.version:
             continue
-        times.append(max(order.first_sent_t, closed.order.first_sent_t))
+        times.append(max(order.first_sent_t, closing.order.first_sent_t))
     return min(times)
 
 
--- a/src/zincvale/fleet/invariants/evidence.py
+++ b/src/zincvale/fleet/invariants/evidence.py
@@ -1,4 +1,4 @@
-"""What a run left behind, as the checks read it: typed rows and what the deployment promised."""
+"""The evidence of one run for the checks: typed journal rows and what the deployment promises."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class RoutePromise:
-    """What the callers of one route were promised."""
+    """The guarantees that one route gives its callers."""
 
     at_most_once: bool = False
     stream: bool = False
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class StoreLimit:
-    """What one weight store allows."""
+    """The transfer rate and the number of concurrent loads that one weight store allows."""
 
     bytes_per_second: int
     max_concurrent_loads: int
@@ -30,16 +30,17 @@
 
 @attrs.frozen
 class Expectations:
-    """What the deployment says, beside the journals.
+    """What the checks need to know of the deployment in addition to the journals.
 
     Attributes
     ----------
-    routes : by route name and by path, as callers may journal either.
-    stores : by store name and by address.
-    seat_by_core : each core's seat: its own name for one the cluster started with, for a
-        replacement the seat of the core whose place it took.
-    member_by_host : IP number of a machine to the daemon on it, to tell who sent an order.
-    zone_by_member : where each daemon is, to tell whether callers still reach an evacuated zone.
+    routes : by route name and by route path, as callers may journal either.
+    stores : the limits of each store, by store name and by address.
+    seat_by_core : the voting seat of each core. A core that the cluster started with has a seat of
+        its own name; a replacement has the seat of the core that it replaced.
+    member_by_host : the daemon on each machine by the machine's IP address, to identify the
+        sender of an order.
+    zone_by_member : the zone of each daemon, to detect callers that still use an evacuated zone.
     """
 
     routes: dict[str, RoutePromise] = attrs.field(factory=dict)
@@ -51,20 +52,20 @@
 
 @attrs.define
 class Evidence:
-    """The rows of all journals of one run, by type and in the order of time."""
+    """The rows of all journals of one run, grouped by type and sorted by time."""
 
     expectations: Expectations
     _rows: dict[type[Row], list[Row]] = attrs.field(factory=dict)
     unreadable: list[str] = attrs.field(factory=list)
-    """Lines that could not be read, as `file:line: why`."""
+    """Journal lines that could not be read, each as `file:line: reason`."""
 
-    def of(self, kind: type[RowType]) -> list[RowType]:
+    def rows_of(self, row_type: type[RowType]) -> list[RowType]:
         """Return the rows of exactly this type, oldest first."""
-        return self._rows.get(kind, [])  # type: ignore[return-value]
+        return self._rows.get(row_type, [])  # type: ignore[return-value]
 
     def end_t(self) -> float:
-        """Return when the run ended: its end row, else its last row."""
-        ended = self.of(RunEnded)
+        """Return the time of the run's `run-end` row, or of its last row when there is none."""
+        ended = self.rows_of(RunEnded)
         if ended:
             return ended[0].t
         return max((rows[-1].t for rows in self._rows.values() if rows), default=0.0)
@@ -75,7 +76,7 @@
 
 
 def evidence_of(rows: Iterable[Row], expectations: Expectations | None = None) -> Evidence:
-    """Return the evidence made of `rows`, given in any order."""
+    """Return the evidence that consists of `rows`, which may be in any order."""
     by_type: dict[type[Row], list[Row]] = {}
     for row in rows:
         by_type.setdefault(type(row), []).append(row)
--- a/src/zincvale/fleet/invariants/findings.py
+++ b/src/zincvale/fleet/invariants/findings.py
@@ -1,4 +1,4 @@
-"""What a check says of a run."""
+"""Results of the checks: verdicts and the violations that were observed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     ----------
     subject : the request, order, server or member concerned.
     t : when it happened, seconds on the journals' clock.
-    what : one line that a reader can act on.
+    what : one line that describes the violation.
     """
 
     subject: str
@@ -25,12 +25,12 @@
 
 @attrs.define
 class CheckResult:
-    """The verdict of one check.
+    """The result of one check.
 
     Attributes
     ----------
-    facts : number of things examined; with 0 the invariant was not exercised.
-    not_checked : what this run's evidence could not decide, one line each.
+    facts : number of observations examined; with 0 the invariant was not exercised.
+    not_checked : what could not be decided from the evidence of this run, one line each.
     """
 
     number: int
@@ -39,7 +39,7 @@
     breaches: list[Breach] = attrs.field(factory=list)
     not_checked: list[str] = attrs.field(factory=list)
 
-    def breach(self, subject: str, t: float, what: str) -> None:
+    def add_breach(self, subject: str, t: float, what: str) -> None:
         """Record one violation."""
         self.breaches.append(Breach(subject, t, what))
 
--- a/src/zincvale/fleet/invariants/journals.py
+++ b/src/zincvale/fleet/invariants/journals.py
@@ -18,8 +18,8 @@
 def read_journals(folder: Path, expectations: Expectations) -> Evidence:
     """Return the evidence in every journal of `folder`.
 
-    A line that cannot be read is listed in `Evidence.unreadable`, never skipped unreported: the
-    last line of a killed process may be torn.
+    A line that cannot be read is listed in `Evidence.unreadable` rather than silently skipped. The
+    last line of a killed process may be incomplete.
     """
     rows: list[Row] = []
     unreadable: list[str] = []
--- a/src/zincvale/fleet/invariants/limits.py
+++ b/src/zincvale/fleet/invariants/limits.py
@@ -1,8 +1,8 @@
-"""Invariant 11: nothing ordered that does not fit, no store overdrawn, no cold server flooded.
+"""Invariant 11: no load order exceeds a server's memory, no store's limits are exceeded.
 
-Memory counts what is loaded, and what is reserved by an order that is not yet confirmed. A `cold`
-or `memory` refusal by a server is itself a sign that the order or request should not have been
-sent.
+Nor is a cold server flooded with requests. A server's memory use includes what is loaded, and what
+is reserved by an order that is not yet confirmed. A `cold` or `memory` refusal by a server is
+itself a sign that the order or request should not have been sent.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 TITLE = "no server over its memory, no store pulled too fast, no cold server flooded"
 
 COLD_REFUSALS_ALLOWED = 3
-"""Refusals as cold that one incarnation may give: the state is observed with a delay."""
+"""Number of `cold` refusals allowed to one incarnation, as its state is observed with a delay."""
 RATE_TOLERANCE = 1.1
-"""Bytes on their way when a pull is journalled; a share of the store's rate."""
+"""Factor on the store's rate that allows for bytes in flight when a pull is journalled."""
 SHORTEST_BUSY_PERIOD_S = 1.0
 MEMORY_ERROR = "memory"
 COLD_ERROR = "cold"
@@ -45,7 +45,7 @@
     cold_refusals: int = 0
 
     def restart(self, capacity_bytes: int) -> None:
-        """Forget everything: the server came back empty."""
+        """Clear the loaded weights and the refusal count, as the server restarted empty."""
         self.capacity_bytes = capacity_bytes
         self.memory_bytes_by_name.clear()
         self.cold_refusals = 0
@@ -73,7 +73,7 @@
                 _check_refused_order(result, row)
             case OrderTaken():
                 unsized += not memory.capacity_bytes
-                _take_order(result, memory, row)
+                _record_order(result, memory, row)
             case WeightsLoaded():
                 memory.memory_bytes_by_name[row.name] = (
                     row.bytes or memory.memory_bytes_by_name.get(row.name, 0)
@@ -86,14 +86,14 @@
         result.not_checked.append(f"{unsized} orders went to servers that journal no memory size")
 
 
-def _take_order(result: CheckResult, memory: ServerMemory, order: OrderTaken) -> None:
+def _record_order(result: CheckResult, memory: ServerMemory, order: OrderTaken) -> None:
     result.facts += 1
     if "unload" in order.action:
         return
     memory.memory_bytes_by_name[order.name] = order.bytes
     total = sum(memory.memory_bytes_by_name.values())
     if memory.capacity_bytes and total > memory.capacity_bytes:
-        result.breach(
+        result.add_breach(
             order.server_id,
             order.t,
             f"was ordered to load {order.name}: {total} bytes of {memory.capacity_bytes}",
@@ -103,7 +103,9 @@
 def _check_refused_order(result: CheckResult, order: OrderRefused) -> None:
     result.facts += 1
     if order.error == MEMORY_ERROR:
-        result.breach(order.server_id, order.t, f"had no room for {order.name}, ordered to load it")
+        result.add_breach(
+            order.server_id, order.t, f"had no room for {order.name}, ordered to load it"
+        )
 
 
 def _check_cold_refusal(result: CheckResult, memory: ServerMemory, row: RequestRefused) -> None:
@@ -111,7 +113,7 @@
         return
     memory.cold_refusals += 1
     if memory.cold_refusals == COLD_REFUSALS_ALLOWED + 1:
-        result.breach(
+        result.add_breach(
             row.server_id, row.t, f"refused more than {COLD_REFUSALS_ALLOWED} requests as cold"
         )
 
@@ -126,13 +128,13 @@
         WeightsUnloaded,
         RequestRefused,
     )
-    rows = [row for kind in kinds for row in evidence.of(kind)]
+    rows = [row for kind in kinds for row in evidence.rows_of(kind)]
     return sorted(rows, key=lambda row: row.t)
 
 
 @attrs.define
 class StoreUse:
-    """Who pulls from one store now, and how much since it was last idle."""
+    """Number of pulls in progress from one store, and bytes pulled since it was last idle."""
 
     pulls: int = 0
     busy_since: float = 0.0
@@ -141,7 +143,7 @@
 
 def _check_stores(evidence: Evidence, result: CheckResult) -> None:
     rows = sorted(
-        [*evidence.of(PullStarted), *evidence.of(PullEnded)],
+        [*evidence.rows_of(PullStarted), *evidence.rows_of(PullEnded)],
         key=lambda row: (row.t, isinstance(row, PullStarted)),
     )
     use_by_store: dict[str, StoreUse] = {}
@@ -167,7 +169,7 @@
         use.busy_bytes = 0
     use.pulls += 1
     if use.pulls > limit.max_concurrent_loads:
-        result.breach(
+        result.add_breach(
             row.store_id,
             row.t,
             f"{use.pulls} pulls at once, {limit.max_concurrent_loads} allowed; last: {row.puller}",
@@ -182,7 +184,7 @@
     duration_s = max(row.t - use.busy_since, SHORTEST_BUSY_PERIOD_S)
     if use.busy_bytes > limit.bytes_per_second * duration_s * RATE_TOLERANCE:
         rate = use.busy_bytes / duration_s
-        result.breach(
+        result.add_breach(
             row.store_id,
             row.t,
             f"pulled at {rate:.0f} bytes/s, {limit.bytes_per_second} allowed",
--- a/src/zincvale/fleet/invariants/markers.py
+++ b/src/zincvale/fleet/invariants/markers.py
@@ -1,4 +1,4 @@
-"""The marker route: a harmless resource by which the rig sees a change take effect."""
+"""The marker route, which no caller uses: the rig changes its path to observe changes in force."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def marker_path(marker: int) -> str:
-    """Return the path that the marker route has with marker `marker`."""
+    """Return the path of the marker route for the marker number `marker`."""
     return f"{MARKER_PATH_PREFIX}{marker}"
 
 
 def marker_of(resources: Iterable[dict[str, Any]]) -> int | None:
-    """Return the marker number that a change sets, or None when it does not touch it."""
+    """Return the marker number in a change's resources, or None when they do not set one."""
     for resource in resources:
         if resource.get("kind") != "Route" or resource.get("name") != MARKER_ROUTE:
             continue
--- a/src/zincvale/fleet/invariants/outages.py
+++ b/src/zincvale/fleet/invariants/outages.py
@@ -1,4 +1,4 @@
-"""Faults as intervals: who was unresponsive, and when."""
+"""Faults as time intervals: which process was unresponsive, and when."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from zincvale.fleet.invariants.rows import FaultBegan, FaultEnded
 
 STOPPING_KINDS = frozenset({"kill", "restart", "power-loss", "disk-lost", "replace", "freeze"})
-"""Faults during which their target does nothing."""
+"""Kinds of faults during which the target process does not run."""
 
 
 @attrs.frozen
@@ -25,7 +25,7 @@
     args: dict[str, Any]
 
     def covers(self, t: float) -> bool:
-        """Whether the fault was on at `t`."""
+        """Whether the fault was in force at time `t`."""
         return self.start <= t < self.end
 
     @property
@@ -35,17 +35,17 @@
 
 
 def outages(evidence: Evidence) -> list[Outage]:
-    """Return every fault, joined with its end by kind and target."""
-    ends = list(evidence.of(FaultEnded))
+    """Return every fault of the run, matched with its end by kind and target."""
+    ends = list(evidence.rows_of(FaultEnded))
     found = []
-    for began in evidence.of(FaultBegan):
+    for began in evidence.rows_of(FaultBegan):
         end = _take_end(ends, began)
         found.append(Outage(began.kind, began.target, began.t, end, began.args))
     return found
 
 
 def unresponsive_periods(evidence: Evidence) -> list[Outage]:
-    """Return the faults that made a daemon unresponsive: it was stopped, or cut off."""
+    """Return the faults that made a daemon unresponsive, as it was stopped or isolated."""
     found = []
     for outage in outages(evidence):
         if outage.kind in STOPPING_KINDS:
--- a/src/zincvale/fleet/invariants/refusals.py
+++ b/src/zincvale/fleet/invariants/refusals.py
@@ -1,9 +1,9 @@
-"""Invariant 2: a refusal never ran and never runs.
+"""Invariant 2: a refused request never ran and never runs.
 
-A refused attempt says of its request id: nothing ran, and nothing will unless the caller sends it
-anew. So a run before the refusal, or after it without a newer attempt, is a violation. The one
-exception is `in-progress`, which refuses only the duplicate attempt and promises nothing of the
-first one.
+The refusal of an attempt promises that the request id did not run, and will not run unless the
+caller sends it again. So a run before the refusal, or after it without a newer attempt, is a
+violation. The one exception is `in-progress`, which refuses only the duplicate attempt and promises
+nothing about the first one.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     runs = _runs_by_request(evidence)
     sends = _send_times_by_request(evidence)
     duplicates = 0
-    for refusal in evidence.of(ResultReceived):
+    for refusal in evidence.rows_of(ResultReceived):
         if refusal.outcome != Outcome.REFUSED.value:
             continue
         if _refuses_only_a_duplicate(refusal):
@@ -52,7 +52,7 @@
     for run in runs.get(refusal.request_id, []):
         if run.t < resent_t:
             when = "before" if run.t <= refusal.t else "after"
-            result.breach(
+            result.add_breach(
                 refusal.request_id,
                 run.t,
                 f"ran on {run.server_id} {when} attempt {refusal.attempt} was refused "
@@ -69,13 +69,13 @@
 
 def _runs_by_request(evidence: Evidence) -> dict[str, list[RequestRan]]:
     runs: dict[str, list[RequestRan]] = {}
-    for run in evidence.of(RequestRan):
+    for run in evidence.rows_of(RequestRan):
         runs.setdefault(run.request_id, []).append(run)
     return runs
 
 
 def _send_times_by_request(evidence: Evidence) -> dict[str, list[float]]:
     sends: dict[str, list[float]] = {}
-    for sent in evidence.of(RequestSent):
+    for sent in evidence.rows_of(RequestSent):
         sends.setdefault(sent.request_id, []).append(sent.t)
     return sends
--- a/src/zincvale/fleet/invariants/repair.py
+++ b/src/zincvale/fleet/invariants/repair.py
@@ -1,8 +1,8 @@
-"""Invariant 9: after a repair, an immediate second loss erases nothing acknowledged.
+"""Invariant 9: a second loss right after a repair erases no acknowledged change.
 
-All acknowledged changes are applied again in the order of their versions; the intent that the
-cores show at the end of the run must hold the result. Fields that an unconfirmed order may have
-changed are left out.
+The check applies all acknowledged changes in the order of their versions; the intent read from the
+cores at the end of the run must contain the result. Fields that an unconfirmed order may have
+changed are not compared.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from zincvale.fleet.invariants.findings import CheckResult
 from zincvale.fleet.invariants.operations import (
     HTTP_OK,
-    Acknowledged,
+    AcknowledgedOrder,
     OperatorOrder,
-    acknowledged,
+    acknowledged_orders,
     newest_acknowledged_version,
     operator_orders,
 )
@@ -34,18 +34,19 @@
 
 @attrs.define
 class ReplayedIntent:
-    """What the acknowledged changes add up to.
+    """The intent that results from the acknowledged changes.
 
-    `fields` holds a spec by kind and name, `deleted` what was removed, `doubtful` what an
-    unconfirmed order may have touched (an empty field name means the complete resource).
+    `fields` holds the spec of each resource by its kind and name, `deleted` the resources that were
+    deleted, `uncertain` the fields that an unconfirmed order may have changed (an empty field name
+    means the complete resource).
     """
 
     fields: dict[ResourceKey, dict[str, Any]] = attrs.field(factory=dict)
     deleted: set[ResourceKey] = attrs.field(factory=set)
-    doubtful: set[tuple[ResourceKey, str]] = attrs.field(factory=set)
+    uncertain: set[tuple[ResourceKey, str]] = attrs.field(factory=set)
 
     def apply(self, order: OperatorOrder) -> None:
-        """Apply one change as the control API does: a merge patches a spec field by field."""
+        """Apply one change as the control API does, which merges a spec field by field."""
         if order.replaces_all:
             self.deleted |= set(self.fields)
             self.fields.clear()
@@ -59,8 +60,8 @@
                 self.fields.setdefault(key, {}).update(spec)
                 self.deleted.discard(key)
 
-    def doubt(self, order: OperatorOrder) -> None:
-        """Leave out what an unconfirmed order may have changed."""
+    def exclude_unconfirmed(self, order: OperatorOrder) -> None:
+        """Exclude from the comparison what an unconfirmed order may have changed."""
         if order.replaces_all:
             self.fields.clear()
             self.deleted.clear()
@@ -69,14 +70,14 @@
             key = (str(resource.get("kind")), str(resource.get("name")))
             spec = resource.get("spec")
             names = [""] if spec is None else list(spec)
-            self.doubtful |= {(key, name) for name in names}
+            self.uncertain |= {(key, name) for name in names}
 
 
 def check(evidence: Evidence) -> CheckResult:
-    """Compare the last intent that each daemon showed with the acknowledged changes."""
+    """Compare the last intent read from each daemon with the acknowledged changes."""
     result = CheckResult(NUMBER, TITLE)
     orders = operator_orders(evidence)
-    acked = acknowledged(orders)
+    acked = acknowledged_orders(orders)
     for read in _last_complete_reads(evidence):
         if read.asked_t < max((item.t for item in acked), default=0.0):
             result.not_checked.append(f"{read.member} was last read before the last change")
@@ -91,11 +92,11 @@
     return result
 
 
-def _check_version(result: CheckResult, read: IntentRead, acked: list[Acknowledged]) -> None:
+def _check_version(result: CheckResult, read: IntentRead, acked: list[AcknowledgedOrder]) -> None:
     expected = newest_acknowledged_version(acked, read.asked_t)
     result.facts += 1
     if (read.version or 0) < expected:
-        result.breach(
+        result.add_breach(
             read.member, read.t, f"ended at version {read.version}, below {expected} acknowledged"
         )
 
@@ -103,34 +104,34 @@
 def _check_content(
     result: CheckResult,
     read: IntentRead,
-    acked: list[Acknowledged],
+    acked: list[AcknowledgedOrder],
     orders: list[OperatorOrder],
 ) -> None:
     replayed = ReplayedIntent()
     for item in acked:
         replayed.apply(item.order)
     for order in orders:
-        if order.uncertain:
-            replayed.doubt(order)
+        if order.is_uncertain:
+            replayed.exclude_unconfirmed(order)
     shown = {
         (str(item.get("kind")), str(item.get("name"))): item.get("spec") or {}
         for item in read.resources or []
     }
     for key, fields in replayed.fields.items():
-        if (key, "") not in replayed.doubtful:
+        if (key, "") not in replayed.uncertain:
             certain = {
                 name: value
                 for name, value in fields.items()
-                if (key, name) not in replayed.doubtful
+                if (key, name) not in replayed.uncertain
             }
             _check_resource(result, read, key, certain, shown.get(key))
     for key in sorted(replayed.deleted):
-        if key in shown and not _is_doubtful(replayed, key):
-            result.breach(read.member, read.t, f"{key[0]} {key[1]} is back after its deletion")
+        if key in shown and not _is_uncertain(replayed, key):
+            result.add_breach(read.member, read.t, f"{key[0]} {key[1]} is back after its deletion")
     result.facts += len(replayed.fields)
-    if replayed.doubtful:
+    if replayed.uncertain:
         result.not_checked.append(
-            f"{read.member}: {len(replayed.doubtful)} fields that unanswered orders may have set"
+            f"{read.member}: {len(replayed.uncertain)} fields that unanswered orders may have set"
         )
 
 
@@ -141,26 +142,26 @@
     certain: dict[str, Any],
     shown: dict[str, Any] | None,
 ) -> None:
-    """Compare the fields that only acknowledged orders set with those that the member showed."""
+    """Compare the fields that only acknowledged orders set with those read from the member."""
     if shown is None:
-        result.breach(read.member, read.t, f"{key[0]} {key[1]} is missing")
+        result.add_breach(read.member, read.t, f"{key[0]} {key[1]} is missing")
         return
     for name, value in certain.items():
         if shown.get(name) != value:
-            result.breach(
+            result.add_breach(
                 read.member,
                 read.t,
                 f"{key[0]} {key[1]}: {name} is {shown.get(name)!r}, not {value!r}",
             )
 
 
-def _is_doubtful(replayed: ReplayedIntent, key: ResourceKey) -> bool:
-    return any(doubtful_key == key for doubtful_key, _ in replayed.doubtful)
+def _is_uncertain(replayed: ReplayedIntent, key: ResourceKey) -> bool:
+    return any(uncertain_key == key for uncertain_key, _ in replayed.uncertain)
 
 
 def _last_complete_reads(evidence: Evidence) -> list[IntentRead]:
     last: dict[str, IntentRead] = {}
-    for read in evidence.of(IntentRead):
+    for read in evidence.rows_of(IntentRead):
         if read.status == HTTP_OK and read.resources is not None:
             last[read.member] = read
     return [last[member] for member in sorted(last)]
--- a/src/zincvale/fleet/invariants/responses.py
+++ b/src/zincvale/fleet/invariants/responses.py
@@ -15,7 +15,7 @@
     """Compare every response that looked complete with the text that its request must have."""
     result = CheckResult(NUMBER, TITLE)
     without_digest = 0
-    for received in evidence.of(ResultReceived):
+    for received in evidence.rows_of(ResultReceived):
         if not _looks_complete(received):
             continue
         result.facts += 1
@@ -23,7 +23,7 @@
         if received.expected_digest is None:
             without_digest += 1
         elif received.text_digest != received.expected_digest:
-            result.breach(
+            result.add_breach(
                 received.request_id,
                 received.t,
                 f"attempt {received.attempt} got text {received.text_digest}, "
@@ -41,7 +41,7 @@
 def _check_identity(result: CheckResult, received: ResultReceived) -> None:
     response_id = received.answer_request_id
     if response_id is not None and response_id != received.request_id:
-        result.breach(
+        result.add_breach(
             received.request_id,
             received.t,
             f"attempt {received.attempt} got the answer of {response_id}",
--- a/src/zincvale/fleet/invariants/restarts.py
+++ b/src/zincvale/fleet/invariants/restarts.py
@@ -1,4 +1,4 @@
-"""Invariant 10: a restart after hundreds of changes serves the newest version within 12 s."""
+"""Invariant 10: a daemon restarted after hundreds of changes serves the newest one within 12 s."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from zincvale.fleet.invariants.findings import CheckResult
 from zincvale.fleet.invariants.operations import (
     HTTP_OK,
-    Acknowledged,
-    acknowledged,
+    AcknowledgedOrder,
+    acknowledged_orders,
     newest_acknowledged_version,
     operator_orders,
 )
@@ -21,13 +21,13 @@
 
 SERVES_WITHIN_S = 12.0
 RESTARTING_KINDS = frozenset({"restart", "kill", "power-loss"})
-"""Faults after which the same daemon comes back with what it had synced."""
+"""Kinds of faults after which the same daemon restarts with the data that it had synced."""
 
 
 def check(evidence: Evidence) -> CheckResult:
-    """Follow every restarted daemon until it serves the newest acknowledged version."""
+    """Check that restarted cores serve the newest acknowledged version and nodes become ready."""
     result = CheckResult(NUMBER, TITLE)
-    acked = acknowledged(operator_orders(evidence))
+    acked = acknowledged_orders(operator_orders(evidence))
     unresponsive = unresponsive_periods(evidence)
     seats = evidence.expectations.seat_by_core
     daemons = {*seats, *evidence.expectations.zone_by_member}
@@ -37,7 +37,7 @@
             continue
         since = _majority_since(outage.end, unresponsive, seats)
         deadline = since + SERVES_WITHIN_S
-        reason = _why_not_checkable(outage, deadline, unresponsive, seats, evidence.end_t())
+        reason = _reason_not_checkable(outage, deadline, unresponsive, seats, evidence.end_t())
         if reason:
             result.not_checked.append(f"{outage.target} at {outage.end:.1f}: {reason}")
         elif outage.target in seats:
@@ -58,13 +58,13 @@
     result: CheckResult,
     outage: Outage,
     since: float,
-    acked: list[Acknowledged],
+    acked: list[AcknowledgedOrder],
 ) -> None:
     expected = newest_acknowledged_version(acked, outage.end)
     result.facts += 1
     reads = [
         read
-        for read in evidence.of(IntentRead)
+        for read in evidence.rows_of(IntentRead)
         if read.member == outage.target
         and outage.end <= read.t <= since + SERVES_WITHIN_S
         and read.status == HTTP_OK
@@ -72,7 +72,7 @@
     if any((read.version or 0) >= expected for read in reads):
         return
     shown = max((read.version or 0 for read in reads), default=None)
-    result.breach(
+    result.add_breach(
         outage.target,
         since + SERVES_WITHIN_S,
         f"after {outage.kind} served version {shown}, not {expected}, "
@@ -82,11 +82,11 @@
 
 def _check_node(evidence: Evidence, result: CheckResult, outage: Outage, since: float) -> None:
     result.facts += 1
-    for poll in evidence.of(ReadinessPolled):
+    for poll in evidence.rows_of(ReadinessPolled):
         in_time = outage.end <= poll.t <= since + SERVES_WITHIN_S
         if poll.member == outage.target and in_time and poll.status == HTTP_OK:
             return
-    result.breach(
+    result.add_breach(
         outage.target,
         since + SERVES_WITHIN_S,
         f"was not ready within {SERVES_WITHIN_S:.0f} s after {outage.kind}",
@@ -94,20 +94,20 @@
 
 
 def _majority_since(start: float, unresponsive: list[Outage], seats: dict[str, str]) -> float:
-    """Return when a majority of the cores was first up, from `start` on."""
+    """Return the first time from `start` on at which a majority of the cores was up."""
     moments = sorted({start, *(outage.end for outage in unresponsive if outage.end > start)})
     return next(
-        (moment for moment in moments if _majority_up(moment, unresponsive, seats)), math.inf
+        (moment for moment in moments if _is_majority_up(moment, unresponsive, seats)), math.inf
     )
 
 
-def _majority_up(t: float, unresponsive: list[Outage], seats: dict[str, str]) -> bool:
+def _is_majority_up(t: float, unresponsive: list[Outage], seats: dict[str, str]) -> bool:
     all_seats = set(seats.values())
     down = {seats.get(outage.target) for outage in unresponsive if outage.covers(t)}
     return len(all_seats - down) > len(all_seats) // 2
 
 
-def _why_not_checkable(
+def _reason_not_checkable(
     outage: Outage,
     deadline: float,
     unresponsive: list[Outage],
@@ -121,6 +121,6 @@
         if other is not outage and overlaps and other.target == outage.target:
             return f"a second fault ({other.kind}) came within its 12 s"
     moments = [other.start for other in unresponsive if outage.end < other.start < deadline]
-    if not all(_majority_up(moment, unresponsive, seats) for moment in moments):
+    if not all(_is_majority_up(moment, unresponsive, seats) for moment in moments):
         return "the majority of cores was lost again within its 12 s"
     return ""
--- a/src/zincvale/fleet/invariants/rows.py
+++ b/src/zincvale/fleet/invariants/rows.py
@@ -14,7 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class Row:
-    """What every row has."""
+    """Fields that every row has."""
 
     t: float
     source: str = ""
@@ -22,19 +22,19 @@
 
 @attrs.frozen(kw_only=True)
 class ServerRow(Row):
-    """A row of a back-end server; `server` falls back to the journal's name."""
+    """A row about a back-end server; without `server` it is about the journal's own server."""
 
     server: str = ""
 
     @property
     def server_id(self) -> str:
-        """The server that the row speaks of."""
+        """The name of the server that the row is about."""
         return self.server or self.source
 
 
 @attrs.frozen(kw_only=True)
 class ServerStarted(ServerRow):
-    """A server came up, empty, as a new incarnation."""
+    """A server started as a new incarnation, with no weights loaded."""
 
     incarnation: str = ""
     zone: str = ""
@@ -46,7 +46,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServerCrashed(ServerRow):
-    """A server lost all that it had loaded."""
+    """A server crashed and lost everything that it had loaded."""
 
 
 @attrs.frozen(kw_only=True)
@@ -96,7 +96,7 @@
 
 @attrs.frozen(kw_only=True)
 class WeightsLoaded(ServerRow):
-    """A model or adapter became able to serve."""
+    """A model or adapter finished loading on a server and can serve."""
 
     name: str
     bytes: int = 0
@@ -105,7 +105,7 @@
 
 @attrs.frozen(kw_only=True)
 class WeightsUnloaded(ServerRow):
-    """A model or adapter left the memory of a server, or its load failed."""
+    """A model or adapter was removed from the memory of a server, or its load failed."""
 
     name: str
     bytes: int = 0
@@ -123,13 +123,13 @@
 
     @property
     def store_id(self) -> str:
-        """The store that the row speaks of."""
+        """The name of the store that the row is about."""
         return self.store or self.source
 
 
 @attrs.frozen(kw_only=True)
 class PullEnded(PullStarted):
-    """A store stopped sending weights, complete or not."""
+    """A store stopped sending weights, whether or not the transfer was complete."""
 
 
 @attrs.frozen(kw_only=True)
@@ -145,10 +145,10 @@
 
 @attrs.frozen(kw_only=True)
 class ResultReceived(Row):
-    """What a caller made of the response to one attempt.
+    """The outcome of one attempt, as the caller of the request classified it.
 
-    `pieces_in_all` and the counts of wrong chunks run over all attempts of the request. `final`
-    says that the caller will not send this request again.
+    `pieces_in_all` and the counts of wrong chunks include all attempts of the request so far.
+    `final` is true when the caller will not send this request again.
     """
 
     request_id: str
@@ -174,7 +174,7 @@
 
 @attrs.frozen(kw_only=True)
 class ChangeSent(Row):
-    """An operator sent a change; `change` is the complete body."""
+    """An operator sent a change; `change` is the complete request body."""
 
     order_id: str
     base_version: int | None = None
@@ -183,7 +183,7 @@
 
 @attrs.frozen(kw_only=True)
 class ChangeResponse(Row):
-    """The response to an operator's change; `status` 0 means that none came."""
+    """The response to an operator's change; `status` 0 means that there was none."""
 
     order_id: str
     status: int
@@ -209,7 +209,7 @@
 
 @attrs.frozen(kw_only=True)
 class IntentRead(Row):
-    """The rig read the intent as an operator does; requested at `asked_t`, responded to at `t`."""
+    """The rig read the intent as an operator does: request at `asked_t`, response at `t`."""
 
     member: str
     asked_t: float
@@ -220,9 +220,10 @@
 
 @attrs.frozen(kw_only=True)
 class MarkerProbed(Row):
-    """The rig requested the path of marker `marker` from a node; an empty body never runs.
+    """The rig requested the path of marker `marker` from a node.
 
-    `ready` says that the node called itself ready both before and after.
+    The body is empty, so that the request never runs. `ready` is true when the node reported
+    itself ready both before and after the request.
     """
 
     member: str
@@ -235,7 +236,7 @@
 
 @attrs.frozen(kw_only=True)
 class ReadinessPolled(Row):
-    """The rig requested the readiness of a daemon."""
+    """The rig polled the readiness endpoint of a daemon."""
 
     member: str
     asked_t: float
@@ -244,7 +245,7 @@
 
 @attrs.frozen(kw_only=True)
 class MachineAdded(Row):
-    """The rig started a daemon on a new machine, in the place of another."""
+    """The rig started a daemon on a new machine that replaces another machine."""
 
     member: str
     replaces: str
@@ -254,12 +255,12 @@
 
 @attrs.frozen(kw_only=True)
 class LoadStarted(Row):
-    """The rig let callers come: zero of the report's time axis."""
+    """The rig started the callers: the zero point of the report's time axis."""
 
 
 @attrs.frozen(kw_only=True)
 class RunEnded(Row):
-    """The rig began to end the run: what is missing after this is no breach."""
+    """The rig began to end the run; an event that is missing after this time is no breach."""
 
 
 ROW_BY_EVENT: dict[str, type[Row]] = {
--- a/src/zincvale/fleet/invariants/streams.py
+++ b/src/zincvale/fleet/invariants/streams.py
@@ -1,8 +1,8 @@
 """Invariant 4: no stream skips, repeats or splices; no chat is lost mid-response.
 
-A chat is lost when its caller got at least one chunk, gave up, and the response never completed,
-although the caller went on resuming while the run lasted. A stream refused before its first chunk
-is over: its caller starts again under a new id.
+A chat is lost when its caller received at least one chunk and gave up, and the response never
+completed although the caller kept resuming it during the run. A stream refused before its first
+chunk has ended: its caller starts again under a new id.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 def check(evidence: Evidence) -> CheckResult:
     """Check the chunks of every streamed attempt, and the end of every stream."""
     result = CheckResult(NUMBER, TITLE)
-    streamed = {sent.request_id for sent in evidence.of(RequestSent) if sent.stream}
+    streamed = {sent.request_id for sent in evidence.rows_of(RequestSent) if sent.stream}
     attempts: dict[str, list[ResultReceived]] = {}
     unnumbered = 0
-    for received in evidence.of(ResultReceived):
+    for received in evidence.rows_of(ResultReceived):
         if received.request_id not in streamed:
             continue
         result.facts += 1
@@ -43,13 +43,13 @@
     }
     found = [f"{count} {what}" for what, count in wrong.items() if count]
     if found:
-        result.breach(
+        result.add_breach(
             received.request_id, received.t, f"attempt {received.attempt}: {', '.join(found)}"
         )
 
 
 def _check_end(result: CheckResult, attempts: list[ResultReceived]) -> int:
-    """Return 1 when the stream's end is not known: its caller had not given up."""
+    """Check how a stream ended; return 1 when its caller had not given up when the run ended."""
     if any(received.complete for received in attempts):
         return 0
     last = attempts[-1]
@@ -59,7 +59,7 @@
     if not last.final:
         return 1
     if chunks:
-        result.breach(
+        result.add_breach(
             last.request_id,
             last.t,
             f"lost after {chunks} pieces and {len(attempts)} attempts ({last.outcome})",
--- a/src/zincvale/fleet/invariants/unresponsive_control.py
+++ b/src/zincvale/fleet/invariants/unresponsive_control.py
@@ -17,16 +17,16 @@
 TITLE = "a control machine silent for 20 s gives no orders on waking"
 
 UNRESPONSIVE_S = 20.0
-"""What the invariant promises; orders after a shorter outage are checked by epoch only."""
+"""Shortest outage that the second rule covers; shorter ones are checked by the first rule only."""
 IN_FLIGHT_S = 1.0
-"""An order that left before a newer leader's first one may arrive this much later."""
+"""Time after a newer leader's first order in which an order sent before it may still arrive."""
 
 
 def check(evidence: Evidence) -> CheckResult:
     """Check the epochs and senders of all orders that reached servers."""
     result = CheckResult(NUMBER, TITLE)
     orders = sorted(
-        [*evidence.of(OrderTaken), *evidence.of(OrderRefused)], key=lambda order: order.t
+        [*evidence.rows_of(OrderTaken), *evidence.rows_of(OrderRefused)], key=lambda order: order.t
     )
     result.facts = len(orders)
     _check_epochs(result, orders)
@@ -42,7 +42,7 @@
             newest_epoch = order.epoch
             newest_since = order.t
         elif order.epoch < newest_epoch and order.t > newest_since + IN_FLIGHT_S:
-            result.breach(
+            result.add_breach(
                 order.server_id,
                 order.t,
                 f"order {order.order_id} of epoch {order.epoch} came "
@@ -68,7 +68,7 @@
         epochs_before = {order.epoch for order in own if order.t <= period.start + IN_FLIGHT_S}
         for order in own:
             if order.t >= period.end and order.epoch in epochs_before:
-                result.breach(
+                result.add_breach(
                     period.target,
                     order.t,
                     f"gave order {order.order_id} under epoch {order.epoch}, "
--- a/tests/fleet/journal_rows.py
+++ b/tests/fleet/journal_rows.py
@@ -34,7 +34,7 @@
 
 
 def row(t: float, event: str, source: str = "journal", **fields: Any) -> Row:
-    """Return the row that a journal line with these fields is read as."""
+    """Return the typed row that is parsed from a journal line with these fields."""
     line = orjson.dumps({"t": t, "event": event, **fields})
     parsed = parse_row(line, source)
     assert parsed is not None, event
@@ -54,7 +54,7 @@
     responses: tuple[tuple[float, int, int | None], ...] = (),
     mode: str = "merge",
 ) -> list[Row]:
-    """Return the rows of one order: a send before each response (`t`, status, version)."""
+    """Return the rows of one order: a send and a response (`t`, status, version) per attempt."""
     body = {"baseVersion": base_version, "mode": mode, "resources": resources}
     rows: list[Row] = []
     for t, status, version in responses or ((sent_t, 0, None),):
