--- a/examples/embedded_register.py
+++ b/examples/embedded_register.py
@@ -1,6 +1,6 @@
-"""Three cores in one process: a key changed under one idempotency key, and a leader lease.
+"""Three cores in one process: a change sent twice takes effect once, and one core leads.
 
-The machines do no I/O: this file is the whole driver. `python examples/embedded_register.py`
+The state machines do no I/O: this file is their driver. `python examples/embedded_register.py`
 """
 
 import random
@@ -20,7 +20,7 @@
 
 
 def new_core(name):
-    """Return a core with an empty disk that may create the cluster."""
+    """Return a core with an empty disk that may bootstrap the cluster."""
     config = CoreConfig("demo", name, "run-1", "zone-a", "region-1", "api:1", f"{name}:2",
                         bootstrap=True, initial_cores=CORES, roles=("planner",))  # fmt: skip
     reducers = {"k": lambda rows, change: Success([RowChange("greeting", change)])}
--- a/src/zincvale/fleet/back_end_faults.py
+++ b/src/zincvale/fleet/back_end_faults.py
@@ -1,4 +1,4 @@
-"""Misbehaving back ends, and changes of demand."""
+"""Handlers of misbehaving back ends and of changes of demand."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 @attrs.define
 class BehaviourHandler:
-    """Back ends that drop, delay, cross or cut responses."""
+    """Makes back ends misbehave, for example by dropping, delaying or truncating responses."""
 
     context: FaultContext
 
     async def begin(self, step: Step) -> None:
-        """Switch the behaviour on."""
+        """Switch the fault's behaviour on at the targets."""
         assert isinstance(step.fault, SwitchBehaviour)
         body = step.fault.behaviour.to_dict()
         for target in step.targets:
-            self.context.began(step, target, behaviour=body["kind"])
+            self.context.journal_begin(step, target, behaviour=body["kind"])
             await self._send("POST", target, body)
 
     async def end(self, step: Step) -> None:
         """Switch every behaviour of the targets off."""
         for target in step.targets:
             await self._send("DELETE", target, None)
-            self.context.ended(step, target)
+            self.context.journal_end(step, target)
 
     async def _send(self, method: str, target: str, body: Any) -> None:
         server = self.context.fleet.server(target)
@@ -44,14 +44,14 @@
 
 @attrs.define
 class DemandHandler:
-    """Crowds and shifts of popularity: they are in the load file, this only journals them."""
+    """Journals changes of demand, which the callers themselves carry out from the load file."""
 
     context: FaultContext
 
     async def begin(self, step: Step) -> None:
-        """Journal that demand changed."""
-        self.context.began(step, CALLERS)
+        """Journal that the change of demand began."""
+        self.context.journal_begin(step, CALLERS)
 
     async def end(self, step: Step) -> None:
-        """Journal that demand is back."""
-        self.context.ended(step, CALLERS)
+        """Journal that the change of demand ended."""
+        self.context.journal_end(step, CALLERS)
--- a/src/zincvale/fleet/callers_processes.py
+++ b/src/zincvale/fleet/callers_processes.py
@@ -1,4 +1,4 @@
-"""The processes that drive the callers of a run."""
+"""The processes that run the callers, which send the load of a run."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @attrs.define
 class CallersProcesses:
-    """Starts the callers, and knows which still run and where their summaries go."""
+    """Starts the callers' processes, and tracks which still run and where their summaries are."""
 
     inputs: RunInputs
     folder: RunFolder
@@ -28,7 +28,7 @@
     _names: list[str] = attrs.field(factory=list)
 
     def start(self) -> None:
-        """Start every process of callers; new requests begin at once."""
+        """Start every process of callers, which begin to send requests immediately."""
         load = self.folder.root / LOAD_FILE
         plain = self.inputs.load.to_dict()
         load.write_text(yaml.safe_dump(plain, sort_keys=False), encoding="utf-8")
@@ -36,7 +36,7 @@
             self._start(f"callers-{index + 1}", index, load)
 
     def running(self) -> list[str]:
-        """Return the names of those that have not finished."""
+        """Return the names of the callers' processes that have not ended."""
         processes = [self.fleet.table.get(name) for name in self._names]
         return [process.name for process in processes if process and process.is_running]
 
--- a/src/zincvale/fleet/change_faults.py
+++ b/src/zincvale/fleet/change_faults.py
@@ -1,4 +1,4 @@
-"""Operators' changes as timed events: drains, bursts, races, lost responses, invalid files."""
+"""Handlers of operators' changes: drains, bursts, races, lost responses and invalid changes."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 
 @attrs.define
-class DeclareHandler:
-    """Drains and evacuations: a field of declared state that is set and taken back."""
+class DeclaredFieldHandler:
+    """Drains servers or evacuates zones by a field of the intent that is set and cleared again."""
 
     context: FaultContext
     kind: str
@@ -30,14 +30,14 @@
     async def begin(self, step: Step) -> None:
         """Declare the targets drained or evacuated."""
         for target in step.targets:
-            self.context.began(step, target)
+            self.context.journal_begin(step, target)
         await self._declare(step, True)
 
     async def end(self, step: Step) -> None:
-        """Take the targets back."""
+        """Undo the drain or evacuation of the targets."""
         await self._declare(step, False)
         for target in step.targets:
-            self.context.ended(step, target)
+            self.context.journal_end(step, target)
 
     async def _declare(self, step: Step, value: bool) -> None:
         resources = [
@@ -50,40 +50,40 @@
 
 @attrs.define
 class ChangeHandler:
-    """Changes that have a beginning only."""
+    """Sends changes that are not undone: applied files, bursts, races, lost acknowledgements."""
 
     context: FaultContext
 
     async def begin(self, step: Step) -> None:
         """Send the changes and wait for their responses."""
-        self.context.began(step, "operators")
+        self.context.journal_begin(step, "operators")
         operators = self.context.operators
         match step.fault:
             case Apply(resources=resources):
                 await operators.apply(operators.new_change(resources))
             case ChangeBurst(count=count, pause_s=pause_s):
-                await _burst(operators, count, pause_s)
+                await _apply_markers(operators, count, pause_s)
             case RacingChanges(rounds=rounds):
-                await _race(operators, rounds)
+                await _send_racing_changes(operators, rounds)
             case LostAcknowledgement(pause_s=pause_s, changes_between=changes_between):
-                await _lose_acknowledgement(operators, pause_s, changes_between)
+                await _resend_after_lost_response(operators, pause_s, changes_between)
             case InvalidChange():
                 await _send_invalid(operators)
-        self.context.ended(step, "operators")
+        self.context.journal_end(step, "operators")
 
     async def end(self, step: Step) -> None:
-        """The change stays."""
+        """Do nothing, as the changes are not undone."""
 
 
-async def _burst(operators: Operators, count: int, pause_s: float) -> None:
+async def _apply_markers(operators: Operators, count: int, pause_s: float) -> None:
     for _ in range(count):
         await operators.apply_marker()
         if pause_s:
             await gen.sleep(pause_s)
 
 
-async def _race(operators: Operators, rounds: int) -> None:
-    """Two different changes on one version leave at the same moment, to different cores."""
+async def _send_racing_changes(operators: Operators, rounds: int) -> None:
+    """Send two different changes on one version to different cores at the same time."""
     for _ in range(rounds):
         base = await operators.current_version()
         if base is None:
@@ -95,22 +95,24 @@
         await gen.multi([operators.apply_marker_change(change) for change in changes])
 
 
-async def _lose_acknowledgement(operators: Operators, pause_s: float, changes_between: int) -> None:
-    """Hang up before the response, let time and other changes pass, send the same order again."""
+async def _resend_after_lost_response(
+    operators: Operators, pause_s: float, changes_between: int
+) -> None:
+    """Disconnect before the response, wait, apply other changes, and resend the same order."""
     _, resource = operators.marker_resource()
     change = operators.new_change([resource], await operators.current_version())
     await operators.attempt(change, timeout_s=HANG_UP_AFTER_S)
     await gen.sleep(pause_s)
-    await _burst(operators, changes_between, 0.0)
+    await _apply_markers(operators, changes_between, 0.0)
     await operators.apply_marker_change(change)
 
 
 async def _send_invalid(operators: Operators) -> None:
-    for resources in _INVALID:
+    for resources in _INVALID_CHANGES:
         await operators.apply(operators.new_change(resources), attempts=2)
 
 
-_INVALID: list[list[dict[str, Any]]] = [
+_INVALID_CHANGES: list[list[dict[str, Any]]] = [
     [{"kind": "Route", "name": "dangling", "spec": {"path": "/v1/dangling", "pool": "no-such"}}],
     [{"kind": "Pool", "name": "mistyped", "spec": {"max_queue": "many"}}],
     [{"kind": "Zone", "name": "unknown-field", "spec": {"evacuate": True}}],
@@ -120,4 +122,4 @@
         {"kind": "Adapter", "name": "half-bad", "spec": {"base_model": "no-such"}},
     ],
 ]
-"""Each must change nothing, the last one not even its first half."""
+"""Changes that must be refused as a whole; the first resource of the last one is valid."""
--- a/src/zincvale/fleet/clients.py
+++ b/src/zincvale/fleet/clients.py
@@ -1,4 +1,4 @@
-"""The rig's HTTP client: short calls to loopback addresses, without exceptions for statuses."""
+"""The rig's HTTP client: short calls to loopback addresses, which raise no HTTP errors."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from tornado.httpclient import HTTPError, HTTPRequest
 
 NO_RESPONSE = 0
-"""The status of a call that got no HTTP response: the effect of the request is unknown."""
+"""The status of a call that got no HTTP response, so that its effect is unknown."""
 CLIENT_TIMEOUT_STATUS = 599
-"""What tornado's client reports when a connection fails or times out."""
+"""The status that tornado's client reports when a connection fails or times out."""
 MAX_CLIENTS = 64
 CONNECT_TIMEOUT_S = 1.0
 
 
 @attrs.frozen
 class RigResponse:
-    """What came back; `status` 0 means that nothing did."""
+    """The response to a call; `status` 0 means that there was none."""
 
     status: int
     body: Any = None
@@ -38,13 +38,13 @@
 
 
 class RigClient:
-    """Calls daemons and stand-ins; a call that fails is a `RigResponse` with status 0."""
+    """Calls daemons and stand-ins; a call that fails returns a `RigResponse` with status 0."""
 
     def __init__(self) -> None:
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=MAX_CLIENTS)
 
     async def get(self, address: str, path: str, timeout_s: float = 1.0) -> RigResponse:
-        """Send a GET."""
+        """Send a GET request."""
         return await self._fetch(HTTPRequest(f"http://{address}{path}"), timeout_s)
 
     async def post(
--- a/src/zincvale/fleet/commands.py
+++ b/src/zincvale/fleet/commands.py
@@ -1,4 +1,4 @@
-"""`zincvale fleet`: real processes, load and faults on this machine, checked from journals."""
+"""The `zincvale fleet` commands: run a fleet on this machine, and check its journals."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from fire.decorators import SetParseFns
 
-from zincvale.fleet.fault_file import read_faults, ready_files
+from zincvale.fleet.fault_file import built_in_files, read_faults
 from zincvale.fleet.invariant_checker import check_journals
 from zincvale.fleet.page import write_report
 from zincvale.fleet.progress import Progress
@@ -150,13 +150,13 @@
 
     def faults(self) -> None:
         """List the fault files that come with zincvale, with what each does."""
-        for name in ready_files():
+        for name in built_in_files():
             schedule = read_faults(name)
             print(f"{name} ({schedule.seconds:.0f} s): {schedule.description.strip()}")
 
 
 def _joined(value: object) -> str:
-    """Undo fire's reading of `a,b` as a tuple."""
+    """Return a comma-separated argument as text, as fire parses `a,b` into a tuple."""
     if isinstance(value, list | tuple):
         return ",".join(str(item) for item in value)
     return str(value)
@@ -191,7 +191,7 @@
 
 
 def _run_and_report(options: RunOptions, progress: Progress) -> dict[str, Any]:
-    """Run a fleet, and return its report, which is written where the options say."""
+    """Run a fleet and return its report; write it to the file in the options, if there is one."""
     inputs = read_inputs(options)
     root = make_run_folder(options)
     try:
--- a/src/zincvale/fleet/daemon_settings.py
+++ b/src/zincvale/fleet/daemon_settings.py
@@ -22,8 +22,8 @@
 ) -> DaemonSettings:
     """Return the settings of the daemon on one machine.
 
-    A core's data folder and quota lie in the run folder; `address_map` leads the daemon's dials
-    through relays.
+    A core's data folder and quota are in the run folder; `address_map` directs the daemon's
+    connections through relays.
     """
     cores = deployment.cores()
     is_core = machine.role is MachineRole.CORE
@@ -51,7 +51,7 @@
 
 
 def _seeds(deployment: Deployment, machine: Machine) -> list[str]:
-    """Return three other daemons, the cores of now first."""
+    """Return the peer addresses of up to three other daemons, the current cores first."""
     others = [other for other in [*deployment.cores(), *deployment.nodes()] if other != machine]
     return [deployment.peer_address(other) for other in others[:SEED_COUNT]]
 
--- a/src/zincvale/fleet/demand.py
+++ b/src/zincvale/fleet/demand.py
@@ -1,4 +1,4 @@
-"""The load of a run: the deployment's load file with the demand that the fault file adds."""
+"""The load of a run: a load file, with the changes of demand in the fault file."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     Raises
     ------
     InvalidInputError
-        There is none; the remedy lists the deployment's.
+        There is no such load; the remedy lists the loads of the deployment.
     """
     path = Path(reference)
     if path.is_file():
@@ -34,7 +34,7 @@
 
 
 def load_with_faults(path: Path, schedule: FaultSchedule, seconds: float) -> LoadSpec:
-    """Return the load in `path` with the crowds and shifts of a fault schedule."""
+    """Return the load in `path` with the changes of demand of a fault schedule."""
     spec = load_load_spec(path)
     crowds, shifts, bursts = [], [], []
     for fault in schedule.faults:
--- a/src/zincvale/fleet/environment.py
+++ b/src/zincvale/fleet/environment.py
@@ -1,4 +1,4 @@
-"""Where a run took place: machine, versions, commit."""
+"""The environment of a run: machine, package versions and commit."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def machine() -> dict[str, Any]:
-    """Return what the machine is and how busy it was."""
+    """Return the machine's processors, memory, operating system and load average."""
     return {
         "processors": os.cpu_count(),
         "memory_bytes": psutil.virtual_memory().total,
@@ -26,7 +26,7 @@
 
 
 def versions() -> dict[str, str]:
-    """Return the versions that the run used."""
+    """Return the versions of Python and of the main packages, and the commit."""
     found = {"python": platform.python_version(), "commit": commit()}
     for name in REPORTED_PACKAGES:
         try:
@@ -37,7 +37,7 @@
 
 
 def commit() -> str:
-    """Return the commit of the source tree, or `unknown` outside of one."""
+    """Return the commit of the source tree, or `unknown` outside a git repository."""
     for parent in Path(package_file).resolve().parents:
         head = parent / ".git" / "HEAD"
         if head.is_file():
--- a/src/zincvale/fleet/fault_context.py
+++ b/src/zincvale/fleet/fault_context.py
@@ -1,4 +1,4 @@
-"""What the handlers of faults share: the running fleet, its journal, and its clients."""
+"""What the fault handlers share: the running fleet, the rig's journal and its clients."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @attrs.define
 class FaultContext:
-    """The fleet that faults act on."""
+    """The running fleet that faults act on, with the rig's means to change it."""
 
     fleet: Fleet
     network: NetworkState
@@ -41,11 +41,11 @@
     journal: RigJournal
     replacement_numbers: Iterator[int] = attrs.field(factory=lambda: itertools.count(1))
 
-    def began(self, step: Step, target: str, **args: Any) -> None:
+    def journal_begin(self, step: Step, target: str, **args: Any) -> None:
         """Journal that the step's fault began on a target."""
         self.journal.write("fault", kind=step.fault.kind, target=target, args=args)
 
-    def ended(self, step: Step, target: str) -> None:
+    def journal_end(self, step: Step, target: str) -> None:
         """Journal that the step's fault was lifted from a target."""
         self.journal.write("fault-end", kind=step.fault.kind, target=target)
 
--- a/src/zincvale/fleet/fault_file.py
+++ b/src/zincvale/fleet/fault_file.py
@@ -1,4 +1,4 @@
-"""Fault files: what goes wrong in a run, and when.
+"""Fault files: the faults of a run and their times.
 
 A file is `{description, faults: [...]}`; each fault has `at_s` (seconds after the load began) and
 `kind`, and the fields of its kind. Targets are selectors (`fault_targets`).
@@ -28,7 +28,7 @@
 class FaultFile(Checked):
     """A fault file as written; its faults are read by kind.
 
-    `seconds` is how long a run lasts that does not say so itself.
+    `seconds` is the duration of a run whose options give none.
     """
 
     description: str = ""
@@ -38,7 +38,7 @@
 
 @dataclass
 class FaultSchedule:
-    """The checked faults of one run, by time."""
+    """The checked faults of one run, sorted by time."""
 
     name: str
     description: str
@@ -47,12 +47,12 @@
 
 
 def read_faults(reference: str) -> FaultSchedule:
-    """Return the faults of a file, or of the ready file of that name; empty means none.
+    """Return the faults of a file, or of the built-in file of that name; empty means none.
 
     Raises
     ------
     InvalidInputError
-        Naming the file, the fault and the remedy.
+        The file does not exist or is invalid; the error names the fault and the remedy.
     """
     if not reference:
         return FaultSchedule("none", "no faults", DEFAULT_SECONDS, [])
@@ -61,21 +61,21 @@
         data = yaml.safe_load(text) or {}
     except yaml.YAMLError as error:
         raise InvalidInputError(
-            f"fault file {reference} is not YAML: {error}", "correct it"
+            f"fault file {reference} is not valid YAML: {error}", "correct the file"
         ) from error
     return schedule_of(data, reference)
 
 
 def schedule_of(data: object, where: str) -> FaultSchedule:
-    """Return the checked faults of a decoded file."""
+    """Return the checked faults in the decoded content of a fault file."""
     file = read_checked(FaultFile, data, where)
     faults = [_read_fault(item, f"{where}: fault {n}") for n, item in enumerate(file.faults, 1)]
     faults.sort(key=lambda fault: fault.at_s)
     return FaultSchedule(Path(where).stem, file.description, file.seconds, faults)
 
 
-def ready_files() -> list[str]:
-    """Return the names of the fault files that come with the package."""
+def built_in_files() -> list[str]:
+    """Return the names of the fault files in the package."""
     folder = resources.files("zincvale.fleet") / LIBRARY
     names = [item.name for item in folder.iterdir() if item.name.endswith(FILE_SUFFIX)]
     return sorted(name.removesuffix(FILE_SUFFIX) for name in names)
@@ -90,9 +90,7 @@
         raise InvalidInputError(f"{where}: unknown kind {kind!r}", remedy)
     fault = read_checked(fault_class, item, f"{where} ({kind})")
     if fault.at_s < 0 or fault.for_s < 0:
-        raise InvalidInputError(
-            f"{where} ({kind}): a time is negative", "count from the load's start"
-        )
+        raise InvalidInputError(f"{where} ({kind}): a time is negative", "give 0 s or more")
     return fault
 
 
@@ -100,7 +98,7 @@
     path = Path(reference)
     if path.is_file():
         return path.read_text(encoding="utf-8")
-    ready = ready_files()
+    ready = built_in_files()
     if reference in ready:
         library = resources.files("zincvale.fleet") / LIBRARY
         return (library / f"{reference}{FILE_SUFFIX}").read_text(encoding="utf-8")
--- a/src/zincvale/fleet/fault_kinds.py
+++ b/src/zincvale/fleet/fault_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of faults: what a fault file may say of each."""
+"""The kinds of faults, and the fields of each in a fault file."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(kw_only=True)
 class Fault(Checked):
-    """What every fault has.
+    """Fields that every fault has.
 
-    `for_s` 0 means that the fault is not lifted by itself.
+    `for_s` is the duration; 0 means that the fault is not lifted automatically.
     """
 
     at_s: float
@@ -26,8 +26,9 @@
 class TargetedFault(Fault):
     """A fault on processes, servers or zones.
 
-    `pick` draws so many of the selected ones by the run's seed; 0 takes all. `named` remembers the
-    choice for later faults, as `@NAME`. `stagger_s` lets the targets follow one after the other.
+    `pick` is the number of targets drawn from the selected ones with the run's seed; 0 takes all.
+    `named` gives the choice a name, which later faults select as `@NAME`. `stagger_s` is the time
+    between the faults of successive targets.
     """
 
     target: str
@@ -38,50 +39,50 @@
 
 @dataclass(kw_only=True)
 class Kill(TargetedFault):
-    """End processes at once; with `for_s` they are started again after it."""
+    """Kill processes; with `for_s` they are started again after it."""
 
 
 @dataclass(kw_only=True)
 class Restart(TargetedFault):
-    """End processes at once and start them again after `down_s`, with the same disk."""
+    """Kill processes and start them again after `down_s` with the same disk."""
 
     down_s: float = 0.2
 
 
 @dataclass(kw_only=True)
 class Freeze(TargetedFault):
-    """Stop processes where they stand, as a suspended machine does."""
+    """Suspend processes, as on a suspended machine."""
 
 
 @dataclass(kw_only=True)
 class PowerLoss(TargetedFault):
-    """End processes right after the next acknowledged change, and start them after `down_s`."""
+    """Kill processes right after the next acknowledged change; start them after `down_s`."""
 
     down_s: float = 1.0
 
 
 @dataclass(kw_only=True)
 class DiskFull(TargetedFault):
-    """Leave no room in the data folders of cores."""
+    """Make the data folders of cores full."""
 
 
 @dataclass(kw_only=True)
 class DiskLost(TargetedFault):
-    """End cores, empty their data folders, and start them after `down_s` at the same address."""
+    """Kill cores, empty their data folders, and start them after `down_s` at the same address."""
 
     down_s: float = 0.5
 
 
 @dataclass(kw_only=True)
 class Replace(TargetedFault):
-    """End cores for good; empty ones at new addresses take their place."""
+    """Kill machines or servers for good; empty ones at new addresses replace them."""
 
 
 @dataclass(kw_only=True)
 class LinkFault(Fault):
     """A fault on the links between groups; each group is a list of selectors.
 
-    One group stands against all that is in no group.
+    A single group is separated from everything that is not in it.
     """
 
     groups: list[list[str]]
@@ -97,17 +98,17 @@
 
 @dataclass(kw_only=True)
 class Cut(LinkFault):
-    """No way between the groups.
+    """Cut the links between the groups.
 
     `how`: `lost` (packets vanish, both ways), `refused` (connections are reset), `one-way` (the
-    first group cannot call the others, they can call it), `replies-lost` (what the first group asks
-    arrives, the responses do not).
+    first group cannot call the others, they can call it), `replies-lost` (requests of the first
+    group arrive, the responses do not).
     """
 
     how: str = "lost"
 
     def __post_init__(self) -> None:
-        """Refuse an unknown way of cutting."""
+        """Raise `ValueError` for an unknown value of `how`."""
         if self.how not in _CUT_STATES:
             raise ValueError(f"how is {self.how!r}, not one of {', '.join(_CUT_STATES)}")
 
@@ -122,7 +123,7 @@
 
 @dataclass(kw_only=True)
 class Delay(LinkFault):
-    """Bytes between the groups take longer."""
+    """Delay the bytes between the groups."""
 
     delay_ms: float
     jitter_ms: float = 0.0
@@ -134,7 +135,7 @@
 
 @dataclass(kw_only=True)
 class Slow(LinkFault):
-    """Links between the groups carry fewer bytes."""
+    """Limit the rate of the links between the groups."""
 
     bytes_per_second: float
 
@@ -145,12 +146,12 @@
 
 @dataclass(kw_only=True)
 class Heal(Fault):
-    """Lift every cut, delay and slowness."""
+    """Lift every cut, delay and rate limit."""
 
 
 @dataclass(kw_only=True)
 class Apply(Fault):
-    """An operator applies resources as a merge."""
+    """An operator applies resources as a change in merge mode."""
 
     resources: list[dict[str, Any]]
 
@@ -165,16 +166,16 @@
 
 @dataclass(kw_only=True)
 class RacingChanges(Fault):
-    """Two operators send different changes on the same version at the same moment."""
+    """Two operators send different changes on the same version at the same time."""
 
     rounds: int = 1
 
 
 @dataclass(kw_only=True)
 class LostAcknowledgement(Fault):
-    """An operator hangs up before the response, and sends the same order again after `pause_s`.
+    """An operator disconnects before the response, and resends the same order after `pause_s`.
 
-    `changes_between` other changes are applied before it is sent again.
+    `changes_between` other changes are applied before the order is sent again.
     """
 
     pause_s: float = 0.5
@@ -183,17 +184,17 @@
 
 @dataclass(kw_only=True)
 class InvalidChange(Fault):
-    """An operator sends changes that must be refused: dangling, mistyped, unknown."""
+    """An operator sends invalid changes: dangling references, wrong types, unknown names."""
 
 
 @dataclass(kw_only=True)
 class Drain(TargetedFault):
-    """Declare servers drained; with `for_s` they are taken back after it."""
+    """Declare servers drained; with `for_s` the drain is undone after it."""
 
 
 @dataclass(kw_only=True)
 class Evacuate(TargetedFault):
-    """Declare zones evacuated; with `for_s` they are taken back after it."""
+    """Declare zones evacuated; with `for_s` the evacuation is undone after it."""
 
 
 @dataclass(kw_only=True)
@@ -205,7 +206,7 @@
 
 @dataclass(kw_only=True)
 class CrowdComes(Fault):
-    """Callers come `factor` times as often; the named ones, or all when none is named."""
+    """Multiply the request rate of the named callers, or of all when none is named, by `factor`."""
 
     factor: float = 10.0
     callers: list[str] = field(default_factory=list)
@@ -213,12 +214,12 @@
 
 @dataclass(kw_only=True)
 class PopularityShifts(Fault):
-    """Callers want other models than before, from then on."""
+    """Change which models are popular with the callers from then on."""
 
 
 @dataclass(kw_only=True)
 class RareModelsWanted(Fault):
-    """The least popular models are wanted all together by one kind of caller."""
+    """One kind of caller requests many of the least popular models at once."""
 
     caller: str
     rate_per_second: float
--- a/src/zincvale/fleet/fault_plan.py
+++ b/src/zincvale/fleet/fault_plan.py
@@ -1,4 +1,4 @@
-"""Turns a fault schedule into timed steps with resolved targets; pure and seeded."""
+"""Turns a fault schedule into timed steps with resolved targets; without I/O, and seeded."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 @attrs.frozen(eq=False)
 class Step:
-    """One thing to do at `at_s` seconds after the load began.
+    """The begin or the end of a fault, `at_s` seconds after the load began.
 
-    `targets` are what the step touches; `groups` are the sides of a link fault. Begin and end of
-    one fault share `fault_id`.
+    `targets` are the names that the step acts on, `groups` the groups of a link fault. Begin and
+    end of one fault share `fault_id`.
     """
 
     at_s: float
@@ -47,12 +47,12 @@
 
 
 def plan_steps(schedule: FaultSchedule, inventory: Inventory, seed: int) -> list[Step]:
-    """Return the steps of a schedule by time; the same seed gives the same steps.
+    """Return the steps of a schedule, sorted by time; the same seed gives the same steps.
 
     Raises
     ------
     InvalidInputError
-        A selector matches nothing, or a target is of the wrong sort.
+        A selector matches nothing, a target is of the wrong kind, or groups overlap.
     """
     selection = Selection(inventory, random.Random(seed))
     steps: list[Step] = []
@@ -96,7 +96,7 @@
     members = [name for group in groups for name in group]
     if len(set(members)) < len(members):
         raise InvalidInputError(
-            f"{fault.kind} at {fault.at_s} s: groups overlap", "name each side once"
+            f"{fault.kind} at {fault.at_s} s: groups overlap", "name each target in one group only"
         )
     if len(groups) == 1:
         groups.append(tuple(name for name in selection.inventory.items if name not in members))
@@ -111,5 +111,5 @@
     if wrong:
         raise InvalidInputError(
             f"{fault.kind} at {fault.at_s} s cannot have target {wrong[0]!r}",
-            "a zone's name goes with evacuate only; elsewhere write zone=NAME",
+            "use the name of a zone with evacuate only, and zone=NAME elsewhere",
         )
--- a/src/zincvale/fleet/fault_targets.py
+++ b/src/zincvale/fleet/fault_targets.py
@@ -2,7 +2,7 @@
 
 A selector is an id (`core-a`), `role=core`, `role=node`, `zone=zone-a`, `pool=conversation`,
 `kind=lookup`, `all`, or `@NAME` for an earlier choice; several are joined by a plus sign, and
-`-SELECTOR` takes away.
+`-SELECTOR` removes what it matches.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 
 @attrs.frozen
-class Item:
-    """One thing that a fault can name; `attributes` are what selectors match."""
+class FaultTarget:
+    """A process that a fault can have as its target; selectors match its `attributes`."""
 
     name: str
     attributes: dict[str, str]
@@ -33,30 +33,30 @@
 
 @attrs.define
 class Inventory:
-    """Everything that a fault can name in one deployment, in the order of its file."""
+    """The possible fault targets in one deployment, in the order of the deployment file."""
 
-    items: dict[str, Item]
+    items: dict[str, FaultTarget]
     zones: list[str]
 
     def names(self, attribute: str, value: str) -> list[str]:
-        """Return the names of the items with this attribute."""
+        """Return the names of the items whose attribute has this value."""
         return [
             item.name for item in self.items.values() if item.attributes.get(attribute) == value
         ]
 
 
 def inventory_of(deployment: Deployment) -> Inventory:
-    """Return the inventory of a deployment."""
-    items: dict[str, Item] = {}
+    """Return the possible fault targets in a deployment."""
+    items: dict[str, FaultTarget] = {}
     for machine in deployment.machines:
         attributes = {"role": machine.role.value, "zone": machine.zone}
-        items[machine.name] = Item(machine.name, attributes)
+        items[machine.name] = FaultTarget(machine.name, attributes)
     for server in deployment.servers:
         attributes = {"kind": server.kind.value, "zone": server.zone, "pool": server.pool}
-        items[server.name] = Item(server.name, attributes)
+        items[server.name] = FaultTarget(server.name, attributes)
     for store in deployment.stores:
-        items[store.name] = Item(store.name, {"kind": "store", "zone": store.zone})
-    items[PLATFORM] = Item(PLATFORM, {"kind": PLATFORM})
+        items[store.name] = FaultTarget(store.name, {"kind": "store", "zone": store.zone})
+    items[PLATFORM] = FaultTarget(PLATFORM, {"kind": PLATFORM})
     return Inventory(items, list(deployment.zones))
 
 
@@ -90,15 +90,15 @@
         for part in selector.split("+"):
             term = part.strip()
             if term.startswith("-"):
-                for name in self._term(term[1:]):
+                for name in self._resolve_term(term[1:]):
                     chosen.pop(name, None)
             else:
-                chosen.update(dict.fromkeys(self._term(term)))
+                chosen.update(dict.fromkeys(self._resolve_term(term)))
         if not chosen:
             raise InvalidInputError(f"selector {selector!r} matches nothing", self._remedy())
         return list(chosen)
 
-    def _term(self, term: str) -> list[str]:
+    def _resolve_term(self, term: str) -> list[str]:
         if term == "all":
             return list(self.inventory.items)
         if term.startswith("@"):
--- a/src/zincvale/fleet/figures.py
+++ b/src/zincvale/fleet/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a run, drawn from its journals: per second, per route, and in all."""
+"""Figures of a run, computed from its journals: per second, per route and in total."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Series:
-    """One value a bin; `x` is seconds after the load began."""
+    """Values over time; `x` is in seconds after the load began."""
 
     x: list[float]
     y: list[float]
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class FaultSpan:
-    """A fault on the report's time axis; `end` is the run's end for one never lifted."""
+    """A fault on the report's time axis; a fault that was never lifted ends with the run."""
 
     kind: str
     target: str
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Figures:
-    """What the report shows beside the verdicts."""
+    """The numbers and time series that the report shows in addition to the verdicts."""
 
     totals: dict[str, Any]
     routes: dict[str, dict[str, Any]]
@@ -155,7 +155,7 @@
 
 
 def _residency(evidence: Evidence, started_t: float, duration_s: float) -> dict[str, Series]:
-    """Number of models and adapters loaded, per server, as steps."""
+    """Return the number of loaded models and adapters of each server as a step function."""
     series: dict[str, Series] = {}
     loaded_by_server: dict[str, set[str]] = {}
     rows = sorted(
--- a/src/zincvale/fleet/injector.py
+++ b/src/zincvale/fleet/injector.py
@@ -1,9 +1,9 @@
-"""Carries out the steps of a fault plan on a running fleet."""
+"""Performs the steps of a fault plan on a running fleet."""
 
 from __future__ import annotations
 
 from zincvale.fleet.back_end_faults import BehaviourHandler, DemandHandler
-from zincvale.fleet.change_faults import ChangeHandler, DeclareHandler
+from zincvale.fleet.change_faults import ChangeHandler, DeclaredFieldHandler
 from zincvale.fleet.fault_context import FaultContext, FaultHandler
 from zincvale.fleet.fault_plan import Phase, Step
 from zincvale.fleet.network_faults import HealHandler, LinkHandler
@@ -16,7 +16,7 @@
 
 
 class Injector:
-    """Hands each step to the handler of its fault's kind."""
+    """Dispatches each step to the handler of its fault's kind."""
 
     def __init__(self, context: FaultContext) -> None:
         self._handlers = _handlers(context)
@@ -47,8 +47,8 @@
         "delay": link,
         "slow": link,
         "heal": HealHandler(context),
-        "drain": DeclareHandler(context, "Server", "drained"),
-        "evacuate": DeclareHandler(context, "Zone", "evacuated"),
+        "drain": DeclaredFieldHandler(context, "Server", "drained"),
+        "evacuate": DeclaredFieldHandler(context, "Zone", "evacuated"),
         "apply": change,
         "change-burst": change,
         "racing-changes": change,
--- a/src/zincvale/fleet/link_plan.py
+++ b/src/zincvale/fleet/link_plan.py
@@ -1,7 +1,7 @@
-"""Which links need a relay, and where each relay listens; pure.
+"""Plans which links go through a relay, and the address of each relay; without I/O.
 
-Only links that a fault can touch go through a relay: those between the sides of a link fault, in
-both directions. All others stay direct, so that the rig costs nothing where it is not needed.
+Only links that a fault can affect go through a relay: those between the groups of a link fault, in
+both directions. All others are direct, so that the rig adds no overhead to them.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class PlannedLink:
-    """A relayed way from a daemon to one address of a target."""
+    """A relayed link from a daemon to one advertised address of a target."""
 
     source: str
     target: str
@@ -33,16 +33,16 @@
 
 
 def needed_pairs(steps: Iterable[Step]) -> set[tuple[str, str]]:
-    """Return the ordered pairs of names whose links a step touches."""
+    """Return the (source, target) pairs of names whose links a step affects."""
     pairs: set[tuple[str, str]] = set()
     for step in steps:
-        for near, far in _ordered_sides(step.groups):
-            pairs |= {(a, b) for a in near for b in far}
+        for sources, targets in _ordered_group_pairs(step.groups):
+            pairs |= {(a, b) for a in sources for b in targets}
     return pairs
 
 
 def plan_links(deployment: Deployment, pairs: set[tuple[str, str]]) -> list[PlannedLink]:
-    """Return a link for each address that a daemon of a pair dials."""
+    """Return a link for each address that the daemon of a pair dials at its target."""
     planned: list[PlannedLink] = []
     machine_by_name = {machine.name: machine for machine in deployment.machines}
     addresses = addresses_by_name(deployment)
@@ -63,12 +63,12 @@
 
 
 def address_map(links: Iterable[PlannedLink], source: str) -> dict[str, str]:
-    """Return the address map of one daemon."""
+    """Return the relay address to dial for each advertised address, for one daemon."""
     return {link.advertised: link.link.listen for link in links if link.source == source}
 
 
 def addresses_by_name(deployment: Deployment) -> dict[str, list[str]]:
-    """Return the addresses that daemons dial, by the name of what listens there."""
+    """Return the addresses that daemons dial, by the name of the process that listens there."""
     addresses: dict[str, list[str]] = {}
     for machine in deployment.machines:
         addresses[machine.name] = _daemon_addresses(deployment, machine)
@@ -87,10 +87,10 @@
     return [deployment.peer_address(machine), deployment.api_address(machine)]
 
 
-def _ordered_sides(
+def _ordered_group_pairs(
     groups: tuple[tuple[str, ...], ...],
 ) -> Iterable[tuple[tuple[str, ...], tuple[str, ...]]]:
-    for near in groups:
-        for far in groups:
-            if near is not far:
-                yield near, far
+    for sources in groups:
+        for targets in groups:
+            if sources is not targets:
+                yield sources, targets
--- a/src/zincvale/fleet/machines.py
+++ b/src/zincvale/fleet/machines.py
@@ -1,4 +1,4 @@
-"""The processes of one fleet: how each is started, and its address."""
+"""The machines of one fleet: starts their processes, and replaces machines and servers."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 STAND_IN_MODULE = "zincvale.standins.main"
 RELAY_MODULE = "zincvale.fleet.relay_main"
 REPLACEMENT_HOST_OFFSET = 40
-"""A replaced machine's last address number grows by this much."""
+"""What the last octet of a replaced machine's address grows by, per replacement number."""
 
 
 @attrs.define
 class Fleet:
-    """The processes of one deployment on this machine.
+    """The processes of one deployment, which all run on this machine.
 
     Parameters
     ----------
-    deployment : grows when machines or servers are replaced.
-    documents : the first intent, which the stores' limits come from.
-    max_seconds : when stand-ins stop by themselves, should the rig have ended.
+    deployment : is updated when machines or servers are replaced.
+    documents : the first intent, which contains the stores' limits.
+    max_seconds : how long stand-ins run at most, in case the rig ends without stopping them.
     """
 
     deployment: Deployment
@@ -52,7 +52,7 @@
     _commands: dict[str, Command] = attrs.field(factory=dict)
 
     def start_relays(self) -> list[str]:
-        """Start the relay processes; returns their control addresses."""
+        """Start the relay processes, and return their control addresses."""
         controls = []
         for index, links in enumerate(_in_groups(self.links, LINKS_PER_PROCESS)):
             control = control_address(self.deployment, index)
@@ -100,7 +100,7 @@
             self.start_daemon(machine, bootstrap)
 
     def start_daemon(self, machine: Machine, bootstrap: bool = False) -> None:
-        """Write a daemon's settings and start it; later restarts do not bootstrap."""
+        """Write a daemon's settings and start it; `restart` later starts it without `bootstrap`."""
         path = self._write_daemon_settings(machine)
         if machine.role is MachineRole.CORE:
             self.folder.data(machine.name).mkdir(parents=True, exist_ok=True)
@@ -114,15 +114,15 @@
         self._commands[machine.name] = command
 
     def start_callers(self, name: str, settings_file: Path) -> None:
-        """Start one process of callers."""
+        """Start one process that runs callers."""
         arguments = ("callers", "--settings", str(settings_file))
         end = ("--max-seconds", str(self.max_seconds))
         self._start(Command(name, STAND_IN_MODULE, (*arguments, *end)))
 
-    def start_again(self, name: str) -> None:
-        """Start an ended process as it was started before, without bootstrapping.
+    def restart(self, name: str) -> None:
+        """Start an ended process with its previous command, without bootstrapping.
 
-        A daemon's settings name the seeds of now, as whoever sets up machines would write them.
+        A daemon's settings are written anew with the current seeds, as deployment tools would do.
         """
         for machine in self.deployment.machines:
             if machine.name == name:
@@ -138,22 +138,22 @@
         return next((item for item in self.deployment.servers if item.name == name), None)
 
     def is_core(self, name: str) -> bool:
-        """Whether a name is that of a core."""
+        """Whether the deployment has a core of that name."""
         return any(core.name == name for core in self.deployment.cores())
 
     def add_replacement(self, old_name: str, number: int) -> Machine:
-        """Add an empty machine that takes the place of `old_name`, which leaves the deployment."""
+        """Replace the machine `old_name` of the deployment by an empty one, and return that."""
         old = self.machine(old_name)
-        new = replace(old, name=f"{old_name}-r{number}", host=_moved_host(old.host, number))
+        new = replace(old, name=f"{old_name}-r{number}", host=_replacement_host(old.host, number))
         machines = [item for item in self.deployment.machines if item.name != old_name]
         self.deployment = replace(self.deployment, machines=[*machines, new])
         return new
 
     def add_server_replacement(self, old_name: str, number: int) -> BackEndServer:
-        """Add an empty server that takes the place of `old_name`, which leaves the deployment."""
+        """Replace the server `old_name` of the deployment by an empty one, and return that."""
         old = self.server(old_name)
         assert old is not None
-        new = replace(old, name=f"{old_name}-r{number}", host=_moved_host(old.host, number))
+        new = replace(old, name=f"{old_name}-r{number}", host=_replacement_host(old.host, number))
         servers = [item for item in self.deployment.servers if item.name != old_name]
         self.deployment = replace(self.deployment, servers=[*servers, new])
         return new
@@ -176,7 +176,7 @@
         self.table.start(command)
 
 
-def _moved_host(host: str, number: int) -> str:
+def _replacement_host(host: str, number: int) -> str:
     network, _, last = host.rpartition(".")
     return f"{network}.{(int(last) + REPLACEMENT_HOST_OFFSET * number) % 250 or 1}"
 
--- a/src/zincvale/fleet/network_faults.py
+++ b/src/zincvale/fleet/network_faults.py
@@ -1,4 +1,4 @@
-"""Faults on the links between processes."""
+"""Handlers of the faults on the links between processes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.define
 class LinkHandler:
-    """Cuts, delays and slow links between groups."""
+    """Cuts, delays and slows the links between groups of processes."""
 
     context: FaultContext
 
@@ -19,14 +19,14 @@
         """Put the fault in force on every link between the groups."""
         network = self.context.network
         network.begin(step)
-        self.context.began(step, sides(step), **self._arguments(step))
+        self.context.journal_begin(step, describe_groups(step), **self._arguments(step))
         await self.context.update_relays()
 
     async def end(self, step: Step) -> None:
-        """Lift the fault."""
+        """Lift the fault from the links between the groups."""
         self.context.network.end(step.fault_id)
         await self.context.update_relays()
-        self.context.ended(step, sides(step))
+        self.context.journal_end(step, describe_groups(step))
 
     def _arguments(self, step: Step) -> dict[str, object]:
         assert isinstance(step.fault, LinkFault)
@@ -51,14 +51,14 @@
         lifted = self.context.network.heal()
         await self.context.update_relays()
         for faulted in lifted:
-            self.context.ended(faulted, sides(faulted))
+            self.context.journal_end(faulted, describe_groups(faulted))
 
     async def end(self, _step: Step) -> None:
-        """Healing has no end."""
+        """Do nothing, as healing is not undone."""
 
 
-def sides(step: Step) -> str:
-    """Return the groups of a link fault as one line, the same at its begin and end."""
+def describe_groups(step: Step) -> str:
+    """Return the groups of a link fault as text, which is the same for its begin and its end."""
     assert isinstance(step.fault, LinkFault)
     written = ["+".join(group) for group in step.fault.groups]
     return " | ".join(written if len(written) > 1 else [*written, "all others"])
--- a/src/zincvale/fleet/network_state.py
+++ b/src/zincvale/fleet/network_state.py
@@ -1,4 +1,4 @@
-"""The state of every relayed link, from the faults in force; pure."""
+"""Computes the state of every relayed link from the faults in force; without I/O."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @attrs.define
 class NetworkState:
-    """Link faults in force and processes that are down.
+    """The link faults in force and the processes that are down.
 
-    A link to a process that is down refuses connections, as the process's own address would: a
-    relay that accepted would turn a certain refusal into doubt.
+    A link to a process that is down refuses connections, as the process's own address would. If the
+    relay accepted them, a caller could not tell that its request was certainly not processed.
     """
 
     links: list[PlannedLink]
@@ -47,7 +47,7 @@
             self._down.discard(name)
 
     def take_changes(self) -> dict[str, LinkState]:
-        """Return the links whose state is not the one returned last, and remember it as sent."""
+        """Return the new state of every link whose state has changed since the last call."""
         changed: dict[str, LinkState] = {}
         for planned in self.links:
             state = self._state_of(planned)
@@ -59,52 +59,52 @@
     def isolated(self, cores: Iterable[str]) -> list[str]:
         """Return the cores that cannot exchange messages with a majority of the cores."""
         all_cores = list(cores)
-        lone = []
+        isolated_cores = []
         for core in all_cores:
             others = [other for other in all_cores if other != core]
-            reached = 1 + sum(self._both_ways(core, other) for other in others)
+            reached = 1 + sum(self._can_exchange_messages(core, other) for other in others)
             if reached <= len(all_cores) // 2:
-                lone.append(core)
-        return lone
+                isolated_cores.append(core)
+        return isolated_cores
 
-    def _both_ways(self, one: str, other: str) -> bool:
+    def _can_exchange_messages(self, one: str, other: str) -> bool:
         for planned in self.links:
             if {planned.source, planned.target} == {one, other}:
-                state = self._faulted(planned)
+                state = self._state_under_faults(planned)
                 if state.connecting is not Connecting.ACCEPT or state.reply is Passing.HOLD:
                     return False
         return True
 
     def _state_of(self, planned: PlannedLink) -> LinkState:
-        state = self._faulted(planned)
+        state = self._state_under_faults(planned)
         if planned.target in self._down and state.connecting is Connecting.ACCEPT:
             return RESET
         return state
 
-    def _faulted(self, planned: PlannedLink) -> LinkState:
+    def _state_under_faults(self, planned: PlannedLink) -> LinkState:
         state = LinkState()
         for step in self._in_force.values():
-            state = _worse(state, _state_from(step, planned))
+            state = _combined_state(state, _state_under_fault(step, planned))
         return state
 
 
-def _state_from(step: Step, planned: PlannedLink) -> LinkState:
+def _state_under_fault(step: Step, planned: PlannedLink) -> LinkState:
     assert isinstance(step.fault, LinkFault)
-    near = _side(step, planned.source)
-    far = _side(step, planned.target)
-    if near is None or far is None or near == far:
+    source_group = _group_index(step, planned.source)
+    target_group = _group_index(step, planned.target)
+    if source_group is None or target_group is None or source_group == target_group:
         return LinkState()
-    return step.fault.state() if near < far else step.fault.reverse_state()
+    return step.fault.state() if source_group < target_group else step.fault.reverse_state()
 
 
-def _side(step: Step, name: str) -> int | None:
+def _group_index(step: Step, name: str) -> int | None:
     for index, group in enumerate(step.groups):
         if name in group:
             return index
     return None
 
 
-def _worse(one: LinkState, other: LinkState) -> LinkState:
+def _combined_state(one: LinkState, other: LinkState) -> LinkState:
     rates = [rate for rate in (one.bytes_per_second, other.bytes_per_second) if rate]
     return LinkState(
         connecting=max(one.connecting, other.connecting, key=_SEVERITY.index),
--- a/src/zincvale/fleet/observer.py
+++ b/src/zincvale/fleet/observer.py
@@ -1,6 +1,6 @@
-"""Reads the fleet from outside while it runs, as operators, callers and the platform would.
+"""Polls the running fleet as operators, callers and the platform do.
 
-What it sees goes into the rig's journal, for the checks of invariants 6, 9 and 10.
+The responses go into the rig's journal, for the checks of invariants 6, 9 and 10.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @attrs.define
 class Observer:
-    """Polls every daemon until `stop`.
+    """Polls every daemon until `stop` is called.
 
     Attributes
     ----------
@@ -41,7 +41,7 @@
     _stopped: bool = False
 
     def start(self) -> list[Awaitable[None]]:
-        """Return the polling loops; they end soon after `stop`."""
+        """Return the polling loops, which end soon after `stop` is called."""
         return [
             self._repeat(self._poll_cores, READ_INTERVAL_S),
             self._repeat(self._poll_nodes, READY_INTERVAL_S),
@@ -53,7 +53,7 @@
         self._stopped = True
 
     async def read_complete_intents(self) -> None:
-        """Read the complete intent at every core, for the last comparison."""
+        """Read the complete intent from every core, for the check of invariant 9."""
         await gen.multi(
             [self._read_intent(core, is_complete=True) for core in self.fleet.deployment.cores()]
         )
@@ -103,7 +103,7 @@
         self.journal.write("ready", member=node.name, asked_t=asked_t, status=response.status)
 
     async def _probe(self, node: Machine, marker: int) -> None:
-        """Request the marker's path with an empty body: 422 where it is in force, else 404."""
+        """Request the marker's path with an empty body: 422 if the marker is in force, else 404."""
         before = await self._ready(node)
         if not before.ok:
             return
--- a/src/zincvale/fleet/operators.py
+++ b/src/zincvale/fleet/operators.py
@@ -1,7 +1,6 @@
-"""Operators as the rig drives them: declared changes, resends, races and lost responses.
+"""The operators that the rig simulates: changes, resends, races and lost responses.
 
-Every request and response goes into the journal `operators.jsonl`, in the rows that the checks
-read.
+Every request and response is written to the journal `operators.jsonl`, which the checks read.
 """
 
 from __future__ import annotations
@@ -46,14 +45,14 @@
 
 
 class Operators:
-    """Sends changes to the cores and journals what came of them.
+    """Sends changes to the cores and journals the responses.
 
     Parameters
     ----------
     client : the rig's HTTP client.
-    cores : API addresses; the table may change while the run goes on.
+    cores : API address of each core; the table may change during the run.
     journals : the journal folder.
-    run_name : makes order ids unique.
+    run_name : prefix of the order ids.
     """
 
     def __init__(
@@ -88,12 +87,12 @@
         return marker, {"kind": "Route", "name": MARKER_ROUTE, "spec": spec}
 
     async def apply_marker(self) -> bool:
-        """Move the marker route; returns whether it was acknowledged."""
+        """Change the path of the marker route; return whether the change was acknowledged."""
         _, resource = self.marker_resource()
         return await self.apply_marker_change(self.new_change([resource]))
 
     async def apply_marker_change(self, change: Change) -> bool:
-        """Apply a change of the marker route, and remember the marker once acknowledged."""
+        """Apply a change of the marker route, and record the marker once acknowledged."""
         response = await self.apply(change)
         version = response.field("version") or 0
         if response.ok and version > self._marker_version:
@@ -102,7 +101,7 @@
         return response.ok
 
     async def apply(self, change: Change, attempts: int = ATTEMPTS) -> RigResponse:
-        """Send a change until it is acknowledged or refused for good."""
+        """Send a change until it is acknowledged, rejected for good, or out of attempts."""
         response = RigResponse(NO_RESPONSE)
         for attempt in range(1, attempts + 1):
             response = await self.attempt(change, attempt)
@@ -141,7 +140,7 @@
         return response
 
     async def current_version(self) -> int | None:
-        """Return the version that a core shows now, or None when none responds."""
+        """Return the intent version of the first core that responds, or None."""
         for _ in range(len(self._cores)):
             _, address = self._next_core()
             response = await self._client.get(address, "/v1/intent", READ_TIMEOUT_S)
@@ -151,11 +150,11 @@
         return None
 
     def add_core(self, name: str, address: str) -> None:
-        """Send changes to this core too from now on."""
+        """Add a core to those that changes are sent to."""
         self._cores[name] = address
 
-    def forget_core(self, name: str) -> None:
-        """Send nothing to this core any more."""
+    def remove_core(self, name: str) -> None:
+        """Remove a core from those that changes are sent to."""
         self._cores.pop(name, None)
 
     def close(self) -> None:
--- a/src/zincvale/fleet/page.py
+++ b/src/zincvale/fleet/page.py
@@ -1,4 +1,4 @@
-"""The report as one HTML page with its plots inside."""
+"""The report as one HTML page with embedded plots."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def write_report(report: dict[str, Any], path: Path) -> Path:
-    """Write the JSON to `path` and the page beside it; returns the page's path."""
+    """Write the JSON to `path` and an HTML page beside it, and return the path of the page."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(orjson.dumps(report, option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS))
     page = path.with_suffix(".html")
@@ -31,7 +31,7 @@
 
 
 def render_page(report: dict[str, Any]) -> str:
-    """Return the page of a report."""
+    """Return the HTML page of a report."""
     image = base64.b64encode(draw_timeline(figures_from(report))).decode("ascii")
     verdict = "passed" if report["passed"] else "FAILED"
     title = f"{report['deployment']}: {report['faults']}, seed {report['seed']}: {verdict}"
--- a/src/zincvale/fleet/plots.py
+++ b/src/zincvale/fleet/plots.py
@@ -1,4 +1,4 @@
-"""Plots of a run on one time axis: latency, outcomes, residency, faults."""
+"""Plots of a run on one time axis: latency, outcomes, loaded weights and faults."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def draw_timeline(figures: Figures) -> bytes:
-    """Return the four plots above each other, as a PNG."""
+    """Return a PNG image with the four plots, one above the other."""
     figure = Figure(figsize=SIZE_INCHES, layout="constrained")
     FigureCanvasAgg(figure)
     latency, outcomes, residency, faults = figure.subplots(
--- a/src/zincvale/fleet/process_faults.py
+++ b/src/zincvale/fleet/process_faults.py
@@ -1,4 +1,4 @@
-"""Faults on processes and their disks."""
+"""Handlers of the faults on processes and their disks."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @attrs.define
 class StopHandler:
-    """Processes that end at once, and may come back: kill, restart, power loss, lost disk."""
+    """Kills processes and starts them again: kill, restart, power loss and lost disk."""
 
     context: FaultContext
 
     async def begin(self, step: Step) -> None:
-        """End the targets, all at the same moment."""
+        """Kill all targets together; for a power loss, right after an acknowledged change."""
         if isinstance(step.fault, PowerLoss):
             await self.context.operators.apply_marker()
         for target in step.targets:
-            self.context.began(step, target)
+            self.context.journal_begin(step, target)
             self.context.fleet.table.kill(target)
             self.context.network.set_down(target, is_down=True)
         await self.context.update_relays()
@@ -36,9 +36,9 @@
     async def end(self, step: Step) -> None:
         """Start the targets again."""
         for target in step.targets:
-            self.context.fleet.start_again(target)
+            self.context.fleet.restart(target)
             self.context.network.set_down(target, is_down=False)
-            self.context.ended(step, target)
+            self.context.journal_end(step, target)
         await self.context.update_relays()
 
     def _empty_disks(self, step: Step) -> None:
@@ -50,51 +50,51 @@
 
 @attrs.define
 class FreezeHandler:
-    """Processes that stand still and wake."""
+    """Suspends processes and resumes them."""
 
     context: FaultContext
 
     async def begin(self, step: Step) -> None:
-        """Stop the targets where they stand."""
+        """Suspend the targets."""
         for target in step.targets:
-            self.context.began(step, target)
+            self.context.journal_begin(step, target)
             self.context.fleet.table.freeze(target)
 
     async def end(self, step: Step) -> None:
-        """Let the targets go on."""
+        """Resume the targets."""
         for target in step.targets:
-            self.context.ended(step, target)
-            self.context.fleet.table.wake(target)
+            self.context.journal_end(step, target)
+            self.context.fleet.table.resume(target)
 
 
 @attrs.define
 class DiskQuotaHandler:
-    """Data folders that take no more bytes."""
+    """Simulates full disks by a quota of 0 bytes on data folders."""
 
     context: FaultContext
 
     async def begin(self, step: Step) -> None:
-        """Fill the targets' disks."""
+        """Set the quotas of the targets to 0 bytes."""
         for target in step.targets:
-            self.context.began(step, target)
+            self.context.journal_begin(step, target)
             self._set_quota(target, NO_BYTES)
 
     async def end(self, step: Step) -> None:
-        """Make room again."""
+        """Remove the limits."""
         for target in step.targets:
             self._set_quota(target, UNLIMITED_BYTES)
-            self.context.ended(step, target)
+            self.context.journal_end(step, target)
 
     def _set_quota(self, target: str, size_bytes: int) -> None:
         path = self.context.fleet.folder.quota(target)
-        aside = path.with_suffix(".new")
-        aside.write_text(str(size_bytes), encoding="utf-8")
-        aside.replace(path)
+        temporary = path.with_suffix(".new")
+        temporary.write_text(str(size_bytes), encoding="utf-8")
+        temporary.replace(path)
 
 
 @attrs.define
 class ReplaceHandler:
-    """Processes that are removed for good; empty ones at new addresses take their place."""
+    """Removes processes for good and replaces them by empty ones at new addresses."""
 
     context: FaultContext
 
@@ -104,4 +104,4 @@
             await replace_process(self.context, step, target)
 
     async def end(self, step: Step) -> None:
-        """A replacement is never lifted."""
+        """Do nothing, as a replacement is permanent."""
--- a/src/zincvale/fleet/processes.py
+++ b/src/zincvale/fleet/processes.py
@@ -1,8 +1,8 @@
-"""Processes that the rig starts, signals and ends: only these, by their ids.
+"""Starts, signals and ends the rig's child processes, and no others, by their process ids.
 
-Every child leads a process group of its own, is killed by the kernel when the rig dies, and carries
-the run's mark in its environment, so that a residue can be distinguished from other
-processes on the machine.
+Every child leads a process group of its own and is killed by the kernel when the rig ends. It
+carries the run's mark in its environment, so that a process that is left over from the run can be
+distinguished from other processes on the machine.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class Command:
-    """How a process is started: `python -m MODULE ARGUMENTS`."""
+    """The command line of a process: `python -m MODULE ARGUMENTS`."""
 
     name: str
     module: str
@@ -40,7 +40,7 @@
 
 @attrs.define
 class ManagedProcess:
-    """One child, from its start to its end."""
+    """One child process, which may have ended."""
 
     command: Command
     popen: subprocess.Popen[bytes]
@@ -50,16 +50,16 @@
 
     @property
     def name(self) -> str:
-        """The process's name in reports and faults."""
+        """The name of the process in reports and fault files."""
         return self.command.name
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process has not ended; a frozen process counts as running."""
         return self.popen.poll() is None
 
     def log_tail(self) -> str:
-        """Return the end of what the process printed."""
+        """Return the last part of the process's output."""
         try:
             text = self.log_path.read_bytes()
         except OSError:
@@ -69,7 +69,7 @@
 
 @attrs.frozen
 class Usage:
-    """What one process has used since its start."""
+    """The processor time of one process since its start, and its resident memory."""
 
     processor_s: float
     resident_bytes: int
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class UnexpectedEnd:
-    """A process that ended though the rig had not ended it."""
+    """A process that ended with an error and was not ended by the rig."""
 
     name: str
     exit_code: int
@@ -85,11 +85,11 @@
 
 
 class ProcessTable:
-    """All children of one run, by name.
+    """All child processes of one run, by name.
 
     Parameters
     ----------
-    mark : names the run; children carry it in their environment.
+    mark : identifies the run; children carry it in their environment.
     log_folder : where the children's output goes, one file per name.
     """
 
@@ -101,9 +101,9 @@
         self._reported: set[int] = set()
 
     def start(self, command: Command) -> ManagedProcess:
-        """Start a process; a name can be started again once it has ended."""
-        present = self._by_name.get(command.name)
-        if present is not None and present.is_running:
+        """Start a process; its name must not be that of a running process."""
+        current = self._by_name.get(command.name)
+        if current is not None and current.is_running:
             raise ValueError(f"process {command.name} is still running")
         self._log_folder.mkdir(parents=True, exist_ok=True)
         log_path = self._log_folder / f"{command.name}.log"
@@ -113,9 +113,9 @@
                 stdin=subprocess.DEVNULL,
                 stdout=output,
                 stderr=subprocess.STDOUT,
-                env={**os.environ, RUN_MARK: self._mark, **_ONE_THREAD},
+                env={**os.environ, RUN_MARK: self._mark, **_CHILD_ENVIRONMENT},
                 start_new_session=True,
-                preexec_fn=_die_with_parent,
+                preexec_fn=_kill_on_parent_exit,
             )
         process = ManagedProcess(command, popen, log_path)
         self._by_name[command.name] = process
@@ -123,30 +123,30 @@
         return process
 
     def get(self, name: str) -> ManagedProcess | None:
-        """Return the newest process of that name."""
+        """Return the process that was last started under a name, or None."""
         return self._by_name.get(name)
 
     def kill(self, name: str) -> None:
-        """End a process at once, as a crash does, and wait until it has ended."""
+        """Kill a process with SIGKILL, as a crash does, and wait until it has ended."""
         process = self._by_name[name]
         process.ended_by_rig = True
         _signal_group(process, signal.SIGKILL)
         process.popen.wait()
 
     def freeze(self, name: str) -> None:
-        """Stop a process where it stands."""
+        """Suspend a process."""
         process = self._by_name[name]
         _signal_group(process, signal.SIGSTOP)
         process.frozen = True
 
-    def wake(self, name: str) -> None:
-        """Let a frozen process go on."""
+    def resume(self, name: str) -> None:
+        """Resume a frozen process."""
         process = self._by_name[name]
         _signal_group(process, signal.SIGCONT)
         process.frozen = False
 
     def unexpected_ends(self) -> list[UnexpectedEnd]:
-        """Return the processes that ended by themselves since the last call, with an error."""
+        """Return the processes that ended by themselves with an error since the last call."""
         found = []
         for process in self._all:
             exit_code = process.popen.poll()
@@ -157,7 +157,7 @@
         return found
 
     def end(self, names: Iterable[str], clock: Callable[[], float] = time.monotonic) -> None:
-        """End the named processes: politely first, then by force."""
+        """End the named processes with SIGTERM, then with SIGKILL those that do not end in time."""
         running = [self._by_name[name] for name in names if name in self._by_name]
         running = [process for process in running if process.is_running]
         for process in running:
@@ -174,12 +174,12 @@
         """End every process of the run."""
         self.end(list(self._by_name))
 
-    def residue(self) -> list[str]:
-        """Return what still runs with this run's mark, as `pid command`."""
+    def remaining_processes(self) -> list[str]:
+        """Return the running processes that carry this run's mark, as `pid command`."""
         return find_marked(self._mark)
 
     def usage(self) -> dict[str, Usage]:
-        """Return what each running process has used, by name."""
+        """Return the processor time and memory of each running process, by name."""
         found = {}
         for name, pid in self.pids().items():
             try:
@@ -191,7 +191,7 @@
         return found
 
     def pids(self) -> dict[str, int]:
-        """Return the process ids of what runs, by name."""
+        """Return the process ids of the running processes, by name."""
         return {
             name: process.popen.pid for name, process in self._by_name.items() if process.is_running
         }
@@ -205,19 +205,22 @@
             continue
         try:
             is_marked = process.environ().get(RUN_MARK) == mark
-            is_over = process.status() == psutil.STATUS_ZOMBIE
+            has_ended = process.status() == psutil.STATUS_ZOMBIE
         except psutil.Error:
             continue
-        if is_marked and not is_over:
+        if is_marked and not has_ended:
             found.append(f"{process.pid} {' '.join(process.info['cmdline'] or [])}")
     return found
 
 
-_ONE_THREAD = {"OMP_NUM_THREADS": "1", "OPENBLAS_NUM_THREADS": "1", "PYTHONUNBUFFERED": "1"}
-"""Numeric libraries must not start threads of their own in thirty processes."""
+_CHILD_ENVIRONMENT = {"OMP_NUM_THREADS": "1", "OPENBLAS_NUM_THREADS": "1", "PYTHONUNBUFFERED": "1"}
+"""Added to the environment of children: unbuffered output, and no threads of numeric libraries.
+
+Such threads would multiply over the thirty processes of a run.
+"""
 
 
-def _die_with_parent() -> None:
+def _kill_on_parent_exit() -> None:
     _LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
--- a/src/zincvale/fleet/progress.py
+++ b/src/zincvale/fleet/progress.py
@@ -1,4 +1,4 @@
-"""Progress of a run on the terminal, from the callers' journals as they grow."""
+"""Shows the progress of a run on the terminal, with outcomes from the callers' journals."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 @attrs.define
-class OutcomeTail:
-    """Counts results in journals that are still being written."""
+class OutcomeCounter:
+    """Counts the outcomes in journals that are still being written."""
 
     folder: Path
     outcomes: Counter[str] = attrs.field(factory=Counter)
     _offset_by_file: dict[Path, int] = attrs.field(factory=dict)
 
     def update(self) -> Counter[str]:
-        """Read what was added since the last call, and return the counts so far."""
+        """Read the rows added since the last call, and return the total counts."""
         for path in sorted(self.folder.glob(CALLERS_JOURNALS)):
             with path.open("rb") as journal:
                 journal.seek(self._offset_by_file.get(path, 0))
@@ -46,17 +46,17 @@
 
 @attrs.define
 class Progress:
-    """Writes one line a time to the terminal."""
+    """Writes progress lines to the terminal, or nothing when `quiet`."""
 
     stream: TextIO = attrs.field(default=sys.stderr)
     quiet: bool = False
 
-    def say(self, text: str) -> None:
-        """Write a line."""
+    def print_line(self, text: str) -> None:
+        """Write a line, unless the progress is quiet."""
         if not self.quiet:
             print(text, file=self.stream, flush=True)
 
-    def tick(
+    def print_status(
         self,
         elapsed_s: float,
         seconds: float,
@@ -64,9 +64,9 @@
         ready: str,
         version: int,
     ) -> None:
-        """Write where the run stands."""
+        """Write a line with the current state of the run."""
         counts = ", ".join(f"{outcomes[item.value]} {item.value}" for item in Outcome)
-        self.say(
+        self.print_line(
             f"{elapsed_s:5.1f}/{seconds:.0f} s  attempts: {counts}; nodes ready {ready}; "
             f"intent version {version}"
         )
--- a/src/zincvale/fleet/relay.py
+++ b/src/zincvale/fleet/relay.py
@@ -1,8 +1,8 @@
-"""TCP relays by which the rig cuts, delays and slows links between processes.
+"""TCP relays with which the rig cuts, delays and slows links between processes.
 
 Each link has a listener of its own. A link that ignores connections fills its own accept queue
-with connections of the relay itself, so that the kernel drops further SYN packets: a daemon sees
-exactly what it sees when the network has lost the way. Bytes held by a cut are delivered when it
+with connections of the relay itself, so that the kernel drops further SYN packets: a daemon
+observes the same as in a network that drops packets. Bytes held by a cut are delivered when it
 heals, as TCP does.
 """
 
@@ -20,7 +20,7 @@
 
 ACCEPT_BACKLOG = 128
 FILLER_CONNECTIONS = 4
-"""One fills an accept queue of length zero; the rest make sure of it."""
+"""Connections that fill an accept queue of length 0; one suffices, the others are a margin."""
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -31,7 +31,7 @@
 
 @attrs.define(eq=False)
 class RelayedLink:
-    """One listener with its connections and its present state."""
+    """One listener with its connections and the current state of its link."""
 
     link: Link
     random: random.Random
@@ -65,7 +65,7 @@
             pump.abort()
 
     def change(self, state: LinkState) -> None:
-        """Give the link a new state; open connections follow it at once."""
+        """Set the state of the link, which takes effect on open connections immediately."""
         before = self.state.connecting
         self.state = state
         if before is not state.connecting:
@@ -74,12 +74,12 @@
             pump.refresh()
 
     def holds(self, is_request: bool) -> bool:
-        """Whether bytes of this direction wait."""
+        """Whether bytes of this direction are held back."""
         passing = self.state.request if is_request else self.state.reply
         return passing is Passing.HOLD
 
     @property
-    def shapes(self) -> bool:
+    def is_shaped(self) -> bool:
         """Whether bytes are delayed or slowed."""
         return bool(self.state.delay_s or self.state.jitter_s or self.state.bytes_per_second)
 
@@ -88,20 +88,20 @@
         return self.state.delay_s + self.random.uniform(0.0, self.state.jitter_s)
 
     def transfer_s(self, size_bytes: int) -> float:
-        """Return how long a chunk occupies the link."""
+        """Return the time for which a chunk occupies the link at its limited rate."""
         if not self.state.bytes_per_second:
             return 0.0
         return size_bytes / self.state.bytes_per_second
 
-    def forget(self, pump: Pump) -> None:
-        """Remove the pump of a lost connection."""
+    def remove_pump(self, pump: Pump) -> None:
+        """Remove the pump of a closed connection."""
         self._pumps.discard(pump)
 
     def _change_connecting(self, before: Connecting, after: Connecting) -> None:
         if before is Connecting.REFUSE:
             self.open()
         elif before is Connecting.IGNORE:
-            self._drop_fillers()
+            self._accept_queued()
             self._accept_connections()
         if after is Connecting.REFUSE:
             self.close()
@@ -125,13 +125,13 @@
             filler.connect_ex(split_address(self.link.listen))
             self._fillers.append(filler)
 
-    def _drop_fillers(self) -> None:
-        """Take the queued connections: close the relay's own, relay what a daemon left there."""
+    def _accept_queued(self) -> None:
+        """Accept the queued connections: close the relay's own, relay those of daemons."""
         if self._listener is None:
             return
         own = {filler.getsockname() for filler in self._fillers}
         self._close_fillers()
-        for connection, peer in _take_all(self._listener):
+        for connection, peer in _accept_all(self._listener):
             if peer in own:
                 connection.close()
             else:
@@ -145,7 +145,7 @@
     def _accept(self) -> None:
         if self._listener is None:
             return
-        for connection, _ in _take_all(self._listener):
+        for connection, _ in _accept_all(self._listener):
             self._relay(connection)
 
     def _relay(self, connection: socket.socket) -> None:
@@ -168,14 +168,14 @@
             near.abort()
             return
         if near not in self._pumps:
-            # The near side went away while the far one was being dialled.
+            # The near side disconnected while the far one was being dialled.
             far.abort()
             return
         near.start(far)
         far.start(near)
 
 
-def _take_all(listener: socket.socket) -> Iterator[tuple[socket.socket, object]]:
+def _accept_all(listener: socket.socket) -> Iterator[tuple[socket.socket, object]]:
     while True:
         try:
             connection, peer = listener.accept()
--- a/src/zincvale/fleet/relay_control.py
+++ b/src/zincvale/fleet/relay_control.py
@@ -1,4 +1,4 @@
-"""Sends the relay processes the states of their links."""
+"""Sends link states to the relay processes."""
 
 from __future__ import annotations
 
@@ -16,14 +16,20 @@
 
 @attrs.define
 class RelayControl:
-    """The control addresses of the relay processes, and who owns which link."""
+    """The control addresses of the relay processes, and the assignment of links to them."""
 
     client: RigClient
     addresses: list[str]
     links: list[PlannedLink]
 
     async def update(self, changes: Mapping[str, LinkState]) -> None:
-        """Send links their states; raises `UnavailableError` when a relay does not take them."""
+        """Send changed link states to their relays.
+
+        Raises
+        ------
+        UnavailableError
+            A relay did not accept its new states.
+        """
         for index, address in enumerate(self.addresses):
             start = index * LINKS_PER_PROCESS
             own = {item.link.name for item in self.links[start : start + LINKS_PER_PROCESS]}
@@ -32,7 +38,7 @@
                 response = await self.client.post(address, "/links", body, RELAY_TIMEOUT_S)
                 if not response.ok:
                     raise UnavailableError(
-                        f"relay {address} did not take a change: "
+                        f"relay {address} did not accept a link change: "
                         f"{response.body or response.problem}",
                         "see the relay's log in the run folder",
                     )
--- a/src/zincvale/fleet/relay_links.py
+++ b/src/zincvale/fleet/relay_links.py
@@ -1,4 +1,4 @@
-"""What a relay receives: its links, and the state that a fault gives a link."""
+"""The settings and control messages of a relay: its links and their states."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
     PASS = "pass"
     HOLD = "hold"
-    """Bytes wait, as in a network that lost the way; they arrive when it heals."""
+    """Bytes are held back, as in a network that drops packets, and delivered when it heals."""
 
 
 class Connecting(enum.Enum):
@@ -21,17 +21,17 @@
 
     ACCEPT = "accept"
     IGNORE = "ignore"
-    """The connection attempt gets no response, as when packets are lost."""
+    """Connection attempts get no response, as when packets are lost."""
     REFUSE = "refuse"
-    """The connection attempt is reset, and so are the open connections."""
+    """Connection attempts are reset, and so are the open connections."""
 
 
 @dataclass
 class Link(Checked):
-    """One way from a daemon to an address, through a listener that the relay owns.
+    """A link from a daemon to an address, through a listener of the relay.
 
-    `source_host` is the IP number that the relay dials from, so that the far side sees the machine
-    that the bytes came from.
+    `source_host` is the IP address that the relay dials from, so that the far side sees the address
+    of the machine that dialled.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
 @dataclass
 class LinkState(Checked):
-    """How a link behaves now.
+    """The current state of a link.
 
     `request` is the direction away from the daemon that dials, `reply` the one back to it.
     """
@@ -53,11 +53,11 @@
     delay_s: float = 0.0
     jitter_s: float = 0.0
     bytes_per_second: float = 0.0
-    """0 means as fast as it goes."""
+    """Rate limit of the link; 0 means no limit."""
 
     @property
     def is_plain(self) -> bool:
-        """Whether the link is as without a relay."""
+        """Whether the link behaves as it would without a relay."""
         return self == LinkState()
 
 
@@ -72,7 +72,7 @@
 
 @dataclass
 class LinkChange(Checked):
-    """A control request: give the named links this state."""
+    """A control request that sets the state of the named links."""
 
     links: list[str]
     state: LinkState
--- a/src/zincvale/fleet/relay_main.py
+++ b/src/zincvale/fleet/relay_main.py
@@ -27,7 +27,7 @@
 
 
 class ReadyHandler(tornado.web.RequestHandler):
-    """Says that every listener is open."""
+    """Reports that every listener is open."""
 
     def get(self) -> None:
         """Respond with 200: the control server starts after the listeners."""
@@ -38,7 +38,7 @@
     """Changes the state of links."""
 
     def initialize(self, links: dict[str, RelayedLink]) -> None:
-        """Take the relay's links, by name."""
+        """Store the relay's links, by name."""
         self.links = links
 
     def post(self) -> None:
@@ -60,7 +60,7 @@
 
 
 async def serve(settings: RelaySettings) -> None:
-    """Open every link and the control address, and run until a signal ends it."""
+    """Open every link and the control address, and serve until SIGTERM or SIGINT."""
     generator = random.Random(settings.seed)
     links = {link.name: RelayedLink(link, generator) for link in settings.links}
     for link in links.values():
@@ -91,7 +91,7 @@
 
 
 def run(settings: str) -> None:
-    """Run a relay process with the settings file `settings`."""
+    """Run a relay process with the settings in the file `settings`."""
     data = yaml.safe_load(Path(settings).read_text(encoding="utf-8"))
     try:
         asyncio.run(serve(read_checked(RelaySettings, data, settings)))
--- a/src/zincvale/fleet/relay_pump.py
+++ b/src/zincvale/fleet/relay_pump.py
@@ -11,22 +11,22 @@
 import attrs
 
 HIGH_WATER_BYTES = 262_144
-"""More than this waiting in one direction stops the reading of it."""
+"""Number of waiting bytes in one direction above which the relay stops reading it."""
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Lingering on, for no time at all."""
+"""SO_LINGER enabled with a timeout of 0 s, so that closing the socket resets the connection."""
 
 
 class PumpedLink(Protocol):
-    """What a pump needs from its link."""
+    """The part of a relayed link that a pump uses."""
 
     @property
-    def shapes(self) -> bool:
+    def is_shaped(self) -> bool:
         """Whether bytes are delayed or slowed."""
         ...
 
     def holds(self, is_request: bool) -> bool:
-        """Whether bytes of this direction wait."""
+        """Whether bytes of this direction are held back."""
         ...
 
     def draw_delay_s(self) -> float:
@@ -34,17 +34,17 @@
         ...
 
     def transfer_s(self, size_bytes: int) -> float:
-        """Return how long a chunk occupies the link."""
+        """Return the time for which a chunk occupies the link at its limited rate."""
         ...
 
-    def forget(self, pump: Pump) -> None:
-        """Remove a pump whose connection was lost."""
+    def remove_pump(self, pump: Pump) -> None:
+        """Remove the pump of a closed connection."""
         ...
 
 
 @attrs.frozen
 class Chunk:
-    """Bytes that leave at `due` (seconds on the loop's clock); no bytes mean the end."""
+    """Bytes to deliver at `due` (seconds on the loop's clock); empty for the end of the stream."""
 
     due: float
     data: bytes
@@ -52,9 +52,9 @@
 
 @attrs.define(eq=False)
 class Pump(asyncio.Protocol):
-    """Takes bytes from one side of a connection and hands them to the other, in order.
+    """Relays the bytes read from one side of a connection to the other side, in order.
 
-    `is_request` says that bytes read here go away from the daemon that dialled.
+    `is_request` is true when the bytes read here come from the daemon that dialled.
     """
 
     link: PumpedLink
@@ -69,19 +69,19 @@
     """Whether the other side's write buffer is full; set by the other pump."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection; it reads only once its other side is there."""
+        """Store the connection, and pause reading until the other side is connected."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
         transport.pause_reading()
 
     def start(self, other: Pump) -> None:
-        """Begin to relay to `other`."""
+        """Start to relay bytes to the connection of `other`."""
         self.other = other
         self.refresh()
 
     def refresh(self) -> None:
-        """Read or stop reading, as the link's state and the buffers say."""
+        """Pause or resume reading according to the link's state and the buffers."""
         if self.other is None or self.transport is None or self.transport.is_closing():
             return
         is_full = self.other_is_full or self._waiting_bytes > HIGH_WATER_BYTES
@@ -91,14 +91,14 @@
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes on, at once or after the link's delay."""
-        if self._chunks or self.link.shapes:
+        """Relay bytes, immediately or after the link's delay."""
+        if self._chunks or self.link.is_shaped:
             self._delay(data)
         else:
             self._write(data)
 
     def eof_received(self) -> bool:
-        """Pass the end of this direction on, behind the bytes before it."""
+        """Relay the end of this direction after the bytes before it; keep the connection open."""
         if self._chunks:
             self._delay(b"")
         else:
@@ -106,20 +106,20 @@
         return True
 
     def pause_writing(self) -> None:
-        """The buffer towards this side is full: stop reading on the other one."""
+        """Stop reading the other side, as the write buffer towards this side is full."""
         if self.other is not None:
             self.other.other_is_full = True
             self.other.refresh()
 
     def resume_writing(self) -> None:
-        """The buffer towards this side has room again."""
+        """Resume reading the other side, as the write buffer towards this side has room again."""
         if self.other is not None:
             self.other.other_is_full = False
             self.other.refresh()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Close the other side in the way this one was closed."""
-        self.link.forget(self)
+        """Close the other side as this side was closed: orderly, or by a reset."""
+        self.link.remove_pump(self)
         other = self.other
         if other is None or other.transport is None:
             return
@@ -129,7 +129,7 @@
             other.transport.close()
 
     def abort(self) -> None:
-        """Reset this connection: an orderly end could pass for a complete response."""
+        """Reset this connection, as an orderly end could look like that of a complete response."""
         if self.transport is None:
             return
         connection = self.transport.get_extra_info("socket")
--- a/src/zincvale/fleet/replacement.py
+++ b/src/zincvale/fleet/replacement.py
@@ -1,4 +1,4 @@
-"""Replacement of a machine or server by an empty one at a new address."""
+"""Replaces a machine or server by an empty one at a new address."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 RESPONSE_TIMEOUT_S = 5.0
 ACCEPTED_STATUSES = frozenset({HTTPStatus.OK, HTTPStatus.ACCEPTED})
-"""The change is done, or accepted and still to be completed (RFC 9110, 15.3.3)."""
+"""Statuses of a change that is done, or accepted for completion later (RFC 9110, 15.3.3)."""
 ATTEMPTS = 20
 PAUSE_S = 0.5
 
 
 async def replace_process(context: FaultContext, step: Step, target: str) -> None:
-    """End `target` for good and start its empty replacement, in the same zone."""
+    """Kill `target` for good and start its empty replacement in the same zone."""
     fleet = context.fleet
     number = next(context.replacement_numbers)
-    context.began(step, target, replacement=f"{target}-r{number}")
+    context.journal_begin(step, target, replacement=f"{target}-r{number}")
     fleet.table.kill(target)
     context.network.set_down(target, is_down=True)
     await context.update_relays()
@@ -67,17 +67,17 @@
 
 async def _replace_core(context: FaultContext, step: Step, target: str, number: int) -> None:
     machine = _start_replacement(context, target, number)
-    context.operators.forget_core(target)
+    context.operators.remove_core(target)
     accepted = await _declare_replacement(context, target, machine)
     if accepted:
         address = context.fleet.deployment.api_address(machine)
         context.operators.add_core(machine.name, address)
-        context.ended(step, target)
+        context.journal_end(step, target)
     context.journal.write("replacement", target=target, replacement=machine.name, accepted=accepted)
 
 
 async def _declare_replacement(context: FaultContext, old: str, machine: Machine) -> bool:
-    """Request the change from the cores in turn, until one accepts it."""
+    """Request the replacement of a core from the other cores in turn, until one accepts it."""
     cores = [core for core in context.fleet.deployment.cores() if core.name != machine.name]
     body = {"remove": old, "add": machine.name}
     for attempt in range(ATTEMPTS):
--- a/src/zincvale/fleet/report.py
+++ b/src/zincvale/fleet/report.py
@@ -1,4 +1,4 @@
-"""The report of a run: its JSON, and the line-by-line summary for the terminal."""
+"""The report of a run: its JSON form, and a summary for the terminal."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     "all processes share one clock and one kernel: clocks that differ are not part of a run",
     "network faults touch what daemons dial; callers and the platform reach nodes directly",
 )
-"""What no run of this rig can decide."""
+"""Limits of the rig, which are listed as not checked in every report."""
 
 
 def build_report(outcome: RunOutcome) -> dict[str, Any]:
-    """Return the report as plain JSON."""
+    """Return the report of a run as JSON-compatible values."""
     options = outcome.inputs.options
     figures = figures_of(outcome.invariants.evidence, outcome.invariants.load_started_t)
     return {
@@ -46,13 +46,13 @@
         "usage": {name: attrs.asdict(used) for name, used in sorted(outcome.usage.items())},
         "callers": outcome.caller_figures,
         "unexpected_ends": [attrs.asdict(ended) for ended in outcome.unexpected_ends],
-        "processes_left": outcome.residue,
+        "processes_left": outcome.remaining_processes,
         "unreadable_journal_lines": outcome.invariants.evidence.unreadable,
     }
 
 
 def not_checked(outcome: RunOutcome) -> list[str]:
-    """Return everything that this run did not decide."""
+    """Return what this run did not check, one line each."""
     lines = []
     for check in outcome.invariants.checks:
         if not check.facts:
@@ -66,7 +66,7 @@
 
 
 def summary_lines(report: dict[str, Any]) -> list[str]:
-    """Return the report as lines for people."""
+    """Return the summary of a report as lines of text."""
     lines = [
         "",
         f"{report['deployment']}, load {report['load']}, faults {report['faults']}, "
@@ -89,7 +89,7 @@
 
 
 def verdict_lines(checks: list[dict[str, Any]]) -> list[str]:
-    """Return the verdicts of the invariants as lines for people."""
+    """Return the verdicts of the invariants, with their breaches, as lines of text."""
     lines = []
     for check in checks:
         lines.append(
@@ -101,7 +101,7 @@
 
 
 def figures_from(report: dict[str, Any]) -> Figures:
-    """Return the figures of a report that was read from its JSON."""
+    """Return the figures of a report in its JSON form."""
     plain = report["figures"]
     series = {
         name: {key: Series(**value) for key, value in plain[name].items()}
@@ -136,16 +136,16 @@
 
 
 def _usage_lines(usage: dict[str, dict[str, float]]) -> list[str]:
-    """Return the processor time and memory of the processes alive at the end, by sort."""
-    by_sort: dict[str, list[dict[str, float]]] = {}
+    """Return the processor time and memory of the processes alive at the end, grouped by kind."""
+    by_kind: dict[str, list[dict[str, float]]] = {}
     for name, used in usage.items():
-        by_sort.setdefault(name.partition("-")[0], []).append(used)
+        by_kind.setdefault(name.partition("-")[0], []).append(used)
     lines = []
-    for sort, rows in sorted(by_sort.items()):
+    for kind, rows in sorted(by_kind.items()):
         processor_s = sum(row["processor_s"] for row in rows) / len(rows)
         memory = max(row["resident_bytes"] for row in rows) / BYTES_PER_MEGABYTE
         lines.append(
-            f"  {len(rows)} {sort}: {processor_s:.1f} s processor time each, "
+            f"  {len(rows)} {kind}: {processor_s:.1f} s processor time each, "
             f"at most {memory:.0f} MB"
         )
     return lines
--- a/src/zincvale/fleet/rig_journal.py
+++ b/src/zincvale/fleet/rig_journal.py
@@ -1,4 +1,4 @@
-"""The rig's own journal: faults, and what it read as an operator or caller would."""
+"""The rig's own journal: faults, and the responses to its reads and probes of daemons."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def boot_time_s() -> float:
-    """Return seconds on the clock of all journals, which counts suspension."""
+    """Return seconds on the clock of all journals, which also counts while suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class RigJournal:
-    """Appends rows; each is in the file when `write` returns."""
+    """Appends rows to the journal; `write` returns once the row is in the file."""
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
--- a/src/zincvale/fleet/run.py
+++ b/src/zincvale/fleet/run.py
@@ -1,4 +1,4 @@
-"""One run of a fleet: start everything, drive load, apply faults, end everything, check."""
+"""One fleet run: starts all processes, drives load and faults, ends all, checks the journals."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from zincvale.fleet.observer import Observer
 from zincvale.fleet.operators import Operators
 from zincvale.fleet.processes import ProcessTable, UnexpectedEnd, Usage
-from zincvale.fleet.progress import OutcomeTail, Progress
+from zincvale.fleet.progress import OutcomeCounter, Progress
 from zincvale.fleet.relay_control import RelayControl
 from zincvale.fleet.rig_journal import RigJournal, boot_time_s
 from zincvale.fleet.run_folder import RunFolder
@@ -30,30 +30,30 @@
 from zincvale.fleet.timeline import Timeline
 
 MAX_OPEN_REQUESTS_S = 30.0
-STAND_INS_OUTLIVE_S = 180.0
+STAND_IN_MARGIN_S = 180.0
 TICK_S = 1.0
 
 
 @attrs.define
 class RunOutcome:
-    """What a run left behind."""
+    """The result of a finished run."""
 
     inputs: RunInputs
     invariants: InvariantReport
     unexpected_ends: list[UnexpectedEnd]
-    residue: list[str]
+    remaining_processes: list[str]
     caller_figures: list[Any]
     usage: dict[str, Usage]
 
     @property
     def passed(self) -> bool:
-        """Whether every invariant held, and no process ended by itself or was left behind."""
+        """Whether all invariants held, no process ended unexpectedly, and none is still running."""
         broken = any(check.breaches for check in self.invariants.checks)
-        return not (broken or self.unexpected_ends or self.residue)
+        return not (broken or self.unexpected_ends or self.remaining_processes)
 
 
 async def run_fleet(inputs: RunInputs, root: Path, progress: Progress) -> RunOutcome:
-    """Run a fleet in the folder `root`; whatever happens, its processes are ended."""
+    """Run a fleet in the folder `root`, and end all its processes even when the run fails."""
     folder = RunFolder(root)
     folder.create()
     table = ProcessTable(f"fleet-{uuid.uuid4().hex}", folder.logs)
@@ -64,7 +64,7 @@
         await run.drive()
         await run.finish_open_requests()
     finally:
-        progress.say("ending all processes")
+        progress.print_line("ending all processes")
         try:
             await run.close()
         finally:
@@ -93,7 +93,7 @@
             table=table,
             links=plan_links(deployment, needed_pairs(inputs.steps)),
             seed=inputs.options.seed,
-            max_seconds=inputs.options.seconds + STAND_INS_OUTLIVE_S,
+            max_seconds=inputs.options.seconds + STAND_IN_MARGIN_S,
         )
         cores = {core.name: deployment.api_address(core) for core in deployment.cores()}
         self.operators = Operators(self.client, cores, folder.journals, deployment.name)
@@ -105,10 +105,10 @@
         self._polling: asyncio.Future[list[None]] | None = None
 
     async def start(self) -> None:
-        """Start every process and wait until callers can come."""
+        """Start every process but the callers, apply the first intent, and wait for ready nodes."""
         deployment = self.inputs.deployment
-        say = self.progress.say
-        say(
+        print_line = self.progress.print_line
+        print_line(
             f"starting {deployment.name} on {deployment.network}.*: "
             f"{len(deployment.machines)} machines, {len(deployment.servers)} servers, "
             f"{len(self.fleet.links)} relayed links"
@@ -120,14 +120,16 @@
         await self.startup.wait_for_relays(controls)
         await self.startup.wait_for_stand_ins()
         await self.startup.wait_for_cores()
-        say("cores serve; applying the first intent")
+        print_line("cores serve; applying the first intent")
         await self.startup.apply_first_intent(self.operators, self.inputs.documents)
         await self.operators.apply_marker()
         await self.startup.wait_for_nodes()
-        say(f"intent version {self.operators.newest_version} is in force; all nodes are ready")
+        print_line(
+            f"intent version {self.operators.newest_version} is in force; all nodes are ready"
+        )
 
     async def drive(self) -> None:
-        """Let callers come for the requested time, with the faults at their moments."""
+        """Run the callers for the requested time, and perform the steps of faults when due."""
         options = self.inputs.options
         self.callers.start()
         self.load_started_t = boot_time_s()
@@ -143,22 +145,22 @@
                 journal=self.journal,
             )
         )
-        timeline = Timeline(self.inputs.steps, injector.perform, self.progress.say)
-        tail = OutcomeTail(self.folder.journals)
+        timeline = Timeline(self.inputs.steps, injector.perform, self.progress.print_line)
+        outcome_counter = OutcomeCounter(self.folder.journals)
         next_tick_s = TICK_S
         while (elapsed_s := boot_time_s() - self.load_started_t) < options.seconds:
             timeline.advance(elapsed_s)
             self._record_unexpected_ends()
             if elapsed_s >= next_tick_s:
                 next_tick_s += TICK_S
-                self._tick(elapsed_s, tail)
+                self._print_status(elapsed_s, outcome_counter)
             await asyncio.sleep(0.02)
         await timeline.finish()
-        self._tick(options.seconds, tail)
+        self._print_status(options.seconds, outcome_counter)
 
     async def finish_open_requests(self) -> None:
-        """Let callers finish what they began, then look at the fleet once more."""
-        self.progress.say("no new requests; waiting for open ones")
+        """Wait for the callers' open requests, then read the complete intent of every core."""
+        self.progress.print_line("no new requests; waiting for open ones")
         deadline = boot_time_s() + MAX_OPEN_REQUESTS_S
         while boot_time_s() < deadline and self.callers.running():
             self._record_unexpected_ends()
@@ -173,7 +175,10 @@
         self._record_unexpected_ends()
 
     async def close(self) -> None:
-        """Close the rig's files; its connections end with the process, as some may be in use."""
+        """Close the rig's journals.
+
+        The HTTP client stays open, as some connections may be in use; they end with the process.
+        """
         if self._polling is not None:
             self._polling.cancel()
             await asyncio.gather(self._polling, return_exceptions=True)
@@ -181,7 +186,7 @@
         self.operators.close()
 
     def check_invariants(self) -> RunOutcome:
-        """Check the journals; call it once every process has ended."""
+        """Check the journals and return the result; every process must have ended."""
         invariants = check_journals(
             self.folder.journals, self.inputs.deployment, self.inputs.documents
         )
@@ -189,7 +194,7 @@
             inputs=self.inputs,
             invariants=invariants,
             unexpected_ends=self.unexpected,
-            residue=self.table.residue(),
+            remaining_processes=self.table.remaining_processes(),
             caller_figures=self.callers.figures(),
             usage=self.usage,
         )
@@ -198,21 +203,21 @@
         for ended in self.table.unexpected_ends():
             self.unexpected.append(ended)
             self.journal.write("unexpected-end", process=ended.name, exit_code=ended.exit_code)
-            self.progress.say(f"{ended.name} ended by itself with code {ended.exit_code}")
+            self.progress.print_line(f"{ended.name} ended by itself with code {ended.exit_code}")
 
-    def _tick(self, elapsed_s: float, tail: OutcomeTail) -> None:
+    def _print_status(self, elapsed_s: float, outcome_counter: OutcomeCounter) -> None:
         nodes = len(self.fleet.deployment.nodes())
-        self.progress.tick(
+        self.progress.print_status(
             elapsed_s,
             self.inputs.options.seconds,
-            tail.update(),
+            outcome_counter.update(),
             f"{len(self.observer.ready_nodes)}/{nodes}",
             self.operators.newest_version,
         )
 
 
 def _end_on_signals() -> None:
-    """Ctrl-C and SIGTERM end the run by cancelling it, also where SIGINT was ignored before."""
+    """Cancel the run on SIGINT and SIGTERM, even if SIGINT was ignored at the start."""
     task = asyncio.current_task()
     assert task is not None
     for number in (signal.SIGINT, signal.SIGTERM):
--- a/src/zincvale/fleet/run_folder.py
+++ b/src/zincvale/fleet/run_folder.py
@@ -1,4 +1,4 @@
-"""Where one run keeps its files."""
+"""The folder with the files of one run."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 @attrs.frozen
 class RunFolder:
-    """The folders of one run under `root`."""
+    """The files and folders of one run under `root`."""
 
     root: Path
 
     @property
     def settings(self) -> Path:
-        """Settings files, one per process."""
+        """The folder of the settings files, one per process."""
         return self.root / "settings"
 
     @property
     def journals(self) -> Path:
-        """What really happened, one file per process."""
+        """The folder of the journals that the checks read, one file per process."""
         return self.root / "journals"
 
     @property
     def logs(self) -> Path:
-        """What the processes printed, and the daemons' structured logs."""
+        """The folder of the processes' output and the daemons' structured logs."""
         return self.root / "logs"
 
     def data(self, member: str) -> Path:
@@ -38,7 +38,7 @@
         return self.root / "data" / member
 
     def quota(self, member: str) -> Path:
-        """The file with the bytes that a core's data folder may still take."""
+        """The file with the number of bytes that a core's data folder may still grow by."""
         return self.root / "quota" / member
 
     def settings_file(self, process: str) -> Path:
@@ -46,7 +46,7 @@
         return self.settings / f"{process}.yaml"
 
     def create(self) -> None:
-        """Make the folders."""
+        """Create the folders; the data folder of a core is created when the core starts."""
         for folder in (self.settings, self.journals, self.logs, self.root / "quota"):
             folder.mkdir(parents=True, exist_ok=True)
 
--- a/src/zincvale/fleet/run_inputs.py
+++ b/src/zincvale/fleet/run_inputs.py
@@ -1,4 +1,4 @@
-"""Everything that a run reads and checks before anything starts."""
+"""The inputs of a run, which are read and checked before any process starts."""
 
 from __future__ import annotations
 
--- a/src/zincvale/fleet/run_options.py
+++ b/src/zincvale/fleet/run_options.py
@@ -1,4 +1,4 @@
-"""What a run is to do: the options of the command line."""
+"""The command-line options of a run."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     ----------
     deployment : a folder, or the name of one under `deployments/`.
     load : a load file, or the name of one in the deployment.
-    faults : a fault file, or the name of a ready one; empty means none.
-    seconds : how long new requests arrive; 0 takes the fault file's.
+    faults : a fault file, or the name of a built-in one; empty means none.
+    seconds : how long new requests arrive; 0 takes the duration in the fault file.
     rate_factor : multiplies every caller's rate.
-    caller_processes : how many processes share the callers' work.
-    network : first two numbers of the loopback addresses; empty takes the deployment's.
-    report : the report's JSON file; the page lies beside it. Empty writes none.
-    keep_folder : where the run's files stay; empty means a folder that is removed at the end.
+    caller_processes : how many processes share the callers.
+    network : first two octets of the loopback addresses; empty takes the deployment's.
+    report : the report's JSON file; an HTML page is written beside it. Empty writes none.
+    keep_folder : the folder that keeps the run's files; empty means one removed at the end.
     """
 
     deployment: str
--- a/src/zincvale/fleet/startup.py
+++ b/src/zincvale/fleet/startup.py
@@ -1,4 +1,4 @@
-"""Waits for the processes of a fleet to serve, and gives it its first intent."""
+"""Waits until the processes of a fleet serve, and applies the first intent."""
 
 from __future__ import annotations
 
@@ -20,12 +20,15 @@
 CALL_TIMEOUT_S = 1.0
 FIRST_INTENT_WITHIN_S = 30.0
 FIRST_INTENT_REJECTED_STATUSES = frozenset({400, 409, 413, 422})
-"""Sending it again cannot help. Unlike `REJECTED_STATUSES` without 404, which is tried again."""
+"""Statuses that end the attempts to apply the first intent, as another would fail too.
+
+Unlike `REJECTED_STATUSES` they do not include 404, after which the rig tries again.
+"""
 
 
 @attrs.define
 class Startup:
-    """Brings a fleet to the point where callers can come."""
+    """Prepares a started fleet for callers."""
 
     fleet: Fleet
     client: RigClient
@@ -53,7 +56,7 @@
             await self._wait(node.name, self.fleet.deployment.api_address(node), "/ready")
 
     async def apply_first_intent(self, operators: Operators, documents: list[Document]) -> None:
-        """Declare the deployment's resources; raises `StartupError` when refused."""
+        """Apply the deployment's resources; raises `StartupError` when they are not accepted."""
         resources = [document.to_dict() for document in documents]
         change = operators.new_change(resources)
         deadline = boot_time_s() + FIRST_INTENT_WITHIN_S
@@ -87,7 +90,8 @@
     Raises
     ------
     StartupError
-        Too late, or a process ended; the message holds the end of its output.
+        The condition did not hold in time, or a process ended with an error; the message then
+        contains the last part of its output.
     """
     deadline = boot_time_s() + START_WITHIN_S
     while not await condition():
@@ -95,7 +99,7 @@
         if ended:
             raise StartupError(
                 f"{ended[0].name} ended with code {ended[0].exit_code}: {ended[0].log_tail}",
-                "correct what its output names, or pass another --network",
+                "correct the problem in its output, or pass another --network",
             )
         if boot_time_s() > deadline:
             raise StartupError(
--- a/src/zincvale/fleet/suite.py
+++ b/src/zincvale/fleet/suite.py
@@ -1,4 +1,4 @@
-"""Several runs, one after the other, and a table of their verdicts."""
+"""The options of the runs of a suite, and the rows of its table of verdicts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import attrs
 
-from zincvale.fleet.fault_file import ready_files
+from zincvale.fleet.fault_file import built_in_files
 from zincvale.fleet.run_options import RunOptions, find_deployment
 from zincvale.model.errors import InvalidInputError
 
@@ -28,7 +28,7 @@
     problem: str = ""
 
     def line(self) -> str:
-        """Return the row as one line for people."""
+        """Return the row as one line of text."""
         verdict = "passed" if self.passed else "FAILED"
         broken = ", ".join(str(number) for number in self.broken)
         remark = self.problem or (f"invariants {broken}" if broken else "")
@@ -38,9 +38,9 @@
         )
 
 
-def suite_files(names: str) -> list[str]:
-    """Return the ready files that a comma-separated list names; raises `InvalidInputError`."""
-    ready = ready_files()
+def suite_fault_files(names: str) -> list[str]:
+    """Return the fault files that a comma-separated list names; raises `InvalidInputError`."""
+    ready = built_in_files()
     if names == ALL:
         return ready
     chosen = [name.strip() for name in names.split(",") if name.strip()]
@@ -53,9 +53,9 @@
 def suite_runs(
     deployments: str, faults: str, seeds: str, load: str, folder: Path, keep_failed: bool
 ) -> list[RunOptions]:
-    """Return the options of every run of a suite; raises `InvalidInputError` before any starts."""
+    """Return the options of every run of a suite; raises `InvalidInputError` for a wrong name."""
     runs = []
-    for name in suite_files(faults):
+    for name in suite_fault_files(faults):
         for deployment in deployments.split(","):
             find_deployment(deployment)
             for seed in seeds.split(","):
--- a/tests/fleet/sample_deployment.py
+++ b/tests/fleet/sample_deployment.py
@@ -1,4 +1,4 @@
-"""A deployment small enough to read in a test."""
+"""A small deployment for tests."""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,4 +1,4 @@
-"""The process table on real children, which end only by what the test does to them."""
+"""The process table with real child processes, which wait or end with a given exit code."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
         self.table = ProcessTable(self.mark, Path(folder.name))
         self.addCleanup(self.table.end_all)
 
-    def test_a_frozen_process_is_ended_and_nothing_is_left(self) -> None:
+    def test_a_frozen_process_is_ended_and_no_process_remains(self) -> None:
         process = self.table.start(Command("one", MODULE))
         self.assertEqual(1, len(find_marked(self.mark)))
         self.table.freeze("one")
         self.table.end_all()
         self.assertFalse(process.is_running)
-        self.assertEqual([], self.table.residue())
+        self.assertEqual([], self.table.remaining_processes())
         self.assertEqual([], self.table.unexpected_ends())
 
     def test_a_killed_process_can_be_started_again(self) -> None:
@@ -46,7 +46,7 @@
         self.assertEqual(("one", 3), (ended.name, ended.exit_code))
         self.assertEqual([], self.table.unexpected_ends())
 
-    def test_a_process_that_is_done_is_no_surprise(self) -> None:
+    def test_a_process_that_ends_without_an_error_is_not_reported(self) -> None:
         process = self.table.start(Command("one", MODULE, ("0",)))
         process.popen.wait()
         self.assertEqual([], self.table.unexpected_ends())
--- a/tests/fleet/test_relay_pump.py
+++ b/tests/fleet/test_relay_pump.py
@@ -1,4 +1,4 @@
-"""One relayed connection, with transports that only remember what was done to them."""
+"""One relayed connection, with fake transports that record the calls made to them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """Remembers writes and whether it reads."""
+    """Records writes, whether it reads, and how it was closed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -50,11 +50,11 @@
 
 @attrs.define
 class FakeLink:
-    """A link whose state the test sets."""
+    """A link without delay, whose state is set by the test."""
 
-    shapes: bool = False
+    is_shaped: bool = False
     held_directions: set[bool] = attrs.field(factory=set)
-    forgotten: list[Pump] = attrs.field(factory=list)
+    removed_pumps: list[Pump] = attrs.field(factory=list)
 
     def holds(self, is_request: bool) -> bool:
         return is_request in self.held_directions
@@ -65,8 +65,8 @@
     def transfer_s(self, size_bytes: int) -> float:
         return 0.0
 
-    def forget(self, pump: Pump) -> None:
-        self.forgotten.append(pump)
+    def remove_pump(self, pump: Pump) -> None:
+        self.removed_pumps.append(pump)
 
 
 class PumpTest(testtools.TestCase):
@@ -83,12 +83,12 @@
         self.near.start(self.far)
         self.far.start(self.near)
 
-    def test_nothing_is_read_before_both_sides_are_there(self) -> None:
+    def test_nothing_is_read_before_both_sides_are_connected(self) -> None:
         self.assertFalse(self.near_transport.reading)
         self.start()
         self.assertTrue(self.near_transport.reading)
 
-    def test_bytes_and_ends_pass_both_ways(self) -> None:
+    def test_bytes_and_the_end_of_a_direction_are_relayed(self) -> None:
         self.start()
         self.near.data_received(b"question")
         self.far.data_received(b"answer")
@@ -105,31 +105,31 @@
         self.assertTrue(self.near_transport.reading)
         self.assertFalse(self.far_transport.reading)
 
-    def test_a_full_side_stops_the_other(self) -> None:
+    def test_a_full_write_buffer_pauses_reading_of_the_other_side(self) -> None:
         self.start()
         self.far.pause_writing()
         self.assertFalse(self.near_transport.reading)
         self.far.resume_writing()
         self.assertTrue(self.near_transport.reading)
 
-    def test_a_reset_is_passed_on_as_a_reset(self) -> None:
+    def test_a_reset_is_relayed_as_a_reset(self) -> None:
         self.start()
         self.far.connection_lost(ConnectionResetError())
         self.assertEqual("aborted", self.near_transport.closed)
-        self.assertEqual([self.far], self.link.forgotten)
+        self.assertEqual([self.far], self.link.removed_pumps)
 
-    def test_an_orderly_end_is_passed_on_as_such(self) -> None:
+    def test_an_orderly_close_is_relayed_as_an_orderly_close(self) -> None:
         self.start()
         self.far.connection_lost(None)
         self.assertEqual("closed", self.near_transport.closed)
 
-    def test_delayed_pieces_keep_their_order_and_stop_the_reading(self) -> None:
+    def test_delayed_chunks_keep_their_order_and_pause_reading_when_too_many(self) -> None:
         async def exchange() -> None:
             self.start()
-            self.link.shapes = True
+            self.link.is_shaped = True
             self.near.data_received(b"x" * (HIGH_WATER_BYTES + 1))
             self.assertFalse(self.near_transport.reading)
-            self.link.shapes = False
+            self.link.is_shaped = False
             self.near.data_received(b"y")
             self.near.eof_received()
             while not self.far_transport.ended:
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -1,4 +1,4 @@
-"""Figures, report and page from a synthetic run; timeline and progress."""
+"""The figures, report and page of a synthetic run; reading of journals; timeline; progress."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from zincvale.fleet.invariants import check_all, read_journals
 from zincvale.fleet.page import write_report
 from zincvale.fleet.processes import UnexpectedEnd, Usage
-from zincvale.fleet.progress import OutcomeTail
+from zincvale.fleet.progress import OutcomeCounter
 from zincvale.fleet.report import build_report, summary_lines
 from zincvale.fleet.run import RunOutcome
 from zincvale.fleet.run_inputs import RunInputs
@@ -71,7 +71,7 @@
 
 
 class ReportTest(testtools.TestCase):
-    def test_figures_share_one_time_axis(self) -> None:
+    def test_all_figures_count_time_from_the_start_of_the_load(self) -> None:
         figures = figures_of(outcome().invariants.evidence, 10.0)
         self.assertEqual(10.0, figures.duration_s)
         self.assertEqual(1.0, figures.outcomes["answered"].y[0])
@@ -80,7 +80,7 @@
         self.assertEqual([(1.0, 3.0)], [(span.start, span.end) for span in figures.faults])
         self.assertEqual({}, percentiles([]))
 
-    def test_the_report_says_what_was_not_checked(self) -> None:
+    def test_the_report_lists_what_was_not_checked(self) -> None:
         report = build_report(outcome())
         self.assertTrue(report["passed"])
         self.assertEqual(11, len(report["invariants"]))
@@ -91,7 +91,7 @@
         self.assertEqual("PASSED", lines[-1])
         self.assertIn("  2 node: 3.0 s processor time each, at most 60 MB", lines)
 
-    def test_a_breach_fails_the_run_and_is_shown(self) -> None:
+    def test_a_breach_fails_the_run_and_is_in_the_summary(self) -> None:
         report = build_report(outcome(broken=True))
         lines = summary_lines(report)
         self.assertEqual("FAILED", lines[-1])
@@ -102,7 +102,7 @@
         self.assertFalse(report["passed"])
         self.assertIn("node-1 ended by itself with code 1", "\n".join(summary_lines(report)))
 
-    def test_the_page_escapes_and_holds_its_plots(self) -> None:
+    def test_the_page_escapes_text_and_embeds_its_plots(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             page = write_report(build_report(outcome()), Path(folder) / "r.json")
             text = page.read_text(encoding="utf-8")
@@ -111,7 +111,7 @@
 
 
 class JournalReadingTest(testtools.TestCase):
-    def test_torn_lines_are_listed_not_skipped(self) -> None:
+    def test_unreadable_journal_lines_are_listed(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "lookup-1.jsonl"
             path.write_text(
@@ -125,7 +125,7 @@
         self.assertEqual(["lookup-1.jsonl:3", "lookup-1.jsonl:4"], _places(found.unreadable))
         self.assertEqual(3.0 - 2.0, found.start_t())
 
-    def test_a_machine_added_during_the_run_is_known(self) -> None:
+    def test_a_machine_added_during_the_run_is_in_the_expectations(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             empty = self.assertRaises(
                 InvalidInputError, check_journals, Path(folder), DEPLOYMENT, []
@@ -143,50 +143,50 @@
         self.assertEqual("core-b-r1", expectations.member_by_host["127.90.2.41"])
         self.assertEqual(5.0, invariants.load_started_t)
 
-    def test_progress_counts_only_whole_lines(self) -> None:
+    def test_progress_counts_only_complete_lines(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "callers-1.jsonl"
             line = '{"event":"result","outcome":"answered"}\n'
             path.write_text(line + line[:10], encoding="utf-8")
-            tail = OutcomeTail(Path(folder))
-            self.assertEqual({"answered": 1}, dict(tail.update()))
+            counter = OutcomeCounter(Path(folder))
+            self.assertEqual({"answered": 1}, dict(counter.update()))
             path.write_text(line + line, encoding="utf-8")
-            self.assertEqual({"answered": 2}, dict(tail.update()))
+            self.assertEqual({"answered": 2}, dict(counter.update()))
 
 
 class TimelineTest(testtools.TestCase):
-    def test_an_end_waits_for_its_beginning(self) -> None:
+    def test_the_end_of_a_fault_waits_for_its_begin_step(self) -> None:
         steps = steps_of({"at_s": 1.0, "kind": "kill", "target": "node-1", "for_s": 1.0})
-        done: list[str] = []
+        performed: list[str] = []
 
         async def drive() -> None:
-            gate = asyncio.Event()
+            begin_may_finish = asyncio.Event()
 
             async def perform(step: Step) -> None:
                 if step.phase.value == "begin":
-                    await gate.wait()
-                done.append(step.phase.value)
+                    await begin_may_finish.wait()
+                performed.append(step.phase.value)
 
-            timeline = Timeline(steps, perform, say=lambda line: None)
+            timeline = Timeline(steps, perform, print_line=lambda line: None)
             timeline.advance(0.5)
             self.assertEqual(0, len(asyncio.all_tasks()) - 1)
             timeline.advance(5.0)
             await asyncio.sleep(0)
-            self.assertEqual([], done)
-            gate.set()
+            self.assertEqual([], performed)
+            begin_may_finish.set()
             await timeline.finish()
 
         asyncio.run(drive())
-        self.assertEqual(["begin", "end"], done)
+        self.assertEqual(["begin", "end"], performed)
 
-    def test_what_a_step_raises_ends_the_run(self) -> None:
+    def test_the_error_of_a_step_is_raised(self) -> None:
         steps = steps_of({"at_s": 1.0, "kind": "heal"})
 
         async def drive() -> None:
             async def perform(step: Step) -> None:
                 raise ValueError("no such thing")
 
-            timeline = Timeline(steps, perform, say=lambda line: None)
+            timeline = Timeline(steps, perform, print_line=lambda line: None)
             timeline.advance(2.0)
             await timeline.finish()
 
--- a/tests/fleet/waiting_process.py
+++ b/tests/fleet/waiting_process.py
@@ -1,4 +1,4 @@
-"""A process for the tests of the process table: ends with the code in its argument, or waits."""
+"""A child process for tests: ends with the exit code in its argument, or waits for a signal."""
 
 from __future__ import annotations
 
