--- a/src/zincvale/fleet/demand.py
+++ b/src/zincvale/fleet/demand.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from zincvale.fleet.fault_file import FaultSchedule
-from zincvale.fleet.fault_kinds import CrowdComes, PopularityShifts, RareModelsWanted
+from zincvale.fleet.fault_kinds import CrowdFault, PopularityShiftFault, RareModelsFault
 from zincvale.model.errors import InvalidInputError
 from zincvale.standins.deployment import LOADS_FOLDER
 from zincvale.standins.load.spec import Crowd, LoadSpec, RareModels, load_load_spec
@@ -40,11 +40,11 @@
     for fault in schedule.faults:
         lasts_s = fault.for_s or max(0.0, seconds - fault.at_s)
         match fault:
-            case CrowdComes(factor=factor, callers=callers):
+            case CrowdFault(factor=factor, callers=callers):
                 crowds.append(Crowd(fault.at_s, lasts_s, factor, list(callers)))
-            case PopularityShifts():
+            case PopularityShiftFault():
                 shifts.append(fault.at_s)
-            case RareModelsWanted(caller=caller, rate_per_second=rate, tail_share=share):
+            case RareModelsFault(caller=caller, rate_per_second=rate, tail_share=share):
                 bursts.append(RareModels(fault.at_s, lasts_s, caller, rate, share))
     for name in [*(n for crowd in crowds for n in crowd.callers), *(b.caller for b in bursts)]:
         spec.caller(name)
--- a/src/zincvale/fleet/fault_kinds.py
+++ b/src/zincvale/fleet/fault_kinds.py
@@ -205,7 +205,7 @@
 
 
 @dataclass(kw_only=True)
-class CrowdComes(Fault):
+class CrowdFault(Fault):
     """Multiply the request rate of the named callers, or of all when none is named, by `factor`."""
 
     factor: float = 10.0
@@ -213,12 +213,12 @@
 
 
 @dataclass(kw_only=True)
-class PopularityShifts(Fault):
+class PopularityShiftFault(Fault):
     """Change which models are popular with the callers from then on."""
 
 
 @dataclass(kw_only=True)
-class RareModelsWanted(Fault):
+class RareModelsFault(Fault):
     """One kind of caller requests many of the least popular models at once."""
 
     caller: str
@@ -246,9 +246,9 @@
     "drain": Drain,
     "evacuate": Evacuate,
     "behaviour": SwitchBehaviour,
-    "crowd": CrowdComes,
-    "popularity": PopularityShifts,
-    "rare-models": RareModelsWanted,
+    "crowd": CrowdFault,
+    "popularity": PopularityShiftFault,
+    "rare-models": RareModelsFault,
 }
 
 _LOST = LinkState(connecting=Connecting.IGNORE, request=Passing.HOLD, reply=Passing.HOLD)
--- a/src/zincvale/simulator/what_if/fault_plan.py
+++ b/src/zincvale/simulator/what_if/fault_plan.py
@@ -7,19 +7,19 @@
 from zincvale.fleet.fault_kinds import (
     Apply,
     ChangeBurst,
-    CrowdComes,
+    CrowdFault,
     Drain,
     Evacuate,
     Kill,
-    PopularityShifts,
-    RareModelsWanted,
+    PopularityShiftFault,
+    RareModelsFault,
     Restart,
     SwitchBehaviour,
 )
 from zincvale.fleet.fault_plan import Step
 from zincvale.standins.behaviours import BehaviourKind
 
-LOAD_FAULT_KINDS = (CrowdComes, PopularityShifts, RareModelsWanted)
+LOAD_FAULT_KINDS = (CrowdFault, PopularityShiftFault, RareModelsFault)
 """Kinds of faults that are merged into the load before the run."""
 
 
