--- a/src/zincvale/fleet/expectations.py
+++ b/src/zincvale/fleet/expectations.py
@@ -1,4 +1,4 @@
-"""What a deployment promises, as the invariant checks take it."""
+"""Derives from a deployment and its intent what the invariant checks expect of a run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def expectations_of(deployment: Deployment, documents: Iterable[Document]) -> Expectations:
-    """Return the promises of the routes, the limits of the stores, and who is where."""
+    """Return the routes' guarantees, the stores' limits, and the place of each daemon."""
     found = Expectations(
         seat_by_core={core.name: core.name for core in deployment.cores()},
         member_by_host={deployment.ip(m.host): m.name for m in deployment.machines},
@@ -36,7 +36,7 @@
 
 
 def include_added_machines(expectations: Expectations, added: Iterable[MachineAdded]) -> None:
-    """Add the machines that came during a run; a new core takes its predecessor's seat."""
+    """Add the machines started during a run; a new core takes the seat of the one it replaces."""
     seats = expectations.seat_by_core
     for machine in added:
         expectations.member_by_host[machine.host] = machine.member
--- a/src/zincvale/fleet/fault_targets.py
+++ b/src/zincvale/fleet/fault_targets.py
@@ -85,7 +85,7 @@
         return names
 
     def select(self, selector: str) -> list[str]:
-        """Return all that a selector matches, without repeats."""
+        """Return the names that a selector matches, without duplicates."""
         chosen: dict[str, None] = {}
         for part in selector.split("+"):
             term = part.strip()
--- a/src/zincvale/fleet/figures.py
+++ b/src/zincvale/fleet/figures.py
@@ -108,7 +108,7 @@
 
 
 def percentiles(values: list[float]) -> dict[str, float]:
-    """Return the percentiles of a sample; nothing for an empty one."""
+    """Return the percentiles of the values; an empty result for no values."""
     if not values:
         return {}
     found = numpy.percentile(values, PERCENTILES)
--- a/src/zincvale/fleet/invariant_checker.py
+++ b/src/zincvale/fleet/invariant_checker.py
@@ -1,4 +1,4 @@
-"""Checks the invariants of a run, from its journals alone."""
+"""Checks the invariants of a run from its journals, without the running fleet."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 @attrs.frozen
 class InvariantReport:
-    """What the journals of a run say.
+    """The evidence in the journals of a run, and the results of the checks.
 
     Attributes
     ----------
-    load_started_t : zero of the report's time axis, on the journals' clock.
+    load_started_t : zero point of the report's time axis, in seconds on the journals' clock.
     """
 
     evidence: Evidence
@@ -37,7 +37,7 @@
     Raises
     ------
     InvalidInputError
-        The folder holds no journal of a rig.
+        The folder contains no journal of the rig.
     """
     if not (journals / RIG_JOURNAL).is_file():
         raise InvalidInputError(
--- a/src/zincvale/fleet/invariants/findings.py
+++ b/src/zincvale/fleet/invariants/findings.py
@@ -45,13 +45,13 @@
 
     @property
     def verdict(self) -> str:
-        """`broken`, `held` or `not exercised`."""
+        """The verdict: `broken`, `held` or `not exercised`."""
         if self.breaches:
             return "broken"
         return "held" if self.facts else "not exercised"
 
     def to_json(self) -> dict[str, Any]:
-        """Return the result as the report holds it."""
+        """Return the result in the form that the report has it."""
         return {
             "number": self.number,
             "title": self.title,
--- a/src/zincvale/fleet/invariants/journals.py
+++ b/src/zincvale/fleet/invariants/journals.py
@@ -1,4 +1,4 @@
-"""Reading of journal folders into evidence."""
+"""Reads the journals of a run into evidence."""
 
 from __future__ import annotations
 
--- a/src/zincvale/fleet/invariants/limits.py
+++ b/src/zincvale/fleet/invariants/limits.py
@@ -38,7 +38,7 @@
 
 @attrs.define
 class ServerMemory:
-    """What one server has loaded or was ordered to load, in bytes by name."""
+    """The memory of one server, and the size in bytes of all that it has or is to load, by name."""
 
     capacity_bytes: int = 0
     memory_bytes_by_name: dict[str, int] = attrs.field(factory=dict)
@@ -52,7 +52,7 @@
 
 
 def check(evidence: Evidence) -> CheckResult:
-    """Replay the servers' and stores' journals against their limits."""
+    """Check the journals of the servers and stores against their memory and pull limits."""
     result = CheckResult(NUMBER, TITLE)
     _check_servers(evidence, result)
     _check_stores(evidence, result)
--- a/src/zincvale/fleet/invariants/operations.py
+++ b/src/zincvale/fleet/invariants/operations.py
@@ -55,7 +55,7 @@
 
     @property
     def resources(self) -> list[dict[str, Any]]:
-        """The documents of the change."""
+        """The resource documents in the change."""
         return list(self.change.get("resources") or [])
 
     @property
--- a/src/zincvale/fleet/relay.py
+++ b/src/zincvale/fleet/relay.py
@@ -20,7 +20,7 @@
 
 ACCEPT_BACKLOG = 128
 FILLER_CONNECTIONS = 4
-"""Connections that fill an accept queue of length 0; one suffices, the others are a margin."""
+"""Connections that fill an accept queue of length 0: one does, the others are a margin."""
 
 
 def split_address(address: str) -> tuple[str, int]:
