--- a/src/zincvale/fleet/commands.py
+++ b/src/zincvale/fleet/commands.py
@@ -29,7 +29,7 @@
 
 
 class FleetCommands:
-    """Start a whole deployment on loopback addresses, drive load, apply faults, judge the run."""
+    """Run a whole deployment on loopback addresses under load and faults, and check invariants."""
 
     @SetParseFns(network=str)
     def run(
@@ -51,15 +51,15 @@
         Args:
             deployment: a folder, or the name of one under deployments/.
             load: a load file, or the name of one in the deployment.
-            faults: a fault file, or the name of a ready one (see `fleet faults`); none by default.
-            seconds: how long new requests arrive; 0 takes what the fault file says.
-            seed: of load and of random choices in the fault file.
+            faults: a fault file, or the name of a built-in one (see `fleet faults`); default none.
+            seconds: how long new requests arrive; 0 takes the duration in the fault file.
+            seed: the seed of the load and of random choices in the fault file.
             report: the report's JSON file; an HTML page is written beside it.
-            keep_folder: an empty folder where settings, journals, logs and data stay.
+            keep_folder: an empty folder in which settings, journals, logs and data are kept.
             rate_factor: multiplies every caller's rate.
-            caller_processes: how many processes share the callers' work.
-            network: first two numbers of the loopback addresses, to run beside another fleet.
-            quiet: no progress, only the summary.
+            caller_processes: how many processes share the callers.
+            network: first two octets of the loopback addresses, to run beside another fleet.
+            quiet: print no progress, only the summary.
         """
         options = RunOptions(
             deployment=deployment,
@@ -77,7 +77,7 @@
         sys.exit(_run(options))
 
     def demo(self, deployment: str = "nilebridge", report: str = "", keep_folder: str = "") -> None:
-        """Show half a minute of load with a change, a node killed and a zone evacuated."""
+        """Run half a minute of load with an intent change, a killed node and an evacuated zone."""
         self.run(
             deployment=deployment,
             load="steady",
@@ -98,11 +98,11 @@
         """Run many fault files one after the other, and print a table of the verdicts.
 
         Args:
-            deployments: comma-separated.
-            faults: comma-separated ready files, or all.
-            seeds: comma-separated.
+            deployments: comma-separated deployments.
+            faults: comma-separated fault files, or all for every built-in one.
+            seeds: comma-separated seeds.
             load: the load of every run.
-            folder: where the reports go, one JSON file and page a run.
+            folder: the folder for the reports, one JSON file and one HTML page per run.
             keep_failed: keep the journals and logs of runs that fail, beside their reports.
         """
         try:
@@ -127,7 +127,7 @@
 
     @SetParseFns(network=str)
     def judge(self, journals: str, deployment: str = "nilebridge", network: str = "") -> None:
-        """Check the journals of a run that was kept, and exit non-zero when an invariant broke.
+        """Check the journals of a kept run, and exit non-zero when an invariant broke.
 
         Args:
             journals: the journals folder in the run's folder.
@@ -149,7 +149,7 @@
         sys.exit(EXIT_BROKEN if broken else 0)
 
     def faults(self) -> None:
-        """List the fault files that come with zincvale, with what each does."""
+        """List the built-in fault files with their descriptions."""
         for name in built_in_files():
             schedule = read_faults(name)
             print(f"{name} ({schedule.seconds:.0f} s): {schedule.description.strip()}")
