--- a/examples/embedded_register.py
+++ b/examples/embedded_register.py
@@ -1,4 +1,4 @@
-"""Three cores in one process: a change sent twice takes effect once, and one core leads.
+"""Three cores in one process: a change sent twice under one idempotency key, and a leader lease.
 
 The state machines do no I/O: this file is their driver. `python examples/embedded_register.py`
 """
