--- a/src/zincvale/controlplane/placement/demand.py
+++ b/src/zincvale/controlplane/placement/demand.py
@@ -10,7 +10,7 @@
 from zincvale.controlplane.placement.config import PlacementConfig
 
 LN_2 = math.log(2.0)
-"""Factor between a half-life and a decay rate."""
+"""A count with a half-life of H seconds decays at the rate LN_2 / H per second."""
 NEWEST_DAY_WEIGHT = 0.5
 """Weight of the newest day in the daily profile; with 1, earlier days would not count."""
 NO_HISTORY = -1.0
--- a/src/zincvale/controlplane/placement/desired_replicas.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -103,7 +103,7 @@
     )
     servers = len(placement.server_index.by_pool.get(item.pool, ()))
     if desired > servers:
-        # Reviewed again when the pool gets more servers.
+        # The item is reviewed again when the pool gets more servers.
         placement.unplaced.add(item.key)
     return min(desired, servers)
 
--- a/src/zincvale/controlplane/placement/plan_unloads.py
+++ b/src/zincvale/controlplane/placement/plan_unloads.py
@@ -107,7 +107,7 @@
             continue
         if found_at + placement.config.undeclared_grace_s <= now and placement.leadership.is_leader:
             _unload_undeclared_replica(placement, placement.servers[server_id], key, now)
-        # Checked again until the replica is gone: the unload may fail, or not be possible yet.
+        # The replica is checked again until it is gone: its unload may fail or not be possible yet.
         due.append((now + placement.config.undeclared_grace_s, server_id, key))
 
 
--- a/tests/controlplane/placement/test_draining_rows.py
+++ b/tests/controlplane/placement/test_draining_rows.py
@@ -13,7 +13,7 @@
 class DrainingReplicasDecoderTest(TestCase):
     """The decoder finds the same draining replicas as code that decodes complete moves."""
 
-    def test_result_equals_that_of_typed_moves_in_every_kind_and_state(self):
+    def test_draining_replicas_equal_those_of_decoded_moves_in_every_kind_and_state(self):
         moves = [
             attrs.evolve(MOVE, move_id=f"m{kind.value}-{state.value}", kind=kind, state=state)
             for kind in MoveKind
--- a/tests/controlplane/placement/test_mutations.py
+++ b/tests/controlplane/placement/test_mutations.py
@@ -77,14 +77,14 @@
     def test_simulation_passes_without_a_mutation(self):
         self.assertEqual("", self.first_problem(1))
 
-    def test_every_mutation_is_caught(self):
+    def test_every_mutation_is_detected(self):
         for name, replacements in MUTATIONS.items():
             seeds = SEEDS_BY_MUTATION.get(name, SEEDS)
             with contextlib.ExitStack() as stack:
                 for target, replacement in replacements.items():
                     stack.enter_context(mock.patch(target, replacement))
-                caught = any(self.first_problem(seed) for seed in seeds)
-            self.assertTrue(caught, f"not caught: {name}")
+                is_detected = any(self.first_problem(seed) for seed in seeds)
+            self.assertTrue(is_detected, f"not detected: {name}")
 
     def first_problem(self, seed: int) -> str:
         simulation = ChaosSimulation(seed)
