--- a/src/zincvale/dataplane/forwarding/native_dialect.py
+++ b/src/zincvale/dataplane/forwarding/native_dialect.py
@@ -68,7 +68,10 @@
 
 
 def parse_prompt(model: str, adapter: str, tokens: str, parts: str) -> Prompt:
-    """Return a prompt from `IN,OUT` and `ID:TOKENS,...`; unreadable values count as absent."""
+    """Return a prompt, read from `tokens` (`IN,OUT`) and `parts` (`ID:TOKENS,...`).
+
+    Unreadable values count as absent.
+    """
     counts = [_parse_number(text) or 0.0 for text in tokens.split(",")]
     output_tokens = int(counts[1]) if len(counts) > 1 else 0
     return Prompt(model, adapter, int(counts[0]), output_tokens, _parse_parts(parts))
--- a/src/zincvale/dataplane/forwarding/pending_requests.py
+++ b/src/zincvale/dataplane/forwarding/pending_requests.py
@@ -18,7 +18,8 @@
 from zincvale.model.forwarding import ForwardPool, ForwardRoute
 
 LOAD_OVERHEAD_S = 0.5
-"""How much longer than its own time a load takes: sending its order, and the report of its end."""
+"""Expected time in addition to a model's declared load time, for sending the order to load it and
+reporting the end of the load."""
 LOAD_WAIT_FACTOR = 1.6
 """A request waits for a model for at most this multiple of the expected load time."""
 ADAPTER_LOAD_S = 0.3
@@ -38,8 +39,8 @@
 MIN_WAIT_S = 0.05
 """A request that may wait for less is refused at once: no load and no response ends so soon."""
 NO_SERVER_WAIT_S = 0.5
-"""How long a request waits for a pool without servers: bridges a restart of the only server between
-two versions of the directory."""
+"""How long a request waits for a pool without servers. The only server may have restarted, and be
+listed again in the next version of the directory."""
 MIN_RETRY_AFTER_S = 0.1
 """The smallest `Retry-After`: callers that retry sooner meet the same state and add load."""
 LOAD_REASONS = frozenset({NoServerReason.NOT_RESIDENT, NoServerReason.NO_ADAPTER})
--- a/src/zincvale/dataplane/forwarding/routing_state.py
+++ b/src/zincvale/dataplane/forwarding/routing_state.py
@@ -23,8 +23,8 @@
 from zincvale.model.identifiers import MemberId, PoolName, ServerId, ZoneName
 
 SLOW_START_AFTER_EVACUATION_S = 1.5
-"""Added to the cold start time of a pool when the evacuation of a zone has ended: until the
-directory reports that the zone's servers are in slow start, this node assumes it."""
+"""How much longer than the pool's cold start time a server counts as in slow start after the
+evacuation of its zone has ended, because the directory reports the slow start only later."""
 
 
 @attrs.frozen
--- a/src/zincvale/dataplane/forwarding/servers.py
+++ b/src/zincvale/dataplane/forwarding/servers.py
@@ -95,7 +95,7 @@
         return self.row.server
 
     def has_resident(self, prompt: Prompt, now: float) -> bool:
-        """Whether the prompt can run here, by what was published and what the server stated."""
+        """Whether model and adapter are published as resident and the server has not denied it."""
         if not self.residency.has_resident(prompt):
             return False
         return all(
