--- a/src/zincvale/dataplane/policies/filters.py
+++ b/src/zincvale/dataplane/policies/filters.py
@@ -11,7 +11,8 @@
 
 HIGH_STAKE_RESERVATION_S = 30.0
 """How long capacity stays reserved for high-stakes requests after the pool's last one."""
-# The fraction of a server's concurrency limit that requests of each stake may use meanwhile.
+# Fraction of a server's concurrency limit that requests of each stake may use while capacity is
+# reserved for high-stakes requests.
 LIMIT_FRACTION_BY_STAKE = {Stake.LOW: 0.7, Stake.NORMAL: 0.9, Stake.HIGH: 1.0}
 
 
--- a/src/zincvale/dataplane/resilience/exchange_evidence.py
+++ b/src/zincvale/dataplane/resilience/exchange_evidence.py
@@ -11,7 +11,7 @@
 AMPLE_TIME_FACTOR = 3.0
 MIN_AMPLE_S = 0.5
 """A timeout counts as a failure when it came after more than AMPLE_TIME_FACTOR times the larger of
-this and the server's usual latency. Lower values eject slow but healthy servers."""
+MIN_AMPLE_S and the server's usual latency. Lower values eject slow but healthy servers."""
 
 
 class ExchangeEnd(enum.Enum):
--- a/src/zincvale/dataplane/resilience/limits.py
+++ b/src/zincvale/dataplane/resilience/limits.py
@@ -158,7 +158,7 @@
             self.rate_per_s = min(self.ceiling_per_s, self.rate_per_s + step)
 
     def on_refused(self, now: float) -> None:
-        """Lower the rate after a refusal; without a configured rate, from the measured one."""
+        """Lower the rate after a refusal; if no rate is configured, start from the measured one."""
         if now - self._decreased_at < DECREASE_INTERVAL_S:
             return
         self._decreased_at = now
--- a/src/zincvale/dataplane/resilience/outlier_detection.py
+++ b/src/zincvale/dataplane/resilience/outlier_detection.py
@@ -7,8 +7,8 @@
 import attrs
 
 CONSECUTIVE_FAILURES_TO_EJECT = 3
-"""With fewer, a lost connection would eject a server; with more, a failed server would get more
-requests."""
+"""Number of consecutive failures that eject a server. With fewer, a lost connection would eject it;
+with more, a failed server would get more requests."""
 INITIAL_EJECTION_S = 1.0
 """Duration of the first ejection; it doubles with each consecutive one."""
 MAX_EJECTION_S = 20.0
--- a/src/zincvale/dataplane/resilience/throughput.py
+++ b/src/zincvale/dataplane/resilience/throughput.py
@@ -8,12 +8,12 @@
 
 BUCKET_S = 0.25
 BUCKETS = 32
-"""Number of buckets, together a window of 8 s; a longer one follows changes of the servers more
-slowly."""
+"""Number of buckets of the sliding window, which is 8 s long. A longer window would follow changes
+of the servers more slowly."""
 MIN_BACKLOG_S = 1.0
 BACKLOG_SERVICE_TIMES = 2.0
-"""A measurement counts once there was a backlog, without interruption, for MIN_BACKLOG_S and for
-this many times the usual service time."""
+"""The measured throughput is used once requests have waited without interruption for MIN_BACKLOG_S
+and for BACKLOG_SERVICE_TIMES times the usual service time."""
 MEASURED_TOLERANCE = 1.2
 """Factor on the measured throughput; at 1 a node could never find out that its servers became
 faster."""
@@ -44,7 +44,7 @@
             self.backlogged_since = now
 
     def bounded_rate_per_s(self, rate_per_s: float, service_s: float, now: float) -> float:
-        """Return the smaller of an estimated rate and the measured one, if that counts yet."""
+        """Return the estimated rate, limited to the measured one after a long enough backlog."""
         backlogged_s = now - self.backlogged_since
         if backlogged_s < max(MIN_BACKLOG_S, service_s * BACKLOG_SERVICE_TIMES):
             return rate_per_s
