--- a/src/zincvale/dataplane/inference/backend_adapter.py
+++ b/src/zincvale/dataplane/inference/backend_adapter.py
@@ -1,7 +1,8 @@
-"""The back ends' protocol: how a request is encoded, and what a response proves.
+"""Encodes requests for back ends and determines from a response whether the request ran.
 
-Each other protocol needs a `BackendAdapter` of its own. A request may have run unless the response
-proves the opposite: only a 4xx or 503 whose body says `"ran": false` is a refusal.
+This module has the protocols of language models and lookup services; each other protocol needs a
+`BackendAdapter` of its own. A request may have run unless the response proves the opposite: only a
+4xx or 503 whose body says `"ran": false` is a refusal.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
     "not-resident": ExchangeEnd.NOT_RESIDENT,
 }
 FINAL_ERRORS = frozenset({"too-large", "malformed", "invalid"})
-"""Errors with which every server would refuse the request."""
+"""Error codes with which every server would refuse the same request, so it is not retried."""
 
 Reply = ResponseReceived | ServerRefused | ServerFailed
 StreamInput = ChunksReceived | StreamEnded | ServerFailed
@@ -55,13 +56,13 @@
         ...
 
     def read_reply(self, request: CallerRequest, status: int, body: bytes) -> Reply:
-        """Return the response, the refusal or the failure that a complete HTTP response proves."""
+        """Classify a complete HTTP response as a successful response, a refusal or a failure."""
         ...
 
 
 @attrs.frozen
 class LanguageModelAdapter:
-    """Language models: `POST /v1/generate`."""
+    """Protocol of language models: requests are sent by `POST /v1/generate`."""
 
     def build(
         self, request: CallerRequest, address: Address, prefix: tuple[str, ...]
@@ -84,13 +85,13 @@
         )
 
     def read_reply(self, request: CallerRequest, status: int, body: bytes) -> Reply:
-        """Return the response, the refusal or the failure that a complete HTTP response proves."""
+        """Classify a complete HTTP response as a successful response, a refusal or a failure."""
         return _read_reply(request, status, body, units_field="tokens")
 
 
 @attrs.frozen
 class LookupAdapter:
-    """Lookup services: `GET /v1/lookup`."""
+    """Protocol of lookup services: requests are sent by `GET /v1/lookup`."""
 
     def build(
         self, request: CallerRequest, address: Address, prefix: tuple[str, ...]
@@ -100,7 +101,7 @@
         return ClientRequest(address, f"/v1/lookup?{query}")
 
     def read_reply(self, request: CallerRequest, status: int, body: bytes) -> Reply:
-        """Return the response, the refusal or the failure that a complete HTTP response proves."""
+        """Classify a complete HTTP response as a successful response, a refusal or a failure."""
         return _read_reply(request, status, body, units_field="")
 
 
--- a/src/zincvale/dataplane/inference/capacity.py
+++ b/src/zincvale/dataplane/inference/capacity.py
@@ -13,13 +13,13 @@
 loads that share the bandwidth come on top of the transfer."""
 MIN_LOAD_S = 1.0
 DEFAULT_LOAD_S = 10.0
-"""Estimate for a model that is not declared, or whose store is not."""
+"""Estimated load time of a model when it or its store is not declared, or the store has no rate."""
 
 
 def server_rate_per_s(server: ServerState, now: float) -> float:
     """Return how many requests per second `server` is expected to take from this node.
 
-    Infinite when neither its latency nor a limit of its rate is known.
+    The rate is infinite when neither the server's latency nor a limit of its rate is known.
     """
     if server.latency_s <= 0.0:
         return server.rate.rate_per_s
@@ -30,7 +30,7 @@
 def pool_rate_per_s(pool: PoolState, inference_request: InferenceRequest, now: float) -> float:
     """Return the total rate of the servers in service that hold the request's model.
 
-    While requests wait, it is bounded by the throughput that this node measured.
+    While requests wait, the total is bounded by the throughput that this node measured.
     """
     total = 0.0
     for server in pool.servers:
--- a/src/zincvale/dataplane/inference/dependencies.py
+++ b/src/zincvale/dataplane/inference/dependencies.py
@@ -82,7 +82,7 @@
     async def renew(self, request_id: RequestId, deadline_at: float) -> bool:
         """Ask a majority of the voters to confirm this node's granted claim again.
 
-        After True, check `may_dispatch` again and send. After False, give the request up.
+        After True, check `may_dispatch` again and send. After False, do not send the request.
         """
         ...
 
@@ -112,11 +112,12 @@
     """Result of an append to the journal."""
 
     REPLICATED = "kept"
-    """A peer stores the chunks."""
+    """A peer has stored the appended chunks."""
     UNREPLICATED = "not-kept"
     """No peer confirmed in a bounded time; the stream continues without a copy of the chunks."""
     FENCED = "taken-over"
-    """Another ingress node resumed the stream; neither these nor later chunks may be delivered."""
+    """Another ingress node resumed the stream, so this node must deliver neither these chunks nor
+    later ones."""
 
 
 NEWEST_STREAM_EPOCH = 0
@@ -166,7 +167,7 @@
         ...
 
     async def resume(self, request_id: RequestId, after: int) -> JournalState | None:
-        """Return a reachable peer's copy of the stream, at least `after` chunks; None without one.
+        """Return a reachable peer's copy of the stream with at least `after` chunks, or None.
 
         This is a failover: every node that relayed the stream before is fenced.
         """
--- a/src/zincvale/dataplane/inference/dependency_calls.py
+++ b/src/zincvale/dataplane/inference/dependency_calls.py
@@ -27,7 +27,7 @@
 from zincvale.model.outcomes import Outcome
 
 MARK_TIMEOUT_S = 1.0
-"""Limit for telling the claim voters that a request without a claim may have run."""
+"""Timeout of the claim that tells the voters that a request sent without a claim may have run."""
 
 
 @attrs.define(eq=False)
--- a/src/zincvale/dataplane/inference/events.py
+++ b/src/zincvale/dataplane/inference/events.py
@@ -38,42 +38,42 @@
 
 @attrs.frozen
 class ClaimDecided:
-    """Response to `Claim`."""
+    """Result of `Claim`."""
 
     decision: ClaimDecision
 
 
 @attrs.frozen
 class ClaimRenewed:
-    """Response to `RenewClaim`; if not `renewed`, another attempt may hold the claim by now."""
+    """Result of `RenewClaim`; if not `renewed`, another attempt may hold the claim by now."""
 
     renewed: bool
 
 
 @attrs.frozen
 class StreamFound:
-    """Response to `LookUpStream`; `state` is None when no reachable peer holds the stream."""
+    """Result of `LookUpStream`; `state` is None when no reachable peer holds the stream."""
 
     state: JournalState | None
 
 
 @attrs.frozen
 class ServerChosen:
-    """Response to `ChooseServer`: the server's slot is reserved for this request."""
+    """Result of `ChooseServer`: the server's slot is reserved for this request."""
 
     server: ServerId
 
 
 @attrs.frozen
 class NoServer:
-    """Response to `ChooseServer`: no server is available in time; `refusal` says why."""
+    """Result of `ChooseServer`: no server is available in time; `refusal` says why."""
 
     refusal: Refusal
 
 
 @attrs.frozen
 class DispatchForbidden:
-    """Response to `Dispatch`: nothing was sent, because the claim has to be renewed first."""
+    """Result of `Dispatch`: nothing was sent, because the claim has to be renewed first."""
 
 
 @attrs.frozen
--- a/src/zincvale/dataplane/inference/load_shedding.py
+++ b/src/zincvale/dataplane/inference/load_shedding.py
@@ -20,7 +20,8 @@
 from zincvale.model.outcomes import RefusalReason
 
 NO_SERVER_MAX_WAIT_S = 3.0
-"""How long a request waits for a pool without any server in service. A restart takes 1 to 2 s."""
+"""How long a request waits for a pool without any server in service. A server restarts in 1 to 2 s,
+and the request can then be served."""
 LOAD_MAX_WAIT_FACTOR = 2.0
 MIN_LOAD_MAX_WAIT_S = 5.0
 """A request waits for a load for LOAD_MAX_WAIT_FACTOR times its estimate, and at least for
@@ -30,19 +31,19 @@
 """How much longer a request may wait, each time its wait is over, while a server reports that it
 loads the model."""
 MAX_PENDING_PER_MODEL = 64
-"""Requests that may wait for a load of the same model or adapter."""
+"""Limit of the requests that wait for a load of the same model or adapter."""
 QUEUED_ESTIMATE_TOLERANCE = 1.5
 """A queued request is rejected when its estimated wait exceeds this multiple of the time left.
 At 1, an estimate that is slightly too long would reject it."""
 SERVICE_TIME_WEIGHT = 0.1
-"""Weight of the newest sample in a route's usual service time."""
+"""Weight of the newest sample in the moving average of a route's service time."""
 MIN_SERVICE_TIME_FRACTION = 0.5
 """A request is not sent when less than this fraction of its route's usual service time is left."""
 
 
 @attrs.define
 class LoadShedder:
-    """Pure rules over the tables and a moving average of each route's service time."""
+    """Decides from the tables and average service times whether requests are queued or rejected."""
 
     routing_state: RoutingState
     demand: DemandTable
--- a/src/zincvale/dataplane/inference/request_state.py
+++ b/src/zincvale/dataplane/inference/request_state.py
@@ -29,9 +29,10 @@
 PROOF_TIMEOUT_S = 0.5
 """How long a refusal waits for the claim voters to prove that no earlier attempt ran."""
 MAX_ATTEMPTS = 8
-"""Dispatches of one request; with more, a few requests that always fail would load all servers."""
+"""Limit on the dispatches of one request. With a higher limit, a few requests that always fail
+would load all servers."""
 MAX_ATTEMPTS_HIGH_PRIORITY = 24
-"""Dispatches of one request on a high-stake route, or of one whose stream has begun."""
+"""Limit on the dispatches of a request on a high-stake route, or of one whose stream has begun."""
 
 
 class Phase(enum.Enum):
--- a/src/zincvale/dataplane/inference/routing_state.py
+++ b/src/zincvale/dataplane/inference/routing_state.py
@@ -41,7 +41,8 @@
 """A new server's concurrency limit starts at INITIAL_LIMIT_SHARE_FACTOR times this node's even
 share, but not below MIN_INITIAL_LIMIT."""
 UNKNOWN_READY_SINCE = -math.inf
-"""No slow start: the server was ready when this node first saw it, or has warmed up since."""
+"""Value of `ready_since` of a server that is not in slow start, because it was ready when this node
+first saw it or has warmed up since."""
 
 
 @attrs.frozen
@@ -255,7 +256,7 @@
         return NodeShare(rank, len(others) + 1)
 
     def _initial_limit(self, ceiling: float) -> float:
-        """Return the first concurrency limit of a new server: this node's even share, raised."""
+        """Return a new server's initial limit, a bounded multiple of this node's even share."""
         share = ceiling / self.node_count * INITIAL_LIMIT_SHARE_FACTOR
         return min(ceiling, max(MIN_INITIAL_LIMIT, share))
 
--- a/src/zincvale/dataplane/machine_driver.py
+++ b/src/zincvale/dataplane/machine_driver.py
@@ -74,8 +74,8 @@
     ) -> Any:
         """Feed the input that `input_of` makes for a new token, and wait for the token's result.
 
-        When the wait is cancelled, `on_cancelled` receives the token and the result, None without
-        one: what the machine has granted, or will grant, must be given back.
+        When the wait is cancelled, `on_cancelled` receives the token and the result (None without
+        one), because what the machine has granted, or will grant, must be given back.
         """
         token = self._next_token("local")
         future: asyncio.Future[Any] = asyncio.Future()
--- a/tests/dataplane/inference/test_backend_adapter.py
+++ b/tests/dataplane/inference/test_backend_adapter.py
@@ -1,4 +1,7 @@
-"""What a back end's response proves, and the parsing of callers' requests."""
+"""Encoding of requests to back ends, their responses, and the parsing of callers' requests.
+
+After a complete response, a request counts as one that did not run only if the response says so.
+"""
 
 from __future__ import annotations
 
--- a/tests/dataplane/inference/test_caller_connection.py
+++ b/tests/dataplane/inference/test_caller_connection.py
@@ -138,7 +138,7 @@
         self.assertEqual(400, connection.head[0])
         self.assertEqual("refused", connection.head[1]["Zincvale-Outcome"])
 
-    def test_an_exception_at_the_start_of_a_request_is_answered_as_unknown(self):
+    def test_a_request_whose_start_raises_an_exception_ends_as_unknown(self):
         async def scenario(harness, connection):
             harness.node.context.spans = None
             self.send(harness, connection, "/v1/sum")
--- a/tests/dataplane/inference/test_node.py
+++ b/tests/dataplane/inference/test_node.py
@@ -93,7 +93,7 @@
             """,  # noqa: E501
         )
 
-    def test_an_at_most_once_request_is_claimed_recorded_and_then_answered(self):
+    def test_an_at_most_once_request_is_claimed_and_recorded_before_its_response(self):
         async def scenario(harness):
             harness.post("/v1/quote", X_Request_Id="q1")
             await harness.run_pending_tasks()
--- a/tests/dataplane/inference/test_scheduler.py
+++ b/tests/dataplane/inference/test_scheduler.py
@@ -216,7 +216,7 @@
         )
         self.assertIs(Blocked.NOT_RESIDENT, queued.blocked)
 
-    def test_a_server_that_closes_a_model_gets_no_new_requests_for_it(self):
+    def test_a_server_at_which_a_model_drains_gets_no_new_requests_for_it(self):
         scheduler = make_scheduler(server_row("s1", closing=frozenset({"m"})), server_row("s2"))
         chosen = {
             scheduler.place(request(f"q{n}"), route(), n, 1.0)[0].server.server for n in range(9)
