--- a/src/zincvale/dataplane/inference/caller_connection.py
+++ b/src/zincvale/dataplane/inference/caller_connection.py
@@ -25,7 +25,7 @@
 from zincvale.dataplane.inference import responses
 from zincvale.dataplane.inference.ingress import RequestIngress
 from zincvale.dataplane.inference.runner import RequestRunner
-from zincvale.dataplane.inference.stream_relay import CallerLostError
+from zincvale.dataplane.inference.stream_relay import CallerDisconnectedError
 from zincvale.model.errors import MalformedBodyError
 from zincvale.model.identifiers import RequestId
 from zincvale.model.outcomes import REQUEST_ID_HEADER
@@ -83,7 +83,7 @@
 
     def _on_caller_disconnected(self) -> None:
         if self._runner is not None:
-            self._runner.on_caller_lost()
+            self._runner.on_caller_disconnected()
 
     def _refuse_method(self, sink: ConnectionSink) -> None:
         error = MalformedBodyError(f"{self._method} requests are not supported", "send a POST")
@@ -132,14 +132,14 @@
             else:
                 await self.connection.write_headers(_start_line(http.client.OK), head, data)
         except StreamClosedError:
-            raise CallerLostError from None
+            raise CallerDisconnectedError from None
 
     async def end(self) -> None:
         """Close the response as complete."""
         try:
             self.connection.finish()
         except StreamClosedError:
-            raise CallerLostError from None
+            raise CallerDisconnectedError from None
 
     def cut(self) -> None:
         """Close the connection without the final HTTP chunk."""
--- a/src/zincvale/dataplane/inference/caller_side.py
+++ b/src/zincvale/dataplane/inference/caller_side.py
@@ -23,7 +23,7 @@
     Attributes
     ----------
     is_response_complete : a complete response was sent, or the caller has disconnected.
-    on_backpressure, on_caller_lost, on_fenced : see `StreamRelay`.
+    on_backpressure, on_caller_disconnected, on_fenced : see `StreamRelay`.
     """
 
     context: NodeContext
@@ -31,7 +31,7 @@
     trace: RequestTrace
     sink: CallerSink
     on_backpressure: Callable[[bool], None]
-    on_caller_lost: Callable[[], None]
+    on_caller_disconnected: Callable[[], None]
     on_fenced: Callable[[], None]
     is_response_complete: bool = False
     is_request_finished: bool = False
@@ -65,7 +65,7 @@
             self.sink,
             self.context.journal,
             self.on_backpressure,
-            self.on_caller_lost,
+            self.on_caller_disconnected,
             self.on_fenced,
         )
         loop = asyncio.get_running_loop()
@@ -98,7 +98,7 @@
         """
         self.is_request_finished = True
         if self._relay is None:
-            self.on_backpressure = self.on_caller_lost = self.on_fenced = _ignore
+            self.on_backpressure = self.on_caller_disconnected = self.on_fenced = _ignore
 
     def abandon(self) -> None:
         """Stop sending: the caller has disconnected."""
--- a/src/zincvale/dataplane/inference/runner.py
+++ b/src/zincvale/dataplane/inference/runner.py
@@ -91,7 +91,7 @@
             trace,
             sink,
             self._server_side.set_backpressure,
-            self.on_caller_lost,
+            self.on_caller_disconnected,
             self._on_fenced,
         )
         self._inputs: deque[Input] = deque()
@@ -112,7 +112,7 @@
         """Start the deadline timer."""
         self._start_timer(max(0.0, seconds), self._on_deadline)
 
-    def on_caller_lost(self) -> None:
+    def on_caller_disconnected(self) -> None:
         """Stop sending and tell the machine that the caller closed its connection."""
         self._caller_side.abandon()
         self.feed(CallerDisconnected(self._server_side.sent))
--- a/src/zincvale/dataplane/inference/stream_relay.py
+++ b/src/zincvale/dataplane/inference/stream_relay.py
@@ -19,7 +19,7 @@
 would pause and resume it often."""
 
 
-class CallerLostError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller's connection is closed."""
 
 
@@ -35,11 +35,11 @@
         ...
 
     async def write(self, data: bytes) -> None:
-        """Write and wait until the connection accepts more data; raises `CallerLostError`."""
+        """Write, then wait until more data is accepted; raises `CallerDisconnectedError`."""
         ...
 
     async def end(self) -> None:
-        """Close the response as complete; raises `CallerLostError`."""
+        """Close the response as complete; raises `CallerDisconnectedError`."""
         ...
 
     def cut(self) -> None:
@@ -61,7 +61,7 @@
     Attributes
     ----------
     on_backpressure : called with True when the server should pause, with False when it may resume.
-    on_caller_lost : called when the caller disconnected; the relay has stopped.
+    on_caller_disconnected : called when the caller disconnected; the relay has stopped.
     on_fenced : called when another node resumed the stream; the relay has stopped.
     last_event_number : number of the last event written to the caller.
     """
@@ -72,7 +72,7 @@
     sink: CallerSink
     journal: StreamJournal
     on_backpressure: Callable[[bool], None]
-    on_caller_lost: Callable[[], None]
+    on_caller_disconnected: Callable[[], None]
     on_fenced: Callable[[], None]
     is_backpressured: bool = False
     last_event_number: int = 0
@@ -118,10 +118,10 @@
         """Relay until the stream ends, breaks or is fenced, or the caller disconnects."""
         try:
             await self._relay()
-        except CallerLostError:
+        except CallerDisconnectedError:
             self._stopped = True
             self.journal.forget(self.request_id)
-            self.on_caller_lost()
+            self.on_caller_disconnected()
 
     async def _relay(self) -> None:
         while not self._stopped:
--- a/src/zincvale/simulator/what_if/attempt.py
+++ b/src/zincvale/simulator/what_if/attempt.py
@@ -190,7 +190,7 @@
         node_request = self._node_request
         if node_request is not None:
             hop_s = self._context.timings.caller_hop_s
-            self._context.clock.call_later(hop_s, node_request.on_caller_lost)
+            self._context.clock.call_later(hop_s, node_request.on_caller_disconnected)
 
     def _arm_idle_timer(self, seconds: float) -> None:
         if self._idle_timer is not None:
--- a/src/zincvale/simulator/what_if/request.py
+++ b/src/zincvale/simulator/what_if/request.py
@@ -179,7 +179,7 @@
         else:
             self.stats.queue_wait_s += waited_s
 
-    def on_caller_lost(self) -> None:
+    def on_caller_disconnected(self) -> None:
         """Handle that the caller closed its connection."""
         self._caller = None
         if self.machine.is_stream_open:
--- a/tests/dataplane/inference/node_harness.py
+++ b/tests/dataplane/inference/node_harness.py
@@ -10,7 +10,7 @@
 from tests.dataplane.inference.builders import intent
 from zincvale.dataplane.inference.dependencies import ClaimGranted, JournalAppend
 from zincvale.dataplane.inference.node_service import NodeService
-from zincvale.dataplane.inference.stream_relay import CallerLostError
+from zincvale.dataplane.inference.stream_relay import CallerDisconnectedError
 from zincvale.model.control_tables import Directory
 from zincvale.model.identifiers import PoolName, RouteName
 from zincvale.model.resources import PoolKind, PoolSpec, RouteSpec
@@ -210,7 +210,7 @@
         if self.write_gate is not None:
             await self.write_gate
         if self.is_disconnected:
-            raise CallerLostError
+            raise CallerDisconnectedError
         for event in data.decode().strip().split("\n\n"):
             self.record_line(event.replace("\n", " | "))
 
--- a/tests/dataplane/inference/test_node.py
+++ b/tests/dataplane/inference/test_node.py
@@ -214,7 +214,7 @@
         async def scenario(harness):
             caller = harness.post("/v1/sum", X_Request_Id="q1")
             harness.exchanges[0].connect()
-            caller.runner.on_caller_lost()
+            caller.runner.on_caller_disconnected()
             await harness.run_pending_tasks()
             self.assertEqual("claim q1: ClaimGranted", harness.transcript[-2])
             self.assertIn("record q1: unknown 504", harness.transcript[-1])
@@ -476,7 +476,7 @@
             first.receive_events(chunk_event(1, "a"))
             await harness.run_pending_tasks()
             caller.is_disconnected = True
-            caller.runner.on_caller_lost()
+            caller.runner.on_caller_disconnected()
             first.receive_events(chunk_event(2, "b") + END_EVENT)
             await harness.run_pending_tasks()
             self.assertIn("record q1: answered 200", harness.transcript[-1])
@@ -490,7 +490,7 @@
             harness.exchanges[0].start_stream()
             harness.exchanges[0].receive_events(chunk_event(1, "a"))
             await harness.run_pending_tasks()
-            caller.runner.on_caller_lost()
+            caller.runner.on_caller_disconnected()
             self.assertEqual("s1:1 closed by the node", harness.transcript[-1])
 
         self.run_scenario(scenario)
