--- a/src/zincvale/controlplane/placement/desired_replicas.py
+++ b/src/zincvale/controlplane/placement/desired_replicas.py
@@ -81,7 +81,7 @@
 ) -> int:
     waiting = _waiting_for_replica(placement, item, ready)
     # The number of requests that wait for the first replica is no estimate of how many will run
-    # at once when it serves.
+    # at once when that replica is ready.
     requests = item.running + (waiting if ready else 0)
     _update_concurrency(placement, item, requests, now)
     slots = _slots_per_replica(placement, item)
--- a/src/zincvale/controlplane/placement/move_completion.py
+++ b/src/zincvale/controlplane/placement/move_completion.py
@@ -188,7 +188,7 @@
     server.planned_free_bytes -= move.reservation.memory_bytes
     server.planned_free_adapters -= move.item_kind is ItemKind.ADAPTER
     if move.in_flight and move.responded_at is None:
-        # The order may still arrive, and must not undo a later load of the same item.
+        # The order to unload may still arrive, and must not undo a later load of the same item.
         server.load_blocked_until[key] = move.start_at + placement.config.order_lifetime_s
     replica = server.replicas.get(key)
     if replica is None:
