--- a/src/zincvale/dataplane/inference/request_state.py
+++ b/src/zincvale/dataplane/inference/request_state.py
@@ -116,7 +116,7 @@
         if self.route.at_most_once or not self.request.caller_named_it:
             return []
         if not self.may_have_run or self.chunks or self.request.resume_after:
-            # Either it did not run, or a resend proves by its Last-Event-ID that it did.
+            # Either the request did not run, or a resend proves by its Last-Event-ID that it ran.
             return []
         return [MarkMayHaveRun()]
 
