--- a/src/zincvale/simulator/placement/baselines.py
+++ b/src/zincvale/simulator/placement/baselines.py
@@ -40,7 +40,7 @@
 
 
 def _item_with_adapters(fleet: Fleet, server: EmulatedServer, name: str) -> list[str]:
-    """Return an item and its adapters on the server, in the order of unloading."""
+    """Return an item's adapters on the server and then the item, as they have to be unloaded."""
     adapters = [other for other in server.replicas if fleet.items[other].base == name]
     return [*adapters, name]
 
--- a/src/zincvale/simulator/placement/emulator.py
+++ b/src/zincvale/simulator/placement/emulator.py
@@ -28,7 +28,7 @@
 )
 
 STEP_S = 0.1
-"""Step of virtual time. Another step changes every outcome: such runs can't be compared."""
+"""Step of virtual time. Runs with different steps have different outcomes and can't be compared."""
 MAX_REQUEST_WAIT_S = 30.0
 """Longest wait of a request; after it the request is dropped and counted as expired."""
 
--- a/src/zincvale/simulator/what_if/attempt.py
+++ b/src/zincvale/simulator/what_if/attempt.py
@@ -80,7 +80,7 @@
         self._arm_idle_timer(caller.first_byte_timeout_s)
         self._context.clock.call_later(self._context.timings.caller_hop_s, self._arrive)
 
-    # Calls of the node at the time of sending, without the delay to the caller.
+    # Calls of the node at the time of sending, before the delay to the caller.
 
     def on_response(self, response: SendResponse) -> None:
         """Handle a complete response."""
@@ -96,7 +96,7 @@
         self._deliver_later(delay_s, lambda: self._finish(answered_result))
 
     def on_break(self, resumable: bool) -> None:
-        """Handle a stream that ended early with the mark of a broken stream."""
+        """Handle a stream that the node ended early and marked as broken."""
         broken_result = AttemptResult(AttemptOutcome.INTERRUPTED, resumable=resumable)
         self._deliver_later(0.0, lambda: self._finish(broken_result))
 
--- a/src/zincvale/simulator/what_if/claims.py
+++ b/src/zincvale/simulator/what_if/claims.py
@@ -1,4 +1,4 @@
-"""Claims and stream journal of all nodes as one table, which decides as without failures.
+"""Claims and stream journal of all nodes as one table, which decides as if no node failed.
 
 The protocol between the voters is not modelled here but in the explorer. Modelled are its delay and
 its decisions: one attempt runs; a resend gets the recorded outcome or waits for it.
--- a/src/zincvale/simulator/what_if/comparison.py
+++ b/src/zincvale/simulator/what_if/comparison.py
@@ -18,7 +18,7 @@
 PARALLEL_MIN_SECONDS = 600.0
 """Shortest load, in seconds, for which starting a second process is worthwhile."""
 GC_THRESHOLD_OBJECTS = 200_000
-"""Allocations, less deallocations, between two collections of the youngest generation."""
+"""Allocations minus deallocations after which the garbage collector runs."""
 
 
 @attrs.frozen
@@ -51,7 +51,7 @@
 def run_scenario(scenario: WhatIfScenario) -> RunResult:
     """Run a scenario once; equal scenarios give equal figures, except for the times measured."""
     thresholds = gc.get_threshold()
-    # Few of the simulation's objects are in reference cycles, so that rare collections do.
+    # Few of the simulation's objects are in reference cycles, so that rare collections suffice.
     gc.set_threshold(GC_THRESHOLD_OBJECTS, *thresholds[1:])
     try:
         fleet = VirtualFleet(scenario)
--- a/src/zincvale/simulator/what_if/control_machine.py
+++ b/src/zincvale/simulator/what_if/control_machine.py
@@ -105,7 +105,7 @@
         self._renew_at = 0.0
         self._decoder = DirectoryDecoder()
         self._active_unloads: dict[MoveId, Move] = {}
-        """Unfinished unloads among the published moves."""
+        """Unfinished unloads among the published moves; their replicas are marked as draining."""
         self._order_labels: dict[str, str] = {}
 
     def start(self) -> None:
--- a/src/zincvale/simulator/what_if/exchange.py
+++ b/src/zincvale/simulator/what_if/exchange.py
@@ -109,7 +109,7 @@
             self, key, self._prefix_tokens, self._request.hang_up_after_chunks
         )
 
-    # Calls of the server, without the delay to the node.
+    # Calls of the server at the time of sending, before the delay to the node.
 
     def on_refused(self, end: ExchangeEnd, missing: tuple[str, ...], is_final: bool) -> None:
         """Handle a refusal: nothing ran."""
--- a/src/zincvale/simulator/what_if/figures.py
+++ b/src/zincvale/simulator/what_if/figures.py
@@ -18,7 +18,7 @@
 SHORTEST_INTERVAL_S = 1.0
 """Shortest interval of the series of a run."""
 MAX_INTERVALS = 96
-"""Largest number of intervals; those of a long load are lengthened."""
+"""Largest number of intervals in the series of a run; longer loads have longer intervals."""
 UNFINISHED = "unfinished"
 """Outcome of requests that were still open at the end of the run."""
 
@@ -84,7 +84,7 @@
     total_s: Sample = attrs.field(factory=_sample)
 
     def add(self, row: RequestRow) -> None:
-        """Add a request that is over."""
+        """Add a completed request."""
         self.attempts += row.attempts
         self.outcomes[row.outcome] += 1
         self.waited_for_load += row.waited_for_load
@@ -130,7 +130,7 @@
     first_s: Sample = attrs.field(factory=_sample)
 
     def add(self, row: RequestRow) -> None:
-        """Add a request that is over."""
+        """Add a completed request."""
         self.answered += row.outcome == ANSWERED
         self.refused_attempts += row.refusals
         self.waited_for_load += row.waited_for_load
@@ -165,7 +165,7 @@
             route.refusal_reasons[result.reason] += 1
 
     def add_completed(self, row: RequestRow) -> None:
-        """Add a request that is over."""
+        """Add a completed request."""
         self.routes[row.route].add(row)
         self._interval(row).add(row)
 
@@ -252,7 +252,7 @@
 
 
 def percentiles(sample: Sample) -> dict[str, float]:
-    """Return percentiles in milliseconds of a sample in seconds; none for an empty one."""
+    """Return percentiles in milliseconds of a sample in seconds; {} for an empty one."""
     if not sample:
         return {}
     values = numpy.percentile(sample, PERCENTILES) * MILLISECONDS_PER_S
--- a/src/zincvale/simulator/what_if/intent.py
+++ b/src/zincvale/simulator/what_if/intent.py
@@ -37,7 +37,10 @@
         return self._decoder.intent
 
     def apply(self, resources: list[dict[str, Any]], mode: str = MERGE) -> Intent:
-        """Check and apply a change as a core does; an invalid one raises a `ZincvaleError`."""
+        """Check and apply a change as a core does.
+
+        An invalid one raises a `ZincvaleError` and changes nothing.
+        """
         changed_rows = self.check(resources, mode)
         for row, content in changed_rows.items():
             if content is None:
--- a/src/zincvale/simulator/what_if/lookup.py
+++ b/src/zincvale/simulator/what_if/lookup.py
@@ -75,7 +75,7 @@
             listener.on_broken(0, True)
 
     def start(self) -> None:
-        """Start the process again."""
+        """Start the process again, with an unused rate limit."""
         VirtualServer.start(self)
         self.limiter = LookupLimiter(self.profile, self.clock.now)
 
--- a/src/zincvale/simulator/what_if/request.py
+++ b/src/zincvale/simulator/what_if/request.py
@@ -57,7 +57,7 @@
 
 
 class CallerSide(Protocol):
-    """The caller's side of one attempt; called at the time of sending, without the delay to it."""
+    """The caller's side of one attempt; called at the time of sending, before the delay."""
 
     hang_up_after_chunks: int
 
@@ -71,7 +71,7 @@
         """Handle the explicit end of a stream."""
 
     def on_break(self, resumable: bool) -> None:
-        """Handle a stream that ends early with the mark of a broken stream."""
+        """Handle a stream that the node ends early and marks as broken."""
 
     def on_stalled(self) -> None:
         """Handle that no chunk follows until the stream continues at another server."""
--- a/src/zincvale/simulator/what_if/servers.py
+++ b/src/zincvale/simulator/what_if/servers.py
@@ -41,7 +41,7 @@
 
 
 class ExchangeListener(Protocol):
-    """The node's side of one request at a server; called without the delay to the node."""
+    """The node's side of one request at a server; called when the server sends, without delay."""
 
     def on_refused(self, end: ExchangeEnd, missing: tuple[str, ...], is_final: bool) -> None:
         """Handle a refusal: nothing ran.
--- a/src/zincvale/simulator/what_if/stores.py
+++ b/src/zincvale/simulator/what_if/stores.py
@@ -8,7 +8,7 @@
 from zincvale.standins.weight_store.bandwidth import LONGEST_ADVANCE_S, Pull, SharedBandwidth
 
 ROUNDING_BYTES = 1.0
-"""A pull with less than this left to send is complete."""
+"""A pull with fewer bytes than this left to send is complete."""
 
 
 class VirtualStore:
