--- a/src/zincvale/standins/load/callers.py
+++ b/src/zincvale/standins/load/callers.py
@@ -1,4 +1,4 @@
-"""Drives the callers: sends each request when it is due, whatever became of earlier ones."""
+"""Runs the callers: sends each request when it is due, whether or not earlier ones have ended."""
 
 from __future__ import annotations
 
@@ -31,21 +31,22 @@
 NODE_LIST_INTERVAL_S = 0.5
 PLATFORM_TIMEOUT_S = 1.0
 DRAIN_TIMEOUT_S = 60.0
-"""After the last arrival; requests that are still open then count as `unfinished`."""
+"""Time after the last arrival in which open requests may still end; later ones count as
+`unfinished` in the summary."""
 RESPONSE_DISCARDED_ERROR = "whole, but lost on its last metres"
 
 
 class Client(Protocol):
-    """How requests reach nodes; `CallerClient` is the real one."""
+    """Sends requests to nodes; `CallerClient` implements it over HTTP."""
 
     async def attempt(
         self, plan: Plan, request_id: str, address: str, check: ResponseCheck, deadline_at: float
     ) -> Attempt:
-        """Send a request once."""
+        """Send a request once to the node at `address`, and return what happened."""
         ...
 
     async def get_json(self, address: str, path: str, timeout_s: float) -> Any:
-        """Return the JSON at a path."""
+        """Return the JSON document at a path of an address."""
         ...
 
 
@@ -54,13 +55,13 @@
 
     Parameters
     ----------
-    settings : run length, seed, share of the requests.
-    spec : the load.
-    planner : makes requests.
-    client : sends them.
-    journal : what was sent and received.
+    settings : run length, seed and share of the arrivals.
+    spec : the load to generate.
+    planner : creates the requests.
+    client : sends the requests.
+    journal : records what was sent and received.
     clock : seconds on `CLOCK_BOOTTIME`.
-    sleep : waits so many seconds.
+    sleep : waits for the given number of seconds.
     """
 
     def __init__(
@@ -79,15 +80,15 @@
         self._planner = planner
         self._client = client
         self._journal = journal
-        self._rows = CallerJournal(journal, clock)
+        self._caller_journal = CallerJournal(journal, clock)
         self._clock = clock
         self.nodes = NodePicker(random.Random(f"{settings.seed}/nodes"))
         self._tasks: set[asyncio.Task[None]] = set()
         self.summary = Summary()
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Send everything that is due until the run is over or `stop` is set."""
-        node_list_task = asyncio.ensure_future(self._follow_node_list())
+        """Send every request when it is due; return at the end of the run or once `stop` is set."""
+        node_list_task = asyncio.ensure_future(self._poll_node_list())
         try:
             await self._send_all(stop)
             await self._drain(stop)
@@ -107,29 +108,29 @@
             await _sleep_until_stopped(stop, started_at + arrival.at_s - self._clock())
             if stop.is_set():
                 return
-            self._spawn(arrival)
+            self._start_conversation(arrival)
         self._journal.write("load-end", seed=settings.seed)
 
     async def _drain(self, stop: asyncio.Event) -> None:
         if not self._tasks or stop.is_set():
             return
-        stopped = asyncio.ensure_future(stop.wait())
-        finished = asyncio.ensure_future(asyncio.wait(self._tasks))
+        stop_task = asyncio.ensure_future(stop.wait())
+        drain_task = asyncio.ensure_future(asyncio.wait(self._tasks))
         await asyncio.wait(
-            [stopped, finished], timeout=DRAIN_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
+            [stop_task, drain_task], timeout=DRAIN_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
         )
-        stopped.cancel()
-        finished.cancel()
+        stop_task.cancel()
+        drain_task.cancel()
 
-    def _spawn(self, arrival: Arrival) -> None:
-        self._own_task(asyncio.ensure_future(self.run_conversation(arrival)))
+    def _start_conversation(self, arrival: Arrival) -> None:
+        self._track_task(asyncio.ensure_future(self.run_conversation(arrival)))
 
-    def _own_task(self, task: asyncio.Task[None]) -> None:
+    def _track_task(self, task: asyncio.Task[None]) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def run_conversation(self, arrival: Arrival) -> None:
-        """Send the requests of one arrival, each after the full response to the one before."""
+        """Send the requests of one arrival, each after the complete response to the last one."""
         conversation = self._planner.conversation(arrival)
         history = ""
         for turn in range(len(conversation.prompts)):
@@ -158,9 +159,11 @@
             attempt = await self._attempt(progress)
             self._discard_response(progress, attempt)
             step = progress.retry.after(attempt.result, progress.check.chunks > 0, self._clock())
-            # A caller that hung up cannot know how the response would have ended: not final.
-            hung_up = attempt.result.outcome is AttemptOutcome.HUNG_UP
-            self._record_attempt(progress, attempt, not hung_up and isinstance(step, RequestDone))
+            # A result after a hang-up is not final: the end of the response is unknown.
+            has_hung_up = attempt.result.outcome is AttemptOutcome.HUNG_UP
+            self._record_attempt(
+                progress, attempt, not has_hung_up and isinstance(step, RequestDone)
+            )
             if not isinstance(step, Resend):
                 return self._finish_request(progress, attempt)
             if step.new_id:
@@ -176,9 +179,9 @@
             attempt.result = AttemptResult(AttemptOutcome.NO_NODE)
             return attempt
         progress.last_node, address = picked
-        self._rows.sent(progress)
+        self._caller_journal.write_sent(progress)
         if progress.plan.is_duplicated and progress.attempts == 1:
-            self._own_task(asyncio.ensure_future(self._duplicate(progress)))
+            self._track_task(asyncio.ensure_future(self._duplicate(progress)))
         attempt = await self._client.attempt(
             progress.plan, progress.request_id, address, progress.check, progress.deadline_at
         )
@@ -187,16 +190,20 @@
         return attempt
 
     async def _duplicate(self, first: RequestProgress) -> None:
-        """Send a request that is under way to another node too, and journal its result."""
-        twin = attrs.evolve(first, check=ResponseCheck(first.plan.expected), attempts=0)
-        twin.plan = attrs.evolve(first.plan, is_duplicated=False)
-        attempt = await self._attempt(twin)
-        self._record_attempt(twin, attempt, final=False)
+        """Send a duplicate of a request in progress to another node, and journal its result."""
+        duplicate = attrs.evolve(first, check=ResponseCheck(first.plan.expected), attempts=0)
+        duplicate.plan = attrs.evolve(first.plan, is_duplicated=False)
+        attempt = await self._attempt(duplicate)
+        self._record_attempt(duplicate, attempt, final=False)
 
     def _discard_response(self, progress: RequestProgress, attempt: Attempt) -> None:
-        """Discard a full response once, where the plan says so: the caller then retries."""
-        answered = attempt.result.outcome is AttemptOutcome.ANSWERED
-        if not answered or progress.has_discarded_response or not progress.plan.discards_response:
+        """Treat the first complete response as lost, if the plan says so, to provoke a retry."""
+        is_answered = attempt.result.outcome is AttemptOutcome.ANSWERED
+        if (
+            not is_answered
+            or progress.has_discarded_response
+            or not progress.plan.discards_response
+        ):
             return
         progress.has_discarded_response = True
         attempt.result = AttemptResult(AttemptOutcome.LOST)
@@ -204,10 +211,10 @@
 
     def _record_attempt(self, progress: RequestProgress, attempt: Attempt, final: bool) -> None:
         self.summary.caller(progress.plan.caller.name).record_attempt(attempt)
-        self._rows.received(progress, attempt, final)
+        self._caller_journal.write_result(progress, attempt, final)
 
     def _finish_request(self, progress: RequestProgress, attempt: Attempt) -> ResponseCheck | None:
-        answered = attempt.result.outcome is AttemptOutcome.ANSWERED
+        is_answered = attempt.result.outcome is AttemptOutcome.ANSWERED
         first_s = None
         if progress.first_at is not None:
             first_s = progress.first_at - progress.started_at
@@ -218,9 +225,9 @@
             first_s,
             self._clock() - progress.started_at,
         )
-        return progress.check if answered else None
+        return progress.check if is_answered else None
 
-    async def _follow_node_list(self) -> None:
+    async def _poll_node_list(self) -> None:
         while True:
             try:
                 response: Any = await self._client.get_json(
@@ -228,7 +235,7 @@
                 )
                 self.nodes.replace([(row["node"], row["address"]) for row in response["nodes"]])
             except (HTTPClientError, OSError, KeyError, ValueError):
-                # The platform does not respond: callers go on with the nodes they know.
+                # The platform does not respond: callers continue with the last list of nodes.
                 pass
             await self._sleep(NODE_LIST_INTERVAL_S)
 
@@ -237,6 +244,6 @@
     if seconds <= 0:
         await asyncio.sleep(0)
         return
-    waiting = asyncio.ensure_future(stop.wait())
-    await asyncio.wait([waiting], timeout=seconds)
-    waiting.cancel()
+    stop_task = asyncio.ensure_future(stop.wait())
+    await asyncio.wait([stop_task], timeout=seconds)
+    stop_task.cancel()
--- a/src/zincvale/standins/load/event_stream.py
+++ b/src/zincvale/standins/load/event_stream.py
@@ -1,6 +1,7 @@
-"""Reading of server-sent events from arbitrary chunks. Pure.
+"""Parses server-sent events from chunks that may be split anywhere. Performs no I/O.
 
-Kept apart from the data plane's reader on purpose: callers check what that one relays.
+Deliberately independent of the parser in the data plane, because callers check what the latter
+relays.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 @attrs.frozen
 class StreamEvent:
-    """One event; `event_id` is empty when the server gave none."""
+    """One event; `event_id` is empty if the server sent none."""
 
     event: str
     event_id: str
@@ -21,14 +22,14 @@
 
 
 class EventStreamReader:
-    """Collects chunks and returns complete events; what is left at the end was truncated."""
+    """Buffers chunks and returns complete events; an incomplete event at the end is dropped."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
-        """Return the events that `chunk` completes."""
-        # A chunk may end between the two bytes of a line end: the pair is replaced in the buffer.
+        """Add `chunk` to the buffer and return the events that are now complete."""
+        # CRLF is replaced in the buffer, not in the chunk, which may end between the two bytes.
         self._buffer = (self._buffer + chunk).replace(b"\r\n", b"\n")
         events: list[StreamEvent] = []
         while True:
--- a/src/zincvale/standins/load/http_client.py
+++ b/src/zincvale/standins/load/http_client.py
@@ -1,4 +1,4 @@
-"""One attempt of a caller at one node, over HTTP."""
+"""Client that sends a request of a caller to one node over HTTP, once."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 CONNECT_TIMEOUT_S = 1.0
 MAX_CONCURRENT_EXCHANGES = 4096
 CURL_COULD_NOT_CONNECT = 7
-SPEED_CHECK_NEVER_S = 3600
-"""Longer than any request: the speed check must never end one by itself."""
+SPEED_CHECK_WINDOW_S = 3600
+"""Window of the speed check of curl; longer than any request, so that the check aborts none."""
 OK_STATUS = 200
 
 
 @attrs.define
 class Attempt:
-    """What happened in one attempt, for the journal."""
+    """The observations and the result of one attempt."""
 
     request_id: str
     node: str
@@ -58,7 +58,7 @@
     Parameters
     ----------
     clock : seconds on `CLOCK_BOOTTIME`.
-    address_map : advertised address to the address that is dialled instead.
+    address_map : addresses to dial in place of advertised ones, by advertised address.
     """
 
     def __init__(self, clock: Callable[[], float], address_map: dict[str, str]) -> None:
@@ -71,7 +71,7 @@
     async def attempt(
         self, plan: Plan, request_id: str, address: str, check: ResponseCheck, deadline_at: float
     ) -> Attempt:
-        """Send `plan` once to the node at `address`; its chunks go into `check`."""
+        """Send `plan` once to the node at `address`, and pass the received chunks to `check`."""
         attempt = Attempt(request_id, address)
         exchange = _Exchange(plan, attempt, check, self._clock, deadline_at)
         request = exchange.request(dialled_address(address, self._address_map))
@@ -86,7 +86,7 @@
         return attempt
 
     async def get_json(self, address: str, path: str, timeout_s: float) -> Any:
-        """Return the JSON at a path; raises `HTTPClientError` or `OSError`."""
+        """Return the JSON document at a path; raises `HTTPClientError` or `OSError`."""
         target = dialled_address(address, self._address_map)
         request = HTTPRequest(
             f"http://{target}{path}", connect_timeout=timeout_s, request_timeout=timeout_s
@@ -96,7 +96,7 @@
 
 
 class _Exchange:
-    """Follows one HTTP exchange."""
+    """State of one HTTP exchange, which fills in an `Attempt`."""
 
     def __init__(
         self,
@@ -117,13 +117,13 @@
         self._interruption: AttemptResult | None = None
 
     def request(self, target: str) -> HTTPRequest:
-        """Return the HTTP request."""
-        left_s = max(0.0, self._deadline_at - self._started_at)
+        """Return the HTTP request, with the remaining time as its deadline."""
+        remaining_s = max(0.0, self._deadline_at - self._started_at)
         headers = {
             "Content-Type": "application/json",
             "Expect": "",
             REQUEST_ID_HEADER: self._attempt.request_id,
-            DEADLINE_HEADER: str(int(left_s * 1000)),
+            DEADLINE_HEADER: str(int(remaining_s * 1000)),
         }
         if self._plan.stream and self._check.last_event_id:
             headers[LAST_EVENT_ID_HEADER] = str(self._check.last_event_id)
@@ -133,30 +133,30 @@
             headers=headers,
             body=orjson.dumps(self._plan.body),
             connect_timeout=CONNECT_TIMEOUT_S,
-            request_timeout=left_s + CONNECT_TIMEOUT_S,
+            request_timeout=remaining_s + CONNECT_TIMEOUT_S,
             streaming_callback=self._on_body_bytes,
             prepare_curl_callback=self._configure_curl,
         )
 
     def on_response(self, response: HTTPResponse) -> None:
-        """Take a response that arrived in full."""
+        """Record the result of an exchange whose response arrived completely."""
         attempt = self._attempt
         attempt.status = response.code
-        named = response.headers.get(OUTCOME_HEADER, "")
+        outcome_name = response.headers.get(OUTCOME_HEADER, "")
         if response.code == OK_STATUS and self._plan.stream:
             attempt.result = self._stream_result()
         elif response.code == OK_STATUS:
             self._read_response()
-        elif named == Outcome.REFUSED.value:
+        elif outcome_name == Outcome.REFUSED.value:
             attempt.result = self._refusal(response)
-        elif named == Outcome.UNKNOWN.value or response.code == UNKNOWN_HTTP_STATUS:
+        elif outcome_name == Outcome.UNKNOWN.value or response.code == UNKNOWN_HTTP_STATUS:
             attempt.result = AttemptResult(AttemptOutcome.UNKNOWN, self._reason())
         else:
             attempt.result = AttemptResult(AttemptOutcome.LOST)
             attempt.error = f"status {response.code} without an outcome"
 
     def on_broken(self, error: CurlError) -> None:
-        """Take an exchange that ended without a full response."""
+        """Record the result of an exchange that ended without a complete response."""
         self._attempt.error = str(error)
         if self._should_hang_up():
             self._attempt.result = AttemptResult(AttemptOutcome.HUNG_UP)
@@ -221,13 +221,13 @@
         self._check.on_chunk(index, text)
 
     def _configure_curl(self, curl: Any) -> None:
-        """Let curl poll the timeouts while the exchange runs, also when no byte arrives."""
+        """Make curl check the timeouts of the caller even while no byte arrives."""
         curl.setopt(pycurl.NOPROGRESS, 0)
-        # The speed check, though never reached, makes curl call back on an idle connection.
+        # The speed check never takes effect, but makes curl call back on an idle connection.
         curl.setopt(pycurl.LOW_SPEED_LIMIT, 1)
-        curl.setopt(pycurl.LOW_SPEED_TIME, SPEED_CHECK_NEVER_S)
+        curl.setopt(pycurl.LOW_SPEED_TIME, SPEED_CHECK_WINDOW_S)
         curl.setopt(pycurl.XFERINFOFUNCTION, self._on_curl_progress)
-        # Curl handles are used again for other requests: the limit is set each time.
+        # Curl handles are reused for other requests, so the limit is set each time.
         curl.setopt(pycurl.MAX_RECV_SPEED_LARGE, self._plan.caller.read_bytes_per_second)
 
     def _should_hang_up(self) -> bool:
@@ -235,7 +235,7 @@
         return 0 < hang_up_after_chunks <= self._check.chunks and not self._attempt.is_complete
 
     def _on_curl_progress(self, *_sizes: float) -> int:
-        """Return 1 to let curl close the connection."""
+        """Return 1, which makes curl abort, on a hang-up or a timeout of the caller, else 0."""
         if self._should_hang_up():
             return 1
         now = self._clock()
@@ -248,4 +248,4 @@
 
 
 _RETAINED_BODY_BYTES = 4096
-"""How much of a stream's body is retained, to read the reason of a refusal from it."""
+"""How much of the body of a stream is retained to read the reason of a refusal from it."""
--- a/src/zincvale/standins/load/journal_rows.py
+++ b/src/zincvale/standins/load/journal_rows.py
@@ -1,4 +1,4 @@
-"""Rows that callers write: what they sent and what they received."""
+"""Journal rows of callers, about what they sent and received."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class CallerJournal:
-    """Writes the rows of requests.
+    """Writes the journal rows of requests.
 
     Parameters
     ----------
-    journal : where they go.
+    journal : the journal to which the rows are written.
     clock : seconds on `CLOCK_BOOTTIME`.
     """
 
@@ -23,8 +23,8 @@
         self._journal = journal
         self._clock = clock
 
-    def sent(self, progress: RequestProgress) -> None:
-        """Write that an attempt goes out."""
+    def write_sent(self, progress: RequestProgress) -> None:
+        """Write the row of an attempt that is about to be sent."""
         plan = progress.plan
         self._journal.write(
             "send",
@@ -41,8 +41,8 @@
             last_event_id=progress.check.last_event_id,
         )
 
-    def received(self, progress: RequestProgress, attempt: Attempt, final: bool) -> None:
-        """Write what came of an attempt; `final` says that no other follows."""
+    def write_result(self, progress: RequestProgress, attempt: Attempt, final: bool) -> None:
+        """Write the row of the result of an attempt; `final` means that no attempt follows."""
         check = progress.check
         now = self._clock()
         first_ms = None
--- a/src/zincvale/standins/load/popularity.py
+++ b/src/zincvale/standins/load/popularity.py
@@ -1,4 +1,4 @@
-"""Which model and adapter a request asks for: Zipf over an order that may change. Pure."""
+"""Choice of model and adapter by a Zipf distribution whose order may change. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 @attrs.frozen
 class Choice:
-    """What one request asks for; `adapter` is empty for none."""
+    """The model and adapter that a request names; `adapter` is empty for none."""
 
     model: str
     adapter: str
 
 
 class ModelPopularity:
-    """Demand over the models of one caller.
+    """Distribution of the requests of one caller over models.
 
     Parameters
     ----------
     models : the models, in any order.
-    adapters_by_model : adapters of each.
-    popularity : exponent and times of change.
-    seed : of the orders.
+    adapters_by_model : the adapters of each model.
+    popularity : exponent, and times at which the order of the models changes.
+    seed : seed of the random orders.
     """
 
     def __init__(
@@ -47,13 +47,13 @@
         self._cumulative = list(itertools.accumulate(weights))
 
     def order_at(self, at_s: float) -> list[str]:
-        """Return the models from most to least popular at a time of the run."""
+        """Return the models, most popular first, at a time of the run."""
         return self._orders[bisect.bisect_right(self._shifts_at_s, at_s)]
 
     def choose(
         self, source: random.Random, at_s: float, adapter_share: float, tail_share: float
     ) -> Choice:
-        """Draw a model by popularity, or evenly from the least popular `tail_share`."""
+        """Draw a model by popularity, or uniformly from the least popular fraction `tail_share`."""
         order = self.order_at(at_s)
         if tail_share > 0:
             tail = max(1, round(len(order) * tail_share))
--- a/src/zincvale/standins/load/progress.py
+++ b/src/zincvale/standins/load/progress.py
@@ -1,4 +1,4 @@
-"""Progress of one request over its attempts, and the node of the next attempt. Pure."""
+"""Progress of one request over its attempts, and the choice of the node for each attempt."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class NodePicker:
-    """The nodes that the platform hands out.
+    """Picks the node of an attempt among the ready nodes.
 
     Parameters
     ----------
-    source : decides which node an attempt goes to.
+    source : random source for the choice of nodes.
     """
 
     def __init__(self, source: random.Random) -> None:
@@ -25,11 +25,11 @@
         self._nodes: list[tuple[str, str]] = []
 
     def replace(self, nodes: list[tuple[str, str]]) -> None:
-        """Take the newest hand-out: pairs of name and address."""
+        """Replace the known nodes, given as pairs of name and address."""
         self._nodes = sorted(nodes)
 
     def pick(self, avoided: str) -> tuple[str, str] | None:
-        """Return a node, another one than `avoided` where there is one."""
+        """Return a random node other than `avoided` if possible; None if no node is known."""
         others = [node for node in self._nodes if node[0] != avoided]
         candidates = others or self._nodes
         return self._source.choice(candidates) if candidates else None
@@ -37,7 +37,7 @@
 
 @attrs.define
 class RequestProgress:
-    """One request over its attempts; times are seconds on `CLOCK_BOOTTIME`."""
+    """State of one request across its attempts; times are seconds on `CLOCK_BOOTTIME`."""
 
     plan: Plan
     check: ResponseCheck
@@ -53,7 +53,7 @@
     has_discarded_response: bool = False
 
     def record_attempt(self, attempt: Attempt) -> None:
-        """Take the times of an attempt; the wait for a resumed stream is a gap like any other."""
+        """Record the times of an attempt; the wait for a resumed stream counts as a gap."""
         if self.last_chunk_at is not None and attempt.first_at is not None:
             attempt.gaps_s.append(attempt.first_at - self.last_chunk_at)
         if self.first_at is None:
--- a/src/zincvale/standins/load/request_plan.py
+++ b/src/zincvale/standins/load/request_plan.py
@@ -1,4 +1,4 @@
-"""The content of each request and its expected response. Pure and seeded."""
+"""Content and expected response of each request, from seeded draws. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 
     Attributes
     ----------
-    base_id : names the request over all of its attempts.
-    body : JSON body.
-    expected : tokens of the correct response; a lookup has one, the value.
+    base_id : request id of the first attempt, from which new ids are derived.
+    body : JSON body of the request.
+    expected : tokens of the correct response; for a lookup, only its value.
     """
 
     base_id: str
@@ -48,16 +48,16 @@
     body: dict[str, Any]
     expected: list[str]
     discards_response: bool = False
-    """The caller discards the first full response and requests it again."""
+    """Whether the caller discards the first complete response and requests it again."""
     hang_up_after_chunks: int = 0
-    """The caller hangs up after so many chunks; 0 means never."""
+    """Number of chunks after which the caller hangs up; 0 means never."""
     is_duplicated: bool = False
-    """The first attempt is sent to two nodes at once."""
+    """Whether the first attempt is sent to two nodes at once."""
 
 
 @attrs.frozen
 class Conversation:
-    """The turns that follow an arrival: the prompt of each, and the longest response to it."""
+    """The turns of one arrival; `prompts` and `max_tokens` have one item for each turn."""
 
     arrival: Arrival
     caller: CallerSpec
@@ -68,19 +68,19 @@
 
 
 class Planner:
-    """Makes requests out of arrivals.
+    """Creates the requests of arrivals.
 
     Parameters
     ----------
-    spec : the load.
-    documents : the deployment's resources.
-    seed : of everything drawn.
+    spec : the load to generate.
+    documents : the resources of the deployment.
+    seed : seed of all random draws.
     """
 
     def __init__(self, spec: LoadSpec, documents: list[Document], seed: int) -> None:
         self._spec = spec
         self._seed = seed
-        self._tables = _Tables(documents)
+        self._tables = _ResourceTables(documents)
         self._prefixes: dict[tuple[str, str], str] = {}
         self._popularity = {
             caller.name: self._popularity_of(caller)
@@ -89,7 +89,7 @@
         }
 
     def conversation(self, arrival: Arrival) -> Conversation:
-        """Return the requests of an arrival's caller, turn by turn."""
+        """Draw the model, prompts and response limits of the turns of an arrival."""
         caller = self._spec.caller(arrival.caller)
         source = random.Random(f"{self._seed}/request/{caller.name}/{arrival.number}")
         if self._is_lookup(caller):
@@ -97,10 +97,12 @@
             return Conversation(arrival, caller, "", "", [key], [0])
         popularity = self._popularity[caller.name]
         choice = popularity.choose(source, arrival.at_s, caller.adapter_share, arrival.tail_share)
-        turns = _draw(source, caller.turns)
-        prompts = [words(source, _draw(source, caller.prompt_words)) for _ in range(turns)]
+        turns = _draw_int(source, caller.turns)
+        prompts = [
+            random_words(source, _draw_int(source, caller.prompt_words)) for _ in range(turns)
+        ]
         prompts[0] = self._shared_prefix(caller, choice.model) + prompts[0]
-        max_tokens = [_draw(source, caller.max_tokens) for _ in range(turns)]
+        max_tokens = [_draw_int(source, caller.max_tokens) for _ in range(turns)]
         return Conversation(arrival, caller, choice.model, choice.adapter, prompts, max_tokens)
 
     def plan(self, conversation: Conversation, turn: int, history: str) -> Plan:
@@ -128,7 +130,7 @@
                     conversation.max_tokens[turn],
                 )
             )
-        faults = _draw_client_faults(base_id, caller, route.stream)
+        faults = _draw_caller_faults(base_id, caller, route.stream)
         return Plan(
             base_id=base_id,
             caller=caller,
@@ -166,16 +168,16 @@
         )
 
     def _shared_prefix(self, caller: CallerSpec, model: str) -> str:
-        known = self._prefixes.get((caller.name, model))
-        if known is None:
+        prefix = self._prefixes.get((caller.name, model))
+        if prefix is None:
             source = random.Random(f"prefix/{caller.name}/{model}")
-            known = words(source, caller.shared_prefix_words)
-            self._prefixes[(caller.name, model)] = known
-        return known
+            prefix = random_words(source, caller.shared_prefix_words)
+            self._prefixes[(caller.name, model)] = prefix
+        return prefix
 
 
-class _Tables:
-    """The resources that callers need, by name."""
+class _ResourceTables:
+    """The resources that callers need, indexed by name."""
 
     def __init__(self, documents: list[Document]) -> None:
         self._routes: dict[str, RouteSpec] = {}
@@ -186,30 +188,30 @@
             self._add(document)
 
     def route(self, name: str) -> RouteSpec:
-        """Return a route; raises `InvalidInputError`."""
+        """Return a route; raises `InvalidInputError` if it does not exist."""
         if name not in self._routes:
             known = ", ".join(sorted(self._routes))
-            raise InvalidInputError(f"load: no route {name!r}", f"name one of {known}")
+            raise InvalidInputError(f"load: unknown route {name!r}", f"use one of {known}")
         return self._routes[name]
 
     def pool(self, name: str) -> PoolSpec:
-        """Return a pool; raises `InvalidInputError`."""
+        """Return a pool; raises `InvalidInputError` if it does not exist."""
         if name not in self._pools:
-            raise InvalidInputError(f"no pool {name!r}", "declare it in intent.yaml")
+            raise InvalidInputError(f"unknown pool {name!r}", "declare the pool in intent.yaml")
         return self._pools[name]
 
     def models_of(self, route_name: str) -> list[str]:
-        """Return the models that a route may ask for."""
+        """Return the models that requests on a route may name."""
         route = self.route(route_name)
         if route.models:
             return list(route.models)
         return [name for name, model in self._models.items() if model.pool == route.pool]
 
     def _add(self, document: Document) -> None:
-        kind = SPEC_BY_KIND.get(document.kind)
-        if kind is None:
+        spec_type = SPEC_BY_KIND.get(document.kind)
+        if spec_type is None:
             return
-        spec = read_checked(kind, document.spec, f"{document.kind} {document.name}: spec")
+        spec = read_checked(spec_type, document.spec, f"{document.kind} {document.name}: spec")
         if isinstance(spec, RouteSpec):
             self._routes[document.name] = spec
         elif isinstance(spec, PoolSpec):
@@ -221,37 +223,37 @@
 
 
 @attrs.frozen
-class _ClientFaults:
-    """What goes wrong on the caller's side with one request; the fields are those of `Plan`."""
+class _CallerFaults:
+    """Faults on the side of the caller for one request; the fields are described in `Plan`."""
 
     discards_response: bool
     hang_up_after_chunks: int
     is_duplicated: bool
 
 
-def _draw_client_faults(base_id: str, caller: CallerSpec, stream: bool) -> _ClientFaults:
-    """Draw what goes wrong on the caller's side with one request.
+def _draw_caller_faults(base_id: str, caller: CallerSpec, stream: bool) -> _CallerFaults:
+    """Draw the faults on the side of the caller for one request.
 
-    Every share is drawn for every request, also where it cannot apply, so that changing one share
-    does not move the other draws.
+    Every share is drawn for every request, even if it cannot apply, so that a change of one share
+    does not change the other draws.
     """
     source = random.Random(f"mishaps/{base_id}")
     discards_response = source.random() < caller.lost_answer_share
     hangs_up = source.random() < caller.hang_up_share
     is_duplicated = source.random() < caller.duplicate_share
     hang_up_after_chunks = source.randint(1, caller.max_tokens.least)
-    return _ClientFaults(
+    return _CallerFaults(
         discards_response=discards_response,
         hang_up_after_chunks=hang_up_after_chunks if hangs_up and stream else 0,
         is_duplicated=is_duplicated and not stream,
     )
 
 
-def words(source: random.Random, count: int) -> str:
-    """Return `count` words, each followed by a blank."""
+def random_words(source: random.Random, count: int) -> str:
+    """Return `count` random words, each followed by a space."""
     seed = source.getrandbits(64)
     return "".join(token_text(seed, index) for index in range(1, count + 1))
 
 
-def _draw(source: random.Random, between: Between) -> int:
+def _draw_int(source: random.Random, between: Between) -> int:
     return source.randint(between.least, between.most)
--- a/src/zincvale/standins/load/response_check.py
+++ b/src/zincvale/standins/load/response_check.py
@@ -1,4 +1,4 @@
-"""Checks a response against the expected one: each chunk of a stream, order and end. Pure."""
+"""Checks the chunks of a response, their order and their end against the expected response."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 @attrs.define
 class StreamFaults:
-    """What was wrong with a stream, counted."""
+    """Counts of the faults of a stream."""
 
     skips: int = 0
     repeats: int = 0
     splices: int = 0
-    """Chunks whose text is not the expected one at that index."""
+    """Chunks whose text differs from the expected text at their index."""
     wrong_ends: int = 0
-    """Streams that claimed to be complete and were not."""
+    """Ends of a stream that were sent before the response was complete, or with a wrong count."""
 
     def has_any(self) -> bool:
-        """Return whether anything was wrong."""
+        """Return whether any fault was counted."""
         return bool(self.skips or self.repeats or self.splices or self.wrong_ends)
 
 
 class ResponseCheck:
-    """Checks one response over all attempts.
+    """Checks one response, whose chunks may come from several attempts.
 
     Parameters
     ----------
@@ -39,7 +39,7 @@
         self.text = ""
 
     def on_chunk(self, index: int, text: str) -> None:
-        """Take the chunk numbered `index` (from 1)."""
+        """Check the received chunk number `index` (from 1)."""
         self.chunks += 1
         if index <= self.last_event_id:
             self.faults.repeats += 1
@@ -52,17 +52,17 @@
         self.text += text
 
     def on_end(self, count: int) -> None:
-        """Take the explicit end, which says that the response has `count` chunks."""
+        """Check the explicit end of a stream, which states that the response has `count` chunks."""
         if count != len(self._expected) or self.last_event_id != count:
             self.faults.wrong_ends += 1
 
     def on_full_text(self, text: str) -> None:
-        """Take a response that was not streamed."""
+        """Record a response that was not streamed."""
         self.chunks = 1
         self.text = text
 
     def digest(self) -> str:
-        """Return the digest of what was received."""
+        """Return the digest of the received text."""
         return text_digest(self.text)
 
     def expected_digest(self) -> str:
@@ -70,5 +70,5 @@
         return text_digest("".join(self._expected))
 
     def is_correct(self) -> bool:
-        """Return whether exactly the correct response was received."""
+        """Return whether the correct response was received without faults."""
         return not self.faults.has_any() and self.text == "".join(self._expected)
--- a/src/zincvale/standins/load/retry.py
+++ b/src/zincvale/standins/load/retry.py
@@ -1,8 +1,8 @@
-"""What a caller does after an attempt: finish, send again, or give up. Pure.
+"""Decides what a caller does after an attempt: finish, send the request again, or give up.
 
 A lost or unknown response is requested again with the same request id, on another node. A refusal
-means that the request never ran and never will, so the caller starts over with a new id, once the
-time in `Retry-After` has passed. A broken stream is resumed with the same id from its last chunk.
+means that the request did not run and will not, so the caller starts over with a new id after the
+time in `Retry-After`. A broken stream is resumed with the same id from its last chunk.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """What one attempt came to, as the caller sees it."""
+    """Outcome of one attempt, as the caller observes it."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -30,9 +30,9 @@
     """The connection broke or timed out without an outcome."""
     NOT_CONNECTED = "not-connected"
     HUNG_UP = "hung-up"
-    """The caller itself closed the connection and wants nothing more."""
+    """The caller itself closed the connection and does not retry."""
     NO_NODE = "no-node"
-    """The platform hands out no node."""
+    """No node was available to which the request could be sent."""
 
 
 @attrs.frozen
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class Resend:
-    """Send again after `delay_s`, with a new request id or the same."""
+    """Send the request again after `delay_s`, with a new request id if `new_id` is set."""
 
     delay_s: float
     new_id: bool
@@ -55,18 +55,18 @@
 
 @attrs.frozen
 class RequestDone:
-    """The request is over."""
+    """The request has ended; `gave_up` means that attempts or time ran out."""
 
     gave_up: bool = False
 
 
 class CallerRetry:
-    """Decides the attempts of one request.
+    """Decides whether and when one request is sent again.
 
     Parameters
     ----------
-    max_attempts : attempts in all.
-    deadline_at : when the caller no longer cares.
+    max_attempts : limit on the attempts, including the first.
+    deadline_at : time from which the caller no longer retries.
     """
 
     def __init__(self, max_attempts: int, deadline_at: float) -> None:
@@ -75,7 +75,7 @@
         self._attempts = 0
 
     def after(self, result: AttemptResult, has_chunks: bool, now: float) -> Resend | RequestDone:
-        """Return the next step; `has_chunks` says that part of the stream has arrived."""
+        """Return the next step; `has_chunks` means that part of the stream has arrived."""
         self._attempts += 1
         if result.outcome in (AttemptOutcome.ANSWERED, AttemptOutcome.HUNG_UP):
             return RequestDone()
--- a/src/zincvale/standins/load/spec.py
+++ b/src/zincvale/standins/load/spec.py
@@ -1,4 +1,4 @@
-"""The load file: who calls, how often, and how demand changes during a run."""
+"""The load file: the callers, their request rates, and how demand changes during a run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class Between(Checked):
-    """A whole number drawn evenly from `least` to `most`."""
+    """Range of an integer that is drawn uniformly, from `least` to `most` inclusive."""
 
     least: int
     most: int
@@ -26,75 +26,75 @@
     route: str
     rate_per_second: float
     models: list[str] = field(default_factory=list)
-    """Models requested; empty means all that the route allows."""
+    """Models that requests name; empty means all that the route allows."""
     prompt_words: Between = field(default_factory=lambda: Between(20, 60))
     shared_prefix_words: int = 0
-    """Leading words that all prompts of this caller for one model share."""
+    """Number of leading words that all prompts of the caller for one model share."""
     max_tokens: Between = field(default_factory=lambda: Between(16, 48))
     adapter_share: float = 0.5
-    """Share of requests that name an adapter, where the model has any."""
+    """Fraction of requests that name an adapter, among those for a model with adapters."""
     turns: Between = field(default_factory=lambda: Between(1, 1))
-    """Requests of one conversation; each prompt repeats the earlier prompts and responses."""
+    """Number of requests in a conversation; a prompt repeats the earlier prompts and responses."""
     think_s: float = 1.0
     keys: int = 5000
-    """Distinct keys of a lookup caller."""
+    """Number of distinct keys that a lookup caller requests."""
     first_byte_timeout_s: float = 6.0
     idle_timeout_s: float = 3.0
-    """A stream that is idle for longer counts as broken."""
+    """A stream that sends nothing for longer than this counts as broken."""
     max_attempts: int = 6
     lost_answer_share: float = 0.0
-    """Share of requests whose full response is lost on the last hop: the caller requests it again
-    with the same id."""
+    """Fraction of requests whose complete response is lost on the last hop, so that the caller
+    requests it again with the same id."""
     hang_up_share: float = 0.0
-    """Share of streamed requests whose caller hangs up after some chunks and never returns."""
+    """Fraction of streamed requests whose caller hangs up after some chunks and does not retry."""
     duplicate_share: float = 0.0
-    """Share of requests without a stream that are sent twice at once, to two nodes, with one id."""
+    """Fraction of non-streamed requests that are sent to two nodes at once, with the same id."""
     read_bytes_per_second: int = 0
-    """How fast the caller reads; 0 means as fast as it can."""
+    """Rate at which the caller reads responses; 0 means no limit."""
 
 
 @dataclass
 class Crowd(Checked):
-    """More requests for a while: the rate of the named callers times `factor`."""
+    """A temporary surge that multiplies the request rate of the named callers by `factor`."""
 
     start_s: float
     seconds: float
     factor: float
     callers: list[str] = field(default_factory=list)
-    """Empty means all."""
+    """Names of the affected callers; empty means all."""
 
     def factor_at(self, caller: str, at_s: float) -> float:
-        """Return what the crowd does to a caller's rate at a time of the run."""
-        concerned = not self.callers or caller in self.callers
-        if concerned and self.start_s <= at_s < self.start_s + self.seconds:
+        """Return the factor that the surge applies to the rate of a caller at a time of the run."""
+        is_affected = not self.callers or caller in self.callers
+        if is_affected and self.start_s <= at_s < self.start_s + self.seconds:
             return self.factor
         return 1.0
 
 
 @dataclass
 class RareModels(Checked):
-    """For a while, the least popular models are requested together."""
+    """A temporary burst of additional requests for the least popular models."""
 
     start_s: float
     seconds: float
     caller: str
     rate_per_second: float
     tail_share: float = 0.5
-    """Share of the models, from the least popular on."""
+    """Fraction of the models that the burst requests, counted from the least popular."""
 
 
 @dataclass
 class Popularity(Checked):
-    """How demand spreads over models: Zipf over a seeded order that may change."""
+    """Distribution of requests over models: Zipf over a seeded random order that may change."""
 
     zipf_exponent: float = 1.1
     shifts_at_s: list[float] = field(default_factory=list)
-    """Each draws a new order."""
+    """Times at which a new random order of the models takes effect."""
 
 
 @dataclass
 class LoadSpec(Checked):
-    """A load file."""
+    """Content of a load file."""
 
     callers: list[CallerSpec]
     popularity: Popularity = field(default_factory=Popularity)
@@ -102,12 +102,12 @@
     rare_models: list[RareModels] = field(default_factory=list)
 
     def caller(self, name: str) -> CallerSpec:
-        """Return the caller `name`; raises `InvalidInputError`."""
+        """Return the caller `name`; raises `InvalidInputError` if it does not exist."""
         for caller in self.callers:
             if caller.name == name:
                 return caller
         known = ", ".join(caller.name for caller in self.callers)
-        raise InvalidInputError(f"load: no caller {name!r}", f"name one of {known}")
+        raise InvalidInputError(f"load: unknown caller {name!r}", f"use one of {known}")
 
 
 def load_load_spec(path: str | Path) -> LoadSpec:
--- a/src/zincvale/standins/load/summary.py
+++ b/src/zincvale/standins/load/summary.py
@@ -1,4 +1,4 @@
-"""What callers experienced, in figures: the summary at the end of a run."""
+"""Summary of the requests of callers, which is written at the end of a run."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 LOWEST_US = 1
 HIGHEST_US = 600_000_000
-"""Ten minutes; the histogram silently drops longer times, so no deadline may be longer."""
+"""Ten minutes. The histogram silently drops longer times, so no deadline may be longer."""
 SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50, 95, 99)
 
 
 class _LatencyHistogram:
-    """A histogram of durations."""
+    """A histogram of durations, recorded in microseconds and reported in milliseconds."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
@@ -37,7 +37,7 @@
 
 
 class CallerFigures:
-    """Figures of one caller."""
+    """Counts and latencies of the requests of one caller."""
 
     def __init__(self) -> None:
         self._offered = 0
@@ -54,11 +54,11 @@
         self._gap = _LatencyHistogram()
 
     def record_request(self) -> None:
-        """Count one request."""
+        """Count a request that was started."""
         self._offered += 1
 
     def record_attempt(self, attempt: Attempt) -> None:
-        """Count one attempt."""
+        """Count an attempt that has ended, with its chunks, gaps and refusal reason."""
         self._attempts[attempt.result.outcome.value] += 1
         self._chunks += attempt.chunks
         if attempt.result.reason:
@@ -72,7 +72,7 @@
     def record_outcome(
         self, plan: Plan, outcome: str, check: ResponseCheck, first_s: float | None, total_s: float
     ) -> None:
-        """Count one request that is over."""
+        """Count the outcome, faults and latencies of a request that has ended."""
         self._outcomes[outcome] += 1
         self._faults.skips += check.faults.skips
         self._faults.repeats += check.faults.repeats
@@ -88,7 +88,7 @@
             self._lost_mid_response += 1
 
     def to_json(self) -> dict[str, Any]:
-        """Return the figures; times are milliseconds."""
+        """Return the figures as JSON; times are in milliseconds."""
         return {
             "offered": self._offered,
             "unfinished": self._offered - sum(self._outcomes.values()),
@@ -110,15 +110,15 @@
 
 
 class Summary:
-    """Figures of every caller."""
+    """Figures of all callers, by name."""
 
     def __init__(self) -> None:
         self._figures: dict[str, CallerFigures] = {}
 
     def caller(self, name: str) -> CallerFigures:
-        """Return the figures of a caller."""
+        """Return the figures of a caller, which are created on first use."""
         return self._figures.setdefault(name, CallerFigures())
 
     def to_json(self) -> dict[str, Any]:
-        """Return the figures by caller."""
+        """Return the figures of all callers as JSON, sorted by name."""
         return {name: self._figures[name].to_json() for name in sorted(self._figures)}
--- a/src/zincvale/standins/operators/script.py
+++ b/src/zincvale/standins/operators/script.py
@@ -40,7 +40,7 @@
     lost_acknowledgements: int = 0
     """How many successful responses are treated as lost; each time the same order is sent again."""
     resend_after_s: list[float] = field(default_factory=list)
-    """Delays after which a finished order is sent again, each counted from the end of the last one."""
+    """Delays after which a finished order is sent again, each counted from the last send."""
     rebuild_on_conflict: bool = False
     """Whether the change is rebuilt on the current version after a conflict."""
 
--- a/tests/standins/helpers.py
+++ b/tests/standins/helpers.py
@@ -1,4 +1,4 @@
-"""What several tests of the stand-ins use: a folder, a clock that ticks, a journal in memory."""
+"""Shared by the tests of the stand-ins: a temporary folder, a ticking clock, a memory journal."""
 
 import shutil
 import tempfile
@@ -13,7 +13,7 @@
 
 
 class TickingClock:
-    """A clock that moves on by `step_s` each time it is read, so that nothing has to wait."""
+    """A clock that advances by `step_s` at each reading, so that tests need not wait."""
 
     def __init__(self, step_s=1.0):
         self.now = 100.0
@@ -25,7 +25,7 @@
 
 
 class MemoryJournal:
-    """Journal rows in a list."""
+    """A journal that collects its rows in a list."""
 
     def __init__(self):
         self.rows = []
--- a/tests/standins/http_case.py
+++ b/tests/standins/http_case.py
@@ -1,4 +1,4 @@
-"""A test case that runs one stand-in over loopback HTTP, on a socket bound to port 0."""
+"""Base of tests that call one stand-in over loopback HTTP, on a port that the system assigns."""
 
 import asyncio
 
@@ -15,14 +15,14 @@
 
 
 class HttpCase(TestCase):
-    """Runs one application on a free port and talks to it."""
+    """Serves one application on a free port and sends requests to it."""
 
     def run_with(self, make_application, exchange):
         async def body():
             server = HTTPServer(make_application())
             socket, port = bind_unused_port()
             server.add_sockets([socket])
-            self.base = f"http://127.0.0.1:{port}"
+            self.base_url = f"http://127.0.0.1:{port}"
             self.client = SimpleAsyncHTTPClient(force_instance=True, max_clients=20)
             try:
                 await exchange()
@@ -33,9 +33,9 @@
         asyncio.run(body())
 
     async def call(self, method, path, body=None):
-        """Return status and JSON; status 0 when the connection was cut."""
+        """Return the status and the JSON body; status 0 if the connection was closed early."""
         request = HTTPRequest(
-            self.base + path, method=method, body=orjson.dumps(body) if body else None
+            self.base_url + path, method=method, body=orjson.dumps(body) if body else None
         )
         try:
             response = await self.client.fetch(request, raise_error=False)
@@ -43,8 +43,8 @@
             return 0, None
         return response.code, orjson.loads(response.body)
 
-    async def text(self, path, body):
-        """Return the body of a POST as text."""
-        request = HTTPRequest(self.base + path, method="POST", body=orjson.dumps(body))
+    async def response_text(self, path, body):
+        """Send a POST and return the body of the response as text."""
+        request = HTTPRequest(self.base_url + path, method="POST", body=orjson.dumps(body))
         response = await self.client.fetch(request)
         return response.body.decode()
--- a/tests/standins/language_model/test_engine.py
+++ b/tests/standins/language_model/test_engine.py
@@ -33,7 +33,7 @@
 
 
 def run_to_end(engine):
-    """Advance from step to step; return (time, event) pairs."""
+    """Advance the engine step by step until it is idle; return pairs of time and event."""
     events = []
     while engine.next_at() is not None:
         now = engine.next_at()
@@ -46,7 +46,7 @@
 
 
 class EngineTest(TestCase):
-    def test_one_request_prefills_then_decodes_at_the_profile_speed(self):
+    def test_one_request_prefills_and_decodes_at_the_speed_of_the_profile(self):
         engine = make_engine()
         self.assertIsNone(engine.submit("r1", key("a b c d e f g h i j"), [], 0.0))
         events = run_to_end(engine)
@@ -57,7 +57,7 @@
         texts = [event.text for _, event in events if isinstance(event, TokenEmitted)]
         self.assertEqual(full_response(key("a b c d e f g h i j")), texts)
 
-    def test_a_batch_slows_every_request_down(self):
+    def test_requests_take_longer_in_a_batch(self):
         alone = make_engine()
         alone.submit("r1", key("one two"), [], 0.0)
         together = make_engine()
@@ -65,7 +65,7 @@
             together.submit(run_id, key("one two"), [], 0.0)
         self.assertGreater(run_to_end(together)[-1][0], 1.1 * run_to_end(alone)[-1][0])
 
-    def test_a_shared_prefix_saves_prefill(self):
+    def test_a_cached_prefix_is_not_prefilled_again(self):
         engine = make_engine()
         engine.submit("r1", key(f"{PREFIX} first"), [], 0.0)
         cold = run_to_end(engine)
@@ -75,14 +75,14 @@
         self.assertAlmostEqual(0.065, first_token_at(cold, "r1"))
         self.assertAlmostEqual(0.001, first_token_at(warm, "r2") - start)
 
-    def test_another_adapter_shares_no_cache(self):
+    def test_requests_for_different_adapters_share_no_cached_prefix(self):
         engine = make_engine()
         engine.submit("r1", key(f"{PREFIX} first"), [], 0.0)
         start = run_to_end(engine)[-1][0]
         engine.submit("r2", GenerationKey("m", "a", f"{PREFIX} first", 8), [], start)
         self.assertAlmostEqual(0.065, first_token_at(run_to_end(engine), "r2") - start)
 
-    def test_a_continuation_prefills_its_prefix_and_numbers_on(self):
+    def test_a_continuation_prefills_its_prefix_and_continues_its_numbering(self):
         engine = make_engine()
         complete = full_response(key("one two"))
         engine.submit("r1", key("one two"), complete[:2], 0.0)
@@ -91,19 +91,19 @@
         self.assertEqual(TokenEmitted("r1", 3, complete[2]), events[0][1])
         self.assertEqual(Finished("r1", len(complete)), events[-1][1])
 
-    def test_a_complete_prefix_ends_at_once(self):
+    def test_a_request_with_a_complete_prefix_emits_no_token(self):
         engine = make_engine()
         complete = full_response(key("one two"))
         engine.submit("r1", key("one two"), complete, 0.0)
         self.assertEqual([Finished("r1", len(complete))], [e for _, e in run_to_end(engine)])
 
-    def test_more_than_batch_and_queue_is_refused(self):
+    def test_a_request_beyond_the_batch_and_the_queue_is_refused(self):
         engine = make_engine()
         taken = [engine.submit(f"r{number}", key("p"), [], 0.0) for number in range(7)]
         self.assertEqual([None] * 6 + [Refusal.OVERLOADED], taken)
         self.assertEqual((4, 2), (engine.running_count(), engine.queued_count()))
 
-    def test_a_cold_server_takes_more_and_more(self):
+    def test_a_cold_server_accepts_more_requests_as_it_warms_up(self):
         engine = make_engine(ramp_s=4.0)
         self.assertTrue(engine.is_cold(2.0))
         self.assertEqual([1, 2, 4], [engine.max_running(now) for now in (0.0, 2.0, 4.0)])
@@ -116,7 +116,7 @@
         engine = make_engine(kv_cache_bytes=1600)
         self.assertEqual(Refusal.TOO_LARGE, engine.submit("r1", key("w " * 20), [], 0.0))
 
-    def test_a_full_cache_makes_requests_wait(self):
+    def test_a_request_waits_in_the_queue_while_the_cache_is_full(self):
         engine = make_engine(kv_cache_bytes=3200)
         engine.submit("r1", key("a b c d e f g h i j"), [], 0.0)
         engine.submit("r2", key("k l m n o p q r s t"), [], 0.0)
@@ -139,7 +139,7 @@
         self.assertEqual([], engine.advance(20.001))
         self.assertAlmostEqual(20.02, engine.next_at())
 
-    def test_slow_factor_stretches_steps(self):
+    def test_steps_take_longer_by_the_slow_factor(self):
         engine = make_engine()
         engine.slow_factor = 5.0
         engine.submit("r1", key("one two"), [], 0.0)
--- a/tests/standins/language_model/test_http_handlers.py
+++ b/tests/standins/language_model/test_http_handlers.py
@@ -13,7 +13,7 @@
 
 
 class ControlledPuller:
-    """Pulls that end when the test says so."""
+    """A puller whose pulls end when the test sets their futures."""
 
     def __init__(self):
         self.pulls = {}
@@ -47,7 +47,7 @@
         }
         return {**body, **changes}
 
-    def test_a_full_response(self):
+    def test_a_request_without_stream_gets_the_complete_response(self):
         async def exchange():
             status, response = await self.call("POST", "/v1/generate", self.generate("r1"))
             expected_tokens = full_response(KEY)
@@ -61,18 +61,18 @@
 
         self.serve(exchange)
 
-    def test_a_stream_numbers_its_tokens_and_ends(self):
+    def test_a_stream_numbers_its_tokens_after_the_prefix_and_sends_an_end_event(self):
         async def exchange():
             expected_tokens = full_response(KEY)
             body = self.generate("r1", stream=True, prefix=expected_tokens[:4])
-            blocks = (await self.text("/v1/generate", body)).strip().split("\n\n")
+            blocks = (await self.response_text("/v1/generate", body)).strip().split("\n\n")
             self.assertEqual(f'id: 5\ndata: {{"text":"{expected_tokens[4]}"}}', blocks[0])
             self.assertEqual(f'event: end\ndata: {{"count":{len(expected_tokens)}}}', blocks[-1])
             self.assertEqual(len(expected_tokens) - 4 + 1, len(blocks))
 
         self.serve(exchange)
 
-    def test_refusals_say_that_nothing_ran(self):
+    def test_a_refusal_states_that_the_request_did_not_run(self):
         async def exchange():
             not_resident = self.generate("r1", model="other")
             self.assertEqual(
@@ -92,7 +92,7 @@
 
         self.serve(exchange)
 
-    def test_load_unload_and_their_refusals(self):
+    def test_load_and_unload_orders_are_executed_or_refused(self):
         async def exchange():
             load = {"order_id": "o1", "epoch": 3, "model": "n", "bytes": 500, "store": "x:1"}
             self.assertEqual(202, (await self.call("POST", "/v1/models/load", load))[0])
@@ -120,7 +120,7 @@
 
         self.serve(exchange)
 
-    def test_a_pull_that_breaks_off_gives_the_memory_back(self):
+    def test_a_failed_pull_releases_its_memory(self):
         async def exchange():
             load = {"order_id": "o1", "epoch": 3, "model": "n", "bytes": 500, "store": "x:1"}
             await self.call("POST", "/v1/models/load", load)
@@ -131,7 +131,7 @@
 
         self.serve(exchange)
 
-    def test_a_request_whose_response_is_dropped_ran(self):
+    def test_a_request_whose_response_is_dropped_is_journalled_as_run(self):
         async def exchange():
             await self.call("POST", "/admin/behaviour", {"kind": "drop-answer", "count": 1})
             status, _ = await self.call("POST", "/v1/generate", self.generate("r1"))
@@ -157,7 +157,7 @@
             for kind in ("skip-piece", "repeat-piece"):
                 behaviour = {"kind": kind, "after_tokens": 1, "count": 1}
                 await self.call("POST", "/admin/behaviour", behaviour)
-                text = await self.text("/v1/generate", self.generate("r1", stream=True))
+                text = await self.response_text("/v1/generate", self.generate("r1", stream=True))
                 lines = text.split("\n")
                 numbers[kind] = [line[4:] for line in lines if line.startswith("id: ")][:3]
             expected = {"skip-piece": ["1", "3", "4"], "repeat-piece": ["1", "2", "2"]}
@@ -165,7 +165,7 @@
 
         self.serve(exchange)
 
-    def test_a_cut_stream_is_visibly_broken(self):
+    def test_a_cut_stream_closes_the_connection_and_cancels_the_run(self):
         async def exchange():
             cut = {"kind": "cut-stream", "after_tokens": 2}
             await self.call("POST", "/admin/behaviour", cut)
--- a/tests/standins/language_model/test_kv_cache.py
+++ b/tests/standins/language_model/test_kv_cache.py
@@ -4,7 +4,7 @@
 
 
 class KvCacheTest(TestCase):
-    def test_least_recently_used_blocks_go_first(self):
+    def test_least_recently_used_blocks_are_evicted_first(self):
         cache = KvCache(2, 1)
         cache.set_capacity(8)
         for prompt in ("a b", "c d", "e f", "g h"):
@@ -23,7 +23,7 @@
         cache.release(allocation, computed=False)
         self.assertEqual(0, cache.used_bytes())
 
-    def test_less_capacity_evicts_idle_blocks(self):
+    def test_reducing_the_capacity_evicts_idle_blocks(self):
         cache = KvCache(2, 1)
         cache.set_capacity(8)
         cache.release(cache.allocate("m", ["a", "b", "c", "d"], 4), computed=True)
--- a/tests/standins/language_model/test_residency.py
+++ b/tests/standins/language_model/test_residency.py
@@ -12,16 +12,16 @@
         self.residency.order_model_load(model, size_bytes, 0)
         self.residency.load_completed(model)
 
-    def test_memory_counts_what_is_loading(self):
+    def test_models_that_are_loading_count_as_used_memory(self):
         self.assertIsNone(self.residency.order_model_load("m", 60, 0).error)
         self.assertFalse(self.residency.serves("m", ""))
         self.assertEqual(OrderError.MEMORY, self.residency.order_model_load("n", 41, 0).error)
         self.assertEqual(60, self.residency.used_bytes())
 
-    def test_memory_counts_blocks_that_requests_hold(self):
+    def test_a_load_is_refused_if_pinned_kv_blocks_leave_too_little_memory(self):
         self.assertEqual(OrderError.MEMORY, self.residency.order_model_load("m", 60, 41).error)
 
-    def test_loads_at_the_same_time_are_limited(self):
+    def test_concurrent_loads_are_limited(self):
         for model in ("m", "n"):
             self.residency.order_model_load(model, 10, 0)
         self.assertEqual(OrderError.BUSY, self.residency.order_model_load("o", 10, 0).error)
@@ -31,7 +31,7 @@
         self.assertTrue(self.residency.order_model_load("m", 60, 0).is_already_done)
         self.assertEqual(60, self.residency.used_bytes())
 
-    def test_an_adapter_needs_its_base_model(self):
+    def test_an_adapter_needs_its_loaded_base_model(self):
         self.residency.order_model_load("m", 10, 0)
         result = self.residency.order_adapter_load("a", "m", 1, 0)
         self.assertEqual(OrderError.BASE_MODEL, result.error)
@@ -42,7 +42,7 @@
         self.assertTrue(self.residency.serves("m", "a"))
         self.assertFalse(self.residency.serves("n", "a"))
 
-    def test_a_model_in_use_leaves_with_its_last_request(self):
+    def test_a_model_in_use_is_removed_when_its_last_request_ends(self):
         self._load("m", 60)
         self.residency.acquire("m", "")
         self.assertEqual((), self.residency.order_model_unload("m").removed)
@@ -52,13 +52,13 @@
         self.assertEqual(("m",), self.residency.release("m", ""))
         self.assertEqual(0, self.residency.used_bytes())
 
-    def test_a_model_takes_its_adapters_along(self):
+    def test_unloading_a_model_unloads_its_adapters(self):
         self._load("m", 60)
         self.residency.order_adapter_load("a", "m", 5, 0)
         self.assertEqual(("a", "m"), self.residency.order_model_unload("m").removed)
         self.assertFalse(self.residency.load_completed("a"))
 
-    def test_a_failed_load_gives_its_memory_back(self):
+    def test_a_failed_load_releases_its_memory(self):
         self.residency.order_model_load("m", 60, 0)
         self.residency.load_failed("m")
         self.assertEqual(0, self.residency.used_bytes())
--- a/tests/standins/load/sample_load.py
+++ b/tests/standins/load/sample_load.py
@@ -1,4 +1,4 @@
-"""A load and the resources it refers to, for the tests of the callers."""
+"""A sample load, and the resources to which it refers, for the tests of the callers."""
 
 from zincvale.model.resources import Document
 from zincvale.standins.load.spec import (
--- a/tests/standins/load/test_request_plan.py
+++ b/tests/standins/load/test_request_plan.py
@@ -19,7 +19,7 @@
         self.chats = [a for a in schedule if a.caller == "chats"]
         self.scans = [a for a in schedule if a.caller == "scans"]
 
-    def test_a_turn_repeats_what_was_said(self):
+    def test_the_prompt_of_a_turn_begins_with_the_earlier_prompts_and_responses(self):
         conversation = self.planner.conversation(self.chats[0])
         first = self.planner.plan(conversation, 0, "")
         history = first.prompt + "".join(first.expected)
@@ -27,7 +27,7 @@
         self.assertTrue(second.prompt.startswith(history))
         self.assertNotEqual(first.base_id, second.base_id)
 
-    def test_the_expected_response_is_the_models(self):
+    def test_the_expected_response_is_the_one_that_the_model_generates(self):
         plan = self.planner.plan(self.planner.conversation(self.chats[0]), 0, "")
         key = GenerationKey(plan.model, plan.adapter, plan.prompt, plan.body["max_tokens"])
         self.assertEqual(full_response(key), plan.expected)
@@ -48,12 +48,12 @@
             if conversation.adapter:
                 self.assertEqual("m1", conversation.model)
 
-    def test_a_lookup_carries_a_key(self):
+    def test_the_body_of_a_lookup_has_only_a_key(self):
         plan = self.planner.plan(self.planner.conversation(self.scans[0]), 0, "")
         self.assertEqual({"key"}, set(plan.body))
         self.assertTrue(plan.at_most_once)
 
-    def test_callers_mishaps_are_drawn_by_their_shares(self):
+    def test_caller_faults_are_drawn_according_to_their_shares(self):
         load = spec()
         for caller in load.callers:
             caller.hang_up_share = caller.duplicate_share = 0.5
@@ -69,7 +69,7 @@
         self.assertAlmostEqual(50, sum(p.is_duplicated for p in plans["scans"]), delta=16)
         self.assertEqual(0, sum(p.hang_up_after_chunks for p in plans["scans"]))
 
-    def test_an_unknown_route_is_named(self):
-        bad = LoadSpec([CallerSpec("chats", "chat", 1.0)])
-        error = self.assertRaises(InvalidInputError, Planner, bad, documents(), 1)
+    def test_the_error_for_an_unknown_route_names_the_known_routes(self):
+        load = LoadSpec([CallerSpec("chats", "chat", 1.0)])
+        error = self.assertRaises(InvalidInputError, Planner, load, documents(), 1)
         self.assertIn("chats, scans", error.remedy)
--- a/tests/standins/load/test_response_check.py
+++ b/tests/standins/load/test_response_check.py
@@ -12,25 +12,25 @@
             check.on_end(count)
         return check
 
-    def test_the_correct_response(self):
+    def test_a_complete_correct_response_has_no_faults(self):
         check = self._check([(1, "a "), (2, "b "), (3, "c ")], 3)
         self.assertTrue(check.is_correct())
         self.assertEqual(check.expected_digest(), check.digest())
 
-    def test_a_skip(self):
+    def test_a_skipped_chunk_is_counted(self):
         self.assertEqual(1, self._check([(1, "a "), (3, "c ")]).faults.skips)
 
-    def test_a_repeat(self):
+    def test_a_repeated_chunk_is_counted(self):
         self.assertEqual(1, self._check([(1, "a "), (1, "a ")]).faults.repeats)
 
-    def test_a_splice(self):
+    def test_a_chunk_with_wrong_text_is_counted(self):
         self.assertEqual(1, self._check([(1, "a "), (2, "x ")]).faults.splices)
 
-    def test_more_than_there_is(self):
+    def test_chunks_beyond_the_expected_response_are_counted(self):
         check = self._check([(1, "a "), (2, "b "), (3, "c "), (4, "d ")], 4)
         self.assertEqual((1, 1), (check.faults.splices, check.faults.wrong_ends))
 
-    def test_a_partial_response_that_claims_to_be_complete(self):
+    def test_an_end_event_after_a_partial_response_is_counted(self):
         check = self._check([(1, "a "), (2, "b ")], 2)
         self.assertEqual(1, check.faults.wrong_ends)
         self.assertFalse(check.is_correct())
--- a/tests/standins/load/test_retry.py
+++ b/tests/standins/load/test_retry.py
@@ -18,7 +18,7 @@
         for outcome in (AttemptOutcome.LOST, AttemptOutcome.UNKNOWN, AttemptOutcome.NOT_CONNECTED):
             self.assertEqual(Resend(0.1, new_id=False), self._after(outcome))
 
-    def test_a_refused_request_starts_over_after_retry_after(self):
+    def test_a_refused_request_is_sent_with_a_new_id_after_retry_after(self):
         step = self._after(AttemptOutcome.REFUSED, reason="overloaded", retry_after_s=2.0)
         self.assertEqual(Resend(2.0, new_id=True), step)
 
@@ -34,14 +34,14 @@
         step = self._after(AttemptOutcome.REFUSED, reason="invalid")
         self.assertEqual(RequestDone(), step)
 
-    def test_a_stream_that_cannot_go_on_is_over(self):
+    def test_a_stream_that_cannot_be_resumed_is_not_sent_again(self):
         self.assertEqual(RequestDone(), self._after(AttemptOutcome.INTERRUPTED, resumable=False))
 
-    def test_attempts_and_deadline_bound_it(self):
+    def test_retries_are_limited_by_attempts_and_deadline(self):
         self.assertEqual(RequestDone(gave_up=True), self._after(AttemptOutcome.LOST, attempts=1))
         self.assertEqual(RequestDone(gave_up=True), self._after(AttemptOutcome.LOST, now=9.95))
 
-    def test_delays_grow_to_a_limit(self):
+    def test_backoff_doubles_up_to_a_limit(self):
         retry = CallerRetry(10, deadline_at=100.0)
         lost = AttemptResult(AttemptOutcome.LOST)
         delays = [retry.after(lost, False, 0.0).delay_s for _ in range(6)]
--- a/tests/standins/load/test_spec.py
+++ b/tests/standins/load/test_spec.py
@@ -12,7 +12,7 @@
 
 
 class LoadFileTest(TestCase):
-    def test_a_crowd_of_unknown_callers_is_refused(self):
+    def test_a_crowd_with_an_unknown_caller_is_refused(self):
         path = temporary_folder(self) / "load.yaml"
         save_settings(spec(crowds=[Crowd(1, 1, 2, ["chat"])]), path)
         error = self.assertRaises(InvalidInputError, load_load_spec, path)
--- a/tests/standins/lookup/test_server.py
+++ b/tests/standins/lookup/test_server.py
@@ -6,7 +6,7 @@
 
 
 class LookupServerTest(HttpCase):
-    def test_a_lookup_and_a_refusal_over_the_rate(self):
+    def test_a_lookup_returns_its_value_and_one_over_the_rate_limit_is_refused(self):
         journal = MemoryJournal()
 
         def make_application():
--- a/tests/standins/operators/sample_change.py
+++ b/tests/standins/operators/sample_change.py
@@ -1,3 +1,3 @@
-"""The resource that the operators' tests change."""
+"""Resource that the tests of the operators change."""
 
 POOL = {"kind": "Pool", "name": "p", "spec": {"max_queue": "$n"}}
--- a/tests/standins/operators/test_runner.py
+++ b/tests/standins/operators/test_runner.py
@@ -17,7 +17,10 @@
 
 
 class ScriptedCores:
-    """Cores that store one version and respond to a resent order as at first, or as scripted."""
+    """Cores that hold one version and repeat their first response to a resent order.
+
+    A scripted response, if there is one, takes precedence.
+    """
 
     def __init__(self, steps=()):
         self.steps = list(steps)
@@ -63,7 +66,7 @@
         rows = [row for row in self.journal.rows if row["event"] == "applied"]
         return [(row["order_id"], row["status"], row["version"]) for row in rows]
 
-    def test_an_order_goes_on_until_it_is_acknowledged(self):
+    def test_an_order_is_resent_with_the_same_id_until_it_is_acknowledged(self):
         script = OperatorScript([ScriptedChange(0.0, [POOL])])
         summary = self.execute(script, [CoreResponse(0, {}, "gone"), CoreResponse(503, {})])
         statuses = [status for _, status, _ in self.responses()]
@@ -71,27 +74,27 @@
         self.assertEqual(1, len({order_id for order_id, _, _ in self.responses()}))
         self.assertEqual({"acknowledged": 1}, summary["verdicts"])
 
-    def test_a_resent_order_has_its_first_response(self):
+    def test_a_resent_order_gets_its_first_response_again(self):
         change = ScriptedChange(0.0, [POOL], lost_acknowledgements=1, resend_after_s=[9.0])
         summary = self.execute(OperatorScript([change]))
         self.assertEqual([8, 8, 8], [version for _, _, version in self.responses()])
         self.assertEqual(0, summary["changed_answers"])
 
-    def test_a_resent_order_with_another_response_is_counted(self):
+    def test_a_resent_order_with_a_different_response_is_counted(self):
         change = ScriptedChange(0.0, [POOL], lost_acknowledgements=1)
         summary = self.execute(OperatorScript([change]), [None, CoreResponse(409, {})])
         self.assertEqual(1, summary["changed_answers"])
         summary = self.execute(OperatorScript([change]), [None, CoreResponse(200, {"version": 99})])
         self.assertEqual(1, summary["changed_answers"])
 
-    def test_of_two_contenders_one_wins(self):
+    def test_one_contender_of_a_race_is_acknowledged_and_the_other_gets_a_conflict(self):
         summary = self.execute(OperatorScript(races=[ScriptedRace(0.0, [[POOL], [POOL]])]))
         sent = [row for row in self.journal.rows if row["event"] == "apply"]
         self.assertEqual([7, 7], [row["base_version"] for row in sent])
         self.assertEqual({"core-a", "core-b"}, {row["core"] for row in sent})
         self.assertEqual({"acknowledged": 1, "conflict": 1}, summary["verdicts"])
 
-    def test_a_stale_change_loses_and_may_be_built_anew(self):
+    def test_a_change_on_a_stale_version_gets_a_conflict_and_is_rebuilt(self):
         change = ScriptedChange(0.0, [POOL], base=Base.STALE, rebuild_on_conflict=True)
         summary = self.execute(OperatorScript([change]))
         self.assertEqual([409, 200], [status for _, status, _ in self.responses()])
--- a/tests/standins/operators/test_script.py
+++ b/tests/standins/operators/test_script.py
@@ -11,7 +11,7 @@
 
 
 class OperatorScriptTest(TestCase):
-    def test_a_burst_numbers_its_changes(self):
+    def test_the_changes_of_a_burst_are_numbered_and_spaced(self):
         change = ScriptedChange(2.0, [POOL], name="burst", repeat=3, every_s=0.5)
         planned = orders(OperatorScript([change]), seed=4)
         self.assertEqual([2.0, 2.5, 3.0], [order.at_s for order in planned])
@@ -19,7 +19,7 @@
         self.assertEqual([1, 2, 3], sizes)
         self.assertEqual(3, len({order.order_id for order in planned}))
 
-    def test_contenders_of_a_race_share_time_and_base(self):
+    def test_contenders_of_a_race_have_the_same_time_and_base_version(self):
         race = ScriptedRace(1.0, [[POOL], [POOL]], repeat=2)
         planned = orders(OperatorScript(races=[race]), seed=4)
         self.assertEqual([1.0, 1.0, 2.0, 2.0], [order.at_s for order in planned])
--- a/tests/standins/platform/test_server.py
+++ b/tests/standins/platform/test_server.py
@@ -15,13 +15,13 @@
         )
         self.journal = MemoryJournal()
 
-        def make():
+        def build_application():
             self.platform = Platform(settings, self.journal, TickingClock())
             return make_application(self.platform)
 
-        self.run_with(make, exchange)
+        self.run_with(build_application, exchange)
 
-    def test_the_rig_replaces_a_server_and_the_list_follows_late(self):
+    def test_the_list_shows_a_replaced_server_after_its_lag(self):
         async def exchange():
             row = {"address": "127.0.0.1:7", "pool": "pool", "zone": "zone-b", "kind": "lookup"}
             await self.call("PUT", "/admin/servers/s1", row)
--- a/tests/standins/test_behaviours.py
+++ b/tests/standins/test_behaviours.py
@@ -6,7 +6,7 @@
 
 
 class BehaviourTableTest(TestCase):
-    def test_count_time_and_kind_bound_a_behaviour(self):
+    def test_a_behaviour_applies_to_its_kind_until_its_count_or_time_is_used_up(self):
         table = BehaviourTable(random.Random(1))
         table.add(Behaviour(BehaviourKind.DROP_RESPONSE, count=1, seconds=5.0), now=10.0)
         self.assertIsNone(table.draw(BehaviourKind.REFUSE, 11.0))
@@ -16,7 +16,7 @@
         self.assertIsNone(table.draw(BehaviourKind.DROP_RESPONSE, 15.0))
         self.assertEqual([], table.active(15.0))
 
-    def test_probability_is_seeded(self):
+    def test_draws_by_probability_are_reproducible_for_a_seed(self):
         table = BehaviourTable(random.Random(7))
         table.add(Behaviour(BehaviourKind.REFUSE, probability=0.3), now=0.0)
         drawn = sum(table.draw(BehaviourKind.REFUSE, 1.0) is not None for _ in range(1000))
--- a/tests/standins/test_deployments.py
+++ b/tests/standins/test_deployments.py
@@ -21,25 +21,25 @@
 )
 
 DEPLOYMENTS = Path(__file__).parents[2] / "deployments"
-SIZES = {
+COUNTS = {
     "nilebridge": {"Model": 40, "Adapter": 75, "language-model": 6, "lookup": 3},
     "surtido": {"Model": 55, "Adapter": 100, "language-model": 9, "lookup": 3},
 }
 
 
 class DeploymentsTest(TestCase):
-    def test_each_has_the_size_of_today(self):
-        for name, sizes in SIZES.items():
+    def test_each_deployment_has_the_expected_number_of_machines_and_resources(self):
+        for name, expected_counts in COUNTS.items():
             deployment = load_deployment(DEPLOYMENTS / name)
             documents = load_intent(DEPLOYMENTS / name, deployment)
             counts = Counter(document.kind for document in documents)
             counts.update(server.kind.value for server in deployment.servers)
-            self.assertEqual(sizes, {key: counts[key] for key in sizes})
+            self.assertEqual(expected_counts, {key: counts[key] for key in expected_counts})
             self.assertEqual((3, 8), (len(deployment.cores()), len(deployment.nodes())))
             self.assertEqual({1}, set(Counter(m.zone for m in deployment.cores()).values()))
 
     def test_each_resource_is_valid_and_its_references_exist(self):
-        for name in SIZES:
+        for name in COUNTS:
             deployment = load_deployment(DEPLOYMENTS / name)
             documents = load_intent(DEPLOYMENTS / name, deployment)
             names = {(document.kind, document.name) for document in documents}
@@ -50,8 +50,8 @@
                     if hasattr(spec, field):
                         self.assertIn((kind, getattr(spec, field)), names)
 
-    def test_models_and_their_replicas_fit_the_pools(self):
-        for name in SIZES:
+    def test_minimum_replicas_use_less_than_half_of_a_pool_and_all_models_exceed_it(self):
+        for name in COUNTS:
             deployment = load_deployment(DEPLOYMENTS / name)
             needed = Counter()
             total = Counter()
@@ -64,18 +64,18 @@
                     )
             for pool, profile in deployment.language_model_profiles.items():
                 servers = [server for server in deployment.servers if server.pool == pool]
-                room = (profile.memory_bytes - profile.kv_cache_bytes) * len(servers)
-                self.assertLess(needed[pool], room / 2)
-                self.assertGreater(total[pool], room)
+                memory_bytes = (profile.memory_bytes - profile.kv_cache_bytes) * len(servers)
+                self.assertLess(needed[pool], memory_bytes / 2)
+                self.assertGreater(total[pool], memory_bytes)
 
-    def test_a_moved_deployment_moves_its_stores(self):
+    def test_moving_a_deployment_to_another_network_changes_its_store_addresses(self):
         deployment = load_deployment(DEPLOYMENTS / "nilebridge").moved_to("127.99")
         documents = load_intent(DEPLOYMENTS / "nilebridge", deployment)
         stores = [document.spec["address"] for document in documents if document.kind == "Store"]
         self.assertEqual(["127.99.1.50:9100", "127.99.2.51:9100"], stores)
 
-    def test_every_load_and_script_reads_and_plans(self):
-        for name in SIZES:
+    def test_every_load_file_and_operator_script_is_valid(self):
+        for name in COUNTS:
             folder = DEPLOYMENTS / name
             documents = load_intent(folder, load_deployment(folder))
             loads = sorted((folder / "loads").glob("*.yaml"))
@@ -85,7 +85,7 @@
             planned = orders(load_script(folder / "operators.yaml"), seed=1)
             self.assertEqual(len(planned), len({order.order_id for order in planned}))
 
-    def test_settings_survive_the_way_through_a_file(self):
+    def test_settings_are_unchanged_after_saving_and_loading(self):
         folder = DEPLOYMENTS / "surtido"
         deployment = load_deployment(folder)
         for server in deployment.servers:
@@ -101,7 +101,7 @@
 
 
 class BadDeploymentTest(TestCase):
-    def _load(self, change):
+    def _load_error(self, change):
         text = (DEPLOYMENTS / "nilebridge" / "deployment.yaml").read_text(encoding="utf-8")
         data = yaml.safe_load(text)
         change(data)
@@ -109,28 +109,28 @@
         (folder / "deployment.yaml").write_text(yaml.safe_dump(data), encoding="utf-8")
         return self.assertRaises(InvalidInputError, load_deployment, folder)
 
-    def test_a_network_that_is_not_loopback(self):
-        error = self._load(lambda data: data.update(network="10.1"))
+    def test_a_network_that_is_not_loopback_is_refused(self):
+        error = self._load_error(lambda data: data.update(network="10.1"))
         self.assertIn("127", error.remedy)
 
-    def test_an_unknown_zone(self):
-        error = self._load(lambda data: data["servers"][0].update(zone="zone-z"))
+    def test_an_unknown_zone_is_refused(self):
+        error = self._load_error(lambda data: data["servers"][0].update(zone="zone-z"))
         self.assertIn("zone-a", error.remedy)
 
-    def test_an_address_used_twice(self):
+    def test_an_address_that_is_used_twice_is_refused(self):
         first = "1.101"
-        error = self._load(lambda data: data["servers"][1].update(host=first))
+        error = self._load_error(lambda data: data["servers"][1].update(host=first))
         self.assertIn("127.21.1.101:9000", error.problem)
 
-    def test_a_pool_without_profile(self):
-        error = self._load(lambda data: data["lookup_profiles"].clear())
+    def test_a_pool_without_a_profile_is_refused(self):
+        error = self._load_error(lambda data: data["lookup_profiles"].clear())
         self.assertIn("branch-quotes", error.problem)
 
-    def test_an_unknown_field_names_the_nearest(self):
-        error = self._load(lambda data: data.update(zonez=[]))
+    def test_the_error_for_an_unknown_field_names_the_most_similar_field(self):
+        error = self._load_error(lambda data: data.update(zonez=[]))
         self.assertIn("'zones'", error.remedy)
 
-    def test_a_missing_file(self):
+    def test_a_missing_file_is_refused(self):
         error = self.assertRaises(InvalidInputError, load_deployment, temporary_folder(self))
         self.assertIn("cannot be read", error.problem)
 
--- a/tests/standins/test_generation.py
+++ b/tests/standins/test_generation.py
@@ -32,7 +32,7 @@
         responses = {tuple(full_response(key)[:10]) for key in [KEY, *others]}
         self.assertEqual(4, len(responses))
 
-    def test_continuation_after_the_true_prefix_is_exact(self):
+    def test_continuation_after_a_correct_prefix_yields_the_rest_of_the_response(self):
         complete = full_response(KEY)
         generation = Generation(KEY, complete[:7])
         rest = []
--- a/tests/standins/weight_store/test_bandwidth.py
+++ b/tests/standins/weight_store/test_bandwidth.py
@@ -4,19 +4,19 @@
 
 
 class SharedBandwidthTest(TestCase):
-    def test_pulls_share_evenly(self):
+    def test_uncapped_pulls_share_the_bandwidth_equally(self):
         shared = SharedBandwidth(100.0)
         for pull_id in (1, 2):
             shared.open(Pull(pull_id, 1000, float("inf")), 0.0)
         self.assertEqual({1: 50.0, 2: 50.0}, shared.rates())
 
-    def test_what_a_capped_pull_leaves_goes_to_the_others(self):
+    def test_bandwidth_that_a_capped_pull_leaves_goes_to_the_others(self):
         shared = SharedBandwidth(100.0)
         shared.open(Pull(1, 1000, 20.0), 0.0)
         shared.open(Pull(2, 1000, 200.0), 0.0)
         self.assertEqual({1: 20.0, 2: 80.0}, shared.rates())
 
-    def test_a_pull_takes_its_size_over_its_rate(self):
+    def test_the_duration_of_a_pull_is_its_size_divided_by_its_rate(self):
         shared = SharedBandwidth(100.0)
         pull = Pull(1, 100, float("inf"))
         shared.open(pull, 0.0)
@@ -27,7 +27,7 @@
         shared.advance(1.0)
         self.assertTrue(pull.is_complete())
 
-    def test_nothing_is_sent_during_a_freeze(self):
+    def test_a_long_gap_between_advances_counts_as_a_freeze(self):
         shared = SharedBandwidth(100.0)
         pull = Pull(1, 10_000, float("inf"))
         shared.open(pull, 0.0)
--- a/tests/standins/weight_store/test_server.py
+++ b/tests/standins/weight_store/test_server.py
@@ -4,7 +4,7 @@
 
 
 class WeightStoreTest(HttpCase):
-    def test_weights_are_sent_scaled_and_a_pull_too_many_is_refused(self):
+    def test_weights_are_sent_at_reduced_size_and_a_pull_beyond_the_limit_is_refused(self):
         journal = MemoryJournal()
 
         def make_application():
@@ -12,7 +12,7 @@
             return weight_store.make_application(self.store)
 
         async def exchange():
-            url = f"{self.base}/v1/weights/m?bytes=5000001&puller=s1"
+            url = f"{self.base_url}/v1/weights/m?bytes=5000001&puller=s1"
             response = await self.client.fetch(url)
             self.assertEqual(6, len(response.body))
             self.assertEqual(["pull-start", "pull-end"], journal.events())
