--- a/src/zincvale/standins/back_end.py
+++ b/src/zincvale/standins/back_end.py
@@ -1,4 +1,4 @@
-"""Shared by language-model and lookup servers: HTTP handling, misbehaviour and the journal."""
+"""Base of language-model and lookup servers: HTTP handling, misbehaviour and the journal."""
 
 from __future__ import annotations
 
@@ -89,7 +89,7 @@
     """Base class of the request handlers of a back end."""
 
     def initialize(self, back_end: Any) -> None:
-        """Store the server's state."""
+        """Keep a reference to the state of the server."""
         self.back_end = back_end
 
     async def prepare(self) -> None:
@@ -177,7 +177,7 @@
         self.get()
 
     def delete(self) -> None:
-        """End every behaviour."""
+        """Remove every active behaviour."""
         self.back_end.behaviours.clear()
         self.back_end.journal.write("behaviours-cleared")
         self.get()
--- a/src/zincvale/standins/behaviours.py
+++ b/src/zincvale/standins/behaviours.py
@@ -34,9 +34,9 @@
     PAUSE_STREAM = "pause-stream"
     """Send nothing for `delay_s` after `after_tokens` tokens of a stream."""
     SKIP_CHUNK = "skip-piece"
-    """Omit one chunk of a stream, after `after_tokens` tokens."""
+    """Omit one chunk of a stream after `after_tokens` tokens."""
     REPEAT_CHUNK = "repeat-piece"
-    """Send one chunk of a stream twice, after `after_tokens` tokens."""
+    """Send one chunk of a stream twice after `after_tokens` tokens."""
     SLOW = "slow"
     """Take `factor` times as long for all work."""
     DARK = "dark"
@@ -85,7 +85,7 @@
         return [row.behaviour for row in self._rows]
 
     def draw(self, kind: BehaviourKind, now: float) -> Behaviour | None:
-        """Return the behaviour of `kind` if it applies to the current request; counts its use."""
+        """Return the behaviour of `kind` for the current request, or None; counts its use."""
         for row in self._rows:
             if row.behaviour.kind is not kind or row.ends_at <= now or row.is_used_up():
                 continue
--- a/src/zincvale/standins/language_model/stream_misbehaviour.py
+++ b/src/zincvale/standins/language_model/stream_misbehaviour.py
@@ -1,4 +1,4 @@
-"""Decides which tokens of one stream are cut, delayed, omitted or sent twice. Performs no I/O."""
+"""Faults of one stream: a cut, a pause, an omitted or a repeated token. Performs no I/O."""
 
 from __future__ import annotations
 
--- a/src/zincvale/standins/main.py
+++ b/src/zincvale/standins/main.py
@@ -36,8 +36,8 @@
             settings: the settings file.
             max_seconds: the process stops by itself after so many seconds.
         """
-        body = programs.language_model_body(load_settings(LanguageModelSettings, settings))
-        run_until_stopped(body, max_seconds)
+        program = programs.language_model_program(load_settings(LanguageModelSettings, settings))
+        run_until_stopped(program, max_seconds)
 
     def lookup(self, settings: str, max_seconds: float) -> None:
         """Run one lookup server.
@@ -46,8 +46,8 @@
             settings: the settings file.
             max_seconds: the process stops by itself after so many seconds.
         """
-        body = programs.lookup_body(load_settings(LookupSettings, settings))
-        run_until_stopped(body, max_seconds)
+        program = programs.lookup_program(load_settings(LookupSettings, settings))
+        run_until_stopped(program, max_seconds)
 
     def store(self, settings: str, max_seconds: float) -> None:
         """Run one weight store.
@@ -56,8 +56,8 @@
             settings: the settings file.
             max_seconds: the process stops by itself after so many seconds.
         """
-        body = programs.store_body(load_settings(StoreSettings, settings))
-        run_until_stopped(body, max_seconds)
+        program = programs.store_program(load_settings(StoreSettings, settings))
+        run_until_stopped(program, max_seconds)
 
     def platform(self, settings: str, max_seconds: float) -> None:
         """Run the platform: server list, readiness polls, node hand-out.
@@ -66,8 +66,8 @@
             settings: the settings file.
             max_seconds: the process stops by itself after so many seconds.
         """
-        body = programs.platform_body(load_settings(PlatformSettings, settings))
-        run_until_stopped(body, max_seconds)
+        program = programs.platform_program(load_settings(PlatformSettings, settings))
+        run_until_stopped(program, max_seconds)
 
     def callers(self, settings: str, max_seconds: float) -> None:
         """Drive callers against the nodes that the platform hands out.
@@ -76,8 +76,8 @@
             settings: the settings file.
             max_seconds: the process stops by itself after so many seconds.
         """
-        body = programs.callers_body(load_settings(CallersSettings, settings))
-        run_until_stopped(body, max_seconds)
+        program = programs.callers_program(load_settings(CallersSettings, settings))
+        run_until_stopped(program, max_seconds)
 
     def operators(self, settings: str, max_seconds: float) -> None:
         """Send scripted changes to the cores.
@@ -86,8 +86,8 @@
             settings: the settings file.
             max_seconds: the process stops by itself after so many seconds.
         """
-        body = programs.operators_body(load_settings(OperatorsSettings, settings))
-        run_until_stopped(body, max_seconds)
+        program = programs.operators_program(load_settings(OperatorsSettings, settings))
+        run_until_stopped(program, max_seconds)
 
 
 def main() -> None:
--- a/src/zincvale/standins/process.py
+++ b/src/zincvale/standins/process.py
@@ -43,8 +43,10 @@
         )
 
 
-def run_until_stopped(body: Callable[[asyncio.Event], Awaitable[None]], max_seconds: float) -> None:
-    """Run `body` with an event that is set when the process should stop.
+def run_until_stopped(
+    program: Callable[[asyncio.Event], Awaitable[None]], max_seconds: float
+) -> None:
+    """Run `program` with an event that is set when the process should stop.
 
     The event is set by SIGTERM or SIGINT, after `max_seconds`, and when the parent process
     has ended. The kernel also kills the process when its parent ends, which covers a process
@@ -52,10 +54,10 @@
     """
     check_max_seconds(max_seconds)
     die_with_parent()
-    asyncio.run(_run(body, max_seconds))
+    asyncio.run(_run(program, max_seconds))
 
 
-async def _run(body: Callable[[asyncio.Event], Awaitable[None]], max_seconds: float) -> None:
+async def _run(program: Callable[[asyncio.Event], Awaitable[None]], max_seconds: float) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -63,7 +65,7 @@
     loop.call_later(max_seconds, stop.set)
     watch_task = asyncio.ensure_future(_watch_parent(stop, os.getppid()))
     try:
-        await body(stop)
+        await program(stop)
     finally:
         watch_task.cancel()
 
--- a/src/zincvale/standins/programs.py
+++ b/src/zincvale/standins/programs.py
@@ -38,13 +38,13 @@
 )
 from zincvale.standins.weight_store import server as weight_store
 
-Body = Callable[[asyncio.Event], Awaitable[None]]
+Program = Callable[[asyncio.Event], Awaitable[None]]
 
 
-def language_model_body(settings: LanguageModelSettings) -> Body:
+def language_model_program(settings: LanguageModelSettings) -> Program:
     """Return the program of one language-model server."""
 
-    async def body(stop: asyncio.Event) -> None:
+    async def run(stop: asyncio.Event) -> None:
         journal = Journal(settings.journal, suspend_aware_now)
         profile = settings.profile
         puller = WeightPuller(settings.server, profile.pull_bytes_per_second, settings.address_map)
@@ -59,13 +59,13 @@
         journal.write("stop", server=settings.server)
         _close(server)
 
-    return body
+    return run
 
 
-def lookup_body(settings: LookupSettings) -> Body:
+def lookup_program(settings: LookupSettings) -> Program:
     """Return the program of one lookup server."""
 
-    async def body(stop: asyncio.Event) -> None:
+    async def run(stop: asyncio.Event) -> None:
         journal = Journal(settings.journal, suspend_aware_now)
         identity = new_identity(settings.server, settings.pool, settings.zone)
         lookup = Lookup(identity, settings.profile, journal, suspend_aware_now, settings.seed)
@@ -77,13 +77,13 @@
         journal.write("stop", server=settings.server)
         _close(server)
 
-    return body
+    return run
 
 
-def store_body(settings: StoreSettings) -> Body:
+def store_program(settings: StoreSettings) -> Program:
     """Return the program of one weight store."""
 
-    async def body(stop: asyncio.Event) -> None:
+    async def run(stop: asyncio.Event) -> None:
         journal = Journal(settings.journal, suspend_aware_now)
         store = weight_store.WeightStore(
             settings.store,
@@ -102,13 +102,13 @@
         await stop.wait()
         _close(server)
 
-    return body
+    return run
 
 
-def platform_body(settings: PlatformSettings) -> Body:
+def platform_program(settings: PlatformSettings) -> Program:
     """Return the program of the platform."""
 
-    async def body(stop: asyncio.Event) -> None:
+    async def run(stop: asyncio.Event) -> None:
         journal = Journal(settings.journal, suspend_aware_now)
         platform = platform_server.Platform(settings, journal, suspend_aware_now)
         server = listen(platform_server.make_application(platform), settings.address)
@@ -116,16 +116,16 @@
         await platform.poll_until(stop)
         _close(server)
 
-    return body
+    return run
 
 
-def callers_body(settings: CallersSettings) -> Body:
+def callers_program(settings: CallersSettings) -> Program:
     """Return the program that drives callers; it ends when every request has finished."""
     spec = load_load_spec(settings.load)
     documents = load_intent(settings.deployment, load_deployment(settings.deployment))
     planner = Planner(spec, documents, settings.seed)
 
-    async def body(stop: asyncio.Event) -> None:
+    async def run(stop: asyncio.Event) -> None:
         journal = Journal(settings.journal, suspend_aware_now)
         client = CallerClient(suspend_aware_now, settings.address_map)
         callers = Callers(settings, spec, planner, client, journal, suspend_aware_now)
@@ -134,14 +134,14 @@
         finally:
             _write_summary(settings.summary, callers.summary.to_json())
 
-    return body
+    return run
 
 
-def operators_body(settings: OperatorsSettings) -> Body:
+def operators_program(settings: OperatorsSettings) -> Program:
     """Return the program that drives operators; it ends when every order has a final result."""
     script = load_script(settings.script)
 
-    async def body(stop: asyncio.Event) -> None:
+    async def run(stop: asyncio.Event) -> None:
         journal = Journal(settings.journal, suspend_aware_now)
         client = HttpCoreClient(settings.address_map)
         operators = Operators(settings, script, client, journal, suspend_aware_now)
@@ -150,7 +150,7 @@
         finally:
             _write_summary(settings.summary, operators.summary())
 
-    return body
+    return run
 
 
 def _write_summary(path: str, summary: dict[str, Any]) -> None:
--- a/tests/standins/language_model/test_http_handlers.py
+++ b/tests/standins/language_model/test_http_handlers.py
@@ -151,7 +151,7 @@
 
         self.serve(exchange)
 
-    def test_streams_that_skip_and_repeat_tokens(self):
+    def test_behaviours_make_a_stream_skip_or_repeat_a_token(self):
         async def exchange():
             numbers = {}
             for kind in ("skip-piece", "repeat-piece"):
--- a/tests/standins/language_model/test_residency.py
+++ b/tests/standins/language_model/test_residency.py
@@ -31,7 +31,7 @@
         self.assertTrue(self.residency.order_model_load("m", 60, 0).is_already_done)
         self.assertEqual(60, self.residency.used_bytes())
 
-    def test_an_adapter_needs_its_loaded_base_model(self):
+    def test_an_adapter_load_requires_a_loaded_base_model(self):
         self.residency.order_model_load("m", 10, 0)
         result = self.residency.order_adapter_load("a", "m", 1, 0)
         self.assertEqual(OrderError.BASE_MODEL, result.error)
--- a/tests/standins/load/test_request_plan.py
+++ b/tests/standins/load/test_request_plan.py
@@ -42,7 +42,7 @@
         for prefixes in prompts.values():
             self.assertEqual([prefixes[0]] * len(prefixes), prefixes)
 
-    def test_an_adapter_belongs_to_its_model(self):
+    def test_a_conversation_names_only_an_adapter_of_its_model(self):
         for arrival in self.chats:
             conversation = self.planner.conversation(arrival)
             if conversation.adapter:
--- a/tests/standins/test_json_body.py
+++ b/tests/standins/test_json_body.py
@@ -4,7 +4,7 @@
 
 
 class JsonObjectTest(TestCase):
-    def test_an_object_is_returned(self):
+    def test_a_json_object_is_returned(self):
         self.assertEqual({"a": 1}, json_object(b'{"a":1}'))
 
     def test_a_body_that_is_no_json_object_gives_an_empty_dict(self):
