--- a/src/zincvale/simulator/forwarding/model.py
+++ b/src/zincvale/simulator/forwarding/model.py
@@ -88,7 +88,7 @@
 def run_forwarding(seed: int) -> ForwardingOutcome:
     """Run the simulation of one seed; the same seed gives the same outcome."""
     model = ForwardingModel(seed)
-    model.play()
+    model.run()
     checks = {
         **CHECKS_WITHOUT_CONFIG,
         "retries-within": retries_are_bounded(RETRY_CONFIG),
@@ -121,7 +121,7 @@
 
 
 class ForwardingModel:
-    """The nodes, servers and callers of one seed; `play` simulates them and fills the journal."""
+    """The nodes, servers and callers of one seed; `run` simulates them and fills the journal."""
 
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
@@ -136,7 +136,7 @@
         self._nodes = [self._node(index) for index in range(NODE_COUNT)]
         self._directory_versions = [0] * NODE_COUNT
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Simulate the traffic and faults, and the time in which the last requests end."""
         for node in self._nodes:
             node.apply_members(self._members())
--- a/src/zincvale/simulator/schedules/run.py
+++ b/src/zincvale/simulator/schedules/run.py
@@ -60,7 +60,7 @@
     recovery_s: float | None = None
 
 
-class Run:
+class ScheduleRun:
     """One run of one schedule."""
 
     def __init__(self, schedule: Schedule) -> None:
@@ -200,4 +200,4 @@
 
 def run_schedule(schedule: Schedule) -> Outcome:
     """Run a schedule and return its outcome."""
-    return Run(schedule).execute()
+    return ScheduleRun(schedule).execute()
--- a/tests/golden/decisions_of_cluster.py
+++ b/tests/golden/decisions_of_cluster.py
@@ -13,7 +13,7 @@
 from zincvale.simulator.cluster.simulation import Simulation
 from zincvale.simulator.register_exploration import Explorer
 from zincvale.simulator.schedules.drawing import draw_schedule
-from zincvale.simulator.schedules.run import Run
+from zincvale.simulator.schedules.run import ScheduleRun
 
 CLUSTER_SEEDS = range(1, 101)
 CLAIMS_SEEDS = range(1, 21)
@@ -40,7 +40,7 @@
     schedule = draw_schedule(seed)
     log.add("schedule", schedule)
     with _effects_recorded(log):
-        run = Run(schedule)
+        run = ScheduleRun(schedule)
         log.add("outcome", run.execute())
     log.add("attempts", run.operators.attempts)
     return log.digest()
--- a/tests/golden/decisions_of_forwarding.py
+++ b/tests/golden/decisions_of_forwarding.py
@@ -47,7 +47,7 @@
     log = DecisionLog()
     with _traffic_recorded(log):
         model = ForwardingModel(seed)
-        model.play()
+        model.run()
     log.add("callers", model.journal.callers)
     log.add("arrivals", model.journal.arrivals)
     log.add("runs", model.journal.runs)
