--- a/src/zincvale/coordination/delivery/long_poll_client.py
+++ b/src/zincvale/coordination/delivery/long_poll_client.py
@@ -68,7 +68,7 @@
         self.members = VersionedTable()
         self.members_source = ""
         self.topics = EphemeralTopics()
-        self.notes = ChangeNotifications()
+        self.notifications = ChangeNotifications()
 
     def applied_versions(self) -> dict[str, int]:
         """Return the applied version of each durable key."""
@@ -103,10 +103,10 @@
         changed_keys = [delta.name for delta in response.keys if self._apply_key(delta)]
         for topic_delta in response.topics:
             if self.topics.apply(topic_delta):
-                self.notes.topics.add(topic_delta.topic)
+                self.notifications.topics.add(topic_delta.topic)
         if response.members is not None:
             self._apply_members(response.members_source, response.members)
-        self.notes.keys.update(changed_keys)
+        self.notifications.keys.update(changed_keys)
         return bool(changed_keys)
 
     def handle_failure(self, token: str, now: float) -> None:
@@ -173,4 +173,4 @@
             return
         if self.members.apply(delta_from_message(delta)):
             self.members_source = source
-            self.notes.members = True
+            self.notifications.members = True
--- a/src/zincvale/coordination/node/machine.py
+++ b/src/zincvale/coordination/node/machine.py
@@ -427,4 +427,4 @@
 
     def take_changes(self) -> ChangeNotifications:
         """Return what has changed since the last call."""
-        return self._poll_client.notes.take()
+        return self._poll_client.notifications.take()
