--- a/src/zincvale/simulator/cluster/operators.py
+++ b/src/zincvale/simulator/cluster/operators.py
@@ -28,7 +28,7 @@
 MAX_RESENDS = 2
 """Number of times that an order is resent unless it gets a final response."""
 ROW_COUNT = 6
-"""Number of rows among which changes choose; it is small, so that they overwrite each other."""
+"""Number of rows from which each change chooses the one that it puts or deletes."""
 DELETION_SHARE = 0.2
 """Fraction of the changes that delete their row."""
 FINAL_STATUSES = (IN_FORCE, CONFLICT, INVALID)
--- a/src/zincvale/simulator/commands.py
+++ b/src/zincvale/simulator/commands.py
@@ -36,7 +36,7 @@
 """Number of random walks through the states of a register that look for one mutation."""
 WALK_SEED = 1
 WALK_STARTS = (2, 2)
-"""Number of times that each proposer of the register may start, per proposer."""
+"""Number of times that each proposer of the register may start."""
 
 
 class SimulateCommands:
--- a/src/zincvale/simulator/forwarding/checks.py
+++ b/src/zincvale/simulator/forwarding/checks.py
@@ -28,7 +28,7 @@
 
 
 def requests_run_at_most_once(journal: ForwardingJournal) -> Iterator[str]:
-    """A request that may not be repeated runs at max_requests once."""
+    """A request that may not be repeated runs at most once."""
     for request_id, runs in runs_of(journal).items():
         if len(runs) > 1 and not journal.callers[request_id].may_repeat:
             yield f"{request_id} ran {len(runs)} times"
@@ -73,7 +73,7 @@
 
 
 def attempts_are_bounded(journal: ForwardingJournal) -> Iterator[str]:
-    """A request reaches at max_requests as many servers as its route allows attempts."""
+    """A request reaches at most as many servers as its route allows attempts."""
     servers: dict[str, set[str]] = defaultdict(set)
     for arrival in journal.arrivals:
         if not arrival.is_misdirected:
--- a/src/zincvale/simulator/forwarding/servers.py
+++ b/src/zincvale/simulator/forwarding/servers.py
@@ -31,17 +31,17 @@
 
     HEALTHY = "well"
     OVERLOADED = "full"
-    """It refuses requests and states that they did not run."""
+    """The server refuses requests and states that they did not run."""
     FAILING_AFTER_RUN = "grey"
-    """It runs requests and then responds with an error."""
+    """The server runs requests and then responds with an error."""
     BREAKING_OFF = "breaks"
-    """It breaks off its responses before they are complete."""
+    """The server breaks off its responses before they are complete."""
     SILENT = "silent"
-    """It runs requests and never responds."""
+    """The server runs requests and never responds."""
     REFUSING_CONNECTIONS = "down"
-    """It refuses connections."""
+    """The server refuses connections."""
     UNREACHABLE = "dark"
-    """Connection attempts to it time out."""
+    """Attempts to connect to the server time out."""
 
 
 @attrs.define(eq=False)
--- a/src/zincvale/simulator/schedules/drawing.py
+++ b/src/zincvale/simulator/schedules/drawing.py
@@ -28,7 +28,7 @@
 """Fraction of the freezes that last `LONG_FREEZE_S`."""
 LONG_FREEZE_S = 20.0
 GROUP_FREEZE_SHARE = 0.25
-"""Fraction of the freezes that affect several members at first."""
+"""Fraction of the freezes that affect several members at once."""
 CODEC_SEED_INTERVAL = 5
 """Every message passes through the codec if the seed is a multiple of this number."""
 
--- a/src/zincvale/simulator/schedules/exploring.py
+++ b/src/zincvale/simulator/schedules/exploring.py
@@ -79,7 +79,7 @@
 def shrink_failure(
     schedule: Schedule, invariant: str, run: Callable[[Schedule], Outcome] = run_schedule
 ) -> tuple[Schedule, int]:
-    """Return the smallest schedule found that violates the same invariant, and the runs needed."""
+    """Return the smallest schedule found that violates the same invariant, and the run count."""
     shrinker = Shrinker(lambda candidate: run(candidate).invariant == invariant)
     return shrinker.shrink(schedule), shrinker.runs
 
--- a/src/zincvale/simulator/schedules/run.py
+++ b/src/zincvale/simulator/schedules/run.py
@@ -31,7 +31,9 @@
 """Time after healing within which every singleton role has a leader: a lease may have to expire,
 restarted grantors wait for as long, and candidates stagger their attempts."""
 SETTLE_S = 2.0
-"""Time after recovery within which every member must hold the acknowledged version."""
+"""Time after recovery within which every member must hold the acknowledged version.
+
+If recovery is impossible for lack of a quorum, the run goes on for as long."""
 
 
 @attrs.frozen
--- a/tests/simulator/forwarding/test_forwarding_model.py
+++ b/tests/simulator/forwarding/test_forwarding_model.py
@@ -21,7 +21,7 @@
 
 SEEDS = range(1, 201)
 MUTATION_SEEDS = range(1, 101)
-REPLAYED = (2, 11)
+REPLAYED_SEEDS = (2, 11)
 
 
 def _repeat_everything():
@@ -124,7 +124,7 @@
             self.assertGreater(endings[ending], 0, ending)
 
     def test_same_seed_gives_the_same_outcome(self):
-        for seed in REPLAYED:
+        for seed in REPLAYED_SEEDS:
             self.assertEqual(run_forwarding(seed), run_forwarding(seed))
 
     def test_each_mutation_is_detected_by_its_check(self):
--- a/tests/simulator/mutations/test_mutations.py
+++ b/tests/simulator/mutations/test_mutations.py
@@ -8,10 +8,10 @@
 from zincvale.simulator.register_exploration import explore_register, walk_register
 from zincvale.simulator.schedules.directed import SEEDS_PER_CORE, directed_schedules
 
-STATES = 20_000
-WALKS = 400
+MAX_STATES = 20_000
+WALK_COUNT = 400
 WALK_SEED = 1
-STARTS = (2, 2)
+STARTS_PER_PROPOSER = (2, 2)
 MUTATIONS_DETECTED_BY_EXPLORATION = (
     "majority-of-one",
     "answer-before-sync",
@@ -65,9 +65,9 @@
     def test_register_exploration_detects_mutations(self) -> None:
         for name in MUTATIONS_DETECTED_BY_EXPLORATION:
             with MUTATIONS[name].apply():
-                found = walk_register(STARTS, WALKS, WALK_SEED)
+                found = walk_register(STARTS_PER_PROPOSER, WALK_COUNT, WALK_SEED)
             self.assertNotEqual("", found.problem, name)
 
     def test_register_exploration_finds_no_problem_without_mutations(self) -> None:
-        self.assertEqual("", explore_register((1, 1), STATES).problem)
-        self.assertEqual("", walk_register(STARTS, WALKS, WALK_SEED).problem)
+        self.assertEqual("", explore_register((1, 1), MAX_STATES).problem)
+        self.assertEqual("", walk_register(STARTS_PER_PROPOSER, WALK_COUNT, WALK_SEED).problem)
--- a/tests/simulator/schedules/test_seeds.py
+++ b/tests/simulator/schedules/test_seeds.py
@@ -8,7 +8,7 @@
 from zincvale.simulator.schedules.run import run_schedule
 
 SEEDS = range(1, 101)
-REPLAYED = (3, 25)
+REPLAYED_SEEDS = (3, 25)
 
 
 class SeedsTest(testtools.TestCase):
@@ -21,6 +21,6 @@
         self.assertGreater(sum(each.acknowledged for each in outcomes), 10 * len(SEEDS))
 
     def test_same_seed_gives_the_same_outcome(self) -> None:
-        for seed in REPLAYED:
+        for seed in REPLAYED_SEEDS:
             schedule = draw_schedule(seed)
             self.assertEqual(run_schedule(schedule), run_schedule(schedule))
