--- a/src/zincvale/coordination/config.py
+++ b/src/zincvale/coordination/config.py
@@ -33,16 +33,16 @@
     resend_interval_s: float = 0.3
     """Interval at which register messages are resent to replicas that did not respond."""
     change_timeout_s: float = 4.0
-    """Time after which `registers.proposal_router` answers a change with `not-confirmed`."""
+    """Time after which `registers.proposal_router` responds to a change with `not-confirmed`."""
     forward_timeout_s: float = 4.0
     """Timeout of the call that forwards a change to the key's owner."""
     renewal_collect_s: float = 0.03
     """How long a coordinating core collects lease renewals before it forwards them in a batch."""
     renewal_wait_s: float = 0.25
-    """Time after which a coordinating core answers a renewal with the grants received so far."""
+    """Time after which a coordinating core responds to a renewal even without a majority of grants."""
     renewal_timeout_s: float = 0.55
-    """Time after which a node sends an unanswered renewal to every core itself. It must be longer
-    than `renewal_wait_s` and shorter than `lease_renew_s`."""
+    """Time after which a node that got no response to a renewal sends it to every core itself. It must
+    be longer than `renewal_wait_s` and shorter than `lease_renew_s`."""
     stale_member_grace_s: float = 1.0
     """How long a node may lack a chosen version before its grants require that it has applied the
     version. A change waits for a slow node this long plus one lease lifetime."""
@@ -52,7 +52,7 @@
     """Timeout of the call of a long poll. It must be longer than `long_poll_timeout_s`, or every
     idle poll would fail."""
     delta_batch_s: float = 0.02
-    """How long updates are collected before long polls are answered."""
+    """How long updates are collected before long polls get a response."""
     ephemeral_responses_per_s: float = 0.0
     """Maximum rate at which one core sends responses that carry only topics and members; 0 means no
     limit."""
--- a/src/zincvale/coordination/core/messages.py
+++ b/src/zincvale/coordination/core/messages.py
@@ -79,7 +79,7 @@
 @peer_message("core.ask")
 @attrs.frozen
 class RequestCores:
-    """Asks for the cores that a process knows; answered by a `LeaseRedirect`."""
+    """Asks for the cores that a process knows; the response is a `LeaseRedirect`."""
 
 
 @peer_message("core.create")
--- a/src/zincvale/coordination/membership/registry_reconciler.py
+++ b/src/zincvale/coordination/membership/registry_reconciler.py
@@ -19,7 +19,7 @@
 """Interval between two comparisons, in seconds; each one reads the whole registry."""
 INVITATION_INTERVAL_S = 3.0
 """Interval between two invitations of a node without a lease, in seconds. It limits how long a node
-with outdated seeds does not find the cores."""
+with outdated seeds can fail to find the cores."""
 
 
 class RegistryReconciler:
--- a/src/zincvale/coordination/registers/change_messages.py
+++ b/src/zincvale/coordination/registers/change_messages.py
@@ -24,7 +24,7 @@
 @peer_message("replica.replace")
 @attrs.frozen
 class ReplaceReplica:
-    """Replace the replica on core `remove` by one on core `add`; answered by a `ChangeResult`."""
+    """Replace the replica on core `remove` by one on `add`; the response is a `ChangeResult`."""
 
     remove: str
     add: str
--- a/src/zincvale/coordination/registers/owner.py
+++ b/src/zincvale/coordination/registers/owner.py
@@ -244,7 +244,7 @@
         return []
 
     def tick(self, desired_replicas: list[str], now: float) -> list[Effect]:
-        """Resend unanswered writes, give up at a timeout and move to the desired replicas."""
+        """Resend unacknowledged writes, give up at a timeout and move to the desired replicas."""
         if self.phase is OwnerPhase.PREPARING:
             if now - self._prepare_sent_at > self._timings.prepare_timeout_s:
                 return self._step_down(self.epoch)
