--- a/src/zincvale/cli/operator/arguments.py
+++ b/src/zincvale/cli/operator/arguments.py
@@ -116,4 +116,6 @@
     except ValueError:
         valid = False
     if not valid:
-        raise UsageError(f"{source}: {address!r} is not `ip:port`", "write an IP number and a port")
+        raise UsageError(
+            f"{source}: {address!r} is not `ip:port`", "write an IP address and a port"
+        )
--- a/src/zincvale/cli/operator/session.py
+++ b/src/zincvale/cli/operator/session.py
@@ -133,7 +133,7 @@
                 failures[core] = _problem_of(response)
             self._select_next_core()
         raise UnavailableError(
-            f"no core answered ({_failures_text(failures)})",
+            f"no core served the request ({_failures_text(failures)})",
             "name other cores with --core, or try again",
         )
 
--- a/src/zincvale/cli/trace_commands.py
+++ b/src/zincvale/cli/trace_commands.py
@@ -263,7 +263,7 @@
         response = await _fetch(core, "/v1/members")
     except (OSError, HTTPError) as error:
         raise UnavailableError(
-            f"core {core} does not answer: {error}", "name another core"
+            f"core {core} does not respond: {error}", "name another core"
         ) from error
     members = orjson.loads(response)["members"]
     return [member["api_address"] for member in members if member["role"] == "node"]
--- a/src/zincvale/controlplane/directory/server_discovery.py
+++ b/src/zincvale/controlplane/directory/server_discovery.py
@@ -75,7 +75,7 @@
     """Adapters, each as `MODEL/ADAPTER`."""
 
 
-# effects
+# Effects of the discovery machine
 
 
 @attrs.frozen
--- a/src/zincvale/controlplane/documents/rows.py
+++ b/src/zincvale/controlplane/documents/rows.py
@@ -43,7 +43,8 @@
 def encode_item(position: int, spec: Mapping[str, Any], source: object) -> bytes:
     """Return the row of a route, a pool or the limits; `position` is its index in the document.
 
-    Copied into bytes of the exact size, for the reason given at `intent.row_codec.encode_spec`.
+    The row is copied into bytes of the exact size, for the reason given at
+    `intent.row_codec.encode_spec`.
     """
     return bytes(memoryview(orjson.dumps({"place": position, "spec": spec, "source": source})))
 
--- a/tests/controlplane/fake_cores.py
+++ b/tests/controlplane/fake_cores.py
@@ -68,11 +68,11 @@
         request = ApiRequest(
             method, path, dict(urllib.parse.parse_qsl(query)), headers, body, f"t{self._count}"
         )
-        answer = self._handle(address, request, timeout_s)
+        response = self._handle(address, request, timeout_s)
         if outcome == LOST_RESPONSE:
             self.clock += timeout_s
             raise CoreUnreachableError("Connection reset", sent=True)
-        return answer
+        return response
 
     async def pause(self, seconds: float) -> None:
         self.clock += seconds
--- a/tests/controlplane/test_operator_commands.py
+++ b/tests/controlplane/test_operator_commands.py
@@ -190,8 +190,8 @@
 
     def test_error_statuses_are_returned_as_responses(self) -> None:
         request = HTTPRequest("http://127.0.0.1:7000/")
-        answer = self.fetch(HTTPResponse(request, 409, buffer=io.BytesIO(b"{}")))
-        self.assertEqual(CoreResponse(409, b"{}"), answer)
+        response = self.fetch(HTTPResponse(request, 409, buffer=io.BytesIO(b"{}")))
+        self.assertEqual(CoreResponse(409, b"{}"), response)
 
 
 class ResourceFileTest(OperatorCase):
