--- a/src/zincvale/runtime/settings.py
+++ b/src/zincvale/runtime/settings.py
@@ -103,14 +103,14 @@
 
 
 def check_address(address: str, field_name: str) -> None:
-    """Raise `InvalidInputError` unless `address` is an IP number with a port."""
+    """Raise `InvalidInputError` unless `address` is an IP address with a port."""
     host, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
         number = int(port)
     except ValueError as error:
         raise InvalidInputError(
-            f"{field_name}: {address!r} is not `ip:port`", "write an IP number, not a host name"
+            f"{field_name}: {address!r} is not `ip:port`", "write an IP address, not a host name"
         ) from error
     if not 0 < number <= HIGHEST_PORT:
         raise InvalidInputError(f"{field_name}: port {number} is out of range", "use 1 to 65535")
--- a/tests/runtime/test_settings.py
+++ b/tests/runtime/test_settings.py
@@ -57,7 +57,7 @@
     def test_a_host_name_instead_of_an_ip_address_is_refused(self) -> None:
         self.assertThat(
             self._error_text(VALID_SETTINGS.replace("127.0.0.1:8000", "localhost:8000")),
-            Contains("write an IP number"),
+            Contains("write an IP address"),
         )
 
     def test_a_core_without_a_data_folder_is_refused(self) -> None:
