--- a/src/zincvale/daemons/server_orders.py
+++ b/src/zincvale/daemons/server_orders.py
@@ -37,7 +37,7 @@
 
 
 class OrderReply(enum.Enum):
-    """What a server's response to an order proves; a proven refusal is an `OrderRefusal`.
+    """Outcome of an order that a server's response proves; a refusal is an `OrderRefusal`.
 
     An order goes from `ACCEPTED` to `COMPLETED`; after `UNKNOWN` only a status shows its result.
     """
@@ -47,7 +47,7 @@
     COMPLETED = "completed"
     """The server's state is what the order requests."""
     UNKNOWN = "unknown"
-    """The response proves nothing: the order may be executed."""
+    """The response proves nothing: the order may or may not be executed."""
 
 
 @attrs.frozen
@@ -92,7 +92,7 @@
         ...
 
     def order_reply(self, order: Order, result: FetchResult) -> OrderReply | OrderRefusal:
-        """Return what the response to an order proves."""
+        """Return the outcome of an order as far as the server's response proves it."""
         ...
 
     def status_call(self, row: ServerRow) -> HttpCall:
@@ -120,7 +120,10 @@
         return HttpCall(f"/v1/{kind}/{order.action.value}", orjson.dumps(_order_body(order)))
 
     def order_reply(self, order: Order, result: FetchResult) -> OrderReply | OrderRefusal:
-        """Return what the response proves; only a proven refusal releases a memory reservation."""
+        """Return the outcome of an order as far as the server's response proves it.
+
+        Only a proven refusal releases the memory that is reserved for the order.
+        """
         if result.status in (HTTP_OK, HTTP_ACCEPTED):
             return OrderReply.ACCEPTED
         if not result.connected:
--- a/src/zincvale/platform/servers.py
+++ b/src/zincvale/platform/servers.py
@@ -87,7 +87,7 @@
         return HttpCall("/v1/order", orjson.dumps(body), {"Expect-Instance": row.incarnation})
 
     def order_reply(self, _order: Order, result: FetchResult) -> OrderReply | OrderRefusal:
-        """Return what the response to an order proves."""
+        """Return the outcome of an order as far as the server's response proves it."""
         if not result.connected:
             return OrderRefusal.NOT_CONNECTED
         return REPLY_BY_STATUS.get(result.status, OrderReply.UNKNOWN)
