--- a/src/zincvale/transport/complete_exchange.py
+++ b/src/zincvale/transport/complete_exchange.py
@@ -100,7 +100,7 @@
         connected = self.exchange is not None and self.exchange.is_attached
         if not self.response.done():
             self.response.set_exception(
-                NoResponseError(f"no answer within {timeout_s} s", connected=connected)
+                NoResponseError(f"no response within {timeout_s} s", connected=connected)
             )
 
     def _fail(self, failure: NoResponseError) -> None:
--- a/tests/daemons/test_http_fetch.py
+++ b/tests/daemons/test_http_fetch.py
@@ -99,4 +99,4 @@
     def test_a_call_without_a_response_times_out(self):
         result = self.call(lambda listener: None, timeout_s=0.0)
         self.assertEqual(0, result.status)
-        self.assertIn("no answer", result.error)
+        self.assertIn("no response", result.error)
