--- a/src/zincvale/tracing/__init__.py
+++ b/src/zincvale/tracing/__init__.py
@@ -7,5 +7,5 @@
 Read in this order: `config`, `chunks` (what is sent between members), `ownership` (who collects a
 trace), `messages`, and then the packages along a trace's path: `recorder`, `sender`, `collector`,
 `retention`; `service` runs their state machines in one daemon, `metrics` reads their statistics,
-`api` answers queries.
+`api` responds to queries.
 """
--- a/src/zincvale/tracing/messages.py
+++ b/src/zincvale/tracing/messages.py
@@ -10,7 +10,7 @@
 @peer_message("tracing.span-batch")
 @attrs.frozen
 class SpanBatch:
-    """Chunks for the collector (see `chunks.encode_chunks`); answered by `BatchAck`.
+    """Chunks for the collector (see `chunks.encode_chunks`); the response is a `BatchAck`.
 
     An empty batch asks for credit. Chunks sent with `backup` are only stored: their sender collects
     them itself, and the backup replaces them if that member is lost.
