--- a/src/zincvale/coordination/config.py
+++ b/src/zincvale/coordination/config.py
@@ -39,10 +39,10 @@
     renewal_collect_s: float = 0.03
     """How long a coordinating core collects lease renewals before it forwards them in a batch."""
     renewal_wait_s: float = 0.25
-    """Time after which a coordinating core responds to a renewal even without a majority of grants."""
+    """Time after which a coordinating core responds to a renewal without a majority of grants."""
     renewal_timeout_s: float = 0.55
-    """Time after which a node that got no response to a renewal sends it to every core itself. It must
-    be longer than `renewal_wait_s` and shorter than `lease_renew_s`."""
+    """Time without a response after which a node sends a renewal to every core itself. It must be
+    longer than `renewal_wait_s` and shorter than `lease_renew_s`."""
     stale_member_grace_s: float = 1.0
     """How long a node may lack a chosen version before its grants require that it has applied the
     version. A change waits for a slow node this long plus one lease lifetime."""
