--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -63,7 +63,8 @@
 LOAD_CHECK_FRACTION = 0.97
 """Fraction of a load's declared duration after which the server is first checked for completion."""
 DISK_LOAD_CHECK_FRACTION = 0.1
-"""Same fraction for a load from the server's own disk, until the first such load has completed."""
+"""Fraction of the declared duration of a load from the server's own disk after which the server is
+first checked, until the first such load has completed."""
 MIN_CONFIRM_INTERVAL_S = 0.015
 """Interval between the first and the second check; each check sends one more order to the
 server."""
