--- a/src/zincvale/tracing/collector/collector.py
+++ b/src/zincvale/tracing/collector/collector.py
@@ -69,7 +69,7 @@
 MAX_CREDIT_BYTES = 256 * 1024
 """Maximum credit that a sender gets with one ack."""
 MIN_CREDIT_BYTES = 4 * 1024
-"""Below this share of the remaining budget a sender gets no credit."""
+"""Minimum credit: a sender gets none if its even share of the free budget is smaller than this."""
 
 
 @attrs.define(slots=True)
--- a/src/zincvale/tracing/retention/trace_replicator.py
+++ b/src/zincvale/tracing/retention/trace_replicator.py
@@ -27,8 +27,8 @@
 REPLICATION_BYTES_PER_TICK = 512 * 1024
 """Limit of the bytes sent per tick to replace replicas after a crash."""
 DRAIN_BYTES_PER_TICK = 8 * 1024 * 1024
-"""The same limit while this member drains; it is higher because little time is left to transfer the
-retained traces."""
+"""Limit of the bytes sent per tick while this member drains. It is higher because little time is
+left to transfer the retained traces."""
 NO_PROBABILITY = 0.0
 """Head probability of a trace before a chunk gives it."""
 
