--- a/src/zincvale/transport/curl_sockets.py
+++ b/src/zincvale/transport/curl_sockets.py
@@ -13,8 +13,8 @@
 import attrs
 
 MAX_SOCKETS = 8192
-"""Maximum number of entries. It must exceed the number of open connections of the client, because a
-connection whose entry was evicted is reused without a check."""
+"""Maximum number of entries of a `SocketTable`. It must exceed the number of open connections of
+the client, because a connection whose entry was evicted is reused without a check."""
 
 LocalEndpoint = tuple[str, int]
 
