--- a/tests/controlplane/directory/test_machine.py
+++ b/tests/controlplane/directory/test_machine.py
@@ -154,7 +154,7 @@
         reports = [effect for effect in effects if isinstance(effect, ServerReported)]
         self.assertEqual([driver.now], [report.requested_at for report in reports])
 
-    def test_only_the_own_share_is_probed_until_another_prober_is_silent(self) -> None:
+    def test_only_the_own_share_is_probed_until_another_prober_stops_reporting(self) -> None:
         driver = DirectoryDriver()
         probers = (MemberId("core-1"), MemberId("core-2"))
         driver.feed(ProbersChanged(probers))
