--- a/src/zincvale/bench/capacity_model.py
+++ b/src/zincvale/bench/capacity_model.py
@@ -43,7 +43,8 @@
 NODE_BYTES_BUDGET_PER_S = 3_000.0
 """Bytes per second, sent and received, that the control plane may cause on a node."""
 CORE_CPU_BUDGET = 0.6
-"""Share of a processor core; above it a core's event loop cannot absorb bursts (assumed)."""
+"""Share of a processor core that a core daemon may use (assumed). Above it, its event loop cannot
+absorb bursts."""
 
 
 class Origin(enum.Enum):
--- a/src/zincvale/bench/http_load.py
+++ b/src/zincvale/bench/http_load.py
@@ -17,7 +17,7 @@
 LOWEST_US = 1
 HIGHEST_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
-"""Range and precision of the latency histograms."""
+"""Precision of the latency histograms, which range from `LOWEST_US` to `HIGHEST_US`."""
 HEADER_END = b"\r\n\r\n"
 OK_PREFIX = b"HTTP/1.1 200"
 US_PER_S = 1_000_000
