--- a/src/zincvale/controlplane/api/pending_watches.py
+++ b/src/zincvale/controlplane/api/pending_watches.py
@@ -16,9 +16,9 @@
 from zincvale.model.errors import InvalidInputError, UnavailableError
 
 DEFAULT_WATCH_S = 30.0
-"""Time-out of a watch when the client sets none."""
+"""Timeout of a watch when the client sets none."""
 MAX_WATCH_S = 300.0
-"""Longest time-out that a client may set."""
+"""Longest timeout that a client may set."""
 MAX_PENDING_WATCHES = 1_000
 """Limit on the pending watches at one core; each holds a connection."""
 MAX_VERSION_DIGITS = 18
--- a/src/zincvale/controlplane/directory/machine.py
+++ b/src/zincvale/controlplane/directory/machine.py
@@ -44,7 +44,7 @@
 LIST_INTERVAL_S = 2.0
 """Interval between two reads of the platform's list."""
 LIST_TIMEOUT_S = 2.0
-"""Time-out of a read of the platform's list."""
+"""Timeout of a read of the platform's list."""
 FIRST_PROBES_TIMEOUT_S = 3.0
 """Longest time for which a new publisher waits for the first probe of every server.
 
--- a/src/zincvale/controlplane/directory/probe_schedule.py
+++ b/src/zincvale/controlplane/directory/probe_schedule.py
@@ -24,7 +24,7 @@
 JITTER = 0.2
 """Largest relative deviation of each delay from its mean, so that probes do not synchronize."""
 PROBE_TIMEOUT_S = 1.0
-"""Time-out of a probe."""
+"""Timeout of a probe."""
 MAX_BACKOFF_DOUBLINGS = 10
 """Limit on the exponent of the backoff; `BACKOFF_LIMIT_S` is reached long before."""
 RESULT_TIMEOUT_S = 2.0
--- a/src/zincvale/controlplane/intent/change_body.py
+++ b/src/zincvale/controlplane/intent/change_body.py
@@ -20,7 +20,7 @@
 """Largest body of one change, about 18,000 resources; larger intents take several changes.
 
 Checking a change blocks the event loop of the core that owns the intent. The limit keeps that time
-well below the time-out after which the other cores consider that core failed.
+well below the timeout after which the other cores consider that core failed.
 """
 
 MAX_NAME_CHARACTERS = 128
--- a/src/zincvale/controlplane/placement/dispatch.py
+++ b/src/zincvale/controlplane/placement/dispatch.py
@@ -192,7 +192,7 @@
     placement: PlacementState, move: Move, item: ItemRow, server: ServerState, now: float
 ) -> None:
     store = placement.stores[move.store]
-    # Both values are computed before the replica is added, which would count as a copy on disk.
+    # Both values depend on whether the server had the weights on its disk before this load.
     from_disk = placement.loads_from_disk(item, server)
     expected_s = placement.expected_load_s(item, server)
     store.record_order(item.weight_bytes, now, placement.config)
--- a/src/zincvale/controlplane/status/drain_progress.py
+++ b/src/zincvale/controlplane/status/drain_progress.py
@@ -15,7 +15,7 @@
 from zincvale.model.identifiers import ServerId
 
 IDLE_S = 2.5
-"""How long a server must stay idle: more than the sum of a probe's interval, its time-out and the
+"""How long a server must stay idle: more than the sum of a probe's interval, its timeout and the
 publication of its result. With less, a request that was sent just before the drain was in force may
 be missed."""
 
--- a/src/zincvale/coordination/leases/lease_grantor.py
+++ b/src/zincvale/coordination/leases/lease_grantor.py
@@ -11,7 +11,7 @@
   lease: the node may have given evidence of a partition between the two, which the older renewal
   does not report.
 - A node may apply a version after it sent its renewal, and then use an older grant that was not
-  valid for it before. `GrantedLease.assured_version` therefore uses the lowest requirement of all
+  valid for it before. `LeaseRecord.assured_version` therefore uses the lowest requirement of all
   grants that may still be in use.
 - A restarted node starts a new lease while its former process may still serve on the old one. The
   old lease is kept until its grants have expired.
@@ -31,8 +31,8 @@
 
 
 @attrs.define
-class GrantedLease:
-    """The lease that this core granted to one node."""
+class LeaseRecord:
+    """What this core recorded of the lease that it granted to one node."""
 
     info: MemberInfo
     requested_at: float
@@ -81,8 +81,8 @@
         self._timings = timings
         self._lifetime_s = timings.lease_ttl_s * CLOCK_RATE_ALLOWANCE
         self._earlier_leases_until = earlier_leases_until
-        self.leases: dict[str, GrantedLease] = {}
-        self._replaced_leases: list[GrantedLease] = []
+        self.leases: dict[str, LeaseRecord] = {}
+        self._replaced_leases: list[LeaseRecord] = []
         """Leases of former processes of restarted nodes, which may still be in use."""
         self._chosen_versions: dict[str, _ChosenVersion] = {}
         self._stale_members: dict[str, set[str]] = {}
@@ -127,7 +127,7 @@
             applied = _highest_versions(extended.applied_versions, renewal.applied_versions)
             required = extended.required | self._overdue_versions(renewal.applied_versions, now)
             previous, previous_until = _previous_requirements(extended, required, now)
-        after = GrantedLease(
+        after = LeaseRecord(
             info=renewal.info,
             requested_at=renewal.requested_at,
             granted_until=granted_until,
@@ -185,8 +185,8 @@
         ]
 
     def _extended_lease(
-        self, before: GrantedLease | None, renewal: RenewLease, now: float
-    ) -> GrantedLease | None:
+        self, before: LeaseRecord | None, renewal: RenewLease, now: float
+    ) -> LeaseRecord | None:
         """Return the lease that this renewal extends; None when the renewal starts a new one."""
         if before is None:
             return None
@@ -195,9 +195,7 @@
             return None
         return before if now < before.granted_until else None
 
-    def _record_changes(
-        self, member: str, before: GrantedLease | None, after: GrantedLease
-    ) -> None:
+    def _record_changes(self, member: str, before: LeaseRecord | None, after: LeaseRecord) -> None:
         for key, chosen in self._chosen_versions.items():
             if after.applied_versions.get(key, 0) >= chosen.version:
                 self._stale_members[key].discard(member)
@@ -223,7 +221,7 @@
 
 
 def _previous_requirements(
-    lease: GrantedLease, required: dict[str, int], now: float
+    lease: LeaseRecord, required: dict[str, int], now: float
 ) -> tuple[dict[str, int], float]:
     """Return the lowest requirement of the grants older than the new one, and when they expire."""
     if required == lease.required:
--- a/src/zincvale/daemons/control_api_handler.py
+++ b/src/zincvale/daemons/control_api_handler.py
@@ -38,7 +38,7 @@
         ...
 
     def tick(self, now: float) -> list[ApiEffect]:
-        """Respond to requests whose time-out passed."""
+        """Respond to requests whose timeout passed."""
         ...
 
 
@@ -77,7 +77,7 @@
         self._execute(self._api.on_intent_changed(self._clock()))
 
     def tick(self, now: float) -> None:
-        """Respond to requests whose time-out passed."""
+        """Respond to requests whose timeout passed."""
         self._execute(self._api.tick(now))
 
     def _execute(self, effects: list[ApiEffect]) -> None:
--- a/src/zincvale/daemons/forwarding_node.py
+++ b/src/zincvale/daemons/forwarding_node.py
@@ -49,7 +49,7 @@
 GRACE_MARGIN_S = 0.6
 """How long before the platform kills a stopping node the node ends by itself."""
 FINAL_REFUSAL_S = 0.4
-"""How long before its end a stopping node rejects the requests that are still pending."""
+"""How long before its end a stopping node refuses the requests that are still pending."""
 MAX_CALLER_BODY_BYTES = 64 * 1024 * 1024
 """Size limit of request bodies; the HTTP servers reject larger ones."""
 TOPICS = (LISTED_TOPIC, RESIDENCY_TOPIC)
--- a/src/zincvale/daemons/forwarding_placement.py
+++ b/src/zincvale/daemons/forwarding_placement.py
@@ -10,7 +10,7 @@
 from zincvale.controlplane.placement.config import PlacementConfig
 
 ORDER_LIFETIME_S = 2.1
-"""Time after which an order of an earlier leader can no longer arrive; it exceeds the time-out of
+"""Time after which an order of an earlier leader can no longer arrive; it exceeds the timeout of
 an order."""
 
 
--- a/src/zincvale/daemons/node_daemon.py
+++ b/src/zincvale/daemons/node_daemon.py
@@ -24,7 +24,7 @@
 from zincvale.tracing.metrics import register_metrics
 
 SERVICES_TICK_MS = 100
-"""Interval between two ticks of the services; a longer one delays their time-outs."""
+"""Interval between two ticks of the services; a longer one delays their timeouts."""
 DEMAND_INTERVAL_S = 0.5
 """Interval between two demand reports to the cores; a longer one delays loads of models in
 demand."""
--- a/src/zincvale/daemons/placement_runner.py
+++ b/src/zincvale/daemons/placement_runner.py
@@ -56,10 +56,10 @@
 from zincvale.runtime.logs import log
 
 ORDER_TIMEOUT_S = 2.0
-"""Time-out of an order. It is below the controller's order lifetime, so that no order arrives after
+"""Timeout of an order. It is below the controller's order lifetime, so that no order arrives after
 the controller has given it up."""
 STATUS_TIMEOUT_S = 1.0
-"""Time-out of a status request; a longer one delays the detection of an unreachable server."""
+"""Timeout of a status request; a longer one delays the detection of an unreachable server."""
 LOAD_CHECK_FRACTION = 0.97
 """Fraction of a load's declared duration after which the server is first checked for completion."""
 DISK_LOAD_CHECK_FRACTION = 0.1
--- a/src/zincvale/dataplane/claims/records.py
+++ b/src/zincvale/dataplane/claims/records.py
@@ -15,7 +15,7 @@
 MAX_ENDED_ATTEMPTS = 256
 """Limit of closed and blocked attempts of one request, above which new attempts are refused.
 
-The table can not drop old ones instead, because a forgotten attempt could get votes again.
+The table cannot drop old ones instead, because a forgotten attempt could get votes again.
 """
 
 
@@ -98,10 +98,10 @@
     Attributes
     ----------
     open : digest by attempt, for attempts with this voter's vote or learnt from other voters.
-    closed : attempts that gave up, were released, or provably never had a majority; they can not
+    closed : attempts that gave up, were released, or provably never had a majority; they cannot
         run any more, so that voters may vote for other attempts.
     blocked : attempts that this voter never votes for. Only a majority of such voters proves that
-        an attempt can not run, so that one voter's blocks prove nothing to others.
+        an attempt cannot run, so that one voter's blocks prove nothing to others.
     recorded : the outcome of the attempt that ran, if known.
     expires_at : in seconds on the voter's clock.
     sequence : sequence number of the row's last change in its table.
--- a/src/zincvale/dataplane/claims/voter.py
+++ b/src/zincvale/dataplane/claims/voter.py
@@ -156,7 +156,7 @@
         return row.voters
 
     def _reason_not_to_vote(self, view_version: int, request_id: RequestId) -> ClaimStatus | None:
-        """Return why this node can not vote in this view, or None if it can."""
+        """Return why this node cannot vote in this view, or None if it can."""
         if view_version < self.readiness.newest_seen_view:
             return ClaimStatus.STALE_VIEW
         if not self.readiness.may_vote or view_version != self.readiness.view_version:
--- a/src/zincvale/dataplane/stream_journal/log_events.py
+++ b/src/zincvale/dataplane/stream_journal/log_events.py
@@ -15,5 +15,5 @@
 STREAM_UNREPLICATED = declare(
     7013,
     "streams.unreplicated",
-    "No peer stores a stream's chunks; it can not be resumed if this node is lost.",
+    "No peer stores a stream's chunks; it cannot be resumed if this node is lost.",
 )
--- a/src/zincvale/model/machine.py
+++ b/src/zincvale/model/machine.py
@@ -60,7 +60,7 @@
 class CallFailed:
     """Input: the call `token` got no reply, or an empty one; it may have been handled.
 
-    `reason` describes the time-out or the failure for people.
+    `reason` describes the timeout or the failure for people.
     """
 
     token: str
@@ -80,7 +80,7 @@
 
 @attrs.frozen
 class Tick:
-    """Input: the periodic timer fired; the machine handles time-outs and renewals that are due."""
+    """Input: the periodic timer fired; the machine handles timeouts and renewals that are due."""
 
 
 @attrs.frozen
--- a/src/zincvale/runtime/driver.py
+++ b/src/zincvale/runtime/driver.py
@@ -33,7 +33,7 @@
 from zincvale.transport.peer import PeerCaller, PeerCallError
 
 TICK_INTERVAL_MS = 50
-"""Interval between two `Tick` inputs; a longer one delays every time-out of the machine."""
+"""Interval between two `Tick` inputs; a longer one delays every timeout of the machine."""
 CLOCK_JUMP_GAP_S = 0.9
 """Longest gap between two readings of the clock that does not count as a freeze: half a member
 lease."""
--- a/src/zincvale/runtime/peer_router.py
+++ b/src/zincvale/runtime/peer_router.py
@@ -77,7 +77,7 @@
         try:
             message = await reply
         except Exception as error:  # noqa: BLE001
-            # After a defect in a service, its caller gets an empty reply instead of a time-out.
+            # After a defect in a service, its caller gets an empty reply instead of a timeout.
             log(log_events.HANDLER_FAILED, input="reply", error=repr(error))
             message = None
         self.reply(token, message)
--- a/tests/dataplane/claims/claims_cluster.py
+++ b/tests/dataplane/claims/claims_cluster.py
@@ -245,7 +245,7 @@
         self.schedule(TICK_S, lambda: self._tick(node, incarnation))
 
     def _poll_core(self, node: Node, incarnation: str) -> None:
-        """Give the node the live members and registered nodes, unless it can not reach the core."""
+        """Give the node the live members and registered nodes, unless it cannot reach the core."""
         if not node.is_up or node.incarnation != incarnation:
             return
         if not node.is_isolated and node.frozen_until <= self.now:
